--- a/core/src/main/java/lemonrail/core/policy/Call.java
+++ b/core/src/main/java/lemonrail/core/policy/Call.java
@@ -12,8 +12,7 @@
     private static final double USEFUL = 0.99;
 
     /** One attempt of a call; its end is null until it has come. */
-    record Attempt(Slot slot, double sentAt, Outcome[] end) {
-    }
+    record Attempt(Slot slot, double sentAt, Outcome[] end) {}
 
     final Request request;
     final RequestClass kind;
@@ -21,6 +20,7 @@
     final List<Attempt> attempts = new ArrayList<>(2);
     /** When an answer stops being worth waiting for. */
     final double usefulUntil;
+
     boolean answered;
     int out;
     boolean withinShare;
@@ -33,11 +33,26 @@
         return attempt == null || attempt.end()[0] != null ? null : attempt;
     }
 
+    /** Records the outcome of an attempt that was in flight. */
+    void end(Attempt attempt, Outcome outcome) {
+        attempt.end()[0] = outcome;
+        out--;
+        if (!outcome.neverRan() && mayHaveRun == null) {
+            mayHaveRun = attempt;
+        }
+    }
+
+    /** Whether the client has its final response and no attempt is in flight. */
+    boolean isOver() {
+        return answered && out == 0;
+    }
+
     Call(double now, Request request, RequestClass kind, AnswerTimes learned) {
         this.request = request;
         this.kind = kind;
         this.learned = learned;
-        usefulUntil = kind.lateWorth() > 0 ? request.deadlineMs()
-            : Math.min(request.deadlineMs(), now + kind.aimMs() * USEFUL);
+        usefulUntil = kind.lateWorth() > 0
+                ? request.deadlineMs()
+                : Math.min(request.deadlineMs(), now + kind.aimMs() * USEFUL);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/Decide.java
+++ b/core/src/main/java/lemonrail/core/policy/Decide.java
@@ -21,12 +21,10 @@
 
     /** The most servers placed anew for each change of the list, however fast changes come. */
     private static final int SETTLED_A_CHANGE = 32;
-    /** Name of the timer for the next request for the list. */
-    private static final long ASK_TIMER = 1;
 
     private Settings settings;
     private final Actions host;
-    private final SplittableRandom random;
+    private final EndpointListPoller listPoller;
     private final Map<String, Target> targets = new LinkedHashMap<>();
     private final Map<String, Call> calls = new HashMap<>();
     private final AnswerTimes[] learned;
@@ -41,16 +39,16 @@
     private final TroubleReport report = new TroubleReport();
     /** The pause between refills: by it, too, ranks may lag behind the list. */
     private final double pauseMs;
+
     private double nextRefill;
     private double nextSettle;
-    private int askFailures;
 
     /** A balancer that knows its settings and nothing else; it acts through {@code host}. */
     public Decide(Settings settings, long seed, Actions host) {
         this.settings = settings;
         this.host = host;
         pauseMs = settings.limits().connectTimeoutMs() / 2;
-        this.random = new SplittableRandom(seed);
+        listPoller = new EndpointListPoller(settings.rules().askWithinMs(), new SplittableRandom(seed), host);
         learned = settings.classes().stream().map(AnswerTimes::new).toArray(AnswerTimes[]::new);
         anyRepeatable = settings.classes().stream().anyMatch(kind -> kind.effect() != Effect.ONCE);
         ranks = new Ranks(settings);
@@ -61,7 +59,7 @@
         limit = new Limit(settings, ranks, health, locality, report);
         retries = new Retries(settings);
         if (settings.asksForList()) {
-            askForList(settings.rules().askWithinMs() / 2);
+            listPoller.scheduleFirstPoll();
         }
     }
 
@@ -92,8 +90,9 @@
 
     /** How many servers that discovery calls ready are left out for what they did; it changes nothing. */
     public int avoided(double now) {
-        return (int) targets.values().stream().filter(target -> target.ready && (target.onTrial
-            || target.held == 0 && now < target.pausedUntil)).count();
+        return (int) targets.values().stream()
+                .filter(target -> Health.isAvoided(now, target))
+                .count();
     }
 
     @Override
@@ -103,8 +102,8 @@
             throw new IllegalArgumentException("request " + request.id() + " is in hand already");
         }
         tick(now);
-        Call call = new Call(now, request, settings.classes().get(request.requestClass()),
-            learned[request.requestClass()]);
+        Call call =
+                new Call(now, request, settings.classes().get(request.requestClass()), learned[request.requestClass()]);
         calls.put(request.id(), call);
         locality.demand(call.learned.baseMs());
         retries.taken();
@@ -129,14 +128,15 @@
     }
 
     private boolean mayUse(double now, Call call, Slot slot) {
-        return cold.gentle(now, slot) && !(call.attempts.isEmpty() && limit.crowds(slot))
-            && Retries.sameGroup(call, slot.target);
+        return cold.gentle(now, slot)
+                && !(call.attempts.isEmpty() && limit.crowds(slot))
+                && Retries.sameGroup(call, slot.target);
     }
 
     /** A call that cannot be tried again must not be the one to find out whether a server is well. */
     private boolean isSecondBest(Call call, Target target) {
         return target.onTrial && call.kind.effect() == Effect.ONCE && anyRepeatable
-            || !call.attempts.isEmpty() && call.attempts.stream().anyMatch(a -> a.slot().target == target);
+                || !call.attempts.isEmpty() && call.attempts.stream().anyMatch(a -> a.slot().target == target);
     }
 
     private void send(double now, Call call, Slot slot) {
@@ -162,7 +162,7 @@
     }
 
     private void forget(Call call) {
-        if (call.answered && call.out == 0) {
+        if (call.isOver()) {
             calls.remove(call.request.id());
         }
     }
@@ -176,18 +176,14 @@
             return;
         }
         Outcome outcome = finished.outcome();
-        attempt.end()[0] = outcome;
-        call.out--;
-        if (!outcome.neverRan() && call.mayHaveRun == null) {
-            call.mayHaveRun = attempt;
-        }
+        call.end(attempt, outcome);
         learn(now, call, attempt.slot().target, finished);
         limit.judge(now, call, attempt, finished);
-        release(now, attempt.slot(), outcome, isFailure(call, finished));
+        release(now, attempt.slot(), outcome, Health.isFailure(call, finished));
         if (finished.concluded()) {
             call.answered = true;
-        } else if (!call.answered && !(finished.replayable() && retries.allows(now, call, outcome)
-                && place(now, call))) {
+        } else if (!call.answered
+                && !(finished.replayable() && retries.allows(now, call, outcome) && place(now, call))) {
             answer(call);
         }
         forget(call);
@@ -226,15 +222,6 @@
         forget(call);
     }
 
-    /** Whether an outcome speaks against the server: a time-out does only if it was a long one. */
-    private static boolean isFailure(Call call, Finished finished) {
-        return switch (finished.outcome()) {
-            case FAILED, CONNECT_ERROR, RESET -> true;
-            case TIMED_OUT -> finished.servedMs() >= call.learned.tailMs();
-            default -> false;
-        };
-    }
-
     private void learn(double now, Call call, Target target, Finished finished) {
         boolean ok = finished.outcome() == Outcome.OK;
         if (ok || finished.outcome() == Outcome.TIMED_OUT) {
@@ -290,15 +277,15 @@
     @Override
     public void onServers(double now, ListKind kind, List<Server> entries) {
         if (kind == ListKind.FAILED) {
-            askFailures++;
-            askForList(settings.rules().askWithinMs() * Math.min(askFailures, 4));
+            listPoller.onPollFailed();
             return;
         }
-        askFailures = 0;
+        listPoller.onListReceived();
         if (kind != ListKind.DELTA) {
             Set<String> named = entries.stream().map(Server::id).collect(Collectors.toSet());
-            List.copyOf(targets.values()).stream().filter(target -> !named.contains(target.id))
-                .forEach(target -> update(now, target.listed.with(State.GONE)));
+            List.copyOf(targets.values()).stream()
+                    .filter(target -> !named.contains(target.id))
+                    .forEach(target -> update(now, target.listed.with(State.GONE)));
         }
         entries.forEach(entry -> update(now, entry));
         // In a storm the next refill pause does it, once for many: it costs as the list, not as the change.
@@ -353,16 +340,9 @@
         cold.forget(target);
     }
 
-    /** Asks at a random time: balancers that start or fail together must not ask together. */
-    private void askForList(double withinMs) {
-        host.timer(random.nextDouble() * withinMs, ASK_TIMER);
-    }
-
     @Override
     public void onTimer(double now, long name) {
         tick(now);
-        if (name == ASK_TIMER) {
-            host.subscribe();
-        }
+        listPoller.onTimer(name);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/Health.java
+++ b/core/src/main/java/lemonrail/core/policy/Health.java
@@ -12,6 +12,7 @@
 
     /** The share of a server's outcomes that may fail by chance, and the most doublings of its pause. */
     private static final double FAILING_SHARE = 0.4;
+
     private static final int MOST_DOUBLINGS = 5;
     /** A server silent for so many of its usual gaps hangs: by chance that is 2 in 100. */
     private static final double HANG_GAPS = 4;
@@ -23,6 +24,7 @@
     private final List<Target> paused = new ArrayList<>();
     /** Servers on trial. */
     int ailing;
+
     private final TroubleReport report;
     private final DialChance dials = new DialChance();
 
@@ -32,11 +34,24 @@
         this.settings = settings;
     }
 
+    /** Whether an outcome counts against the endpoint: a timeout does only if the attempt was a long one. */
+    static boolean isFailure(Call call, Finished finished) {
+        return switch (finished.outcome()) {
+            case FAILED, CONNECT_ERROR, RESET -> true;
+            case TIMED_OUT -> finished.servedMs() >= call.learned.tailMs();
+            default -> false;
+        };
+    }
+
+    /** Whether a ready endpoint gets fewer or no requests because of its failures. */
+    static boolean isAvoided(double now, Target target) {
+        return target.ready && (target.onTrial || target.held == 0 && now < target.pausedUntil);
+    }
+
     /** Learns from how long a call has waited, with or without an answer. */
     void waited(double now, Target target, AnswerTimes known, double tookMs) {
         if (pool.cold.warmth(now, target) >= 1) {
-            target.slowness += Target.SERVER_GAIN
-                * (Math.min(tookMs / known.typicalMs(), SLOWEST) - target.slowness);
+            target.slowness += Target.SERVER_GAIN * (Math.min(tookMs / known.typicalMs(), SLOWEST) - target.slowness);
             pool.reprice(now, target, false);
         }
     }
@@ -45,7 +60,8 @@
     void judge(double now, Slot slot, Outcome outcome, boolean failed) {
         Target target = slot.target;
         boolean alive = learnConnection(slot, outcome);
-        if (outcome == Outcome.CONNECT_ERROR && dials.explains(target.connectsFailed)
+        if (outcome == Outcome.CONNECT_ERROR
+                && dials.explains(target.connectsFailed)
                 && pool.ranks.ready * Limit.FIRST_CALLS >= settings.balancers()) {
             // As many fail at servers that are well. Where many share few, the sum of new dials needs pauses.
             pool.drop(slot);
@@ -82,8 +98,7 @@
             slot.target.connectsFailed = 0;
         }
         slot.connected = cameUp;
-        return outcome == Outcome.CONNECT_ERROR && ++slot.target.connectsFailed == 1
-            && pool.hasOtherConnected(slot);
+        return outcome == Outcome.CONNECT_ERROR && ++slot.target.connectsFailed == 1 && pool.hasOtherConnected(slot);
     }
 
     /** When half of all servers look bad, something they share is: giving them up would leave none. */
@@ -93,15 +108,15 @@
 
     /** A crowded server answers late, a hung one not at all, and fewer calls help only the first. */
     boolean hangs(double now, Target target) {
-        return target.answerGapMs > 0 && now - target.lastAnswer > HANG_GAPS * target.answerGapMs
-            && !blamedOnShared();
+        return target.answerGapMs > 0 && now - target.lastAnswer > HANG_GAPS * target.answerGapMs && !blamedOnShared();
     }
 
     /** One error may be by chance, whoever sends it; a time-out or a failed connect seldom is. */
     private static boolean fails(Target target, Outcome outcome) {
         target.failing += Target.FAILING_GAIN * (1 - target.failing);
-        return target.onTrial || outcome != Outcome.FAILED && outcome != Outcome.RESET
-            || target.failing > FAILING_SHARE;
+        return target.onTrial
+                || outcome != Outcome.FAILED && outcome != Outcome.RESET
+                || target.failing > FAILING_SHARE;
     }
 
     /** A failure: the server pauses, longer each time; at the second in a row it loses all its slots. */
@@ -140,7 +155,8 @@
 
     /** Lets those whose pause is over take part again. */
     void tick(double now) {
-        List<Target> over = paused.stream().filter(target -> target.pausedUntil <= now).toList();
+        List<Target> over =
+                paused.stream().filter(target -> target.pausedUntil <= now).toList();
         paused.removeAll(over);
         over.forEach(target -> pool.offer(now, target));
     }
