--- a/core/src/main/java/lemonrail/core/AnswerTimes.java
+++ b/core/src/main/java/lemonrail/core/AnswerTimes.java
@@ -9,9 +9,11 @@
     private static final double GAIN = 1.0 / 32;
     /** The share of answers that the tail time exceeds, and how fast it is learned. */
     private static final double TAIL_SHARE = 0.03;
+
     private static final double TAIL_GAIN = 0.1;
     /** Answers averaged for the base time, and the rise it is allowed at each such average. */
     private static final int BASE_SAMPLES = 16;
+
     private static final double BASE_RISE = 1.02;
 
     private double mostMs;
@@ -19,6 +21,7 @@
     private double tailMs;
     /** The lowest of recent averages. */
     private double baseMs;
+
     private double sumMs;
     private int samples;
 
--- a/core/src/main/java/lemonrail/core/Contract.java
+++ b/core/src/main/java/lemonrail/core/Contract.java
@@ -9,8 +9,7 @@
  */
 public final class Contract {
 
-    private Contract() {
-    }
+    private Contract() {}
 
     /** What may be done with a request that may have run once already. */
     public enum Effect {
@@ -24,7 +23,9 @@
 
     /** Which servers drop the repeats of a {@link Effect#BY_KEY} request. */
     public enum Group {
-        ALL, ZONE, CELL;
+        ALL,
+        ZONE,
+        CELL;
 
         /** Whether both servers are of one such group. */
         public boolean holds(Server one, Server other) {
@@ -33,14 +34,30 @@
     }
 
     /** What discovery says of a server. */
-    public enum State { GONE, READY, DRAINING }
+    public enum State {
+        GONE,
+        READY,
+        DRAINING
+    }
 
     /** What kind of list discovery has sent. */
-    public enum ListKind { CACHED, FULL, DELTA, FAILED }
+    public enum ListKind {
+        CACHED,
+        FULL,
+        DELTA,
+        FAILED
+    }
 
     /** How an attempt ended. */
     public enum Outcome {
-        OK, FAILED, QUEUE_FULL, TIMED_OUT, CONNECT_ERROR, RESET, CANCELED, IGNORED;
+        OK,
+        FAILED,
+        QUEUE_FULL,
+        TIMED_OUT,
+        CONNECT_ERROR,
+        RESET,
+        CANCELED,
+        IGNORED;
 
         /** Whether this outcome proves that the server never began the request. */
         public boolean neverRan() {
@@ -49,8 +66,16 @@
     }
 
     /** A class of requests: its time wanted, its time limit, its worth and whether it may be repeated. */
-    public record RequestClass(String name, double aimMs, double deadlineMs, double worth, double lateWorth,
-            Effect effect, Group group, double windowMs, boolean stream) {
+    public record RequestClass(
+            String name,
+            double aimMs,
+            double deadlineMs,
+            double worth,
+            double lateWorth,
+            Effect effect,
+            Group group,
+            double windowMs,
+            boolean stream) {
         public RequestClass {
             positive("classes[].aim", aimMs);
             finite("classes[].aim", aimMs);
@@ -82,8 +107,8 @@
     }
 
     /** What the site permits. */
-    public record Limits(int tries, boolean parallelTries, boolean cancel, double maxCoolDownMs,
-            double connectTimeoutMs) {
+    public record Limits(
+            int tries, boolean parallelTries, boolean cancel, double maxCoolDownMs, double connectTimeoutMs) {
         public Limits {
             positive("limits.tries", tries);
             finite("limits.maxCoolDown", maxCoolDownMs);
@@ -94,8 +119,13 @@
     }
 
     /** The figures of the rules on cold and draining servers. */
-    public record Rules(double coldShare, double coldMs, double tipMultiple, double fallMs,
-            double drainGraceMs, double askWithinMs) {
+    public record Rules(
+            double coldShare,
+            double coldMs,
+            double tipMultiple,
+            double fallMs,
+            double drainGraceMs,
+            double askWithinMs) {
         public Rules {
             positive("rules.coldShare", coldShare);
             finite("rules.coldShare", coldShare);
@@ -110,15 +140,26 @@
 
         /** The share of its full work that a server can surely do: it grows evenly from its start on. */
         public double warmth(double now, double startedMs) {
-            return startedMs <= 0 || coldMs <= 0 || now - startedMs >= coldMs ? 1
-                : coldShare + (1 - coldShare) * Math.max(0, now - startedMs) / coldMs;
+            return startedMs <= 0 || coldMs <= 0 || now - startedMs >= coldMs
+                    ? 1
+                    : coldShare + (1 - coldShare) * Math.max(0, now - startedMs) / coldMs;
         }
     }
 
     /** All that a balancer is told when it starts. */
-    public record Settings(int balancers, int ownNumber, int ownZone, int tier, boolean asksForList,
-            boolean weighted, double overShareWorth, double crossZonePrice, List<RequestClass> classes,
-            List<Tenant> tenants, Limits limits, Rules rules) {
+    public record Settings(
+            int balancers,
+            int ownNumber,
+            int ownZone,
+            int tier,
+            boolean asksForList,
+            boolean weighted,
+            double overShareWorth,
+            double crossZonePrice,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            Limits limits,
+            Rules rules) {
         public Settings {
             positive("balancers", balancers);
             notNegative("ownNumber", ownNumber);
@@ -138,19 +179,18 @@
         /** Refuses by name a request whose class or tenant these settings do not have. */
         public void check(Request request) {
             if (request.requestClass() < 0 || request.requestClass() >= classes.size()) {
-                throw new IllegalArgumentException("request " + request.id() + " is of class "
-                    + request.requestClass() + ", but the settings have " + classes.size());
+                throw new IllegalArgumentException("request " + request.id() + " is of class " + request.requestClass()
+                        + ", but the settings have " + classes.size());
             }
             if (request.tenant() < 0 || request.tenant() >= Math.max(1, tenants.size())) {
-                throw new IllegalArgumentException("request " + request.id() + " is of tenant "
-                    + request.tenant() + ", but the settings have " + tenants.size());
+                throw new IllegalArgumentException("request " + request.id() + " is of tenant " + request.tenant()
+                        + ", but the settings have " + tenants.size());
             }
         }
     }
 
     /** One line of discovery's list. A start time of 0 is the distant past. */
-    public record Server(String id, int zone, int kind, int cell, double startedMs, State state,
-            double weight) {
+    public record Server(String id, int zone, int kind, int cell, double startedMs, State state, double weight) {
         public Server {
             given("server.id", id);
             given("server.state", state);
@@ -185,11 +225,25 @@
      * {@code connectMs} is the part of {@code tookMs} before the request was written whole, which the
      * connection took and not the server; 0 where one stood, or where the host does not know.
      */
-    public record Finished(String request, int attempt, String server, Outcome outcome, double tookMs,
-            double connectMs, boolean concluded, boolean replayable, Load load) {
+    public record Finished(
+            String request,
+            int attempt,
+            String server,
+            Outcome outcome,
+            double tookMs,
+            double connectMs,
+            boolean concluded,
+            boolean replayable,
+            Load load) {
         /** The end of an attempt whose request the host still has whole, on a connection that stood. */
-        public Finished(String request, int attempt, String server, Outcome outcome, double tookMs,
-                boolean concluded, Load load) {
+        public Finished(
+                String request,
+                int attempt,
+                String server,
+                Outcome outcome,
+                double tookMs,
+                boolean concluded,
+                Load load) {
             this(request, attempt, server, outcome, tookMs, 0, concluded, true, load);
         }
 
@@ -238,8 +292,7 @@
          * Settings that differ from those before in these at most: aims, deadlines and worths of the classes,
          * allowances of the tenants, tries and the cool-down. What was learned stays.
          */
-        default void onSettings(double now, Settings settings) {
-        }
+        default void onSettings(double now, Settings settings) {}
 
         /** How many servers that discovery calls ready are left out for what they did; it changes nothing. */
         default int avoided(double now) {
--- a/core/src/main/java/lemonrail/core/DialChance.java
+++ b/core/src/main/java/lemonrail/core/DialChance.java
@@ -8,6 +8,7 @@
 
     /** Weight of a new connection, and what an occurrence must be more likely than to pass for chance. */
     private static final double GAIN = 1.0 / 16;
+
     private static final double CHANCE = 0.05;
     /** The most failures in a row that count: more are a server's that was away for a while. */
     private static final int MOST_COUNTED = 2;
--- a/core/src/main/java/lemonrail/core/Ring.java
+++ b/core/src/main/java/lemonrail/core/Ring.java
@@ -15,10 +15,10 @@
 
     /** What is summed up of a group: the weights of all members, and of those before. */
     private static final int ALL = 0;
+
     private static final int BEFORE = 1;
 
-    private Ring() {
-    }
+    private Ring() {}
 
     /** Where a member of this hash comes on the ring of this number; ring 0 has the hash's own order. */
     public static long order(long hash, int ring) {
@@ -33,8 +33,8 @@
      * Tells each member its place, above 0 and up to 1, falling in the given order. In each group the arcs
      * between members are as wide as their weights: by a hash alone they would be very unequal.
      */
-    public static <T> void place(List<T> inOrder, ToIntFunction<T> group, ToDoubleFunction<T> weight,
-            ObjDoubleConsumer<T> told) {
+    public static <T> void place(
+            List<T> inOrder, ToIntFunction<T> group, ToDoubleFunction<T> weight, ObjDoubleConsumer<T> told) {
         Map<Integer, double[]> groups = new HashMap<>();
         double[][] groupOf = new double[inOrder.size()][];
         double[] weights = new double[inOrder.size()];
--- a/core/src/main/java/lemonrail/core/SettingsReader.java
+++ b/core/src/main/java/lemonrail/core/SettingsReader.java
@@ -14,8 +14,7 @@
 /** Turns the wire's settings object into {@link Settings}; what it does not know it passes over. */
 public final class SettingsReader {
 
-    private SettingsReader() {
-    }
+    private SettingsReader() {}
 
     /**
      * The settings that the decisions need, from the object with maps for its objects, lists for its arrays
@@ -24,30 +23,50 @@
     public static Settings settings(Map<String, Object> p) {
         List<RequestClass> classes = new ArrayList<>();
         for (Map<String, Object> c : maps(p, "classes")) {
-            classes.add(new RequestClass(text(c, "name", ""), number(c, "slo-ms", 0),
-                    number(c, "hard-limit-ms", 0), number(c, "worth", 1), number(c, "late-worth", 0),
-                    effect(text(c, "effect", "once")), group(text(c, "group", "all")),
-                    number(c, "memory-span-ms", 0), flag(c, "stream")));
+            classes.add(new RequestClass(
+                    text(c, "name", ""),
+                    number(c, "slo-ms", 0),
+                    number(c, "hard-limit-ms", 0),
+                    number(c, "worth", 1),
+                    number(c, "late-worth", 0),
+                    effect(text(c, "effect", "once")),
+                    group(text(c, "group", "all")),
+                    number(c, "memory-span-ms", 0),
+                    flag(c, "stream")));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (Map<String, Object> t : maps(p, "projects")) {
-            tenants.add(new Tenant(text(t, "name", ""), number(t, "allowance-per-s", 0),
-                    number(t, "share", 0)));
+            tenants.add(new Tenant(text(t, "name", ""), number(t, "allowance-per-s", 0), number(t, "share", 0)));
         }
         Map<String, Object> l = map(p, "limits");
-        Limits limits = new Limits((int) number(l, "try-limit", 1), flag(l, "parallel-tries"),
-                flag(l, "cancel"), number(l, "max-retry-after-ms", 0),
+        Limits limits = new Limits(
+                (int) number(l, "try-limit", 1),
+                flag(l, "parallel-tries"),
+                flag(l, "cancel"),
+                number(l, "max-retry-after-ms", 0),
                 number(l, "dial-timeout-ms", 250));
         Map<String, Object> r = map(p, "rules");
-        Rules rules = new Rules(number(r, "cold-share", 1), number(r, "cold-ms", 0),
-                number(r, "tip-multiple", 1), number(r, "fall-ms", 1000),
-                number(r, "drain-grace-ms", 0), number(r, "ask-within-ms", 10_000));
+        Rules rules = new Rules(
+                number(r, "cold-share", 1),
+                number(r, "cold-ms", 0),
+                number(r, "tip-multiple", 1),
+                number(r, "fall-ms", 1000),
+                number(r, "drain-grace-ms", 0),
+                number(r, "ask-within-ms", 10_000));
         String weights = text(p, "weight-kind", "silent");
-        return new Settings((int) number(p, "replicas-of-me", 1), (int) number(p, "slot-no", 0),
-                (int) number(p, "zone", 0), (int) number(p, "tier", 0),
+        return new Settings(
+                (int) number(p, "replicas-of-me", 1),
+                (int) number(p, "slot-no", 0),
+                (int) number(p, "zone", 0),
+                (int) number(p, "tier", 0),
                 text(p, "membership-mode", "pushed").equals("on_request"),
-                weights.equals("nominal") || weights.equals("rough"), number(p, "over-share-worth", 1),
-                number(map(p, "prices"), "cross-zone", 0), classes, tenants, limits, rules);
+                weights.equals("nominal") || weights.equals("rough"),
+                number(p, "over-share-worth", 1),
+                number(map(p, "prices"), "cross-zone", 0),
+                classes,
+                tenants,
+                limits,
+                rules);
     }
 
     private static Effect effect(String word) {
--- a/core/src/main/java/lemonrail/core/StableHash.java
+++ b/core/src/main/java/lemonrail/core/StableHash.java
@@ -3,8 +3,7 @@
 /** A hash of names that is the same in every process and version. */
 public final class StableHash {
 
-    private StableHash() {
-    }
+    private StableHash() {}
 
     /** 32-bit FNV-1a over the text's UTF-16 units, finished with a mix; 0 to 2^32 - 1. */
     public static long of(String text) {
--- a/core/src/main/java/lemonrail/core/TroubleReport.java
+++ b/core/src/main/java/lemonrail/core/TroubleReport.java
@@ -35,8 +35,8 @@
         next = now + EVERY_MS;
         if (turnedAway + fullServers + ejections > 0) {
             operators.accept("tier " + tier + ": " + turnedAway + " calls turned away at a limit of "
-                + Math.round(limit) + " at once, " + fullServers + " attempts met a full server, " + ejections
-                + " times a server was put on trial; " + ailing + " of " + ready + " on trial now");
+                    + Math.round(limit) + " at once, " + fullServers + " attempts met a full server, " + ejections
+                    + " times a server was put on trial; " + ailing + " of " + ready + " on trial now");
         }
         turnedAway = 0;
         fullServers = 0;
--- a/core/src/main/java/lemonrail/core/WatchPace.java
+++ b/core/src/main/java/lemonrail/core/WatchPace.java
@@ -45,6 +45,7 @@
     private static final int ANSWER_MS = 2_000;
     /** The mean pause after a failure, which doubles with each in a row up to the most. */
     private static final double PAUSE_MS = 100;
+
     private static final double MOST_PAUSE_MS = 1_000;
     /**
      * The most is also this part of the time in which sends to a leaving server must cease, so that with its
@@ -75,8 +76,7 @@
     /** The pace of one among so many instances that watch the same list. */
     public static WatchPace ofFleet(int instances, double drainGraceMs, long seed) {
         long shareMs = instances * 1000L / FLEET_CALLS_PER_S;
-        return new WatchPace((int) Math.max(USUAL_WAIT_MS, Math.min(LONGEST_WAIT_MS, shareMs)), drainGraceMs,
-            seed);
+        return new WatchPace((int) Math.max(USUAL_WAIT_MS, Math.min(LONGEST_WAIT_MS, shareMs)), drainGraceMs, seed);
     }
 
     /** How long the next call asks discovery to wait for news. */
--- a/core/src/main/java/lemonrail/core/control/ControlState.java
+++ b/core/src/main/java/lemonrail/core/control/ControlState.java
@@ -36,15 +36,19 @@
     }
 
     /** What became of a word. */
-    public enum Taken { NEWS, KNOWN, OLDER, AHEAD, FULL }
+    public enum Taken {
+        NEWS,
+        KNOWN,
+        OLDER,
+        AHEAD,
+        FULL
+    }
 
     /** What a batch of another node's words has changed. */
-    public record Batch(Set<String> topics, int news, int refused) {
-    }
+    public record Batch(Set<String> topics, int news, int refused) {}
 
     /** An item, its number here and the node that told of it, empty where it was taken here. */
-    private record Held(Item item, long arrival, String via) {
-    }
+    private record Held(Item item, long arrival, String via) {}
 
     private static final class Topic {
         final Map<String, Held> items = new HashMap<>();
@@ -62,6 +66,7 @@
     private final TreeMap<Long, Held> removed = new TreeMap<>();
     /** For each node the stamp up to which everything of it has come. */
     private final Map<String, Stamp> heard = new TreeMap<>();
+
     private long last;
     private int live;
     private boolean ready;
@@ -101,8 +106,11 @@
         Stamp stamp = late ? Stamp.asOf(asOfMs, origin) : clock.read(nowMs);
         Held held = held(topic, id);
         if (held != null && stamp.compareTo(held.item().stamp()) <= 0) {
-            return stamp.equals(held.item().stamp()) && held.item().gone() == gone
-                && (gone || held.item().body().equals(body)) ? Taken.KNOWN : Taken.OLDER;
+            return stamp.equals(held.item().stamp())
+                            && held.item().gone() == gone
+                            && (gone || held.item().body().equals(body))
+                    ? Taken.KNOWN
+                    : Taken.OLDER;
         }
         if (gone && (held == null ? !late : held.item().gone())) {
             return Taken.KNOWN;
@@ -120,8 +128,7 @@
     /** Whether there is room for a word that holds. */
     private boolean fits(Held held, String topic, boolean gone) {
         boolean more = !gone && (held == null || held.item().gone());
-        return !(more && live >= bounds.items())
-            && (topics.containsKey(topic) || topics.size() < bounds.topics());
+        return !(more && live >= bounds.items()) && (topics.containsKey(topic) || topics.size() < bounds.topics());
     }
 
     /**
@@ -310,8 +317,10 @@
 
     /** What is newer than a version in all topics, but for what came by this node. */
     public List<Item> sinceForPeer(String peer, long version) {
-        return all.tailMap(version, false).values().stream().filter(held -> !held.via().equals(peer))
-            .map(Held::item).toList();
+        return all.tailMap(version, false).values().stream()
+                .filter(held -> !held.via().equals(peer))
+                .map(Held::item)
+                .toList();
     }
 
     /** The last word on an item, also that it is gone; null where there is none. */
--- a/core/src/main/java/lemonrail/core/control/InForce.java
+++ b/core/src/main/java/lemonrail/core/control/InForce.java
@@ -14,6 +14,7 @@
     public static final long SILENT_MS = 180_000;
     /** Names that a summary tells of each kind. */
     private static final int MOST_NAMES = 8;
+
     private static final int MOST_WATCHERS = 8192;
 
     /**
@@ -24,8 +25,7 @@
      * @param refused the stamp of the last one that it has refused, or null
      * @param why in one line, empty if nothing is refused
      */
-    public record Word(String name, String document, Stamp inForce, Stamp refused, String why) {
-    }
+    public record Word(String name, String document, Stamp inForce, Stamp refused, String why) {}
 
     /**
      * Of one document at the watchers of a node.
@@ -36,12 +36,10 @@
      * @param refusals how many have refused one that is newer than what they have in force
      * @param refused some of them
      */
-    public record Summary(String document, int watchers, Stamp oldest, List<String> oldestNames, int refusals,
-            List<Word> refused) {
-    }
+    public record Summary(
+            String document, int watchers, Stamp oldest, List<String> oldestNames, int refusals, List<Word> refused) {}
 
-    private record Seen(Word word, long atMs) {
-    }
+    private record Seen(Word word, long atMs) {}
 
     private final LinkedHashMap<String, Seen> seen = new LinkedHashMap<>();
 
@@ -60,25 +58,41 @@
 
     /** How many have called of late. */
     public int watchers(long nowMs) {
-        return (int) seen.values().stream().filter(one -> one.atMs() >= nowMs - SILENT_MS).count();
+        return (int) seen.values().stream()
+                .filter(one -> one.atMs() >= nowMs - SILENT_MS)
+                .count();
     }
 
     /** What is in force, for each document that is followed. */
     public List<Summary> summaries(long nowMs) {
         Map<String, List<Word>> byDocument = new TreeMap<>();
-        seen.values().stream().filter(one -> one.atMs() >= nowMs - SILENT_MS).map(Seen::word)
-            .filter(word -> !word.document().isEmpty())
-            .forEach(word -> byDocument.computeIfAbsent(word.document(), name -> new ArrayList<>())
-                .add(word));
+        seen.values().stream()
+                .filter(one -> one.atMs() >= nowMs - SILENT_MS)
+                .map(Seen::word)
+                .filter(word -> !word.document().isEmpty())
+                .forEach(word -> byDocument
+                        .computeIfAbsent(word.document(), name -> new ArrayList<>())
+                        .add(word));
         List<Summary> all = new ArrayList<>();
         byDocument.forEach((document, words) -> {
-            Stamp oldest = words.stream().map(Word::inForce).min(Comparator.naturalOrder())
-                .orElse(Stamp.NONE);
-            List<Word> refused = words.stream().filter(word -> word.refused() != null
-                && word.refused().compareTo(word.inForce()) > 0).toList();
-            all.add(new Summary(document, words.size(), oldest, words.stream()
-                .filter(word -> word.inForce().equals(oldest)).map(Word::name).limit(MOST_NAMES).toList(),
-                refused.size(), refused.stream().limit(MOST_NAMES).toList()));
+            Stamp oldest = words.stream()
+                    .map(Word::inForce)
+                    .min(Comparator.naturalOrder())
+                    .orElse(Stamp.NONE);
+            List<Word> refused = words.stream()
+                    .filter(word -> word.refused() != null && word.refused().compareTo(word.inForce()) > 0)
+                    .toList();
+            all.add(new Summary(
+                    document,
+                    words.size(),
+                    oldest,
+                    words.stream()
+                            .filter(word -> word.inForce().equals(oldest))
+                            .map(Word::name)
+                            .limit(MOST_NAMES)
+                            .toList(),
+                    refused.size(),
+                    refused.stream().limit(MOST_NAMES).toList()));
         });
         return all;
     }
--- a/core/src/main/java/lemonrail/core/control/Replica.java
+++ b/core/src/main/java/lemonrail/core/control/Replica.java
@@ -18,8 +18,7 @@
     static final int MOST_REMOVED = 4096;
 
     /** An item's name. */
-    public record Key(String topic, String id) {
-    }
+    public record Key(String topic, String id) {}
 
     private final Map<Key, Stamp> live = new HashMap<>();
     private final LinkedHashMap<Key, Stamp> removed = new LinkedHashMap<>() {
--- a/core/src/main/java/lemonrail/core/control/Route.java
+++ b/core/src/main/java/lemonrail/core/control/Route.java
@@ -13,18 +13,22 @@
 
     /** A node that has heard no other for so long is behind; another is looked at once in a while. */
     static final double STALE_MS = 5_000;
+
     private static final double STALE_PAUSE_MS = 30_000;
     /** After so long a watcher goes back to its first node. */
     static final double LEAST_AWAY_MS = 30_000;
+
     static final double MOST_AWAY_MS = 60_000;
     /**
      * At another region's node it looks at its own region's sooner: if the regions lose each other, that node
      * hears nothing of its own region.
      */
     static final double LEAST_ABROAD_MS = 5_000;
+
     static final double MOST_ABROAD_MS = 10_000;
     /** The mean pause after all nodes have failed in turn, which doubles up to the most. */
     private static final double PAUSE_MS = 100;
+
     private static final double MOST_PAUSE_MS = 1_000;
 
     private final List<String> order = new ArrayList<>();
@@ -33,6 +37,7 @@
     private int at;
     /** The other region's node to go on at, if the look at its own region's fails; below 0 for none. */
     private int back = -1;
+
     private int looks;
     private int failures;
     private double pauseMs = PAUSE_MS;
@@ -49,7 +54,9 @@
     public Route(String name, List<String> nodes, List<String> others, long seed) {
         order.addAll(Spread.order(name, nodes));
         own = order.size();
-        Spread.order(name, others).stream().filter(node -> !order.contains(node)).forEach(order::add);
+        Spread.order(name, others).stream()
+                .filter(node -> !order.contains(node))
+                .forEach(order::add);
         if (order.isEmpty()) {
             throw new IllegalArgumentException("there must be a node to watch");
         }
--- a/core/src/main/java/lemonrail/core/control/Spread.java
+++ b/core/src/main/java/lemonrail/core/control/Spread.java
@@ -7,13 +7,14 @@
 /** Which node a watcher goes to first: each has its own order, so that all of them share the nodes evenly. */
 public final class Spread {
 
-    private Spread() {
-    }
+    private Spread() {}
 
     /** The nodes in this watcher's order, by rendezvous hashing. */
     public static List<String> order(String watcher, List<String> nodes) {
-        return nodes.stream().distinct().sorted(
-            Comparator.comparingLong((String node) -> -StableHash.of(watcher + "@" + node))
-                .thenComparing(Comparator.naturalOrder())).toList();
+        return nodes.stream()
+                .distinct()
+                .sorted(Comparator.comparingLong((String node) -> -StableHash.of(watcher + "@" + node))
+                        .thenComparing(Comparator.naturalOrder()))
+                .toList();
     }
 }
--- a/core/src/main/java/lemonrail/core/control/Stamp.java
+++ b/core/src/main/java/lemonrail/core/control/Stamp.java
@@ -34,9 +34,9 @@
 
     @Override
     public int compareTo(Stamp other) {
-        return ms != other.ms ? Long.compare(ms, other.ms)
-            : counter != other.counter ? Integer.compare(counter, other.counter)
-            : origin.compareTo(other.origin);
+        return ms != other.ms
+                ? Long.compare(ms, other.ms)
+                : counter != other.counter ? Integer.compare(counter, other.counter) : origin.compareTo(other.origin);
     }
 
     /** As it is told: {@code ms.counter.origin}. */
--- a/core/src/main/java/lemonrail/core/policy/Cold.java
+++ b/core/src/main/java/lemonrail/core/policy/Cold.java
@@ -47,8 +47,11 @@
 
     /** What the ready servers can surely do together, in warm ones. */
     double able(double now) {
-        return ranks.ready - cold.stream().filter(target -> target.listed.state() == State.READY)
-            .mapToDouble(target -> (1 - warmth(now, target)) * ranks.relativeWeight(target)).sum();
+        return ranks.ready
+                - cold.stream()
+                        .filter(target -> target.listed.state() == State.READY)
+                        .mapToDouble(target -> (1 - warmth(now, target)) * ranks.relativeWeight(target))
+                        .sum();
     }
 
     /** Tells of each server that is cold or has just become warm. */
--- a/core/src/main/java/lemonrail/core/policy/Limit.java
+++ b/core/src/main/java/lemonrail/core/policy/Limit.java
@@ -9,6 +9,7 @@
 
     /** Calls a server, over all balancers, that the limit starts from, and that it keeps: one is no crowd. */
     static final double FIRST_CALLS = 4;
+
     private static final double LEAST_CALLS = 1;
     /** What is left of the remembered peak after one refill pause. */
     private static final double PEAK_DECAY = 0.996;
@@ -24,11 +25,13 @@
     private static final double COMFORT = 0.2;
     /** The part of it left where the limit is small, and the limit from which all of it counts. */
     private static final double LEAST_COMFORT = 0.5;
+
     private static final double AMPLE_LIMIT = 3;
     /** The most that one answer's time counts for, either way. */
     private static final double MOST_EXCESS = 2;
     /** Weight of a new outcome in the pressure, and what a crowded pool's limit is cut to. */
     private static final double PRESSURE_GAIN = 1.0 / 16;
+
     private static final double CUT = 0.85;
     /** While answers are slow, no server may hold more than this multiple of what the limit stands for. */
     private static final double CASCADE = 2;
@@ -42,6 +45,7 @@
     double peak;
     /** When an attempt last ended, and how long it took. */
     private double lastEnd;
+
     private double lastTook;
     /** How many calls may be out at once before the first tier turns more away. */
     double limit;
@@ -49,6 +53,7 @@
     private double capacity;
     /** What outcomes took beyond the base time, as a part of what the aim leaves, on recent average. */
     private double pressure;
+
     private double nextCut;
     private double quickUntil;
     private final TroubleReport report;
@@ -63,15 +68,18 @@
         this.ranks = ranks;
         this.health = health;
         this.locality = locality;
-        allowances = settings.tenants().stream().map(tenant -> new TokenBucket(0, 0))
-            .toArray(TokenBucket[]::new);
+        allowances =
+                settings.tenants().stream().map(tenant -> new TokenBucket(0, 0)).toArray(TokenBucket[]::new);
         adopt(settings);
     }
 
     /** Goes by the worths and allowances of these settings from now on. */
     void adopt(Settings changed) {
         settings = changed;
-        double worth = settings.classes().stream().mapToDouble(RequestClass::worth).max().orElse(0);
+        double worth = settings.classes().stream()
+                .mapToDouble(RequestClass::worth)
+                .max()
+                .orElse(0);
         mostWorth = worth > 0 ? worth : 1;
         for (int i = 0; i < allowances.length; i++) {
             double perMs = settings.tenants().get(i).allowancePerSecond() / settings.balancers() / 1000;
@@ -94,8 +102,7 @@
 
     /** Whether there is room for a call. Lower tiers do not shed: a call there carries work done above. */
     boolean admits(double now, Call call) {
-        call.withinShare = settings.tier() > 0 || allowances.length == 0
-            || allowances[call.request.tenant()].take(now);
+        call.withinShare = settings.tier() > 0 || allowances.length == 0 || allowances[call.request.tenant()].take(now);
         boolean admitted = hasRoom(now, call);
         if (!admitted) {
             shareTurnedAway = call.withinShare ? now : shareTurnedAway;
@@ -109,8 +116,8 @@
             return inFlight < Pool.CEILING;
         }
         // The last of what there is is for calls of more worth.
-        double most = limit
-            * ((call.withinShare ? 1 : BEYOND_SHARE) * (1 - RESERVE * (1 - call.kind.worth() / mostWorth)));
+        double most =
+                limit * ((call.withinShare ? 1 : BEYOND_SHARE) * (1 - RESERVE * (1 - call.kind.worth() / mostWorth)));
         if (call.withinShare) {
             return most >= 1 ? inFlight < most : inFlight == 0 && now >= pacedUntil(most);
         }
@@ -148,9 +155,11 @@
         locality.crowding(target, ratio);
         if (finished.outcome() == Outcome.OK) {
             target.answered(now, ratio);
-        } else if (finished.outcome() == Outcome.TIMED_OUT && target.lastAnswer > attempt.sentAt()
+        } else if (finished.outcome() == Outcome.TIMED_OUT
+                && target.lastAnswer > attempt.sentAt()
                 // It has answered others since, in comfort: the lost call tells no more than they do.
-                && target.crowding < comfort() && target.inFlight <= Math.max(1, limit / ranks.ready)) {
+                && target.crowding < comfort()
+                && target.inFlight <= Math.max(1, limit / ranks.ready)) {
             ratio = Math.min(ratio, target.crowding);
         }
         // A balancer with few calls at once has few answers a second: each must then tell more.
@@ -190,8 +199,10 @@
 
     /** Against a cascade: while answers are slow, calls that leave one server must not crowd the next. */
     boolean crowds(Slot slot) {
-        return settings.tier() == 0 && pressure > comfort() / 2 && ranks.formula(slot)
-            >= Math.max(FIRST_CALLS, CASCADE * Math.max(1, limit) * settings.balancers() / ranks.ready);
+        return settings.tier() == 0
+                && pressure > comfort() / 2
+                && ranks.formula(slot)
+                        >= Math.max(FIRST_CALLS, CASCADE * Math.max(1, limit) * settings.balancers() / ranks.ready);
     }
 
     /** Whose part is a call or two has few answers, large steps, and keeps off; not who was cut to it. */
--- a/core/src/main/java/lemonrail/core/policy/Locality.java
+++ b/core/src/main/java/lemonrail/core/policy/Locality.java
@@ -11,9 +11,11 @@
     private static final double MARGIN = 6;
     /** What a refill pause in which it gave way leaves of it, and what any other gives back. */
     private static final double CUT = 0.7;
+
     private static final double REGAIN = 0.02;
     /** The refill pauses over which the usual calls at once are learned, and the weight of an outcome. */
     private static final double CALM_PAUSES = 200;
+
     private static final double GAIN = 1.0 / 16;
 
     private final Settings settings;
@@ -21,11 +23,13 @@
     private double lastTick;
     /** Base time of the calls taken since the last tick, and the calls at once that it usually makes. */
     private double demandMs;
+
     private double usual;
     /** What is added to the ranks of other zones' slots. */
     private double spill;
     /** The part of its full reach that locality has; how crowded the own and other zones were of late. */
     private double locality = 1;
+
     private double nearCrowding;
     private double farCrowding;
 
@@ -61,11 +65,10 @@
         atOnce = usual == 0 ? atOnce : Math.min(atOnce, 2 * usual + 1);
         usual += (usual == 0 ? 0.1 : pauses / CALM_PAUSES) * (atOnce - usual);
         locality = nearCrowding > farCrowding + MARGIN * settings.crossZonePrice()
-            ? locality * CUT
-            : Math.min(1, locality + REGAIN);
+                ? locality * CUT
+                : Math.min(1, locality + REGAIN);
         // Other zones are known only from calls sent there: old news fades to the best.
         farCrowding *= 1 - pauses / CALM_PAUSES;
-        spill = ranks.readyInZone == 0 ? 0
-            : locality * SPILL * (usual + 1) * settings.balancers() / ranks.readyInZone;
+        spill = ranks.readyInZone == 0 ? 0 : locality * SPILL * (usual + 1) * settings.balancers() / ranks.readyInZone;
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/Pool.java
+++ b/core/src/main/java/lemonrail/core/policy/Pool.java
@@ -13,14 +13,17 @@
     static final int CEILING = 1024;
     /** The fewest it aims for, and the multiple of the recent peak of calls at once that it else does. */
     private static final int FLOOR = 4;
+
     private static final double HEADROOM = 1.25;
     /** Slots on one server: the width of the mask that marks them. */
     private static final int SLOTS_PER_SERVER = 62;
     /** The least cost of a server, and the factor by which a cost moves before ranks are worked out anew. */
     private static final double CHEAPEST = 0.6;
+
     private static final double REPRICE = 1.1;
     /** Weight of a new connect in the share that fails, what a pause leaves of it, its worth in rounds. */
     private static final double CONNECT_GAIN = 1.0 / 4;
+
     private static final double CONNECT_FADE = 0.99;
     private static final double CONNECT_ROUNDS = 4;
 
@@ -31,6 +34,7 @@
     private final List<Slot> slots = new ArrayList<>();
     /** The slots next outside it in order, one a server at most: the own zone's and all others. */
     private final List<Slot> nearSpares = new ArrayList<>();
+
     private final List<Slot> farSpares = new ArrayList<>();
     /** The recent share of failures among calls that had to open a connection. */
     private double connectFailing;
@@ -50,8 +54,9 @@
                 best = slot;
             }
         }
-        return best != null || slots.size() >= CEILING ? best
-            : lower(first(nearSpares, usable), first(farSpares, usable));
+        return best != null || slots.size() >= CEILING
+                ? best
+                : lower(first(nearSpares, usable), first(farSpares, usable));
     }
 
     private static Slot first(List<Slot> spares, Predicate<Slot> usable) {
@@ -74,8 +79,9 @@
 
     /** Slots without a connection come later, the more so the more connects have failed of late. */
     private double orderRank(Slot slot) {
-        return slot.rank + locality.spill(slot.target)
-            + (slot.connected ? 0 : connectFailing * CONNECT_ROUNDS * ranks.settings.balancers());
+        return slot.rank
+                + locality.spill(slot.target)
+                + (slot.connected ? 0 : connectFailing * CONNECT_ROUNDS * ranks.settings.balancers());
     }
 
     void connected(boolean failed) {
@@ -119,8 +125,12 @@
     void offer(double now, Target target) {
         withdraw(target);
         int most = target.onTrial || cold.warmth(now, target) < 1 ? 1 : SLOTS_PER_SERVER;
-        if (target.forgotten || !target.ready || Double.isNaN(target.place) || now < target.pausedUntil
-                || Long.bitCount(target.held) >= most || target.onTrial && target.inFlight > 0) {
+        if (target.forgotten
+                || !target.ready
+                || Double.isNaN(target.place)
+                || now < target.pausedUntil
+                || Long.bitCount(target.held) >= most
+                || target.onTrial && target.inFlight > 0) {
             return;
         }
         Slot slot = new Slot(target, Long.numberOfTrailingZeros(~target.held));
--- a/core/src/main/java/lemonrail/core/policy/Ranks.java
+++ b/core/src/main/java/lemonrail/core/policy/Ranks.java
@@ -15,11 +15,13 @@
     final Settings settings;
     /** The ready servers and those that were so when places were last settled, in order as of then. */
     final List<Target> ring = new ArrayList<>();
+
     private double meanWeight = 1;
     /** Changes of the list since then that move places. */
     int unsettled;
     /** Servers that discovery calls ready; those of the own zone, as of when places were settled. */
     int ready;
+
     int readyInZone;
 
     Ranks(Settings settings) {
@@ -29,8 +31,8 @@
     /** Takes in what discovery says of a server: who is ready counts at once, places wait to be settled. */
     void list(Target target, Server entry) {
         boolean isReady = entry.state() == State.READY;
-        if (target.ready != isReady || isReady && (entry.weight() != target.listed.weight()
-                || entry.zone() != target.listed.zone())) {
+        if (target.ready != isReady
+                || isReady && (entry.weight() != target.listed.weight() || entry.zone() != target.listed.zone())) {
             unsettled++;
         }
         ready += (isReady ? 1 : 0) - (target.ready ? 1 : 0);
@@ -50,8 +52,8 @@
         ring.forEach(target -> target.onRing = target.ready);
         ring.removeIf(target -> !target.ready);
         // Several rings where balancers outnumber servers: who leaves a full one must not crowd the next.
-        int number = settings.ownNumber()
-            % Integer.highestOneBit(Math.max(1, settings.balancers() / Math.max(1, ready)));
+        int number =
+                settings.ownNumber() % Integer.highestOneBit(Math.max(1, settings.balancers() / Math.max(1, ready)));
         double weights = 0;
         for (Target target : ring) {
             readyInZone += isFar(target) ? 0 : 1;
@@ -61,21 +63,24 @@
         meanWeight = ready == 0 || weights <= 0 ? 1 : weights / ready;
         // Nearly in order since the last time, which the sort makes use of.
         ring.sort(Comparator.comparingLong((Target target) -> target.ringOrder).thenComparing(t -> t.id));
-        Ring.place(ring, target -> target.listed.zone(), this::relativeWeight,
-            (target, place) -> target.place = settings.balancers() * place);
+        Ring.place(
+                ring,
+                target -> target.listed.zone(),
+                this::relativeWeight,
+                (target, place) -> target.place = settings.balancers() * place);
     }
 
     /** The rank a slot is used by: the formula's times the server's cost, which moves the lowest too. */
     double rank(Slot slot) {
         return (formula(slot) + 0.5) * slot.target.cost
-            + Math.max(0, slot.target.cost - 1) * settings.balancers() * STEP_BACK;
+                + Math.max(0, slot.target.cost - 1) * settings.balancers() * STEP_BACK;
     }
 
     /** The design's rank: the calls the server holds if every balancer uses its slots up to this one. */
     double formula(Slot slot) {
         int balancers = settings.balancers();
         return slot.number * balancers / relativeWeight(slot.target)
-            + (settings.ownNumber() + slot.target.place) % balancers;
+                + (settings.ownNumber() + slot.target.place) % balancers;
     }
 
     double relativeWeight(Target target) {
--- a/core/src/main/java/lemonrail/core/policy/Slot.java
+++ b/core/src/main/java/lemonrail/core/policy/Slot.java
@@ -9,6 +9,7 @@
     final int number;
     /** The rank it has by the design's formula, at the server's present place and cost. */
     double rank;
+
     boolean busy;
     /** A call was answered on it and none was lost since: a connection for it stands open. */
     boolean connected;
--- a/core/src/main/java/lemonrail/core/policy/Target.java
+++ b/core/src/main/java/lemonrail/core/policy/Target.java
@@ -8,6 +8,7 @@
 
     /** Weights of a new sample and of a new outcome in what is learned of a server. */
     static final double SERVER_GAIN = 1.0 / 12;
+
     static final double FAILING_GAIN = 1.0 / 4;
 
     final String id;
@@ -16,6 +17,7 @@
     boolean forgotten;
     /** Bits of the slots in the pool, and the next slot outside it, if it may have one. */
     long held;
+
     Slot spare;
     int inFlight;
     int strikes;
@@ -23,19 +25,23 @@
     double failing;
     /** When it last answered, and the usual time between its answers to this balancer; 0 before both. */
     double lastAnswer;
+
     double answerGapMs;
     /** How crowded it is by its answers of late, in the measure of the pressure. */
     double crowding;
+
     double pausedUntil;
     /** Connects that failed in a row, with nothing answered since. */
     int connectsFailed;
     /** After failures: one slot at a time until it has answered often enough. */
     boolean onTrial;
+
     int trialAnswers;
     double slowness = 1;
     double cost = 1;
     /** Whether it is listed as ready, and on the ring, as it has been so since places were last settled. */
     boolean ready;
+
     boolean onRing;
     long ringOrder;
     /** Its place there, the same at every balancer that has the same list; NaN while it has none. */
--- a/core/src/test/java/lemonrail/core/SharedPartsTest.java
+++ b/core/src/test/java/lemonrail/core/SharedPartsTest.java
@@ -46,8 +46,9 @@
         assertEquals(2500, WatchPace.ofFleet(250, 1000, 1).waitMs());
         assertEquals(3000, WatchPace.ofFleet(550, 1000, 1).waitMs());
         assertEquals(3000, WatchPace.ofFleet(100_000, 1000, 1).waitMs());
-        List<Double> first = IntStream.range(0, 50).mapToObj(i -> new WatchPace(1000, 1000, i).failed())
-            .toList();
+        List<Double> first = IntStream.range(0, 50)
+                .mapToObj(i -> new WatchPace(1000, 1000, i).failed())
+                .toList();
         assertEquals(50, first.stream().distinct().count(), "not in step");
         assertTrue(first.stream().allMatch(pause -> pause >= 50 && pause < 150), first.toString());
         WatchPace pace = new WatchPace(1000, 3000, 7);
@@ -91,7 +92,8 @@
     @Test
     void noPauseKeepsNewsForLong() {
         WatchPace pace = WatchPace.ofFleet(1000, 60_000, 7);
-        double longest = IntStream.range(0, 500).mapToDouble(i -> pace.failed()).max().orElseThrow();
+        double longest =
+                IntStream.range(0, 500).mapToDouble(i -> pace.failed()).max().orElseThrow();
         assertTrue(longest + noticedMs(pace) < 6000, longest + ", and one more call in vain");
     }
 
@@ -100,7 +102,10 @@
     void noPauseOutlastsHalfTheTimeInWhichSendsMustCease() {
         for (double graceMs : new double[] {300, 1000, 2500}) {
             WatchPace pace = new WatchPace(1000, graceMs, 7);
-            double longest = IntStream.range(0, 500).mapToDouble(i -> pace.failed()).max().orElseThrow();
+            double longest = IntStream.range(0, 500)
+                    .mapToDouble(i -> pace.failed())
+                    .max()
+                    .orElseThrow();
             assertTrue(longest <= graceMs / 2 && longest > graceMs / 4, graceMs + ": " + longest);
         }
         assertTrue(new WatchPace(1000, 0, 7).failed() >= 50, "it never spins");
@@ -130,8 +135,11 @@
     @Test
     void arcsAreAsWideAsWeightsInEachGroup() {
         Map<String, Double> places = new HashMap<>();
-        Ring.place(List.of("a1", "b1", "a2", "a3"), name -> name.charAt(0),
-            name -> Character.digit(name.charAt(1), 10), places::put);
+        Ring.place(
+                List.of("a1", "b1", "a2", "a3"),
+                name -> name.charAt(0),
+                name -> Character.digit(name.charAt(1), 10),
+                places::put);
         assertEquals(1, places.get("a1"));
         assertEquals(1 - 1 / 6.0, places.get("a2"), 1e-12);
         assertEquals(1 - 3 / 6.0, places.get("a3"), 1e-12);
@@ -140,17 +148,22 @@
 
     @Test
     void eachRingHasAnOrderOfItsOwn() {
-        List<Long> hashes = IntStream.range(0, 50).mapToObj(i -> StableHash.of("s" + i)).toList();
+        List<Long> hashes =
+                IntStream.range(0, 50).mapToObj(i -> StableHash.of("s" + i)).toList();
         assertEquals(hashes, hashes.stream().map(hash -> Ring.order(hash, 0)).toList());
-        List<Long> first = hashes.stream().sorted(Comparator.comparing(h -> Ring.order(h, 1))).toList();
-        List<Long> second = hashes.stream().sorted(Comparator.comparing(h -> Ring.order(h, 2))).toList();
+        List<Long> first = hashes.stream()
+                .sorted(Comparator.comparing(h -> Ring.order(h, 1)))
+                .toList();
+        List<Long> second = hashes.stream()
+                .sorted(Comparator.comparing(h -> Ring.order(h, 2)))
+                .toList();
         assertNotEquals(first, second);
     }
 
     @Test
     void answerTimesStartFromTheClassAndFollowWhatComes() {
-        AnswerTimes times = new AnswerTimes(
-            new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false));
+        AnswerTimes times =
+                new AnswerTimes(new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false));
         assertEquals(250, times.typicalMs());
         assertEquals(250, times.baseMs());
         assertEquals(1000, times.tailMs());
--- a/core/src/test/java/lemonrail/core/control/ControlStateTest.java
+++ b/core/src/test/java/lemonrail/core/control/ControlStateTest.java
@@ -44,8 +44,7 @@
         /** Hears all that is new at another node. */
         void hear(long nowMs, Node other) {
             Long known = upTo.get(other.name);
-            List<Item> items = known == null ? other.state.everything()
-                : other.state.sinceForPeer(name, known);
+            List<Item> items = known == null ? other.state.everything() : other.state.sinceForPeer(name, known);
             upTo.put(other.name, other.state.version(nowMs));
             state.takeAll(nowMs, items, other.state.heard(), other.name);
             state.begin();
@@ -86,8 +85,10 @@
         assertEquals("drain", c.said("s1"));
         a.hear(T + 6, b);
         assertEquals("drain", a.said("s1"));
-        assertEquals(Taken.OLDER, c.state.acceptAsOf(T + 7, T + 2, "quote", "s1", false, "up"),
-            "nor by an operator's call that is repeated late");
+        assertEquals(
+                Taken.OLDER,
+                c.state.acceptAsOf(T + 7, T + 2, "quote", "s1", false, "up"),
+                "nor by an operator's call that is repeated late");
         assertEquals("drain", c.said("s1"));
     }
 
@@ -139,12 +140,17 @@
         west.hear(T + 180_000, east);
         east.hear(T + 180_001, west);
         for (Node node : List.of(west, east)) {
-            assertEquals(List.of("up", "back", "drain", "gone", "up", "up", "new"),
-                List.of("s0", "s1", "s2", "s3", "s4", "s5", "s9").stream().map(node::said).toList());
+            assertEquals(
+                    List.of("up", "back", "drain", "gone", "up", "up", "new"),
+                    List.of("s0", "s1", "s2", "s3", "s4", "s5", "s9").stream()
+                            .map(node::said)
+                            .toList());
         }
         assertEquals(west.state.digest(QUOTE), east.state.digest(QUOTE));
-        assertEquals(List.of("s1", "s3", "s9"), west.state.since(QUOTE, before).stream().map(Item::id)
-            .sorted().toList(), "only what changed, no jump");
+        assertEquals(
+                List.of("s1", "s3", "s9"),
+                west.state.since(QUOTE, before).stream().map(Item::id).sorted().toList(),
+                "only what changed, no jump");
     }
 
     @Test
@@ -169,8 +175,11 @@
         Node again = new Node("b", T + 120_000);
         again.hear(T + 121_000, a);
         assertTrue(again.state.version(T + 121_000) > told, "it never goes back");
-        assertEquals(List.of("s7"), again.state.since(QUOTE, ControlState.back(told, 10_000)).stream()
-            .map(Item::id).toList());
+        assertEquals(
+                List.of("s7"),
+                again.state.since(QUOTE, ControlState.back(told, 10_000)).stream()
+                        .map(Item::id)
+                        .toList());
     }
 
     /** Guards against words of its own that a restarted node would take for removed ones. */
@@ -213,8 +222,10 @@
         assertEquals(Taken.FULL, state.accept(T, "three", "1", false, ""));
         assertEquals(Taken.NEWS, state.accept(T, "one", "2", false, ""));
         assertEquals(Taken.FULL, state.accept(T, "one", "3", false, ""));
-        assertEquals(1, state.takeAll(T, List.of(new Item("one", "4", new Stamp(T, 0, "b"), false, "")),
-            Map.of(), "b").refused());
+        assertEquals(
+                1,
+                state.takeAll(T, List.of(new Item("one", "4", new Stamp(T, 0, "b"), false, "")), Map.of(), "b")
+                        .refused());
         assertEquals(Taken.NEWS, state.accept(T, "one", "1", false, "changed"), "a change needs no room");
         for (String id : List.of("1", "2")) {
             assertEquals(Taken.NEWS, state.accept(T, "one", id, true, ""));
@@ -226,8 +237,15 @@
     @Test
     void aStampFarAheadIsRefused() {
         Node a = new Node("a", T).begun();
-        assertEquals(1, a.state.takeAll(T, List.of(new Item("quote", "s1", new Stamp(T + 61_000, 0, "b"),
-            false, "up")), Map.of("b", new Stamp(T + 61_000, 0, "b")), "b").refused());
+        assertEquals(
+                1,
+                a.state
+                        .takeAll(
+                                T,
+                                List.of(new Item("quote", "s1", new Stamp(T + 61_000, 0, "b"), false, "up")),
+                                Map.of("b", new Stamp(T + 61_000, 0, "b")),
+                                "b")
+                        .refused());
         assertNull(a.said("s1"));
         assertEquals(Map.of(), a.state.heard());
     }
@@ -251,13 +269,12 @@
             switch (random.nextInt(5)) {
                 case 0 -> node.state.accept(now, "quote", id, false, "v" + step);
                 case 1 -> node.state.accept(now, "quote", id, true, "");
-                case 2 -> node.state.acceptAsOf(now, now - random.nextInt(2000), "quote", id, false,
-                    "w" + step);
+                case 2 -> node.state.acceptAsOf(now, now - random.nextInt(2000), "quote", id, false, "w" + step);
                 default -> node.hear(now, nodes.get(random.nextInt(nodes.size())));
             }
-            node.state.since(QUOTE, ControlState.back(node.state.version(now), random.nextInt(500)))
-                .forEach(item -> watcher.take(new Replica.Key("quote", item.id()), item.stamp(),
-                    item.gone()));
+            node.state
+                    .since(QUOTE, ControlState.back(node.state.version(now), random.nextInt(500)))
+                    .forEach(item -> watcher.take(new Replica.Key("quote", item.id()), item.stamp(), item.gone()));
         }
         for (int round = 0; round < 3; round++) {
             nodes.forEach(node -> nodes.forEach(other -> node.hear(T + 10_000, other)));
@@ -269,14 +286,16 @@
         }
         List<Item> whole = nodes.get(3).state.live(QUOTE);
         whole.forEach(item -> watcher.take(new Replica.Key("quote", item.id()), item.stamp(), false));
-        watcher.keepOnly(whole.stream().map(item -> new Replica.Key("quote", item.id())).toList(),
-            nodes.get(3).state.heard());
+        watcher.keepOnly(
+                whole.stream().map(item -> new Replica.Key("quote", item.id())).toList(),
+                nodes.get(3).state.heard());
         assertEquals(nodes.get(1).state.digest(QUOTE), watcher.digest());
         assertEquals(whole.size(), watcher.size());
     }
 
     private static Map<String, String> content(Node node) {
-        return node.state.live(QUOTE).stream().collect(Collectors.toMap(Item::id,
-            item -> item.body() + item.stamp().text()));
+        return node.state.live(QUOTE).stream()
+                .collect(Collectors.toMap(
+                        Item::id, item -> item.body() + item.stamp().text()));
     }
 }
--- a/core/src/test/java/lemonrail/core/control/ReplicaTest.java
+++ b/core/src/test/java/lemonrail/core/control/ReplicaTest.java
@@ -94,8 +94,7 @@
         InForce inForce = new InForce();
         inForce.called(1000, new InForce.Word("one", "base", stamp(5, "a"), null, ""));
         inForce.called(1000, new InForce.Word("two", "base", stamp(7, "a"), null, ""));
-        inForce.called(1001, new InForce.Word("three", "base", stamp(5, "a"), stamp(7, "a"),
-            "no such class"));
+        inForce.called(1001, new InForce.Word("three", "base", stamp(5, "a"), stamp(7, "a"), "no such class"));
         inForce.called(1001, new InForce.Word("four", "", Stamp.NONE, null, ""));
         InForce.Summary base = inForce.summaries(1002).get(0);
         assertEquals(3, base.watchers());
@@ -104,6 +103,8 @@
         assertEquals("no such class", base.refused().get(0).why());
         assertEquals(4, inForce.watchers(1002));
         inForce.called(1001 + InForce.SILENT_MS, new InForce.Word("two", "base", stamp(8, "a"), null, ""));
-        assertEquals(List.of("three"), inForce.summaries(1001 + InForce.SILENT_MS).get(0).oldestNames());
+        assertEquals(
+                List.of("three"),
+                inForce.summaries(1001 + InForce.SILENT_MS).get(0).oldestNames());
     }
 }
--- a/core/src/test/java/lemonrail/core/control/RouteTest.java
+++ b/core/src/test/java/lemonrail/core/control/RouteTest.java
@@ -69,8 +69,7 @@
             back.add(now);
         }
         assertTrue(back.stream().allMatch(at -> at >= 30_000 && at <= 60_100));
-        var perSecond = back.stream().collect(Collectors.groupingBy(at -> (int) (at / 1000),
-            Collectors.counting()));
+        var perSecond = back.stream().collect(Collectors.groupingBy(at -> (int) (at / 1000), Collectors.counting()));
         assertTrue(perSecond.values().stream().allMatch(count -> count <= 30), perSecond.toString());
     }
 
--- a/core/src/test/java/lemonrail/core/policy/BadInputTest.java
+++ b/core/src/test/java/lemonrail/core/policy/BadInputTest.java
@@ -33,12 +33,15 @@
     @ParameterizedTest
     @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
     void numbersThatCannotBeAreNamed(double bad) {
-        refused("classes[].aim", bad, () ->
-            new RequestClass("c", bad, 1000, 1, 0, Effect.ONCE, Group.ALL, 0, false));
-        refused("classes[].deadline", bad, () ->
-            new RequestClass("c", 100, bad, 1, 0, Effect.ONCE, Group.ALL, 0, false));
-        refused("classes[].worth", bad, () ->
-            new RequestClass("c", 100, 1000, bad, 0, Effect.ONCE, Group.ALL, 0, false));
+        refused("classes[].aim", bad, () -> new RequestClass("c", bad, 1000, 1, 0, Effect.ONCE, Group.ALL, 0, false));
+        refused(
+                "classes[].deadline",
+                bad,
+                () -> new RequestClass("c", 100, bad, 1, 0, Effect.ONCE, Group.ALL, 0, false));
+        refused(
+                "classes[].worth",
+                bad,
+                () -> new RequestClass("c", 100, 1000, bad, 0, Effect.ONCE, Group.ALL, 0, false));
         refused("limits.connectTimeout", bad, () -> new Limits(3, true, true, 2000, bad));
         refused("limits.maxCoolDown", bad, () -> new Limits(3, true, true, bad, 200));
         refused("rules.coldShare", bad, () -> new Rules(bad, 8000, 3, 1000, 1000, 10_000));
@@ -47,8 +50,7 @@
         refused("tenants[].allowance", bad, () -> new Tenant("t", bad, 1));
         refused("server.weight", bad, () -> new Server("s", 0, 0, 0, 0, State.READY, bad));
         refused("finished.took", bad, () -> new Finished("r", 0, "s", Outcome.OK, bad, true, Load.NONE));
-        refused("finished.connect", bad, () ->
-            new Finished("r", 0, "s", Outcome.OK, 5, bad, true, true, Load.NONE));
+        refused("finished.connect", bad, () -> new Finished("r", 0, "s", Outcome.OK, 5, bad, true, true, Load.NONE));
     }
 
     @Test
@@ -69,16 +71,14 @@
         List<String> before = List.copyOf(f.host.all);
         refused("class", 9, () -> f.balancer.onRequest(f.now, new Request("x", 9, 0, f.now + 100, false)));
         refused("tenant", 5, () -> f.balancer.onRequest(f.now, new Request("x", 0, 5, f.now + 100, false)));
-        refused(first, "in hand", () ->
-            f.balancer.onRequest(f.now, new Request(first, 0, 0, f.now + 100, false)));
+        refused(first, "in hand", () -> f.balancer.onRequest(f.now, new Request(first, 0, 0, f.now + 100, false)));
         assertEquals(before, f.host.all);
         assertEquals(1, f.balancer.openCalls());
     }
 
     @Test
     void extremeButLegalFleetsGetLegalAnswers() {
-        for (List<Server> list : List.of(List.<Server>of(),
-                List.of(Fixture.server("d", 0, 0, State.DRAINING)))) {
+        for (List<Server> list : List.of(List.<Server>of(), List.of(Fixture.server("d", 0, 0, State.DRAINING)))) {
             Fixture f = Fixture.of(1, 0, 0).list(list);
             String refused = f.request(Fixture.ONCE);
             assertEquals(List.of(refused), f.host.refused);
--- a/core/src/test/java/lemonrail/core/policy/ColdTest.java
+++ b/core/src/test/java/lemonrail/core/policy/ColdTest.java
@@ -16,6 +16,7 @@
     private static final int MANY = 1000;
     /** Three tenths of the 500 balancers that are its even part. */
     private static final int WARM_PART = 150;
+
     private static final int KNOWN_CALLS = 60;
 
     /** Guards against a server that keeps to the one slot of its start until something else re-offers it. */
@@ -75,7 +76,10 @@
             for (int i = 0; i < 3; i++) {
                 f.request(Fixture.REPEATABLE);
             }
-            users += (int) f.host.sent.stream().skip(before).filter(s -> s.server().equals("cold")).count();
+            users += (int) f.host.sent.stream()
+                    .skip(before)
+                    .filter(s -> s.server().equals("cold"))
+                    .count();
         }
         return users;
     }
--- a/core/src/test/java/lemonrail/core/policy/DecideTest.java
+++ b/core/src/test/java/lemonrail/core/policy/DecideTest.java
@@ -100,8 +100,9 @@
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(2));
         String id = f.request(Fixture.ONCE);
         Recorder.Sent sent = f.host.last();
-        f.balancer.onFinished(f.now, new Finished(id, sent.attempt(), sent.server(), Outcome.CONNECT_ERROR,
-            5, 5, false, false, Load.NONE));
+        f.balancer.onFinished(
+                f.now,
+                new Finished(id, sent.attempt(), sent.server(), Outcome.CONNECT_ERROR, 5, 5, false, false, Load.NONE));
         assertEquals(1, f.host.sent.size());
         assertEquals(List.of(id), f.host.refused);
     }
@@ -137,10 +138,11 @@
         int balancers = 5;
         int own = 2;
         Fixture f = Fixture.of(balancers, own, 1).list(Fixture.servers(4));
-        record Slot(String server, double rank) {
-        }
-        List<String> inHashOrder = Fixture.servers(4).stream().map(Contract.Server::id)
-            .sorted(Comparator.comparingLong(Fixture::hash)).toList();
+        record Slot(String server, double rank) {}
+        List<String> inHashOrder = Fixture.servers(4).stream()
+                .map(Contract.Server::id)
+                .sorted(Comparator.comparingLong(Fixture::hash))
+                .toList();
         List<Slot> expected = new ArrayList<>();
         for (int s = 0; s < 4; s++) {
             double place = balancers * (1 - s / 4.0);
@@ -226,8 +228,10 @@
     void equalRanksGoToTheLowerHash() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(6));
         f.request(Fixture.REPEATABLE);
-        String lowest = Fixture.servers(6).stream().map(Contract.Server::id)
-            .min(Comparator.comparingLong(Fixture::hash)).orElseThrow();
+        String lowest = Fixture.servers(6).stream()
+                .map(Contract.Server::id)
+                .min(Comparator.comparingLong(Fixture::hash))
+                .orElseThrow();
         assertEquals(lowest, f.host.last().server());
     }
 
@@ -259,7 +263,8 @@
             f.finish(f.host.last(), Outcome.FAILED, 5);
         }
         assertEquals(3, f.host.sent.size());
-        assertEquals(3, new HashSet<>(f.host.sent.stream().map(Recorder.Sent::server).toList()).size());
+        assertEquals(
+                3, new HashSet<>(f.host.sent.stream().map(Recorder.Sent::server).toList()).size());
         assertEquals(1, f.host.refused.size());
     }
 
@@ -270,8 +275,9 @@
         for (int i = 0; i < calls; i++) {
             f.now += 50;
             String id = f.request(Fixture.REPEATABLE);
-            for (int tries = 0; tries < 9 && f.host.last().request().equals(id)
-                    && !f.host.refused.contains(id); tries++) {
+            for (int tries = 0;
+                    tries < 9 && f.host.last().request().equals(id) && !f.host.refused.contains(id);
+                    tries++) {
                 f.finish(f.host.last(), Outcome.FAILED, 5);
             }
         }
@@ -393,8 +399,16 @@
     }
 
     private static void connectFails(Fixture f, Recorder.Sent sent) {
-        f.balancer.onFinished(f.now, new Contract.Finished(sent.request(), sent.attempt(), sent.server(),
-            Outcome.CONNECT_ERROR, 200, true, Contract.Load.NONE));
+        f.balancer.onFinished(
+                f.now,
+                new Contract.Finished(
+                        sent.request(),
+                        sent.attempt(),
+                        sent.server(),
+                        Outcome.CONNECT_ERROR,
+                        200,
+                        true,
+                        Contract.Load.NONE));
     }
 
     /** Guards against slow or failing handshakes taken for dead servers (incident i190c84). */
@@ -550,8 +564,10 @@
         assertTrue(hung.size() >= 3, hung.size() + " calls hang");
         for (Recorder.Sent each : hung) {
             f.now += 990;
-            f.balancer.onFinished(f.now, new Finished(each.request(), each.attempt(), each.server(),
-                Outcome.TIMED_OUT, 990, true, Load.NONE));
+            f.balancer.onFinished(
+                    f.now,
+                    new Finished(
+                            each.request(), each.attempt(), each.server(), Outcome.TIMED_OUT, 990, true, Load.NONE));
         }
         int after = atOnceAfter(f, 100, 1);
         assertTrue(after > before * 0.8, before + " calls at once before the hang and " + after + " after");
@@ -619,16 +635,17 @@
                 }
             });
             assertTrue(f.host.sent.stream().anyMatch(sent -> sent.server().equals("s1")));
-            assertEquals(state == State.READY,
-                f.host.sent.stream().anyMatch(sent -> sent.server().equals("s0")), "" + state);
+            assertEquals(
+                    state == State.READY,
+                    f.host.sent.stream().anyMatch(sent -> sent.server().equals("s0")),
+                    "" + state);
         }
     }
 
     /** Guards against a limit that ends which tell nothing cut again and again after a slow moment. */
     @Test
     void endsThatTellNothingOfCrowdingLeaveTheLimitAlone() {
-        for (Outcome outcome : List.of(Outcome.CANCELED, Outcome.CONNECT_ERROR, Outcome.RESET,
-                Outcome.FAILED)) {
+        for (Outcome outcome : List.of(Outcome.CANCELED, Outcome.CONNECT_ERROR, Outcome.RESET, Outcome.FAILED)) {
             Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(20));
             atOnceAfter(f, 100, 20);
             atOnceAfter(f, 900, 2);
@@ -671,8 +688,18 @@
             List<Recorder.Sent> out = List.copyOf(f.host.sent.subList(from, f.host.sent.size()));
             f.now += 900;
             for (Recorder.Sent sent : out) {
-                f.balancer.onFinished(f.now, new Finished(sent.request(), sent.attempt(), sent.server(),
-                    Outcome.OK, 900, 800, true, true, Load.NONE));
+                f.balancer.onFinished(
+                        f.now,
+                        new Finished(
+                                sent.request(),
+                                sent.attempt(),
+                                sent.server(),
+                                Outcome.OK,
+                                900,
+                                800,
+                                true,
+                                true,
+                                Load.NONE));
             }
         }
         assertTrue(takenAtOnce(f) >= before, before + " calls at once before, " + takenAtOnce(f) + " after");
@@ -789,8 +816,8 @@
     /** Guards against a tenant's flood: what is beyond its allowance gives way first. */
     @Test
     void trafficBeyondATenantsShareGivesWayFirst() {
-        Fixture f = new Fixture(Fixture.settings(10, 0, 0, true, new Tenant("flood", 10, 0.1),
-            new Tenant("calm", 1000, 0.9)));
+        Fixture f = new Fixture(
+                Fixture.settings(10, 0, 0, true, new Tenant("flood", 10, 0.1), new Tenant("calm", 1000, 0.9)));
         f.list(Fixture.servers(20));
         for (int i = 0; i < 50; i++) {
             f.request(Fixture.REPEATABLE, 0);
@@ -806,8 +833,8 @@
     /** Guards against a flood that takes a small limit's only slot whenever it falls free (h430bb6). */
     @Test
     void aFloodDoesNotTakeASmallLimitsLastSlot() {
-        Fixture f = new Fixture(Fixture.settings(10, 0, 0, true, new Tenant("flood", 0, 0.1),
-            new Tenant("calm", 1000, 0.9)));
+        Fixture f = new Fixture(
+                Fixture.settings(10, 0, 0, true, new Tenant("flood", 0, 0.1), new Tenant("calm", 1000, 0.9)));
         f.list(Fixture.servers(4));
         f.request(Fixture.REPEATABLE, 0);
         f.now += 10;
@@ -818,8 +845,10 @@
         f.request(Fixture.REPEATABLE, 1);
         assertEquals("r21", f.host.last().request());
         f.request(Fixture.REPEATABLE, 1);
-        assertEquals(List.of("r22"), f.host.refused.subList(f.host.refused.size() - 1,
-            f.host.refused.size()), "the limit is full");
+        assertEquals(
+                List.of("r22"),
+                f.host.refused.subList(f.host.refused.size() - 1, f.host.refused.size()),
+                "the limit is full");
         f.finish(f.host.last(), Outcome.OK, 10);
         f.now += 500;
         int before = f.host.sent.size();
@@ -886,7 +915,8 @@
         for (int i = 0; i < 12; i++) {
             f.request(Fixture.ONCE);
         }
-        List<Recorder.Sent> old = f.host.sent.stream().filter(sent -> sent.server().equals("s0")).toList();
+        List<Recorder.Sent> old =
+                f.host.sent.stream().filter(sent -> sent.server().equals("s0")).toList();
         assertTrue(old.size() > 2, "calls to the former process: " + old.size());
         f.change(Fixture.server("s0", 0, f.now - 60_000, State.READY));
         old.forEach(sent -> f.finish(sent, Outcome.RESET, 5));
@@ -894,7 +924,10 @@
         for (int i = 0; i < 12; i++) {
             f.request(Fixture.ONCE);
         }
-        long atOnce = f.host.sent.stream().skip(before).filter(sent -> sent.server().equals("s0")).count();
+        long atOnce = f.host.sent.stream()
+                .skip(before)
+                .filter(sent -> sent.server().equals("s0"))
+                .count();
         assertTrue(atOnce > 1, "it is neither on trial nor paused, but takes " + atOnce);
     }
 
@@ -946,7 +979,8 @@
             f.request(Fixture.REPEATABLE);
         }
         long again = f.host.sent.subList(before, f.host.sent.size()).stream()
-            .filter(s -> s.server().equals(full)).count();
+                .filter(s -> s.server().equals(full))
+                .count();
         assertTrue(again >= 3, "only " + again + " calls went to a server that was full a while ago");
     }
 
@@ -959,7 +993,8 @@
         for (int i = 0; i < 10; i++) {
             f.request(Fixture.REPEATABLE);
         }
-        List<Recorder.Sent> trials = f.host.sent.stream().filter(s -> s.server().equals(bad)).toList();
+        List<Recorder.Sent> trials =
+                f.host.sent.stream().filter(s -> s.server().equals(bad)).toList();
         Recorder.Sent trial = trials.get(trials.size() - 1);
         for (int i = 0; i < 8; i++) {
             f.finish(trial, i % 2 == 0 ? Outcome.CANCELED : Outcome.IGNORED, 1);
@@ -969,7 +1004,8 @@
                 f.request(Fixture.REPEATABLE);
             }
             List<Recorder.Sent> again = f.host.sent.subList(before, f.host.sent.size()).stream()
-                .filter(s -> s.server().equals(bad)).toList();
+                    .filter(s -> s.server().equals(bad))
+                    .toList();
             assertTrue(again.size() <= 1, "still one call at a time, but " + again.size());
             trial = again.isEmpty() ? trial : again.get(0);
         }
@@ -999,7 +1035,8 @@
             for (int i = 0; i < 3; i++) {
                 f.request(Fixture.REPEATABLE);
             }
-            users += (int) f.host.sent.stream().filter(s -> s.server().equals("cold")).count();
+            users += (int)
+                    f.host.sent.stream().filter(s -> s.server().equals("cold")).count();
         }
         // Its even part of 100 balancers is 50, the warm part of that 15; rings round by themselves.
         assertTrue(users > 0 && users <= 20, "calls at once " + users);
--- a/core/src/test/java/lemonrail/core/policy/Fixture.java
+++ b/core/src/test/java/lemonrail/core/policy/Fixture.java
@@ -35,12 +35,22 @@
 
     static Settings settings(int balancers, int own, int tier, boolean parallel, Tenant... tenants) {
         List<RequestClass> classes = List.of(
-            new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false),
-            new RequestClass("order", 1000, 3000, 1, 0.5, Effect.ONCE, Group.ALL, 0, false),
-            new RequestClass("save", 1000, 3000, 1, 0.5, Effect.BY_KEY, Group.CELL, 800, false));
-        return new Settings(balancers, own, 0, tier, false, true, 0.1, 0, classes, List.of(tenants),
-            new Limits(3, parallel, true, 2000, 200),
-            new Rules(0.3, 8000, 3, 1000, 1000, 10_000));
+                new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false),
+                new RequestClass("order", 1000, 3000, 1, 0.5, Effect.ONCE, Group.ALL, 0, false),
+                new RequestClass("save", 1000, 3000, 1, 0.5, Effect.BY_KEY, Group.CELL, 800, false));
+        return new Settings(
+                balancers,
+                own,
+                0,
+                tier,
+                false,
+                true,
+                0.1,
+                0,
+                classes,
+                List.of(tenants),
+                new Limits(3, parallel, true, 2000, 200),
+                new Rules(0.3, 8000, 3, 1000, 1000, 10_000));
     }
 
     static Fixture of(int balancers, int own, int tier) {
@@ -83,8 +93,16 @@
     }
 
     void finish(Recorder.Sent sent, Outcome outcome, double tookMs) {
-        balancer.onFinished(now, new Finished(sent.request(), sent.attempt(), sent.server(), outcome,
-            tookMs, outcome == Outcome.OK, Load.NONE));
+        balancer.onFinished(
+                now,
+                new Finished(
+                        sent.request(),
+                        sent.attempt(),
+                        sent.server(),
+                        outcome,
+                        tookMs,
+                        outcome == Outcome.OK,
+                        Load.NONE));
     }
 
     /** Has a server fail two calls in a row, which is more than chance, and tells which. */
--- a/core/src/test/java/lemonrail/core/policy/ListChangeCost.java
+++ b/core/src/test/java/lemonrail/core/policy/ListChangeCost.java
@@ -22,16 +22,20 @@
     private static final int CHANGES = 2000;
     private static final double CALL_EVERY_MS = 100;
 
-    private ListChangeCost() {
-    }
+    private ListChangeCost() {}
 
     /** Prints the table of one run. */
     public static void main(String[] args) {
         System.out.println("listed  us/change at 1/s  at 20/s  at 500/s  us of a list of all");
         for (int listed : LISTED) {
-            System.out.printf(Locale.ROOT, "%6d %17.1f %8.1f %9.1f %20.0f%n", listed,
-                change(listed, 1000, CHANGES), change(listed, 50, CHANGES), change(listed, 2, CHANGES),
-                all(listed));
+            System.out.printf(
+                    Locale.ROOT,
+                    "%6d %17.1f %8.1f %9.1f %20.0f%n",
+                    listed,
+                    change(listed, 1000, CHANGES),
+                    change(listed, 50, CHANGES),
+                    change(listed, 2, CHANGES),
+                    all(listed));
         }
     }
 
@@ -39,8 +43,8 @@
     static List<Server> fleet(int listed) {
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < listed; i++) {
-            servers.add(new Server("s-" + Integer.toHexString(i * 7919 + 1), i % 7, 0, i % 3, 0, State.READY,
-                1 + i % 2));
+            servers.add(
+                    new Server("s-" + Integer.toHexString(i * 7919 + 1), i % 7, 0, i % 3, 0, State.READY, 1 + i % 2));
         }
         return servers;
     }
--- a/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
+++ b/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
@@ -56,7 +56,10 @@
     }
 
     private static Server named(String id) {
-        return ListChangeCost.fleet(LISTED).stream().filter(s -> s.id().equals(id)).findFirst().orElseThrow();
+        return ListChangeCost.fleet(LISTED).stream()
+                .filter(s -> s.id().equals(id))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** Guards against a cost of each change that grows with the list (before: 16 times here). */
@@ -107,9 +110,14 @@
             List<Server> changes = new ArrayList<>();
             for (int i = random.nextInt(random.nextInt(20) == 0 ? 60 : 3); i >= 0; i--) {
                 Server was = named("s-" + Integer.toHexString(random.nextInt(LISTED) * 7919 + 1));
-                changes.add(new Server(was.id(), random.nextInt(7), 0, was.cell(),
-                    random.nextInt(4) == 0 ? f.now - random.nextInt(1000) : 0,
-                    State.values()[random.nextInt(3)], 1 + random.nextInt(3)));
+                changes.add(new Server(
+                        was.id(),
+                        random.nextInt(7),
+                        0,
+                        was.cell(),
+                        random.nextInt(4) == 0 ? f.now - random.nextInt(1000) : 0,
+                        State.values()[random.nextInt(3)],
+                        1 + random.nextInt(3)));
             }
             changes.forEach(server -> listed.put(server.id(), server));
             f.change(changes.toArray(Server[]::new));
@@ -121,7 +129,8 @@
         f.balancer.onTimer(f.now, NO_TIMER);
         Fixture fresh = Fixture.of(LISTED, 3, 1);
         fresh.now = f.now;
-        List<Server> left = listed.values().stream().filter(s -> s.state() != State.GONE).toList();
+        List<Server> left =
+                listed.values().stream().filter(s -> s.state() != State.GONE).toList();
         fresh.list(left);
         assertEquals(firstServers(fresh, 250), firstServers(f, 250));
         assertEquals(left.size(), f.balancer.knownServers());
--- a/core/src/test/java/lemonrail/core/policy/LiveSettingsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/LiveSettingsTest.java
@@ -14,17 +14,38 @@
 /** Settings that change while calls are in hand: what may, is taken up, and what was learned stays. */
 class LiveSettingsTest {
 
-    private static Settings with(Settings base, double aimMs, double deadlineMs, int tries,
-            Tenant... tenants) {
-        List<RequestClass> classes = base.classes().stream().map(kind -> new RequestClass(kind.name(), aimMs,
-            deadlineMs, kind.worth(), kind.lateWorth(), kind.effect(), kind.group(), kind.windowMs(),
-            kind.stream())).toList();
+    private static Settings with(Settings base, double aimMs, double deadlineMs, int tries, Tenant... tenants) {
+        List<RequestClass> classes = base.classes().stream()
+                .map(kind -> new RequestClass(
+                        kind.name(),
+                        aimMs,
+                        deadlineMs,
+                        kind.worth(),
+                        kind.lateWorth(),
+                        kind.effect(),
+                        kind.group(),
+                        kind.windowMs(),
+                        kind.stream()))
+                .toList();
         Limits limits = base.limits();
-        return new Settings(base.balancers(), base.ownNumber(), base.ownZone(), base.tier(),
-            base.asksForList(), base.weighted(), base.overShareWorth(), base.crossZonePrice(), classes,
-            List.of(tenants),
-            new Limits(tries, limits.parallelTries(), limits.cancel(), limits.maxCoolDownMs(),
-                limits.connectTimeoutMs()), base.rules());
+        return new Settings(
+                base.balancers(),
+                base.ownNumber(),
+                base.ownZone(),
+                base.tier(),
+                base.asksForList(),
+                base.weighted(),
+                base.overShareWorth(),
+                base.crossZonePrice(),
+                classes,
+                List.of(tenants),
+                new Limits(
+                        tries,
+                        limits.parallelTries(),
+                        limits.cancel(),
+                        limits.maxCoolDownMs(),
+                        limits.connectTimeoutMs()),
+                base.rules());
     }
 
     /** An answer after the aim is worth nothing here, so a call waits no longer than for that. */
@@ -38,8 +59,9 @@
         f.balancer.onSettings(f.now, with(base, 400, 3000, 3));
         f.now += 100;
         f.request(Fixture.REPEATABLE);
-        assertTrue(before > 900 && f.host.last().timeoutMs() < 400,
-            before + " and " + f.host.last().timeoutMs());
+        assertTrue(
+                before > 900 && f.host.last().timeoutMs() < 400,
+                before + " and " + f.host.last().timeoutMs());
     }
 
     @Test
@@ -55,8 +77,7 @@
     /** Guards against a change of a rate that gives a flood its savings again. */
     @Test
     void anAllowanceChangesAndItsSavingsStay() {
-        Settings base = Fixture.settings(1, 0, 0, true, new Tenant("flood", 10, 0.1),
-            new Tenant("calm", 1000, 0.9));
+        Settings base = Fixture.settings(1, 0, 0, true, new Tenant("flood", 10, 0.1), new Tenant("calm", 1000, 0.9));
         Fixture f = new Fixture(base).list(Fixture.servers(20));
         Settings same = with(base, 1000, 3000, 3, base.tenants().toArray(Tenant[]::new));
         int taken = 0;
--- a/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
@@ -83,8 +83,10 @@
             if (first >= 0) {
                 assertTrue(kind.effect() != Effect.ONCE, "a call that may have run was sent again");
                 if (kind.effect() == Effect.BY_KEY) {
-                    assertEquals(listed.get(call.servers.get(first)).cell(), listed.get(server).cell(),
-                        "repeat outside the group");
+                    assertEquals(
+                            listed.get(call.servers.get(first)).cell(),
+                            listed.get(server).cell(),
+                            "repeat outside the group");
                     assertTrue(now - call.sentAt.get(first) < kind.windowMs(), "repeat after the window");
                 }
             }
@@ -98,8 +100,9 @@
         @Override
         public void refuse(String request, double coolDownMs) {
             Seen call = seen.get(request);
-            assertTrue(settings.classes().get(call.kind).effect() == Effect.REPEATABLE
-                || call.mayHaveRun() < 0, "refused though it may have run");
+            assertTrue(
+                    settings.classes().get(call.kind).effect() == Effect.REPEATABLE || call.mayHaveRun() < 0,
+                    "refused though it may have run");
             finish(call);
         }
 
@@ -131,17 +134,20 @@
         }
 
         @Override
-        public void subscribe() {
-        }
+        public void subscribe() {}
 
         @Override
-        public void log(String line) {
-        }
+        public void log(String line) {}
     }
 
     private static Settings settings(Random random) {
-        return Fixture.settings(1 + random.nextInt(40), 0, random.nextInt(2), random.nextBoolean(),
-            new Tenant("a", 20, 0.5), new Tenant("b", 5, 0.5));
+        return Fixture.settings(
+                1 + random.nextInt(40),
+                0,
+                random.nextInt(2),
+                random.nextBoolean(),
+                new Tenant("a", 20, 0.5),
+                new Tenant("b", 5, 0.5));
     }
 
     @ParameterizedTest
@@ -167,8 +173,14 @@
                 double left = 1 + random.nextInt(3000);
                 judge.seen.put(id, new Seen(kind, judge.now + left));
                 open.add(id);
-                balancer.onRequest(judge.now, new Request(id, kind,
-                    settings.tenants().isEmpty() ? 0 : random.nextInt(2), judge.now + left, false));
+                balancer.onRequest(
+                        judge.now,
+                        new Request(
+                                id,
+                                kind,
+                                settings.tenants().isEmpty() ? 0 : random.nextInt(2),
+                                judge.now + left,
+                                false));
             } else if (what < 10 && !open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
                 judge.seen.get(id).over = true;
@@ -227,8 +239,16 @@
         boolean served = outcome == Outcome.OK && !call.over;
         boolean concluded = call.over || served;
         call.over |= served;
-        balancer.onFinished(judge.now, new Finished(id, attempt, call.servers.get(attempt), outcome,
-            judge.now - call.sentAt.get(attempt), concluded, Load.NONE));
+        balancer.onFinished(
+                judge.now,
+                new Finished(
+                        id,
+                        attempt,
+                        call.servers.get(attempt),
+                        outcome,
+                        judge.now - call.sentAt.get(attempt),
+                        concluded,
+                        Load.NONE));
     }
 
     private static void changeList(Judge judge, Decide balancer, Random random, boolean whole) {
--- a/core/src/test/java/lemonrail/core/policy/Recorder.java
+++ b/core/src/test/java/lemonrail/core/policy/Recorder.java
@@ -10,8 +10,7 @@
 final class Recorder implements Actions {
 
     /** One attempt that was sent. */
-    record Sent(String request, int attempt, String server, double timeoutMs) {
-    }
+    record Sent(String request, int attempt, String server, double timeoutMs) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<String> refused = new ArrayList<>();
--- a/core/src/test/java/lemonrail/core/policy/SpareZoneTest.java
+++ b/core/src/test/java/lemonrail/core/policy/SpareZoneTest.java
@@ -24,15 +24,19 @@
     /** Calls come and go for long enough that the pool is refilled many times. */
     private static Set<String> serve(Fixture f) {
         int before = f.host.sent.size();
-        assertTimeoutPreemptively(PATIENCE, () -> {
-            for (int i = 0; i < 50; i++) {
-                f.now += 150;
-                f.request(Fixture.REPEATABLE);
-                f.finish(f.host.last(), Outcome.OK, 10);
-            }
-        }, "a loop without an end");
-        return f.host.sent.subList(before, f.host.sent.size()).stream().map(Recorder.Sent::server)
-            .collect(Collectors.toSet());
+        assertTimeoutPreemptively(
+                PATIENCE,
+                () -> {
+                    for (int i = 0; i < 50; i++) {
+                        f.now += 150;
+                        f.request(Fixture.REPEATABLE);
+                        f.finish(f.host.last(), Outcome.OK, 10);
+                    }
+                },
+                "a loop without an end");
+        return f.host.sent.subList(before, f.host.sent.size()).stream()
+                .map(Recorder.Sent::server)
+                .collect(Collectors.toSet());
     }
 
     /** Guards against a spare slot that is looked for in another zone than it was put in. */
--- a/edge/src/main/java/lemonrail/admin/AdminServer.java
+++ b/edge/src/main/java/lemonrail/admin/AdminServer.java
@@ -34,6 +34,7 @@
 
     /** Connections open at once; beyond them the oldest without a whole call goes. */
     public static final int MOST_CONNECTIONS = 16;
+
     private static final int BACKLOG = 128;
     private static final int MOST_LINE_BYTES = 2048;
     private static final int MOST_HEAD_BYTES = 8192;
@@ -52,17 +53,22 @@
     private final BiConsumer<String, Throwable> bugs;
     /** Those without a whole call, the oldest first, and those that take their answer. */
     private final Set<Connection> silent = new LinkedHashSet<>();
+
     private final Set<Connection> answered = new LinkedHashSet<>();
     private Channel listener;
 
     /** A server of an edge on this loop; what goes wrong in it is told to {@code bugs}. */
-    public AdminServer(EventLoop loop, ByteBufAllocator buffers, Operations operations,
-            BiConsumer<String, Throwable> bugs) {
+    public AdminServer(
+            EventLoop loop, ByteBufAllocator buffers, Operations operations, BiConsumer<String, Throwable> bugs) {
         this(loop, buffers, calls(new Router(operations)), MOST_BODY_BYTES, bugs);
     }
 
     /** A server of other calls, whose bodies may have so many bytes. */
-    public AdminServer(EventLoop loop, ByteBufAllocator buffers, Calls calls, int mostBodyBytes,
+    public AdminServer(
+            EventLoop loop,
+            ByteBufAllocator buffers,
+            Calls calls,
+            int mostBodyBytes,
             BiConsumer<String, Throwable> bugs) {
         this.loop = loop;
         this.buffers = buffers;
@@ -77,8 +83,9 @@
 
     /** Listens. */
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new HttpListener(BACKLOG, MOST_LINE_BYTES, MOST_HEAD_BYTES, MOST_CHUNK_BYTES,
-            mostBodyBytes).bind(loop, buffers, address, Connection::new);
+        ChannelFuture bound = new HttpListener(
+                        BACKLOG, MOST_LINE_BYTES, MOST_HEAD_BYTES, MOST_CHUNK_BYTES, mostBodyBytes)
+                .bind(loop, buffers, address, Connection::new);
         listener = bound.channel();
         return bound;
     }
@@ -110,8 +117,10 @@
         public void channelActive(ChannelHandlerContext ctx) {
             silent.add(this);
             makeRoom();
-            limit = loop.schedule(() -> answer(Answer.of(HttpResponseStatus.REQUEST_TIMEOUT,
-                "no whole call in time")), CALL_MS, TimeUnit.MILLISECONDS);
+            limit = loop.schedule(
+                    () -> answer(Answer.of(HttpResponseStatus.REQUEST_TIMEOUT, "no whole call in time")),
+                    CALL_MS,
+                    TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -143,11 +152,11 @@
             limit.cancel(false);
             limit = loop.schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
             ByteBuf text = Unpooled.wrappedBuffer(answer.text().getBytes(StandardCharsets.UTF_8));
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, answer.status(),
-                text);
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes())
-                .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
-                .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, answer.status(), text);
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes())
+                    .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
+                    .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             if (answer.allowed() != null) {
                 response.headers().set(HttpHeaderNames.ALLOW, answer.allowed());
             }
--- a/edge/src/main/java/lemonrail/admin/Operations.java
+++ b/edge/src/main/java/lemonrail/admin/Operations.java
@@ -6,7 +6,11 @@
 public interface Operations {
 
     /** What came of a call. */
-    enum Verdict { DONE, UNKNOWN_ENDPOINT, FAILED }
+    enum Verdict {
+        DONE,
+        UNKNOWN_ENDPOINT,
+        FAILED
+    }
 
     /** Whether this process is ready to serve. */
     boolean ready();
--- a/edge/src/main/java/lemonrail/admin/Router.java
+++ b/edge/src/main/java/lemonrail/admin/Router.java
@@ -16,10 +16,9 @@
 
     private static final String ENDPOINTS = "/v1/endpoints/";
     private static final Pattern LOGGER =
-        Pattern.compile("/v1/loggers/(lemonrail(?:\\.[a-z0-9]{1,32})?)/(debug|info|warn|error)");
+            Pattern.compile("/v1/loggers/(lemonrail(?:\\.[a-z0-9]{1,32})?)/(debug|info|warn|error)");
 
-    private record Route(HttpMethod method, Supplier<Answer> call) {
-    }
+    private record Route(HttpMethod method, Supplier<Answer> call) {}
 
     private final Operations operations;
     private final Map<String, Route> fixed;
@@ -28,16 +27,16 @@
     Router(Operations operations) {
         this.operations = operations;
         fixed = Map.of(
-            "/v1/readyz", new Route(HttpMethod.GET, this::ready),
-            "/v1/metrics", new Route(HttpMethod.GET,
-                () -> new Answer(HttpResponseStatus.OK, operations.figures(), null)),
-            "/v1/loggers", new Route(HttpMethod.GET,
-                () -> new Answer(HttpResponseStatus.OK, operations.levels(), null)),
-            "/v1/sidecar/drain", new Route(HttpMethod.PUT, () -> done("draining", operations::drain)),
-            "/v1/sidecar/activate", new Route(HttpMethod.PUT, () -> done("active", operations::activate)));
+                "/v1/readyz", new Route(HttpMethod.GET, this::ready),
+                "/v1/metrics",
+                        new Route(HttpMethod.GET, () -> new Answer(HttpResponseStatus.OK, operations.figures(), null)),
+                "/v1/loggers",
+                        new Route(HttpMethod.GET, () -> new Answer(HttpResponseStatus.OK, operations.levels(), null)),
+                "/v1/sidecar/drain", new Route(HttpMethod.PUT, () -> done("draining", operations::drain)),
+                "/v1/sidecar/activate", new Route(HttpMethod.PUT, () -> done("active", operations::activate)));
         ofEndpoint = Map.of(
-            "/suspend", id -> answer(id, "suspended", operations.suspend(id)),
-            "/resume", id -> answer(id, "resumed", operations.resume(id)));
+                "/suspend", id -> answer(id, "suspended", operations.suspend(id)),
+                "/resume", id -> answer(id, "resumed", operations.resume(id)));
     }
 
     /** Carries a call out. */
@@ -45,14 +44,17 @@
         int query = uri.indexOf('?');
         String path = query < 0 ? uri : uri.substring(0, query);
         Matcher logger = LOGGER.matcher(path);
-        Route route = path.startsWith(ENDPOINTS) ? endpointRoute(path)
-            : logger.matches() ? levelRoute(logger.group(1), logger.group(2)) : fixed.get(path);
+        Route route = path.startsWith(ENDPOINTS)
+                ? endpointRoute(path)
+                : logger.matches() ? levelRoute(logger.group(1), logger.group(2)) : fixed.get(path);
         if (route == null) {
             return Answer.of(HttpResponseStatus.NOT_FOUND, "unknown path");
         }
         if (!route.method().equals(method)) {
-            return new Answer(HttpResponseStatus.METHOD_NOT_ALLOWED,
-                "this path takes " + route.method() + " only\n", route.method());
+            return new Answer(
+                    HttpResponseStatus.METHOD_NOT_ALLOWED,
+                    "this path takes " + route.method() + " only\n",
+                    route.method());
         }
         return route.call().get();
     }
@@ -77,15 +79,17 @@
 
     private Route levelRoute(String logger, String level) {
         Severity severity = Severity.valueOf(level.toUpperCase(Locale.ROOT));
-        return new Route(HttpMethod.PUT,
-            () -> operations.level(logger, severity)
-                ? Answer.of(HttpResponseStatus.OK, logger + "=" + level)
-                : Answer.of(HttpResponseStatus.CONFLICT, "too many loggers have a level of their own"));
+        return new Route(
+                HttpMethod.PUT,
+                () -> operations.level(logger, severity)
+                        ? Answer.of(HttpResponseStatus.OK, logger + "=" + level)
+                        : Answer.of(HttpResponseStatus.CONFLICT, "too many loggers have a level of their own"));
     }
 
     private Answer ready() {
-        return Answer.of(operations.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-            operations.phase());
+        return Answer.of(
+                operations.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                operations.phase());
     }
 
     private static Answer done(String line, Runnable call) {
@@ -96,10 +100,8 @@
     private static Answer answer(String id, String word, Operations.Verdict verdict) {
         return switch (verdict) {
             case DONE -> Answer.of(HttpResponseStatus.OK, word);
-            case UNKNOWN_ENDPOINT -> Answer.of(HttpResponseStatus.NOT_FOUND,
-                "no endpoint of that id was ever listed");
-            case FAILED -> Answer.of(HttpResponseStatus.INTERNAL_SERVER_ERROR,
-                "not " + word + ": see the log");
+            case UNKNOWN_ENDPOINT -> Answer.of(HttpResponseStatus.NOT_FOUND, "no endpoint of that id was ever listed");
+            case FAILED -> Answer.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "not " + word + ": see the log");
         };
     }
 }
--- a/edge/src/main/java/lemonrail/assembly/Listeners.java
+++ b/edge/src/main/java/lemonrail/assembly/Listeners.java
@@ -33,6 +33,7 @@
 
     /** Makes a front of so many connections. */
     private final IntFunction<Front> maker;
+
     private final Map<InetSocketAddress, Front> open = new LinkedHashMap<>();
     private final List<Front> leaving = new ArrayList<>();
     private int most;
@@ -61,15 +62,20 @@
     void change(Collection<InetSocketAddress> wanted, Changed changed) {
         Set<InetSocketAddress> added = new HashSet<>(wanted);
         added.removeAll(open.keySet());
-        List<InetSocketAddress> removed = open.keySet().stream().filter(at -> !wanted.contains(at)).toList();
-        openNext(new ArrayList<>(added), new ArrayList<>(), () -> {
-            removed.forEach(this::leave);
-            changed.done();
-        }, changed);
+        List<InetSocketAddress> removed =
+                open.keySet().stream().filter(at -> !wanted.contains(at)).toList();
+        openNext(
+                new ArrayList<>(added),
+                new ArrayList<>(),
+                () -> {
+                    removed.forEach(this::leave);
+                    changed.done();
+                },
+                changed);
     }
 
-    private void openNext(List<InetSocketAddress> left, List<InetSocketAddress> opened, Runnable done,
-            Changed changed) {
+    private void openNext(
+            List<InetSocketAddress> left, List<InetSocketAddress> opened, Runnable done, Changed changed) {
         if (left.isEmpty()) {
             done.run();
             return;
--- a/edge/src/main/java/lemonrail/assembly/Sidecar.java
+++ b/edge/src/main/java/lemonrail/assembly/Sidecar.java
@@ -55,20 +55,25 @@
 
     /** The part of the memory that bodies on their way may take, and what suits the heap at most. */
     private static final int BODIES_SHARE = 16;
+
     private static final int MOST_BODIES_MB = 8;
     /** Descriptors beyond those that the JVM holds from its start: warm-up, discovery, a round of accepts. */
     private static final int SPARE_SOCKETS = 32;
     /** What the JVM holds open where the system does not tell. */
     private static final int USUAL_FILES = 32;
+
     private static final int LEAST_CONNECTIONS = 8;
     /** New connections still come for a while after SIGTERM: until then the listener stays open. */
     private static final int LINGER_MS = 600;
+
     private static final int EMPTY_POLL_MS = 10;
     /** SIGKILL comes no sooner after SIGTERM than the longest deadline, or this, and the slack more. */
     private static final int MOST_WAIT_MS = 3000;
+
     private static final int KILL_SLACK_MS = 700;
     /** The last of that time belongs to what is in hand, and the very last to a busy machine. */
     private static final int FINISH_MS = 700;
+
     private static final int DRAIN_SLACK_MS = 300;
     /** So long after its time's end what has come since SIGTERM has its answer; the rest gets it then. */
     private static final int LAST_ANSWER_MS = 10;
@@ -82,6 +87,7 @@
     private final EdgeConfig config;
     /** The values in force, which a reload compares with the file's. */
     private List<Loaded.Value> values;
+
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
     private final LoopLag lag = new LoopLag();
@@ -99,17 +105,18 @@
     private ControlClient control;
     /** What may change of the settings while it runs is in these. */
     private volatile Settings inForce;
+
     private Upstream<?, ?> endpoints;
     private final List<InetSocketAddress> addresses = new CopyOnWriteArrayList<>();
     private int ownFiles;
     private boolean sharesLimits;
     /** A reload is under way, and another is wanted after it. */
     private boolean reloading;
+
     private boolean reloadAgain;
     private Exchange<?, ?> exchange;
 
-    private Sidecar(Protocol<?, ?> protocol, ConfigSource source, Loaded loaded, LogSink sink,
-            Decider decider) {
+    private Sidecar(Protocol<?, ?> protocol, ConfigSource source, Loaded loaded, LogSink sink, Decider decider) {
         this.protocol = protocol;
         this.decider = decider;
         this.source = source;
@@ -118,8 +125,8 @@
         inForce = config.settings();
         this.sink = sink;
         metrics = new Metrics(config.classNames());
-        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("sidecar"),
-            new MeasuredIo(NioIoHandler.newFactory(), lag));
+        group = new MultiThreadIoEventLoopGroup(
+                1, new DefaultThreadFactory("sidecar"), new MeasuredIo(NioIoHandler.newFactory(), lag));
         loop = (EventLoop) group.next();
     }
 
@@ -129,8 +136,8 @@
     }
 
     /** The same, with another decider in place of the project's own, as experiments have it. */
-    public static Sidecar create(Protocol<?, ?> protocol, ConfigSource source, Loaded loaded, LogSink sink,
-            Decider decider) {
+    public static Sidecar create(
+            Protocol<?, ?> protocol, ConfigSource source, Loaded loaded, LogSink sink, Decider decider) {
         Sidecar sidecar = new Sidecar(protocol, source, loaded, sink, decider);
         sidecar.loop.submit(sidecar::build).syncUninterruptibly();
         return sidecar;
@@ -148,20 +155,26 @@
                 awaitBound("the operators' door", config.admin(), adminServer.listen(config.admin()));
             }
             CountDownLatch warm = new CountDownLatch(1);
-            loop.execute(() -> protocol.warmUp(shard,
-                config.listeners().get(0).getAddress(), config.kept("warm-up"), warm::countDown));
+            loop.execute(() -> protocol.warmUp(
+                    shard, config.listeners().get(0).getAddress(), config.kept("warm-up"), warm::countDown));
             warm.await();
             listen();
             loop.submit(() -> {
-                // What the start itself has kept the loop from tells nothing of what is to come.
-                lag.forget();
-                lifecycle.started();
-            }).sync();
+                        // What the start itself has kept the loop from tells nothing of what is to come.
+                        lag.forget();
+                        lifecycle.started();
+                    })
+                    .sync();
             long tookMs = (System.nanoTime() - began) / 1_000_000;
             InetSocketAddress at = addresses.get(0);
-            log.info("serving", "serving at " + addresses.stream().map(String::valueOf)
-                .collect(Collectors.joining(" and ")) + ", warm after " + tookMs + " ms",
-                "address", at, "took_ms", tookMs);
+            log.info(
+                    "serving",
+                    "serving at " + addresses.stream().map(String::valueOf).collect(Collectors.joining(" and "))
+                            + ", warm after " + tookMs + " ms",
+                    "address",
+                    at,
+                    "took_ms",
+                    tookMs);
         } catch (InterruptedException e) {
             throw new IOException("interrupted while starting", e);
         }
@@ -179,8 +192,8 @@
             throws IOException, InterruptedException {
         if (!bound.await().isSuccess()) {
             stop();
-            throw new IOException(field + ": cannot listen on " + at + ": "
-                + bound.cause().getMessage());
+            throw new IOException(
+                    field + ": cannot listen on " + at + ": " + bound.cause().getMessage());
         }
     }
 
@@ -189,19 +202,19 @@
         log = new EventLog(clock, sink);
         suspensions = new Suspensions(config.kept("suspended"), log);
         presence = new Presence(config.kept("processes"), log);
-        ownFiles = openFiles() + SPARE_SOCKETS
-            + (config.admin() == null ? 0 : AdminServer.MOST_CONNECTIONS);
+        ownFiles = openFiles() + SPARE_SOCKETS + (config.admin() == null ? 0 : AdminServer.MOST_CONNECTIONS);
         sharesLimits = presence.hasOther();
         int half = half();
         double bodiesMb = Math.min(MOST_BODIES_MB, config.memoryMb() / BODIES_SHARE);
         Budget budget = new Budget((long) (bodiesMb * 1024 * 1024));
-        shard = new Shard(loop, clock, log, metrics, budget, lifecycle, config.settings(),
-            config.idleCloseMs());
-        discovery = config.discovery() == null ? null
-            : new DiscoveryClient(loop, config.discovery(), config.names(), config.known().version(),
-                pace(), log);
-        control = config.control() == null ? null
-            : new ControlClient(loop, clock, config.control(), config.names(), config.seed(), log);
+        shard = new Shard(loop, clock, log, metrics, budget, lifecycle, config.settings(), config.idleCloseMs());
+        discovery = config.discovery() == null
+                ? null
+                : new DiscoveryClient(
+                        loop, config.discovery(), config.names(), config.known().version(), pace(), log);
+        control = config.control() == null
+                ? null
+                : new ControlClient(loop, clock, config.control(), config.names(), config.seed(), log);
         connect(protocol, half);
         if (discovery != null) {
             discovery.listen(exchange);
@@ -227,24 +240,31 @@
     private WatchPace pace() {
         double drainGraceMs = config.settings().rules().drainGraceMs();
         return config.discoveryWaitMs() == null
-            ? WatchPace.ofFleet(config.settings().balancers(), drainGraceMs, config.seed())
-            : new WatchPace(config.discoveryWaitMs().intValue(), drainGraceMs, config.seed());
+                ? WatchPace.ofFleet(config.settings().balancers(), drainGraceMs, config.seed())
+                : new WatchPace(config.discoveryWaitMs().intValue(), drainGraceMs, config.seed());
     }
 
     private <M extends Message, A> void connect(Protocol<M, A> spoken, int half) {
         Upstream<M, A> upstream = spoken.upstream(shard, half);
-        Exchange<M, A> between = new Exchange<>(shard, upstream, suspensions, decider, config.seed(),
-            config.known(), control != null ? control::watch
-                : discovery == null ? () -> { } : discovery::watch);
+        Exchange<M, A> between = new Exchange<>(
+                shard,
+                upstream,
+                suspensions,
+                decider,
+                config.seed(),
+                config.known(),
+                control != null ? control::watch : discovery == null ? () -> {} : discovery::watch);
         endpoints = upstream;
         exchange = between;
-        listeners = new Listeners(most -> {
-            Front front = spoken.front(shard, between, most);
-            if (lifecycle.phase() == Lifecycle.Phase.DRAINING) {
-                front.drain();
-            }
-            return front;
-        }, clients(half));
+        listeners = new Listeners(
+                most -> {
+                    Front front = spoken.front(shard, between, most);
+                    if (lifecycle.phase() == Lifecycle.Phase.DRAINING) {
+                        front.drain();
+                    }
+                    return front;
+                },
+                clients(half));
     }
 
     /** Takes the control nodes' settings document up, or goes back to the file's own; null, or why not. */
@@ -292,9 +312,11 @@
     private void shareLimits(boolean shares) {
         if (shares != sharesLimits) {
             sharesLimits = shares;
-            log.info(shares ? "limits_shared" : "limits_own",
-                shares ? "another process of this sidecar runs: the limits are shared"
-                    : "the only process of this sidecar from now on");
+            log.info(
+                    shares ? "limits_shared" : "limits_own",
+                    shares
+                            ? "another process of this sidecar runs: the limits are shared"
+                            : "the only process of this sidecar from now on");
             int half = half();
             endpoints.bound(half);
             listeners.bound(clients(half));
@@ -384,10 +406,12 @@
         boolean listAppears = config.discovery() == null && after.containsKey("discovery.address");
         boolean listGoes = config.discovery() != null && !after.containsKey("discovery.address");
         return Stream.concat(next.stream(), values.stream())
-            .filter(value -> !value.live()
-                || value.key().equals("discovery.address") && (listAppears || listGoes))
-            .map(Loaded.Value::key).distinct()
-            .filter(key -> !Objects.equals(before.get(key), after.get(key))).sorted().toList();
+                .filter(value -> !value.live() || value.key().equals("discovery.address") && (listAppears || listGoes))
+                .map(Loaded.Value::key)
+                .distinct()
+                .filter(key -> !Objects.equals(before.get(key), after.get(key)))
+                .sorted()
+                .toList();
     }
 
     private final class ListenersChanged implements Listeners.Changed {
@@ -423,7 +447,9 @@
     public void terminate() {
         CountDownLatch empty = new CountDownLatch(1);
         long mostDeadlineMs = inForce.classes().stream()
-            .mapToLong(kind -> (long) kind.deadlineMs()).max().orElse(0);
+                .mapToLong(kind -> (long) kind.deadlineMs())
+                .max()
+                .orElse(0);
         long killedAfterMs = Math.min(mostDeadlineMs, MOST_WAIT_MS) + KILL_SLACK_MS;
         long endMs = killedAfterMs - DRAIN_SLACK_MS;
         long lastCallMs = Math.max(LINGER_MS, endMs - FINISH_MS);
@@ -431,8 +457,7 @@
             lifecycle.stop();
             listeners.each(front -> front.endAfter(endMs));
             boolean succeeded = presence.hasOther();
-            log.info("stopping", "stopping" + (succeeded ? ", another process goes on" : ""),
-                "succeeded", succeeded);
+            log.info("stopping", "stopping" + (succeeded ? ", another process goes on" : ""), "succeeded", succeeded);
             if (succeeded) {
                 listeners.each(Front::leave);
             }
@@ -440,11 +465,15 @@
         loop.schedule(() -> listeners.each(Front::closeListener), LINGER_MS, TimeUnit.MILLISECONDS);
         loop.schedule(() -> listeners.each(Front::finish), lastCallMs, TimeUnit.MILLISECONDS);
         loop.schedule(() -> exchange.end(), endMs + LAST_ANSWER_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(() -> {
-            if (listeners.all(Front::isEmpty)) {
-                empty.countDown();
-            }
-        }, LINGER_MS, EMPTY_POLL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                () -> {
+                    if (listeners.all(Front::isEmpty)) {
+                        empty.countDown();
+                    }
+                },
+                LINGER_MS,
+                EMPTY_POLL_MS,
+                TimeUnit.MILLISECONDS);
         try {
             // Every request has had its answer by then; who does not take it is not waited for.
             empty.await(endMs + DRAIN_SLACK_MS / 2, TimeUnit.MILLISECONDS);
@@ -452,8 +481,11 @@
             Thread.currentThread().interrupt();
         }
         boolean done = empty.getCount() == 0;
-        log.info("stopped", done ? "all connections are done with"
-            : "not all connections were empty in time", "empty", done);
+        log.info(
+                "stopped",
+                done ? "all connections are done with" : "not all connections were empty in time",
+                "empty",
+                done);
         stop();
     }
 
@@ -526,8 +558,11 @@
                 exchange.retell(changed);
                 return Verdict.DONE;
             } catch (IOException e) {
-                log.warn("suspension_failed", endpoint + " is not " + word + ": " + e.getMessage(),
-                    "endpoint", endpoint);
+                log.warn(
+                        "suspension_failed",
+                        endpoint + " is not " + word + ": " + e.getMessage(),
+                        "endpoint",
+                        endpoint);
                 return Verdict.FAILED;
             }
         }
@@ -535,8 +570,9 @@
         @Override
         public String levels() {
             StringBuilder text = new StringBuilder();
-            sink.levels().forEach((logger, level) ->
-                text.append(logger).append('=').append(level).append('\n'));
+            sink.levels()
+                    .forEach((logger, level) ->
+                            text.append(logger).append('=').append(level).append('\n'));
             return text.toString();
         }
 
@@ -547,16 +583,20 @@
                 return false;
             }
             sink.level(logger, severity);
-            log.info("level_changed", "level by hand: " + logger + " from " + severity + " on", "of", logger,
-                "to", severity);
+            log.info(
+                    "level_changed",
+                    "level by hand: " + logger + " from " + severity + " on",
+                    "of",
+                    logger,
+                    "to",
+                    severity);
             return true;
         }
 
         @Override
         public void drain() {
             if (lifecycle.drain()) {
-                log.info("drain_started",
-                    "drain by hand: connections are emptied until the sidecar is activated");
+                log.info("drain_started", "drain by hand: connections are emptied until the sidecar is activated");
                 listeners.each(Front::drain);
             }
         }
--- a/edge/src/main/java/lemonrail/benchlink/BenchLink.java
+++ b/edge/src/main/java/lemonrail/benchlink/BenchLink.java
@@ -33,8 +33,7 @@
  */
 public final class BenchLink {
 
-    private static final ListKind[] LIST_KINDS =
-        {ListKind.CACHED, ListKind.FULL, ListKind.DELTA, ListKind.FAILED};
+    private static final ListKind[] LIST_KINDS = {ListKind.CACHED, ListKind.FULL, ListKind.DELTA, ListKind.FAILED};
     private static final State[] STATES = {State.GONE, State.READY, State.DRAINING};
     private static final int LISTS = 16;
 
@@ -42,6 +41,7 @@
     private final OutputStream replies;
     /** The reply in the making: sent whole, so that nothing of a bad batch is acted on. */
     private final ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
+
     private final JsonGenerator out;
     private final PrintStream complaints;
     private final Map<String, Instance> instances = new HashMap<>();
@@ -53,7 +53,8 @@
     /** An adapter that reads {@code input} and writes {@code output}; warnings go to {@code errors}. */
     public BenchLink(InputStream input, OutputStream output, PrintStream errors) throws IOException {
         JsonFactory factory = JsonFactory.builder()
-            .disable(JsonFactory.Feature.INTERN_FIELD_NAMES).build();
+                .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
+                .build();
         in = factory.createParser(input);
         replies = output;
         out = factory.createGenerator(reply).setRootValueSeparator(null);
@@ -73,8 +74,10 @@
             if (e instanceof WireException) {
                 throw e;
             }
-            throw new WireException("batch " + (batch < 0 ? "(number unread)" : String.valueOf(batch))
-                + (current == null ? "" : ", instance " + current) + ": " + plain(e), e);
+            throw new WireException(
+                    "batch " + (batch < 0 ? "(number unread)" : String.valueOf(batch))
+                            + (current == null ? "" : ", instance " + current) + ": " + plain(e),
+                    e);
         }
     }
 
@@ -85,8 +88,7 @@
     }
 
     /** One instance's part of a batch, as read. */
-    private record Part(String instance, List<Event> events) {
-    }
+    private record Part(String instance, List<Event> events) {}
 
     /** One event with whichever fields it had. */
     private static final class Event {
@@ -397,21 +399,21 @@
             }
             case "Endpoints" -> {
                 ListKind kind = pick(LIST_KINDS, e.mode, "mode");
-                running().onServers(now, kind,
-                    kind == ListKind.FAILED ? List.of() : lists.get(checkRef(e.ref)));
+                running().onServers(now, kind, kind == ListKind.FAILED ? List.of() : lists.get(checkRef(e.ref)));
             }
-            case "Query" -> running().onRequest(now,
-                new Request(e.id, e.type, e.tenant, e.deadline, e.resent));
+            case "Query" -> running().onRequest(now, new Request(e.id, e.type, e.tenant, e.deadline, e.resent));
             case "Accepted" -> running().onStreamStarted(now, e.id, e.hop);
-            case "Finished" -> running().onFinished(now, new Finished(e.id, e.hop, e.endpoint,
-                outcome(e.reason), e.took, e.done, load(e)));
+            case "Finished" ->
+                running()
+                        .onFinished(
+                                now, new Finished(e.id, e.hop, e.endpoint, outcome(e.reason), e.took, e.done, load(e)));
             case "CancelledByClient" -> running().onClientGone(now, e.id);
             case "Fired" -> running().onTimer(now, e.number);
             case "PingResult", "NeighbourSays" -> running();
             default -> {
                 if (unknownKinds.add(e.kind)) {
-                    complaints.println("lemonrail: batch " + batch + ", instance " + current
-                        + ": events of kind '" + e.kind + "' are unknown and skipped");
+                    complaints.println("lemonrail: batch " + batch + ", instance " + current + ": events of kind '"
+                            + e.kind + "' are unknown and skipped");
                 }
             }
         }
--- a/edge/src/main/java/lemonrail/cli/CommandLineCalls.java
+++ b/edge/src/main/java/lemonrail/cli/CommandLineCalls.java
@@ -22,31 +22,39 @@
 import picocli.CommandLine.Spec;
 
 /** The calls of the command line. */
-@Command(name = "lemonrail", description = "An edge between clients and the endpoints that serve them.",
-    scope = ScopeType.INHERIT, mixinStandardHelpOptions = true,
-    versionProvider = CommandLineCalls.Version.class,
-    exitCodeListHeading = "Exit status:%n",
-    exitCodeList = {"0:all is well", "1:it has failed", "2:the call or the configuration is no good"},
-    subcommands = {CommandLineCalls.Serve.class, CommandLineCalls.Control.class,
-        CommandLineCalls.Check.class, CommandLineCalls.Config.class,
-        CommandLineCalls.BenchLinkCall.class, CommandLineCalls.VersionCall.class,
-        AutoComplete.GenerateCompletion.class})
+@Command(
+        name = "lemonrail",
+        description = "An edge between clients and the endpoints that serve them.",
+        scope = ScopeType.INHERIT,
+        mixinStandardHelpOptions = true,
+        versionProvider = CommandLineCalls.Version.class,
+        exitCodeListHeading = "Exit status:%n",
+        exitCodeList = {"0:all is well", "1:it has failed", "2:the call or the configuration is no good"},
+        subcommands = {
+            CommandLineCalls.Serve.class,
+            CommandLineCalls.Control.class,
+            CommandLineCalls.Check.class,
+            CommandLineCalls.Config.class,
+            CommandLineCalls.BenchLinkCall.class,
+            CommandLineCalls.VersionCall.class,
+            AutoComplete.GenerateCompletion.class
+        })
 final class CommandLineCalls implements Callable<Integer> {
 
     @Spec
     private CommandSpec spec;
 
-    private CommandLineCalls() {
-    }
+    private CommandLineCalls() {}
 
     /** Carries a call out; returns the exit status. */
     static int run(String... args) {
-        return new CommandLine(new CommandLineCalls()).setCaseInsensitiveEnumValuesAllowed(true)
-            .setExecutionExceptionHandler((e, line, parsed) -> {
-                line.getErr().println("lemonrail: "
-                    + (e.getMessage() == null ? e.toString() : e.getMessage()));
-                return e instanceof IllegalArgumentException ? Main.BAD_INPUT : Main.FAILURE;
-            }).execute(args);
+        return new CommandLine(new CommandLineCalls())
+                .setCaseInsensitiveEnumValuesAllowed(true)
+                .setExecutionExceptionHandler((e, line, parsed) -> {
+                    line.getErr().println("lemonrail: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
+                    return e instanceof IllegalArgumentException ? Main.BAD_INPUT : Main.FAILURE;
+                })
+                .execute(args);
     }
 
     @Override
@@ -70,24 +78,25 @@
 
     /** The option that names a file, or the variable that does where it is not given. */
     static final class ConfigOption {
-        @Option(names = {"-c", "--config"}, paramLabel = "FILE",
-            description = "the configuration: .toml is the operators' form, all else the platform's JSON; "
-                + "$GW_CONFIG if not given")
+        @Option(
+                names = {"-c", "--config"},
+                paramLabel = "FILE",
+                description = "the configuration: .toml is the operators' form, all else the platform's JSON; "
+                        + "$GW_CONFIG if not given")
         private Path file;
 
         private Path file() {
             String variable = System.getenv(Main.CONFIG_VARIABLE);
             if (file == null && (variable == null || variable.isBlank())) {
-                throw new IllegalArgumentException("no configuration: give --config FILE or set "
-                    + Main.CONFIG_VARIABLE);
+                throw new IllegalArgumentException(
+                        "no configuration: give --config FILE or set " + Main.CONFIG_VARIABLE);
             }
             return file == null ? Path.of(variable) : file;
         }
     }
 
     /** One edge. */
-    @Command(name = "serve",
-        description = "Run an edge until SIGTERM; SIGHUP reads the configuration again.")
+    @Command(name = "serve", description = "Run an edge until SIGTERM; SIGHUP reads the configuration again.")
     static final class Serve implements Callable<Integer> {
         @CommandLine.Mixin
         private ConfigOption config;
@@ -99,8 +108,7 @@
     }
 
     /** One control node. */
-    @Command(name = "control",
-        description = "Run a control node until SIGTERM: a file with a table [control].")
+    @Command(name = "control", description = "Run a control node until SIGTERM: a file with a table [control].")
     static final class Control implements Callable<Integer> {
         @CommandLine.Mixin
         private ConfigOption config;
@@ -112,13 +120,21 @@
     }
 
     /** Validates files. */
-    @Command(name = "check", description = {"Validate configurations and say what they would do.",
-        "Everything that is wrong is a line with file, line, key, value and what is allowed."})
+    @Command(
+            name = "check",
+            description = {
+                "Validate configurations and say what they would do.",
+                "Everything that is wrong is a line with file, line, key, value and what is allowed."
+            })
     static final class Check implements Callable<Integer> {
         @Parameters(arity = "1..*", paramLabel = "FILE", description = "files of either form")
         private List<Path> files;
-        @Option(names = {"-q", "--quiet"}, description = "say only what is wrong")
+
+        @Option(
+                names = {"-q", "--quiet"},
+                description = "say only what is wrong")
         private boolean quiet;
+
         @Spec
         private CommandSpec spec;
 
@@ -142,14 +158,18 @@
 
         private static List<String> lines(Path file) throws IOException {
             return ControlFile.isOne(file, System.getenv())
-                ? Outline.lines(file, new ControlFile(file, System.getenv()).load().config())
-                : Outline.lines(file, ConfigSource.of(file, System.getenv()).load().config());
+                    ? Outline.lines(
+                            file, new ControlFile(file, System.getenv()).load().config())
+                    : Outline.lines(
+                            file, ConfigSource.of(file, System.getenv()).load().config());
         }
     }
 
     /** Tells of configurations. */
-    @Command(name = "config", description = "Show configurations.",
-        subcommands = {Show.class, SchemaCall.class})
+    @Command(
+            name = "config",
+            description = "Show configurations.",
+            subcommands = {Show.class, SchemaCall.class})
     static final class Config implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -166,9 +186,12 @@
     static final class Show implements Callable<Integer> {
         @CommandLine.Mixin
         private ConfigOption config;
-        @Option(names = "--effective", description = "all values in force and where each came from, "
-            + "not only those that the file holds")
+
+        @Option(
+                names = "--effective",
+                description = "all values in force and where each came from, " + "not only those that the file holds")
         private boolean effective;
+
         @Spec
         private CommandSpec spec;
 
@@ -178,8 +201,10 @@
                     ? new ControlFile(config.file(), System.getenv()).load().values()
                     : ConfigSource.of(config.file(), System.getenv()).load().values()) {
                 if (effective || !value.origin().equals("default")) {
-                    spec.commandLine().getOut().println(value.key() + " = " + value.text() + "  # "
-                        + value.origin() + (value.live() ? "" : ", needs a restart"));
+                    spec.commandLine()
+                            .getOut()
+                            .println(value.key() + " = " + value.text() + "  # " + value.origin()
+                                    + (value.live() ? "" : ", needs a restart"));
                 }
             }
             return Main.OK;
@@ -190,11 +215,17 @@
     @Command(name = "schema", description = "Show all that the operators' file may say.")
     static final class SchemaCall implements Callable<Integer> {
         /** The forms of the schema. */
-        enum Form { TEXT, JSON }
+        enum Form {
+            TEXT,
+            JSON
+        }
 
-        @Option(names = "--format", defaultValue = "text",
-            description = "text for people, or json for a JSON Schema (2020-12); text if not given")
+        @Option(
+                names = "--format",
+                defaultValue = "text",
+                description = "text for people, or json for a JSON Schema (2020-12); text if not given")
         private Form format;
+
         @Spec
         private CommandSpec spec;
 
--- a/edge/src/main/java/lemonrail/cli/Controlling.java
+++ b/edge/src/main/java/lemonrail/cli/Controlling.java
@@ -38,11 +38,14 @@
                 log.close();
                 return fail(e, Main.FAILURE);
             }
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                node.stop();
-                log.close();
-                Runtime.getRuntime().halt(Main.OK);
-            }, "stop"));
+            Runtime.getRuntime()
+                    .addShutdownHook(new Thread(
+                            () -> {
+                                node.stop();
+                                log.close();
+                                Runtime.getRuntime().halt(Main.OK);
+                            },
+                            "stop"));
             running.complete(log);
             return Main.OK;
         } catch (IllegalArgumentException e) {
@@ -62,8 +65,10 @@
     }
 
     private int fail(Exception e, int status) {
-        errors.println("lemonrail: " + (e.getMessage() == null ? e.toString()
-            : e.getMessage().lines().findFirst().orElse("")));
+        errors.println("lemonrail: "
+                + (e.getMessage() == null
+                        ? e.toString()
+                        : e.getMessage().lines().findFirst().orElse("")));
         return status;
     }
 }
--- a/edge/src/main/java/lemonrail/cli/Main.java
+++ b/edge/src/main/java/lemonrail/cli/Main.java
@@ -21,6 +21,7 @@
 
     /** Exit statuses: all is well; it has failed; the call or the configuration is no good. */
     static final int OK = 0;
+
     static final int FAILURE = 1;
     static final int BAD_INPUT = 2;
 
@@ -30,8 +31,7 @@
     /** Netty's property for its events in Java's flight recorder. */
     private static final String NETTY_RECORDER = "io.netty.jfr.enabled";
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Runs the program until it is done; a failure is one plain line and a status above 0. */
     public static void main(String[] args) throws IOException {
--- a/edge/src/main/java/lemonrail/cli/Outline.java
+++ b/edge/src/main/java/lemonrail/cli/Outline.java
@@ -12,35 +12,43 @@
 /** What an edge of a configuration would do, in a few lines for people. */
 final class Outline {
 
-    private Outline() {
-    }
+    private Outline() {}
 
     static List<String> lines(Path file, EdgeConfig config) {
         List<String> lines = new ArrayList<>();
         lines.add(file + ": good");
-        lines.add("  " + config.name() + " would listen on " + config.listeners().stream().map(Outline::plain)
-            .collect(Collectors.joining(", ")) + (config.admin() == null ? ", without an operators' door"
-            : ", operators call " + plain(config.admin())));
+        lines.add("  " + config.name() + " would listen on "
+                + config.listeners().stream().map(Outline::plain).collect(Collectors.joining(", "))
+                + (config.admin() == null
+                        ? ", without an operators' door"
+                        : ", operators call " + plain(config.admin())));
         long ready = config.known().servers().stream()
-            .filter(server -> server.state() == State.READY).count();
-        lines.add("  it would send to " + (config.control() != null ? "what "
-            + config.control().addresses().size() + " control nodes and "
-            + config.control().fallbacks().size() + " fallbacks list of "
-            + (config.control().services().isEmpty() ? "all services" : config.control().services())
-            : config.discovery() == null
-            ? ready + " of " + config.known().servers().size() + " fixed endpoints"
-            : "what discovery at " + plain(config.discovery()) + " lists, and start from "
-                + config.known().servers().size() + " known endpoints"));
+                .filter(server -> server.state() == State.READY)
+                .count();
+        lines.add("  it would send to "
+                + (config.control() != null
+                        ? "what "
+                                + config.control().addresses().size() + " control nodes and "
+                                + config.control().fallbacks().size() + " fallbacks list of "
+                                + (config.control().services().isEmpty()
+                                        ? "all services"
+                                        : config.control().services())
+                        : config.discovery() == null
+                                ? ready + " of " + config.known().servers().size() + " fixed endpoints"
+                                : "what discovery at " + plain(config.discovery()) + " lists, and start from "
+                                        + config.known().servers().size() + " known endpoints"));
         for (RequestClass kind : config.settings().classes()) {
-            lines.add("  class " + kind.name() + ": " + switch (kind.effect()) {
-                case REPEATABLE -> "repeated where that helps";
-                case BY_KEY -> "repeated by key within " + time(kind.windowMs());
-                default -> "never repeated if it may have run";
-            } + ", wanted within " + time(kind.aimMs()) + ", given up after " + time(kind.deadlineMs()));
+            lines.add("  class " + kind.name() + ": "
+                    + switch (kind.effect()) {
+                        case REPEATABLE -> "repeated where that helps";
+                        case BY_KEY -> "repeated by key within " + time(kind.windowMs());
+                        default -> "never repeated if it may have run";
+                    }
+                    + ", wanted within " + time(kind.aimMs()) + ", given up after " + time(kind.deadlineMs()));
         }
         lines.add("  " + config.settings().tenants().size() + " tenants, at most "
-            + config.settings().limits().tries() + " attempts a request, " + config.sockets()
-            + " descriptors, " + (long) config.memoryMb() + "MiB");
+                + config.settings().limits().tries() + " attempts a request, " + config.sockets()
+                + " descriptors, " + (long) config.memoryMb() + "MiB");
         lines.add("  files are kept at " + config.kept("*"));
         return lines;
     }
@@ -55,14 +63,17 @@
 
     /** What a control node would do. */
     static List<String> lines(Path file, ControlConfig config) {
-        return List.of(file + ": good",
-            "  control node " + config.name() + " of region " + config.region() + " would serve "
-                + config.mostWatchers() + " watchers at " + plain(config.address())
-                + (config.admin() == null ? ", without an operators' door"
-                    : ", operators call " + plain(config.admin())),
-            "  it would watch " + config.peers().size() + " other nodes: "
-                + config.peers().stream().map(peer -> peer.name() + " (" + peer.region() + ") at "
-                    + plain(peer.address())).collect(Collectors.joining(", ")),
-            "  what it knows is kept at " + config.kept());
+        return List.of(
+                file + ": good",
+                "  control node " + config.name() + " of region " + config.region() + " would serve "
+                        + config.mostWatchers() + " watchers at " + plain(config.address())
+                        + (config.admin() == null
+                                ? ", without an operators' door"
+                                : ", operators call " + plain(config.admin())),
+                "  it would watch " + config.peers().size() + " other nodes: "
+                        + config.peers().stream()
+                                .map(peer -> peer.name() + " (" + peer.region() + ") at " + plain(peer.address()))
+                                .collect(Collectors.joining(", ")),
+                "  what it knows is kept at " + config.kept());
     }
 }
--- a/edge/src/main/java/lemonrail/cli/Serving.java
+++ b/edge/src/main/java/lemonrail/cli/Serving.java
@@ -34,11 +34,13 @@
             LogSink log = LogSinks.open(loaded.config().logging(), errors);
             Sidecar sidecar = Sidecar.create(new Http1(), source, loaded, log);
             // Halting from the hook, once empty, makes a stop by SIGTERM a clean exit.
-            Thread stop = new Thread(() -> {
-                sidecar.terminate();
-                log.close();
-                Runtime.getRuntime().halt(Main.OK);
-            }, "stop");
+            Thread stop = new Thread(
+                    () -> {
+                        sidecar.terminate();
+                        log.close();
+                        Runtime.getRuntime().halt(Main.OK);
+                    },
+                    "stop");
             Runtime.getRuntime().addShutdownHook(stop);
             try {
                 sidecar.open();
@@ -60,8 +62,10 @@
     }
 
     private int fail(Exception e, int status) {
-        errors.println("lemonrail: " + (e.getMessage() == null ? e.toString()
-            : e.getMessage().lines().findFirst().orElse("")));
+        errors.println("lemonrail: "
+                + (e.getMessage() == null
+                        ? e.toString()
+                        : e.getMessage().lines().findFirst().orElse("")));
         return status;
     }
 }
--- a/edge/src/main/java/lemonrail/config/ConfigException.java
+++ b/edge/src/main/java/lemonrail/config/ConfigException.java
@@ -10,8 +10,10 @@
     private final transient List<Problem> problems;
 
     ConfigException(List<Problem> problems) {
-        super(problems.get(0) + (problems.size() == 1 ? ""
-            : " (and " + (problems.size() - 1) + " more; `lemonrail check` names all)"));
+        super(problems.get(0)
+                + (problems.size() == 1
+                        ? ""
+                        : " (and " + (problems.size() - 1) + " more; `lemonrail check` names all)"));
         this.problems = List.copyOf(problems);
     }
 
--- a/edge/src/main/java/lemonrail/config/ConfigSource.java
+++ b/edge/src/main/java/lemonrail/config/ConfigSource.java
@@ -17,7 +17,8 @@
      * The file in whichever form its name tells: {@code .toml} is the operators', all else the platform's.
      */
     static ConfigSource of(Path file, Map<String, String> environment) {
-        return file.toString().endsWith(".toml") ? new TomlFile(file, environment)
-            : new PlatformFile(file, environment);
+        return file.toString().endsWith(".toml")
+                ? new TomlFile(file, environment)
+                : new PlatformFile(file, environment);
     }
 }
--- a/edge/src/main/java/lemonrail/config/ControlConfig.java
+++ b/edge/src/main/java/lemonrail/config/ControlConfig.java
@@ -17,21 +17,29 @@
  * @param answerGapMs one watcher gets at most one answer in this time while changes pour
  * @param folder where what is known is kept for the next start, or null where it is not
  */
-public record ControlConfig(String name, String region, InetSocketAddress address, InetSocketAddress admin,
-        List<Peer> peers, int mostWatchers, double answerGapMs, Path folder, LogSettings logging) {
+public record ControlConfig(
+        String name,
+        String region,
+        InetSocketAddress address,
+        InetSocketAddress admin,
+        List<Peer> peers,
+        int mostWatchers,
+        double answerGapMs,
+        Path folder,
+        LogSettings logging) {
 
     /** The usual bound on watchers, and the usual gap between answers to one. */
     public static final int MOST_WATCHERS = 4096;
+
     public static final double ANSWER_GAP_MS = 150;
 
     /** Another node. */
-    public record Peer(String name, InetSocketAddress address, String region) {
-    }
+    public record Peer(String name, InetSocketAddress address, String region) {}
 
     /** A node without peers, an admin API or a file, as tests and trials have it; others can be added. */
     public static ControlConfig of(String name, String region, InetSocketAddress address) {
-        return new ControlConfig(name, region, address, null, List.of(), MOST_WATCHERS, ANSWER_GAP_MS, null,
-            LogSettings.USUAL);
+        return new ControlConfig(
+                name, region, address, null, List.of(), MOST_WATCHERS, ANSWER_GAP_MS, null, LogSettings.USUAL);
     }
 
     /** The file in which it keeps what it knows, or null. */
--- a/edge/src/main/java/lemonrail/config/ControlFile.java
+++ b/edge/src/main/java/lemonrail/config/ControlFile.java
@@ -14,18 +14,16 @@
 /** The operators' file of a control node: a TOML file with a table [control]. */
 public record ControlFile(Path file, Map<String, String> environment) {
 
-    private static final List<Table> TABLES =
-        List.of(Schema.CONTROL, Schema.PEERS, Schema.ADMIN_TABLE, Schema.LOGGING);
+    private static final List<Table> TABLES = List.of(Schema.CONTROL, Schema.PEERS, Schema.ADMIN_TABLE, Schema.LOGGING);
 
     /** A control node's configuration, and each value with its origin. */
-    public record Read(ControlConfig config, List<Loaded.Value> values) {
-    }
+    public record Read(ControlConfig config, List<Loaded.Value> values) {}
 
     /** Whether this is a control node's file; one that can't be read is none. */
     public static boolean isOne(Path file, Map<String, String> environment) {
         try {
             return file.toString().endsWith(".toml")
-                && TomlDocument.read(file, environment).has(Schema.CONTROL);
+                    && TomlDocument.read(file, environment).has(Schema.CONTROL);
         } catch (IOException | ConfigException e) {
             return false;
         }
@@ -56,8 +54,18 @@
         }
         LogSettings logging = TomlReading.logging(document);
         document.check();
-        return new Read(new ControlConfig(name, region, address, admin, peers, watchers, gapMs,
-            folder == null ? PlatformFile.folder(environment) : Path.of(folder), logging), document.values());
+        return new Read(
+                new ControlConfig(
+                        name,
+                        region,
+                        address,
+                        admin,
+                        peers,
+                        watchers,
+                        gapMs,
+                        folder == null ? PlatformFile.folder(environment) : Path.of(folder),
+                        logging),
+                document.values());
     }
 
     private static List<Peer> peers(TomlDocument document, String own) {
--- a/edge/src/main/java/lemonrail/config/EdgeConfig.java
+++ b/edge/src/main/java/lemonrail/config/EdgeConfig.java
@@ -26,10 +26,22 @@
  * @param known the list of endpoints: the fixed one, or as it was last known
  * @param control the control nodes to watch at in place of discovery, or null
  */
-public record EdgeConfig(String name, List<InetSocketAddress> listeners, InetSocketAddress admin,
-        InetSocketAddress discovery, Double discoveryWaitMs, Path folder, long seed, double memoryMb,
-        int sockets, double idleCloseMs, ServerList.Names names, ServerList known, Settings settings,
-        LogSettings logging, ControlClient.Plan control) {
+public record EdgeConfig(
+        String name,
+        List<InetSocketAddress> listeners,
+        InetSocketAddress admin,
+        InetSocketAddress discovery,
+        Double discoveryWaitMs,
+        Path folder,
+        long seed,
+        double memoryMb,
+        int sockets,
+        double idleCloseMs,
+        ServerList.Names names,
+        ServerList known,
+        Settings settings,
+        LogSettings logging,
+        ControlClient.Plan control) {
 
     /** A file of this edge's own, which its next process finds as well. */
     public Path kept(String what) {
--- a/edge/src/main/java/lemonrail/config/JsonLines.java
+++ b/edge/src/main/java/lemonrail/config/JsonLines.java
@@ -8,8 +8,7 @@
 /** Finds the lines of values in JSON; read again only where something is wrong. */
 final class JsonLines {
 
-    private JsonLines() {
-    }
+    private JsonLines() {}
 
     /**
      * The line of the first field of this path, or of the nearest field above it that is there; 0 if none is.
@@ -23,8 +22,12 @@
                 if (in.currentToken() != JsonToken.FIELD_NAME) {
                     continue;
                 }
-                String here = in.getParsingContext().pathAsPointer().toString().substring(1)
-                    .replaceAll("/\\d+", "[]").replace('/', '.');
+                String here = in.getParsingContext()
+                        .pathAsPointer()
+                        .toString()
+                        .substring(1)
+                        .replaceAll("/\\d+", "[]")
+                        .replace('/', '.');
                 // What is said of a list's line may stand in the list that is known at the start.
                 String known = here.startsWith("known.") ? here.substring("known.".length()) : here;
                 boolean above = path.equals(known) || path.startsWith(known + ".");
--- a/edge/src/main/java/lemonrail/config/Key.java
+++ b/edge/src/main/java/lemonrail/config/Key.java
@@ -9,8 +9,7 @@
  * @param live whether a reload takes a change of it up
  * @param meaning one line for the operators
  */
-public record Key<T>(String name, ValueType<T> type, String usual, boolean required, boolean live,
-        String meaning) {
+public record Key<T>(String name, ValueType<T> type, String usual, boolean required, boolean live, String meaning) {
 
     /** A key that the file must have. */
     public static <T> Key<T> required(String name, ValueType<T> type, String meaning) {
--- a/edge/src/main/java/lemonrail/config/Loaded.java
+++ b/edge/src/main/java/lemonrail/config/Loaded.java
@@ -16,6 +16,5 @@
      *     platform's JSON
      * @param live whether a reload takes a change of it up
      */
-    public record Value(String key, String text, String origin, boolean live) {
-    }
+    public record Value(String key, String text, String origin, boolean live) {}
 }
--- a/edge/src/main/java/lemonrail/config/PlatformFile.java
+++ b/edge/src/main/java/lemonrail/config/PlatformFile.java
@@ -42,8 +42,8 @@
         } catch (JsonProcessingException e) {
             throw whole(e.getLocation().getLineNr(), "it is not JSON: " + e.getOriginalMessage());
         } catch (ServerList.BadField e) {
-            throw new ConfigException(List.of(new Problem(file, JsonLines.line(bytes, e.field()), e.field(),
-                e.value(), e.getMessage())));
+            throw new ConfigException(
+                    List.of(new Problem(file, JsonLines.line(bytes, e.field()), e.field(), e.value(), e.getMessage())));
         } catch (IllegalArgumentException e) {
             throw e instanceof ConfigException ? e : whole(0, e.getMessage());
         }
@@ -59,16 +59,24 @@
         object("settings.rules", settings.get("rules"));
         positive("settings.limits.dial-timeout-ms", limits.get("dial-timeout-ms"));
         positive("settings.limits.try-limit", limits.get("try-limit"));
-        ServerList.Names names = new ServerList.Names(words("settings.azs", settings.get("azs")),
-            words("settings.models", settings.get("models")));
-        return new EdgeConfig(String.valueOf(config.get("name")),
-            List.of(ServerList.address("listen", config.get("listen"))), adminAddress(config.get("mgmt")),
-            ServerList.address("discovery", config.get("discovery")), discoveryWaitMs(), folder(environment),
-            seed(config.get("seed")), positive("limits.memory_mb", limit(config, "memory_mb")),
-            (int) positive("limits.sockets", limit(config, "sockets")),
-            positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")), names,
-            ServerList.of(object("known", config.get("known")), names), SettingsReader.settings(settings),
-            LogSettings.USUAL, null);
+        ServerList.Names names = new ServerList.Names(
+                words("settings.azs", settings.get("azs")), words("settings.models", settings.get("models")));
+        return new EdgeConfig(
+                String.valueOf(config.get("name")),
+                List.of(ServerList.address("listen", config.get("listen"))),
+                adminAddress(config.get("mgmt")),
+                ServerList.address("discovery", config.get("discovery")),
+                discoveryWaitMs(),
+                folder(environment),
+                seed(config.get("seed")),
+                positive("limits.memory_mb", limit(config, "memory_mb")),
+                (int) positive("limits.sockets", limit(config, "sockets")),
+                positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")),
+                names,
+                ServerList.of(object("known", config.get("known")), names),
+                SettingsReader.settings(settings),
+                LogSettings.USUAL,
+                null);
     }
 
     private static Object limit(Map<?, ?> config, String name) {
@@ -92,8 +100,7 @@
         ValueType<Double> type = Schema.DISCOVERY_WAIT.type();
         Double waitMs = type.read().apply(new ValueType.Variable(text));
         if (waitMs == null) {
-            throw new ConfigException(List.of(new Problem(file, 0, WAIT_VARIABLE, text,
-                "must be " + type.allowed())));
+            throw new ConfigException(List.of(new Problem(file, 0, WAIT_VARIABLE, text, "must be " + type.allowed())));
         }
         return waitMs;
     }
--- a/edge/src/main/java/lemonrail/config/PlatformValues.java
+++ b/edge/src/main/java/lemonrail/config/PlatformValues.java
@@ -23,24 +23,27 @@
         all.put("seed", Long.toHexString(config.seed()));
         all.put("listeners[0].address", config.listeners().get(0));
         if (config.admin() != null) {
-            all.add("admin.address", config.admin(), file.environment().containsKey("GW_MGMT")
-                ? "environment GW_MGMT, or " + all.json : all.json, false);
+            all.add(
+                    "admin.address",
+                    config.admin(),
+                    file.environment().containsKey("GW_MGMT") ? "environment GW_MGMT, or " + all.json : all.json,
+                    false);
         }
         all.add("discovery.address", config.discovery(), all.json, true);
         if (config.discoveryWaitMs() != null) {
-            all.add("discovery.wait", config.discoveryWaitMs() + "ms", "environment LEMONRAIL_DISCOVERY_WAIT",
-                false);
+            all.add("discovery.wait", config.discoveryWaitMs() + "ms", "environment LEMONRAIL_DISCOVERY_WAIT", false);
         }
         for (RequestClass kind : config.settings().classes()) {
-            all.put("classes." + kind.name(), kind.effect() + ", aim " + kind.aimMs() + "ms, deadline "
-                + kind.deadlineMs() + "ms, worth " + kind.worth());
+            all.put(
+                    "classes." + kind.name(),
+                    kind.effect() + ", aim " + kind.aimMs() + "ms, deadline " + kind.deadlineMs() + "ms, worth "
+                            + kind.worth());
         }
         for (Tenant tenant : config.settings().tenants()) {
             all.put("tenants." + tenant.name(), tenant.allowancePerSecond() + " a second");
         }
         for (ServerList.Entry entry : config.known().entries()) {
-            all.add("endpoints." + entry.server().id(), entry.address(),
-                all.json + " (until discovery speaks)", true);
+            all.add("endpoints." + entry.server().id(), entry.address(), all.json + " (until discovery speaks)", true);
         }
         all.put("limits.memory", (long) config.memoryMb() + "MiB");
         all.put("limits.descriptors", config.sockets());
--- a/edge/src/main/java/lemonrail/config/Problem.java
+++ b/edge/src/main/java/lemonrail/config/Problem.java
@@ -16,6 +16,6 @@
     @Override
     public String toString() {
         return file + (line > 0 ? ":" + line : "") + ": "
-            + (key.isEmpty() ? "" : key + (value == null ? "" : " = " + value) + ": ") + allowed;
+                + (key.isEmpty() ? "" : key + (value == null ? "" : " = " + value) + ": ") + allowed;
     }
 }
--- a/edge/src/main/java/lemonrail/config/SchemaText.java
+++ b/edge/src/main/java/lemonrail/config/SchemaText.java
@@ -9,8 +9,7 @@
 /** All that the operators' file may say, as a text for people and as a JSON Schema. */
 public final class SchemaText {
 
-    private SchemaText() {
-    }
+    private SchemaText() {}
 
     /** Each key with its default, what is allowed, and whether a reload takes it up. */
     public static String text() {
@@ -18,14 +17,23 @@
         for (Table table : Schema.TABLES) {
             String header = table.isRepeated() ? "[[" + table.name() + "]]" : "[" + table.name() + "]";
             text.append(table.name().isEmpty() ? "" : "\n" + header + "\n")
-                .append("# ").append(table.meaning())
-                .append(table.isRepeated() ? "; " + table.most() + " at most" : "").append('\n');
+                    .append("# ")
+                    .append(table.meaning())
+                    .append(table.isRepeated() ? "; " + table.most() + " at most" : "")
+                    .append('\n');
             for (Key<?> key : table.keys()) {
-                text.append(key.name()).append("\n    ").append(key.meaning()).append("\n    must be ")
-                    .append(key.type().allowed()).append("\n    ")
-                    .append(key.required() ? "required" : key.usual() == null ? "no default"
-                        : "default " + key.usual())
-                    .append(key.live() ? "; a reload takes it up" : "; needs a restart").append('\n');
+                text.append(key.name())
+                        .append("\n    ")
+                        .append(key.meaning())
+                        .append("\n    must be ")
+                        .append(key.type().allowed())
+                        .append("\n    ")
+                        .append(
+                                key.required()
+                                        ? "required"
+                                        : key.usual() == null ? "no default" : "default " + key.usual())
+                        .append(key.live() ? "; a reload takes it up" : "; needs a restart")
+                        .append('\n');
             }
         }
         return text.toString();
@@ -88,7 +96,8 @@
         for (Key<?> key : keys) {
             out.writeObjectFieldStart(key.name());
             out.writeStringField("type", key.type().name());
-            out.writeStringField("description", key.meaning() + "; must be " + key.type().allowed());
+            out.writeStringField(
+                    "description", key.meaning() + "; must be " + key.type().allowed());
             if (key.usual() != null) {
                 out.writeFieldName("default");
                 out.writeRawValue(TomlDocument.value(key.usual()).toString());
--- a/edge/src/main/java/lemonrail/config/Section.java
+++ b/edge/src/main/java/lemonrail/config/Section.java
@@ -17,7 +17,11 @@
     }
 
     /** Where a value comes from. */
-    enum Origin { DEFAULT, FILE, ENVIRONMENT }
+    enum Origin {
+        DEFAULT,
+        FILE,
+        ENVIRONMENT
+    }
 
     private final Table table;
     private final int place;
@@ -38,10 +42,15 @@
         fields.fieldNames().forEachRemaining(name -> {
             if (!subtables.contains(name)
                     && table.keys().stream().noneMatch(key -> key.name().equals(name))) {
-                report.wrong(path(name), fields.get(name).toString(), "unknown key; "
-                    + (table.name().isEmpty() ? "there may be " : "[" + table.name() + "] may have ")
-                    + String.join(", ", table.keys().stream().map(Key::name).toList())
-                    + (subtables.isEmpty() ? "" : " and the tables " + String.join(", ", subtables)));
+                report.wrong(
+                        path(name),
+                        fields.get(name).toString(),
+                        "unknown key; "
+                                + (table.name().isEmpty() ? "there may be " : "[" + table.name() + "] may have ")
+                                + String.join(
+                                        ", ",
+                                        table.keys().stream().map(Key::name).toList())
+                                + (subtables.isEmpty() ? "" : " and the tables " + String.join(", ", subtables)));
             }
         });
     }
@@ -57,7 +66,10 @@
         }
         if (node == null) {
             if (key.required()) {
-                report.wrong(path(key.name()), null, "is missing; it must be " + key.type().allowed());
+                report.wrong(
+                        path(key.name()),
+                        null,
+                        "is missing; it must be " + key.type().allowed());
             } else if (key.usual() != null) {
                 report.inForce(path(key.name()), key.usual(), Origin.DEFAULT, key.live());
                 return key.type().read().apply(TomlDocument.value(key.usual()));
@@ -66,8 +78,10 @@
         }
         T value = key.type().read().apply(node);
         if (value == null) {
-            report.wrong(origin == Origin.FILE ? path(key.name()) : variable, node.toString(),
-                "must be " + key.type().allowed());
+            report.wrong(
+                    origin == Origin.FILE ? path(key.name()) : variable,
+                    node.toString(),
+                    "must be " + key.type().allowed());
         } else {
             report.inForce(path(key.name()), node.toString(), origin, key.live());
         }
@@ -93,6 +107,7 @@
     /** The environment variable that goes before the file, for tables that there is one of. */
     private String variable(Key<?> key) {
         return ("LEMONRAIL_" + (table.name().isEmpty() ? "" : table.name() + "_") + key.name())
-            .replace('-', '_').toUpperCase(java.util.Locale.ROOT);
+                .replace('-', '_')
+                .toUpperCase(java.util.Locale.ROOT);
     }
 }
--- a/edge/src/main/java/lemonrail/config/SettingsDocument.java
+++ b/edge/src/main/java/lemonrail/config/SettingsDocument.java
@@ -68,21 +68,42 @@
         read.document.check();
         List<RequestClass> classes = own.classes().stream().map(read::changed).toList();
         List<Tenant> tenants = own.tenants().stream().map(read::changed).toList();
-        unknown(read.classSections, Schema.CLASS_NAME, classes.stream().map(RequestClass::name).toList());
-        unknown(read.tenantSections, Schema.TENANT, tenants.stream().map(Tenant::name).toList());
+        unknown(
+                read.classSections,
+                Schema.CLASS_NAME,
+                classes.stream().map(RequestClass::name).toList());
+        unknown(
+                read.tenantSections,
+                Schema.TENANT,
+                tenants.stream().map(Tenant::name).toList());
         for (RequestClass kind : classes) {
             if (own.limits().connectTimeoutMs() > kind.deadlineMs()) {
-                read.document.wrong("classes", kind.name(),
-                    "this edge's limits.connect-timeout is longer than the deadline of this class");
+                read.document.wrong(
+                        "classes",
+                        kind.name(),
+                        "this edge's limits.connect-timeout is longer than the deadline of this class");
             }
         }
         read.document.check();
         Limits limits = own.limits();
-        return new Settings(own.balancers(), own.ownNumber(), own.ownZone(), own.tier(), own.asksForList(),
-            own.weighted(), own.overShareWorth(), own.crossZonePrice(), classes, tenants,
-            new Limits(read.attempts == null ? limits.tries() : read.attempts, limits.parallelTries(),
-                limits.cancel(), read.retryAfterMs == null ? limits.maxCoolDownMs() : read.retryAfterMs,
-                limits.connectTimeoutMs()), own.rules());
+        return new Settings(
+                own.balancers(),
+                own.ownNumber(),
+                own.ownZone(),
+                own.tier(),
+                own.asksForList(),
+                own.weighted(),
+                own.overShareWorth(),
+                own.crossZonePrice(),
+                classes,
+                tenants,
+                new Limits(
+                        read.attempts == null ? limits.tries() : read.attempts,
+                        limits.parallelTries(),
+                        limits.cancel(),
+                        read.retryAfterMs == null ? limits.maxCoolDownMs() : read.retryAfterMs,
+                        limits.connectTimeoutMs()),
+                own.rules());
     }
 
     private static void unknown(Map<String, Section> named, Key<String> key, List<String> there) {
@@ -93,10 +114,16 @@
 
     private RequestClass changed(RequestClass kind) {
         Map<String, Double> values = classes.getOrDefault(kind.name(), Map.of());
-        RequestClass changed = new RequestClass(kind.name(), or(values.get("aim"), kind.aimMs()),
-            or(values.get("deadline"), kind.deadlineMs()), or(values.get("worth"), kind.worth()),
-            or(values.get("late-worth"), kind.lateWorth()), kind.effect(), kind.group(), kind.windowMs(),
-            kind.stream());
+        RequestClass changed = new RequestClass(
+                kind.name(),
+                or(values.get("aim"), kind.aimMs()),
+                or(values.get("deadline"), kind.deadlineMs()),
+                or(values.get("worth"), kind.worth()),
+                or(values.get("late-worth"), kind.lateWorth()),
+                kind.effect(),
+                kind.group(),
+                kind.windowMs(),
+                kind.stream());
         Section section = classSections.get(kind.name());
         if (section != null && changed.aimMs() > changed.deadlineMs()) {
             section.contradicts(Schema.CLASS_NAME, "would have an aim above its deadline");
@@ -108,8 +135,7 @@
     }
 
     private Tenant changed(Tenant tenant) {
-        return new Tenant(tenant.name(), or(rates.get(tenant.name()), tenant.allowancePerSecond()),
-            tenant.share());
+        return new Tenant(tenant.name(), or(rates.get(tenant.name()), tenant.allowancePerSecond()), tenant.share());
     }
 
     private static double or(Double value, double own) {
--- a/edge/src/main/java/lemonrail/config/TomlDocument.java
+++ b/edge/src/main/java/lemonrail/config/TomlDocument.java
@@ -41,16 +41,22 @@
 
     private static TomlDocument read(Path file, String text, Map<String, String> environment) {
         try {
-            return new TomlDocument(TOML.readTree(text), environment,
-                new Findings(file, new TomlLines(text)));
+            return new TomlDocument(TOML.readTree(text), environment, new Findings(file, new TomlLines(text)));
         } catch (JsonProcessingException e) {
             TomlLines lines = new TomlLines(text);
             if (lines.repeated() != null) {
-                throw new ConfigException(List.of(new Problem(file, lines.repeatedLine(), lines.repeated(),
-                    null, "is there twice; each key must be there once")));
+                throw new ConfigException(List.of(new Problem(
+                        file,
+                        lines.repeatedLine(),
+                        lines.repeated(),
+                        null,
+                        "is there twice; each key must be there once")));
             }
-            throw whole(file, e.getLocation() == null ? 0 : e.getLocation().getLineNr(),
-                "it is not TOML: " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw whole(
+                    file,
+                    e.getLocation() == null ? 0 : e.getLocation().getLineNr(),
+                    "it is not TOML: "
+                            + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
 
@@ -79,7 +85,8 @@
     /** What stands above all tables; names that are neither its keys nor one of the tables are reported. */
     public Section top(Table keys, List<Table> tables) {
         Section top = new Section(keys, 0, root, environment, findings);
-        top.checkNames(tables.stream().map(Table::name).filter(name -> !name.isEmpty()).toList());
+        top.checkNames(
+                tables.stream().map(Table::name).filter(name -> !name.isEmpty()).toList());
         return top;
     }
 
@@ -95,8 +102,8 @@
             findings.wrong(table.name(), fields.toString(), "must be a table: [" + table.name() + "]");
             fields = null;
         }
-        Section section = new Section(table, 0,
-            fields == null ? JsonNodeFactory.instance.objectNode() : fields, environment, findings);
+        Section section = new Section(
+                table, 0, fields == null ? JsonNodeFactory.instance.objectNode() : fields, environment, findings);
         section.checkNames(List.of());
         return section;
     }
@@ -113,8 +120,10 @@
             tables &= element.isObject();
         }
         if (!tables || elements.size() > table.most()) {
-            findings.wrong(table.name(), tables ? elements.size() + " tables" : elements.toString(),
-                "must be 1 to " + table.most() + " tables: [[" + table.name() + "]]");
+            findings.wrong(
+                    table.name(),
+                    tables ? elements.size() + " tables" : elements.toString(),
+                    "must be 1 to " + table.most() + " tables: [[" + table.name() + "]]");
             return sections;
         }
         for (JsonNode element : elements) {
@@ -176,11 +185,15 @@
 
         @Override
         public void inForce(String path, String text, Section.Origin origin, boolean live) {
-            values.add(new Loaded.Value(path, text, switch (origin) {
-                case DEFAULT -> "default";
-                case ENVIRONMENT -> "environment";
-                case FILE -> file + ":" + lines.of(path);
-            }, live));
+            values.add(new Loaded.Value(
+                    path,
+                    text,
+                    switch (origin) {
+                        case DEFAULT -> "default";
+                        case ENVIRONMENT -> "environment";
+                        case FILE -> file + ":" + lines.of(path);
+                    },
+                    live));
         }
     }
 }
--- a/edge/src/main/java/lemonrail/config/TomlFile.java
+++ b/edge/src/main/java/lemonrail/config/TomlFile.java
@@ -11,8 +11,7 @@
     public Loaded load() throws IOException {
         TomlDocument document = TomlDocument.read(file, environment);
         if (document.has(Schema.CONTROL)) {
-            document.wrong(Schema.CONTROL.name(), null,
-                "is for control nodes: lemonrail control runs this file");
+            document.wrong(Schema.CONTROL.name(), null, "is for control nodes: lemonrail control runs this file");
             document.check();
         }
         EdgeConfig config = new TomlReading(document, environment).read();
--- a/edge/src/main/java/lemonrail/config/TomlLines.java
+++ b/edge/src/main/java/lemonrail/config/TomlLines.java
@@ -14,6 +14,7 @@
     private final Map<String, Integer> lines = new HashMap<>();
     /** What is open at the end of a line: brackets, and the quotes of a text of several lines. */
     private int depth;
+
     private String quotes = "";
     private String repeated;
     private int repeatedLine;
@@ -97,7 +98,7 @@
 
     /** The line of a key, or of the nearest table above it; 0 where nothing of it is in the file. */
     int of(String path) {
-        for (String at = path; !at.isEmpty();) {
+        for (String at = path; !at.isEmpty(); ) {
             Integer line = lines.getOrDefault(at, lines.get(at + "[0]"));
             if (line != null) {
                 return line;
--- a/edge/src/main/java/lemonrail/config/TomlReading.java
+++ b/edge/src/main/java/lemonrail/config/TomlReading.java
@@ -93,14 +93,35 @@
         if (document.isWrong()) {
             return null;
         }
-        Settings settings = new Settings(balancers, number, ownZone, tier, false, weighted, overShare,
-            crossZone, classes, tenants, new Limits(attempts, false, true, retryAfterMs, connectMs),
-            new Rules(coldShare, coldMs, tip, tipMs, graceMs, NEVER_MS));
-        return new EdgeConfig(name, listeners, admin, discovery, discoveryWaitMs,
-            folder == null ? PlatformFile.folder(environment) : Path.of(folder),
-            seed == null ? ThreadLocalRandom.current().nextLong() : seed, memory / (double) (1 << 20),
-            descriptors, idleMs, new ServerList.Names(zones, List.of()),
-            new ServerList(0, true, endpoints), settings, logging, control);
+        Settings settings = new Settings(
+                balancers,
+                number,
+                ownZone,
+                tier,
+                false,
+                weighted,
+                overShare,
+                crossZone,
+                classes,
+                tenants,
+                new Limits(attempts, false, true, retryAfterMs, connectMs),
+                new Rules(coldShare, coldMs, tip, tipMs, graceMs, NEVER_MS));
+        return new EdgeConfig(
+                name,
+                listeners,
+                admin,
+                discovery,
+                discoveryWaitMs,
+                folder == null ? PlatformFile.folder(environment) : Path.of(folder),
+                seed == null ? ThreadLocalRandom.current().nextLong() : seed,
+                memory / (double) (1 << 20),
+                descriptors,
+                idleMs,
+                new ServerList.Names(zones, List.of()),
+                new ServerList(0, true, endpoints),
+                settings,
+                logging,
+                control);
     }
 
     /** The control nodes to watch at, or null where there are none. */
@@ -120,8 +141,13 @@
         if (list.has(Schema.DISCOVERY)) {
             list.contradicts(Schema.NODES, "takes the place of discovery.address: one of the two must go");
         }
-        return new ControlClient.Plan(name, nodes, fallbacks == null ? List.of() : fallbacks,
-            services == null ? List.of() : services, settings, waitMs);
+        return new ControlClient.Plan(
+                name,
+                nodes,
+                fallbacks == null ? List.of() : fallbacks,
+                services == null ? List.of() : services,
+                settings,
+                waitMs);
     }
 
     private void takeAddress(Section section, Key<InetSocketAddress> key, InetSocketAddress address) {
@@ -188,8 +214,8 @@
             Double weight = section.get(Schema.ENDPOINT_WEIGHT);
             var state = section.get(Schema.ENDPOINT_STATE);
             if (!document.isWrong()) {
-                entries.add(new ServerList.Entry(new Server(id,
-                    zone == null ? 0 : zones.indexOf(zone), 0, rack, 0, state, weight), address));
+                entries.add(new ServerList.Entry(
+                        new Server(id, zone == null ? 0 : zones.indexOf(zone), 0, rack, 0, state, weight), address));
             }
         }
         return entries;
@@ -215,14 +241,13 @@
             Group scope = section.get(Schema.KEY_SCOPE);
             Double window = section.get(Schema.KEY_WINDOW);
             if (effect == Effect.BY_KEY && window == null && !section.has(Schema.KEY_WINDOW)) {
-                section.contradicts(Schema.KEY_WINDOW,
-                    "is missing; a keyed class must have it, as in \"10s\"");
+                section.contradicts(Schema.KEY_WINDOW, "is missing; a keyed class must have it, as in \"10s\"");
             } else if (effect != null && effect != Effect.BY_KEY && window != null) {
                 section.contradicts(Schema.KEY_WINDOW, "goes with effect = \"keyed\" only");
             }
             if (!document.isWrong()) {
-                classes.add(new RequestClass(name, aim, deadline, worth, lateWorth, effect, scope,
-                    window == null ? 0 : window, false));
+                classes.add(new RequestClass(
+                        name, aim, deadline, worth, lateWorth, effect, scope, window == null ? 0 : window, false));
             }
         }
         if (!document.has(Schema.CLASSES)) {
--- a/edge/src/main/java/lemonrail/config/ValueType.java
+++ b/edge/src/main/java/lemonrail/config/ValueType.java
@@ -29,17 +29,17 @@
 public record ValueType<T>(String name, String allowed, Function<JsonNode, T> read) {
 
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(ms|s|m|h)");
-    private static final Map<String, Double> MS = Map.of("ms", 1.0, "s", 1000.0, "m", 60_000.0, "h",
-        3_600_000.0);
+    private static final Map<String, Double> MS = Map.of("ms", 1.0, "s", 1000.0, "m", 60_000.0, "h", 3_600_000.0);
     private static final Pattern SIZE = Pattern.compile("(\\d{1,9})(B|KiB|MiB|GiB)");
-    private static final Map<String, Long> BYTES = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB",
-        1L << 30);
+    private static final Map<String, Long> BYTES = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
 
     /** Text of this pattern. */
     public static ValueType<String> text(String pattern, String allowed) {
         Pattern whole = Pattern.compile(pattern);
-        return new ValueType<>("string", allowed, node ->
-            node.isTextual() && whole.matcher(node.textValue()).matches() ? node.textValue() : null);
+        return new ValueType<>(
+                "string",
+                allowed,
+                node -> node.isTextual() && whole.matcher(node.textValue()).matches() ? node.textValue() : null);
     }
 
     /** A short name. */
@@ -49,18 +49,27 @@
 
     /** True or false. */
     public static ValueType<Boolean> flag() {
-        return new ValueType<>("boolean", "true or false", node ->
-            node.isBoolean() ? (Boolean) node.booleanValue()
-                : node.isTextual() && node.textValue().matches("true|false")
-                    ? Boolean.valueOf(node.textValue()) : null);
+        return new ValueType<>(
+                "boolean",
+                "true or false",
+                node -> node.isBoolean()
+                        ? (Boolean) node.booleanValue()
+                        : node.isTextual() && node.textValue().matches("true|false")
+                                ? Boolean.valueOf(node.textValue())
+                                : null);
     }
 
     /** A whole number. */
     public static ValueType<Integer> whole(int least, int most) {
         return new ValueType<>("integer", "a whole number from " + least + " to " + most, node -> {
             JsonNode number = number(node);
-            return number != null && number.isIntegralNumber() && number.canConvertToInt()
-                && number.intValue() >= least && number.intValue() <= most ? number.intValue() : null;
+            return number != null
+                            && number.isIntegralNumber()
+                            && number.canConvertToInt()
+                            && number.intValue() >= least
+                            && number.intValue() <= most
+                    ? number.intValue()
+                    : null;
         });
     }
 
@@ -69,7 +78,8 @@
         return new ValueType<>("number", "a number from " + plain(least) + " to " + plain(most), node -> {
             JsonNode number = number(node);
             return number != null && number.doubleValue() >= least && number.doubleValue() <= most
-                ? number.doubleValue() : null;
+                    ? number.doubleValue()
+                    : null;
         });
     }
 
@@ -78,10 +88,9 @@
         if (node instanceof Variable variable) {
             try {
                 return variable.textValue().contains(".")
-                    ? com.fasterxml.jackson.databind.node.DoubleNode.valueOf(
-                        Double.parseDouble(variable.textValue()))
-                    : com.fasterxml.jackson.databind.node.IntNode.valueOf(
-                        Integer.parseInt(variable.textValue()));
+                        ? com.fasterxml.jackson.databind.node.DoubleNode.valueOf(
+                                Double.parseDouble(variable.textValue()))
+                        : com.fasterxml.jackson.databind.node.IntNode.valueOf(Integer.parseInt(variable.textValue()));
             } catch (NumberFormatException e) {
                 return null;
             }
@@ -91,66 +100,73 @@
 
     /** Milliseconds. */
     public static ValueType<Double> duration(double leastMs, double mostMs) {
-        return new ValueType<>("string", "a time with its unit (ms, s, m or h), as in \"2.5s\", from "
-            + time(leastMs) + " to " + time(mostMs), node -> {
-                Matcher parts = DURATION.matcher(node.isTextual() ? node.textValue() : "");
-                if (!parts.matches()) {
-                    return null;
-                }
-                double ms = Double.parseDouble(parts.group(1)) * MS.get(parts.group(2));
-                return ms >= leastMs && ms <= mostMs ? ms : null;
-            });
+        return new ValueType<>(
+                "string",
+                "a time with its unit (ms, s, m or h), as in \"2.5s\", from " + time(leastMs) + " to " + time(mostMs),
+                node -> {
+                    Matcher parts = DURATION.matcher(node.isTextual() ? node.textValue() : "");
+                    if (!parts.matches()) {
+                        return null;
+                    }
+                    double ms = Double.parseDouble(parts.group(1)) * MS.get(parts.group(2));
+                    return ms >= leastMs && ms <= mostMs ? ms : null;
+                });
     }
 
     /** Bytes. */
     static ValueType<Long> size(long least, long most) {
-        return new ValueType<>("string", "a size with its unit (B, KiB, MiB or GiB), as in \"64KiB\", from "
-            + (least >> 20) + "MiB to " + (most >> 30) + "GiB", node -> {
-                Matcher parts = SIZE.matcher(node.isTextual() ? node.textValue() : "");
-                if (!parts.matches()) {
-                    return null;
-                }
-                long bytes = Long.parseLong(parts.group(1)) * BYTES.get(parts.group(2));
-                return bytes >= least && bytes <= most ? bytes : null;
-            });
+        return new ValueType<>(
+                "string",
+                "a size with its unit (B, KiB, MiB or GiB), as in \"64KiB\", from " + (least >> 20) + "MiB to "
+                        + (most >> 30) + "GiB",
+                node -> {
+                    Matcher parts = SIZE.matcher(node.isTextual() ? node.textValue() : "");
+                    if (!parts.matches()) {
+                        return null;
+                    }
+                    long bytes = Long.parseLong(parts.group(1)) * BYTES.get(parts.group(2));
+                    return bytes >= least && bytes <= most ? bytes : null;
+                });
     }
 
     /** An address of IP and port. */
     static ValueType<InetSocketAddress> address(int leastPort) {
-        return new ValueType<>("string", "an IP address and a port from " + leastPort
-            + " to 65535, as in \"127.0.0.1:9000\"", node -> {
-                String text = node.isTextual() ? node.textValue() : "";
-                int colon = text.lastIndexOf(':');
-                byte[] ip = colon < 0 ? null
-                    : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
-                if (ip == null || !text.substring(colon + 1).matches("\\d{1,5}")) {
-                    return null;
-                }
-                int port = Integer.parseInt(text.substring(colon + 1));
-                try {
-                    return port < leastPort || port > 65_535 ? null
-                        : new InetSocketAddress(InetAddress.getByAddress(ip), port);
-                } catch (UnknownHostException e) {
-                    return null;
-                }
-            });
+        return new ValueType<>(
+                "string",
+                "an IP address and a port from " + leastPort + " to 65535, as in \"127.0.0.1:9000\"",
+                node -> {
+                    String text = node.isTextual() ? node.textValue() : "";
+                    int colon = text.lastIndexOf(':');
+                    byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+                    if (ip == null || !text.substring(colon + 1).matches("\\d{1,5}")) {
+                        return null;
+                    }
+                    int port = Integer.parseInt(text.substring(colon + 1));
+                    try {
+                        return port < leastPort || port > 65_535
+                                ? null
+                                : new InetSocketAddress(InetAddress.getByAddress(ip), port);
+                    } catch (UnknownHostException e) {
+                        return null;
+                    }
+                });
     }
 
     /** A list of different addresses. */
     static ValueType<List<InetSocketAddress>> addresses(int most) {
         ValueType<InetSocketAddress> one = address(1);
-        return new ValueType<>("array", "a list of 1 to " + most
-            + " different addresses, as in [\"127.0.0.1:9000\"]", node -> {
-                List<InetSocketAddress> all = new ArrayList<>();
-                for (JsonNode element : node) {
-                    InetSocketAddress read = one.read().apply(element);
-                    if (read == null || all.contains(read)) {
-                        return null;
+        return new ValueType<>(
+                "array", "a list of 1 to " + most + " different addresses, as in [\"127.0.0.1:9000\"]", node -> {
+                    List<InetSocketAddress> all = new ArrayList<>();
+                    for (JsonNode element : node) {
+                        InetSocketAddress read = one.read().apply(element);
+                        if (read == null || all.contains(read)) {
+                            return null;
+                        }
+                        all.add(read);
                     }
-                    all.add(read);
-                }
-                return !node.isArray() || all.isEmpty() || all.size() > most ? null : all;
-            });
+                    return !node.isArray() || all.isEmpty() || all.size() > most ? null : all;
+                });
     }
 
     /** One of these words, in the order of the constants. */
@@ -165,33 +181,35 @@
 
     /** A list of short names. */
     static ValueType<List<String>> words(int most) {
-        return new ValueType<>("array", "a list of 1 to " + most + " different words, as in [\"a\", \"b\"]",
-            node -> {
-                List<String> words = new ArrayList<>();
-                for (JsonNode element : node) {
-                    String read = word().read().apply(element);
-                    if (read == null || words.contains(read)) {
-                        return null;
-                    }
-                    words.add(read);
+        return new ValueType<>("array", "a list of 1 to " + most + " different words, as in [\"a\", \"b\"]", node -> {
+            List<String> words = new ArrayList<>();
+            for (JsonNode element : node) {
+                String read = word().read().apply(element);
+                if (read == null || words.contains(read)) {
+                    return null;
                 }
-                return !node.isArray() || words.isEmpty() || words.size() > most ? null : words;
-            });
+                words.add(read);
+            }
+            return !node.isArray() || words.isEmpty() || words.size() > most ? null : words;
+        });
     }
 
     static ValueType<Map<String, Severity>> levels() {
-        return new ValueType<>("object", "loggers and their levels, as in {\"lemonrail.http1\" = \"debug\"}; "
-            + "a level is one of " + levelNames(), node -> {
-                Map<String, Severity> levels = new LinkedHashMap<>();
-                for (Map.Entry<String, JsonNode> entry : node.properties()) {
-                    Severity level = level(entry.getValue().asText());
-                    if (level == null || !isLogger(entry.getKey())) {
-                        return null;
+        return new ValueType<>(
+                "object",
+                "loggers and their levels, as in {\"lemonrail.http1\" = \"debug\"}; " + "a level is one of "
+                        + levelNames(),
+                node -> {
+                    Map<String, Severity> levels = new LinkedHashMap<>();
+                    for (Map.Entry<String, JsonNode> entry : node.properties()) {
+                        Severity level = level(entry.getValue().asText());
+                        if (level == null || !isLogger(entry.getKey())) {
+                            return null;
+                        }
+                        levels.put(entry.getKey(), level);
                     }
-                    levels.put(entry.getKey(), level);
-                }
-                return node.isObject() ? levels : null;
-            });
+                    return node.isObject() ? levels : null;
+                });
     }
 
     private static boolean isLogger(String name) {
@@ -216,8 +234,7 @@
     }
 
     private static String time(double ms) {
-        return ms >= 3_600_000 ? plain(ms / 3_600_000) + "h" : ms >= 1000 ? plain(ms / 1000) + "s"
-            : plain(ms) + "ms";
+        return ms >= 3_600_000 ? plain(ms / 3_600_000) + "h" : ms >= 1000 ? plain(ms / 1000) + "s" : plain(ms) + "ms";
     }
 
     /** The text of an environment variable, in which numbers are text as well. */
--- a/edge/src/main/java/lemonrail/control/Answers.java
+++ b/edge/src/main/java/lemonrail/control/Answers.java
@@ -19,11 +19,11 @@
 
     /** Texts that are kept for further watchers, and their bytes at most. */
     private static final int MOST_TEXTS = 256;
+
     private static final long MOST_BYTES = 8L << 20;
 
     /** What makes two texts the same: the topics, what the watcher has, and what is the newest there. */
-    private record Lack(List<String> topics, boolean full, long known, long newest) {
-    }
+    private record Lack(List<String> topics, boolean full, long known, long newest) {}
 
     private final ControlState state;
     private final LinkedHashMap<Lack, byte[]> texts = new LinkedHashMap<>(16, 0.75f, true);
@@ -86,7 +86,6 @@
 
     private static ByteBuf join(Map<String, Object> head, byte[] text) {
         byte[] start = Json.text(head).getBytes(StandardCharsets.UTF_8);
-        return Unpooled.wrappedBuffer(Unpooled.wrappedBuffer(start, 0, start.length - 1),
-            Unpooled.wrappedBuffer(text));
+        return Unpooled.wrappedBuffer(Unpooled.wrappedBuffer(start, 0, start.length - 1), Unpooled.wrappedBuffer(text));
     }
 }
--- a/edge/src/main/java/lemonrail/control/Change.java
+++ b/edge/src/main/java/lemonrail/control/Change.java
@@ -13,20 +13,23 @@
 
     /** An endpoint of a service, in the platform's form as JSON; what is bad names the field. */
     public static Change endpoint(String service, String id, byte[] json) {
-        return new Change(ItemText.word("service", service), id, false,
-            ItemText.endpoint(id, ItemText.object(json)), Long.MAX_VALUE);
+        return new Change(
+                ItemText.word("service", service),
+                id,
+                false,
+                ItemText.endpoint(id, ItemText.object(json)),
+                Long.MAX_VALUE);
     }
 
     /** An endpoint is no more. */
     public static Change endpointGone(String service, String id) {
-        return new Change(ItemText.word("service", service), ItemText.word("id", id), true, "",
-            Long.MAX_VALUE);
+        return new Change(ItemText.word("service", service), ItemText.word("id", id), true, "", Long.MAX_VALUE);
     }
 
     /** A settings document. */
     public static Change settings(String name, String text) {
-        return new Change(Item.SETTINGS + ItemText.word("settings", name), name, false,
-            ItemText.document(text), Long.MAX_VALUE);
+        return new Change(
+                Item.SETTINGS + ItemText.word("settings", name), name, false, ItemText.document(text), Long.MAX_VALUE);
     }
 
     /** A settings document is no more. */
--- a/edge/src/main/java/lemonrail/control/ControlCalls.java
+++ b/edge/src/main/java/lemonrail/control/ControlCalls.java
@@ -26,7 +26,7 @@
 
     private static final Pattern SERVICE = Pattern.compile("/v1/services/([^/]+)/endpoints");
     private static final Pattern ENDPOINT =
-        Pattern.compile("/v1/services/([^/]+)/endpoints/([^/]+)(/drain|/activate)?");
+            Pattern.compile("/v1/services/([^/]+)/endpoints/([^/]+)(/drain|/activate)?");
     private static final Pattern SETTINGS = Pattern.compile("/v1/settings/([^/]+)");
 
     private final ControlNode node;
@@ -41,8 +41,9 @@
         try {
             return route(method, call.path(), asOf(call), body);
         } catch (ConfigException e) {
-            return Answer.of(HttpResponseStatus.BAD_REQUEST,
-                e.problems().stream().map(Problem::toString).collect(Collectors.joining("\n")));
+            return Answer.of(
+                    HttpResponseStatus.BAD_REQUEST,
+                    e.problems().stream().map(Problem::toString).collect(Collectors.joining("\n")));
         } catch (IllegalArgumentException e) {
             return Answer.of(HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
         } catch (IllegalStateException e) {
@@ -66,37 +67,52 @@
         }
         Matcher service = SERVICE.matcher(path);
         if (service.matches()) {
-            return only(HttpMethod.GET, method, () -> new Answer(HttpResponseStatus.OK, "{"
-                + ItemText.lists(node.items(ItemText.word("service", service.group(1)))) + "}\n", null));
+            return only(
+                    HttpMethod.GET,
+                    method,
+                    () -> new Answer(
+                            HttpResponseStatus.OK,
+                            "{" + ItemText.lists(node.items(ItemText.word("service", service.group(1)))) + "}\n",
+                            null));
         }
         return switch (path) {
-            case "/v1/readyz" -> only(HttpMethod.GET, method, () -> node.isReady()
-                ? Answer.of(HttpResponseStatus.OK, "ready")
-                : Answer.of(HttpResponseStatus.SERVICE_UNAVAILABLE, "no other node has been heard yet"));
-            case "/v1/control" -> only(HttpMethod.GET, method,
-                () -> Answer.of(HttpResponseStatus.OK, Json.text(node.status())));
+            case "/v1/readyz" ->
+                only(
+                        HttpMethod.GET,
+                        method,
+                        () -> node.isReady()
+                                ? Answer.of(HttpResponseStatus.OK, "ready")
+                                : Answer.of(
+                                        HttpResponseStatus.SERVICE_UNAVAILABLE, "no other node has been heard yet"));
+            case "/v1/control" ->
+                only(HttpMethod.GET, method, () -> Answer.of(HttpResponseStatus.OK, Json.text(node.status())));
             case "/v1/metrics" -> only(HttpMethod.GET, method, this::figures);
-            case "/v1/control/begin" -> only(HttpMethod.PUT, method, () -> {
-                node.begin();
-                return Answer.of(HttpResponseStatus.OK, "begun");
-            });
+            case "/v1/control/begin" ->
+                only(HttpMethod.PUT, method, () -> {
+                    node.begin();
+                    return Answer.of(HttpResponseStatus.OK, "begun");
+                });
             default -> Answer.of(HttpResponseStatus.NOT_FOUND, "unknown path");
         };
     }
 
     private static Answer only(HttpMethod taken, HttpMethod method, Supplier<Answer> call) {
-        return taken.equals(method) ? call.get() : new Answer(HttpResponseStatus.METHOD_NOT_ALLOWED,
-            "this path takes " + taken + " only\n", taken);
+        return taken.equals(method)
+                ? call.get()
+                : new Answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "this path takes " + taken + " only\n", taken);
     }
 
-    private Answer endpoint(HttpMethod method, String service, String id, String then, long asOfMs,
-            byte[] body) {
+    private Answer endpoint(HttpMethod method, String service, String id, String then, long asOfMs, byte[] body) {
         Item item = node.item(service, id);
         boolean there = item != null && !item.gone();
         if (then != null) {
             String state = then.equals("/drain") ? "terminating" : "in_service";
-            return only(HttpMethod.PUT, method, () -> !there ? unknown() : put(new Change(service, id, false,
-                ItemText.withState(item, state), asOfMs)));
+            return only(
+                    HttpMethod.PUT,
+                    method,
+                    () -> !there
+                            ? unknown()
+                            : put(new Change(service, id, false, ItemText.withState(item, state), asOfMs)));
         }
         if (method.equals(HttpMethod.GET)) {
             return there ? Answer.of(HttpResponseStatus.OK, item.body()) : unknown();
@@ -104,7 +120,10 @@
         if (method.equals(HttpMethod.DELETE)) {
             return put(Change.endpointGone(service, id).asOf(asOfMs));
         }
-        return only(HttpMethod.PUT, method, () -> put(Change.endpoint(service, id, body).asOf(asOfMs)));
+        return only(
+                HttpMethod.PUT,
+                method,
+                () -> put(Change.endpoint(service, id, body).asOf(asOfMs)));
     }
 
     private Answer settings(HttpMethod method, String name, long asOfMs, byte[] body) {
@@ -129,27 +148,39 @@
     private Answer put(Change change) {
         Taken taken = node.put(change);
         return switch (taken) {
-            case NEWS -> Answer.of(HttpResponseStatus.OK, "accepted "
-                + node.item(change.topic(), change.id()).stamp().text());
-            case KNOWN -> change.gone() ? unknown()
-                : Answer.of(HttpResponseStatus.OK, "known already");
-            case OLDER -> Answer.of(HttpResponseStatus.CONFLICT, "a newer word is known: "
-                + node.item(change.topic(), change.id()).stamp().text());
+            case NEWS ->
+                Answer.of(
+                        HttpResponseStatus.OK,
+                        "accepted "
+                                + node.item(change.topic(), change.id()).stamp().text());
+            case KNOWN -> change.gone() ? unknown() : Answer.of(HttpResponseStatus.OK, "known already");
+            case OLDER ->
+                Answer.of(
+                        HttpResponseStatus.CONFLICT,
+                        "a newer word is known: "
+                                + node.item(change.topic(), change.id()).stamp().text());
             default -> Answer.of(HttpResponseStatus.INSUFFICIENT_STORAGE, "there are too many items");
         };
     }
 
     private Answer figures() {
         List<Long> figures = node.figures();
-        List<String> names = List.of("connections", "waiting", "answers", "answer_bytes", "slow_closed",
-            "texts_made");
+        List<String> names = List.of("connections", "waiting", "answers", "answer_bytes", "slow_closed", "texts_made");
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < names.size(); i++) {
-            text.append("control.").append(names.get(i)).append('=').append(figures.get(i)).append('\n');
+            text.append("control.")
+                    .append(names.get(i))
+                    .append('=')
+                    .append(figures.get(i))
+                    .append('\n');
         }
         Map<String, Object> status = node.status();
         for (String name : List.of("items", "removed", "age_ms")) {
-            text.append("control.").append(name).append('=').append(status.get(name)).append('\n');
+            text.append("control.")
+                    .append(name)
+                    .append('=')
+                    .append(status.get(name))
+                    .append('\n');
         }
         return new Answer(HttpResponseStatus.OK, text.toString(), null);
     }
