--- a/edge/src/main/java/lemonrail/control/ControlNode.java
+++ b/edge/src/main/java/lemonrail/control/ControlNode.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import lemonrail.admin.AdminServer;
-import lemonrail.config.ControlConfig.Peer;
 import lemonrail.config.ControlConfig;
+import lemonrail.config.ControlConfig.Peer;
+import lemonrail.core.control.ControlState;
 import lemonrail.core.control.ControlState.Bounds;
 import lemonrail.core.control.ControlState.Taken;
-import lemonrail.core.control.ControlState;
 import lemonrail.core.control.InForce;
 import lemonrail.core.control.Item;
 import lemonrail.logging.EventLog;
@@ -61,14 +61,14 @@
     private boolean hasKept;
     /** Up to when its knowledge goes where no other node was heard since the start. */
     private long knownAt;
+
     private Map<String, Object> watching;
     private double watchingUntil;
     private boolean stopped;
 
     private ControlNode(ControlConfig config, LogSink sink) {
         this.config = config;
-        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("control"),
-            NioIoHandler.newFactory());
+        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("control"), NioIoHandler.newFactory());
         loop = (EventLoop) group.next();
         log = new EventLog(clock, sink).in("control");
         long nowMs = nowMs();
@@ -76,10 +76,10 @@
         state = new ControlState(config.name(), Bounds.USUAL, nowMs);
         boot = config.name() + "-" + Long.toString(nowMs, Character.MAX_RADIX);
         file = config.kept() == null ? null : new StateFile(config.kept());
-        server = new WatchServer(loop, clock, log, state, inForce, new Told(), boot, config.mostWatchers(),
-            config.answerGapMs());
-        adminServer = new AdminServer(loop, Sockets.BUFFERS, new ControlCalls(this),
-            ControlCalls.MOST_BODY_BYTES, log::bug);
+        server = new WatchServer(
+                loop, clock, log, state, inForce, new Told(), boot, config.mostWatchers(), config.answerGapMs());
+        adminServer =
+                new AdminServer(loop, Sockets.BUFFERS, new ControlCalls(this), ControlCalls.MOST_BODY_BYTES, log::bug);
     }
 
     /** A node by this configuration, which listens from {@link #open} on. */
@@ -103,8 +103,12 @@
         }
         loop.execute(() -> config.peers().forEach(this::watchNow));
         loop.scheduleWithFixedDelay(this::keep, KEEP_MS, KEEP_MS, TimeUnit.MILLISECONDS);
-        log.info("serving", "control node " + config.name() + " of region " + config.region() + " serves at "
-            + address() + " with " + config.peers().size() + " other nodes", "address", address());
+        log.info(
+                "serving",
+                "control node " + config.name() + " of region " + config.region() + " serves at " + address() + " with "
+                        + config.peers().size() + " other nodes",
+                "address",
+                address());
     }
 
     private Void takeKept() throws IOException {
@@ -112,8 +116,9 @@
         if (at >= 0) {
             knownAt = at;
             hasKept = true;
-            log.info("kept_state", "what was kept has " + state.sizes().get(0) + " items and is "
-                + (nowMs() - at) / 1000 + " s old");
+            log.info(
+                    "kept_state",
+                    "what was kept has " + state.sizes().get(0) + " items and is " + (nowMs() - at) / 1000 + " s old");
             if (config.peers().isEmpty()) {
                 state.begin();
             } else {
@@ -125,7 +130,8 @@
 
     private static void bound(String field, InetSocketAddress at, ChannelFuture bound) throws IOException {
         if (!bound.awaitUninterruptibly().isSuccess()) {
-            throw new IOException(field + ": cannot listen on " + at + ": " + bound.cause().getMessage());
+            throw new IOException(
+                    field + ": cannot listen on " + at + ": " + bound.cause().getMessage());
         }
     }
 
@@ -210,7 +216,8 @@
     public void begin() {
         asked(() -> {
             state.begin();
-            log.info("begun", "begun by an operator's word with " + state.sizes().get(0) + " items");
+            log.info(
+                    "begun", "begun by an operator's word with " + state.sizes().get(0) + " items");
             return null;
         });
     }
@@ -218,8 +225,8 @@
     /** Takes a change, and passes it on; one that is older than what is known changes nothing. */
     public Taken put(Change change) {
         return asked(() -> {
-            Taken taken = state.acceptAsOf(nowMs(), change.asOfMs(), change.topic(), change.id(),
-                change.gone(), change.body());
+            Taken taken = state.acceptAsOf(
+                    nowMs(), change.asOfMs(), change.topic(), change.id(), change.gone(), change.body());
             if (taken == Taken.NEWS) {
                 changed(Set.of(change.topic()));
             }
@@ -233,19 +240,29 @@
     }
 
     private void heard(PeerWatch from, Map<?, ?> answer) {
-        List<Item> items = ItemText.items(answer, why ->
-            log.trouble("item_unreadable", "an item of node " + from.peer().name() + " is left out", why));
-        ControlState.Batch batch = state.takeAll(nowMs(), items, ItemText.heard(answer), from.peer().name());
+        List<Item> items = ItemText.items(
+                answer,
+                why -> log.trouble(
+                        "item_unreadable", "an item of node " + from.peer().name() + " is left out", why));
+        ControlState.Batch batch = state.takeAll(
+                nowMs(), items, ItemText.heard(answer), from.peer().name());
         if (!state.isReady()) {
             if (!Boolean.TRUE.equals(answer.get("full"))) {
                 throw new IllegalArgumentException("the first answer has not everything");
             }
             state.begin();
-            log.info("ready", "ready with " + state.sizes().get(0) + " items from " + from.peer().name());
+            log.info(
+                    "ready",
+                    "ready with " + state.sizes().get(0) + " items from "
+                            + from.peer().name());
         }
         if (batch.refused() > 0) {
-            log.trouble("items_refused", "items of node " + from.peer().name() + " were refused",
-                batch.refused(), "node", from.peer().name());
+            log.trouble(
+                    "items_refused",
+                    "items of node " + from.peer().name() + " were refused",
+                    batch.refused(),
+                    "node",
+                    from.peer().name());
         }
         if (batch.news() > 0) {
             changed(batch.topics());
@@ -362,9 +379,11 @@
             all.put("peers", others);
             all.put("watching", watchingNow());
             List<Object> documents = new ArrayList<>();
-            state.topics().stream().filter(topic -> topic.startsWith(Item.SETTINGS)).forEach(topic ->
-                state.live(List.of(topic)).forEach(item -> documents.add(Map.of("name", item.id(), "stamp",
-                    item.stamp().text()))));
+            state.topics().stream()
+                    .filter(topic -> topic.startsWith(Item.SETTINGS))
+                    .forEach(topic -> state.live(List.of(topic))
+                            .forEach(item -> documents.add(Map.of(
+                                    "name", item.id(), "stamp", item.stamp().text()))));
             all.put("settings", documents);
             return all;
         });
@@ -392,8 +411,9 @@
             one.put("oldest_at", summary.oldestNames());
             one.put("refusals", summary.refusals());
             List<Object> refused = new ArrayList<>();
-            summary.refused().forEach(word -> refused.add(Map.of("name", word.name(), "stamp",
-                word.refused().text(), "why", word.why())));
+            summary.refused()
+                    .forEach(word -> refused.add(
+                            Map.of("name", word.name(), "stamp", word.refused().text(), "why", word.why())));
             one.put("refused", refused);
             documents.add(one);
         }
@@ -406,8 +426,13 @@
         if (peers.isEmpty()) {
             return 0;
         }
-        return peers.values().stream().anyMatch(PeerWatch::wasHeard) ? (long) peers.values().stream()
-            .filter(PeerWatch::wasHeard).mapToDouble(PeerWatch::ageMs).min().orElse(0) : nowMs() - knownAt;
+        return peers.values().stream().anyMatch(PeerWatch::wasHeard)
+                ? (long) peers.values().stream()
+                        .filter(PeerWatch::wasHeard)
+                        .mapToDouble(PeerWatch::ageMs)
+                        .min()
+                        .orElse(0)
+                : nowMs() - knownAt;
     }
 
     /** For each other region, since any of its nodes was last heard. */
--- a/edge/src/main/java/lemonrail/control/ItemText.java
+++ b/edge/src/main/java/lemonrail/control/ItemText.java
@@ -19,14 +19,15 @@
 
     /** The most characters of a settings document. */
     static final int MOST_DOCUMENT = 64 * 1024;
+
     private static final Pattern WORD = Pattern.compile("[A-Za-z0-9._-]{1,64}");
     /** A node's name, and the mark of a word for an earlier time. */
     private static final Pattern ORIGIN = Pattern.compile("[A-Za-z0-9._-]{1,64}~?");
-    private static final Set<String> FIELDS = Set.of("id", "addr", "zone", "kind", "cell", "state", "weight",
-        "started_ms", "service", "stamp");
 
-    private ItemText() {
-    }
+    private static final Set<String> FIELDS =
+            Set.of("id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms", "service", "stamp");
+
+    private ItemText() {}
 
     /** A name as services, endpoints and documents have it. */
     static String word(String field, Object value) {
@@ -85,7 +86,7 @@
     static String withState(Item item, String state) {
         Map<String, Object> fields = new LinkedHashMap<>();
         object(item.body().getBytes(StandardCharsets.UTF_8))
-            .forEach((name, value) -> fields.put(String.valueOf(name), value));
+                .forEach((name, value) -> fields.put(String.valueOf(name), value));
         fields.put("state", state);
         return endpoint(item.id(), fields);
     }
@@ -97,8 +98,8 @@
                 return fields;
             }
         } catch (IOException e) {
-            throw new IllegalArgumentException("it is no JSON: "
-                + e.getMessage().lines().findFirst().orElse(""), e);
+            throw new IllegalArgumentException(
+                    "it is no JSON: " + e.getMessage().lines().findFirst().orElse(""), e);
         }
         throw new IllegalArgumentException("it holds no JSON object");
     }
@@ -108,8 +109,7 @@
         if (text instanceof String document && document.length() <= MOST_DOCUMENT) {
             return document;
         }
-        throw new IllegalArgumentException("a settings document is a text of " + MOST_DOCUMENT
-            + " characters at most");
+        throw new IllegalArgumentException("a settings document is a text of " + MOST_DOCUMENT + " characters at most");
     }
 
     /** The fields {@code servers} and {@code settings} of an answer. */
@@ -127,10 +127,13 @@
                 line.put("text", item.body());
                 to.append(Json.text(line));
             } else {
-                String body = item.gone() ? "{\"id\":\"" + item.id() + "\",\"state\":\"terminated\"}"
-                    : item.body();
-                to.append(body, 0, body.length() - 1).append(",\"service\":\"").append(item.topic())
-                    .append("\",\"stamp\":\"").append(item.stamp().text()).append("\"}");
+                String body = item.gone() ? "{\"id\":\"" + item.id() + "\",\"state\":\"terminated\"}" : item.body();
+                to.append(body, 0, body.length() - 1)
+                        .append(",\"service\":\"")
+                        .append(item.topic())
+                        .append("\",\"stamp\":\"")
+                        .append(item.stamp().text())
+                        .append("\"}");
             }
         }
         return servers.append(settings).append(']').toString();
@@ -146,8 +149,12 @@
             try {
                 String id = word("servers[].id", line.get("id"));
                 boolean gone = "terminated".equals(line.get("state"));
-                items.add(new Item(word("servers[].service", line.get("service")), id, stamp(line), gone,
-                    gone ? "" : line(id, line)));
+                items.add(new Item(
+                        word("servers[].service", line.get("service")),
+                        id,
+                        stamp(line),
+                        gone,
+                        gone ? "" : line(id, line)));
             } catch (IllegalArgumentException e) {
                 bad.accept(e.getMessage());
             }
@@ -156,8 +163,8 @@
             try {
                 String name = word("settings[].name", line.get("name"));
                 boolean gone = Boolean.TRUE.equals(line.get("gone"));
-                items.add(new Item(Item.SETTINGS + name, name, stamp(line), gone,
-                    gone ? "" : document(line.get("text"))));
+                items.add(new Item(
+                        Item.SETTINGS + name, name, stamp(line), gone, gone ? "" : document(line.get("text"))));
             } catch (IllegalArgumentException e) {
                 bad.accept(e.getMessage());
             }
@@ -190,8 +197,7 @@
     static Map<String, Stamp> heard(Map<?, ?> answer) {
         Map<String, Stamp> heard = new LinkedHashMap<>();
         if (answer.get("heard") instanceof Map<?, ?> stamps) {
-            stamps.forEach((node, stamp) ->
-                heard.put(word("heard", node), Stamp.parse(String.valueOf(stamp))));
+            stamps.forEach((node, stamp) -> heard.put(word("heard", node), Stamp.parse(String.valueOf(stamp))));
         }
         return heard;
     }
--- a/edge/src/main/java/lemonrail/control/PeerWatch.java
+++ b/edge/src/main/java/lemonrail/control/PeerWatch.java
@@ -15,10 +15,12 @@
 
     /** How long a call waits for news, and how much more is silence. */
     private static final int WAIT_MS = 1_000;
+
     private static final int SILENCE_MS = 1_000;
     private static final int CONNECT_MS = 1_000;
     /** The pause after a failure, with its spread. */
     private static final int LEAST_PAUSE_MS = 100;
+
     private static final int MOST_PAUSE_MS = 400;
     private static final int MOST_BODY = 32 * 1024 * 1024;
 
@@ -99,17 +101,23 @@
     }
 
     private void ask() {
-        link.call(peer.address(), "/registry/instances?peer=" + own + (version < 0 ? "" : "&index=" + version
-            + "&wait=" + WAIT_MS + "&from=" + boot), WAIT_MS + SILENCE_MS);
+        link.call(
+                peer.address(),
+                "/registry/instances?peer=" + own
+                        + (version < 0 ? "" : "&index=" + version + "&wait=" + WAIT_MS + "&from=" + boot),
+                WAIT_MS + SILENCE_MS);
     }
 
     private void fail(Object why) {
         link.end();
         log.trouble("peer_failed", "node " + peer.name() + " is not heard", why, "node", peer.name());
-        retry = loop.schedule(() -> {
-            retry = null;
-            ask();
-        }, ThreadLocalRandom.current().nextLong(LEAST_PAUSE_MS, MOST_PAUSE_MS), TimeUnit.MILLISECONDS);
+        retry = loop.schedule(
+                () -> {
+                    retry = null;
+                    ask();
+                },
+                ThreadLocalRandom.current().nextLong(LEAST_PAUSE_MS, MOST_PAUSE_MS),
+                TimeUnit.MILLISECONDS);
     }
 
     private void take(int status, byte[] body) {
--- a/edge/src/main/java/lemonrail/control/StateFile.java
+++ b/edge/src/main/java/lemonrail/control/StateFile.java
@@ -29,7 +29,7 @@
             heard.put(entry.getKey(), entry.getValue().text());
         }
         String text = "{\"kept_ms\":" + nowMs + ",\"heard\":" + Json.text(heard) + ","
-            + ItemText.lists(state.everything()) + "}";
+                + ItemText.lists(state.everything()) + "}";
         Path next = file.resolveSibling(file.getFileName() + ".next");
         Files.write(next, text.getBytes(StandardCharsets.UTF_8));
         Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
--- a/edge/src/main/java/lemonrail/control/WatchCall.java
+++ b/edge/src/main/java/lemonrail/control/WatchCall.java
@@ -21,8 +21,15 @@
  * @param peer the node that asks, or empty where a sidecar does
  * @param word who asks and what is in force there, or null where it doesn't say
  */
-record WatchCall(List<String> topics, boolean all, long index, long waitMs, String from, Long digest,
-        String peer, InForce.Word word) {
+record WatchCall(
+        List<String> topics,
+        boolean all,
+        long index,
+        long waitMs,
+        String from,
+        Long digest,
+        String peer,
+        InForce.Word word) {
 
     private static final long MOST_WAIT_MS = 60_000;
     private static final int MOST_TOPICS = 256;
@@ -47,10 +54,15 @@
         }
         String digest = first(given, "digest", null);
         String peer = first(given, "peer", "");
-        return new WatchCall(new ArrayList<>(topics), all, number(given, "index", -1),
-            Math.min(MOST_WAIT_MS, number(given, "wait", 0)), first(given, "from", ""),
-            digest == null ? null : Long.valueOf(Long.parseUnsignedLong(digest, 16)),
-            peer.isEmpty() ? "" : ItemText.word("peer", peer), word(given, document));
+        return new WatchCall(
+                new ArrayList<>(topics),
+                all,
+                number(given, "index", -1),
+                Math.min(MOST_WAIT_MS, number(given, "wait", 0)),
+                first(given, "from", ""),
+                digest == null ? null : Long.valueOf(Long.parseUnsignedLong(digest, 16)),
+                peer.isEmpty() ? "" : ItemText.word("peer", peer),
+                word(given, document));
     }
 
     private static InForce.Word word(Map<String, List<String>> given, String document) {
@@ -61,10 +73,12 @@
         String inForce = first(given, "inforce", "");
         String refused = first(given, "refused", "");
         String why = first(given, "why", "");
-        return new InForce.Word(ItemText.word("name", name), document,
-            inForce.isEmpty() ? Stamp.NONE : Stamp.parse(inForce),
-            refused.isEmpty() ? null : Stamp.parse(refused),
-            why.substring(0, Math.min(MOST_WHY, why.length())));
+        return new InForce.Word(
+                ItemText.word("name", name),
+                document,
+                inForce.isEmpty() ? Stamp.NONE : Stamp.parse(inForce),
+                refused.isEmpty() ? null : Stamp.parse(refused),
+                why.substring(0, Math.min(MOST_WHY, why.length())));
     }
 
     private static String first(Map<String, List<String>> given, String name, String absent) {
--- a/edge/src/main/java/lemonrail/control/WatchConnection.java
+++ b/edge/src/main/java/lemonrail/control/WatchConnection.java
@@ -44,6 +44,7 @@
     private long since;
     /** Its digest has been found equal, or the whole list was sent. */
     private boolean settled;
+
     private String name = "";
     private String peer = "";
     private boolean keepAlive;
@@ -138,8 +139,9 @@
             whole(topics);
             return;
         }
-        since = call.from().equals(shared.boot()) || settled ? call.index()
-            : ControlState.back(call.index(), WatchServer.OVERLAP_MS);
+        since = call.from().equals(shared.boot()) || settled
+                ? call.index()
+                : ControlState.back(call.index(), WatchServer.OVERLAP_MS);
         if (!settled && shared.state().digest(topics) == call.digest()) {
             settled = true;
             since = shared.state().version((long) shared.clock().now());
@@ -205,8 +207,10 @@
     }
 
     private boolean isAbout(Set<String> topics) {
-        return call.isOfPeer() || topics.stream().anyMatch(topic -> call.topics().contains(topic)
-            || call.all() && !topic.startsWith(Item.SETTINGS));
+        return call.isOfPeer()
+                || topics.stream()
+                        .anyMatch(topic ->
+                                call.topics().contains(topic) || call.all() && !topic.startsWith(Item.SETTINGS));
     }
 
     /** There is something to tell: now, or once the gap since the last answer is over. */
@@ -218,10 +222,14 @@
             }
             give();
         } else if (paced == null) {
-            paced = shared.loop().schedule(() -> {
-                paced = null;
-                give();
-            }, (long) (inMs * 1e6), TimeUnit.NANOSECONDS);
+            paced = shared.loop()
+                    .schedule(
+                            () -> {
+                                paced = null;
+                                give();
+                            },
+                            (long) (inMs * 1e6),
+                            TimeUnit.NANOSECONDS);
         }
     }
 
@@ -261,8 +269,9 @@
         server.written(size);
         server.passed(name, null, 0, size + HEAD_BYTES);
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text);
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, size)
-            .set(HttpHeaderNames.CONTENT_TYPE, status.code() == 200 ? "application/json" : "text/plain");
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_LENGTH, size)
+                .set(HttpHeaderNames.CONTENT_TYPE, status.code() == 200 ? "application/json" : "text/plain");
         HttpUtil.setKeepAlive(response, keepAlive);
         unwritten = size;
         ChannelFuture written = channel.writeAndFlush(response);
--- a/edge/src/main/java/lemonrail/control/WatchContext.java
+++ b/edge/src/main/java/lemonrail/control/WatchContext.java
@@ -16,8 +16,17 @@
  * @param mostWatchers connections of watchers beyond which calls are turned away
  * @param gapMs between two answers with news to one watcher
  */
-record WatchContext(EventLoop loop, Clock clock, EventLog log, ControlState state, InForce inForce,
-        WatchServer.Node node, String boot, int mostWatchers, double gapMs, Answers answers) {
+record WatchContext(
+        EventLoop loop,
+        Clock clock,
+        EventLog log,
+        ControlState state,
+        InForce inForce,
+        WatchServer.Node node,
+        String boot,
+        int mostWatchers,
+        double gapMs,
+        Answers answers) {
 
     /** The topics that a call is about. */
     List<String> topics(WatchCall call) {
@@ -25,7 +34,9 @@
             return call.topics();
         }
         List<String> all = new ArrayList<>(call.topics());
-        state.topics().stream().filter(topic -> !topic.startsWith(Item.SETTINGS)).forEach(all::add);
+        state.topics().stream()
+                .filter(topic -> !topic.startsWith(Item.SETTINGS))
+                .forEach(all::add);
         return all;
     }
 }
--- a/edge/src/main/java/lemonrail/control/WatchServer.java
+++ b/edge/src/main/java/lemonrail/control/WatchServer.java
@@ -29,12 +29,14 @@
     static final long OVERLAP_MS = 10_000;
     /** An answer must be taken within this time, and a connection without a call for longer is closed. */
     static final long TAKEN_MS = 5_000;
+
     private static final long IDLE_MS = 65_000;
     private static final long SWEEP_MS = 500;
     /** Connections beyond the watchers' for other nodes and calls that are turned away. */
     private static final int SPARE_CONNECTIONS = 64;
     /** Answers that connections have not taken yet, in bytes; beyond it the longest at it is closed. */
     private static final long MOST_UNTAKEN_BYTES = 64L << 20;
+
     private static final int BACKLOG = 1024;
     private static final int MOST_LINE_BYTES = 16 * 1024;
     private static final int MOST_HEAD_BYTES = 8 * 1024;
@@ -57,8 +59,9 @@
     private final Set<WatchConnection> connections = new LinkedHashSet<>();
     /** Connections whose last answer has not gone to the system whole, the longest at it first. */
     private final Set<WatchConnection> untaken = new LinkedHashSet<>();
+
     private final Set<WatchConnection> waiting = new LinkedHashSet<>();
-    private WatchObserver observer = (name, digest, calledBytes, answeredBytes) -> { };
+    private WatchObserver observer = (name, digest, calledBytes, answeredBytes) -> {};
     private long untakenBytes;
     private long answered;
     private long slowClosed;
@@ -66,19 +69,26 @@
     private Channel listener;
     private Future<?> sweeping;
 
-    WatchServer(EventLoop loop, Clock clock, EventLog log, ControlState state, InForce inForce, Node node,
-            String boot, int mostWatchers, double gapMs) {
-        shared = new WatchContext(loop, clock, log, state, inForce, node, boot, mostWatchers, gapMs,
-            new Answers(state));
+    WatchServer(
+            EventLoop loop,
+            Clock clock,
+            EventLog log,
+            ControlState state,
+            InForce inForce,
+            Node node,
+            String boot,
+            int mostWatchers,
+            double gapMs) {
+        shared =
+                new WatchContext(loop, clock, log, state, inForce, node, boot, mostWatchers, gapMs, new Answers(state));
     }
 
     ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new HttpListener(BACKLOG, MOST_LINE_BYTES, MOST_HEAD_BYTES, MOST_CHUNK_BYTES,
-            MOST_BODY_BYTES).bind(shared.loop(), Sockets.BUFFERS, address,
-                accepted -> new WatchConnection(this, shared, accepted));
+        ChannelFuture bound = new HttpListener(
+                        BACKLOG, MOST_LINE_BYTES, MOST_HEAD_BYTES, MOST_CHUNK_BYTES, MOST_BODY_BYTES)
+                .bind(shared.loop(), Sockets.BUFFERS, address, accepted -> new WatchConnection(this, shared, accepted));
         listener = bound.channel();
-        sweeping = shared.loop().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS,
-            TimeUnit.MILLISECONDS);
+        sweeping = shared.loop().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
         return bound;
     }
 
@@ -88,8 +98,13 @@
 
     /** Connections that are open, calls that wait, answers given, their bytes, connections closed as slow. */
     List<Long> figures() {
-        return List.of((long) connections.size(), (long) waiting.size(), answered, bytes, slowClosed,
-            shared.answers().made());
+        return List.of(
+                (long) connections.size(),
+                (long) waiting.size(),
+                answered,
+                bytes,
+                slowClosed,
+                shared.answers().made());
     }
 
     void observe(WatchObserver seeing) {
@@ -103,8 +118,8 @@
 
     /** Closes all connections with another node. */
     void cut(String peer) {
-        new ArrayList<>(connections).stream().filter(connection -> connection.peer().equals(peer))
-            .forEach(WatchConnection::close);
+        new ArrayList<>(connections)
+                .stream().filter(connection -> connection.peer().equals(peer)).forEach(WatchConnection::close);
     }
 
     void close() {
@@ -130,8 +145,7 @@
     /** Closes a connection that holds things up. */
     void closeSlow(WatchConnection connection, String why) {
         slowClosed++;
-        shared.log().trouble("watcher_closed", "a watcher's connection was closed", why, "watcher",
-            connection.name());
+        shared.log().trouble("watcher_closed", "a watcher's connection was closed", why, "watcher", connection.name());
         connection.reset();
     }
 
--- a/edge/src/main/java/lemonrail/discovery/ControlClient.java
+++ b/edge/src/main/java/lemonrail/discovery/ControlClient.java
@@ -30,6 +30,7 @@
 
     /** How long a call waits for news unless the configuration says so, and how much more is silence. */
     private static final int USUAL_WAIT_MS = 2_000;
+
     private static final int SILENCE_MS = 1_000;
     private static final int MOST_BODY = 16 * 1024 * 1024;
     private static final int MOST_WHY = 200;
@@ -44,9 +45,13 @@
      * @param document the settings document that it follows, or null
      * @param waitMs how long a call waits for news, or null for the usual time
      */
-    public record Plan(String name, List<InetSocketAddress> addresses, List<InetSocketAddress> fallbacks,
-            List<String> services, String document, Double waitMs) {
-    }
+    public record Plan(
+            String name,
+            List<InetSocketAddress> addresses,
+            List<InetSocketAddress> fallbacks,
+            List<String> services,
+            String document,
+            Double waitMs) {}
 
     /** What comes of the settings document. */
     public interface Settings {
@@ -75,8 +80,7 @@
     private Future<?> retry;
 
     /** A client by this plan, which watches from the first {@link #watch} on. */
-    public ControlClient(EventLoop loop, Clock clock, Plan plan, ServerList.Names names, long seed,
-            EventLog log) {
+    public ControlClient(EventLoop loop, Clock clock, Plan plan, ServerList.Names names, long seed, EventLog log) {
         this.loop = loop;
         this.clock = clock;
         this.plan = plan;
@@ -144,15 +148,23 @@
     }
 
     private void ask() {
-        int waitMs = version < 0 ? 0 : plan.waitMs() == null ? USUAL_WAIT_MS : plan.waitMs().intValue();
-        StringBuilder uri = new StringBuilder("/registry/instances?name=").append(encoded(plan.name()))
-            .append("&digest=").append(Long.toHexString(replica.digest()));
+        int waitMs = version < 0
+                ? 0
+                : plan.waitMs() == null ? USUAL_WAIT_MS : plan.waitMs().intValue();
+        StringBuilder uri = new StringBuilder("/registry/instances?name=")
+                .append(encoded(plan.name()))
+                .append("&digest=")
+                .append(Long.toHexString(replica.digest()));
         if (!plan.services().isEmpty()) {
             uri.append("&service=").append(String.join(",", plan.services()));
         }
         if (version >= 0) {
-            uri.append("&index=").append(version).append("&wait=").append(waitMs).append("&from=")
-                .append(encoded(from));
+            uri.append("&index=")
+                    .append(version)
+                    .append("&wait=")
+                    .append(waitMs)
+                    .append("&from=")
+                    .append(encoded(from));
         }
         if (plan.document() != null) {
             uri.append("&settings=").append(plan.document());
@@ -160,7 +172,10 @@
                 uri.append("&inforce=").append(encoded(inForce.text()));
             }
             if (refused != null) {
-                uri.append("&refused=").append(encoded(refused.text())).append("&why=").append(encoded(why));
+                uri.append("&refused=")
+                        .append(encoded(refused.text()))
+                        .append("&why=")
+                        .append(encoded(why));
             }
         }
         link.call(places.get(route.current()), uri.toString(), waitMs + SILENCE_MS);
@@ -174,10 +189,13 @@
         link.end();
         log.trouble("discovery_failed", "discovery failed", reason, "address", route.current());
         double pauseMs = route.failed(clock.now());
-        retry = loop.schedule(() -> {
-            retry = null;
-            ask();
-        }, (long) (pauseMs * 1e6), TimeUnit.NANOSECONDS);
+        retry = loop.schedule(
+                () -> {
+                    retry = null;
+                    ask();
+                },
+                (long) (pauseMs * 1e6),
+                TimeUnit.NANOSECONDS);
     }
 
     private void take(int status, byte[] body) {
@@ -203,8 +221,7 @@
             return;
         }
         if (route.answered(clock.now(), ageMs)) {
-            log.info("control_node", "watching at " + route.current() + " from now on", "address",
-                route.current());
+            log.info("control_node", "watching at " + route.current() + " from now on", "address", route.current());
         }
         // The next call goes out first: it must come soon after the answer for the watch to go on.
         ask();
@@ -228,8 +245,7 @@
         }
         Map<String, Stamp> upTo = new LinkedHashMap<>();
         if (answer.get("heard") instanceof Map<?, ?> told) {
-            told.forEach((origin, stamp) ->
-                upTo.put(String.valueOf(origin), Stamp.parse(String.valueOf(stamp))));
+            told.forEach((origin, stamp) -> upTo.put(String.valueOf(origin), Stamp.parse(String.valueOf(stamp))));
         }
         // All that could be amiss has been read: from here on the answer is taken in as a whole.
         List<ServerList.Entry> news = new ArrayList<>();
@@ -268,7 +284,8 @@
             return;
         }
         for (Object each : documents) {
-            if (each instanceof Map<?, ?> line && plan.document() != null
+            if (each instanceof Map<?, ?> line
+                    && plan.document() != null
                     && plan.document().equals(line.get("name"))) {
                 Key key = new Key(Item.SETTINGS + plan.document(), plan.document());
                 Stamp stamp = Stamp.parse(String.valueOf(line.get("stamp")));
@@ -287,13 +304,23 @@
             inForce = text == null ? Stamp.NONE : stamp;
             refused = null;
             why = "";
-            log.info("settings_taken", "settings " + plan.document() + " are in force: " + stamp.text(),
-                "document", plan.document(), "stamp", stamp.text());
+            log.info(
+                    "settings_taken",
+                    "settings " + plan.document() + " are in force: " + stamp.text(),
+                    "document",
+                    plan.document(),
+                    "stamp",
+                    stamp.text());
         } else {
             refused = stamp;
             why = problem.substring(0, Math.min(MOST_WHY, problem.length()));
-            log.warn("settings_refused", "settings " + plan.document() + " stay as they were: " + problem,
-                "document", plan.document(), "stamp", stamp.text());
+            log.warn(
+                    "settings_refused",
+                    "settings " + plan.document() + " stay as they were: " + problem,
+                    "document",
+                    plan.document(),
+                    "stamp",
+                    stamp.text());
         }
     }
 }
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -56,6 +56,7 @@
     private InetSocketAddress address;
     /** What is known of the list at this address; none calls for the whole of it. */
     private OptionalLong version;
+
     private Channel channel;
     /** A call is on its way, though it may still wait for its connection. */
     private boolean calling;
@@ -65,28 +66,40 @@
     private long wholeByNs;
     /** Opens the watch anew after a failure. */
     private Future<?> retry;
+
     private boolean closed;
 
     /** A client of the discovery at this address, where the list of the known version is from. */
-    public DiscoveryClient(EventLoop loop, InetSocketAddress address, ServerList.Names names, long known,
-            WatchPace pace, EventLog log) {
+    public DiscoveryClient(
+            EventLoop loop,
+            InetSocketAddress address,
+            ServerList.Names names,
+            long known,
+            WatchPace pace,
+            EventLog log) {
         this.loop = loop;
         this.address = address;
         this.names = names;
         this.version = OptionalLong.of(known);
         this.pace = pace;
         this.log = log.in("discovery");
-        bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
-            .handler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel fresh) {
-                    fresh.pipeline().addLast(new Pieces(), new HttpClientCodec(),
-                        new HttpObjectAggregator(MOST_BODY), new Calls());
-                }
-            });
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        fresh.pipeline()
+                                .addLast(
+                                        new Pieces(),
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MOST_BODY),
+                                        new Calls());
+                    }
+                });
     }
 
     /** Who hears of lists. */
@@ -156,9 +169,12 @@
         wholeByNs = 0;
         // Counted from here: at the start the loop may be busy for long between a call's connection and it.
         limit("no answer in time", waitMs + WatchPace.silenceMs());
-        FullHttpRequest call = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-            "/registry/instances" + (version.isPresent()
-                ? "?index=" + version.getAsLong() + "&wait=" + waitMs : ""), Unpooled.EMPTY_BUFFER);
+        FullHttpRequest call = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                HttpMethod.GET,
+                "/registry/instances"
+                        + (version.isPresent() ? "?index=" + version.getAsLong() + "&wait=" + waitMs : ""),
+                Unpooled.EMPTY_BUFFER);
         call.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
         channel.writeAndFlush(call);
     }
@@ -167,9 +183,12 @@
         if (limit != null) {
             limit.cancel(false);
         }
-        limit = loop.schedule(() -> {
-            limit = loop.schedule(() -> fail(why), READ_FIRST_MS, TimeUnit.MILLISECONDS);
-        }, ms, TimeUnit.MILLISECONDS);
+        limit = loop.schedule(
+                () -> {
+                    limit = loop.schedule(() -> fail(why), READ_FIRST_MS, TimeUnit.MILLISECONDS);
+                },
+                ms,
+                TimeUnit.MILLISECONDS);
     }
 
     private void fail(Object why) {
@@ -209,8 +228,8 @@
                 if (wholeByNs == 0) {
                     wholeByNs = now + TimeUnit.MILLISECONDS.toNanos(WatchPace.answerMs());
                 }
-                limit("no whole answer in time", (int) Math.min(WatchPace.silenceMs(),
-                    TimeUnit.NANOSECONDS.toMillis(wholeByNs - now)));
+                limit("no whole answer in time", (int)
+                        Math.min(WatchPace.silenceMs(), TimeUnit.NANOSECONDS.toMillis(wholeByNs - now)));
             }
             ctx.fireChannelRead(piece);
         }
--- a/edge/src/main/java/lemonrail/discovery/ServerList.java
+++ b/edge/src/main/java/lemonrail/discovery/ServerList.java
@@ -16,12 +16,10 @@
 public record ServerList(long version, boolean full, List<Entry> entries) {
 
     /** An endpoint and where it listens, as this sidecar sees it. */
-    public record Entry(Server server, InetSocketAddress address) {
-    }
+    public record Entry(Server server, InetSocketAddress address) {}
 
     /** The names of the zones and kinds, whose places in the settings stand for them. */
-    public record Names(List<String> zones, List<String> kinds) {
-    }
+    public record Names(List<String> zones, List<String> kinds) {}
 
     /** The endpoints alone. */
     public List<Server> servers() {
@@ -68,11 +66,17 @@
             default -> throw bad("servers[].state", fields.get("state"));
         };
         // Of an endpoint that is gone nothing but its id need be told.
-        InetSocketAddress address = state == State.GONE ? null
-            : address("servers[].addr", fields.get("addr"));
-        return new Entry(new Server(id, place(names.zones(), fields.get("zone")),
-            place(names.kinds(), fields.get("kind")), (int) number(fields, "cell", 0),
-            number(fields, "started_ms", 0), state, number(fields, "weight", 1)), address);
+        InetSocketAddress address = state == State.GONE ? null : address("servers[].addr", fields.get("addr"));
+        return new Entry(
+                new Server(
+                        id,
+                        place(names.zones(), fields.get("zone")),
+                        place(names.kinds(), fields.get("kind")),
+                        (int) number(fields, "cell", 0),
+                        number(fields, "started_ms", 0),
+                        state,
+                        number(fields, "weight", 1)),
+                address);
     }
 
     /** The place of a name, below 0 where it is unknown or not told. */
@@ -95,8 +99,7 @@
     public static InetSocketAddress address(String field, Object value) {
         if (value instanceof String text) {
             int colon = text.lastIndexOf(':');
-            byte[] ip = colon < 0 ? null
-                : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+            byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
             if (ip != null) {
                 try {
                     int port = Integer.parseInt(text.substring(colon + 1));
--- a/edge/src/main/java/lemonrail/discovery/WatchLink.java
+++ b/edge/src/main/java/lemonrail/discovery/WatchLink.java
@@ -50,17 +50,19 @@
     public WatchLink(EventLoop loop, int connectMs, int mostBytes, Listener listener) {
         this.loop = loop;
         this.listener = listener;
-        bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMs)
-            .handler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel fresh) {
-                    fresh.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(mostBytes),
-                        new Answers());
-                }
-            });
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMs)
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        fresh.pipeline()
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(mostBytes), new Answers());
+                    }
+                });
     }
 
     /** Whether a call is out. */
@@ -102,8 +104,8 @@
     }
 
     private void write() {
-        FullHttpRequest call = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri,
-            Unpooled.EMPTY_BUFFER);
+        FullHttpRequest call =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
         call.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
         channel.writeAndFlush(call);
     }
--- a/edge/src/main/java/lemonrail/exchange/Exchange.java
+++ b/edge/src/main/java/lemonrail/exchange/Exchange.java
@@ -59,8 +59,7 @@
         void tell(double now);
     }
 
-    private record Queued<M extends Message, A>(PendingRequest<M, A> open, Event event) {
-    }
+    private record Queued<M extends Message, A>(PendingRequest<M, A> open, Event event) {}
 
     private final EventLoop loop;
     private final Clock clock;
@@ -70,12 +69,14 @@
     private final Budget budget;
     /** Begins a watch on discovery. */
     private final Runnable watch;
+
     private Settings settings;
     private final Events module;
     private final Suspensions suspensions;
     private final Map<String, PendingRequest<M, A>> table = new HashMap<>();
     /** Events wait here while the module is at work: it is never called from within its own call. */
     private final Deque<Queued<M, A>> events = new ArrayDeque<>();
+
     private boolean telling;
     private boolean listed;
 
@@ -87,8 +88,14 @@
      * @param known the list as it was last known, which may be old
      * @param watch begins a watch on discovery
      */
-    public Exchange(Shard shard, Upstream<M, A> endpoints, Suspensions suspensions, Decider decider,
-            long seed, ServerList known, Runnable watch) {
+    public Exchange(
+            Shard shard,
+            Upstream<M, A> endpoints,
+            Suspensions suspensions,
+            Decider decider,
+            long seed,
+            ServerList known,
+            Runnable watch) {
         this.loop = shard.loop();
         this.clock = shard.clock();
         this.log = shard.log().in("exchange");
@@ -136,15 +143,14 @@
 
     /** A client has sent a request; it hears of the one final answer. */
     public void request(Request request, M message, Client<A> client) {
-        PendingRequest<M, A> open =
-            new PendingRequest<>(clock.now(), clock.waitedMs(), request, message, client);
+        PendingRequest<M, A> open = new PendingRequest<>(clock.now(), clock.waitedMs(), request, message, client);
         table.put(request.id(), open);
         budget.take(message.heldBytes());
         if (!message.isComing()) {
             scheduleOverdue(open);
         }
-        Request told = new Request(request.id(), request.requestClass(), request.tenant(), answerBy(open),
-            request.resent());
+        Request told =
+                new Request(request.id(), request.requestClass(), request.tenant(), answerBy(open), request.resent());
         raise(open, now -> module.onRequest(now, told));
     }
 
@@ -197,8 +203,8 @@
 
     private void overdue(PendingRequest<M, A> open) {
         if (!open.concluded) {
-            log.trouble("no_decision", "no decision by the deadline", open.request.id(),
-                "request_id", open.request.id());
+            log.trouble(
+                    "no_decision", "no decision by the deadline", open.request.id(), "request_id", open.request.id());
             abandon(open);
         }
     }
@@ -313,14 +319,14 @@
             return;
         }
         double now = clock.now();
-        PendingAttempt made =
-            new PendingAttempt(open.attempts.size(), server, now, repeatWindowEnds(open, now));
+        PendingAttempt made = new PendingAttempt(open.attempts.size(), server, now, repeatWindowEnds(open, now));
         open.attempts.add(made);
         open.out++;
-        double left = open.message.isComing()
-            ? open.waitMs - allowanceMs(open) : answerBy(open) - now;
+        double left = open.message.isComing() ? open.waitMs - allowanceMs(open) : answerBy(open) - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
-        if (open.concluded || left <= 0 || open.attempts.size() > settings.limits().tries()) {
+        if (open.concluded
+                || left <= 0
+                || open.attempts.size() > settings.limits().tries()) {
             end(open, made, Outcome.IGNORED);
         } else if (wait <= 0) {
             end(open, made, Outcome.TIMED_OUT);
@@ -331,8 +337,7 @@
                 made.timeout = after(UPLOAD_STALL_MS, () -> checkUploadProgress(open, made, 0));
             }
             try {
-                made.attempt = endpoints.send(server, open.message, wait,
-                    new AttemptEnding(open, made, wait));
+                made.attempt = endpoints.send(server, open.message, wait, new AttemptEnding(open, made, wait));
             } catch (RuntimeException e) {
                 // How far it came is not known, so it may have run; the module must hear of its end.
                 log.bug("sending failed", e);
@@ -431,8 +436,7 @@
     }
 
     /** Gives up a large answer of which nothing moves: it is the endpoint's fault, or the client's. */
-    private void checkAnswerProgress(PendingRequest<M, A> open, PendingAttempt made, Pipe body,
-            long passedBefore) {
+    private void checkAnswerProgress(PendingRequest<M, A> open, PendingAttempt made, Pipe body, long passedBefore) {
         if (body.passed() == passedBefore) {
             giveUp(open, made, body.isDrained() ? Outcome.TIMED_OUT : Outcome.CANCELED);
         } else {
@@ -462,23 +466,47 @@
         double took = made.firstBytesMs >= 0 ? made.firstBytesMs : clock.now() - made.sentAt;
         double connect = made.connectMs >= 0 ? Math.min(made.connectMs, took) : took;
         if (log.tellsAll()) {
-            tell("attempt_ended", open, "endpoint", made.server, "attempt", made.number, "outcome",
-                outcome.name().toLowerCase(Locale.ROOT), "took_ms", took, "connect_ms", connect);
+            tell(
+                    "attempt_ended",
+                    open,
+                    "endpoint",
+                    made.server,
+                    "attempt",
+                    made.number,
+                    "outcome",
+                    outcome.name().toLowerCase(Locale.ROOT),
+                    "took_ms",
+                    took,
+                    "connect_ms",
+                    connect);
         }
         if (open.stream == made) {
             open.stream = null;
         }
         raise(open, now -> {
             open.out--;
-            module.onFinished(now, new Finished(open.request.id(), made.number, made.server, outcome, took,
-                connect, open.concluded, open.message.isReplayable(), Load.NONE));
+            module.onFinished(
+                    now,
+                    new Finished(
+                            open.request.id(),
+                            made.number,
+                            made.server,
+                            outcome,
+                            took,
+                            connect,
+                            open.concluded,
+                            open.message.isReplayable(),
+                            Load.NONE));
         });
     }
 
     /** Tells of a request, of which there are many. */
     private void tell(String event, PendingRequest<M, A> open, Object... fields) {
-        List<Object> all = new ArrayList<>(List.of("request_id", open.request.id(), "class",
-            settings.classes().get(open.request.requestClass()).name()));
+        List<Object> all = new ArrayList<>(List.of(
+                "request_id",
+                open.request.id(),
+                "class",
+                settings.classes().get(open.request.requestClass()).name()));
         all.addAll(List.of(fields));
         StringBuilder line = new StringBuilder(event);
         for (int i = 0; i + 1 < all.size(); i += 2) {
@@ -490,8 +518,15 @@
     private void conclude(PendingRequest<M, A> open, String how) {
         open.concluded = true;
         if (log.tellsAll()) {
-            tell("request_concluded", open, "outcome", how, "attempts", open.attempts.size(), "took_ms",
-                clock.now() - open.deadline + open.waitMs);
+            tell(
+                    "request_concluded",
+                    open,
+                    "outcome",
+                    how,
+                    "attempts",
+                    open.attempts.size(),
+                    "took_ms",
+                    clock.now() - open.deadline + open.waitMs);
         }
         if (clock.now() > open.deadline) {
             reportLateAnswer(open, how);
@@ -511,12 +546,30 @@
         metrics.answeredLate();
         double lateMs = clock.now() - open.deadline;
         PendingAttempt last = open.attempts.isEmpty() ? null : open.attempts.get(open.attempts.size() - 1);
-        log.trouble("late_answer", "an answer came after its client's time", open.request.id(),
-            "request_id", open.request.id(), "outcome", how, "late_ms", lateMs, "wait_ms", open.waitMs,
-            "unread_ms", open.unreadMs, "attempts", open.attempts.size(),
-            "last_endpoint", last == null ? "none" : last.server,
-            "last_sent_ms", last == null ? -1 : last.sentAt - open.deadline + open.waitMs,
-            "last_connect_ms", last == null ? -1 : last.connectMs, "loop_late_ms", clock.lag().recentMs());
+        log.trouble(
+                "late_answer",
+                "an answer came after its client's time",
+                open.request.id(),
+                "request_id",
+                open.request.id(),
+                "outcome",
+                how,
+                "late_ms",
+                lateMs,
+                "wait_ms",
+                open.waitMs,
+                "unread_ms",
+                open.unreadMs,
+                "attempts",
+                open.attempts.size(),
+                "last_endpoint",
+                last == null ? "none" : last.server,
+                "last_sent_ms",
+                last == null ? -1 : last.sentAt - open.deadline + open.waitMs,
+                "last_connect_ms",
+                last == null ? -1 : last.connectMs,
+                "loop_late_ms",
+                clock.lag().recentMs());
     }
 
     @Override
--- a/edge/src/main/java/lemonrail/exchange/PendingAttempt.java
+++ b/edge/src/main/java/lemonrail/exchange/PendingAttempt.java
@@ -12,6 +12,7 @@
     double connectMs = -1;
     /** How long it took until a large answer's first bytes; what its client then takes is no measure. */
     double firstBytesMs = -1;
+
     Upstream.Attempt attempt;
     Future<?> timeout;
     boolean ended;
--- a/edge/src/main/java/lemonrail/exchange/PendingRequest.java
+++ b/edge/src/main/java/lemonrail/exchange/PendingRequest.java
@@ -22,6 +22,7 @@
     final double unreadMs;
     /** When the client stops waiting. */
     double deadline;
+
     Future<?> overdue;
     boolean concluded;
     /** The module has failed over it: nothing is to be hoped for from it any more. */
--- a/edge/src/main/java/lemonrail/exchange/ReplyAllowance.java
+++ b/edge/src/main/java/lemonrail/exchange/ReplyAllowance.java
@@ -8,12 +8,12 @@
 
     /** The part of a client's time that the network may take, and the least that is kept for it. */
     private static final double NETWORK_SHARE = 0.01;
+
     private static final double LEAST_NETWORK_MS = 2;
     /** The part of a client's time that is kept at most. */
     private static final double MOST_SHARE = 0.25;
 
-    private ReplyAllowance() {
-    }
+    private ReplyAllowance() {}
 
     /** The allowance, in milliseconds, of who waits so long, while the loop has been so late. */
     static double ms(double waitMs, double loopLateMs) {
--- a/edge/src/main/java/lemonrail/exchange/Shard.java
+++ b/edge/src/main/java/lemonrail/exchange/Shard.java
@@ -13,6 +13,12 @@
  *
  * @param idleCloseMs after how long at most an endpoint closes an idle connection
  */
-public record Shard(EventLoop loop, Clock clock, EventLog log, Metrics metrics, Budget budget,
-        Lifecycle lifecycle, Settings settings, double idleCloseMs) {
-}
+public record Shard(
+        EventLoop loop,
+        Clock clock,
+        EventLog log,
+        Metrics metrics,
+        Budget budget,
+        Lifecycle lifecycle,
+        Settings settings,
+        double idleCloseMs) {}
--- a/edge/src/main/java/lemonrail/http1/Answer.java
+++ b/edge/src/main/java/lemonrail/http1/Answer.java
@@ -9,6 +9,4 @@
  * @param length of the body, -1 where that is not told ahead
  * @param body the body, empty where it is passed on as it comes
  */
-public record Answer(int status, boolean notRun, boolean keepAlive, String contentType, long length,
-        byte[] body) {
-}
+public record Answer(int status, boolean notRun, boolean keepAlive, String contentType, long length, byte[] body) {}
--- a/edge/src/main/java/lemonrail/http1/AnswerReader.java
+++ b/edge/src/main/java/lemonrail/http1/AnswerReader.java
@@ -105,6 +105,7 @@
     private Answer whole;
     /** Where a large answer goes, how much of it has, and whether that was all. */
     private Pipe pipe;
+
     private long passed;
     private boolean passedWhole;
     private Future<?> hold;
@@ -191,14 +192,17 @@
     private boolean fits(HttpResponse response) {
         int status = response.status().code();
         if (status < 200) {
-            return status >= 100 && status != HttpResponseStatus.SWITCHING_PROTOCOLS.code()
-                && ++interim <= MOST_INTERIM;
+            return status >= 100
+                    && status != HttpResponseStatus.SWITCHING_PROTOCOLS.code()
+                    && ++interim <= MOST_INTERIM;
         }
         String coding = response.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
         // Where only the connection's end ends a body, it may be cut short: that counts as no answer.
-        return status < 600 && (coding == null
-            ? HttpUtil.isContentLengthSet(response) && HttpUtil.getContentLength(response) <= MOST_BODY_BYTES
-            : HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(coding));
+        return status < 600
+                && (coding == null
+                        ? HttpUtil.isContentLengthSet(response)
+                                && HttpUtil.getContentLength(response) <= MOST_BODY_BYTES
+                        : HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(coding));
     }
 
     /** The answer is too large or too slow to be held whole; of one that serves nobody the head is enough. */
@@ -272,9 +276,13 @@
     }
 
     private Answer answer(byte[] content) {
-        return new Answer(head.status().code(), "1".equals(head.headers().get("X-Not-Run")),
-            HttpUtil.isKeepAlive(head), head.headers().get(HttpHeaderNames.CONTENT_TYPE),
-            HttpUtil.getContentLength(head, -1L), content);
+        return new Answer(
+                head.status().code(),
+                "1".equals(head.headers().get("X-Not-Run")),
+                HttpUtil.isKeepAlive(head),
+                head.headers().get(HttpHeaderNames.CONTENT_TYPE),
+                HttpUtil.getContentLength(head, -1L),
+                content);
     }
 
     @Override
--- a/edge/src/main/java/lemonrail/http1/ClientConnection.java
+++ b/edge/src/main/java/lemonrail/http1/ClientConnection.java
@@ -28,9 +28,10 @@
 
     /** Requests that a client may send ahead of their answers on one connection. */
     private static final int MOST_AHEAD = 8;
+
     private static final double OVERFLOW_COOL_DOWN_MS = 1000;
     private static final Refusal TWICE =
-        new Refusal(HttpResponseStatus.CONFLICT, "X-Request-Id is that of a request in hand");
+            new Refusal(HttpResponseStatus.CONFLICT, "X-Request-Id is that of a request in hand");
 
     private final Frontend frontend;
     private final AcceptedSocket channel;
@@ -40,10 +41,12 @@
     private final Deque<ClientReply> replies = new ArrayDeque<>();
     /** There was no room for it: it is told to come back later, unless there is when it asks. */
     private boolean surplus;
+
     private boolean hasAsked;
     private double quietSince;
     /** The earliest that it can have come up, and the poll that found it. */
     private double openedAt;
+
     private long openedInPoll;
     /** Answers that have been handed to the connection whole and that it has not written yet. */
     private int unwritten;
@@ -57,6 +60,7 @@
     private ClientReply uploading;
     /** The far side of that body takes no more for now. */
     private boolean farFull;
+
     private boolean continueOwed;
 
     ClientConnection(Frontend frontend, AcceptedSocket channel) {
@@ -158,8 +162,8 @@
     private void sendContinueIfDue() {
         if (continueOwed && replies.isEmpty()) {
             continueOwed = false;
-            channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+            channel.writeAndFlush(new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
@@ -226,8 +230,10 @@
         int query = head.uri().indexOf('?');
         switch (query < 0 ? head.uri() : head.uri().substring(0, query)) {
             case "/api" -> api(reply, request);
-            case "/health/ready" -> reply.plain(frontend.lifecycle().isReady() ? HttpResponseStatus.OK
-                : HttpResponseStatus.SERVICE_UNAVAILABLE, frontend.lifecycle().word());
+            case "/health/ready" ->
+                reply.plain(
+                        frontend.lifecycle().isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        frontend.lifecycle().word());
             default -> reply.plain(HttpResponseStatus.NOT_FOUND, "unknown path");
         }
     }
@@ -270,8 +276,9 @@
     /** What is not read for long hides that its client has gone: only what has no place is left unread. */
     private void updateAutoRead() {
         guard.full(replies.size() >= MOST_AHEAD);
-        channel.config().setAutoRead(guard.takes() && (ending || guard.isDiscarding()
-            || !farFull && (channel.isWritable() || uploading != null)));
+        channel.config()
+                .setAutoRead(guard.takes()
+                        && (ending || guard.isDiscarding() || !farFull && (channel.isWritable() || uploading != null)));
     }
 
     @Override
--- a/edge/src/main/java/lemonrail/http1/ClientGuard.java
+++ b/edge/src/main/java/lemonrail/http1/ClientGuard.java
@@ -26,6 +26,7 @@
     private static final int READ_MS = 2500;
     /** The time that a body has in any case, and the least pace of one that takes longer. */
     private static final int BODY_MS = 500;
+
     private static final int LEAST_BYTES_PER_MS = 32;
     /** Between requests a connection is closed after this time. */
     private static final int IDLE_MS = 5000;
@@ -33,6 +34,7 @@
     private static final int STALL_MS = 10_000;
     /** What a client still sends when it has its last answer is read, so that no reset destroys that. */
     private static final int LINGER_MS = 300;
+
     private static final int MOST_LINGER_MS = 10_000;
     private static final int MOST_LINGERING_BYTES = 256 * 1024;
     /** What is kept of what comes while as many requests as may be are in hand. */
@@ -51,6 +53,7 @@
     private boolean discarding;
     /** As many requests as may be are in hand: what comes now waits here. */
     private boolean full;
+
     private ByteBuf held;
     /** The last answer is written. */
     private boolean lastAnswerWritten;
@@ -58,11 +61,13 @@
     private boolean throttled;
     /** A time limit has given way once to what came in that very instant. */
     private boolean crossingRead;
+
     private long discardedBytes;
     private long mostDiscardedBytes = MOST_LINGERING_BYTES;
     private int mostLingerMs = LINGER_MS;
     /** By when the request must be whole, but for what its body's pace adds. */
     private double dueAt;
+
     private boolean inBody;
     private long bodyBytes;
     private double pausedAt = -1;
--- a/edge/src/main/java/lemonrail/http1/ClientReply.java
+++ b/edge/src/main/java/lemonrail/http1/ClientReply.java
@@ -29,6 +29,7 @@
     private HttpResponse response;
     /** The body of an answer that is passed on as it comes, else null. */
     private Pipe body;
+
     private boolean ended;
     private boolean counted;
     private int requestClass = RequestHeads.NO_CLASS;
@@ -75,10 +76,12 @@
     }
 
     private static Metrics.Ending ending(HttpResponseStatus status) {
-        return status.equals(HttpResponseStatus.OK) ? Metrics.Ending.SUCCESS
-            : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-                || status.equals(HttpResponseStatus.TOO_MANY_REQUESTS) ? Metrics.Ending.OVERLOAD
-            : Metrics.Ending.ERROR;
+        return status.equals(HttpResponseStatus.OK)
+                ? Metrics.Ending.SUCCESS
+                : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
+                                || status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
+                        ? Metrics.Ending.OVERLOAD
+                        : Metrics.Ending.ERROR;
     }
 
     /** The request is in the module's hands under this id. */
@@ -142,8 +145,11 @@
     public void refused(double coolDownMs) {
         FullHttpResponse refusal = response(HttpResponseStatus.SERVICE_UNAVAILABLE, text("refused"));
         if (coolDownMs > 0) {
-            refusal.headers().set(HttpHeaderNames.RETRY_AFTER,
-                BigDecimal.valueOf(Math.round(coolDownMs), MS_DIGITS).toPlainString());
+            refusal.headers()
+                    .set(
+                            HttpHeaderNames.RETRY_AFTER,
+                            BigDecimal.valueOf(Math.round(coolDownMs), MS_DIGITS)
+                                    .toPlainString());
         }
         answer(refusal);
     }
--- a/edge/src/main/java/lemonrail/http1/ConnectionTable.java
+++ b/edge/src/main/java/lemonrail/http1/ConnectionTable.java
@@ -29,6 +29,7 @@
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
     /** Those that have asked again after an answer while there was a reserved place, the oldest first. */
     private final Set<ClientConnection> reserved = new LinkedHashSet<>();
+
     private int most;
 
     ConnectionTable(Clock clock, int most) {
@@ -104,8 +105,10 @@
 
     /** Whether others need the place of this connection: its next answer is to be its last. */
     boolean isWanted(ClientConnection connection) {
-        return excess() > 0 && !reserved.contains(connection)
-            && excess() > expendable.stream().filter(ClientConnection::isEnding).count();
+        return excess() > 0
+                && !reserved.contains(connection)
+                && excess()
+                        > expendable.stream().filter(ClientConnection::isEnding).count();
     }
 
     /**
@@ -130,13 +133,16 @@
     private ClientConnection leastNeeded() {
         double settled = clock.now() - SETTLED_MS;
         return Stream.<Supplier<ClientConnection>>of(
-            () -> first(expendable, ClientConnection::isOver),
-            () -> first(expendable, connection -> connection.isStillSince(settled) && connection.isFree()),
-            () -> first(expendable, connection -> connection.isStillSince(settled) && connection.isIdle()),
-            () -> first(expendable, ClientConnection::isIdle),
-            () -> first(idle, connection -> !reserved.contains(connection) && connection.isFree()),
-            () -> first(idle, connection -> !reserved.contains(connection) && connection.isIdle()))
-            .map(Supplier::get).filter(Objects::nonNull).findFirst().orElse(null);
+                        () -> first(expendable, ClientConnection::isOver),
+                        () -> first(expendable, connection -> connection.isStillSince(settled) && connection.isFree()),
+                        () -> first(expendable, connection -> connection.isStillSince(settled) && connection.isIdle()),
+                        () -> first(expendable, ClientConnection::isIdle),
+                        () -> first(idle, connection -> !reserved.contains(connection) && connection.isFree()),
+                        () -> first(idle, connection -> !reserved.contains(connection) && connection.isIdle()))
+                .map(Supplier::get)
+                .filter(Objects::nonNull)
+                .findFirst()
+                .orElse(null);
     }
 
     private static ClientConnection first(Set<ClientConnection> of, Predicate<ClientConnection> which) {
--- a/edge/src/main/java/lemonrail/http1/EndpointPool.java
+++ b/edge/src/main/java/lemonrail/http1/EndpointPool.java
@@ -38,6 +38,7 @@
 
     /** An idle connection is closed at this part of the time after which the endpoint may close it. */
     private static final double IDLE_SHARE = 0.5;
+
     private static final int SWEEPS = 10;
     /**
      * Bytes that don't belong to an answer may come a little after it, and would pass for the next one: no
@@ -53,6 +54,7 @@
         private final double waitMs;
         /** When it stops being waited for, unless its body takes longer to send. */
         private final double endsAt;
+
         private Upstream.Ending<Answer> ending;
         private Connection connection;
         /** Tells when the last byte has been handed to the network: from then on the request may have run. */
@@ -94,6 +96,7 @@
     private static final class Endpoint {
         /** Null once another endpoint has taken its place. */
         InetSocketAddress address;
+
         double startedMs;
         /** The most recently used last. */
         final Deque<Connection> idle = new ArrayDeque<>();
@@ -113,6 +116,7 @@
     private final Map<InetSocketAddress, Endpoint> owners = new HashMap<>();
     /** All idle connections, the longest idle first. */
     private final Set<Connection> idle = new LinkedHashSet<>();
+
     private final Future<?> sweeping;
     private int open;
 
@@ -124,12 +128,14 @@
         this.most = most;
         idleMs = shard.idleCloseMs() * IDLE_SHARE;
         double dialMs = shard.settings().limits().connectTimeoutMs();
-        bootstrap = new Bootstrap().group(shard.loop()).channelFactory(EndpointSocket::new)
-            .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Sockets.WRITE_MARKS)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readSizes())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(dialMs));
+        bootstrap = new Bootstrap()
+                .group(shard.loop())
+                .channelFactory(EndpointSocket::new)
+                .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Sockets.WRITE_MARKS)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readSizes())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(dialMs));
         long sweep = (long) Math.ceil(idleMs / SWEEPS);
         sweeping = shard.loop().scheduleWithFixedDelay(this::closeStale, sweep, sweep, TimeUnit.MILLISECONDS);
     }
@@ -153,8 +159,7 @@
                 continue;
             }
             Endpoint endpoint = endpoints.computeIfAbsent(id, k -> new Endpoint());
-            if (!entry.address().equals(endpoint.address)
-                    || entry.server().startedMs() != endpoint.startedMs) {
+            if (!entry.address().equals(endpoint.address) || entry.server().startedMs() != endpoint.startedMs) {
                 retire(endpoint);
             }
             endpoint.startedMs = entry.server().startedMs();
@@ -221,8 +226,7 @@
     }
 
     @Override
-    public Upstream.Attempt send(String id, RequestMessage request, double waitMs,
-            Upstream.Ending<Answer> ending) {
+    public Upstream.Attempt send(String id, RequestMessage request, double waitMs, Upstream.Ending<Answer> ending) {
         OneAttempt attempt = new OneAttempt(request, waitMs, ending);
         Endpoint endpoint = endpoints.get(id);
         closeStale();
@@ -244,7 +248,7 @@
         double settled = clock.now() - SETTLE_MS;
         List<Connection> stale = new ArrayList<>();
         Connection found = null;
-        for (var newest = endpoint.idle.descendingIterator(); newest.hasNext() && found == null;) {
+        for (var newest = endpoint.idle.descendingIterator(); newest.hasNext() && found == null; ) {
             Connection connection = newest.next();
             if (connection.idleSince <= settled) {
                 if (connection.channel.isSilent()) {
@@ -301,6 +305,7 @@
         private OneAttempt attempt;
         /** What writes the rest of a large request, and where a large answer goes; else null. */
         private PipeWriter writer;
+
         private Pipe answer;
         private double idleSince;
 
@@ -313,14 +318,17 @@
             attempt = first;
             first.connection = this;
             open++;
-            ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<EndpointSocket>() {
-                @Override
-                protected void initChannel(EndpointSocket fresh) {
-                    fresh.pipeline().addLast(new HttpRequestEncoder());
-                    reader.addTo(fresh.pipeline());
-                    fresh.pipeline().addLast(new Troubles());
-                }
-            }).connect(endpoint.address);
+            ChannelFuture connecting = bootstrap
+                    .clone()
+                    .handler(new ChannelInitializer<EndpointSocket>() {
+                        @Override
+                        protected void initChannel(EndpointSocket fresh) {
+                            fresh.pipeline().addLast(new HttpRequestEncoder());
+                            reader.addTo(fresh.pipeline());
+                            fresh.pipeline().addLast(new Troubles());
+                        }
+                    })
+                    .connect(endpoint.address);
             channel = (EndpointSocket) connecting.channel();
             channel.closeFuture().addListener(closed -> {
                 open--;
@@ -330,8 +338,7 @@
                 if (!connected.isSuccess()) {
                     channel.close();
                     lost();
-                } else if (first.ending == null || generation != endpoint.generation
-                        || !first.ending.mayBegin()) {
+                } else if (first.ending == null || generation != endpoint.generation || !first.ending.mayBegin()) {
                     // It leads to what stands there no more, or to what takes nothing new any more.
                     channel.close();
                     lost();
@@ -457,7 +464,9 @@
             attempt = null;
             stopWriting();
             // First the connection, then the word: what it leads to may need the connection.
-            if (usable && channel.isActive() && generation == endpoint.generation
+            if (usable
+                    && channel.isActive()
+                    && generation == endpoint.generation
                     && (ended == null || ended.mayHaveRun())) {
                 channel.config().setAutoRead(true);
                 idleSince = clock.now();
--- a/edge/src/main/java/lemonrail/http1/Frontend.java
+++ b/edge/src/main/java/lemonrail/http1/Frontend.java
@@ -31,6 +31,7 @@
     private static final int NOTICE_MS = 500;
     /** What has asked for nothing for so long is let go in a drain, and how often that is seen to. */
     static final int QUIET_MS = 300;
+
     private static final int SWEEP_MS = 100;
     /** Connections above the bound that are still taken in, to refuse what they ask in good order. */
     static final int OVERFLOW = 16;
@@ -47,6 +48,7 @@
     private SharedListener listener;
     /** Each answer is the last on its connection. */
     private boolean leaving;
+
     private Future<?> sweeping;
     private double endsAt = Double.POSITIVE_INFINITY;
 
@@ -64,21 +66,23 @@
 
     @Override
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(SharedListener.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .option(SharedListener.SHARED, true)
-            .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Sockets.WRITE_MARKS)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readSizes())
-            .childHandler(new ChannelInitializer<AcceptedSocket>() {
-                @Override
-                protected void initChannel(AcceptedSocket accepted) {
-                    new ClientConnection(Frontend.this, accepted).addTo(accepted.pipeline());
-                }
-            })
-            .bind(address);
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(SharedListener.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(SharedListener.SHARED, true)
+                .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Sockets.WRITE_MARKS)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readSizes())
+                .childHandler(new ChannelInitializer<AcceptedSocket>() {
+                    @Override
+                    protected void initChannel(AcceptedSocket accepted) {
+                        new ClientConnection(Frontend.this, accepted).addTo(accepted.pipeline());
+                    }
+                })
+                .bind(address);
         listener = (SharedListener) bound.channel();
         return bound;
     }
@@ -127,12 +131,16 @@
     public void drain() {
         leaving = true;
         double noticed = clock.now() + NOTICE_MS;
-        sweeping = loop.scheduleWithFixedDelay(() -> {
-            if (clock.now() >= noticed) {
-                double quietSince = clock.now() - QUIET_MS;
-                letGo(connection -> connection.isQuietSince(quietSince));
-            }
-        }, NOTICE_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweeping = loop.scheduleWithFixedDelay(
+                () -> {
+                    if (clock.now() >= noticed) {
+                        double quietSince = clock.now() - QUIET_MS;
+                        letGo(connection -> connection.isQuietSince(quietSince));
+                    }
+                },
+                NOTICE_MS,
+                SWEEP_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -162,8 +170,12 @@
     private void updateAccepting() {
         boolean room = connections.excess() < OVERFLOW;
         if (!room) {
-            log.trouble("accept_paused", "no more connections are taken in",
-                connections.size() + " are open", "connections", connections.size());
+            log.trouble(
+                    "accept_paused",
+                    "no more connections are taken in",
+                    connections.size() + " are open",
+                    "connections",
+                    connections.size());
         }
         listener.config().setAutoRead(room);
     }
@@ -201,8 +213,12 @@
 
     /** What a request asks for that came no earlier than this: its client waits from when it was sent. */
     Request request(RequestHeads.Told told, double arrivedAt) {
-        return new Request(told.id(), told.requestClass(), told.tenant(),
-            Math.min(arrivedAt + told.waitMs(), endsAt), told.resent());
+        return new Request(
+                told.id(),
+                told.requestClass(),
+                told.tenant(),
+                Math.min(arrivedAt + told.waitMs(), endsAt),
+                told.resent());
     }
 
     /** A connection is there; false if there is no room for it. */
@@ -224,8 +240,12 @@
 
     /** A client has sent what is no request, or not in time. */
     void refused(RequestReader.Refusal refusal) {
-        log.trouble("client_refused", "a client is refused",
-            refusal.status().code() + " " + refusal.why(), "status", refusal.status().code());
+        log.trouble(
+                "client_refused",
+                "a client is refused",
+                refusal.status().code() + " " + refusal.why(),
+                "status",
+                refusal.status().code());
     }
 
     /** Clients come and go; only what is not the network's doing is worth a line. */
--- a/edge/src/main/java/lemonrail/http1/PipeWriter.java
+++ b/edge/src/main/java/lemonrail/http1/PipeWriter.java
@@ -25,6 +25,7 @@
     private boolean over;
     /** It is writing, and was called upon meanwhile. */
     private boolean writing;
+
     private boolean again;
 
     /** A writer to this channel; {@link Pipe#to} starts it. */
--- a/edge/src/main/java/lemonrail/http1/RequestHeads.java
+++ b/edge/src/main/java/lemonrail/http1/RequestHeads.java
@@ -20,19 +20,24 @@
     static final String DEADLINE = "X-Deadline-Ms";
     /** What stands for a class that the settings don't have. */
     static final int NO_CLASS = -1;
+
     private static final String ID = "X-Request-Id";
     private static final int MOST_DEADLINE_DIGITS = 9;
     /** What a request is told by, which must not be open to two readings. */
-    private static final List<String> ONCE_ONLY = List.of(ID, DEADLINE, "X-Class", "X-Tenant",
-        "Idempotency-Key");
+    private static final List<String> ONCE_ONLY = List.of(ID, DEADLINE, "X-Class", "X-Tenant", "Idempotency-Key");
     /** Headers that concern one connection only. */
-    private static final List<CharSequence> HOP_BY_HOP = List.of(HttpHeaderNames.CONNECTION,
-        HttpHeaderNames.PROXY_CONNECTION, "keep-alive", HttpHeaderNames.TE, HttpHeaderNames.TRAILER,
-        HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT);
+    private static final List<CharSequence> HOP_BY_HOP = List.of(
+            HttpHeaderNames.CONNECTION,
+            HttpHeaderNames.PROXY_CONNECTION,
+            "keep-alive",
+            HttpHeaderNames.TE,
+            HttpHeaderNames.TRAILER,
+            HttpHeaderNames.TRANSFER_ENCODING,
+            HttpHeaderNames.UPGRADE,
+            HttpHeaderNames.EXPECT);
 
     /** A request's own words; {@code waitMs} is how long its client waits, as its class allows. */
-    record Told(String id, int requestClass, int tenant, double waitMs, boolean resent) {
-    }
+    record Told(String id, int requestClass, int tenant, double waitMs, boolean resent) {}
 
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Integer> tenants = new HashMap<>();
@@ -87,9 +92,12 @@
         HttpHeaders headers = head.headers();
         int kind = requestClass(head);
         // No client waits longer than its class may take, whatever it says.
-        return new Told(headers.get(ID), kind, tenant(headers),
-            Math.min(deadline(headers), inForce.get().classes().get(kind).deadlineMs()),
-            "1".equals(headers.get("X-Retry")));
+        return new Told(
+                headers.get(ID),
+                kind,
+                tenant(headers),
+                Math.min(deadline(headers), inForce.get().classes().get(kind).deadlineMs()),
+                "1".equals(headers.get("X-Retry")));
     }
 
     /** What of a head is passed on. */
@@ -106,7 +114,8 @@
     /** The milliseconds, or -1 for what is no whole number of a sane size. */
     private static long deadline(HttpHeaders headers) {
         String text = headers.get(DEADLINE, "");
-        if (text.isEmpty() || text.length() > MOST_DEADLINE_DIGITS
+        if (text.isEmpty()
+                || text.length() > MOST_DEADLINE_DIGITS
                 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             return -1;
         }
--- a/edge/src/main/java/lemonrail/http1/RequestMessage.java
+++ b/edge/src/main/java/lemonrail/http1/RequestMessage.java
@@ -29,8 +29,13 @@
 
     /** The whole request, as one that is waited for so long. */
     FullHttpRequest whole(double waitMs) {
-        return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, Unpooled.wrappedBuffer(body),
-            told(waitMs), EmptyHttpHeaders.INSTANCE);
+        return new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                method,
+                uri,
+                Unpooled.wrappedBuffer(body),
+                told(waitMs),
+                EmptyHttpHeaders.INSTANCE);
     }
 
     /** The head of a request whose body follows. */
--- a/edge/src/main/java/lemonrail/http1/RequestReader.java
+++ b/edge/src/main/java/lemonrail/http1/RequestReader.java
@@ -36,17 +36,15 @@
     static final Object EXPECTS = new Object();
     /** Said to who sends more requests ahead of their answers than are taken. */
     static final Refusal TOO_MANY =
-        new Refusal(HttpResponseStatus.TOO_MANY_REQUESTS, "too many requests ahead of answers");
+            new Refusal(HttpResponseStatus.TOO_MANY_REQUESTS, "too many requests ahead of answers");
     /** Bodies up to this size are read even where there is no room for large ones. */
     private static final int SMALL_BYTES = 8 * 1024;
 
     /** Why a connection is given up. */
-    record Refusal(HttpResponseStatus status, String why) {
-    }
+    record Refusal(HttpResponseStatus status, String why) {}
 
     /** A request: the first part of its body, and the rest where it is large, else null. */
-    record Incoming(HttpRequest head, byte[] body, Pipe rest) {
-    }
+    record Incoming(HttpRequest head, byte[] body, Pipe rest) {}
 
     private final Budget budget;
     private final Pipe.Near near;
@@ -64,7 +62,9 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (!over && message instanceof HttpObject part && part.decoderResult().isFailure()) {
+            if (!over
+                    && message instanceof HttpObject part
+                    && part.decoderResult().isFailure()) {
                 refuse(ctx, unreadable(part.decoderResult().cause()));
             }
             if (!over && message instanceof HttpRequest begun) {
@@ -80,16 +80,18 @@
 
     private static Refusal unreadable(Throwable cause) {
         return cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException
-            ? new Refusal(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
-            : new Refusal(HttpResponseStatus.BAD_REQUEST, "malformed request");
+                ? new Refusal(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
+                : new Refusal(HttpResponseStatus.BAD_REQUEST, "malformed request");
     }
 
     private void begin(ChannelHandlerContext ctx, HttpRequest begun) {
         HttpHeaders headers = begun.headers();
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         String expected = headers.get(HttpHeaderNames.EXPECT);
-        if (!codings.isEmpty() && (codings.size() > 1 || headers.contains(HttpHeaderNames.CONTENT_LENGTH)
-                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0)))) {
+        if (!codings.isEmpty()
+                && (codings.size() > 1
+                        || headers.contains(HttpHeaderNames.CONTENT_LENGTH)
+                        || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0)))) {
             // Where it is not plain where a body ends, another request may hide in it.
             refuse(ctx, new Refusal(HttpResponseStatus.BAD_REQUEST, "ambiguous framing"));
         } else if (HttpUtil.getContentLength(begun, 0L) > AnswerReader.MOST_BODY_BYTES) {
@@ -203,8 +205,11 @@
         if (event != ClientGuard.LATE && event != ClientGuard.FLOOD) {
             ctx.fireUserEventTriggered(event);
         } else if (!over) {
-            refuse(ctx, event == ClientGuard.FLOOD ? TOO_MANY
-                : new Refusal(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time"));
+            refuse(
+                    ctx,
+                    event == ClientGuard.FLOOD
+                            ? TOO_MANY
+                            : new Refusal(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time"));
         }
     }
 
--- a/edge/src/main/java/lemonrail/http1/Warmup.java
+++ b/edge/src/main/java/lemonrail/http1/Warmup.java
@@ -55,23 +55,40 @@
      * The rounds: what is common in service comes more often than what is rare, and what takes its endpoint
      * out of use comes last, as with none left the rest would only be refused.
      */
-    private static final List<WarmupRound> ROUNDS = List.of(WarmupRound.PLAIN, WarmupRound.CHUNKS,
-        WarmupRound.PLAIN, WarmupRound.CUT, WarmupRound.PIECES, WarmupRound.RESET, WarmupRound.PLAIN,
-        WarmupRound.MALFORMED, WarmupRound.PLAIN, WarmupRound.FULL, WarmupRound.PLAIN, WarmupRound.LEFT,
-        WarmupRound.PLAIN, WarmupRound.TO_THE_END, WarmupRound.FAILED, WarmupRound.SILENT);
+    private static final List<WarmupRound> ROUNDS = List.of(
+            WarmupRound.PLAIN,
+            WarmupRound.CHUNKS,
+            WarmupRound.PLAIN,
+            WarmupRound.CUT,
+            WarmupRound.PIECES,
+            WarmupRound.RESET,
+            WarmupRound.PLAIN,
+            WarmupRound.MALFORMED,
+            WarmupRound.PLAIN,
+            WarmupRound.FULL,
+            WarmupRound.PLAIN,
+            WarmupRound.LEFT,
+            WarmupRound.PLAIN,
+            WarmupRound.TO_THE_END,
+            WarmupRound.FAILED,
+            WarmupRound.SILENT);
     /** A busy machine must not keep a sidecar from starting. */
     private static final int MOST_MS = 3000;
+
     private static final int DEADLINE_MS = 1000;
     /** How long a client waits for an endpoint that never answers. */
     private static final int SHORT_DEADLINE_MS = 5;
+
     private static final int ENDPOINTS = 4;
     /** The list of endpoints changes before this round. */
     private static final int CHANGE_BEFORE = 1;
+
     private static final int ROUNDS_A_CONNECTION = 2;
     private static final int MOST_CONNECTIONS = 64;
     private static final int BODY_BYTES = 128;
     /** A made-up request's query is its round's number and name, between these. */
     private static final String PATH = "/api?";
+
     private static final char IS = '=';
     private static final String SERVED = "HTTP/1.1 200";
     private static final String STATUS = "HTTP/1.1 ";
@@ -84,15 +101,18 @@
     private final List<Channel> endpoints = new ArrayList<>();
     /** The rounds of which an attempt has come to an endpoint. */
     private final Set<String> attempted = new HashSet<>();
+
     private EndpointPool pool;
     private Frontend frontend;
     private Exchange<RequestMessage, Answer> exchange;
     private InetSocketAddress sidecar;
     /** The client's connection, on which a round may be asked. */
     private Channel client;
+
     private int rounds;
     /** A round is asked and not answered yet. */
     private boolean asked;
+
     private boolean over;
 
     Warmup(Shard shard, InetAddress host, Path scratch, Runnable done) {
@@ -109,11 +129,13 @@
     }
 
     private void startEndpoint() {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(handling(Endpoint::new))
-            .bind(ephemeral());
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(handling(Endpoint::new))
+                .bind(ephemeral());
         endpoints.add(bound.channel());
         bound.addListener(up -> {
             if (!up.isSuccess() || over) {
@@ -133,12 +155,26 @@
     private void startSidecar() {
         Clock clock = new Clock();
         EventLog silent = new EventLog(clock, new TextSink(new PrintStream(OutputStream.nullOutputStream())));
-        Metrics metrics = new Metrics(shard.settings().classes().stream().map(RequestClass::name).toList());
-        Shard own = new Shard(loop, clock, silent, metrics, new Budget(Long.MAX_VALUE),
-            new Lifecycle(() -> true), shard.settings(), shard.idleCloseMs());
+        Metrics metrics = new Metrics(
+                shard.settings().classes().stream().map(RequestClass::name).toList());
+        Shard own = new Shard(
+                loop,
+                clock,
+                silent,
+                metrics,
+                new Budget(Long.MAX_VALUE),
+                new Lifecycle(() -> true),
+                shard.settings(),
+                shard.idleCloseMs());
         pool = new EndpointPool(own, MOST_CONNECTIONS);
-        exchange = new Exchange<>(own, pool, new Suspensions(scratch, silent), Decide::new, 0,
-            list(ListKind.FULL, State.READY), () -> { });
+        exchange = new Exchange<>(
+                own,
+                pool,
+                new Suspensions(scratch, silent),
+                Decide::new,
+                0,
+                list(ListKind.FULL, State.READY),
+                () -> {});
         frontend = new Frontend(own, exchange, MOST_CONNECTIONS);
         ChannelFuture bound = frontend.listen(ephemeral());
         bound.addListener(up -> {
@@ -156,8 +192,9 @@
         List<ServerList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < endpoints.size(); i++) {
             State state = i == endpoints.size() - 1 ? last : State.READY;
-            entries.add(new ServerList.Entry(new Server("warm-up-" + i, shard.settings().ownZone(), 0, 0, 0,
-                state, 1), (InetSocketAddress) endpoints.get(i).localAddress()));
+            entries.add(new ServerList.Entry(
+                    new Server("warm-up-" + i, shard.settings().ownZone(), 0, 0, 0, state, 1),
+                    (InetSocketAddress) endpoints.get(i).localAddress()));
         }
         return new ServerList(0, kind == ListKind.FULL, entries);
     }
@@ -186,11 +223,13 @@
     }
 
     private void connect() {
-        ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .handler(handling(Client::new))
-            .connect(sidecar);
+        ChannelFuture connecting = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(handling(Client::new))
+                .connect(sidecar);
         client = connecting.channel();
         connecting.addListener(up -> {
             if (up.isSuccess()) {
@@ -222,14 +261,14 @@
         boolean safe = kind.effect() == Effect.REPEATABLE;
         int deadlineMs = round() == WarmupRound.SILENT ? SHORT_DEADLINE_MS : DEADLINE_MS;
         String head = (safe ? "GET" : "POST") + " " + PATH + rounds + IS + round() + " HTTP/1.1\r\n"
-            + "Host: warm-up\r\nX-Request-Id: warm-up-" + rounds + "\r\n"
-            + "X-Class: " + bytes(kind.name()) + "\r\n"
-            + RequestHeads.DEADLINE + ": " + deadlineMs + "\r\n"
-            + (shard.settings().tenants().isEmpty() ? ""
-                : "X-Tenant: " + bytes(shard.settings().tenants().get(0).name()) + "\r\n")
-            + (kind.effect() == Effect.BY_KEY ? "Idempotency-Key: warm-up-" + rounds + "\r\n" : "");
-        return safe ? head + "\r\n" : head + "Content-Length: " + BODY_BYTES + "\r\n\r\n"
-            + "-".repeat(BODY_BYTES);
+                + "Host: warm-up\r\nX-Request-Id: warm-up-" + rounds + "\r\n"
+                + "X-Class: " + bytes(kind.name()) + "\r\n"
+                + RequestHeads.DEADLINE + ": " + deadlineMs + "\r\n"
+                + (shard.settings().tenants().isEmpty()
+                        ? ""
+                        : "X-Tenant: " + bytes(shard.settings().tenants().get(0).name()) + "\r\n")
+                + (kind.effect() == Effect.BY_KEY ? "Idempotency-Key: warm-up-" + rounds + "\r\n" : "");
+        return safe ? head + "\r\n" : head + "Content-Length: " + BODY_BYTES + "\r\n\r\n" + "-".repeat(BODY_BYTES);
     }
 
     /** A name as its bytes, a character each. */
@@ -266,8 +305,7 @@
         done.run();
     }
 
-    private static ChannelInitializer<SocketChannel> handling(
-            Supplier<SimpleChannelInboundHandler<ByteBuf>> handler) {
+    private static ChannelInitializer<SocketChannel> handling(Supplier<SimpleChannelInboundHandler<ByteBuf>> handler) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel fresh) {
--- a/edge/src/main/java/lemonrail/http1/WarmupRound.java
+++ b/edge/src/main/java/lemonrail/http1/WarmupRound.java
@@ -38,11 +38,12 @@
 
     /** The last byte of the body of each answer that an endpoint of the warm-up makes whole. */
     static final byte LAST = '~';
+
     private static final String BODY = "warm-up".repeat(16) + (char) LAST;
     private static final int TOO_MANY = AnswerReader.MOST_HELD_BYTES + 1;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
     private static final String NOT_RUN =
-        "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+            "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
     private static final String CHUNKED = OK + "Transfer-Encoding: chunked\r\n\r\n";
     private static final String END_CHUNK = "0\r\n\r\n";
 
@@ -50,8 +51,8 @@
     void answer(Channel connection, boolean first) {
         switch (this) {
             case CHUNKS -> write(connection, CHUNKED + chunk(BODY) + END_CHUNK);
-            case CUT -> writeLast(connection, OK + "Content-Length: " + TOO_MANY + "\r\n\r\n"
-                + "-".repeat(BODY.length()));
+            case CUT ->
+                writeLast(connection, OK + "Content-Length: " + TOO_MANY + "\r\n\r\n" + "-".repeat(BODY.length()));
             case TO_THE_END -> {
                 if (first) {
                     writeLast(connection, OK + "\r\n" + BODY);
@@ -69,7 +70,7 @@
                 }
             }
             case FAILED -> write(connection, plain("HTTP/1.1 500 Internal Server Error\r\n"));
-            case SILENT, LEFT, MALFORMED -> { }
+            case SILENT, LEFT, MALFORMED -> {}
             default -> write(connection, plain(OK));
         }
     }
--- a/edge/src/main/java/lemonrail/json/Json.java
+++ b/edge/src/main/java/lemonrail/json/Json.java
@@ -17,8 +17,7 @@
 
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    private Json() {
-    }
+    private Json() {}
 
     /** Reads one value from these bytes, or null where they hold none. */
     public static Object value(byte[] json) throws IOException {
@@ -49,8 +48,7 @@
         if (token.isNumeric()) {
             return in.getDoubleValue();
         }
-        return token == JsonToken.VALUE_NULL ? null
-                : token.isBoolean() ? (Object) in.getBooleanValue() : in.getText();
+        return token == JsonToken.VALUE_NULL ? null : token.isBoolean() ? (Object) in.getBooleanValue() : in.getText();
     }
 
     /** Writes a value as text: maps, lists, whole numbers and others, text, truth values and null. */
--- a/edge/src/main/java/lemonrail/lifecycle/Lifecycle.java
+++ b/edge/src/main/java/lemonrail/lifecycle/Lifecycle.java
@@ -10,7 +10,12 @@
 public final class Lifecycle {
 
     /** The phases, as operators know them. */
-    public enum Phase { STARTING, READY, DRAINING, STOPPING }
+    public enum Phase {
+        STARTING,
+        READY,
+        DRAINING,
+        STOPPING
+    }
 
     private final BooleanSupplier knowsEndpoints;
     private boolean started;
@@ -29,8 +34,9 @@
 
     /** What the process is at, for people. */
     public String word() {
-        return phase() == Phase.READY && !isReady() ? "no endpoint is known"
-            : phase().name().toLowerCase(Locale.ROOT);
+        return phase() == Phase.READY && !isReady()
+                ? "no endpoint is known"
+                : phase().name().toLowerCase(Locale.ROOT);
     }
 
     /** Where the process stands now. */
--- a/edge/src/main/java/lemonrail/logging/BoundedSink.java
+++ b/edge/src/main/java/lemonrail/logging/BoundedSink.java
@@ -18,6 +18,7 @@
     public static final int USUAL_WAITING = 1024;
     /** How long a close waits for room in the queue, and then for what is still in it. */
     private static final long CLOSE_MS = 250;
+
     private static final LogEvent END = new LogEvent(0, Severity.INFO, "", "", "", List.of());
 
     private final LogSink target;
@@ -81,9 +82,13 @@
         if (now != told) {
             int missing = now - told;
             told = now;
-            target.write(new LogEvent(next.atMs(), Severity.WARN, EventLog.ROOT + ".logging", "log_dropped",
-                missing + " log events were dropped: the log's reader is too slow",
-                List.of("dropped", missing)));
+            target.write(new LogEvent(
+                    next.atMs(),
+                    Severity.WARN,
+                    EventLog.ROOT + ".logging",
+                    "log_dropped",
+                    missing + " log events were dropped: the log's reader is too slow",
+                    List.of("dropped", missing)));
         }
     }
 
--- a/edge/src/main/java/lemonrail/logging/EventLog.java
+++ b/edge/src/main/java/lemonrail/logging/EventLog.java
@@ -15,6 +15,7 @@
 
     /** The logger above all of them. */
     public static final String ROOT = "lemonrail";
+
     private static final double PAUSE_MS = 1000;
     /** Kinds that are damped apart; they are named in the program, so this is never reached. */
     private static final int MOST_KINDS = 256;
@@ -88,9 +89,14 @@
     /** An exception of our own making: the place it came from is what helps. */
     public void bug(String message, Throwable e) {
         StackTraceElement[] trace = e.getStackTrace();
-        String at = (trace.length == 0 ? "" : " at " + trace[0])
-            + (trace.length < 2 ? "" : ", " + trace[1]);
-        damped(Severity.ERROR, "fault", message, e + at, "exception", e.getClass().getName());
+        String at = (trace.length == 0 ? "" : " at " + trace[0]) + (trace.length < 2 ? "" : ", " + trace[1]);
+        damped(
+                Severity.ERROR,
+                "fault",
+                message,
+                e + at,
+                "exception",
+                e.getClass().getName());
     }
 
     private void damped(Severity severity, String name, String message, Object detail, Object... fields) {
@@ -110,15 +116,19 @@
         kind.nextAt = now + PAUSE_MS;
         List<Object> all = new ArrayList<>(List.of(fields));
         all.addAll(List.of("detail", String.valueOf(detail), "suppressed", kind.suppressed));
-        shared.sink.write(new LogEvent(now, severity, logger, name, message + ": " + detail
-            + (kind.suppressed == 0 ? "" : " (and " + kind.suppressed + " more before)"), all));
+        shared.sink.write(new LogEvent(
+                now,
+                severity,
+                logger,
+                name,
+                message + ": " + detail + (kind.suppressed == 0 ? "" : " (and " + kind.suppressed + " more before)"),
+                all));
         kind.suppressed = 0;
     }
 
     private void write(Severity severity, String name, String message, Object... fields) {
         if (shared.sink.takes(severity, logger)) {
-            shared.sink.write(new LogEvent(shared.clock.now(), severity, logger, name, message,
-                List.of(fields)));
+            shared.sink.write(new LogEvent(shared.clock.now(), severity, logger, name, message, List.of(fields)));
         }
     }
 }
--- a/edge/src/main/java/lemonrail/logging/LogEvent.java
+++ b/edge/src/main/java/lemonrail/logging/LogEvent.java
@@ -11,6 +11,5 @@
  * @param message the same for people, one line
  * @param fields names and values in turn
  */
-public record LogEvent(double atMs, Severity severity, String logger, String name, String message,
-        List<Object> fields) {
-}
+public record LogEvent(
+        double atMs, Severity severity, String logger, String name, String message, List<Object> fields) {}
--- a/edge/src/main/java/lemonrail/logging/LogSink.java
+++ b/edge/src/main/java/lemonrail/logging/LogSink.java
@@ -24,6 +24,5 @@
 
     /** Lets go of what it holds; what it has taken is written before, as far as that does not take long. */
     @Override
-    default void close() {
-    }
+    default void close() {}
 }
--- a/edge/src/main/java/lemonrail/logging/StructuredSink.java
+++ b/edge/src/main/java/lemonrail/logging/StructuredSink.java
@@ -63,8 +63,13 @@
     @Override
     public void write(LogEvent event) {
         Logger logger = context.getLogger(event.logger());
-        LoggingEvent made = new LoggingEvent(StructuredSink.class.getName(), logger,
-            LEVELS[event.severity().ordinal()], event.message(), null, null);
+        LoggingEvent made = new LoggingEvent(
+                StructuredSink.class.getName(),
+                logger,
+                LEVELS[event.severity().ordinal()],
+                event.message(),
+                null,
+                null);
         made.setInstant(Instant.ofEpochMilli((long) event.atMs()));
         made.addKeyValuePair(new KeyValuePair("event", event.name()));
         List<Object> fields = event.fields();
--- a/edge/src/main/java/lemonrail/logging/TextSink.java
+++ b/edge/src/main/java/lemonrail/logging/TextSink.java
@@ -10,8 +10,7 @@
 public final class TextSink implements LogSink {
 
     private final PrintStream out;
-    private final Map<String, Severity> levels =
-        new ConcurrentHashMap<>(Map.of(EventLog.ROOT, Severity.INFO));
+    private final Map<String, Severity> levels = new ConcurrentHashMap<>(Map.of(EventLog.ROOT, Severity.INFO));
 
     /** A log to this stream. */
     public TextSink(PrintStream out) {
--- a/edge/src/main/java/lemonrail/metrics/Metrics.java
+++ b/edge/src/main/java/lemonrail/metrics/Metrics.java
@@ -16,7 +16,11 @@
     private static final String PREFIX = "edge_gw.";
 
     /** How a request ended, in the words of the figures. */
-    public enum Ending { SUCCESS, OVERLOAD, ERROR }
+    public enum Ending {
+        SUCCESS,
+        OVERLOAD,
+        ERROR
+    }
 
     private final List<String> classes;
     private final long[][] replies;
@@ -77,8 +81,10 @@
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < replies.length; i++) {
             for (Ending ending : Ending.values()) {
-                line(text, "replies." + classes.get(i) + "." + ending.name().toLowerCase(Locale.ROOT),
-                    replies[i][ending.ordinal()]);
+                line(
+                        text,
+                        "replies." + classes.get(i) + "." + ending.name().toLowerCase(Locale.ROOT),
+                        replies[i][ending.ordinal()]);
             }
         }
         line(text, "dispatches", dispatches);
--- a/edge/src/main/java/lemonrail/net/HttpListener.java
+++ b/edge/src/main/java/lemonrail/net/HttpListener.java
@@ -23,25 +23,31 @@
  * @param mostChunkBytes of a part of its body
  * @param mostBodyBytes of its body
  */
-public record HttpListener(int backlog, int mostLineBytes, int mostHeadBytes, int mostChunkBytes,
-        int mostBodyBytes) {
+public record HttpListener(int backlog, int mostLineBytes, int mostHeadBytes, int mostChunkBytes, int mostBodyBytes) {
 
     /** Listens at an address; each connection gets a handler of its own, which is given whole calls. */
-    public ChannelFuture bind(EventLoop loop, ByteBufAllocator buffers, InetSocketAddress address,
+    public ChannelFuture bind(
+            EventLoop loop,
+            ByteBufAllocator buffers,
+            InetSocketAddress address,
             Function<SocketChannel, ChannelHandler> handlers) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, backlog)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.ALLOCATOR, buffers)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel accepted) {
-                    accepted.pipeline().addLast(
-                        new HttpServerCodec(mostLineBytes, mostHeadBytes, mostChunkBytes),
-                        new HttpObjectAggregator(mostBodyBytes), handlers.apply(accepted));
-                }
-            })
-            .bind(address);
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, backlog)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.ALLOCATOR, buffers)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel accepted) {
+                        accepted.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(mostLineBytes, mostHeadBytes, mostChunkBytes),
+                                        new HttpObjectAggregator(mostBodyBytes),
+                                        handlers.apply(accepted));
+                    }
+                })
+                .bind(address);
     }
 }
--- a/edge/src/main/java/lemonrail/suspension/SuspensionFile.java
+++ b/edge/src/main/java/lemonrail/suspension/SuspensionFile.java
@@ -62,7 +62,9 @@
     Set<String> read() throws IOException {
         List<String> lines;
         try {
-            lines = new String(Files.readAllBytes(file), StandardCharsets.UTF_8).lines().toList();
+            lines = new String(Files.readAllBytes(file), StandardCharsets.UTF_8)
+                    .lines()
+                    .toList();
         } catch (NoSuchFileException e) {
             return Set.of();
         }
@@ -75,8 +77,7 @@
 
     /** Changes what the file holds now, whoever wrote it; returns what it holds then. */
     Set<String> change(Consumer<Set<String>> change) throws IOException {
-        try (FileChannel channel = FileChannel.open(lock, StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
+        try (FileChannel channel = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock held = channel.lock()) {
             Set<String> ids;
             try {
--- a/edge/src/main/java/lemonrail/suspension/Suspensions.java
+++ b/edge/src/main/java/lemonrail/suspension/Suspensions.java
@@ -72,13 +72,16 @@
     }
 
     private Server shown(Server entry) {
-        return entry.state() != State.READY || !suspended.contains(entry.id()) ? entry
-            : entry.with(State.DRAINING);
+        return entry.state() != State.READY || !suspended.contains(entry.id()) ? entry : entry.with(State.DRAINING);
     }
 
     /** The listed ones among these, as the module is to see them now. */
     public List<Server> shown(Collection<String> ids) {
-        return ids.stream().map(listed::get).filter(entry -> entry != null).map(this::shown).toList();
+        return ids.stream()
+                .map(listed::get)
+                .filter(entry -> entry != null)
+                .map(this::shown)
+                .toList();
     }
 
     /** Whether an endpoint of this id has been in the list, or is out by hand from before. */
@@ -125,14 +128,13 @@
             Set<String> changed = adopt(file.read());
             read = now;
             List<String> out = changed.stream().filter(suspended::contains).toList();
-            List<String> back = changed.stream().filter(id -> !suspended.contains(id)).toList();
+            List<String> back =
+                    changed.stream().filter(id -> !suspended.contains(id)).toList();
             if (!out.isEmpty()) {
-                log.info("suspended", "suspended by another process: " + out, "by", "other_process",
-                    "endpoint", out);
+                log.info("suspended", "suspended by another process: " + out, "by", "other_process", "endpoint", out);
             }
             if (!back.isEmpty()) {
-                log.info("resumed", "resumed by another process: " + back, "by", "other_process",
-                    "endpoint", back);
+                log.info("resumed", "resumed by another process: " + back, "by", "other_process", "endpoint", back);
             }
             return changed;
         } catch (IOException e) {
--- a/edge/src/main/java/lemonrail/time/LoopLag.java
+++ b/edge/src/main/java/lemonrail/time/LoopLag.java
@@ -13,6 +13,7 @@
     static final long SPAN_NANOS = 2_000_000_000L;
     /** Bounds of the histogram: how often the loop was later than each, in milliseconds. */
     private static final int[] BOUNDS_MS = {1, 5, 20, 100, 500};
+
     private static final double NANOS_PER_MS = 1e6;
 
     private long polls;
--- a/edge/src/main/java/lemonrail/upgrade/SharedListener.java
+++ b/edge/src/main/java/lemonrail/upgrade/SharedListener.java
@@ -18,8 +18,8 @@
 public final class SharedListener extends NioServerSocketChannel {
 
     /** Lets another process listen at the same address. */
-    public static final ChannelOption<Boolean> SHARED =
-        NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
+    public static final ChannelOption<Boolean> SHARED = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
+
     private static final int RETRY_MS = 1;
 
     private boolean leaving;
--- a/edge/src/test/java/lemonrail/JoinedStringsTest.java
+++ b/edge/src/test/java/lemonrail/JoinedStringsTest.java
@@ -27,7 +27,8 @@
     @Test
     void noJoinOfStringsIsLinkedWhileTheProgramRuns() throws Exception {
         for (Class<?> one : List.of(Main.class, Contract.class)) {
-            Path place = Path.of(one.getProtectionDomain().getCodeSource().getLocation().toURI());
+            Path place = Path.of(
+                    one.getProtectionDomain().getCodeSource().getLocation().toURI());
             if (Files.isDirectory(place)) {
                 look(place);
             } else {
@@ -41,9 +42,11 @@
     /** Looks at all classes that were compiled together. */
     private static void look(Path root) throws IOException {
         try (Stream<Path> files = Files.walk(root)) {
-            List<Path> classes = files.filter(file -> file.toString().endsWith(".class")).toList();
+            List<Path> classes =
+                    files.filter(file -> file.toString().endsWith(".class")).toList();
             assertFalse(classes.isEmpty(), () -> "no class in " + root);
-            assertEquals(List.of(), classes.stream().filter(JoinedStringsTest::links).toList());
+            assertEquals(
+                    List.of(), classes.stream().filter(JoinedStringsTest::links).toList());
         }
     }
 
--- a/edge/src/test/java/lemonrail/LayersTest.java
+++ b/edge/src/test/java/lemonrail/LayersTest.java
@@ -18,18 +18,19 @@
 
     /** From the lowest to the highest; those of one row know nothing of each other. */
     private static final List<Set<String>> LAYERS = List.of(
-        Set.of("core"),
-        Set.of("core.policy", "core.control"),
-        Set.of("time", "net", "json", "streaming", "lifecycle", "metrics"),
-        Set.of("logging"),
-        Set.of("upgrade", "suspension", "discovery", "admin"),
-        Set.of("config", "exchange"),
-        Set.of("http1"),
-        Set.of("assembly", "benchlink", "control"),
-        Set.of("cli"));
+            Set.of("core"),
+            Set.of("core.policy", "core.control"),
+            Set.of("time", "net", "json", "streaming", "lifecycle", "metrics"),
+            Set.of("logging"),
+            Set.of("upgrade", "suspension", "discovery", "admin"),
+            Set.of("config", "exchange"),
+            Set.of("http1"),
+            Set.of("assembly", "benchlink", "control"),
+            Set.of("cli"));
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
-        .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("lemonrail");
+            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+            .importPackages("lemonrail");
 
     private static int layer(String part) {
         for (int i = 0; i < LAYERS.size(); i++) {
@@ -50,41 +51,74 @@
         List<JavaClass> all = new ArrayList<>(CLASSES);
         all.forEach(from -> from.getDirectDependenciesFromSelf().forEach(known -> {
             JavaClass to = known.getTargetClass().getBaseComponentType();
-            if (to.getPackageName().startsWith("lemonrail") && !part(from).equals(part(to))
+            if (to.getPackageName().startsWith("lemonrail")
+                    && !part(from).equals(part(to))
                     && layer(part(from)) <= layer(part(to))) {
                 wrong.add(part(from) + " knows " + part(to));
             }
         }));
         assertEquals(Set.of(), wrong);
-        assertEquals(Set.of(), new TreeSet<>(all.stream().map(LayersTest::part)
-            .filter(part -> layer(part) < 0).toList()), "each package has its place");
+        assertEquals(
+                Set.of(),
+                new TreeSet<>(all.stream()
+                        .map(LayersTest::part)
+                        .filter(part -> layer(part) < 0)
+                        .toList()),
+                "each package has its place");
     }
 
     @Test
     void theCoreKnowsNoLibraryAndDoesNoInputOrOutput() {
-        ArchRuleDefinition.classes().that().resideInAPackage("lemonrail.core..").should()
-            .onlyDependOnClassesThat().resideInAnyPackage("lemonrail.core..", "java.lang..", "java.util..")
-            .check(CLASSES);
-        ArchRuleDefinition.noClasses().that().resideInAPackage("lemonrail.core..").should()
-            .dependOnClassesThat().resideInAnyPackage("java.util.concurrent..", "java.util.logging..")
-            .check(CLASSES);
+        ArchRuleDefinition.classes()
+                .that()
+                .resideInAPackage("lemonrail.core..")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage("lemonrail.core..", "java.lang..", "java.util..")
+                .check(CLASSES);
+        ArchRuleDefinition.noClasses()
+                .that()
+                .resideInAPackage("lemonrail.core..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("java.util.concurrent..", "java.util.logging..")
+                .check(CLASSES);
     }
 
     @Test
     void theExchangeKnowsNoProtocol() {
-        ArchRuleDefinition.noClasses().that().resideInAPackage("lemonrail.exchange..").should()
-            .dependOnClassesThat().resideInAnyPackage("io.netty.handler..").check(CLASSES);
+        ArchRuleDefinition.noClasses()
+                .that()
+                .resideInAPackage("lemonrail.exchange..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("io.netty.handler..")
+                .check(CLASSES);
     }
 
     /** Guards against libraries that the platform's call would have to load. */
     @Test
     void onlyTheirOwnPackagesKnowTheLibrariesOfOptionalParts() {
-        ArchRuleDefinition.noClasses().that().resideOutsideOfPackage("lemonrail.cli..").should()
-            .dependOnClassesThat().resideInAnyPackage("picocli..").check(CLASSES);
-        ArchRuleDefinition.noClasses().that().resideOutsideOfPackage("lemonrail.logging..").should()
-            .dependOnClassesThat().resideInAnyPackage("ch.qos.logback..", "org.slf4j..").check(CLASSES);
-        ArchRuleDefinition.noClasses().that().resideOutsideOfPackage("lemonrail.config..").should()
-            .dependOnClassesThat().resideInAnyPackage("com.fasterxml.jackson.databind..",
-                "com.fasterxml.jackson.dataformat..").check(CLASSES);
+        ArchRuleDefinition.noClasses()
+                .that()
+                .resideOutsideOfPackage("lemonrail.cli..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("picocli..")
+                .check(CLASSES);
+        ArchRuleDefinition.noClasses()
+                .that()
+                .resideOutsideOfPackage("lemonrail.logging..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("ch.qos.logback..", "org.slf4j..")
+                .check(CLASSES);
+        ArchRuleDefinition.noClasses()
+                .that()
+                .resideOutsideOfPackage("lemonrail.config..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("com.fasterxml.jackson.databind..", "com.fasterxml.jackson.dataformat..")
+                .check(CLASSES);
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/AdminServerTest.java
+++ b/edge/src/test/java/lemonrail/assembly/AdminServerTest.java
@@ -39,8 +39,7 @@
         rig.operate("GET", "/v1/metrics").body().lines().forEach(line -> {
             assertTrue(line.startsWith("edge_gw."), line);
             int equals = line.indexOf('=');
-            figures.put(line.substring("edge_gw.".length(), equals),
-                Long.valueOf(line.substring(equals + 1)));
+            figures.put(line.substring("edge_gw.".length(), equals), Long.valueOf(line.substring(equals + 1)));
         });
         return figures;
     }
@@ -59,15 +58,29 @@
 
     @ParameterizedTest
     @CsvSource({
-        "GET, /v1/readyz, 200", "GET, /v1/readyz?verbose=1, 200", "GET, /v1/metrics, 200",
-        "PUT, /v1/readyz, 405", "POST, /v1/metrics, 405", "GET, /v1/sidecar/drain, 405",
-        "GET, /v1/endpoints/s0/suspend, 405", "DELETE, /v1/sidecar/activate, 405",
-        "PUT, /v1/endpoints/s0/suspend, 200", "PUT, /v1/endpoints/s0/resume, 200",
-        "PUT, /v1/endpoints/s9/suspend, 404", "PUT, /v1/endpoints/s9/resume, 404",
-        "PUT, /v1/endpoints/%73%30/suspend, 200", "PUT, /v1/endpoints/%zz/suspend, 400",
-        "PUT, /v1/endpoints//suspend, 404", "PUT, /v1/endpoints/s0, 404", "PUT, /v1/endpoints/, 404",
-        "PUT, /v1/endpoints/s0/x/suspend, 404", "PUT, /v1/endpoints/s0/restart, 404", "GET, /, 404",
-        "GET, /health/ready, 404", "GET, /v1/readyz/, 404"})
+        "GET, /v1/readyz, 200",
+        "GET, /v1/readyz?verbose=1, 200",
+        "GET, /v1/metrics, 200",
+        "PUT, /v1/readyz, 405",
+        "POST, /v1/metrics, 405",
+        "GET, /v1/sidecar/drain, 405",
+        "GET, /v1/endpoints/s0/suspend, 405",
+        "DELETE, /v1/sidecar/activate, 405",
+        "PUT, /v1/endpoints/s0/suspend, 200",
+        "PUT, /v1/endpoints/s0/resume, 200",
+        "PUT, /v1/endpoints/s9/suspend, 404",
+        "PUT, /v1/endpoints/s9/resume, 404",
+        "PUT, /v1/endpoints/%73%30/suspend, 200",
+        "PUT, /v1/endpoints/%zz/suspend, 400",
+        "PUT, /v1/endpoints//suspend, 404",
+        "PUT, /v1/endpoints/s0, 404",
+        "PUT, /v1/endpoints/, 404",
+        "PUT, /v1/endpoints/s0/x/suspend, 404",
+        "PUT, /v1/endpoints/s0/restart, 404",
+        "GET, /, 404",
+        "GET, /health/ready, 404",
+        "GET, /v1/readyz/, 404"
+    })
     void eachCallHasItsAnswer(String method, String path, int status) throws Exception {
         start(Fake.answering(200, "", "served"));
         Wire.Message answer = rig.operate(method, path);
@@ -79,8 +92,11 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"what?, 400", "GET /v1/readyz HTTP/1.1\\r\\nContent-Length: ten, 400",
-        "PUT /v1/sidecar/drain HTTP/1.1\\r\\nContent-Length: 99999, 413"})
+    @CsvSource({
+        "what?, 400",
+        "GET /v1/readyz HTTP/1.1\\r\\nContent-Length: ten, 400",
+        "PUT /v1/sidecar/drain HTTP/1.1\\r\\nContent-Length: 99999, 413"
+    })
     void whatIsNoCallIsRefused(String head, int status) throws Exception {
         start(Fake.answering(200, "", "served"));
         try (Wire wire = rig.operator()) {
@@ -120,8 +136,23 @@
                 expected.put("replies." + kind + "." + ending, 0L);
             }
         }
-        expected.putAll(Map.of("dispatches", 0L, "concurrent", 0L, "targets", 1L, "targets_disabled", 0L,
-            "reload_success", 0L, "reload_failure", 0L, "log_dropped", 0L, "log_suppressed", 0L));
+        expected.putAll(Map.of(
+                "dispatches",
+                0L,
+                "concurrent",
+                0L,
+                "targets",
+                1L,
+                "targets_disabled",
+                0L,
+                "reload_success",
+                0L,
+                "reload_failure",
+                0L,
+                "log_dropped",
+                0L,
+                "log_suppressed",
+                0L));
         expected.put("answers_late", 0L);
         Map<String, Long> figures = new TreeMap<>(figures());
         // How late the loop has been by now is the machine's doing, but the figures are there.
@@ -139,7 +170,8 @@
             release.await();
             Fake.answer(wire, request.line().startsWith("GET") ? 200 : 500, "", "x");
         }));
-        try (Wire read = rig.client(); Wire order = rig.client()) {
+        try (Wire read = rig.client();
+                Wire order = rig.client()) {
             read.send(rig.request("read", DEADLINE_MS));
             order.send(rig.request("order", DEADLINE_MS));
             awaitFigure("dispatches", 2);
--- a/edge/src/test/java/lemonrail/assembly/AskingFloodTest.java
+++ b/edge/src/test/java/lemonrail/assembly/AskingFloodTest.java
@@ -22,16 +22,19 @@
     private static final int DEADLINE_MS = 4000;
     /** As many clients as there is room for with hardly a descriptor, and those of them that are reserved. */
     private static final int ROOM = 8;
+
     private static final int RESERVED = 4;
     private static final int DESCRIPTORS = 256;
     private static final int FLOODING = 300;
     /** So many descriptors give room to all returning clients, and to few of them where they are shared. */
     private static final int SHARED_DESCRIPTORS = 512;
+
     private static final int RETURNING = 110;
     /** So many requests of the flood are answered before the known clients' requests count. */
     private static final int UNDER_WAY = 1000;
     /** They ask in turn: whatever one waits for, the other is not idle for the 5 s that end a connection. */
     private static final int KNOWN = 2;
+
     private static final int ROUNDS = 30;
     /** Of the known clients' requests the module may refuse so many, as it has no room for all that ask. */
     private static final int MOST_REFUSED = KNOWN * ROUNDS / 10;
@@ -154,7 +157,12 @@
         assertEquals(ROOM - 1, kept.size(), "one place is needed");
         // What has come before is dealt with by the time of a second answer.
         for (int i = 0; i < 2; i++) {
-            assertEquals(404, kept.get(0).send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").read().status());
+            assertEquals(
+                    404,
+                    kept.get(0)
+                            .send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n")
+                            .read()
+                            .status());
         }
         assertServed(newcomer, "who found no room when it came");
     }
@@ -168,8 +176,8 @@
             try (Wire client = rig.client()) {
                 do {
                     client.send("GET /api HTTP/1.1\r\nX-Request-Id: f" + number + "-" + asked++
-                        + "\r\nX-Class: read\r\nHost: x\r\nX-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n")
-                        .read();
+                                    + "\r\nX-Class: read\r\nHost: x\r\nX-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n")
+                            .read();
                     answered.incrementAndGet();
                 } while (keeps && !over.get());
             } catch (IOException e) {
--- a/edge/src/test/java/lemonrail/assembly/ChurnTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ChurnTest.java
@@ -56,7 +56,9 @@
             }
         }
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertEquals(List.of(0, 1), rig.sidecar.loop().submit(() -> rig.sidecar.tableSizes()).get());
+        assertEquals(
+                List.of(0, 1),
+                rig.sidecar.loop().submit(() -> rig.sidecar.tableSizes()).get());
     }
 
     /** Guards against calls meant for a process that is gone and made to the cold one at its address. */
--- a/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
@@ -23,8 +23,9 @@
     private static final int DEADLINE_MS = 8000;
     /** What such a client is owed an end within, and what a busy machine may take beyond it. */
     private static final double OWED_MS = 3000 + 5000;
-    private static final String HIDDEN = "GET /api HTTP/1.1\r\nX-Request-Id: hidden\r\nX-Class: read\r\n"
-        + "X-Deadline-Ms: 8000\r\nHost: a\r\n\r\n";
+
+    private static final String HIDDEN =
+            "GET /api HTTP/1.1\r\nX-Request-Id: hidden\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\nHost: a\r\n\r\n";
 
     private Rig rig;
 
@@ -65,9 +66,13 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"POST /api HT", "POST /api HTTP/1.1\r\nX-Request-Id: r0\r\n",
-        "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhel",
-        "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel"})
+    @ValueSource(
+            strings = {
+                "POST /api HT",
+                "POST /api HTTP/1.1\r\nX-Request-Id: r0\r\n",
+                "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhel",
+                "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel"
+            })
     void aRequestThatStallsIsAnErrorInTime(String part) throws Exception {
         start(good());
         long began = System.nanoTime();
@@ -84,7 +89,8 @@
         start(good());
         long began = System.nanoTime();
         try (Wire client = rig.client()) {
-            assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
             client.send("POST /api HTTP/1.1\r\n");
             Thread trickle = new Thread(() -> {
                 try {
@@ -106,18 +112,26 @@
     // ---- what can't be read ----
 
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: gzip\r\n\r\n", "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        "Content-Length: 0\r\nContent-Length: 5\r\n\r\n", "Content-Length: 0, 0\r\n\r\n",
-        "Content-Length: +0\r\n\r\n", "Content-Length: -4\r\n\r\n", "Content-Length: ten\r\n\r\n",
-        "Content-Length : 5\r\n\r\n", "a line with no colon\r\n\r\n",
-        "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: gzip\r\n\r\n",
+                "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: identity\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                "Content-Length: 0\r\nContent-Length: 5\r\n\r\n",
+                "Content-Length: 0, 0\r\n\r\n",
+                "Content-Length: +0\r\n\r\n",
+                "Content-Length: -4\r\n\r\n",
+                "Content-Length: ten\r\n\r\n",
+                "Content-Length : 5\r\n\r\n",
+                "a line with no colon\r\n\r\n",
+                "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\n\r\n"
+            })
     void noRequestHidesInAnother(String framing) throws Exception {
         start(good());
-        String head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n"
-            + "X-Deadline-Ms: 8000\r\n";
+        String head =
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\n";
         try (Wire client = rig.client()) {
             assertEquals(400, client.send(head + framing + HIDDEN).read().status());
             assertEnded(client);
@@ -151,9 +165,14 @@
             assertEnded(client);
         }
         try (Wire client = rig.client()) {
-            assertEquals(400, client.send("POST /api HTTP/1.1\r\nHost: a\r\n"
-                + "Transfer-Encoding: chunked\r\n\r\n"
-                + "11000\r\n" + "x".repeat(0x11000)).read().status(), "it is refused before it is whole");
+            assertEquals(
+                    400,
+                    client.send("POST /api HTTP/1.1\r\nHost: a\r\n"
+                                    + "Transfer-Encoding: chunked\r\n\r\n"
+                                    + "11000\r\n" + "x".repeat(0x11000))
+                            .read()
+                            .status(),
+                    "it is refused before it is whole");
         }
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
     }
@@ -210,12 +229,14 @@
         rig.start();
         List<Wire> silent = new ArrayList<>();
         try (Wire usual = rig.client()) {
-            assertEquals(200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
             for (int i = 0; i < 40; i++) {
                 silent.add(rig.client());
             }
             silent.get(0).awaitEnd();
-            assertEquals(200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
             assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         }
         for (Wire client : silent) {
@@ -227,7 +248,8 @@
     @Test
     void aDrainLetsGoOfHalfARequest() throws Exception {
         start(good());
-        try (Wire half = rig.client().send("POST /api HTTP/1.1\r\n"); Wire behind = rig.client()) {
+        try (Wire half = rig.client().send("POST /api HTTP/1.1\r\n");
+                Wire behind = rig.client()) {
             behind.send(rig.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
             assertNotEquals(0, behind.read().status());
             Thread drain = new Thread(rig.sidecar::terminate);
@@ -243,7 +265,8 @@
     void aDeadlineFarAwayIsBoundedByTheClass() throws Exception {
         start(good());
         assertEquals(200, rig.ask("order", 999_999_999).status());
-        int told = Integer.parseInt(rig.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
+        int told =
+                Integer.parseInt(rig.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
         assertTrue(told <= 9000, "what the endpoint is told: " + told);
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/ClientsThatLeaveTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientsThatLeaveTest.java
@@ -22,11 +22,13 @@
     private static final int DEADLINE_MS = 8000;
     /** What takes longer has waited for the deadline. */
     private static final double SOON_MS = DEADLINE_MS / 2.0;
+
     private static final int BURST = 3;
     /** More than the module lets through at once, so that others are refused before they leave. */
     private static final int MANY = 40;
     /** What is read behind as many requests as may be in hand on one connection, and more than that. */
     private static final int BEHIND_BYTES = 10_000;
+
     private static final int FAR_BEHIND_BYTES = 100_000;
     private static final int NOISE_BYTES = 1_000_000;
     private static final int MOST_AHEAD = 8;
@@ -66,8 +68,8 @@
         try (LateFake late = new LateFake()) {
             rig = new Rig();
             rig.cancel = mayCancel;
-            rig.change = config -> config.replace("\"servers\":[]",
-                "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+            rig.change = config -> config.replace(
+                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
             rig.start();
             List<Wire> clients = new ArrayList<>();
             for (int i = 0; i < BURST; i++) {
@@ -93,8 +95,8 @@
         try (LateFake late = new LateFake()) {
             rig = new Rig();
             rig.cancel = mayCancel;
-            rig.change = config -> config.replace("\"servers\":[]",
-                "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+            rig.change = config -> config.replace(
+                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
             rig.start();
             List<Wire> clients = new ArrayList<>();
             for (int i = 0; i < MANY; i++) {
@@ -158,8 +160,16 @@
 
     /** Guards against a repeat for nobody: the attempt fails after the client has gone. */
     @ParameterizedTest
-    @CsvSource({"true,true,500", "true,false,500", "false,true,500", "false,false,500", "false,true,503",
-        "false,false,503", "false,true,0", "false,false,0"})
+    @CsvSource({
+        "true,true,500",
+        "true,false,500",
+        "false,true,500",
+        "false,false,500",
+        "false,true,503",
+        "false,false,503",
+        "false,true,0",
+        "false,false,0"
+    })
     void whatFailsLaterIsNotTriedAgain(boolean mayCancel, boolean byReset, int status) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         Fake.Script failing = (wire, request) -> {
@@ -190,9 +200,18 @@
 
     /** Guards against repeats for who has gone unnoticed behind what came after the requests in hand. */
     @ParameterizedTest
-    @CsvSource({"0,false", "0,true", "200,false", "200,true", BEHIND_BYTES + ",false", BEHIND_BYTES + ",true",
-        FAR_BEHIND_BYTES + ",false", FAR_BEHIND_BYTES + ",true", NOISE_BYTES + ",false",
-        NOISE_BYTES + ",true"})
+    @CsvSource({
+        "0,false",
+        "0,true",
+        "200,false",
+        "200,true",
+        BEHIND_BYTES + ",false",
+        BEHIND_BYTES + ",true",
+        FAR_BEHIND_BYTES + ",false",
+        FAR_BEHIND_BYTES + ",true",
+        NOISE_BYTES + ",false",
+        NOISE_BYTES + ",true"
+    })
     void whoGoesBehindMoreThanIsTakenIsNoticed(int behindBytes, boolean byReset) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         Fake.Script failing = (wire, request) -> {
@@ -304,7 +323,11 @@
         // Others are served meanwhile, so all that is ever read of the noise has been.
         for (int i = 0; i < BURST; i++) {
             try (Wire other = rig.client()) {
-                assertEquals(404, other.send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").read().status());
+                assertEquals(
+                        404,
+                        other.send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n")
+                                .read()
+                                .status());
             }
         }
         held.countDown();
--- a/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
@@ -29,13 +29,12 @@
         return (settings, seed, host) -> {
             Events decide = new Decide(settings, seed, host);
             Class<?>[] kinds = {Events.class};
-            return (Events) Proxy.newProxyInstance(Events.class.getClassLoader(), kinds,
-                (proxy, method, arguments) -> {
-                    if (method.getName().equals("onFinished")) {
-                        ends.add((Finished) arguments[1]);
-                    }
-                    return method.invoke(decide, arguments);
-                });
+            return (Events) Proxy.newProxyInstance(Events.class.getClassLoader(), kinds, (proxy, method, arguments) -> {
+                if (method.getName().equals("onFinished")) {
+                    ends.add((Finished) arguments[1]);
+                }
+                return method.invoke(decide, arguments);
+            });
         };
     }
 
@@ -46,9 +45,10 @@
 
     @Test
     void aLateConnectionIsTold() throws Exception {
-        try (LateFake late = new LateFake(); Rig rig = new Rig()) {
-            rig.change = config -> config.replace("\"servers\":[]",
-                "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+        try (LateFake late = new LateFake();
+                Rig rig = new Rig()) {
+            rig.change = config -> config.replace(
+                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
             rig.start(noting());
             try (Wire client = rig.client()) {
                 client.send(rig.request("order", DEADLINE_MS));
@@ -69,12 +69,14 @@
         CountDownLatch asked = new CountDownLatch(2);
         CountDownLatch release = new CountDownLatch(1);
         try (Fake slow = new Fake((wire, request) -> {
-            asked.countDown();
-            if (asked.getCount() == 0) {
-                release.await();
-            }
-            Fake.answer(wire, 200, "", "slow");
-        }); Rig rig = new Rig(slow).start(noting()); Wire client = rig.client()) {
+                    asked.countDown();
+                    if (asked.getCount() == 0) {
+                        release.await();
+                    }
+                    Fake.answer(wire, 200, "", "slow");
+                });
+                Rig rig = new Rig(slow).start(noting());
+                Wire client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS)).read();
             rig.settle();
             client.send(rig.request("order", DEADLINE_MS));
@@ -90,9 +92,10 @@
 
     @Test
     void whatWasNeverWrittenWasAllTheConnections() throws Exception {
-        try (LateFake late = new LateFake(); Rig rig = new Rig()) {
-            rig.change = config -> config.replace("\"servers\":[]",
-                "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+        try (LateFake late = new LateFake();
+                Rig rig = new Rig()) {
+            rig.change = config -> config.replace(
+                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
             rig.start(noting());
             assertEquals(503, rig.ask("order", HELD_MS).status());
             assertEquals(Outcome.CONNECT_ERROR, end(0).outcome());
--- a/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
@@ -52,8 +52,18 @@
 
     private ControlNode node(String name) throws IOException {
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        ControlNode node = ControlNode.create(new ControlConfig(name, "west", any, any, List.of(),
-            ControlConfig.MOST_WATCHERS, ControlConfig.ANSWER_GAP_MS, null, LogSettings.USUAL), sink);
+        ControlNode node = ControlNode.create(
+                new ControlConfig(
+                        name,
+                        "west",
+                        any,
+                        any,
+                        List.of(),
+                        ControlConfig.MOST_WATCHERS,
+                        ControlConfig.ANSWER_GAP_MS,
+                        null,
+                        LogSettings.USUAL),
+                sink);
         node.open();
         return node;
     }
@@ -81,8 +91,13 @@
             effect = "repeatable"
             aim = "4s"
             deadline = "4s"
-            """.formatted(name, folder, nodes.stream().map(node -> "\"127.0.0.1:" + node.address().getPort()
-            + "\"").collect(Collectors.joining(", ")), kind));
+            """.formatted(
+                        name,
+                        folder,
+                        nodes.stream()
+                                .map(node -> "\"127.0.0.1:" + node.address().getPort() + "\"")
+                                .collect(Collectors.joining(", ")),
+                        kind));
         TomlFile source = new TomlFile(file, Map.of());
         Sidecar edge = Sidecar.create(new Http1(), source, source.load(), sink);
         edges.add(edge);
@@ -94,7 +109,8 @@
     private Wire.Message operate(int node, String method, String path, String body) throws IOException {
         try (Wire wire = Wire.to(nodes.get(node).adminAddress())) {
             return wire.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
-                + "\r\n\r\n" + body).read();
+                            + "\r\n\r\n" + body)
+                    .read();
         }
     }
 
@@ -105,8 +121,9 @@
 
     private Wire.Message ask(Sidecar edge, String kind) throws IOException {
         try (Wire wire = Wire.to(edge.address())) {
-            return wire.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" + requests++ + "\r\nX-Class: "
-                + kind + "\r\nX-Deadline-Ms: 4000\r\n\r\n").read();
+            return wire.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" + requests++ + "\r\nX-Class: " + kind
+                            + "\r\nX-Deadline-Ms: 4000\r\n\r\n")
+                    .read();
         }
     }
 
@@ -122,12 +139,16 @@
 
     @Test
     void operatorsMoveAnEdgeFromOneEndpointToAnother() throws Exception {
-        operated("accepted", 200, operate(0, "PUT", "/v1/services/quote/endpoints/s1",
-            "{\"addr\":\"" + first.address() + "\"}"));
+        operated(
+                "accepted",
+                200,
+                operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"" + first.address() + "\"}"));
         Sidecar edge = edge("one", "read");
         awaitAnswer(edge, "first");
-        operated("accepted", 200, operate(1, "PUT", "/v1/services/quote/endpoints/s2",
-            "{\"addr\":\"" + second.address() + "\"}"));
+        operated(
+                "accepted",
+                200,
+                operate(1, "PUT", "/v1/services/quote/endpoints/s2", "{\"addr\":\"" + second.address() + "\"}"));
         // Of words at two nodes either may be at an edge first: the drain must not come before this.
         Rig.await("the other node knows of it", () -> {
             try {
@@ -158,21 +179,24 @@
     void badCallsOfOperatorsSayWhy() throws Exception {
         operated("field addr is missing", 400, operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{}"));
         operated("it is no JSON", 400, operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{"));
-        operated("unknown field adr", 400, operate(0, "PUT", "/v1/services/quote/endpoints/s1",
-            "{\"adr\":\"x\"}"));
-        operated("field state is not usable", 400, operate(0, "PUT", "/v1/services/quote/endpoints/s1",
-            "{\"addr\":\"10.0.0.1:1\",\"state\":\"gone\"}"));
-        operated("field service is not usable", 400, operate(0, "PUT", "/v1/services/a%20b/endpoints/s1",
-            "{\"addr\":\"10.0.0.1:1\"}"));
-        operated("there is no such thing", 404,
-            operate(0, "PUT", "/v1/services/quote/endpoints/s1/drain", ""));
+        operated("unknown field adr", 400, operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"adr\":\"x\"}"));
+        operated(
+                "field state is not usable",
+                400,
+                operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"10.0.0.1:1\",\"state\":\"gone\"}"));
+        operated(
+                "field service is not usable",
+                400,
+                operate(0, "PUT", "/v1/services/a%20b/endpoints/s1", "{\"addr\":\"10.0.0.1:1\"}"));
+        operated("there is no such thing", 404, operate(0, "PUT", "/v1/services/quote/endpoints/s1/drain", ""));
         operated("this path takes PUT only", 405, operate(0, "POST", "/v1/control/begin", ""));
         operated("unknown path", 404, operate(0, "GET", "/v1/other", ""));
         operated("settings:1: ", 400, operate(0, "PUT", "/v1/settings/base", "[listeners]"));
-        operated("accepted", 200, operate(0, "PUT", "/v1/services/quote/endpoints/s1",
-            "{\"addr\":\"10.0.0.1:1\"}"));
-        operated("a newer word is known", 409, operate(0, "PUT",
-            "/v1/services/quote/endpoints/s1?as_of_ms=1000", "{\"addr\":\"10.0.0.2:1\"}"));
+        operated("accepted", 200, operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"10.0.0.1:1\"}"));
+        operated(
+                "a newer word is known",
+                409,
+                operate(0, "PUT", "/v1/services/quote/endpoints/s1?as_of_ms=1000", "{\"addr\":\"10.0.0.2:1\"}"));
     }
 
     /** The document names a class that only one of the two has: the other refuses it and says so. */
@@ -182,8 +206,9 @@
             Thread.sleep(600);
             Fake.answer(wire, 200, "", "first");
         };
-        nodes.get(0).put(Change.endpoint("quote", "s1", ("{\"addr\":\"" + first.address() + "\"}")
-            .getBytes(StandardCharsets.UTF_8)));
+        nodes.get(0)
+                .put(Change.endpoint(
+                        "quote", "s1", ("{\"addr\":\"" + first.address() + "\"}").getBytes(StandardCharsets.UTF_8)));
         Sidecar taker = edge("taker", "read");
         edge("refuser", "write");
         awaitAnswer(taker, "first");
@@ -205,8 +230,9 @@
         });
         Rig.await("the operators see who has refused it and why", () -> {
             String status = Json.text(nodes.get(0).status());
-            return status.contains("\"name\":\"refuser\"") && status.contains("is unknown to this edge")
-                && !status.contains("\"name\":\"taker\"");
+            return status.contains("\"name\":\"refuser\"")
+                    && status.contains("is unknown to this edge")
+                    && !status.contains("\"name\":\"taker\"");
         });
         operated("accepted", 200, operate(0, "DELETE", "/v1/settings/base", ""));
         awaitAnswer(taker, "first");
--- a/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
@@ -75,7 +75,8 @@
         rig.sockets = 1;
         rig.start();
         for (int i = 0; i < ROOM; i++) {
-            assertEquals(200, client().send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, client().send(rig.request("read", DEADLINE_MS)).read().status());
         }
         return hold();
     }
@@ -106,7 +107,8 @@
         clients.get(0).awaitEnd();
         client();
         clients.get(1).awaitEnd();
-        assertEquals(200, newcomer.send(rig.request("order", DEADLINE_MS)).read().status());
+        assertEquals(
+                200, newcomer.send(rig.request("order", DEADLINE_MS)).read().status());
     }
 
     /** Guards against a refusal that its client never gets: where nobody can make room, it is whole. */
@@ -136,13 +138,16 @@
         int sent = 0;
         Wire client = client();
         if (state.equals("idle")) {
-            assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
         } else if (state.equals("half")) {
             sent = request.length() / 2;
             client.send(request.substring(0, sent));
         }
         // All that has come so far is dealt with once another connection has its answer.
-        assertEquals(404, client().send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").read().status());
+        assertEquals(
+                404,
+                client().send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").read().status());
         // What is due before the time limit runs in the same turn, if the loop comes to both too late.
         CountDownLatch due = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
@@ -168,21 +173,29 @@
     @ValueSource(strings = {"terminating", "terminated", "moved", "suspended"})
     void whatComesUpTooLateIsSentElsewhere(String how) throws Exception {
         CountDownLatch told = new CountDownLatch(1);
-        try (LateFake late = new LateFake(); Fake other = Fake.answering(200, "", "other")) {
+        try (LateFake late = new LateFake();
+                Fake other = Fake.answering(200, "", "other")) {
             rig = new Rig();
             rig.graceMs = 0;
-            rig.change = config -> config.replace("\"servers\":[]",
-                "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+            rig.change = config -> config.replace(
+                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
             String state = how.startsWith("terminat") ? how : "in_service";
             rig.discovery.script = (wire, request) -> {
                 if (rig.discovery.requests.size() > 1) {
                     wire.awaitEnd();
                 }
                 told.await();
-                Fake.answer(wire, 200, "", how.equals("moved")
-                    ? Rig.list(2, false, Rig.line(0, other.address(), "in_service", 0))
-                    : Rig.list(2, false, Rig.line(0, late.address(), state, 0),
-                        Rig.line(1, other.address(), "in_service", 0)));
+                Fake.answer(
+                        wire,
+                        200,
+                        "",
+                        how.equals("moved")
+                                ? Rig.list(2, false, Rig.line(0, other.address(), "in_service", 0))
+                                : Rig.list(
+                                        2,
+                                        false,
+                                        Rig.line(0, late.address(), state, 0),
+                                        Rig.line(1, other.address(), "in_service", 0)));
             };
             rig.start();
             Wire client = client().send(rig.request("order", DEADLINE_MS));
@@ -209,8 +222,8 @@
                 wire.reset();
             });
             rig = new Rig(first);
-            rig.change = config -> config.replace("\"effect\":\"once\"",
-                "\"effect\":\"by_key\",\"memory-span-ms\":" + WINDOW_MS);
+            rig.change = config ->
+                    config.replace("\"effect\":\"once\"", "\"effect\":\"by_key\",\"memory-span-ms\":" + WINDOW_MS);
             rig.discovery.script = (wire, request) -> {
                 if (rig.discovery.requests.size() > 1) {
                     wire.awaitEnd();
--- a/edge/src/test/java/lemonrail/assembly/DescriptorsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/DescriptorsTest.java
@@ -78,14 +78,23 @@
             "settings":{"azs":["a"],"models":["m"],"membership-mode":"on_request",
             "classes":[{"name":"read","effect":"repeatable","slo-ms":9000,"hard-limit-ms":9000}],
             "limits":{"dial-timeout-ms":2000,"idle-close-ms":15000,"try-limit":3},
-            "rules":{"drain-grace-ms":1000}}}""".formatted(discoveryPort, SOCKETS,
-                Rig.list(1, true, Rig.line(0, endpoint.address(), "in_service", 0)));
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + SOCKETS + "; exec \"$@\"",
-            "sh", Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-            "lemonrail.cli.Main", "serve");
-        builder.environment().put("GW_CONFIG",
-            Files.writeString(folder.resolve("config.json"), config).toString());
+            "rules":{"drain-grace-ms":1000}}}""".formatted(
+                        discoveryPort, SOCKETS, Rig.list(1, true, Rig.line(0, endpoint.address(), "in_service", 0)));
+        ProcessBuilder builder = new ProcessBuilder(
+                "sh",
+                "-c",
+                "ulimit -n " + SOCKETS + "; exec \"$@\"",
+                "sh",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "lemonrail.cli.Main",
+                "serve");
+        builder.environment()
+                .put(
+                        "GW_CONFIG",
+                        Files.writeString(folder.resolve("config.json"), config).toString());
         builder.environment().put("GW_MGMT", "127.0.0.1:" + adminPort);
         builder.environment().put("TMPDIR", folder.toString());
         process = builder.redirectErrorStream(true).start();
@@ -114,7 +123,7 @@
 
     private String request() {
         return "GET /api HTTP/1.1\r\nX-Request-Id: r" + asked.getAndIncrement() + "\r\nX-Class: read\r\n"
-            + "X-Deadline-Ms: " + DEADLINE_MS + "\r\nHost: x\r\n\r\n";
+                + "X-Deadline-Ms: " + DEADLINE_MS + "\r\nHost: x\r\n\r\n";
     }
 
     /** Clients that say nothing, have half a request, or their answer; more than there is room for. */
@@ -144,7 +153,9 @@
 
     private int adminStatus() throws IOException {
         try (Wire operator = Wire.to(adminApi)) {
-            return operator.send("GET /v1/metrics HTTP/1.1\r\nHost: n0\r\n\r\n").read().status();
+            return operator.send("GET /v1/metrics HTTP/1.1\r\nHost: n0\r\n\r\n")
+                    .read()
+                    .status();
         }
     }
 
@@ -165,8 +176,9 @@
         for (String body : bodies) {
             assertEquals(served, body, this::logged);
         }
-        assertFalse(log.stream().anyMatch(line -> line.contains("Too many open files")
-            || line.contains("fault")), this::logged);
+        assertFalse(
+                log.stream().anyMatch(line -> line.contains("Too many open files") || line.contains("fault")),
+                this::logged);
     }
 
     /** Guards against a discovery that comes back and finds that idle clients have taken its descriptor. */
@@ -205,8 +217,9 @@
     void theSystemHoldsTheProcessToItsDescriptors() throws Exception {
         serve(keep(Fake.answering(200, "", "served")), freePort());
         Path limits = Path.of("/proc", String.valueOf(process.pid()), "limits");
-        assertTrue(Files.readString(limits).lines().anyMatch(line ->
-            line.startsWith("Max open files") && line.matches(".*\\s" + SOCKETS + "\\s.*")));
+        assertTrue(Files.readString(limits)
+                .lines()
+                .anyMatch(line -> line.startsWith("Max open files") && line.matches(".*\\s" + SOCKETS + "\\s.*")));
         fill();
         try (var descriptors = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
             long held = descriptors.count();
--- a/edge/src/test/java/lemonrail/assembly/DrainTest.java
+++ b/edge/src/test/java/lemonrail/assembly/DrainTest.java
@@ -38,13 +38,16 @@
     void openConnectionsAreEmptied() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         rig = new Rig(new Fake((wire, request) -> {
-            if (request.line().startsWith("POST")) {
-                release.await();
-            }
-            Fake.answer(wire, 200, "", "served");
-        })).start();
+                    if (request.line().startsWith("POST")) {
+                        release.await();
+                    }
+                    Fake.answer(wire, 200, "", "served");
+                }))
+                .start();
         assertReady(200);
-        try (Wire idle = rig.client(); Wire used = rig.client(); Wire busy = rig.client();
+        try (Wire idle = rig.client();
+                Wire used = rig.client();
+                Wire busy = rig.client();
                 Wire silent = rig.client()) {
             idle.send(rig.request("read", DEADLINE_MS)).read();
             used.send(rig.request("read", DEADLINE_MS)).read();
@@ -80,7 +83,8 @@
         assertReady(200);
         try (Wire client = rig.client()) {
             for (int i = 0; i < 3; i++) {
-                Wire.Message answer = client.send(rig.request("read", DEADLINE_MS)).read();
+                Wire.Message answer =
+                        client.send(rig.request("read", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
                 assertNull(answer.headers().get("connection"), "it may stay");
                 rig.settle();
--- a/edge/src/test/java/lemonrail/assembly/Fake.java
+++ b/edge/src/test/java/lemonrail/assembly/Fake.java
@@ -56,8 +56,7 @@
     }
 
     static void answer(Wire wire, int status, String headers, String body) throws IOException {
-        wire.send("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n"
-            + body);
+        wire.send("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     String address() {
--- a/edge/src/test/java/lemonrail/assembly/FleetSizeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/FleetSizeTest.java
@@ -24,13 +24,16 @@
 
     /** Where nothing listens, but for the last one. */
     private String address(int number) {
-        return number == SIZE - 1 ? last.address()
-            : "127.1." + number / 256 + "." + number % 256 + ":9";
+        return number == SIZE - 1 ? last.address() : "127.1." + number / 256 + "." + number % 256 + ":9";
     }
 
     private String list() {
-        return Rig.list(VERSION, true, IntStream.range(0, SIZE)
-            .mapToObj(number -> Rig.line(number, address(number), "in_service", 0)).toArray(String[]::new));
+        return Rig.list(
+                VERSION,
+                true,
+                IntStream.range(0, SIZE)
+                        .mapToObj(number -> Rig.line(number, address(number), "in_service", 0))
+                        .toArray(String[]::new));
     }
 
     /** Guards against entries that are lost at the end of a list, and a bound on those out by hand. */
@@ -38,18 +41,21 @@
     void theLastOfAllServesWhileTheOthersAreOutByHand() throws Exception {
         last = Fake.answering(200, "", "the last");
         rig = new Rig();
-        rig.change = config -> config.replace("\"replicas-of-me\":1,\"slot-no\":0",
-            "\"replicas-of-me\":" + SIZE + ",\"slot-no\":" + (SIZE - 1));
+        rig.change = config -> config.replace(
+                "\"replicas-of-me\":1,\"slot-no\":0", "\"replicas-of-me\":" + SIZE + ",\"slot-no\":" + (SIZE - 1));
         rig.discovery.script = (wire, request) -> {
             rig.discovery.script = (next, later) -> next.awaitEnd();
             Fake.answer(wire, 200, "", list());
         };
         rig.start();
-        Rig.await("the list is there", () -> rig.discovery.requests.stream()
-            .anyMatch(request -> request.line().contains("index=" + VERSION)));
+        Rig.await(
+                "the list is there",
+                () -> rig.discovery.requests.stream()
+                        .anyMatch(request -> request.line().contains("index=" + VERSION)));
         for (int number = 0; number < SIZE - 1; number++) {
             String id = "s" + number;
-            assertEquals(200, rig.operate("PUT", "/v1/endpoints/" + id + "/suspend").status(), id);
+            assertEquals(
+                    200, rig.operate("PUT", "/v1/endpoints/" + id + "/suspend").status(), id);
         }
         assertEquals("the last", rig.ask("read", DEADLINE_MS).body());
         assertEquals(1, last.requests.size(), "calls that it got");
--- a/edge/src/test/java/lemonrail/assembly/LateFake.java
+++ b/edge/src/test/java/lemonrail/assembly/LateFake.java
@@ -24,6 +24,7 @@
     final AtomicInteger asked = new AtomicInteger();
     /** The headers of the request that came last. */
     volatile Map<String, String> headers = Map.of();
+
     private final ServerSocket listener;
     private final List<Socket> fillers = new ArrayList<>();
 
--- a/edge/src/test/java/lemonrail/assembly/LateLoopTest.java
+++ b/edge/src/test/java/lemonrail/assembly/LateLoopTest.java
@@ -28,6 +28,7 @@
     private static final int REQUESTS = 20;
     /** On a machine that tests share, the client itself is held up now and then. */
     private static final int HELD_UP_SHARE = 10;
+
     private static final int STALL_MS = 200;
     private static final int SHORTEST_STALL_MS = 50;
     private static final int LONGEST_STALL_MS = 300;
@@ -108,7 +109,8 @@
     @Test
     void anAttemptIsToldWhatIsLeftAfterTheWaitForTheLoop() throws Exception {
         Fake endpoint = Fake.answering(200, "", "ok");
-        try (Rig rig = new Rig(endpoint).start(); Wire wire = rig.client()) {
+        try (Rig rig = new Rig(endpoint).start();
+                Wire wire = rig.client()) {
             wire.send(rig.request("read", WAIT_MS)).read();
             CountDownLatch stalled = new CountDownLatch(1);
             rig.sidecar.loop().execute(stalled::countDown);
@@ -124,7 +126,8 @@
     @Test
     void whatIsReadAfterItsTimeIsRefusedAtOnce() throws Exception {
         Fake endpoint = Fake.answering(200, "", "ok");
-        try (Rig rig = new Rig(endpoint).start(); Wire wire = rig.client()) {
+        try (Rig rig = new Rig(endpoint).start();
+                Wire wire = rig.client()) {
             wire.send(rig.request("read", WAIT_MS)).read();
             CountDownLatch stalled = new CountDownLatch(1);
             rig.sidecar.loop().execute(stalled::countDown);
@@ -143,7 +146,8 @@
             release.await();
             Fake.answer(wire, 200, "", "late");
         });
-        try (Rig rig = new Rig(endpoint).start(); Wire wire = rig.client()) {
+        try (Rig rig = new Rig(endpoint).start();
+                Wire wire = rig.client()) {
             wire.send(rig.request("read", WAIT_MS));
             Rig.await("the endpoint has it", () -> endpoint.requests.size() == 1);
             // The answer and the end of its time both wait for the loop, which is busy until that is past.
@@ -181,9 +185,10 @@
     /** Guards against a time told as if the connection had come up at once. */
     @Test
     void anAttemptOnALateConnectionTellsWhatIsLeftThen() throws Exception {
-        try (LateFake late = new LateFake(); Rig rig = new Rig()) {
-            rig.change = config -> config.replace("\"servers\":[]", "\"servers\":["
-                + Rig.line(0, late.address(), "in_service", 0) + "]");
+        try (LateFake late = new LateFake();
+                Rig rig = new Rig()) {
+            rig.change = config -> config.replace(
+                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
             rig.start();
             try (Wire wire = rig.client()) {
                 wire.send(rig.request("read", STALLED_WAIT_MS));
--- a/edge/src/test/java/lemonrail/assembly/ListPathCost.java
+++ b/edge/src/test/java/lemonrail/assembly/ListPathCost.java
@@ -49,8 +49,8 @@
     private static final int[] LISTED = {10, 100, 1000, 5000};
     private static final int STEADY = 100;
     private static final int STORM = 1000;
-    private static final ServerList.Names NAMES = new ServerList.Names(
-        List.of("a", "b", "c", "d", "e", "f", "g"), List.of("m"));
+    private static final ServerList.Names NAMES =
+            new ServerList.Names(List.of("a", "b", "c", "d", "e", "f", "g"), List.of("m"));
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final int listed;
@@ -70,26 +70,40 @@
         Arrays.fill(states, "in_service");
         Clock clock = new Clock();
         EventLog silent = new EventLog(clock, new TextSink(new PrintStream(OutputStream.nullOutputStream())));
-        Shard shard = new Shard(group.next(), clock, silent, new Metrics(List.of("read")),
-            new Budget(Long.MAX_VALUE), new Lifecycle(() -> true), settings(listed), 15_000);
+        Shard shard = new Shard(
+                group.next(),
+                clock,
+                silent,
+                new Metrics(List.of("read")),
+                new Budget(Long.MAX_VALUE),
+                new Lifecycle(() -> true),
+                settings(listed),
+                15_000);
         upstream = new Http1().upstream(shard, 64);
         suspensions = new Suspensions(kept, silent);
-        exchange = new Exchange<>(shard, upstream, suspensions, Decide::new, 1, parse(all()), () -> { });
+        exchange = new Exchange<>(shard, upstream, suspensions, Decide::new, 1, parse(all()), () -> {});
     }
 
     /** Prints the table of one run. */
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory("list-path");
         System.out.println("listed  us/change at 20/s: all  (read, endpoints' pool, suspensions)"
-            + "  all at 500/s  us of a list of all");
+                + "  all at 500/s  us of a list of all");
         for (int listed : LISTED) {
             try (ListPathCost path = new ListPathCost(listed, folder.resolve("suspended-" + listed))) {
                 path.changes(STORM, 0);
                 double storm = path.changes(STORM, 2);
                 double steady = path.changes(STEADY, 50);
-                System.out.printf(Locale.ROOT, "%6d %22.1f  (%.1f, %.1f, %.1f) %25.1f %20.0f%n", listed,
-                    steady, path.readNs / 1000, path.upstreamNs / 1000, path.shownNs / 1000, storm,
-                    path.whole(20));
+                System.out.printf(
+                        Locale.ROOT,
+                        "%6d %22.1f  (%.1f, %.1f, %.1f) %25.1f %20.0f%n",
+                        listed,
+                        steady,
+                        path.readNs / 1000,
+                        path.upstreamNs / 1000,
+                        path.shownNs / 1000,
+                        storm,
+                        path.whole(20));
             }
         }
     }
@@ -105,21 +119,32 @@
     }
 
     private static Settings settings(int balancers) {
-        return new Settings(balancers, 3, 0, 0, false, true, 0.1, 0,
-            List.of(new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false)),
-            List.of(), new Limits(3, true, true, 2000, 200), new Rules(0.3, 8000, 3, 1000, 1000, 10_000));
+        return new Settings(
+                balancers,
+                3,
+                0,
+                0,
+                false,
+                true,
+                0.1,
+                0,
+                List.of(new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false)),
+                List.of(),
+                new Limits(3, true, true, 2000, 200),
+                new Rules(0.3, 8000, 3, 1000, 1000, 10_000));
     }
 
     private String line(int which) {
         return "{\"id\":\"s-" + Integer.toHexString(which * 7919 + 1) + "\",\"addr\":\"127.0." + which / 250
-            + "." + (1 + which % 250) + ":9000\",\"zone\":\"" + NAMES.zones().get(which % 7)
-            + "\",\"kind\":\"m\",\"cell\":0,\"state\":\"" + states[which]
-            + "\",\"weight\":1.0,\"started_ms\":0}";
+                + "." + (1 + which % 250) + ":9000\",\"zone\":\""
+                + NAMES.zones().get(which % 7)
+                + "\",\"kind\":\"m\",\"cell\":0,\"state\":\"" + states[which]
+                + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
     private byte[] list(boolean full, List<String> lines) {
-        return ("{\"version\":" + version++ + ",\"full\":" + full + ",\"servers\":[" + String.join(",", lines)
-            + "]}").getBytes(StandardCharsets.UTF_8);
+        return ("{\"version\":" + version++ + ",\"full\":" + full + ",\"servers\":[" + String.join(",", lines) + "]}")
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     private byte[] all() {
--- a/edge/src/test/java/lemonrail/assembly/LostCallsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/LostCallsTest.java
@@ -22,6 +22,7 @@
     private static final int LOST_AT_ONCE = 3;
     /** What an answer takes: short against the aim, long enough that not too many of them hide the lost. */
     private static final int WORK_MS = 150;
+
     private static final int HELD = 6;
 
     private final AtomicInteger givenUp = new AtomicInteger();
--- a/edge/src/test/java/lemonrail/assembly/OtherSettingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/OtherSettingsTest.java
@@ -26,7 +26,7 @@
     private record Site(String name, String safe, String unsafe, List<String> changes) {
         String of(String config) {
             String changed = config.replace("\"name\":\"read\"", "\"name\":\"" + safe + "\"")
-                .replace("\"name\":\"order\"", "\"name\":\"" + unsafe + "\"");
+                    .replace("\"name\":\"order\"", "\"name\":\"" + unsafe + "\"");
             for (int i = 0; i + 1 < changes.size(); i += 2) {
                 assertTrue(changed.contains(changes.get(i)), changes.get(i));
                 changed = changed.replace(changes.get(i), changes.get(i + 1));
@@ -42,22 +42,63 @@
 
     static Stream<Site> sites() {
         return Stream.of(
-            new Site("long names", "view-" + "x".repeat(200) + "-2", "post-1-" + "y".repeat(200), List.of(
-                "\"cancel\":true", "\"cancel\":false", "\"parallel-tries\":true", "\"parallel-tries\":false",
-                "on_request", "pushed")),
-            new Site("names outside ASCII", "r\u00e9serv\u00e9", "\u0437\u0430\u043f\u0438\u0441\u044c",
-                List.of("\"max-retry-after-ms\":2000,", "", "\"slo-ms\":9000", "\"slo-ms\":700")),
-            new Site("one attempt, one class's worth nothing", "a", "b", List.of("\"try-limit\":3",
-                "\"try-limit\":1", "\"worth\":1}]", "\"worth\":0}]")),
-            new Site("the largest", "read", "order", List.of(
-                "\"hard-limit-ms\":9000", "\"hard-limit-ms\":1e12",
-                "\"slo-ms\":9000", "\"slo-ms\":1e12", "\"dial-timeout-ms\":2000", "\"dial-timeout-ms\":1e12",
-                "\"idle-close-ms\":15000", "\"idle-close-ms\":1e12", "\"try-limit\":3", "\"try-limit\":1e9",
-                "\"max-retry-after-ms\":2000", "\"max-retry-after-ms\":1e12", "\"sockets\":1024",
-                "\"sockets\":1e9", "\"drain-grace-ms\":500", "\"drain-grace-ms\":1e12", "\"cold-ms\":1000",
-                "\"cold-ms\":1e12", "\"worth\":1}", "\"worth\":1e12}")),
-            new Site("no zones, unknown keys", "read", "order", List.of("\"azs\":[\"a\"]", "\"azs\":[]",
-                "\"tier\":0", "\"tier\":1,\"no-such-key\":{\"a\":[1]}", "\"weight\":1.0", "\"weight\":0")));
+                new Site(
+                        "long names",
+                        "view-" + "x".repeat(200) + "-2",
+                        "post-1-" + "y".repeat(200),
+                        List.of(
+                                "\"cancel\":true",
+                                "\"cancel\":false",
+                                "\"parallel-tries\":true",
+                                "\"parallel-tries\":false",
+                                "on_request",
+                                "pushed")),
+                new Site(
+                        "names outside ASCII",
+                        "r\u00e9serv\u00e9",
+                        "\u0437\u0430\u043f\u0438\u0441\u044c",
+                        List.of("\"max-retry-after-ms\":2000,", "", "\"slo-ms\":9000", "\"slo-ms\":700")),
+                new Site(
+                        "one attempt, one class's worth nothing",
+                        "a",
+                        "b",
+                        List.of("\"try-limit\":3", "\"try-limit\":1", "\"worth\":1}]", "\"worth\":0}]")),
+                new Site(
+                        "the largest",
+                        "read",
+                        "order",
+                        List.of(
+                                "\"hard-limit-ms\":9000",
+                                "\"hard-limit-ms\":1e12",
+                                "\"slo-ms\":9000",
+                                "\"slo-ms\":1e12",
+                                "\"dial-timeout-ms\":2000",
+                                "\"dial-timeout-ms\":1e12",
+                                "\"idle-close-ms\":15000",
+                                "\"idle-close-ms\":1e12",
+                                "\"try-limit\":3",
+                                "\"try-limit\":1e9",
+                                "\"max-retry-after-ms\":2000",
+                                "\"max-retry-after-ms\":1e12",
+                                "\"sockets\":1024",
+                                "\"sockets\":1e9",
+                                "\"drain-grace-ms\":500",
+                                "\"drain-grace-ms\":1e12",
+                                "\"cold-ms\":1000",
+                                "\"cold-ms\":1e12",
+                                "\"worth\":1}",
+                                "\"worth\":1e12}")),
+                new Site(
+                        "no zones, unknown keys",
+                        "read",
+                        "order",
+                        List.of(
+                                "\"azs\":[\"a\"]",
+                                "\"azs\":[]",
+                                "\"tier\":0",
+                                "\"tier\":1,\"no-such-key\":{\"a\":[1]}",
+                                "\"weight\":1.0",
+                                "\"weight\":0")));
     }
 
     private final CountDownLatch release = new CountDownLatch(1);
@@ -74,8 +115,8 @@
     }
 
     private String request(Site site, String kind) {
-        return rig.request(kind, DEADLINE_MS).replace("X-Class: " + kind,
-            "X-Class: " + header(kind.equals("read") ? site.safe() : site.unsafe()));
+        return rig.request(kind, DEADLINE_MS)
+                .replace("X-Class: " + kind, "X-Class: " + header(kind.equals("read") ? site.safe() : site.unsafe()));
     }
 
     private int ask(Site site, String kind) throws IOException {
@@ -93,8 +134,13 @@
         assertEquals(200, ask(site, "read"));
         rig.settle();
         assertEquals(200, ask(site, "order"));
-        assertEquals(400, rig.ask("read".equals(site.safe()) ? "tractor" : "read", DEADLINE_MS).status());
-        assertEquals(header(site.unsafe()), rig.endpoints.get(0).requests.get(1).headers().get("x-class"));
+        assertEquals(
+                400,
+                rig.ask("read".equals(site.safe()) ? "tractor" : "read", DEADLINE_MS)
+                        .status());
+        assertEquals(
+                header(site.unsafe()),
+                rig.endpoints.get(0).requests.get(1).headers().get("x-class"));
     }
 
     /** Guards against effects that happen twice, whatever else the settings say. */
@@ -146,7 +192,8 @@
         rig = new Rig(new Fake((wire, request) -> wire.awaitEnd()));
         rig.change = config -> config.replace("\"hard-limit-ms\":9000", "\"hard-limit-ms\":" + deadlineMs);
         rig.start();
-        try (Wire client = rig.client(); Wire kept = rig.client()) {
+        try (Wire client = rig.client();
+                Wire kept = rig.client()) {
             client.send(rig.request("order", deadlineMs));
             Rig.await("it is out", () -> rig.attempts() == 1);
             Thread drain = new Thread(rig.sidecar::terminate);
@@ -161,19 +208,21 @@
 
     /** What cannot be a deployment is one line at the start: file, key, value and what is wrong. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"dial-timeout-ms\":2000|\"dial-timeout-ms\":0|dial-timeout-ms|0",
-        "\"dial-timeout-ms\":2000,||dial-timeout-ms|",
-        "\"try-limit\":3|\"try-limit\":0|try-limit|0",
-        "\"idle-close-ms\":15000|\"idle-close-ms\":-1|idle-close-ms|-1",
-        "\"hard-limit-ms\":9000|\"hard-limit-ms\":0|deadline|0",
-        "\"slo-ms\":9000|\"slo-ms\":\"soon\"|slo-ms|soon",
-        "\"effect\":\"once\"|\"effect\":\"twice\"|effect|twice",
-        "\"fall-ms\":1000|\"fall-ms\":0|fallMs|0",
-        "\"drain-grace-ms\":500|\"drain-grace-ms\":-5|drainGrace|-5",
-        "\"replicas-of-me\":1|\"replicas-of-me\":0|balancers|0"})
-    void whatIsNoDeploymentDoesNotStart(String part, String instead, String key, String value)
-            throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"dial-timeout-ms\":2000|\"dial-timeout-ms\":0|dial-timeout-ms|0",
+                "\"dial-timeout-ms\":2000,||dial-timeout-ms|",
+                "\"try-limit\":3|\"try-limit\":0|try-limit|0",
+                "\"idle-close-ms\":15000|\"idle-close-ms\":-1|idle-close-ms|-1",
+                "\"hard-limit-ms\":9000|\"hard-limit-ms\":0|deadline|0",
+                "\"slo-ms\":9000|\"slo-ms\":\"soon\"|slo-ms|soon",
+                "\"effect\":\"once\"|\"effect\":\"twice\"|effect|twice",
+                "\"fall-ms\":1000|\"fall-ms\":0|fallMs|0",
+                "\"drain-grace-ms\":500|\"drain-grace-ms\":-5|drainGrace|-5",
+                "\"replicas-of-me\":1|\"replicas-of-me\":0|balancers|0"
+            })
+    void whatIsNoDeploymentDoesNotStart(String part, String instead, String key, String value) throws IOException {
         rig = new Rig();
         rig.change = config -> {
             assertTrue(config.contains(part), part);
--- a/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
@@ -32,8 +32,8 @@
 @Timeout(60)
 class OwnFileTest {
 
-    private static final String REQUEST = "GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\n"
-        + "X-Class: read\r\nX-Deadline-Ms: 4000\r\n\r\n";
+    private static final String REQUEST =
+            "GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\n" + "X-Class: read\r\nX-Deadline-Ms: 4000\r\n\r\n";
 
     @TempDir
     Path folder;
@@ -123,12 +123,14 @@
         InetSocketAddress now = free();
         Wire kept = Wire.to(before);
         assertEquals("first", kept.send(REQUEST.formatted("kept")).read().body());
-        reload(text(plain(now), second, "[limits]\nattempts = 5"),
-            "these hold from the next start on: [limits.attempts]");
+        reload(
+                text(plain(now), second, "[limits]\nattempts = 5"),
+                "these hold from the next start on: [limits.attempts]");
         assertEquals("second", ask(now).body());
         kept.awaitEnd();
         assertThrows(IOException.class, () -> ask(before));
-        assertEquals(1, first.requests.stream().map(Wire.Message::line).distinct().count());
+        assertEquals(
+                1, first.requests.stream().map(Wire.Message::line).distinct().count());
     }
 
     @Test
@@ -161,8 +163,9 @@
             assertEquals("first", ask(edge.address()).body());
             // Half of what is new would do: it is not taken up either.
             InetSocketAddress free = free();
-            reload(text(plain(free), second, "[[listeners]]\naddress = \"127.0.0.1:" + other.getLocalPort()
-                + "\""), "cannot listen on /127.0.0.1:" + other.getLocalPort());
+            reload(
+                    text(plain(free), second, "[[listeners]]\naddress = \"127.0.0.1:" + other.getLocalPort() + "\""),
+                    "cannot listen on /127.0.0.1:" + other.getLocalPort());
             assertEquals("first", ask(edge.address()).body());
             Rig.await("the other listener is closed again", () -> {
                 try {
@@ -200,8 +203,8 @@
         for (int i = 0; i < 5; i++) {
             assertEquals("first", ask(edge.address()).body());
         }
-        String drained = text("127.0.0.1:0", first, both).replace(first.address() + "\"",
-            first.address() + "\"\nstate = \"draining\"");
+        String drained = text("127.0.0.1:0", first, both)
+                .replace(first.address() + "\"", first.address() + "\"\nstate = \"draining\"");
         reload(drained, "configuration read again");
         for (int i = 0; i < 5; i++) {
             assertEquals("second", ask(edge.address()).body());
@@ -215,10 +218,8 @@
         start(text("127.0.0.1:0", first, both));
         Sidecar old = edge;
         try {
-            start(text("127.0.0.1:0", first, both
-                + "\n[limits]\nattempts = 5\n[admin]\naddress = \"127.0.0.1:0\""));
-            Rig.await("the old one has noticed",
-                () -> logged().contains("another process of this sidecar runs"));
+            start(text("127.0.0.1:0", first, both + "\n[limits]\nattempts = 5\n[admin]\naddress = \"127.0.0.1:0\""));
+            Rig.await("the old one has noticed", () -> logged().contains("another process of this sidecar runs"));
             try (Wire wire = Wire.to(edge.adminAddress())) {
                 wire.send("PUT /v1/endpoints/other/suspend HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertEquals(200, wire.read().status());
@@ -264,16 +265,21 @@
         start(text("127.0.0.1:0", first, "[admin]\naddress = \"127.0.0.1:0\""));
         ask(edge.address());
         assertFalse(logged().contains("attempt_ended"), logged());
-        for (String call : new String[] {"PUT /v1/loggers/lemonrail.exchange/debug=200",
-            "PUT /v1/loggers/lemonrail.exchange/loud=404", "PUT /v1/loggers/io.netty/debug=404",
-            "POST /v1/loggers/lemonrail/info=405"}) {
+        for (String call : new String[] {
+            "PUT /v1/loggers/lemonrail.exchange/debug=200",
+            "PUT /v1/loggers/lemonrail.exchange/loud=404",
+            "PUT /v1/loggers/io.netty/debug=404",
+            "POST /v1/loggers/lemonrail/info=405"
+        }) {
             try (Wire wire = Wire.to(edge.adminAddress())) {
                 wire.send(call.split("=")[0] + " HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertEquals(Integer.parseInt(call.split("=")[1]), wire.read().status(), call);
             }
         }
         ask(edge.address());
-        Rig.await("it tells all", () -> logged().contains("attempt_ended request_id=r1 class=read endpoint=e-"
-            + first.port() + " attempt=0 outcome=ok took_ms="));
+        Rig.await(
+                "it tells all",
+                () -> logged().contains("attempt_ended request_id=r1 class=read endpoint=e-" + first.port()
+                        + " attempt=0 outcome=ok took_ms="));
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
@@ -22,10 +22,15 @@
     Path folder;
 
     private EdgeConfig read(String part, String instead) throws IOException {
-        try (Fake endpoint = Fake.answering(200, "", ""); Rig rig = new Rig(endpoint)) {
+        try (Fake endpoint = Fake.answering(200, "", "");
+                Rig rig = new Rig(endpoint)) {
             assertTrue(rig.config().contains(part), part);
-            return new PlatformFile(Files.writeString(folder.resolve("config.json"),
-                rig.config().replace(part, instead)), Map.of()).load().config();
+            return new PlatformFile(
+                            Files.writeString(
+                                    folder.resolve("config.json"), rig.config().replace(part, instead)),
+                            Map.of())
+                    .load()
+                    .config();
         }
     }
 
@@ -41,28 +46,31 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"listen\":\"127.0.0.1:0\",||listen is missing",
-        "127.0.0.1:0|localhost:0|listen is not usable: localhost:0",
-        "127.0.0.1:0|127.0.0.1:70000|listen is not usable: 127.0.0.1:70000",
-        "8c1f30d27a5be964|zz|seed is not usable: zz",
-        "\"sockets\":1024|\"sockets\":-1|limits.sockets is not usable: -1",
-        "in_service|asleep|servers[].state is not usable: asleep",
-        "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is not usable: 0",
-        "\"dial-timeout-ms\":2000,||settings.limits.dial-timeout-ms is missing",
-        "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
-        "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"listen\":\"127.0.0.1:0\",||listen is missing",
+                "127.0.0.1:0|localhost:0|listen is not usable: localhost:0",
+                "127.0.0.1:0|127.0.0.1:70000|listen is not usable: 127.0.0.1:70000",
+                "8c1f30d27a5be964|zz|seed is not usable: zz",
+                "\"sockets\":1024|\"sockets\":-1|limits.sockets is not usable: -1",
+                "in_service|asleep|servers[].state is not usable: asleep",
+                "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is not usable: 0",
+                "\"dial-timeout-ms\":2000,||settings.limits.dial-timeout-ms is missing",
+                "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
+                "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"
+            })
     void whatIsMissingOrBadIsNamed(String part, String instead, String complaint) {
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-            () -> read(part, instead == null ? "" : instead));
+        IllegalArgumentException e =
+                assertThrows(IllegalArgumentException.class, () -> read(part, instead == null ? "" : instead));
         assertTrue(e.getMessage().contains(complaint), e.getMessage());
     }
 
     @Test
     void aFileThatIsNoJsonIsNamed() throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), "{\"name\":");
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-            () -> new PlatformFile(file, Map.of()).load());
+        IllegalArgumentException e =
+                assertThrows(IllegalArgumentException.class, () -> new PlatformFile(file, Map.of()).load());
         assertTrue(e.getMessage().contains(file + ":1: it is not JSON"), e.getMessage());
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/ReloadTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReloadTest.java
@@ -36,8 +36,7 @@
             if (request.line().contains("index=")) {
                 wire.awaitEnd();
             } else {
-                Fake.answer(wire, 200, "", Rig.list(version, true,
-                    Rig.line(9, endpoint.address(), "in_service", 0)));
+                Fake.answer(wire, 200, "", Rig.list(version, true, Rig.line(9, endpoint.address(), "in_service", 0)));
             }
         });
     }
@@ -53,11 +52,15 @@
         rig.askWithinMs = 20;
         rig.start();
         Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
-        try (Fake next = discoveryWith(1, after); Fake last = discoveryWith(1, before)) {
+        try (Fake next = discoveryWith(1, after);
+                Fake last = discoveryWith(1, before)) {
             reloadFor(next.address());
             Rig.await("the watch goes on there", () -> next.requests.size() == 2);
-            assertEquals("GET /registry/instances HTTP/1.1", next.requests.get(0).line());
-            assertEquals("GET /registry/instances?index=1&wait=3000 HTTP/1.1", next.requests.get(1).line());
+            assertEquals(
+                    "GET /registry/instances HTTP/1.1", next.requests.get(0).line());
+            assertEquals(
+                    "GET /registry/instances?index=1&wait=3000 HTTP/1.1",
+                    next.requests.get(1).line());
             Rig.await("the old watch is dropped", () -> rig.discovery.open.get() == 0);
             assertEquals("after", rig.ask("order", DEADLINE_MS).body());
             reloadFor(last.address());
@@ -75,7 +78,8 @@
             Fake.answer(wire, 200, "", "before");
         };
         rig.start();
-        try (Fake next = discoveryWith(5, after); Wire client = rig.client()) {
+        try (Fake next = discoveryWith(5, after);
+                Wire client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS));
             Rig.await("it is in hand", () -> before.requests.size() == 1);
             reloadFor(next.address());
--- a/edge/src/test/java/lemonrail/assembly/RestartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/RestartTest.java
@@ -41,8 +41,9 @@
     private static String[] flags() throws IOException {
         Matcher run = Pattern.compile("(?m)^run = \"exec java (.*) -jar ").matcher(Files.readString(DEPLOY));
         assertTrue(run.find(), "deploy/balancer.toml names its command");
-        return Stream.of(run.group(1).split(" ")).filter(flag -> !flag.contains("SharedArchiveFile"))
-            .toArray(String[]::new);
+        return Stream.of(run.group(1).split(" "))
+                .filter(flag -> !flag.contains("SharedArchiveFile"))
+                .toArray(String[]::new);
     }
 
     private static boolean isReady(Served served) {
@@ -50,7 +51,10 @@
             return false;
         }
         try (Wire wire = Wire.to(served.address())) {
-            return wire.send("GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n").read().status() == 200;
+            return wire.send("GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
+                            .read()
+                            .status()
+                    == 200;
         } catch (IOException e) {
             return false;
         }
