--- a/edge/src/test/java/lemonrail/assembly/Rig.java
+++ b/edge/src/test/java/lemonrail/assembly/Rig.java
@@ -36,6 +36,7 @@
     Path configFile;
     /** What outlives the process; one of its own if none is given. */
     Path folder;
+
     Sidecar sidecar;
     int idleCloseMs = 15_000;
     int askWithinMs = 600_000;
@@ -43,9 +44,11 @@
     int aimMs = 9000;
     /** How long a call to discovery waits for news; 0 leaves it to the fleet's size. */
     int discoveryWaitMs = WatchPace.LONGEST_WAIT_MS;
+
     boolean cancel = true;
     /** What a test changes of the configuration beyond the fields here. */
     UnaryOperator<String> change = config -> config;
+
     int graceMs = 500;
     Protocol<?, ?> protocol = new Http1();
     private int requests;
@@ -58,13 +61,12 @@
 
     static String line(int number, String address, String state, long startedMs) {
         return "{\"id\":\"s" + number + "\",\"addr\":\"" + address
-            + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,"
-            + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
+                + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,"
+                + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
     }
 
     static String list(int version, boolean full, String... lines) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
-            + String.join(",", lines) + "]}";
+        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", lines) + "]}";
     }
 
     String config() {
@@ -82,8 +84,16 @@
             "limits":{"cancel":%b,"dial-timeout-ms":2000,"idle-close-ms":%d,"max-retry-after-ms":2000,
             "parallel-tries":true,"retry-after":false,"try-limit":3},
             "rules":{"cold-share":0.5,"cold-ms":1000,"tip-multiple":3,"fall-ms":1000,"drain-grace-ms":%d,
-            "ask-within-ms":%d}}}""".formatted(discovery.address(), sockets, list(1, true,
-                lines.toArray(String[]::new)), aimMs, aimMs, cancel, idleCloseMs, graceMs, askWithinMs);
+            "ask-within-ms":%d}}}""".formatted(
+                        discovery.address(),
+                        sockets,
+                        list(1, true, lines.toArray(String[]::new)),
+                        aimMs,
+                        aimMs,
+                        cancel,
+                        idleCloseMs,
+                        graceMs,
+                        askWithinMs);
     }
 
     Rig start() throws IOException {
@@ -94,14 +104,17 @@
     Rig start(Decider decider) throws IOException {
         configFile = Files.writeString(Files.createTempFile("config", ".json"), change.apply(config()));
         folder = folder == null ? Files.createTempDirectory("sidecar") : folder;
-        Map<String, String> environment = new HashMap<>(Map.of("TMPDIR", folder.toString(),
-            "GW_MGMT", "127.0.0.1:0"));
+        Map<String, String> environment = new HashMap<>(Map.of("TMPDIR", folder.toString(), "GW_MGMT", "127.0.0.1:0"));
         if (discoveryWaitMs > 0) {
             environment.put("LEMONRAIL_DISCOVERY_WAIT", discoveryWaitMs + "ms");
         }
         PlatformFile source = new PlatformFile(configFile, environment);
-        sidecar = Sidecar.create(protocol, source, source.load(),
-            new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)), decider);
+        sidecar = Sidecar.create(
+                protocol,
+                source,
+                source.load(),
+                new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)),
+                decider);
         sidecar.open();
         return this;
     }
@@ -112,10 +125,11 @@
 
     /** A request of a class, GET for one that may be repeated and else POST with a body. */
     String request(String kind, int deadlineMs) {
-        String head = "X-Request-Id: r" + requests++ + "\r\nX-Class: " + kind + "\r\nX-Deadline-Ms: "
-            + deadlineMs + "\r\nHost: app.svc\r\n";
-        return kind.equals("read") ? "GET /api?q=1 HTTP/1.1\r\n" + head + "\r\n"
-            : "POST /api?q=1 HTTP/1.1\r\n" + head + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
+        String head = "X-Request-Id: r" + requests++ + "\r\nX-Class: " + kind + "\r\nX-Deadline-Ms: " + deadlineMs
+                + "\r\nHost: app.svc\r\n";
+        return kind.equals("read")
+                ? "GET /api?q=1 HTTP/1.1\r\n" + head + "\r\n"
+                : "POST /api?q=1 HTTP/1.1\r\n" + head + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
     }
 
     Wire operator() throws IOException {
@@ -125,7 +139,8 @@
     /** One call of the admin API. */
     Wire.Message operate(String method, String path) throws IOException {
         try (Wire wire = operator()) {
-            return wire.send(method + " " + path + " HTTP/1.1\r\nHost: n0\r\n\r\n").read();
+            return wire.send(method + " " + path + " HTTP/1.1\r\nHost: n0\r\n\r\n")
+                    .read();
         }
     }
 
@@ -137,13 +152,16 @@
 
     /** Lets the sidecar be done with an answer that has come, and its connection stand as long as it must. */
     void settle() throws InterruptedException {
-        sidecar.loop().submit(() -> { }).sync();
+        sidecar.loop().submit(() -> {}).sync();
         Thread.sleep(SETTLED_MS);
     }
 
     /** How many requests the sidecar has in its table. */
     int inHand() {
-        return sidecar.loop().submit(() -> sidecar.tableSizes().get(0)).syncUninterruptibly().getNow();
+        return sidecar.loop()
+                .submit(() -> sidecar.tableSizes().get(0))
+                .syncUninterruptibly()
+                .getNow();
     }
 
     int attempts() {
--- a/edge/src/test/java/lemonrail/assembly/SeamTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SeamTest.java
@@ -71,9 +71,15 @@
     private void write(Peer... draining) throws IOException {
         StringBuilder endpoints = new StringBuilder();
         for (Peer peer : peers) {
-            endpoints.append("[[endpoints]]\nid = \"p").append(peers.indexOf(peer)).append("\"\naddress = \"")
-                .append(peer.address()).append("\"\nrack = ").append(peers.indexOf(peer)).append('\n')
-                .append(List.of(draining).contains(peer) ? "state = \"draining\"\n" : "");
+            endpoints
+                    .append("[[endpoints]]\nid = \"p")
+                    .append(peers.indexOf(peer))
+                    .append("\"\naddress = \"")
+                    .append(peer.address())
+                    .append("\"\nrack = ")
+                    .append(peers.indexOf(peer))
+                    .append('\n')
+                    .append(List.of(draining).contains(peer) ? "state = \"draining\"\n" : "");
         }
         Files.writeString(folder.resolve("edge.toml"), """
             name = "seam"
@@ -107,8 +113,11 @@
     private void start(Talk spoken) throws IOException {
         write();
         TomlFile source = new TomlFile(folder.resolve("edge.toml"), Map.of());
-        edge = Sidecar.create(spoken.protocol(), source, source.load(),
-            new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)));
+        edge = Sidecar.create(
+                spoken.protocol(),
+                source,
+                source.load(),
+                new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)));
         edge.open();
     }
 
@@ -151,7 +160,9 @@
             assertEquals(new Final(Final.Kind.SERVED, "served q" + i), caller.read());
         }
         assertEquals(20, attempts());
-        assertEquals(20, new HashSet<>(peers.stream().flatMap(p -> p.requests().stream()).toList()).size());
+        assertEquals(
+                20,
+                new HashSet<>(peers.stream().flatMap(p -> p.requests().stream()).toList()).size());
     }
 
     @ParameterizedTest
@@ -286,8 +297,9 @@
         for (int i = 0; i < 300 && refused == null; i++) {
             Caller caller = send("order", LONG_MS);
             int before = i + 1;
-            Rig.await("it is at the endpoint or refused",
-                () -> attempts() == before - (caller.hasAnswer() ? 1 : 0) || caller.hasAnswer());
+            Rig.await(
+                    "it is at the endpoint or refused",
+                    () -> attempts() == before - (caller.hasAnswer() ? 1 : 0) || caller.hasAnswer());
             refused = caller.hasAnswer() ? caller.read() : null;
             if (refused == null) {
                 held.add(caller);
@@ -315,7 +327,9 @@
         edge.reload();
         Rig.await("it is taken up", () -> log.toString(StandardCharsets.UTF_8).contains("read again"));
         for (int i = 0; i < 6; i++) {
-            assertEquals(Final.Kind.SERVED, ask(i % 2 == 0 ? "read" : "order", LONG_MS).kind());
+            assertEquals(
+                    Final.Kind.SERVED,
+                    ask(i % 2 == 0 ? "read" : "order", LONG_MS).kind());
         }
         assertEquals(1, draining.requests().size());
         assertEquals(6, other.requests().size());
@@ -352,8 +366,13 @@
         awaitAttempts(1);
         caller.close();
         Rig.await("the attempt is given up", () -> silent.connections() == 0);
-        Rig.await("nothing is left", () -> edge.loop().submit(() -> edge.tableSizes().get(0))
-            .syncUninterruptibly().getNow() == 0);
+        Rig.await(
+                "nothing is left",
+                () -> edge.loop()
+                                .submit(() -> edge.tableSizes().get(0))
+                                .syncUninterruptibly()
+                                .getNow()
+                        == 0);
         assertEquals(1, attempts());
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/Served.java
+++ b/edge/src/test/java/lemonrail/assembly/Served.java
@@ -58,7 +58,8 @@
 
     /** Where clients connect, as it says itself. */
     InetSocketAddress address() {
-        String line = log.stream().filter(said -> said.contains(SERVING)).findFirst().orElseThrow();
+        String line =
+                log.stream().filter(said -> said.contains(SERVING)).findFirst().orElseThrow();
         String at = line.substring(line.indexOf(SERVING) + SERVING.length(), line.indexOf(','));
         int colon = at.lastIndexOf(':');
         return new InetSocketAddress(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1)));
--- a/edge/src/test/java/lemonrail/assembly/SidecarTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarTest.java
@@ -64,7 +64,9 @@
         start(good());
         try (Wire client = rig.client()) {
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+                assertEquals(
+                        200,
+                        client.send(rig.request("read", DEADLINE_MS)).read().status());
                 rig.settle();
             }
         }
@@ -247,23 +249,33 @@
     // ---- what is no request ----
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "X-Class: read|X-Class: novel|400", "X-Class: read|Y: z|400", "X-Request-Id: r0|Y: z|400",
-        "X-Deadline-Ms: 8000|X-Deadline-Ms: soon|400", "X-Deadline-Ms: 8000|Y: z|400",
-        "/api?q=1|/other|404", "GET /api|PUT /api|405", "HTTP/1.1|HTTP|400",
-        "Host: app.svc|Content-Length: 33554433|413"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "X-Class: read|X-Class: novel|400",
+                "X-Class: read|Y: z|400",
+                "X-Request-Id: r0|Y: z|400",
+                "X-Deadline-Ms: 8000|X-Deadline-Ms: soon|400",
+                "X-Deadline-Ms: 8000|Y: z|400",
+                "/api?q=1|/other|404",
+                "GET /api|PUT /api|405",
+                "HTTP/1.1|HTTP|400",
+                "Host: app.svc|Content-Length: 33554433|413"
+            })
     void whatIsNoRequestGetsAPlainAnswer(String part, String instead, int status) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         start(new Fake((wire, request) -> {
             release.await();
             Fake.answer(wire, 200, "", "served");
         }));
-        try (Wire other = rig.client(); Wire client = rig.client()) {
+        try (Wire other = rig.client();
+                Wire client = rig.client()) {
             String request = rig.request("read", DEADLINE_MS);
             other.send(rig.request("read", DEADLINE_MS));
             Rig.await("another request is in hand", () -> rig.attempts() == 1);
             assertTrue(request.contains(part), part);
-            assertEquals(status, client.send(request.replace(part, instead)).read().status());
+            assertEquals(
+                    status, client.send(request.replace(part, instead)).read().status());
             release.countDown();
             assertEquals(200, other.read().status());
         }
@@ -277,7 +289,8 @@
             release.await();
             Fake.answer(wire, 200, "", "served");
         }));
-        try (Wire one = rig.client(); Wire two = rig.client()) {
+        try (Wire one = rig.client();
+                Wire two = rig.client()) {
             String request = rig.request("read", DEADLINE_MS);
             one.send(request);
             Rig.await("it is in hand", () -> rig.attempts() == 1);
@@ -296,7 +309,8 @@
         rig.idleCloseMs = 400;
         rig.start();
         assertEquals(200, rig.ask("read", DEADLINE_MS).status());
-        Rig.await("the idle connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+        Rig.await(
+                "the idle connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
     }
 
     // ---- discovery ----
@@ -323,12 +337,17 @@
         rig.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         rig.start();
-        answers.add(Rig.list(7, false, Rig.line(0, before.address(), "terminating", 0),
-            Rig.line(1, after.address(), "in_service", 0)));
+        answers.add(Rig.list(
+                7,
+                false,
+                Rig.line(0, before.address(), "terminating", 0),
+                Rig.line(1, after.address(), "in_service", 0)));
         Rig.await("the next call is made", () -> rig.discovery.requests.size() == 2);
-        assertEquals(List.of("GET /registry/instances?index=1&wait=3000 HTTP/1.1",
-            "GET /registry/instances?index=7&wait=3000 HTTP/1.1"),
-            rig.discovery.requests.stream().map(Wire.Message::line).toList());
+        assertEquals(
+                List.of(
+                        "GET /registry/instances?index=1&wait=3000 HTTP/1.1",
+                        "GET /registry/instances?index=7&wait=3000 HTTP/1.1"),
+                rig.discovery.requests.stream().map(Wire.Message::line).toList());
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "it drains");
         assertEquals(1, after.requests.size());
@@ -380,7 +399,9 @@
         rig.start();
         answers.add(Rig.list(0, false));
         Rig.await("the next call is made", () -> rig.discovery.requests.size() == 2);
-        assertEquals("GET /registry/instances HTTP/1.1", rig.discovery.requests.get(1).line());
+        assertEquals(
+                "GET /registry/instances HTTP/1.1",
+                rig.discovery.requests.get(1).line());
     }
 
     /** Guards against connections to a process that is no more, on which a request would be reset. */
@@ -441,7 +462,8 @@
         int served = 0;
         try {
             while (true) {
-                assertEquals(200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
+                assertEquals(
+                        200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
                 served++;
             }
         } catch (IOException e) {
@@ -464,8 +486,10 @@
         Rig.await("it is warm", () -> rig.logged().contains("warm after"));
         assertEquals(0, rig.endpoints.get(0).connections.get());
         Rig.await("the watch is on", () -> !rig.discovery.requests.isEmpty());
-        assertEquals(List.of("GET /registry/instances?index=1&wait=3000 HTTP/1.1"),
-            rig.discovery.requests.stream().map(Wire.Message::line).toList(), "its watch and nothing else");
+        assertEquals(
+                List.of("GET /registry/instances?index=1&wait=3000 HTTP/1.1"),
+                rig.discovery.requests.stream().map(Wire.Message::line).toList(),
+                "its watch and nothing else");
     }
 
     /** Guards against one bad peer that harms the rest. */
--- a/edge/src/test/java/lemonrail/assembly/SlowClientsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SlowClientsTest.java
@@ -28,6 +28,7 @@
     private static final int SHORT_DEADLINE_MS = 1000;
     /** For so long nothing of an answer may move. */
     private static final int STALL_MS = 10_000;
+
     private static final int LAST_BYTES = 9_001;
     private static final int LAST_PARTS = 600;
     /** Beyond the time for which a connection is still read when its last answer is written. */
@@ -106,7 +107,8 @@
         Wire slow = slowClient();
         int answers = fill(slow);
         for (int i = 0; i < ROOM; i++) {
-            assertEquals(200, client().send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(
+                    200, client().send(rig.request("read", DEADLINE_MS)).read().status());
         }
         assertWhole(slow, answers);
     }
@@ -149,13 +151,14 @@
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch second = new CountDownLatch(1);
         rig = new Rig(new Fake((wire, request) -> {
-            boolean first = request.headers().get("x-request-id").equals("r0");
-            if (first) {
-                release.await();
-            }
-            Fake.answer(wire, 200, "", first ? "first" : FILLING);
-            second.countDown();
-        })).start();
+                    boolean first = request.headers().get("x-request-id").equals("r0");
+                    if (first) {
+                        release.await();
+                    }
+                    Fake.answer(wire, 200, "", first ? "first" : FILLING);
+                    second.countDown();
+                }))
+                .start();
         String other = "GET /other HTTP/1.1\r\nHost: x\r\n\r\n";
         Wire client = client();
         client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS) + other.repeat(6));
@@ -180,11 +183,12 @@
     @Test
     void aStopCutsBetweenChunks() throws Exception {
         rig = new Rig(new Fake((wire, request) -> {
-            wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            while (true) {
-                wire.send("4000\r\n" + "x".repeat(0x4000) + "\r\n");
-            }
-        })).start();
+                    wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    while (true) {
+                        wire.send("4000\r\n" + "x".repeat(0x4000) + "\r\n");
+                    }
+                }))
+                .start();
         Wire client = slowClient();
         client.send(rig.request("read", DEADLINE_MS));
         assertEquals("chunked", client.readHead().headers().get("transfer-encoding"));
@@ -201,13 +205,14 @@
     void aCutAnswerArrivesThoughMoreWasSent(int behind) throws Exception {
         CountDownLatch cut = new CountDownLatch(1);
         rig = new Rig(new Fake((wire, request) -> {
-            wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            for (int i = 0; i < 8; i++) {
-                wire.send("4000\r\n" + "x".repeat(0x4000) + "\r\n");
-            }
-            cut.await();
-            wire.reset();
-        })).start();
+                    wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    for (int i = 0; i < 8; i++) {
+                        wire.send("4000\r\n" + "x".repeat(0x4000) + "\r\n");
+                    }
+                    cut.await();
+                    wire.reset();
+                }))
+                .start();
         Wire client = slowClient();
         client.send(rig.request("read", DEADLINE_MS));
         assertEquals("chunked", client.readHead().headers().get("transfer-encoding"));
@@ -224,9 +229,10 @@
     @Test
     void anAnswerThatStallsIsCutBetweenChunks() throws Exception {
         rig = new Rig(new Fake((wire, request) -> {
-            wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + "x".repeat(0x11000));
-            wire.awaitEnd();
-        })).start();
+                    wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + "x".repeat(0x11000));
+                    wire.awaitEnd();
+                }))
+                .start();
         Wire client = slowClient();
         long began = System.nanoTime();
         client.send(rig.request("read", SHORT_DEADLINE_MS));
@@ -240,15 +246,16 @@
     void theLastAnswerOnAConnectionIsWhole() throws Exception {
         String body = "x".repeat(LAST_BYTES);
         rig = new Rig(new Fake((wire, request) -> {
-            wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            for (int i = 0; i < LAST_PARTS; i++) {
-                wire.send(Integer.toHexString(LAST_BYTES) + "\r\n" + body + "\r\n");
-            }
-            wire.send("0\r\n\r\n");
-        })).start();
+                    wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    for (int i = 0; i < LAST_PARTS; i++) {
+                        wire.send(Integer.toHexString(LAST_BYTES) + "\r\n" + body + "\r\n");
+                    }
+                    wire.send("0\r\n\r\n");
+                }))
+                .start();
         Wire client = slowClient();
         client.send(rig.request("read", DEADLINE_MS).replace("Host:", "Connection: close\r\nHost:")
-            + rig.request("order", DEADLINE_MS));
+                + rig.request("order", DEADLINE_MS));
         TimeUnit.MILLISECONDS.sleep(PAST_LINGER_MS);
         Wire.Message answer = client.read();
         assertEquals("close", answer.headers().get("connection"));
--- a/edge/src/test/java/lemonrail/assembly/SmallHeapTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SmallHeapTest.java
@@ -72,8 +72,8 @@
         List<Thread> clients = new ArrayList<>();
         AtomicInteger whole = new AtomicInteger();
         for (int i = 0; i < CLIENTS; i++) {
-            String head = rig.request("order", DEADLINE_MS).split("Content-Length")[0]
-                + "Content-Length: " + BYTES + "\r\n\r\n";
+            String head = rig.request("order", DEADLINE_MS).split("Content-Length")[0] + "Content-Length: " + BYTES
+                    + "\r\n\r\n";
             Thread client = new Thread(() -> ask(head, whole), "client");
             client.start();
             clients.add(client);
--- a/edge/src/test/java/lemonrail/assembly/SpoiltAnswerTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SpoiltAnswerTest.java
@@ -31,19 +31,26 @@
 
     /** The request has run, so one that may not run twice fails, at once, and the connection goes. */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "\u0001\u0002noise\r\n\r\n", "ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello",
-        "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello",
-        "HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello",
-        OK + "no colon here\r\nContent-Length: 5\r\n\r\nhello",
-        OK + "Content-Length: -1\r\nContent-Length: 5\r\n\r\nhello",
-        OK + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello!", OK + "Content-Length: five\r\n\r\nhello",
-        OK + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
-        OK + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\nhello\r\n0\r\n\r\n",
-        OK + "Transfer-Encoding: gzip\r\n\r\nhello", OK + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-        OK + "Content-Length: 3221225472\r\n\r\nhello", OK + "Content-Length: 33554433\r\n\r\nhello",
-        OK + "\r\nhello", OK + "lonely\r\nContent-Length: 5\r\n\r\nhello",
-        "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "\u0001\u0002noise\r\n\r\n",
+                "ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello",
+                "HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello",
+                "HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello",
+                OK + "no colon here\r\nContent-Length: 5\r\n\r\nhello",
+                OK + "Content-Length: -1\r\nContent-Length: 5\r\n\r\nhello",
+                OK + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
+                OK + "Content-Length: five\r\n\r\nhello",
+                OK + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
+                OK + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\nhello\r\n0\r\n\r\n",
+                OK + "Transfer-Encoding: gzip\r\n\r\nhello",
+                OK + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                OK + "Content-Length: 3221225472\r\n\r\nhello",
+                OK + "Content-Length: 33554433\r\n\r\nhello",
+                OK + "\r\nhello",
+                OK + "lonely\r\nContent-Length: 5\r\n\r\nhello",
+                "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
+            })
     void aSpoiltAnswerIsAFailedAttemptAtOnce(String answer) throws Exception {
         start((wire, request) -> wire.send(answer).awaitEnd());
         long began = System.nanoTime();
@@ -68,14 +75,20 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + OK,
-        "HTTP/1.1 200 \r\n", OK + "X-Load: {\"\r\n",
-        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + OK,
+                "HTTP/1.1 200 \r\n",
+                OK + "X-Load: {\"\r\n",
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK
+            })
     void aGoodAnswerWithMoreInItsHeadServes(String head) throws Exception {
         start((wire, request) -> wire.send(head + "Content-Length: 5\r\n\r\nhello"));
         try (Wire client = rig.client()) {
             for (int i = 0; i < 3; i++) {
-                assertEquals("hello", client.send(rig.request("order", DEADLINE_MS)).read().body());
+                assertEquals(
+                        "hello",
+                        client.send(rig.request("order", DEADLINE_MS)).read().body());
                 rig.settle();
             }
         }
@@ -84,8 +97,14 @@
 
     /** Guards against a second copy, noise or half a line that becomes the next request's answer. */
     @ParameterizedTest
-    @ValueSource(strings = {"copy", "noise\r\n\r\n", "half a line", "HTTP/1.1 100 Continue\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nX-"})
+    @ValueSource(
+            strings = {
+                "copy",
+                "noise\r\n\r\n",
+                "half a line",
+                "HTTP/1.1 100 Continue\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nX-"
+            })
     void whatComesBehindAnAnswerIsNeverTheNextOne(String behind) throws Exception {
         start((wire, request) -> {
             String id = request.headers().get("x-request-id");
@@ -94,7 +113,8 @@
         });
         try (Wire client = rig.client()) {
             for (int i = 0; i < 10; i++) {
-                Wire.Message answer = client.send(rig.request("order", DEADLINE_MS)).read();
+                Wire.Message answer =
+                        client.send(rig.request("order", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
                 assertEquals("r" + i, answer.body());
                 rig.settle();
@@ -120,8 +140,8 @@
     /** Guards against endpoints put out of use by what clients sent: the request alone is at fault. */
     @Test
     void aRequestThatAnEndpointTurnsAwaySaysNothingOfIt() throws Exception {
-        start((wire, request) -> Fake.answer(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200,
-            "", "x"));
+        start((wire, request) ->
+                Fake.answer(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
         for (int i = 0; i < 20; i++) {
             try (Wire client = rig.client()) {
                 String bad = rig.request("order", DEADLINE_MS).replace("Host:", "X-Note: bad\r\nHost:");
--- a/edge/src/test/java/lemonrail/assembly/StartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StartTest.java
@@ -69,8 +69,8 @@
         int port = freePort();
         AtomicBoolean letIn = new AtomicBoolean();
         try (Rig rig = new Rig(Fake.answering(200, "", "ok"))) {
-            rig.change = config -> config.replace("\"listen\":\"127.0.0.1:0\"",
-                "\"listen\":\"127.0.0.1:" + port + "\"");
+            rig.change =
+                    config -> config.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
             rig.protocol = new Watched<>(new Http1(), port, letIn);
             rig.start();
             assertFalse(letIn.get(), "a client was let in during the warm-up");
--- a/edge/src/test/java/lemonrail/assembly/StreamingTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StreamingTest.java
@@ -31,6 +31,7 @@
     private static final int DEADLINE_MS = 8000;
     /** An endpoint of which nothing was taken for so long is held back. */
     private static final int HELD_BACK_MS = 200;
+
     private static final int TAKEN_CHUNKS = 64;
     private static final int LARGE_BYTES = 3_000_000;
     private static final int MOST_BYTES = 32 * 1024 * 1024;
@@ -53,8 +54,8 @@
     }
 
     private String head(String kind, String framing) {
-        return rig.request(kind, DEADLINE_MS).split("Content-Length")[0].replaceAll("\r\n\r\n$", "\r\n")
-            + framing + "\r\n\r\n";
+        return rig.request(kind, DEADLINE_MS).split("Content-Length")[0].replaceAll("\r\n\r\n$", "\r\n") + framing
+                + "\r\n\r\n";
     }
 
     /** Writes a body in chunks of this size, and a trailer behind it. */
@@ -76,8 +77,7 @@
     // ---- answers ----
 
     @ParameterizedTest
-    @CsvSource({"65536, 0", "65537, 0", "65537, 100", "3000000, 0", "3000000, 1", "3000000, 70000",
-        "33554432, 0"})
+    @CsvSource({"65536, 0", "65537, 0", "65537, 100", "3000000, 0", "3000000, 1", "3000000, 70000", "33554432, 0"})
     void anAnswerOfAnySizeIsPassedOnUnchanged(int bytes, int chunk) throws Exception {
         byte[] body = random(chunk == 1 ? bytes / 10 : bytes);
         ByteArrayOutputStream framed = new ByteArrayOutputStream();
@@ -87,13 +87,16 @@
             writeChunked(framed, body, chunk);
         }
         rig = new Rig(new Fake((wire, request) -> {
-            wire.send("HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n" + (chunk == 0
-                ? "Content-Length: " + body.length : "Transfer-Encoding: chunked") + "\r\n\r\n");
-            framed.writeTo(wire.socket.getOutputStream());
-        })).start();
+                    wire.send("HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n"
+                            + (chunk == 0 ? "Content-Length: " + body.length : "Transfer-Encoding: chunked")
+                            + "\r\n\r\n");
+                    framed.writeTo(wire.socket.getOutputStream());
+                }))
+                .start();
         try (Wire client = rig.client()) {
             for (int i = 0; i < 2; i++) {
-                Wire.Message answer = client.send(rig.request("read", DEADLINE_MS)).read();
+                Wire.Message answer =
+                        client.send(rig.request("read", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
                 assertEquals("text/x", answer.headers().get("content-type"));
                 assertArrayEquals(body, answer.bytes());
@@ -110,10 +113,11 @@
         CountDownLatch seen = new CountDownLatch(1);
         boolean chunked = framing.startsWith("T");
         rig = new Rig(new Fake((wire, request) -> {
-            wire.send("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (chunked ? "5\r\nfirst\r\n" : "first"));
-            seen.await();
-            wire.send(chunked ? "4\r\nrest\r\n0\r\n\r\n" : "x".repeat(99_995));
-        })).start();
+                    wire.send("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (chunked ? "5\r\nfirst\r\n" : "first"));
+                    seen.await();
+                    wire.send(chunked ? "4\r\nrest\r\n0\r\n\r\n" : "x".repeat(99_995));
+                }))
+                .start();
         try (Wire client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS));
             InputStream in = client.in;
@@ -135,13 +139,14 @@
         byte[] piece = random(64 * 1024);
         int pieces = MOST_BYTES / piece.length;
         rig = new Rig(new Fake((wire, request) -> {
-            wire.socket.setSendBufferSize(64 * 1024);
-            wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + MOST_BYTES + "\r\n\r\n");
-            for (int i = 0; i < pieces; i++) {
-                wire.socket.getOutputStream().write(piece);
-                sent.incrementAndGet();
-            }
-        })).start();
+                    wire.socket.setSendBufferSize(64 * 1024);
+                    wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + MOST_BYTES + "\r\n\r\n");
+                    for (int i = 0; i < pieces; i++) {
+                        wire.socket.getOutputStream().write(piece);
+                        sent.incrementAndGet();
+                    }
+                }))
+                .start();
         try (Wire client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS));
             int[] before = {-1};
@@ -169,12 +174,12 @@
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
     void aClientCanTellThatAnAnswerIsCut(String framing) throws Exception {
-        String part = framing.startsWith("T") ? "18000\r\n" + "x".repeat(0x18000) + "\r\n"
-            : "x".repeat(80_000);
+        String part = framing.startsWith("T") ? "18000\r\n" + "x".repeat(0x18000) + "\r\n" : "x".repeat(80_000);
         rig = new Rig(new Fake((wire, request) -> {
-            wire.send("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + part);
-            wire.close();
-        })).start();
+                    wire.send("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + part);
+                    wire.close();
+                }))
+                .start();
         try (Wire client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS));
             assertThrows(IOException.class, client::read);
@@ -214,7 +219,7 @@
             Wire client = new Wire(socket);
             client.send(rig.request("read", DEADLINE_MS));
             assertEquals("chunked", client.readHead().headers().get("transfer-encoding"));
-            for (int before = -1; before != sent.get();) {
+            for (int before = -1; before != sent.get(); ) {
                 before = sent.get();
                 pause(HELD_BACK_MS);
             }
@@ -257,33 +262,41 @@
     @Test
     void aClientThatLeavesFreesTheEndpoint() throws Exception {
         rig = new Rig(new Fake((wire, request) -> {
-            wire.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\nfirst");
-            wire.awaitEnd();
-        })).start();
+                    wire.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\nfirst");
+                    wire.awaitEnd();
+                }))
+                .start();
         try (Wire client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS));
             assertTrue(client.in.read() >= 0);
         }
-        Rig.await("the endpoint's connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+        Rig.await(
+                "the endpoint's connection is closed",
+                () -> rig.endpoints.get(0).open.get() == 0);
         Rig.await("nothing is in hand", () -> figures().contains("concurrent=0\n"));
     }
 
     // ---- bodies ----
 
     @ParameterizedTest
-    @CsvSource({"65536, 0, 0", "65537, 0, 0", "65537, 1000, 0", "3000000, 0, 1009", "3000000, 8000, 977",
-        "100000, 1, 0", "33554432, 0, 0"})
+    @CsvSource({
+        "65536, 0, 0",
+        "65537, 0, 0",
+        "65537, 1000, 0",
+        "3000000, 0, 1009",
+        "3000000, 8000, 977",
+        "100000, 1, 0",
+        "33554432, 0, 0"
+    })
     void aBodyOfAnySizeIsPassedOnUnchanged(int bytes, int chunk, int piece) throws Exception {
         rig = new Rig(digesting()).start();
         byte[] body = random(bytes);
         ByteArrayOutputStream message = new ByteArrayOutputStream();
         if (chunk == 0) {
-            message.writeBytes(head("order", "Content-Length: " + bytes)
-                .getBytes(StandardCharsets.ISO_8859_1));
+            message.writeBytes(head("order", "Content-Length: " + bytes).getBytes(StandardCharsets.ISO_8859_1));
             message.writeBytes(body);
         } else {
-            message.writeBytes(head("order", "Transfer-Encoding: chunked")
-                .getBytes(StandardCharsets.ISO_8859_1));
+            message.writeBytes(head("order", "Transfer-Encoding: chunked").getBytes(StandardCharsets.ISO_8859_1));
             writeChunked(message, body, chunk);
         }
         byte[] all = message.toByteArray();
@@ -293,7 +306,8 @@
                 out.write(all, from, Math.min(piece == 0 ? all.length : piece, all.length - from));
             }
             assertEquals(digest(body), client.read().body());
-            assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status(), "it goes on");
+            assertEquals(
+                    200, client.send(rig.request("read", DEADLINE_MS)).read().status(), "it goes on");
         }
     }
 
@@ -336,7 +350,9 @@
             assertEquals(408, client.read().status());
             client.awaitEnd();
         }
-        Rig.await("the endpoint's connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+        Rig.await(
+                "the endpoint's connection is closed",
+                () -> rig.endpoints.get(0).open.get() == 0);
         assertEquals(0, rig.attempts());
         assertEquals(200, rig.ask("read", DEADLINE_MS).status());
     }
@@ -369,8 +385,9 @@
             // One byte more is what makes it a large one, and is let go only with an endpoint to take it.
             refusedAfter(out, body, refused);
             Wire.Message answer = client.read();
-            assertTrue(answer.status() == 200 && answer.body().equals(digest(body))
-                || answer.status() == 503, answer.line());
+            assertTrue(
+                    answer.status() == 200 && answer.body().equals(digest(body)) || answer.status() == 503,
+                    answer.line());
         }
     }
 
@@ -406,7 +423,11 @@
             assertEquals("close", answer.headers().get("connection"));
             sender.join();
         }
-        assertEquals(1, rig.endpoints.stream().mapToInt(endpoint -> endpoint.connections.get()).sum());
+        assertEquals(
+                1,
+                rig.endpoints.stream()
+                        .mapToInt(endpoint -> endpoint.connections.get())
+                        .sum());
     }
 
     // ---- memory ----
@@ -416,9 +437,10 @@
     void manyLargeAnswersAtOnceShareABound() throws Exception {
         byte[] body = random(LARGE_BYTES);
         rig = new Rig(new Fake((wire, request) -> {
-            wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
-            wire.socket.getOutputStream().write(body);
-        })).start();
+                    wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
+                    wire.socket.getOutputStream().write(body);
+                }))
+                .start();
         int count = 40;
         Wire[] clients = new Wire[count];
         for (int i = 0; i < count; i++) {
--- a/edge/src/test/java/lemonrail/assembly/Talk.java
+++ b/edge/src/test/java/lemonrail/assembly/Talk.java
@@ -62,21 +62,36 @@
 
         @Override
         void answer(Wire wire, Act act, String id) throws IOException {
-            writeFrame(wire, switch (act) {
-                case NOT_RUN -> "N";
-                case FAIL -> "E";
-                case TURN_AWAY -> "B";
-                default -> "Sserved " + id;
-            });
+            writeFrame(
+                    wire,
+                    switch (act) {
+                        case NOT_RUN -> "N";
+                        case FAIL -> "E";
+                        case TURN_AWAY -> "B";
+                        default -> "Sserved " + id;
+                    });
         }
     };
 
     /** What an endpoint does with a request. */
-    enum Act { SERVE, NOT_RUN, FAIL, TURN_AWAY, RESET, SILENT, HOLD }
+    enum Act {
+        SERVE,
+        NOT_RUN,
+        FAIL,
+        TURN_AWAY,
+        RESET,
+        SILENT,
+        HOLD
+    }
 
     /** What a client hears in the end. */
     record Final(Kind kind, String text) {
-        enum Kind { SERVED, TURNED_AWAY, REFUSED, FAILED }
+        enum Kind {
+            SERVED,
+            TURNED_AWAY,
+            REFUSED,
+            FAILED
+        }
     }
 
     /** A client's connection. */
@@ -119,26 +134,30 @@
     /** An endpoint that does these with its requests in turn, the last with all that follow. */
     Peer peer(CountDownLatch release, Act... acts) throws IOException {
         List<String> requests = new CopyOnWriteArrayList<>();
-        return new Peer(new Fake((Wire wire) -> {
-            String id = id(wire);
-            requests.add(id);
-            act(wire, acts[Math.min(requests.size(), acts.length) - 1], id, release);
-        }), requests);
+        return new Peer(
+                new Fake((Wire wire) -> {
+                    String id = id(wire);
+                    requests.add(id);
+                    act(wire, acts[Math.min(requests.size(), acts.length) - 1], id, release);
+                }),
+                requests);
     }
 
     /** One of several endpoints, of which one does the first act once and else all do the second. */
     Peer sharing(CountDownLatch release, CountDownLatch first, Act... acts) throws IOException {
         List<String> requests = new CopyOnWriteArrayList<>();
-        return new Peer(new Fake((Wire wire) -> {
-            String id = id(wire);
-            requests.add(id);
-            boolean isFirst;
-            synchronized (first) {
-                isFirst = first.getCount() > 0;
-                first.countDown();
-            }
-            act(wire, isFirst ? acts[0] : acts[1], id, release);
-        }), requests);
+        return new Peer(
+                new Fake((Wire wire) -> {
+                    String id = id(wire);
+                    requests.add(id);
+                    boolean isFirst;
+                    synchronized (first) {
+                        isFirst = first.getCount() > 0;
+                        first.countDown();
+                    }
+                    act(wire, isFirst ? acts[0] : acts[1], id, release);
+                }),
+                requests);
     }
 
     private void act(Wire wire, Act act, String id, CountDownLatch release) throws Exception {
@@ -203,18 +222,20 @@
         @Override
         public void send(String id, String kind, int deadlineMs) throws IOException {
             wire.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: " + kind
-                + "\r\nX-Deadline-Ms: " + deadlineMs + "\r\n\r\n");
+                    + "\r\nX-Deadline-Ms: " + deadlineMs + "\r\n\r\n");
         }
 
         @Override
         public Final read() throws IOException {
             Wire.Message answer = wire.read();
-            return new Final(switch (answer.status()) {
-                case 200 -> Final.Kind.SERVED;
-                case 503 -> Final.Kind.REFUSED;
-                case 502 -> Final.Kind.FAILED;
-                default -> Final.Kind.TURNED_AWAY;
-            }, answer.body());
+            return new Final(
+                    switch (answer.status()) {
+                        case 200 -> Final.Kind.SERVED;
+                        case 503 -> Final.Kind.REFUSED;
+                        case 502 -> Final.Kind.FAILED;
+                        default -> Final.Kind.TURNED_AWAY;
+                    },
+                    answer.body());
         }
     }
 
@@ -231,12 +252,14 @@
         @Override
         public Final read() throws IOException {
             String frame = readFrame(wire);
-            return new Final(switch (frame.charAt(0)) {
-                case 'S' -> Final.Kind.SERVED;
-                case 'R' -> Final.Kind.REFUSED;
-                case 'F' -> Final.Kind.FAILED;
-                default -> Final.Kind.TURNED_AWAY;
-            }, frame.substring(1));
+            return new Final(
+                    switch (frame.charAt(0)) {
+                        case 'S' -> Final.Kind.SERVED;
+                        case 'R' -> Final.Kind.REFUSED;
+                        case 'F' -> Final.Kind.FAILED;
+                        default -> Final.Kind.TURNED_AWAY;
+                    },
+                    frame.substring(1));
         }
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
@@ -34,6 +34,7 @@
     private final Rig rig = new Rig(Fake.answering(200, "", "first"), Fake.answering(200, "", "second"));
     /** Bound but deaf: it keeps the port for the processes, which share it. */
     private SocketChannel place;
+
     private InetSocketAddress address;
 
     UpgradeTest() throws IOException {
@@ -56,9 +57,12 @@
     }
 
     private Served serve() throws Exception {
-        Path file = Files.writeString(folder.resolve("config.json"),
-            rig.config().replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + address.getPort()
-                + "\",\"mgmt\":\"127.0.0.1:0\""));
+        Path file = Files.writeString(
+                folder.resolve("config.json"),
+                rig.config()
+                        .replace(
+                                "\"listen\":\"127.0.0.1:0\"",
+                                "\"listen\":\"127.0.0.1:" + address.getPort() + "\",\"mgmt\":\"127.0.0.1:0\""));
         Served served = Served.start(file, folder);
         processes.add(served.process);
         return served;
@@ -142,7 +146,9 @@
         old.process.waitFor();
         for (int i = 0; i < CLIENTS; i++) {
             try (Wire wire = Wire.to(address)) {
-                assertEquals("second", wire.send(rig.request("read", DEADLINE_MS)).read().body());
+                assertEquals(
+                        "second",
+                        wire.send(rig.request("read", DEADLINE_MS)).read().body());
             }
         }
     }
--- a/edge/src/test/java/lemonrail/assembly/WatchTest.java
+++ b/edge/src/test/java/lemonrail/assembly/WatchTest.java
@@ -36,6 +36,7 @@
     private static final double BINDS_MS = 6000;
     /** Calls that fail one after another, and the least pause between two. */
     private static final int CALLS = 30;
+
     private static final double LEAST_PAUSE_MS = 50;
     /** Longer than an answer is awaited by a rig whose calls wait for 1 s. */
     private static final int BUSY_MS = 1800;
@@ -64,7 +65,8 @@
 
     private String news(int version) {
         return Rig.list(version, true, Rig.line(1, after.address(), "in_service", 0))
-            .replace(",", ",\n    ").replace("{", "{\n  ");
+                .replace(",", ",\n    ")
+                .replace("{", "{\n  ");
     }
 
     private static void die(Wire wire, String how, String news) throws IOException {
@@ -73,7 +75,8 @@
             case "reset" -> wire.reset();
             case "close" -> wire.close();
             case "headers" -> wire.send(head).awaitEnd();
-            case "half" -> wire.send(head + news.substring(0, news.length() / 2)).awaitEnd();
+            case "half" ->
+                wire.send(head + news.substring(0, news.length() / 2)).awaitEnd();
             case "cut" -> wire.send(head + news.substring(0, news.length() / 2)).close();
             case "garbage" -> wire.send("what?\r\n\r\n").awaitEnd();
             case "unparsed" -> Fake.answer(wire, 200, "", news.replace("in_service", "who knows"));
@@ -84,9 +87,21 @@
 
     /** Guards against trust in a dead watch, also where the module asks for lists and has its own pace. */
     @ParameterizedTest
-    @CsvSource({"silent,on_request", "silent,pushed", "headers,on_request", "half,on_request", "half,pushed",
-        "reset,on_request", "reset,pushed", "close,on_request", "cut,pushed", "garbage,on_request",
-        "unparsed,on_request", "unparsed,pushed", "error,on_request"})
+    @CsvSource({
+        "silent,on_request",
+        "silent,pushed",
+        "headers,on_request",
+        "half,on_request",
+        "half,pushed",
+        "reset,on_request",
+        "reset,pushed",
+        "close,on_request",
+        "cut,pushed",
+        "garbage,on_request",
+        "unparsed,on_request",
+        "unparsed,pushed",
+        "error,on_request"
+    })
     void aWatchThatDiesIsOpenedAnew(String how, String mode) throws Exception {
         rig.change = config -> config.replace("on_request", mode);
         rig.discovery.script = (wire, request) -> {
@@ -103,10 +118,13 @@
         long dead = System.nanoTime();
         Rig.await("the list is there", () -> rig.discovery.requests.size() >= 3);
         assertTrue((System.nanoTime() - dead) / 1e6 < BINDS_MS);
-        assertEquals("GET /registry/instances?index=1&wait=100 HTTP/1.1",
-            rig.discovery.requests.get(1).line(), "nothing is lost");
-        assertEquals("GET /registry/instances?index=7&wait=1000 HTTP/1.1",
-            rig.discovery.requests.get(2).line());
+        assertEquals(
+                "GET /registry/instances?index=1&wait=100 HTTP/1.1",
+                rig.discovery.requests.get(1).line(),
+                "nothing is lost");
+        assertEquals(
+                "GET /registry/instances?index=7&wait=1000 HTTP/1.1",
+                rig.discovery.requests.get(2).line());
         assertEquals("after", rig.ask("order", DEADLINE_MS).body());
     }
 
@@ -135,8 +153,7 @@
                 wire.reset();
             } else {
                 moved.await();
-                Fake.answer(wire, 200, "", Rig.list(99, true,
-                    Rig.line(0, before.address(), "in_service", 0)));
+                Fake.answer(wire, 200, "", Rig.list(99, true, Rig.line(0, before.address(), "in_service", 0)));
             }
         };
         rig.start();
@@ -172,8 +189,10 @@
 
     /** Guards against changes that are known too late: this one is had by discovery at this time. */
     private void isInForceInTime(long hadNs) throws Exception {
-        Rig.await("the list is there", () -> rig.discovery.requests.stream()
-            .anyMatch(request -> request.line().contains("index=7")));
+        Rig.await(
+                "the list is there",
+                () -> rig.discovery.requests.stream()
+                        .anyMatch(request -> request.line().contains("index=7")));
         assertEquals("after", rig.ask("order", DEADLINE_MS).body());
         double tookMs = (System.nanoTime() - hadNs) / 1e6;
         assertTrue(tookMs < BINDS_MS, tookMs + " ms");
@@ -181,8 +200,17 @@
 
     /** The change comes just as the call is made, so all of its wait is lost. */
     @ParameterizedTest
-    @CsvSource({"silent,1", "silent,2", "headers,1", "headers,2", "half,1", "pieces,1", "reset,3", "error,3",
-        "garbage,3"})
+    @CsvSource({
+        "silent,1",
+        "silent,2",
+        "headers,1",
+        "headers,2",
+        "half,1",
+        "pieces,1",
+        "reset,3",
+        "error,3",
+        "garbage,3"
+    })
     void aLargeFleetKnowsInTimeWhatDeadWatchesMissed(String how, int calls) throws Exception {
         among(1000);
         rig.discovery.script = (wire, request) -> {
@@ -241,8 +269,8 @@
                 }
             });
             UnaryOperator<String> large = rig.change;
-            rig.change = config -> large.apply(config).replace(rig.discovery.address(),
-                "127.0.0.1:" + full.getLocalPort());
+            rig.change =
+                    config -> large.apply(config).replace(rig.discovery.address(), "127.0.0.1:" + full.getLocalPort());
             rig.start();
             Rig.await("connections did not come up", () -> rig.logged().contains("discovery failed"));
             long reachable = System.nanoTime();
@@ -292,8 +320,8 @@
             rig.start();
             Rig.await("it is open", () -> rig.discovery.requests.size() >= 1);
             long moved = System.nanoTime();
-            Files.writeString(rig.configFile,
-                rig.change.apply(rig.config()).replace(rig.discovery.address(), next.address()));
+            Files.writeString(
+                    rig.configFile, rig.change.apply(rig.config()).replace(rig.discovery.address(), next.address()));
             rig.sidecar.reload();
             Rig.await("the list is there", () -> next.requests.size() == 2);
             assertEquals("after", rig.ask("order", DEADLINE_MS).body());
@@ -309,14 +337,13 @@
         return (settings, seed, host) -> {
             Events decide = new Decide(settings, seed, host);
             Class<?>[] kinds = {Events.class};
-            return (Events) Proxy.newProxyInstance(Events.class.getClassLoader(), kinds,
-                (proxy, method, arguments) -> {
-                    if (method.getName().equals("onRequest")) {
-                        busy.countDown();
-                        release.await();
-                    }
-                    return method.invoke(decide, arguments);
-                });
+            return (Events) Proxy.newProxyInstance(Events.class.getClassLoader(), kinds, (proxy, method, arguments) -> {
+                if (method.getName().equals("onRequest")) {
+                    busy.countDown();
+                    release.await();
+                }
+                return method.invoke(decide, arguments);
+            });
         };
     }
 
--- a/edge/src/test/java/lemonrail/assembly/Wire.java
+++ b/edge/src/test/java/lemonrail/assembly/Wire.java
@@ -51,8 +51,12 @@
     Message read() throws IOException {
         Message head = readHead();
         Map<String, String> headers = head.headers();
-        return new Message(head.line(), headers, headers.containsKey("transfer-encoding") ? chunks()
-            : bytes(Integer.parseInt(headers.getOrDefault("content-length", "0"))));
+        return new Message(
+                head.line(),
+                headers,
+                headers.containsKey("transfer-encoding")
+                        ? chunks()
+                        : bytes(Integer.parseInt(headers.getOrDefault("content-length", "0"))));
     }
 
     private byte[] bytes(int count) throws IOException {
@@ -85,7 +89,9 @@
         Map<String, String> headers = new LinkedHashMap<>();
         for (String line = line(); !line.isEmpty(); line = line()) {
             int colon = line.indexOf(':');
-            headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).trim());
+            headers.put(
+                    line.substring(0, colon).toLowerCase(Locale.ROOT),
+                    line.substring(colon + 1).trim());
         }
         return new Message(first, headers, new byte[0]);
     }
--- a/edge/src/test/java/lemonrail/benchlink/BenchLinkTest.java
+++ b/edge/src/test/java/lemonrail/benchlink/BenchLinkTest.java
@@ -31,13 +31,12 @@
         "projects":[{"allowance-per-s":100,"name":"t","share":1}],"replicas-of-me":1,
         "rules":{"cold-ms":8000,"cold-share":0.3,"drain-grace-ms":1000,"fall-ms":1000,"tip-multiple":3},
         "slot-no":0,"tier":0,"zone":0,"novelty":true}""".replace("\n", "");
-    private static final String SPAWN = "{\"kind\":\"Spawn\",\"init-seed\":9223372036854775807,\"params\":"
-        + PARAMS + "}";
+    private static final String SPAWN =
+            "{\"kind\":\"Spawn\",\"init-seed\":9223372036854775807,\"params\":" + PARAMS + "}";
     private static final String LIST = "{\"kind\":\"Inventory\",\"ref\":0,\"entries\":["
-        + "{\"endpoint\":\"e1\",\"state\":1,\"share\":1}]},"
-        + "{\"kind\":\"Endpoints\",\"mode\":0,\"rev\":1,\"ref\":0}";
-    private static final String QUERY = "{\"kind\":\"Query\",\"msg-id\":\"q1\",\"drop-dead-ms\":5000,"
-        + "\"type\":0}";
+            + "{\"endpoint\":\"e1\",\"state\":1,\"share\":1}]},"
+            + "{\"kind\":\"Endpoints\",\"mode\":0,\"rev\":1,\"ref\":0}";
+    private static final String QUERY = "{\"kind\":\"Query\",\"msg-id\":\"q1\",\"drop-dead-ms\":5000," + "\"type\":0}";
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
@@ -50,13 +49,14 @@
 
     private String batch(String... events) {
         return "{\"wall-ms\":" + (4000 + 5 * batches) + ",\"batch\":" + batches++ + ",\"parts\":["
-            + "{\"i\":\"sidecar/0\",\"in\":[" + String.join(",", events) + "]}]}\n";
+                + "{\"i\":\"sidecar/0\",\"in\":[" + String.join(",", events) + "]}]}\n";
     }
 
     private int run(String... lines) throws IOException {
         return Main.benchlink(
-            new ByteArrayInputStream(String.join("", lines).getBytes(StandardCharsets.UTF_8)), out,
-            new PrintStream(errors, true, StandardCharsets.UTF_8));
+                new ByteArrayInputStream(String.join("", lines).getBytes(StandardCharsets.UTF_8)),
+                out,
+                new PrintStream(errors, true, StandardCharsets.UTF_8));
     }
 
     private List<String> replies() {
@@ -72,31 +72,49 @@
     @Test
     void aRequestIsHandedToAServer() throws IOException {
         assertEquals(0, run(batch(SPAWN, LIST), batch(QUERY)));
-        assertEquals("{\"batch\":1,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[{\"kind\":\"HandOff\","
-            + "\"msg-id\":\"q1\",\"endpoint\":\"e1\",\"give-up-after-ms\":995}]}]}", replies().get(1)
-            .replaceAll("give-up-after-ms\":[0-9.]+", "give-up-after-ms\":995"));
+        assertEquals(
+                "{\"batch\":1,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[{\"kind\":\"HandOff\","
+                        + "\"msg-id\":\"q1\",\"endpoint\":\"e1\",\"give-up-after-ms\":995}]}]}",
+                replies().get(1).replaceAll("give-up-after-ms\":[0-9.]+", "give-up-after-ms\":995"));
     }
 
     @Test
     void anOutcomeLeadsToARefusal() throws IOException {
-        assertEquals(0, run(batch(SPAWN, LIST), batch(QUERY.replace("\"type\":0", "\"type\":1")),
-            batch("{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"endpoint\":\"e1\","
-                + "\"reason\":\"ResetByPeer\",\"rtt-ms\":5,\"stats\":{\"outstanding\":3,\"x\":1}}")));
-        assertTrue(replies().get(2).contains("{\"kind\":\"Error\",\"msg-id\":\"q1\"}"), replies().get(2));
+        assertEquals(
+                0,
+                run(
+                        batch(SPAWN, LIST),
+                        batch(QUERY.replace("\"type\":0", "\"type\":1")),
+                        batch("{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"endpoint\":\"e1\","
+                                + "\"reason\":\"ResetByPeer\",\"rtt-ms\":5,\"stats\":{\"outstanding\":3,\"x\":1}}")));
+        assertTrue(
+                replies().get(2).contains("{\"kind\":\"Error\",\"msg-id\":\"q1\"}"),
+                replies().get(2));
     }
 
     @Test
     void aRestartInOneBatchForgetsTheRequestsBefore() throws IOException {
-        assertEquals(0, run(batch(SPAWN, LIST), batch(QUERY), batch("{\"kind\":\"Stop\"}", SPAWN, LIST),
-            batch("{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"endpoint\":\"e1\","
-                + "\"reason\":\"TimedOut\",\"rtt-ms\":5}")));
-        assertEquals("{\"batch\":3,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[]}]}", replies().get(3));
+        assertEquals(
+                0,
+                run(
+                        batch(SPAWN, LIST),
+                        batch(QUERY),
+                        batch("{\"kind\":\"Stop\"}", SPAWN, LIST),
+                        batch("{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"endpoint\":\"e1\","
+                                + "\"reason\":\"TimedOut\",\"rtt-ms\":5}")));
+        assertEquals(
+                "{\"batch\":3,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[]}]}",
+                replies().get(3));
     }
 
     @Test
     void unknownKindsAndFieldsArePassedOverAndAKindIsMentionedOnce() throws IOException {
-        assertEquals(0, run(batch(SPAWN, LIST), batch("{\"kind\":\"Novel\",\"x\":{\"y\":[1]}}"),
-            batch("{\"kind\":\"Novel\"}", QUERY.replace("}", ",\"work-ms\":3,\"odd\":{\"a\":[]}}"))));
+        assertEquals(
+                0,
+                run(
+                        batch(SPAWN, LIST),
+                        batch("{\"kind\":\"Novel\",\"x\":{\"y\":[1]}}"),
+                        batch("{\"kind\":\"Novel\"}", QUERY.replace("}", ",\"work-ms\":3,\"odd\":{\"a\":[]}}"))));
         assertEquals(1, errors.toString(StandardCharsets.UTF_8).lines().count());
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("'Novel'"));
         assertTrue(replies().get(2).contains("HandOff"));
@@ -104,26 +122,35 @@
 
     @Test
     void messagesAndProbeResultsNotAskedForAreHarmless() throws IOException {
-        assertEquals(0, run(batch(SPAWN, LIST),
-            batch("{\"kind\":\"NeighbourSays\",\"neighbour\":2,\"payload\":\"68\"}",
-                "{\"kind\":\"PingResult\",\"reason\":\"Ok\",\"endpoint\":\"e9\",\"rtt-ms\":1}",
-                "{\"kind\":\"Fired\",\"name\":77}",
-                "{\"kind\":\"CancelledByClient\",\"msg-id\":\"q7\"}",
-                "{\"kind\":\"Accepted\",\"msg-id\":\"q7\",\"hop\":0,\"endpoint\":\"e1\",\"rtt-ms\":1}")));
-        assertEquals("{\"batch\":1,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[]}]}", replies().get(1));
+        assertEquals(
+                0,
+                run(
+                        batch(SPAWN, LIST),
+                        batch(
+                                "{\"kind\":\"NeighbourSays\",\"neighbour\":2,\"payload\":\"68\"}",
+                                "{\"kind\":\"PingResult\",\"reason\":\"Ok\",\"endpoint\":\"e9\",\"rtt-ms\":1}",
+                                "{\"kind\":\"Fired\",\"name\":77}",
+                                "{\"kind\":\"CancelledByClient\",\"msg-id\":\"q7\"}",
+                                "{\"kind\":\"Accepted\",\"msg-id\":\"q7\",\"hop\":0,"
+                                        + "\"endpoint\":\"e1\",\"rtt-ms\":1}")));
+        assertEquals(
+                "{\"batch\":1,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[]}]}",
+                replies().get(1));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"reason\":\"Odd\"} | unknown outcome 'Odd'",
-        "{\"kind\":\"Endpoints\",\"mode\":0,\"ref\":16} | list number 16 is out of range",
-        "{\"kind\":\"Endpoints\",\"mode\":7,\"ref\":0} | unknown mode 7",
-        "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"endpoint\":\"e\",\"state\":5}]} | unknown state 5",
-        "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"state\":1}]} | server.id must be given",
-        "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"type\":9} | class 9",
-        "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant 4",
-        "7 | an event should begin with",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"reason\":\"Odd\"} | unknown outcome 'Odd'",
+                "{\"kind\":\"Endpoints\",\"mode\":0,\"ref\":16} | list number 16 is out of range",
+                "{\"kind\":\"Endpoints\",\"mode\":7,\"ref\":0} | unknown mode 7",
+                "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"endpoint\":\"e\",\"state\":5}]} | unknown state 5",
+                "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"state\":1}]} | server.id must be given",
+                "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"type\":9} | class 9",
+                "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant 4",
+                "7 | an event should begin with",
+            })
     void badEventsStopTheAdapterWithOnePlainLine(String event, String expected) throws IOException {
         assertEquals(1, run(batch(SPAWN, LIST), batch(QUERY, event)));
         String line = errors.toString(StandardCharsets.UTF_8);
@@ -136,32 +163,38 @@
     void anInstanceNeverStartedIsNamed() throws IOException {
         assertEquals(1, run(batch(QUERY)));
         assertTrue(errors.toString(StandardCharsets.UTF_8)
-            .contains("batch 0, instance sidecar/0: an event for an instance that was never started"));
+                .contains("batch 0, instance sidecar/0: an event for an instance that was never started"));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"{\"wall-ms\":1,\"batch\":3,\"parts\":[", "{\"wall-ms\":1,\"bat", "{]",
-        "{\"wall-ms\":1,\"batch\":3}", "[1]"})
+    @ValueSource(
+            strings = {
+                "{\"wall-ms\":1,\"batch\":3,\"parts\":[",
+                "{\"wall-ms\":1,\"bat",
+                "{]",
+                "{\"wall-ms\":1,\"batch\":3}",
+                "[1]"
+            })
     void brokenInputStopsTheAdapter(String text) throws IOException {
         assertEquals(1, run(text));
-        assertEquals(1, errors.toString(StandardCharsets.UTF_8).lines().count(),
-            errors.toString(StandardCharsets.UTF_8));
+        assertEquals(
+                1, errors.toString(StandardCharsets.UTF_8).lines().count(), errors.toString(StandardCharsets.UTF_8));
         assertTrue(replies().isEmpty());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"replicas-of-me\":1 | \"replicas-of-me\":0 | balancers must be above 0 but is 0",
-        "\"try-limit\":3 | \"try-limit\":\"x\" | try-limit should be a number but is x",
-        "\"hard-limit-ms\":3000 | \"hard-limit-ms\":-1 | classes[].deadline must be above 0 but is -1",
-        "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect is unknown: twice",
-        "\"cold-share\":0.3 | \"cold-share\":0 | rules.coldShare must be above 0 but is 0",
-    })
-    void impossibleSettingsAreRefusedByNameAndValue(String from, String to, String expected)
-            throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"replicas-of-me\":1 | \"replicas-of-me\":0 | balancers must be above 0 but is 0",
+                "\"try-limit\":3 | \"try-limit\":\"x\" | try-limit should be a number but is x",
+                "\"hard-limit-ms\":3000 | \"hard-limit-ms\":-1 | classes[].deadline must be above 0 but is -1",
+                "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect is unknown: twice",
+                "\"cold-share\":0.3 | \"cold-share\":0 | rules.coldShare must be above 0 but is 0",
+            })
+    void impossibleSettingsAreRefusedByNameAndValue(String from, String to, String expected) throws IOException {
         assertEquals(1, run(batch(SPAWN.replace(from, to), LIST)));
-        assertTrue(errors.toString(StandardCharsets.UTF_8).contains(expected),
-            errors.toString(StandardCharsets.UTF_8));
+        assertTrue(errors.toString(StandardCharsets.UTF_8).contains(expected), errors.toString(StandardCharsets.UTF_8));
     }
 
     @Test
--- a/edge/src/test/java/lemonrail/cli/BadFilesTest.java
+++ b/edge/src/test/java/lemonrail/cli/BadFilesTest.java
@@ -78,7 +78,8 @@
 
     private List<Problem> problems(String text) throws IOException {
         Path file = file(text);
-        return assertThrows(ConfigException.class, () -> new TomlFile(file, Map.of()).load()).problems();
+        return assertThrows(ConfigException.class, () -> new TomlFile(file, Map.of()).load())
+                .problems();
     }
 
     @Test
@@ -92,69 +93,76 @@
 
     /** What of the file is replaced by what, then the problem that must be the first: line, key, the rest. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "seed = 7|seed = -1|2|seed|= -1: must be a whole number from 0 to 2147483647",
-        "seed = 7|seed = 1.5|2|seed|= 1.5: must be a whole number",
-        "seed = 7|sead = 7|2|sead|= 7: unknown key; there may be name, state-dir, seed",
-        "seed = 7|seed = = 7|2||it is not TOML",
-        "seed = 7|seed = 7 seed|2||it is not TOML",
-        "seed = 7|name = 'twice'|2|name|: is there twice",
-        "name = \"edge\"|name = \"a/b\"|1|name|= \"a/b\": must be 1 to 64 letters, digits",
-        "name = \"edge\"|name = \"\"|1|name|must be 1 to 64 letters",
-        "name = \"edge\"|name = 5|1|name|= 5: must be 1 to 64 letters",
-        "\"127.0.0.1:9000\"|\"localhost:9000\"|4|listeners[0].address|must be an IP address and a port",
-        "\"127.0.0.1:9000\"|\"127.0.0.1:70000\"|4|listeners[0].address|= \"127.0.0.1:70000\": must be",
-        "\"127.0.0.1:9000\"|\"127.0.0.1\"|4|listeners[0].address|must be an IP address and a port",
-        "\"127.0.0.1:9000\"|9000|4|listeners[0].address|= 9000: must be an IP address",
-        "\"127.0.0.1:9000\"|\"127.0.0.1:9001\"|6|admin.address|is taken by listeners[0].address",
-        "[[listeners]]|[listeners]|3|listeners|must be 1 to 8 tables: [[listeners]]",
-        "[admin]|[admins]|5|admins|unknown key",
-        "[admin]|[[admin]]|5|admin|must be a table: [admin]",
-        "id = \"a\"|id = \"b\"|11|endpoints[1].id|= \"b\": is there twice",
-        "id = \"a\"|#|7|endpoints[0].id|: is missing; it must be 1 to 64 letters",
-        "127.0.0.1:9102|127.0.0.1:9101|12|endpoints[1].address|is taken by endpoints[0].address",
-        "127.0.0.1:9102|127.0.0.1:0|12|endpoints[1].address|a port from 1 to 65535",
-        "zone = \"east\"|zone = \"north\"|13|endpoints[1].zone|is none of fleet.zones, which are [east",
-        "weight = 2|weight = 0|14|endpoints[1].weight|= 0: must be a number from 0.001 to 1000",
-        "weight = 2|weight = \"2\"|14|endpoints[1].weight|= \"2\": must be a number",
-        "weight = 2|state = \"asleep\"|14|endpoints[1].state|must be one of \"gone\", \"in-service\"",
-        "[\"east\", \"west\"]|[]|16|fleet.zones|must be a list of 1 to 64 different words",
-        "[\"east\", \"west\"]|[\"west\", \"west\"]|16|fleet.zones|must be a list of 1 to 64 different words",
-        "own-zone = \"west\"|own-zone = \"w\"|17|fleet.own-zone|is none of fleet.zones",
-        "effect = \"repeatable\"|effect = \"safe\"|20|classes[0].effect|must be one of \"repeatable\"",
-        "aim = \"1s\"|aim = \"1\"|21|classes[0].aim|= \"1\": must be a time with its unit (ms, s, m or h)",
-        "aim = \"1s\"|aim = 1000|21|classes[0].aim|= 1000: must be a time with its unit",
-        "aim = \"1s\"|aim = \"1 s\"|21|classes[0].aim|must be a time with its unit",
-        "aim = \"1s\"|aim = \"3s\"|21|classes[0].aim|= \"3s\": is above the deadline of this class",
-        "aim = \"1s\"|#|18|classes[0].aim|: is missing; it must be a time",
-        "deadline = \"2.5s\"|deadline = \"2h\"|22|classes[0].deadline|from 1ms to 1h",
-        "name = \"save\"|name = \"read\"|24|classes[1].name|is there twice",
-        "effect = \"keyed\"|effect = \"once\"|26|classes[1].key-window|goes with effect = \"keyed\" only",
-        "key-window = \"10s\"|#|23|classes[1].key-window|: is missing; a keyed class must have it",
-        "worth = 3|late-worth = 3|29|classes[1].late-worth|is above the worth of an answer in time",
-        "rate = 5.5|rate = -1|32|tenants[0].rate|must be a number from 0 to 1000000",
-        "rate = 5.5|#|30|tenants[0].rate|: is missing",
-        "memory = \"64MiB\"|memory = \"64MB\"|34|limits.memory|must be a size with its unit (B, KiB",
-        "memory = \"64MiB\"|memory = \"8MiB\"|34|limits.memory|from 32MiB to 64GiB",
-        "memory = \"64MiB\"|memory = 64|34|limits.memory|= 64: must be a size",
-        "descriptors = 256|descriptors = 10|35|limits.descriptors|must be a whole number from 96 to 1048576",
-        "attempts = 2|connect-timeout = \"3s\"|36|limits.connect-timeout|is longer than the deadline",
-        "attempts = 2|attempt = 2|36|limits.attempt|unknown key; [limits] may have memory, descriptors",
-        "number = 3|number = 4|39|balancing.number|must be below balancing.balancers, which is 4",
-        "level = \"info\"|level = \"loud\"|41|logging.level|must be one of \"debug\", \"info\"",
-        "level = \"info\"|levels = {\"io.netty\" = \"info\"}|41|logging.levels|must be loggers",
-        "level = \"info\"|format = \"xml\"|41|logging.format|must be one of \"plain\", \"text\", \"json\""})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "seed = 7|seed = -1|2|seed|= -1: must be a whole number from 0 to 2147483647",
+                "seed = 7|seed = 1.5|2|seed|= 1.5: must be a whole number",
+                "seed = 7|sead = 7|2|sead|= 7: unknown key; there may be name, state-dir, seed",
+                "seed = 7|seed = = 7|2||it is not TOML",
+                "seed = 7|seed = 7 seed|2||it is not TOML",
+                "seed = 7|name = 'twice'|2|name|: is there twice",
+                "name = \"edge\"|name = \"a/b\"|1|name|= \"a/b\": must be 1 to 64 letters, digits",
+                "name = \"edge\"|name = \"\"|1|name|must be 1 to 64 letters",
+                "name = \"edge\"|name = 5|1|name|= 5: must be 1 to 64 letters",
+                "\"127.0.0.1:9000\"|\"localhost:9000\"|4|listeners[0].address|must be an IP address and a port",
+                "\"127.0.0.1:9000\"|\"127.0.0.1:70000\"|4|listeners[0].address|= \"127.0.0.1:70000\": must be",
+                "\"127.0.0.1:9000\"|\"127.0.0.1\"|4|listeners[0].address|must be an IP address and a port",
+                "\"127.0.0.1:9000\"|9000|4|listeners[0].address|= 9000: must be an IP address",
+                "\"127.0.0.1:9000\"|\"127.0.0.1:9001\"|6|admin.address|is taken by listeners[0].address",
+                "[[listeners]]|[listeners]|3|listeners|must be 1 to 8 tables: [[listeners]]",
+                "[admin]|[admins]|5|admins|unknown key",
+                "[admin]|[[admin]]|5|admin|must be a table: [admin]",
+                "id = \"a\"|id = \"b\"|11|endpoints[1].id|= \"b\": is there twice",
+                "id = \"a\"|#|7|endpoints[0].id|: is missing; it must be 1 to 64 letters",
+                "127.0.0.1:9102|127.0.0.1:9101|12|endpoints[1].address|is taken by endpoints[0].address",
+                "127.0.0.1:9102|127.0.0.1:0|12|endpoints[1].address|a port from 1 to 65535",
+                "zone = \"east\"|zone = \"north\"|13|endpoints[1].zone|is none of fleet.zones, which are [east",
+                "weight = 2|weight = 0|14|endpoints[1].weight|= 0: must be a number from 0.001 to 1000",
+                "weight = 2|weight = \"2\"|14|endpoints[1].weight|= \"2\": must be a number",
+                "weight = 2|state = \"asleep\"|14|endpoints[1].state|must be one of \"gone\", \"in-service\"",
+                "[\"east\", \"west\"]|[]|16|fleet.zones|must be a list of 1 to 64 different words",
+                "[\"east\", \"west\"]|[\"west\", \"west\"]|16|fleet.zones|must be a list of 1 to 64 different words",
+                "own-zone = \"west\"|own-zone = \"w\"|17|fleet.own-zone|is none of fleet.zones",
+                "effect = \"repeatable\"|effect = \"safe\"|20|classes[0].effect|must be one of \"repeatable\"",
+                "aim = \"1s\"|aim = \"1\"|21|classes[0].aim|= \"1\": must be a time with its unit (ms, s, m or h)",
+                "aim = \"1s\"|aim = 1000|21|classes[0].aim|= 1000: must be a time with its unit",
+                "aim = \"1s\"|aim = \"1 s\"|21|classes[0].aim|must be a time with its unit",
+                "aim = \"1s\"|aim = \"3s\"|21|classes[0].aim|= \"3s\": is above the deadline of this class",
+                "aim = \"1s\"|#|18|classes[0].aim|: is missing; it must be a time",
+                "deadline = \"2.5s\"|deadline = \"2h\"|22|classes[0].deadline|from 1ms to 1h",
+                "name = \"save\"|name = \"read\"|24|classes[1].name|is there twice",
+                "effect = \"keyed\"|effect = \"once\"|26|classes[1].key-window|goes with effect = \"keyed\" only",
+                "key-window = \"10s\"|#|23|classes[1].key-window|: is missing; a keyed class must have it",
+                "worth = 3|late-worth = 3|29|classes[1].late-worth|is above the worth of an answer in time",
+                "rate = 5.5|rate = -1|32|tenants[0].rate|must be a number from 0 to 1000000",
+                "rate = 5.5|#|30|tenants[0].rate|: is missing",
+                "memory = \"64MiB\"|memory = \"64MB\"|34|limits.memory|must be a size with its unit (B, KiB",
+                "memory = \"64MiB\"|memory = \"8MiB\"|34|limits.memory|from 32MiB to 64GiB",
+                "memory = \"64MiB\"|memory = 64|34|limits.memory|= 64: must be a size",
+                "descriptors = 256|descriptors = 10|35|limits.descriptors|must be a whole number from 96 to 1048576",
+                "attempts = 2|connect-timeout = \"3s\"|36|limits.connect-timeout|is longer than the deadline",
+                "attempts = 2|attempt = 2|36|limits.attempt|unknown key; [limits] may have memory, descriptors",
+                "number = 3|number = 4|39|balancing.number|must be below balancing.balancers, which is 4",
+                "level = \"info\"|level = \"loud\"|41|logging.level|must be one of \"debug\", \"info\"",
+                "level = \"info\"|levels = {\"io.netty\" = \"info\"}|41|logging.levels|must be loggers",
+                "level = \"info\"|format = \"xml\"|41|logging.format|must be one of \"plain\", \"text\", \"json\""
+            })
     void aBadFileIsNamed(String part, String instead, int line, String key, String rest) throws IOException {
         assertTrue(GOOD.contains(part), part);
-        Problem first = problems(GOOD.replaceFirst(java.util.regex.Pattern.quote(part),
-            java.util.regex.Matcher.quoteReplacement(instead))).get(0);
+        Problem first = problems(GOOD.replaceFirst(
+                        java.util.regex.Pattern.quote(part), java.util.regex.Matcher.quoteReplacement(instead)))
+                .get(0);
         assertEquals(line, first.line(), first.toString());
         assertEquals(key == null ? "" : key, first.key());
         assertTrue(first.toString().startsWith(folder.resolve("edge.toml") + ":" + line + ": "));
         assertTrue(first.toString().contains(rest), first.toString());
         ByteArrayOutputStream said = new ByteArrayOutputStream();
-        assertEquals(Main.BAD_INPUT, Main.serve(folder.resolve("edge.toml"),
-            new PrintStream(said, true, StandardCharsets.UTF_8)), "it does not start");
+        assertEquals(
+                Main.BAD_INPUT,
+                Main.serve(folder.resolve("edge.toml"), new PrintStream(said, true, StandardCharsets.UTF_8)),
+                "it does not start");
         String told = said.toString(StandardCharsets.UTF_8);
         assertTrue(told.startsWith("lemonrail: " + first), told);
         assertEquals(1, told.lines().count(), told);
@@ -162,58 +170,69 @@
 
     @Test
     void allThatIsWrongIsNamedAtOnce() throws IOException {
-        List<Problem> all = problems(GOOD.replace("seed = 7", "seed = -7").replace("\"1s\"", "\"9s\"")
-            .replace("worth = 3", "wort = 3").replace("[limits]", "[limit]").replace("rate = 5.5", ""));
-        assertEquals(List.of("seed", "classes[0].aim", "classes[1].wort", "tenants[0].rate", "limit"),
-            all.stream().map(Problem::key).toList());
+        List<Problem> all = problems(GOOD.replace("seed = 7", "seed = -7")
+                .replace("\"1s\"", "\"9s\"")
+                .replace("worth = 3", "wort = 3")
+                .replace("[limits]", "[limit]")
+                .replace("rate = 5.5", ""));
+        assertEquals(
+                List.of("seed", "classes[0].aim", "classes[1].wort", "tenants[0].rate", "limit"),
+                all.stream().map(Problem::key).toList());
         assertEquals(List.of(2, 21, 29, 30, 33), all.stream().map(Problem::line).toList());
     }
 
     @Test
     void whatMustBeThereIsAskedFor() throws IOException {
-        assertEquals(List.of("listeners", "endpoints", "classes"),
-            problems("name = \"edge\"").stream().map(Problem::key).toList());
+        assertEquals(
+                List.of("listeners", "endpoints", "classes"),
+                problems("name = \"edge\"").stream().map(Problem::key).toList());
     }
 
     @Test
     void aFileThatIsNotThereOrNoTextIsNamed() throws IOException {
         TomlFile none = new TomlFile(folder.resolve("none.toml"), Map.of());
-        assertEquals(none.file() + ": there is no such file",
-            assertThrows(ConfigException.class, none::load).getMessage());
+        assertEquals(
+                none.file() + ": there is no such file",
+                assertThrows(ConfigException.class, none::load).getMessage());
         TomlFile bytes = new TomlFile(Files.write(folder.resolve("x.toml"), new byte[] {'a', -1}), Map.of());
-        assertEquals(bytes.file() + ": it is not UTF-8",
-            assertThrows(ConfigException.class, bytes::load).getMessage());
+        assertEquals(
+                bytes.file() + ": it is not UTF-8",
+                assertThrows(ConfigException.class, bytes::load).getMessage());
     }
 
     /** Guards against lines that are off where values go over several lines or hold brackets and quotes. */
     @Test
     void linesAreRightBehindValuesOfSeveralLines() throws IOException {
         String text = GOOD.replace("[\"east\", \"west\"]", "[ # [\n  \"east\", # \"]\n  \"west\"\n]")
-            .replace("name = \"edge\"", "\"name\" = 'edge' # = [").replace("worth = 3", "worth = -3");
+                .replace("name = \"edge\"", "\"name\" = 'edge' # = [")
+                .replace("worth = 3", "worth = -3");
         assertEquals(32, problems(text).get(0).line());
     }
 
     @Test
     void theEnvironmentGoesBeforeTheFile() throws IOException {
-        TomlFile file = new TomlFile(file(GOOD), Map.of("LEMONRAIL_LIMITS_ATTEMPTS", "4",
-            "LEMONRAIL_LOGGING_FORMAT", "json"));
+        TomlFile file =
+                new TomlFile(file(GOOD), Map.of("LEMONRAIL_LIMITS_ATTEMPTS", "4", "LEMONRAIL_LOGGING_FORMAT", "json"));
         Loaded loaded = file.load();
         assertEquals(4, loaded.config().settings().limits().tries());
-        assertTrue(loaded.values().contains(
-            new Loaded.Value("logging.format", "\"json\"", "environment", false)), "" + loaded.values());
-        assertTrue(loaded.values().contains(
-            new Loaded.Value("limits.descriptors", "256", file.file() + ":35", false)));
+        assertTrue(
+                loaded.values().contains(new Loaded.Value("logging.format", "\"json\"", "environment", false)),
+                "" + loaded.values());
+        assertTrue(loaded.values().contains(new Loaded.Value("limits.descriptors", "256", file.file() + ":35", false)));
         assertTrue(loaded.values().contains(new Loaded.Value("drain.grace", "\"1s\"", "default", false)));
         TomlFile bad = new TomlFile(file.file(), Map.of("LEMONRAIL_LIMITS_ATTEMPTS", "many"));
-        assertTrue(assertThrows(ConfigException.class, bad::load).getMessage()
-            .contains("LEMONRAIL_LIMITS_ATTEMPTS = \"many\": must be a whole number from 1 to 16"));
+        assertTrue(assertThrows(ConfigException.class, bad::load)
+                .getMessage()
+                .contains("LEMONRAIL_LIMITS_ATTEMPTS = \"many\": must be a whole number from 1 to 16"));
     }
 
     /** Guards against waits that hide a silent watch for longer than the time in which a change binds. */
     @Test
     void aWaitForNewsIsShortEnoughForChangesToBeKnownInTime() throws IOException {
         String watched = GOOD + "[discovery]\naddress = \"127.0.0.1:8500\"\nwait = \"WAIT\"\n";
-        EdgeConfig longest = new TomlFile(file(watched.replace("WAIT", "3s")), Map.of()).load().config();
+        EdgeConfig longest = new TomlFile(file(watched.replace("WAIT", "3s")), Map.of())
+                .load()
+                .config();
         assertEquals(3000.0, longest.discoveryWaitMs());
         for (String wait : List.of("3001ms", "20s", "60s", "50ms")) {
             String told = problems(watched.replace("WAIT", wait)).toString();
--- a/edge/src/test/java/lemonrail/cli/CommandLineTest.java
+++ b/edge/src/test/java/lemonrail/cli/CommandLineTest.java
@@ -24,33 +24,40 @@
     @TempDir
     Path folder;
 
-    private record Result(int status, String out, String err) {
-    }
+    private record Result(int status, String out, String err) {}
 
     private Result call(String... args) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:TieredStopAtLevel=1", "-cp",
-            System.getProperty("java.class.path"), "lemonrail.cli.Main"));
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "lemonrail.cli.Main"));
         command.addAll(List.of(args));
         Path out = folder.resolve("out");
         Path err = folder.resolve("err");
-        ProcessBuilder builder = new ProcessBuilder(command).redirectOutput(out.toFile())
-            .redirectError(err.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder(command).redirectOutput(out.toFile()).redirectError(err.toFile());
         builder.environment().remove(Main.CONFIG_VARIABLE);
         int status = builder.start().waitFor();
         return new Result(status, Files.readString(out), Files.readString(err));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"|2|Usage: lemonrail", "nonsense|2|Unmatched argument",
-        "benchlink more|2|Unmatched argument", "check|2|Missing required parameter",
-        "config|2|Usage: lemonrail config",
-        "serve|2|no configuration: give --config FILE or set GW_CONFIG",
-        "serve --config|2|Missing required parameter",
-        "config schema --format xml|2|Invalid value for option",
-        "serve --config none.toml|2|lemonrail: none.toml: there is no such file",
-        "check none.json none.toml|2|none.json: GW_CONFIG names a file that is not there"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "|2|Usage: lemonrail",
+                "nonsense|2|Unmatched argument",
+                "benchlink more|2|Unmatched argument",
+                "check|2|Missing required parameter",
+                "config|2|Usage: lemonrail config",
+                "serve|2|no configuration: give --config FILE or set GW_CONFIG",
+                "serve --config|2|Missing required parameter",
+                "config schema --format xml|2|Invalid value for option",
+                "serve --config none.toml|2|lemonrail: none.toml: there is no such file",
+                "check none.json none.toml|2|none.json: GW_CONFIG names a file that is not there"
+            })
     void aBadCallSaysWhyAndEndsWithTwo(String args, int status, String why) throws Exception {
         Result result = call(args == null ? new String[0] : args.split(" "));
         assertEquals(status, result.status(), result.err());
@@ -59,10 +66,18 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"--help|check", "serve --help|--config",
-        "config schema --help|--format",
-        "version|lemonrail ", "--version|lemonrail ", "generate-completion|complete -F",
-        "config schema|[[listeners]]", "config schema --format json|2020-12"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "--help|check",
+                "serve --help|--config",
+                "config schema --help|--format",
+                "version|lemonrail ",
+                "--version|lemonrail ",
+                "generate-completion|complete -F",
+                "config schema|[[listeners]]",
+                "config schema --format json|2020-12"
+            })
     void aGoodCallPrintsOnStandardOutput(String args, String part) throws Exception {
         Result result = call(args.split(" "));
         assertEquals(0, result.status(), result.err());
@@ -83,9 +98,11 @@
 
     @Test
     void checkNamesEachProblemOnALineOfItsOwn() throws Exception {
-        Path bad = Files.writeString(folder.resolve("bad.toml"),
-            Files.readString(EXAMPLE, StandardCharsets.UTF_8).replace("\"2s\"  ", "\"9s\"  ")
-                .replace("descriptors = 1024", "descriptors = 1"));
+        Path bad = Files.writeString(
+                folder.resolve("bad.toml"),
+                Files.readString(EXAMPLE, StandardCharsets.UTF_8)
+                        .replace("\"2s\"  ", "\"9s\"  ")
+                        .replace("descriptors = 1024", "descriptors = 1"));
         Result result = call("check", EXAMPLE.toString(), bad.toString());
         assertEquals(2, result.status());
         assertTrue(result.out().contains(EXAMPLE + ": good"), result.out());
--- a/edge/src/test/java/lemonrail/cli/MainTest.java
+++ b/edge/src/test/java/lemonrail/cli/MainTest.java
@@ -44,11 +44,10 @@
     private Process serve(String config, List<String> through, List<String> options) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
         List<String> command = new ArrayList<>(through);
-        command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:TieredStopAtLevel=1"));
+        command.addAll(
+                List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1"));
         command.addAll(options);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"),
-            "lemonrail.cli.Main", "serve"));
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "lemonrail.cli.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("GW_CONFIG", file.toString());
         return builder.redirectErrorStream(true).start();
@@ -64,8 +63,11 @@
         try (BufferedReader log = process.inputReader()) {
             List<String> loaded = linesUntil(log, "warm after");
             assertTrue(loaded.stream().anyMatch(line -> line.contains("io.netty.buffer.")));
-            assertEquals(List.of(), loaded.stream()
-                .filter(line -> line.contains("jdk.jfr.internal.handlers")).toList());
+            assertEquals(
+                    List.of(),
+                    loaded.stream()
+                            .filter(line -> line.contains("jdk.jfr.internal.handlers"))
+                            .toList());
         } finally {
             process.destroyForcibly();
         }
@@ -80,8 +82,11 @@
         Process process = serve(CONFIG, List.of(), List.of("-Xlog:class+load"));
         try (BufferedReader log = process.inputReader()) {
             String loaded = String.join("\n", linesUntil(log, "warm after"));
-            for (String needed : List.of("lemonrail.streaming.Pipe ", "lemonrail.http1.PipeWriter ",
-                    "lemonrail.http1.RequestReader$Refusal ", "lemonrail.http1.ClientConnection$Streamed ",
+            for (String needed : List.of(
+                    "lemonrail.streaming.Pipe ",
+                    "lemonrail.http1.PipeWriter ",
+                    "lemonrail.http1.RequestReader$Refusal ",
+                    "lemonrail.http1.ClientConnection$Streamed ",
                     "lemonrail.core.Contract$Finished ")) {
                 assertTrue(loaded.contains(needed), needed + "is met");
             }
@@ -111,9 +116,13 @@
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "warm after");
             for (String port : List.of("2", "3")) {
-                Files.writeString(folder.resolve("config.json"),
-                    CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
-                assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor());
+                Files.writeString(
+                        folder.resolve("config.json"), CONFIG.replace("127.0.0.1:1\"", "127.0.0.1:" + port + "\""));
+                assertEquals(
+                        0,
+                        new ProcessBuilder("kill", "-HUP", "" + process.pid())
+                                .start()
+                                .waitFor());
                 awaitLine(log, "discovery is at /127.0.0.1:" + port);
             }
             process.toHandle().destroy();
@@ -166,8 +175,10 @@
         Process process = serve(CONFIG.replace("\"sockets\":1024", "\"sockets\":\"many\""));
         try (BufferedReader log = process.inputReader()) {
             List<String> lines = log.lines().toList();
-            assertEquals(List.of("lemonrail: " + folder.resolve("config.json")
-                + ":2: limits.sockets = many: field limits.sockets is not usable: many"), lines);
+            assertEquals(
+                    List.of("lemonrail: " + folder.resolve("config.json")
+                            + ":2: limits.sockets = many: field limits.sockets is not usable: many"),
+                    lines);
             assertEquals(2, process.waitFor());
         } finally {
             process.destroyForcibly();
--- a/edge/src/test/java/lemonrail/cli/SignalMaskTest.java
+++ b/edge/src/test/java/lemonrail/cli/SignalMaskTest.java
@@ -11,12 +11,26 @@
 
     /** The third was seen on a sidecar started through nohup from a shell's background. */
     @ParameterizedTest
-    @CsvSource({"0000000000000000,false", "0000000000000001,true", "0000000000000003,true",
-        "0000000000001002,false", "ffffffffffffffff,true", "fffffffffffffffe,false", "'',false",
-        "none,false"})
+    @CsvSource({
+        "0000000000000000,false",
+        "0000000000000001,true",
+        "0000000000000003,true",
+        "0000000000001002,false",
+        "ffffffffffffffff,true",
+        "fffffffffffffffe,false",
+        "'',false",
+        "none,false"
+    })
     void itTellsWhetherHangUpsAreIgnored(String mask, boolean ignored) {
-        assertEquals(ignored, SignalMask.ignores(List.of("Name:\tjava", "SigBlk:\t0000000000000001",
-            "SigIgn:\t" + mask, "SigCgt:\t0000000000000001"), SignalMask.HUP));
+        assertEquals(
+                ignored,
+                SignalMask.ignores(
+                        List.of(
+                                "Name:\tjava",
+                                "SigBlk:\t0000000000000001",
+                                "SigIgn:\t" + mask,
+                                "SigCgt:\t0000000000000001"),
+                        SignalMask.HUP));
     }
 
     @ParameterizedTest
--- a/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
+++ b/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
@@ -19,11 +19,21 @@
 /** What a settings document may say, and what an edge takes of it. */
 class SettingsDocumentTest {
 
-    private static final Settings OWN = new Settings(1, 0, 0, 0, false, false, 0.2, 0, List.of(
-        new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false),
-        new RequestClass("order", 1000, 3000, 5, 0.5, Effect.ONCE, Group.ALL, 0, false)),
-        List.of(new Tenant("acme", 10, 0)), new Limits(3, false, true, 2000, 200),
-        new Rules(0.3, 8000, 3, 1000, 1000, 1e12));
+    private static final Settings OWN = new Settings(
+            1,
+            0,
+            0,
+            0,
+            false,
+            false,
+            0.2,
+            0,
+            List.of(
+                    new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false),
+                    new RequestClass("order", 1000, 3000, 5, 0.5, Effect.ONCE, Group.ALL, 0, false)),
+            List.of(new Tenant("acme", 10, 0)),
+            new Limits(3, false, true, 2000, 200),
+            new Rules(0.3, 8000, 3, 1000, 1000, 1e12));
 
     @Test
     void whatItNamesChangesAndAllElseStays() {
@@ -40,8 +50,9 @@
             retry-after = "4s"
             """);
         assertEquals(OWN.classes().get(0), now.classes().get(0));
-        assertEquals(new RequestClass("order", 500, 3000, 7, 0.5, Effect.ONCE, Group.ALL, 0, false),
-            now.classes().get(1));
+        assertEquals(
+                new RequestClass("order", 500, 3000, 7, 0.5, Effect.ONCE, Group.ALL, 0, false),
+                now.classes().get(1));
         assertEquals(List.of(new Tenant("acme", 20, 0)), now.tenants());
         assertEquals(new Limits(2, false, true, 4000, 200), now.limits());
         assertEquals(OWN.rules(), now.rules());
@@ -49,15 +60,18 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "x =|it is not TOML",
-        "name = 'edge'|settings:1: name = \"edge\": unknown key",
-        "[[classes]];name = 'read';effect = 'once'|classes[0].effect = \"once\": unknown key",
-        "[[classes]];name = 'read';aim = 500|settings:3: classes[0].aim = 500: must be a time with its unit",
-        "[[classes]];name = 'read';[[classes]];name = 'read'|is there twice",
-        "[[classes]];aim = '1s'|classes[0].name: is missing",
-        "[limits];descriptors = 10|limits.descriptors = 10: unknown key",
-        "[drain];grace = '1s'|drain"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "x =|it is not TOML",
+                "name = 'edge'|settings:1: name = \"edge\": unknown key",
+                "[[classes]];name = 'read';effect = 'once'|classes[0].effect = \"once\": unknown key",
+                "[[classes]];name = 'read';aim = 500|settings:3: classes[0].aim = 500: must be a time with its unit",
+                "[[classes]];name = 'read';[[classes]];name = 'read'|is there twice",
+                "[[classes]];aim = '1s'|classes[0].name: is missing",
+                "[limits];descriptors = 10|limits.descriptors = 10: unknown key",
+                "[drain];grace = '1s'|drain"
+            })
     void whatNoEdgeCouldTakeIsRefusedWithItsPlace(String text, String why) {
         String document = text.replace(';', '\n');
         ConfigException e = assertThrows(ConfigException.class, () -> SettingsDocument.check(document));
@@ -66,13 +80,16 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "[[classes]];name = 'write';aim = '1s'|is unknown to this edge; it has [read, order]",
-        "[[tenants]];name = 'other';rate = 1|is unknown to this edge; it has [acme]",
-        "[[classes]];name = 'read';aim = '4s'|would have an aim above its deadline",
-        "[[classes]];name = 'read';deadline = '900ms'|would have an aim above its deadline",
-        "[[classes]];name = 'order';worth = 0.1|would have a late-worth above its worth",
-        "[[classes]];name = 'read';aim = '1ms';deadline = '100ms'|limits.connect-timeout"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "[[classes]];name = 'write';aim = '1s'|is unknown to this edge; it has [read, order]",
+                "[[tenants]];name = 'other';rate = 1|is unknown to this edge; it has [acme]",
+                "[[classes]];name = 'read';aim = '4s'|would have an aim above its deadline",
+                "[[classes]];name = 'read';deadline = '900ms'|would have an aim above its deadline",
+                "[[classes]];name = 'order';worth = 0.1|would have a late-worth above its worth",
+                "[[classes]];name = 'read';aim = '1ms';deadline = '100ms'|limits.connect-timeout"
+            })
     void whatDoesNotGoWithAnEdgesOwnFileIsRefusedThere(String text, String why) {
         String document = text.replace(';', '\n');
         SettingsDocument.check(document);
--- a/edge/src/test/java/lemonrail/control/ControlClientTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlClientTest.java
@@ -34,8 +34,7 @@
 
     private static final ServerList.Names NAMES = new ServerList.Names(List.of("a"), List.of("m2"));
 
-    private final MultiThreadIoEventLoopGroup group =
-        new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final Clock clock = new Clock();
     private final List<ServerList> lists = new CopyOnWriteArrayList<>();
@@ -51,13 +50,18 @@
     }
 
     private static InetSocketAddress at(ControlNode node) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), node.address().getPort());
+        return new InetSocketAddress(
+                InetAddress.getLoopbackAddress(), node.address().getPort());
     }
 
     private void start(List<InetSocketAddress> addresses, List<InetSocketAddress> fallbacks) {
-        client = new ControlClient(loop, clock, new ControlClient.Plan("edge-1", addresses, fallbacks,
-            List.of("quote"), "base", null), NAMES, 7, new EventLog(clock,
-            new TextSink(new PrintStream(nodes.log, true, StandardCharsets.UTF_8))));
+        client = new ControlClient(
+                loop,
+                clock,
+                new ControlClient.Plan("edge-1", addresses, fallbacks, List.of("quote"), "base", null),
+                NAMES,
+                7,
+                new EventLog(clock, new TextSink(new PrintStream(nodes.log, true, StandardCharsets.UTF_8))));
         client.listen(list -> {
             lists.add(list);
             if (list.full()) {
@@ -118,12 +122,18 @@
         nodes.node("w1").put(Change.endpointGone("quote", "s8"));
         Nodes.await("it is gone", () -> !states.containsKey("s8"));
         assertEquals(3, lists.size());
-        assertEquals(List.of(1, 1), lists.subList(1, 3).stream().map(list -> list.entries().size()).toList());
+        assertEquals(
+                List.of(1, 1),
+                lists.subList(1, 3).stream().map(list -> list.entries().size()).toList());
         assertTrue(lists.subList(1, 3).stream().noneMatch(ServerList::full));
         // An answer without news, whose wait is 2 s, is passed on to nobody.
-        long answers = nodes.node("w1").figures().get(2) + nodes.node("w2").figures().get(2);
-        Nodes.await("an empty answer", () -> nodes.node("w1").figures().get(2)
-            + nodes.node("w2").figures().get(2) > answers + 10);
+        long answers =
+                nodes.node("w1").figures().get(2) + nodes.node("w2").figures().get(2);
+        Nodes.await(
+                "an empty answer",
+                () -> nodes.node("w1").figures().get(2)
+                                + nodes.node("w2").figures().get(2)
+                        > answers + 10);
         assertEquals(3, lists.size());
     }
 
@@ -138,7 +148,10 @@
         start("w1", "w2", "w3");
         awaitState("s49", State.READY);
         ControlNode own = own();
-        List<String> others = nodes.all.stream().filter(node -> node != own).map(ControlNode::name).toList();
+        List<String> others = nodes.all.stream()
+                .filter(node -> node != own)
+                .map(ControlNode::name)
+                .toList();
         // It hears no more of the others, so that its watcher lacks the change as it goes to one of them.
         others.forEach(other -> own.cut(other, true));
         nodes.put(others.get(0), "quote", "s7", "terminating");
@@ -158,8 +171,7 @@
         nodes = Nodes.of("w1");
         nodes.put("w1", "quote", "s1", "in_service");
         try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            InetSocketAddress gone = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                silent.getLocalPort());
+            InetSocketAddress gone = new InetSocketAddress(InetAddress.getLoopbackAddress(), silent.getLocalPort());
             long began = System.nanoTime();
             start(List.of(gone), List.of(at(nodes.node("w1"))));
             awaitState("s1", State.READY);
@@ -175,7 +187,8 @@
         start("w1", "w2", "w3");
         awaitState("s1", State.READY);
         ControlNode own = own();
-        List<ControlNode> others = nodes.all.stream().filter(node -> node != own).toList();
+        List<ControlNode> others =
+                nodes.all.stream().filter(node -> node != own).toList();
         for (ControlNode other : others) {
             own.cut(other.name(), true);
             other.cut(own.name(), true);
@@ -194,7 +207,8 @@
         start("w1", "w2");
         awaitState("s1", State.READY);
         ControlNode own = own();
-        ControlNode other = nodes.all.stream().filter(node -> node != own).findFirst().get();
+        ControlNode other =
+                nodes.all.stream().filter(node -> node != own).findFirst().get();
         own.cut(other.name(), true);
         other.cut(own.name(), true);
         nodes.put(own.name(), "quote", "s1", "terminating");
@@ -232,15 +246,18 @@
         taker.close();
         Nodes.await("the operators see it", () -> {
             String status = lemonrail.json.Json.text(nodes.node("w1").status().get("watching"));
-            return status.contains("\"refusals\":1,\"refused\":[{") && status.contains("it is bad")
-                && status.contains("\"watchers\":2,\"oldest\":\"")
-                && !status.contains("\"oldest\":\"" + stamp)
-                && status.contains("\"oldest_at\":[\"edge-1\"]");
+            return status.contains("\"refusals\":1,\"refused\":[{")
+                    && status.contains("it is bad")
+                    && status.contains("\"watchers\":2,\"oldest\":\"")
+                    && !status.contains("\"oldest\":\"" + stamp)
+                    && status.contains("\"oldest_at\":[\"edge-1\"]");
         });
         nodes.node("w1").put(Change.settings("base", "good 3"));
         Nodes.await("the next one is taken", () -> documents.size() == 3);
-        Nodes.await("and no refusal stands", () -> lemonrail.json.Json.text(nodes.node("w1").status()
-            .get("watching")).contains("\"refusals\":0"));
+        Nodes.await(
+                "and no refusal stands",
+                () -> lemonrail.json.Json.text(nodes.node("w1").status().get("watching"))
+                        .contains("\"refusals\":0"));
         nodes.node("w1").put(Change.settingsGone("base"));
         Nodes.await("its own file's are back", () -> documents.size() == 4);
         assertEquals("null", documents.get(3));
--- a/edge/src/test/java/lemonrail/control/ControlNodeTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeTest.java
@@ -53,8 +53,8 @@
         nodes = Nodes.of("w1");
         nodes.put("w1", "quote", "s1", "in_service");
         Watcher plain = watcher("", "w1");
-        ServerList list = ServerList.parse(plain.get("/registry/instances").read().text
-            .getBytes(StandardCharsets.UTF_8), NAMES);
+        ServerList list =
+                ServerList.parse(plain.get("/registry/instances").read().text.getBytes(StandardCharsets.UTF_8), NAMES);
         assertTrue(list.full());
         assertEquals("s1", list.servers().get(0).id());
         assertEquals(0, list.servers().get(0).zone());
@@ -63,18 +63,30 @@
         nodes.put("w1", "quote", "s1", "terminating");
         ServerList change = ServerList.parse(plain.read().text.getBytes(StandardCharsets.UTF_8), NAMES);
         assertFalse(change.full());
-        assertEquals(List.of(lemonrail.core.Contract.State.DRAINING),
-            change.servers().stream().map(server -> server.state()).toList());
+        assertEquals(
+                List.of(lemonrail.core.Contract.State.DRAINING),
+                change.servers().stream().map(server -> server.state()).toList());
         assertTrue(change.version() > list.version());
         nodes.node("w1").put(Change.endpointGone("quote", "s1"));
-        change = ServerList.parse(plain.get("/registry/instances?index=" + change.version() + "&wait=20000")
-            .read().text.getBytes(StandardCharsets.UTF_8), NAMES);
-        assertEquals(List.of(lemonrail.core.Contract.State.GONE),
-            change.servers().stream().map(server -> server.state()).toList());
+        change = ServerList.parse(
+                plain.get("/registry/instances?index=" + change.version() + "&wait=20000")
+                        .read()
+                        .text
+                        .getBytes(StandardCharsets.UTF_8),
+                NAMES);
+        assertEquals(
+                List.of(lemonrail.core.Contract.State.GONE),
+                change.servers().stream().map(server -> server.state()).toList());
         Watcher other = watcher("", "w1");
-        assertTrue(ServerList.parse(other.get("/registry/instances?index=" + change.version()
-            + "&wait=20000").read().text.getBytes(StandardCharsets.UTF_8), NAMES).full(),
-            "without a proof of what it holds a new connection gets the whole list at once");
+        assertTrue(
+                ServerList.parse(
+                                other.get("/registry/instances?index=" + change.version() + "&wait=20000")
+                                        .read()
+                                        .text
+                                        .getBytes(StandardCharsets.UTF_8),
+                                NAMES)
+                        .full(),
+                "without a proof of what it holds a new connection gets the whole list at once");
     }
 
     @Test
@@ -211,8 +223,10 @@
         nodes.awaitEqual("w1", "w2");
         Watcher watcher = watcher("quote", "w1").watch(0);
         // As if ten seconds and more had passed since.
-        watcher.replica.take(new lemonrail.core.control.Replica.Key("quote", "s9"),
-            new lemonrail.core.control.Stamp(1, 0, "w1"), false);
+        watcher.replica.take(
+                new lemonrail.core.control.Replica.Key("quote", "s9"),
+                new lemonrail.core.control.Stamp(1, 0, "w1"),
+                false);
         watcher.states.put("s9", "in_service");
         watcher.version += 60_000L << 10;
         watcher.to(nodes.node("w2").address()).watch(0);
@@ -243,8 +257,12 @@
         assertTrue(nodes.node("w3").get("quote", "s1").contains("terminating"));
         watcher.watch(0);
         assertEquals("terminating", watcher.states.get("s1"));
-        assertEquals(Taken.OLDER, nodes.node("w1").put(Change.endpoint("quote", "s1",
-            "{\"addr\":\"10.0.0.1:9000\"}".getBytes(StandardCharsets.UTF_8)).asOf(1_000_000)));
+        assertEquals(
+                Taken.OLDER,
+                nodes.node("w1")
+                        .put(Change.endpoint(
+                                        "quote", "s1", "{\"addr\":\"10.0.0.1:9000\"}".getBytes(StandardCharsets.UTF_8))
+                                .asOf(1_000_000)));
     }
 
     /** Each side drains and adds while they are apart; its watchers see no endpoint go and come. */
@@ -362,8 +380,8 @@
         long began = System.nanoTime();
         List<Watcher> fleet = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
-            fleet.add(watcher("service" + i % 110 + ",service" + (i + 1) % 110 + ",service" + (i + 2) % 110,
-                "w1").call(0, ""));
+            fleet.add(watcher("service" + i % 110 + ",service" + (i + 1) % 110 + ",service" + (i + 2) % 110, "w1")
+                    .call(0, ""));
         }
         long bytes = 0;
         for (Watcher one : fleet) {
@@ -372,7 +390,7 @@
             bytes += one.bytes;
         }
         System.out.println("1,000 watchers of 3 of 110 services, back at once at one node: "
-            + (System.nanoTime() - began) / 1_000_000 + " ms, " + bytes / 1000 + " kB in all");
+                + (System.nanoTime() - began) / 1_000_000 + " ms, " + bytes / 1000 + " kB in all");
         assertTrue(nodes.node("w1").figures().get(5) <= 110, "a text is made once for all who lack it");
         nodes.put("w1", "service7", "s7", "terminating");
         for (Watcher one : fleet) {
@@ -398,7 +416,7 @@
             one.text = "";
         }
         System.out.println("1,000 whole lists of 1,000 at once from one node: "
-            + (System.nanoTime() - began) / 1_000_000 + " ms, " + bytes / 1_000_000 + " MB in all");
+                + (System.nanoTime() - began) / 1_000_000 + " ms, " + bytes / 1_000_000 + " MB in all");
         assertEquals(1, nodes.node("w1").figures().get(5), "the text is made once");
     }
 
@@ -433,9 +451,18 @@
         Nodes.await("it is ready", kept::isReady);
         kept.stop();
         nodes.put("w1", "quote", "s1", "terminating");
-        ControlNode again = ControlNode.create(new ControlConfig("w2", "west", Nodes.anyPort(), null,
-            List.of(nodes.node("w1").asPeer()), ControlConfig.MOST_WATCHERS, ControlConfig.ANSWER_GAP_MS,
-            folder, LogSettings.USUAL), new TextSink(System.err));
+        ControlNode again = ControlNode.create(
+                new ControlConfig(
+                        "w2",
+                        "west",
+                        Nodes.anyPort(),
+                        null,
+                        List.of(nodes.node("w1").asPeer()),
+                        ControlConfig.MOST_WATCHERS,
+                        ControlConfig.ANSWER_GAP_MS,
+                        folder,
+                        LogSettings.USUAL),
+                new TextSink(System.err));
         nodes.all.add(again);
         again.open();
         Watcher watcher = new Watcher("quote").to(again.address());
@@ -444,9 +471,18 @@
         assertEquals("terminating", watcher.watch(0).states.get("s1"));
         again.stop();
         nodes.node("w1").stop();
-        ControlNode alone = ControlNode.create(new ControlConfig("w2", "west", Nodes.anyPort(), null,
-            List.of(nodes.node("w1").asPeer()), ControlConfig.MOST_WATCHERS, ControlConfig.ANSWER_GAP_MS,
-            folder, LogSettings.USUAL), new TextSink(System.err));
+        ControlNode alone = ControlNode.create(
+                new ControlConfig(
+                        "w2",
+                        "west",
+                        Nodes.anyPort(),
+                        null,
+                        List.of(nodes.node("w1").asPeer()),
+                        ControlConfig.MOST_WATCHERS,
+                        ControlConfig.ANSWER_GAP_MS,
+                        folder,
+                        LogSettings.USUAL),
+                new TextSink(System.err));
         nodes.all.add(alone);
         long began = System.nanoTime();
         alone.open();
@@ -472,10 +508,21 @@
         long began = System.nanoTime();
         List<ControlNode> again = new ArrayList<>();
         for (ControlNode node : before) {
-            ControlNode fresh = ControlNode.create(new ControlConfig(node.name(), "west", node.address(),
-                null, before.stream().filter(other -> other != node).map(ControlNode::asPeer).toList(),
-                ControlConfig.MOST_WATCHERS, ControlConfig.ANSWER_GAP_MS, folder, LogSettings.USUAL),
-                new TextSink(System.err));
+            ControlNode fresh = ControlNode.create(
+                    new ControlConfig(
+                            node.name(),
+                            "west",
+                            node.address(),
+                            null,
+                            before.stream()
+                                    .filter(other -> other != node)
+                                    .map(ControlNode::asPeer)
+                                    .toList(),
+                            ControlConfig.MOST_WATCHERS,
+                            ControlConfig.ANSWER_GAP_MS,
+                            folder,
+                            LogSettings.USUAL),
+                    new TextSink(System.err));
             nodes.all.add(fresh);
             again.add(fresh);
             fresh.open();
@@ -492,18 +539,19 @@
     void anItemThatCannotBeReadKeepsNoOtherBack() throws Exception {
         nodes.start("w1", "west");
         String list = "{\"version\":5,\"full\":true,\"node\":\"x-1\",\"heard\":{\"x\":\"7.0.x\"},"
-            + "\"servers\":["
-            + "{\"id\":\"s1\",\"addr\":\"10.0.0.1:1\",\"state\":\"asleep\",\"service\":\"quote\","
-            + "\"stamp\":\"5.0.x\"},"
-            + "{\"id\":\"s2\",\"addr\":\"10.0.0.1:1\",\"state\":\"in_service\",\"service\":\"quote\","
-            + "\"stamp\":\"6.0.x\",\"colour\":\"blue\"}],\"settings\":[]}";
-        try (java.net.ServerSocket later = new java.net.ServerSocket(0, 5,
-                java.net.InetAddress.getLoopbackAddress())) {
-            nodes.node("w1").watch(new ControlConfig.Peer("x", new java.net.InetSocketAddress(
-                later.getInetAddress(), later.getLocalPort()), "west"));
+                + "\"servers\":["
+                + "{\"id\":\"s1\",\"addr\":\"10.0.0.1:1\",\"state\":\"asleep\",\"service\":\"quote\","
+                + "\"stamp\":\"5.0.x\"},"
+                + "{\"id\":\"s2\",\"addr\":\"10.0.0.1:1\",\"state\":\"in_service\",\"service\":\"quote\","
+                + "\"stamp\":\"6.0.x\",\"colour\":\"blue\"}],\"settings\":[]}";
+        try (java.net.ServerSocket later = new java.net.ServerSocket(0, 5, java.net.InetAddress.getLoopbackAddress())) {
+            nodes.node("w1")
+                    .watch(new ControlConfig.Peer(
+                            "x", new java.net.InetSocketAddress(later.getInetAddress(), later.getLocalPort()), "west"));
             try (java.net.Socket socket = later.accept()) {
-                socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length()
-                    + "\r\n\r\n" + list).getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream()
+                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
+                                .getBytes(StandardCharsets.ISO_8859_1));
                 Nodes.await("it is ready", nodes.node("w1")::isReady);
                 assertTrue(nodes.node("w1").get("quote", "s2").contains("in_service"));
                 assertEquals(null, nodes.node("w1").get("quote", "s1"));
@@ -520,12 +568,12 @@
         watcher.call(0, "&settings=base").take();
         Map<?, ?> document = (Map<?, ?>) ((List<?>) watcher.answer.get("settings")).get(0);
         assertEquals("one", document.get("text"));
-        watcher.call(0, "&settings=base&inforce=5.0.w1&refused=" + document.get("stamp")
-            + "&why=no%20such%20class").take();
+        watcher.call(0, "&settings=base&inforce=5.0.w1&refused=" + document.get("stamp") + "&why=no%20such%20class")
+                .take();
         Nodes.await("the other node knows", () -> {
             String status = lemonrail.json.Json.text(nodes.node("w1").status());
             return status.contains("\"oldest\":\"5.0.w1\",\"oldest_at\":[\"w1\"],\"refusals\":1")
-                && status.contains("no such class");
+                    && status.contains("no such class");
         });
     }
 
--- a/edge/src/test/java/lemonrail/control/Nodes.java
+++ b/edge/src/test/java/lemonrail/control/Nodes.java
@@ -37,9 +37,18 @@
     }
 
     ControlNode start(String name, String region, InetSocketAddress at, Path folder) throws IOException {
-        ControlNode node = ControlNode.create(new ControlConfig(name, region, at, anyPort(), List.of(),
-            ControlConfig.MOST_WATCHERS, ControlConfig.ANSWER_GAP_MS, folder, LogSettings.USUAL),
-            new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)));
+        ControlNode node = ControlNode.create(
+                new ControlConfig(
+                        name,
+                        region,
+                        at,
+                        anyPort(),
+                        List.of(),
+                        ControlConfig.MOST_WATCHERS,
+                        ControlConfig.ANSWER_GAP_MS,
+                        folder,
+                        LogSettings.USUAL),
+                new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)));
         node.open();
         all.add(node);
         return node;
@@ -68,19 +77,34 @@
     }
 
     ControlNode node(String name) {
-        return all.stream().filter(node -> node.name().equals(name)).reduce((first, last) -> last).get();
+        return all.stream()
+                .filter(node -> node.name().equals(name))
+                .reduce((first, last) -> last)
+                .get();
     }
 
     void put(String node, String service, String id, String state) {
-        assertEquals(Taken.NEWS, node(node).put(Change.endpoint(service, id, ("{\"addr\":\"10.0.0.1:9000\","
-            + "\"zone\":\"a\",\"kind\":\"m2\",\"cell\":3,\"state\":\"" + state + "\"}")
-            .getBytes(StandardCharsets.UTF_8))));
+        assertEquals(
+                Taken.NEWS,
+                node(node)
+                        .put(Change.endpoint(
+                                service,
+                                id,
+                                ("{\"addr\":\"10.0.0.1:9000\","
+                                                + "\"zone\":\"a\",\"kind\":\"m2\",\"cell\":3,\"state\":\"" + state
+                                                + "\"}")
+                                        .getBytes(StandardCharsets.UTF_8))));
     }
 
     /** Waits until these nodes hold the same. */
     void awaitEqual(String... names) throws InterruptedException {
-        await("all hold the same", () -> List.of(names).stream().map(name -> node(name).digest()).distinct()
-            .count() == 1);
+        await(
+                "all hold the same",
+                () -> List.of(names).stream()
+                                .map(name -> node(name).digest())
+                                .distinct()
+                                .count()
+                        == 1);
     }
 
     void awaitState(String node, String service, String id, String state) throws InterruptedException {
--- a/edge/src/test/java/lemonrail/control/Watcher.java
+++ b/edge/src/test/java/lemonrail/control/Watcher.java
@@ -67,8 +67,8 @@
     /** Sends a call with what is known. */
     Watcher call(int waitMs, String more) throws IOException {
         return get("/registry/instances?name=w1" + (services.isEmpty() ? "" : "&service=" + services)
-            + (version < 0 ? "" : "&index=" + version + "&wait=" + waitMs + "&from=" + from) + "&digest="
-            + Long.toHexString(replica.digest()) + more);
+                + (version < 0 ? "" : "&index=" + version + "&wait=" + waitMs + "&from=" + from) + "&digest="
+                + Long.toHexString(replica.digest()) + more);
     }
 
     Watcher get(String uri) throws IOException {
--- a/edge/src/test/java/lemonrail/frames/Frame.java
+++ b/edge/src/test/java/lemonrail/frames/Frame.java
@@ -20,8 +20,10 @@
     private static final int LENGTH_BYTES = 4;
 
     static void addTo(ChannelPipeline pipeline) {
-        pipeline.addLast(new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
-            new LengthFieldPrepender(LENGTH_BYTES), new Codec());
+        pipeline.addLast(
+                new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                new LengthFieldPrepender(LENGTH_BYTES),
+                new Codec());
     }
 
     private static final class Codec extends MessageToMessageCodec<ByteBuf, Frame> {
--- a/edge/src/test/java/lemonrail/frames/FrameFront.java
+++ b/edge/src/test/java/lemonrail/frames/FrameFront.java
@@ -55,16 +55,20 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Frame frame) {
             String[] parts = frame.text().split("\\|", 4);
-            int kind = shard.settings().classes().stream().map(c -> c.name()).toList().indexOf(parts[1]);
+            int kind = shard.settings().classes().stream()
+                    .map(c -> c.name())
+                    .toList()
+                    .indexOf(parts[1]);
             if (open != null || kind < 0 || exchange.has(parts[0])) {
                 answer(new Frame('B', "no request"));
                 return;
             }
             open = parts[0];
             double now = shard.clock().now();
-            exchange.request(new Request(open, kind, 0,
-                Math.min(endsAt, now + Double.parseDouble(parts[2])), false),
-                new FrameMessage(open, parts[3]), this);
+            exchange.request(
+                    new Request(open, kind, 0, Math.min(endsAt, now + Double.parseDouble(parts[2])), false),
+                    new FrameMessage(open, parts[3]),
+                    this);
         }
 
         private void answer(Frame frame) {
@@ -116,14 +120,17 @@
 
     @Override
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap().group(shard.loop()).channel(NioServerSocketChannel.class)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel fresh) {
-                    Frame.addTo(fresh.pipeline());
-                    fresh.pipeline().addLast(new Connection());
-                }
-            }).bind(address);
+        ChannelFuture bound = new ServerBootstrap()
+                .group(shard.loop())
+                .channel(NioServerSocketChannel.class)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        Frame.addTo(fresh.pipeline());
+                        fresh.pipeline().addLast(new Connection());
+                    }
+                })
+                .bind(address);
         listener = bound.channel();
         return bound;
     }
@@ -152,8 +159,9 @@
     @Override
     public void finish() {
         leaving = true;
-        List.copyOf(connections).stream().filter(connection -> connection.open == null)
-            .forEach(connection -> connection.channel.close());
+        List.copyOf(connections).stream()
+                .filter(connection -> connection.open == null)
+                .forEach(connection -> connection.channel.close());
     }
 
     @Override
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -46,16 +46,19 @@
 
         void open(InetSocketAddress address) {
             open++;
-            ChannelFuture connecting = new Bootstrap().group(shard.loop()).channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                    (int) shard.settings().limits().connectTimeoutMs())
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        Frame.addTo(fresh.pipeline());
-                        fresh.pipeline().addLast(Attempt.this);
-                    }
-                }).connect(address);
+            ChannelFuture connecting = new Bootstrap()
+                    .group(shard.loop())
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
+                            shard.settings().limits().connectTimeoutMs())
+                    .handler(new ChannelInitializer<SocketChannel>() {
+                        @Override
+                        protected void initChannel(SocketChannel fresh) {
+                            Frame.addTo(fresh.pipeline());
+                            fresh.pipeline().addLast(Attempt.this);
+                        }
+                    })
+                    .connect(address);
             channel = connecting.channel();
             channel.closeFuture().addListener(closed -> {
                 open--;
--- a/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
+++ b/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
@@ -98,18 +98,29 @@
 
     /** Guards against an end, or a next chunk, that is written within the chunk that fills the connection. */
     @ParameterizedTest
-    @CsvSource({"32768,true", "32768,false", "32700,true", "32700,false", "16384,true", "49152,true",
-        "49152,false", "100000,true", "100000,false", "1,true", "1,false"})
+    @CsvSource({
+        "32768,true",
+        "32768,false",
+        "32700,true",
+        "32700,false",
+        "16384,true",
+        "49152,true",
+        "49152,false",
+        "100000,true",
+        "100000,false",
+        "1,true",
+        "1,false"
+    })
     void aBodyEndsBetweenChunks(int bytes, boolean whole) {
         for (boolean answer : new boolean[] {true, false}) {
             endings.clear();
             writer = null;
-            EmbeddedChannel channel =
-                connection(answer ? new HttpResponseEncoder() : new HttpRequestEncoder());
-            channel.writeOutbound(chunked(answer
-                ? new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK)
-                : new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api")));
-            Pipe pipe = new Pipe(new Budget(BUDGET_BYTES), on -> { });
+            EmbeddedChannel channel = connection(answer ? new HttpResponseEncoder() : new HttpRequestEncoder());
+            channel.writeOutbound(chunked(
+                    answer
+                            ? new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK)
+                            : new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api")));
+            Pipe pipe = new Pipe(new Budget(BUDGET_BYTES), on -> {});
             pipe.write(Unpooled.wrappedBuffer(new byte[bytes]));
             if (whole) {
                 pipe.end();
--- a/edge/src/test/java/lemonrail/logging/LogTest.java
+++ b/edge/src/test/java/lemonrail/logging/LogTest.java
@@ -30,17 +30,27 @@
 
     @Test
     void jsonIsOneFlatObjectALineWithStableFields() throws IOException {
-        LogSink sink = new StructuredSink(out, LogSettings.Format.JSON,
-            Map.of("lemonrail.exchange", Severity.DEBUG));
+        LogSink sink = new StructuredSink(out, LogSettings.Format.JSON, Map.of("lemonrail.exchange", Severity.DEBUG));
         EventLog log = new EventLog(new Clock(), sink);
-        log.in("exchange").debug("attempt_ended", "an \"attempt\"\nended", "request_id", "r1", "attempt", 0,
-            "took_ms", 1.23456, "outcome", Severity.INFO);
+        log.in("exchange")
+                .debug(
+                        "attempt_ended",
+                        "an \"attempt\"\nended",
+                        "request_id",
+                        "r1",
+                        "attempt",
+                        0,
+                        "took_ms",
+                        1.23456,
+                        "outcome",
+                        Severity.INFO);
         log.in("http1").debug("unseen", "not at this level");
         log.in("http1").trouble("client_refused", "a client is refused", "400 no", "status", 400);
         assertEquals(2, lines().size());
         Map<?, ?> first = (Map<?, ?>) Json.value(lines().get(0).getBytes(StandardCharsets.UTF_8));
-        assertEquals(List.of("ts", "level", "logger", "event", "request_id", "attempt", "took_ms", "outcome",
-            "message"), List.copyOf(first.keySet()));
+        assertEquals(
+                List.of("ts", "level", "logger", "event", "request_id", "attempt", "took_ms", "outcome", "message"),
+                List.copyOf(first.keySet()));
         assertEquals("attempt_ended", first.get("event"));
         assertEquals("lemonrail.exchange", first.get("logger"));
         assertEquals(1.235, first.get("took_ms"));
@@ -52,8 +62,7 @@
 
     @Test
     void levelsCanBeChangedAndAreInherited() {
-        for (LogSink sink : List.of(new TextSink(out),
-                new StructuredSink(out, LogSettings.Format.TEXT, Map.of()))) {
+        for (LogSink sink : List.of(new TextSink(out), new StructuredSink(out, LogSettings.Format.TEXT, Map.of()))) {
             assertFalse(sink.takes(Severity.DEBUG, "lemonrail.http1"));
             sink.level("lemonrail", Severity.DEBUG);
             assertTrue(sink.takes(Severity.DEBUG, "lemonrail.http1"));
@@ -71,8 +80,7 @@
             log.in("http1").trouble("no_connection", "no connection", "number " + i);
         }
         log.in("discovery").trouble("discovery_failed", "discovery failed", "once");
-        assertEquals(List.of("lemonrail: no connection: number 0", "lemonrail: discovery failed: once"),
-            lines());
+        assertEquals(List.of("lemonrail: no connection: number 0", "lemonrail: discovery failed: once"), lines());
         assertEquals(49, log.suppressed());
     }
 
@@ -93,8 +101,7 @@
                 bytes.write(b);
             }
         };
-        BoundedSink sink = new BoundedSink(new TextSink(new PrintStream(pipe, true, StandardCharsets.UTF_8)),
-            16);
+        BoundedSink sink = new BoundedSink(new TextSink(new PrintStream(pipe, true, StandardCharsets.UTF_8)), 16);
         EventLog log = new EventLog(new Clock(), sink);
         log.info("first", "first");
         stuck.await();
--- a/edge/src/test/java/lemonrail/time/LoopLagTest.java
+++ b/edge/src/test/java/lemonrail/time/LoopLagTest.java
@@ -83,8 +83,11 @@
     void eachLatenessCountsAtAllBoundsBelowIt() {
         iteration(50, FAR_MS, 80);
         iteration(0, FAR_MS, 0);
-        assertEquals(List.of(1, 1, 1, 0, 0),
-            IntStream.range(0, LoopLag.boundsMs().length).mapToObj(lag::timesOver).toList());
+        assertEquals(
+                List.of(1, 1, 1, 0, 0),
+                IntStream.range(0, LoopLag.boundsMs().length)
+                        .mapToObj(lag::timesOver)
+                        .toList());
     }
 
     @Test
--- a/lab/src/main/java/lemonrail/lab/Demo.java
+++ b/lab/src/main/java/lemonrail/lab/Demo.java
@@ -32,6 +32,7 @@
     private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
     /** One endpoint is in trouble once in so many seconds, from the first of these on and for so many. */
     private static final int TROUBLE_EVERY_S = 5;
+
     private static final int TROUBLE_AT_S = 1;
     private static final int TROUBLE_S = 2;
     private static final int SLOTS = 16;
@@ -49,49 +50,86 @@
     private long beganNanos;
     private int lines;
 
-    Demo(Path file, int rate, int count, long seed, boolean calm, Duration length, PrintWriter out,
-            boolean terminal) throws IOException, InterruptedException {
+    Demo(Path file, int rate, int count, long seed, boolean calm, Duration length, PrintWriter out, boolean terminal)
+            throws IOException, InterruptedException {
         this.out = out;
         this.terminal = terminal;
         Scenario scenario = scenario(file, rate, count, calm, length.toMillis());
-        testbed = new Testbed(scenario, scenario.variants().get(0), seed, new Testbed.Builds(null),
-            scratch.path());
+        testbed = new Testbed(scenario, scenario.variants().get(0), seed, new Testbed.Builds(null), scratch.path());
     }
 
-    private static Scenario scenario(Path file, int rate, int count, boolean calm, double lengthMs)
-            throws IOException {
+    private static Scenario scenario(Path file, int rate, int count, boolean calm, double lengthMs) throws IOException {
         Settings settings = ConfigSource.of(file, Map.of()).load().config().settings();
         List<Scenario.Requests> requests = settings.classes().stream()
-            .map(kind -> new Scenario.Requests(kind.name(), 1, WORK_MS)).toList();
+                .map(kind -> new Scenario.Requests(kind.name(), 1, WORK_MS))
+                .toList();
         List<Scenario.Tenant> tenants = settings.tenants().stream()
-            .map(tenant -> new Scenario.Tenant(tenant.name(), 1)).toList();
+                .map(tenant -> new Scenario.Tenant(tenant.name(), 1))
+                .toList();
         List<Fault> faults = new ArrayList<>();
         for (int s = TROUBLE_AT_S; !calm && s * 1000.0 < lengthMs; s += TROUBLE_EVERY_S) {
-            faults.add(new Fault(s / TROUBLE_EVERY_S % 2 == 1 ? Fault.Kind.HANG : Fault.Kind.FAIL, 0,
-                s * 1000.0, TROUBLE_S * 1000.0, 1.0 / (2 * count), 0));
+            faults.add(new Fault(
+                    s / TROUBLE_EVERY_S % 2 == 1 ? Fault.Kind.HANG : Fault.Kind.FAIL,
+                    0,
+                    s * 1000.0,
+                    TROUBLE_S * 1000.0,
+                    1.0 / (2 * count),
+                    0));
         }
         Scenario.Link plain = new Scenario.Link(0, 0, 0, 0);
-        return new Scenario("demo", file, "", file, 1,
-            new Scenario.Load(rate, lengthMs, 0, Arrivals.Spacing.EVEN, true, CONNECTIONS),
-            new Retrying(0, 0, 1, false), new Scenario.Patience(1, 1), requests, tenants,
-            List.of(new Scenario.Tier("stand-in", count, SLOTS, 1, 1, SLOTS, 0, CONNECTIONS, 0, 1,
-                RACK_WINDOW_MS, 1, 0, ColdStart.NONE, Crowding.NONE, false)),
-            new Scenario.Discovery(true, 1000, 0, 0), new Scenario.Sidecars(1, false), plain, plain, faults,
-            List.of(new Scenario.Variant("demo", Deciders.BOXCAR.decider(), Map.of(), null)));
+        return new Scenario(
+                "demo",
+                file,
+                "",
+                file,
+                1,
+                new Scenario.Load(rate, lengthMs, 0, Arrivals.Spacing.EVEN, true, CONNECTIONS),
+                new Retrying(0, 0, 1, false),
+                new Scenario.Patience(1, 1),
+                requests,
+                tenants,
+                List.of(new Scenario.Tier(
+                        "stand-in",
+                        count,
+                        SLOTS,
+                        1,
+                        1,
+                        SLOTS,
+                        0,
+                        CONNECTIONS,
+                        0,
+                        1,
+                        RACK_WINDOW_MS,
+                        1,
+                        0,
+                        ColdStart.NONE,
+                        Crowding.NONE,
+                        false)),
+                new Scenario.Discovery(true, 1000, 0, 0),
+                new Scenario.Sidecars(1, false),
+                plain,
+                plain,
+                faults,
+                List.of(new Scenario.Variant("demo", Deciders.BOXCAR.decider(), Map.of(), null)));
     }
 
     /** Runs to its end, or until its thread is interrupted, and tells what came of all. */
     void run() throws IOException {
-        out.printf("an edge at %s:%d before %d stand-in endpoints, its log in %s%n",
-            testbed.address().getAddress().getHostAddress(), testbed.address().getPort(),
-            testbed.standings().size(), scratch.path());
+        out.printf(
+                "an edge at %s:%d before %d stand-in endpoints, its log in %s%n",
+                testbed.address().getAddress().getHostAddress(),
+                testbed.address().getPort(),
+                testbed.standings().size(),
+                scratch.path());
         beganNanos = System.nanoTime();
         shownNanos = beganNanos;
         finish(testbed.play(this::show));
     }
 
     private static long count(List<Ask> asks, Ask.End end) {
-        return asks.stream().filter(ask -> !ask.tries().isEmpty() && ask.last().end() == end).count();
+        return asks.stream()
+                .filter(ask -> !ask.tries().isEmpty() && ask.last().end() == end)
+                .count();
     }
 
     /** The table: drawn anew on a terminal, a line a second elsewhere. */
@@ -109,17 +147,35 @@
         int attempts = standings.stream().mapToInt(Testbed.Standing::attempts).sum();
         if (!terminal) {
             StringBuilder each = new StringBuilder();
-            standings.forEach(of -> each.append(String.format(Locale.ROOT, "  %s %d%s", of.id(),
-                of.attempts(), word(of))));
-            out.printf(Locale.ROOT, "%3d s  served %d  refused %d  failed %d  attempts %d |%s%n", seconds,
-                served, refused, failed, attempts, each);
+            standings.forEach(
+                    of -> each.append(String.format(Locale.ROOT, "  %s %d%s", of.id(), of.attempts(), word(of))));
+            out.printf(
+                    Locale.ROOT,
+                    "%3d s  served %d  refused %d  failed %d  attempts %d |%s%n",
+                    seconds,
+                    served,
+                    refused,
+                    failed,
+                    attempts,
+                    each);
         } else {
             // Up to the table's first line, and over it.
             out.print(lines > 0 ? "\u001b[" + lines + "A\u001b[J" : "");
-            out.printf(Locale.ROOT, "%-14s %8s %8s %8s %8s%n%-14s %8d %8d %8d %8d%n", "after", "served",
-                "refused", "failed", "attempts", seconds + " s", served, refused, failed, attempts);
-            standings.forEach(of -> out.printf(Locale.ROOT, "%-14s %8d requests%s%n", of.id(),
-                of.attempts(), word(of)));
+            out.printf(
+                    Locale.ROOT,
+                    "%-14s %8s %8s %8s %8s%n%-14s %8d %8d %8d %8d%n",
+                    "after",
+                    "served",
+                    "refused",
+                    "failed",
+                    "attempts",
+                    seconds + " s",
+                    served,
+                    refused,
+                    failed,
+                    attempts);
+            standings.forEach(
+                    of -> out.printf(Locale.ROOT, "%-14s %8d requests%s%n", of.id(), of.attempts(), word(of)));
             lines = 2 + standings.size();
         }
         out.flush();
@@ -135,17 +191,32 @@
         long refused = count(asks, Ask.End.REFUSED);
         long failed = count(asks, Ask.End.FAILED);
         long none = asks.size() - served - refused - failed;
-        long retried = played.recorder().attempts().size() - played.recorder().attempts().stream()
-            .map(AttemptRecorder.Attempt::request).distinct().count();
+        long retried = played.recorder().attempts().size()
+                - played.recorder().attempts().stream()
+                        .map(AttemptRecorder.Attempt::request)
+                        .distinct()
+                        .count();
         Histogram micros = new Histogram(MOST_MICROS, 3);
-        asks.stream().filter(ask -> !Double.isNaN(ask.servedMs())).forEach(ask -> micros.recordValue(
-            Math.min(MOST_MICROS, Math.round((ask.servedMs() - ask.arrivedMs()) * 1000))));
+        asks.stream()
+                .filter(ask -> !Double.isNaN(ask.servedMs()))
+                .forEach(ask -> micros.recordValue(
+                        Math.min(MOST_MICROS, Math.round((ask.servedMs() - ask.arrivedMs()) * 1000))));
         sound = none == 0 && served > 0 && played.broken().isEmpty();
-        out.printf(Locale.ROOT, "%n%d requests: %d served, %d refused, %d failed, %d without an answer; "
-            + "%d retried%n", asks.size(), served, refused, failed, none, retried);
-        out.printf(Locale.ROOT, "served within %.1f ms (half of them), %.1f ms (99 in 100), %.1f ms (all)%n",
-            micros.getValueAtPercentile(50) / 1e3, micros.getValueAtPercentile(99) / 1e3,
-            micros.getMaxValue() / 1e3);
+        out.printf(
+                Locale.ROOT,
+                "%n%d requests: %d served, %d refused, %d failed, %d without an answer; " + "%d retried%n",
+                asks.size(),
+                served,
+                refused,
+                failed,
+                none,
+                retried);
+        out.printf(
+                Locale.ROOT,
+                "served within %.1f ms (half of them), %.1f ms (99 in 100), %.1f ms (all)%n",
+                micros.getValueAtPercentile(50) / 1e3,
+                micros.getValueAtPercentile(99) / 1e3,
+                micros.getMaxValue() / 1e3);
         played.broken().forEach(rule -> out.println("rule broken: " + rule));
         out.flush();
     }
--- a/lab/src/main/java/lemonrail/lab/DemoCall.java
+++ b/lab/src/main/java/lemonrail/lab/DemoCall.java
@@ -12,31 +12,48 @@
 import picocli.CommandLine.Spec;
 
 /** The first minute of a new user. */
-@Command(name = "demo", description = {
-    "Run an edge before stand-in endpoints on this machine and show what it does.",
-    "Now and then one endpoint fails or falls silent: watch the edge send its requests elsewhere."})
+@Command(
+        name = "demo",
+        description = {
+            "Run an edge before stand-in endpoints on this machine and show what it does.",
+            "Now and then one endpoint fails or falls silent: watch the edge send its requests elsewhere."
+        })
 final class DemoCall implements Callable<Integer> {
 
     private static final int MOST_RATE = 2000;
 
-    @Option(names = {"-c", "--config"}, paramLabel = "FILE",
-        defaultValue = "${sys:lemonrail.home:-.}/deploy/lemonrail.toml",
-        description = "the operators' file to take classes and limits from; its addresses are not used "
-            + "(the example in deploy)")
+    @Option(
+            names = {"-c", "--config"},
+            paramLabel = "FILE",
+            defaultValue = "${sys:lemonrail.home:-.}/deploy/lemonrail.toml",
+            description = "the operators' file to take classes and limits from; its addresses are not used "
+                    + "(the example in deploy)")
     private Path config;
-    @Option(names = "--for", paramLabel = "TIME", converter = Times.class, defaultValue = "10m",
-        description = "end by itself after this time, as in 10s or 2m (${DEFAULT-VALUE}), or earlier when "
-            + "interrupted")
+
+    @Option(
+            names = "--for",
+            paramLabel = "TIME",
+            converter = Times.class,
+            defaultValue = "10m",
+            description = "end by itself after this time, as in 10s or 2m (${DEFAULT-VALUE}), or earlier when "
+                    + "interrupted")
     private double lengthMs;
+
     @Option(names = "--rate", defaultValue = "40", description = "requests a second (${DEFAULT-VALUE})")
     private int rate;
+
     @Option(names = "--endpoints", defaultValue = "3", description = "stand-in endpoints (${DEFAULT-VALUE})")
     private int endpoints;
-    @Option(names = "--seed", defaultValue = "1",
-        description = "for what the endpoints take and when they are in trouble (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "for what the endpoints take and when they are in trouble (${DEFAULT-VALUE})")
     private long seed;
+
     @Option(names = "--calm", description = "no endpoint fails or falls silent")
     private boolean calm;
+
     @Spec
     private CommandSpec spec;
 
@@ -53,8 +70,15 @@
         }
         PrintWriter out = spec.commandLine().getOut();
         try (Interrupts interrupts = new Interrupts();
-                Demo demo = new Demo(config, rate, endpoints, seed, calm,
-                    Duration.ofMillis(Math.round(lengthMs)), out, System.console() != null)) {
+                Demo demo = new Demo(
+                        config,
+                        rate,
+                        endpoints,
+                        seed,
+                        calm,
+                        Duration.ofMillis(Math.round(lengthMs)),
+                        out,
+                        System.console() != null)) {
             demo.run();
             return demo.isSound() ? 0 : 1;
         }
--- a/lab/src/main/java/lemonrail/lab/cli/CompareCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/CompareCall.java
@@ -16,15 +16,21 @@
 import picocli.CommandLine.Spec;
 
 /** {@code compare}: variants on the same scenarios and seeds, in turn, and whether they differ. */
-@Command(name = "compare", description = "Play variants in turn on the same seeds and say, with a 95 %% "
-    + "interval by bootstrap, whether they differ from the first.")
+@Command(
+        name = "compare",
+        description = "Play variants in turn on the same seeds and say, with a 95 %% "
+                + "interval by bootstrap, whether they differ from the first.")
 public final class CompareCall implements Callable<Integer> {
 
     @Parameters(arity = "2..*", paramLabel = "VARIANT", description = "variants that the scenarios have")
     private List<String> variants;
 
-    @Option(names = "--in", required = true, paramLabel = "SCENARIO", arity = "1..*",
-        description = "a scenario's file; may be given again")
+    @Option(
+            names = "--in",
+            required = true,
+            paramLabel = "SCENARIO",
+            arity = "1..*",
+            description = "a scenario's file; may be given again")
     private List<Path> files;
 
     @Mixin
@@ -47,8 +53,10 @@
         Comparison comparison = new Comparison(variants);
         Runner runner = options.runner();
         try {
-            runner.all(jobs, (job, kept) -> comparison.add(new Comparison.Entry(
-                job.scenario().name(), job.variant().name(), job.seed(), kept.verdict(), kept.isVoid())));
+            runner.all(
+                    jobs,
+                    (job, kept) -> comparison.add(new Comparison.Entry(
+                            job.scenario().name(), job.variant().name(), job.seed(), kept.verdict(), kept.isVoid())));
         } finally {
             // An interrupted comparison keeps what it has.
             comparison.keep(runner.folder().resolve("compare"), Runner.version());
@@ -59,8 +67,13 @@
     }
 
     static Scenario.Variant variant(Scenario scenario, String name) {
-        return scenario.variants().stream().filter(variant -> variant.name().equals(name)).findFirst()
-            .orElseThrow(() -> new IllegalArgumentException(scenario.file() + ": no such variant: " + name
-                + "; it has " + scenario.variants().stream().map(Scenario.Variant::name).toList()));
+        return scenario.variants().stream()
+                .filter(variant -> variant.name().equals(name))
+                .findFirst()
+                .orElseThrow(
+                        () -> new IllegalArgumentException(scenario.file() + ": no such variant: " + name + "; it has "
+                                + scenario.variants().stream()
+                                        .map(Scenario.Variant::name)
+                                        .toList()));
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/HistoryCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/HistoryCall.java
@@ -26,8 +26,11 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    @Option(names = "--out", paramLabel = "DIR", defaultValue = "lab-runs",
-        description = "where the folders of the runs are (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            defaultValue = "lab-runs",
+            description = "where the folders of the runs are (default: ${DEFAULT-VALUE})")
     private Path out;
 
     @Spec
@@ -40,8 +43,10 @@
         private int voids;
 
         double mean(String figure) {
-            return runs.stream().mapToDouble(run -> run.get("verdict").get(figure).asDouble()).average()
-                .orElse(Double.NaN);
+            return runs.stream()
+                    .mapToDouble(run -> run.get("verdict").get(figure).asDouble())
+                    .average()
+                    .orElse(Double.NaN);
         }
     }
 
@@ -54,12 +59,13 @@
         try (Stream<Path> files = Files.walk(out)) {
             for (Path file : files.filter(each -> each.endsWith("run.json")).toList()) {
                 JsonNode run = JSON.readTree(file.toFile());
-                Group group = all.computeIfAbsent(run.get("scenario").asText() + " "
-                    + run.get("variant").asText(), key -> new TreeMap<>())
-                    .computeIfAbsent(run.get("version").asText(), key -> new Group());
+                Group group = all.computeIfAbsent(
+                                run.get("scenario").asText() + " "
+                                        + run.get("variant").asText(),
+                                key -> new TreeMap<>())
+                        .computeIfAbsent(run.get("version").asText(), key -> new Group());
                 FileTime written = Files.getLastModifiedTime(file);
-                group.first = group.first == null || written.compareTo(group.first) < 0 ? written
-                    : group.first;
+                group.first = group.first == null || written.compareTo(group.first) < 0 ? written : group.first;
                 if (run.get("void").asBoolean() || !run.get("whole").asBoolean()) {
                     group.voids++;
                 } else {
@@ -70,16 +76,24 @@
         PrintWriter words = spec.commandLine().getOut();
         all.forEach((name, versions) -> {
             words.println(name);
-            versions.entrySet().stream().sorted(Comparator.comparing(entry -> entry.getValue().first))
-                .forEach(entry -> words.println(line(entry.getKey(), entry.getValue())));
+            versions.entrySet().stream()
+                    .sorted(Comparator.comparing(entry -> entry.getValue().first))
+                    .forEach(entry -> words.println(line(entry.getKey(), entry.getValue())));
         });
         return 0;
     }
 
     private static String line(String version, Group group) {
-        return String.format(Locale.ROOT, "  %-24s service %.3f  worst 10 s %.3f  waste %.3f  p99 %.0f ms  "
-            + "rules broken %.2f  runs %d%s", version, group.mean("service"), group.mean("worst10s"),
-            group.mean("waste"), group.mean("p99Ms"), group.mean("broken"), group.runs.size(),
-            group.voids > 0 ? " (and " + group.voids + " void or interrupted)" : "");
+        return String.format(
+                Locale.ROOT,
+                "  %-24s service %.3f  worst 10 s %.3f  waste %.3f  p99 %.0f ms  " + "rules broken %.2f  runs %d%s",
+                version,
+                group.mean("service"),
+                group.mean("worst10s"),
+                group.mean("waste"),
+                group.mean("p99Ms"),
+                group.mean("broken"),
+                group.runs.size(),
+                group.voids > 0 ? " (and " + group.voids + " void or interrupted)" : "");
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/Interrupts.java
+++ b/lab/src/main/java/lemonrail/lab/cli/Interrupts.java
@@ -14,14 +14,16 @@
     /** Looks after the thread that calls it. */
     public Interrupts() {
         Thread looked = Thread.currentThread();
-        hook = new Thread(() -> {
-            looked.interrupt();
-            try {
-                done.await(MOST_WAIT_S, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "interrupt");
+        hook = new Thread(
+                () -> {
+                    looked.interrupt();
+                    try {
+                        done.await(MOST_WAIT_S, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                "interrupt");
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
--- a/lab/src/main/java/lemonrail/lab/cli/LoadCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/LoadCall.java
@@ -21,8 +21,10 @@
 import picocli.CommandLine.Spec;
 
 /** {@code load}: a load in an open loop on anything that speaks HTTP/1.1. */
-@Command(name = "load", description = "Send requests when they are due, answered or not, and time them from "
-    + "then on. Ends with 1 where the run is void: the generator itself was late.")
+@Command(
+        name = "load",
+        description = "Send requests when they are due, answered or not, and time them from "
+                + "then on. Ends with 1 where the run is void: the generator itself was late.")
 public final class LoadCall implements Callable<Integer> {
 
     private static final int MOST_RATE = 1_000_000;
@@ -42,21 +44,36 @@
     @Option(names = "--rate", paramLabel = "N", required = true, description = "requests a second")
     private double rate;
 
-    @Option(names = "--for", paramLabel = "TIME", converter = Times.class, defaultValue = "30s",
-        description = "for how long requests are sent (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--for",
+            paramLabel = "TIME",
+            converter = Times.class,
+            defaultValue = "30s",
+            description = "for how long requests are sent (default: ${DEFAULT-VALUE})")
     private double lengthMs;
 
-    @Option(names = "--warm-up", paramLabel = "TIME", converter = Times.class, defaultValue = "2s",
-        description = "at the beginning, which does not count (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--warm-up",
+            paramLabel = "TIME",
+            converter = Times.class,
+            defaultValue = "2s",
+            description = "at the beginning, which does not count (default: ${DEFAULT-VALUE})")
     private double warmUpMs;
 
-    @Option(names = "--timeout", paramLabel = "TIME", converter = Times.class, defaultValue = "10s",
-        description = "after which a request is given up; goes out as X-Deadline-Ms (default: "
-            + "${DEFAULT-VALUE})")
+    @Option(
+            names = "--timeout",
+            paramLabel = "TIME",
+            converter = Times.class,
+            defaultValue = "10s",
+            description =
+                    "after which a request is given up; goes out as X-Deadline-Ms (default: " + "${DEFAULT-VALUE})")
     private double timeoutMs;
 
-    @Option(names = "--connections", paramLabel = "N", defaultValue = "1000",
-        description = "open at once at most (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--connections",
+            paramLabel = "N",
+            defaultValue = "1000",
+            description = "open at once at most (default: ${DEFAULT-VALUE})")
     private int connections;
 
     @Option(names = "--even", description = "evenly, and not as a Poisson process")
@@ -74,8 +91,11 @@
     @Option(names = "--header", paramLabel = "NAME=VALUE", description = "one more; may be given again")
     private Map<String, String> headers = new LinkedHashMap<>();
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1",
-        description = "of the times of the requests (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "of the times of the requests (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Spec
@@ -87,14 +107,18 @@
             throw new IllegalArgumentException("URL " + url + ": must be as in http://127.0.0.1:9000/api");
         }
         if (!(rate > 0 && rate <= MOST_RATE)) {
-            throw new IllegalArgumentException("--rate " + rate + ": must be above 0 and at most "
-                + MOST_RATE);
+            throw new IllegalArgumentException("--rate " + rate + ": must be above 0 and at most " + MOST_RATE);
         }
-        OpenLoop.Plan plan = new OpenLoop.Plan(rate, lengthMs, warmUpMs, connections, timeoutMs,
-            even ? Arrivals.Spacing.EVEN : Arrivals.Spacing.POISSON);
+        OpenLoop.Plan plan = new OpenLoop.Plan(
+                rate,
+                lengthMs,
+                warmUpMs,
+                connections,
+                timeoutMs,
+                even ? Arrivals.Spacing.EVEN : Arrivals.Spacing.POISSON);
         if (plan.warmUpMs() >= plan.lengthMs()) {
-            throw new IllegalArgumentException("--warm-up " + warmUpMs + " ms: must be below --for, which is "
-                + lengthMs + " ms");
+            throw new IllegalArgumentException(
+                    "--warm-up " + warmUpMs + " ms: must be below --for, which is " + lengthMs + " ms");
         }
         Map<String, String> all = new LinkedHashMap<>();
         all.put("X-Deadline-Ms", String.valueOf((long) plan.timeoutMs()));
@@ -107,34 +131,52 @@
         all.putAll(headers);
         String path = url.getRawPath().isEmpty() ? "/" : url.getRawPath();
         PrintWriter out = spec.commandLine().getOut();
-        try (Interrupts interrupts = new Interrupts(); Loads loads = new Loads()) {
-            OpenLoop.Result result = loads.play(address(), plan, seed, Loads.requests(
-                keyed ? HttpMethod.POST : HttpMethod.GET, url.getAuthority(),
-                url.getRawQuery() == null ? path : path + "?" + url.getRawQuery(), all, keyed,
-                System.nanoTime()));
+        try (Interrupts interrupts = new Interrupts();
+                Loads loads = new Loads()) {
+            OpenLoop.Result result = loads.play(
+                    address(),
+                    plan,
+                    seed,
+                    Loads.requests(
+                            keyed ? HttpMethod.POST : HttpMethod.GET,
+                            url.getAuthority(),
+                            url.getRawQuery() == null ? path : path + "?" + url.getRawQuery(),
+                            all,
+                            keyed,
+                            System.nanoTime()));
             tell(out, result);
             return result.isVoid() || result.sent() == 0 ? 1 : 0;
         }
     }
 
     private InetSocketAddress address() throws UnknownHostException {
-        return new InetSocketAddress(InetAddress.getByName(url.getHost()),
-            url.getPort() < 0 ? 80 : url.getPort());
+        return new InetSocketAddress(InetAddress.getByName(url.getHost()), url.getPort() < 0 ? 80 : url.getPort());
     }
 
     private static void tell(PrintWriter out, OpenLoop.Result result) {
-        out.printf(Locale.ROOT, "sent %d (%.1f a second): served %d, refused %d, failed %d, no whole answer "
-            + "%d%n", result.sent(), result.sent() / result.lastedMs() * 1000, result.served(),
-            result.refused(), result.failed(), result.lost());
+        out.printf(
+                Locale.ROOT,
+                "sent %d (%.1f a second): served %d, refused %d, failed %d, no whole answer " + "%d%n",
+                result.sent(),
+                result.sent() / result.lastedMs() * 1000,
+                result.served(),
+                result.refused(),
+                result.failed(),
+                result.lost());
         if (result.served() > 0) {
             StringBuilder line = new StringBuilder("served within (ms, from when it was due):");
-            PERCENTILES.forEach((name, percentile) -> line.append(String.format(Locale.ROOT, "  %s %.2f",
-                name, result.percentileMs(percentile))));
+            PERCENTILES.forEach((name, percentile) ->
+                    line.append(String.format(Locale.ROOT, "  %s %.2f", name, result.percentileMs(percentile))));
             out.println(line);
         }
-        out.printf(Locale.ROOT, "the generator: sent late by %.2f ms (99 in 100) and %.2f ms (all), %d "
-            + "connections, %d requests waited for one%n", result.late99Ms(), result.lateMostMs(),
-            result.mostOpen(), result.waited());
+        out.printf(
+                Locale.ROOT,
+                "the generator: sent late by %.2f ms (99 in 100) and %.2f ms (all), %d "
+                        + "connections, %d requests waited for one%n",
+                result.late99Ms(),
+                result.lateMostMs(),
+                result.mostOpen(),
+                result.waited());
         if (result.isVoid()) {
             out.println("VOID: the generator could not keep up; these figures are its own");
         }
--- a/lab/src/main/java/lemonrail/lab/cli/RelayCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/RelayCall.java
@@ -25,8 +25,7 @@
     @Override
     public Integer call() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        InetSocketAddress at = Plain.relay(group,
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+        InetSocketAddress at = Plain.relay(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         spec.commandLine().getOut().println(at.getPort());
         spec.commandLine().getOut().flush();
         while (System.in.read() >= 0) {
--- a/lab/src/main/java/lemonrail/lab/cli/RunCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/RunCall.java
@@ -34,8 +34,11 @@
         }
         List<Runner.Job> jobs = new ArrayList<>();
         for (Scenario scenario : scenarios) {
-            List<Scenario.Variant> chosen = variants.isEmpty() ? scenario.variants()
-                : variants.stream().map(name -> CompareCall.variant(scenario, name)).toList();
+            List<Scenario.Variant> chosen = variants.isEmpty()
+                    ? scenario.variants()
+                    : variants.stream()
+                            .map(name -> CompareCall.variant(scenario, name))
+                            .toList();
             for (int seed = 1; seed <= options.seeds(scenario); seed++) {
                 for (Scenario.Variant variant : chosen) {
                     jobs.add(new Runner.Job(scenario, variant, seed));
--- a/lab/src/main/java/lemonrail/lab/cli/RunOptions.java
+++ b/lab/src/main/java/lemonrail/lab/cli/RunOptions.java
@@ -14,19 +14,24 @@
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
 
-    @Option(names = "--out", paramLabel = "DIR", defaultValue = "lab-runs",
-        description = "where the folders of the runs go (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            defaultValue = "lab-runs",
+            description = "where the folders of the runs go (default: ${DEFAULT-VALUE})")
     private Path out;
 
-    @Option(names = "--jar", paramLabel = "FILE",
-        description = "the edge that runs where sidecars are processes")
+    @Option(names = "--jar", paramLabel = "FILE", description = "the edge that runs where sidecars are processes")
     private Path jar;
 
     @Option(names = "--seeds", paramLabel = "N", description = "seeds 1 to N instead of the scenario's")
     private Integer seeds;
 
-    @Option(names = "--parallel", paramLabel = "N", defaultValue = "1",
-        description = "runs at once (default: ${DEFAULT-VALUE}); a run whose lab is late is void")
+    @Option(
+            names = "--parallel",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "runs at once (default: ${DEFAULT-VALUE}); a run whose lab is late is void")
     private int parallel;
 
     /** How many seeds a scenario's variants play. */
@@ -36,11 +41,10 @@
 
     Runner runner() {
         if (parallel < 1 || parallel > MOST_PARALLEL) {
-            throw new IllegalArgumentException("--parallel " + parallel + ": must be from 1 to "
-                + MOST_PARALLEL);
+            throw new IllegalArgumentException("--parallel " + parallel + ": must be from 1 to " + MOST_PARALLEL);
         }
         Path usual = Path.of(System.getProperty("lemonrail.home", "."), "edge", "target", "lemonrail.jar");
-        return new Runner(out, jar == null ? usual : jar, spec.commandLine().getOut(),
-            System.console() != null, parallel);
+        return new Runner(
+                out, jar == null ? usual : jar, spec.commandLine().getOut(), System.console() != null, parallel);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/Runner.java
+++ b/lab/src/main/java/lemonrail/lab/cli/Runner.java
@@ -30,11 +30,11 @@
     private static final long SHOW_NANOS = TimeUnit.SECONDS.toNanos(1);
     /** How long runs may take to keep what they have when they are ended. */
     private static final int KEEP_MS = 20_000;
+
     private static final long PLAIN_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     /** One run that has been kept. */
-    record Kept(Path folder, Verdict verdict, boolean isVoid, boolean whole) {
-    }
+    record Kept(Path folder, Verdict verdict, boolean isVoid, boolean whole) {}
 
     private final Path out;
     private final Path jar;
@@ -52,12 +52,10 @@
     }
 
     /** One run that is to be played. */
-    record Job(Scenario scenario, Scenario.Variant variant, long seed) {
-    }
+    record Job(Scenario scenario, Scenario.Variant variant, long seed) {}
 
     /** Plays all, so many at once; {@code each} hears of one at a time. */
-    void all(List<Job> jobs, BiConsumer<Job, Kept> each)
-            throws IOException, InterruptedException {
+    void all(List<Job> jobs, BiConsumer<Job, Kept> each) throws IOException, InterruptedException {
         ExecutorService players = Executors.newFixedThreadPool(parallel);
         CompletionService<Void> played = new ExecutorCompletionService<>(players);
         try {
@@ -90,13 +88,12 @@
     }
 
     /** Plays one run; an interrupted one is kept, marked, and ends the call. */
-    Kept run(Scenario scenario, Scenario.Variant variant, long seed)
-            throws IOException, InterruptedException {
+    Kept run(Scenario scenario, Scenario.Variant variant, long seed) throws IOException, InterruptedException {
         Path folder = folder().resolve(scenario.name()).resolve(variant.name() + "-" + seed);
         Files.createDirectories(folder);
-        try (Interrupts interrupts = new Interrupts(); Scratch scratch = new Scratch();
-                Testbed testbed = new Testbed(scenario, variant, seed, new Testbed.Builds(jar),
-                    scratch.path())) {
+        try (Interrupts interrupts = new Interrupts();
+                Scratch scratch = new Scratch();
+                Testbed testbed = new Testbed(scenario, variant, seed, new Testbed.Builds(jar), scratch.path())) {
             shownNanos = System.nanoTime();
             Played played = testbed.play(asked -> show(scenario, variant, seed, asked));
             Verdict verdict = Scorer.score(played);
@@ -114,7 +111,8 @@
 
     private static void keepLogs(Path scratch, Path folder) throws IOException {
         try (Stream<Path> files = Files.list(scratch)) {
-            for (Path log : files.filter(file -> file.toString().endsWith(".log")).toList()) {
+            for (Path log :
+                    files.filter(file -> file.toString().endsWith(".log")).toList()) {
                 if (Files.size(log) > 0) {
                     Path to = Files.createDirectories(folder.resolve("logs")).resolve(log.getFileName());
                     Files.deleteIfExists(to);
@@ -130,8 +128,7 @@
         return System.getProperty("lemonrail.commit", version == null ? "of a checkout" : version);
     }
 
-    private void show(Scenario scenario, Scenario.Variant variant, long seed,
-            Supplier<List<Ask>> asked) {
+    private void show(Scenario scenario, Scenario.Variant variant, long seed, Supplier<List<Ask>> asked) {
         long now = System.nanoTime();
         if (now - shownNanos < (terminal ? SHOW_NANOS : PLAIN_NANOS)) {
             return;
@@ -139,19 +136,35 @@
         shownNanos = now;
         List<Ask> asks = asked.get();
         long served = asks.stream().filter(ask -> !Double.isNaN(ask.servedMs())).count();
-        words.printf(Locale.ROOT, terminal ? "\r%s %s seed %d: asked %d, served %d " : "%s %s seed %d: asked "
-            + "%d, served %d%n", scenario.name(), variant.name(), seed, asks.size(), served);
+        words.printf(
+                Locale.ROOT,
+                terminal ? "\r%s %s seed %d: asked %d, served %d " : "%s %s seed %d: asked " + "%d, served %d%n",
+                scenario.name(),
+                variant.name(),
+                seed,
+                asks.size(),
+                served);
         words.flush();
     }
 
-    private void tell(Scenario scenario, Scenario.Variant variant, long seed, Verdict verdict,
-            Played played) {
-        words.printf(Locale.ROOT, "%s%-20s %-18s seed %-3d service %.3f  whole %.3f  worst 10 s %.3f  "
-            + "waste %.3f  p50 %.0f  p99 %.0f ms  rules broken %d%s%s%n", terminal ? "\r\u001b[K" : "",
-            scenario.name(), variant.name(), seed, verdict.service(), verdict.whole(), verdict.worst10s(),
-            verdict.waste(), verdict.p50Ms(), verdict.p99Ms(), verdict.broken(),
-            played.lateness().isVoid() ? "  VOID " + played.lateness() : "",
-            played.whole() ? "" : "  interrupted");
+    private void tell(Scenario scenario, Scenario.Variant variant, long seed, Verdict verdict, Played played) {
+        words.printf(
+                Locale.ROOT,
+                "%s%-20s %-18s seed %-3d service %.3f  whole %.3f  worst 10 s %.3f  "
+                        + "waste %.3f  p50 %.0f  p99 %.0f ms  rules broken %d%s%s%n",
+                terminal ? "\r\u001b[K" : "",
+                scenario.name(),
+                variant.name(),
+                seed,
+                verdict.service(),
+                verdict.whole(),
+                verdict.worst10s(),
+                verdict.waste(),
+                verdict.p50Ms(),
+                verdict.p99Ms(),
+                verdict.broken(),
+                played.lateness().isVoid() ? "  VOID " + played.lateness() : "",
+                played.whole() ? "" : "  interrupted");
         words.flush();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/ScaleCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ScaleCall.java
@@ -6,8 +6,10 @@
 import picocli.CommandLine.Spec;
 
 /** {@code scale}: what control and the data path cost at the size that is aimed at, each by its own call. */
-@Command(name = "scale", description = "Measure what control and the data path cost at size.",
-    subcommands = {ScaleControlCall.class, ScalePathCall.class})
+@Command(
+        name = "scale",
+        description = "Measure what control and the data path cost at size.",
+        subcommands = {ScaleControlCall.class, ScalePathCall.class})
 public final class ScaleCall implements Callable<Integer> {
 
     @Spec
--- a/lab/src/main/java/lemonrail/lab/cli/ScalePathCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ScalePathCall.java
@@ -14,20 +14,32 @@
 import picocli.CommandLine.Spec;
 
 /** {@code scale path}: what a sidecar itself adds to a call, and what a call costs it. */
-@Command(name = "path", description = "Measure what a sidecar adds to a call, beside a direct call "
-    + "and a bare relay; 1 where the target is missed.")
+@Command(
+        name = "path",
+        description = "Measure what a sidecar adds to a call, beside a direct call "
+                + "and a bare relay; 1 where the target is missed.")
 public final class ScalePathCall implements Callable<Integer> {
 
-    @Option(names = "--out", paramLabel = "DIR", defaultValue = "lab-runs/scale-path",
-        description = "where table, raw data and charts go (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            defaultValue = "lab-runs/scale-path",
+            description = "where table, raw data and charts go (default: ${DEFAULT-VALUE})")
     private Path kept;
 
-    @Option(names = "--rounds", paramLabel = "N", defaultValue = "4",
-        description = "measurements of each, in turn; growth gets half (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--rounds",
+            paramLabel = "N",
+            defaultValue = "4",
+            description = "measurements of each, in turn; growth gets half (default: ${DEFAULT-VALUE})")
     private int rounds;
 
-    @Option(names = "--for", paramLabel = "TIME", converter = Times.class, defaultValue = "3s",
-        description = "each measurement (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--for",
+            paramLabel = "TIME",
+            converter = Times.class,
+            defaultValue = "3s",
+            description = "each measurement (default: ${DEFAULT-VALUE})")
     private double lengthMs;
 
     @Option(names = "--ramp", description = "search for the maximum rate of each way as well")
@@ -49,8 +61,13 @@
         });
         // An interrupted run's end waits until what there is has been kept.
         try (Interrupts interrupts = new Interrupts()) {
-            try (Scratch files = new Scratch(); PathRun run = PathRun.of(plan,
-                    Path.of(System.getProperty("lemonrail.home", ".")), List.of(), files.path(), report)) {
+            try (Scratch files = new Scratch();
+                    PathRun run = PathRun.of(
+                            plan,
+                            Path.of(System.getProperty("lemonrail.home", ".")),
+                            List.of(),
+                            files.path(),
+                            report)) {
                 run.run();
             } finally {
                 report.keep(kept, Runner.version());
--- a/lab/src/main/java/lemonrail/lab/cli/SweepCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/SweepCall.java
@@ -24,15 +24,18 @@
 @Command(name = "sweep", description = "Play a scenario with one setting at several values; find the knee.")
 public final class SweepCall implements Callable<Integer> {
 
-    private static final List<String> OWN = List.of("load.rate", "clients.retries", "tiers.count",
-        "sidecars.front");
+    private static final List<String> OWN = List.of("load.rate", "clients.retries", "tiers.count", "sidecars.front");
 
     @Parameters(paramLabel = "SCENARIO", description = "a scenario's file")
     private Path file;
 
-    @Option(names = "--set", required = true, paramLabel = "KEY", description = "load.rate, clients.retries, "
-        + "tiers.count (of the first tier) or sidecars.front of the scenario, or a key of the edge, as in "
-        + "limits.attempts")
+    @Option(
+            names = "--set",
+            required = true,
+            paramLabel = "KEY",
+            description = "load.rate, clients.retries, "
+                    + "tiers.count (of the first tier) or sidecars.front of the scenario, or a key of the edge, as in "
+                    + "limits.attempts")
     private String key;
 
     @Option(names = "--values", required = true, split = ",", paramLabel = "N", description = "its values")
@@ -50,8 +53,7 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         Scenario scenario = ScenarioFile.read(file);
-        Scenario.Variant base = variant == null ? scenario.variants().get(0)
-            : CompareCall.variant(scenario, variant);
+        Scenario.Variant base = variant == null ? scenario.variants().get(0) : CompareCall.variant(scenario, variant);
         List<Runner.Job> jobs = new ArrayList<>();
         Map<String, Double> valueOf = new HashMap<>();
         for (int seed = 1; seed <= options.seeds(scenario); seed++) {
@@ -97,13 +99,23 @@
 
     private Scenario with(Scenario of, double value) {
         return switch (key) {
-            case "load.rate" -> of.with(new Scenario.Load(value, of.load().lengthMs(), of.load().warmUpMs(),
-                of.load().spacing(), of.load().exponentialWork(), of.load().connections()));
-            case "clients.retries" -> of.with(new Retrying((int) value, of.retrying().waitMs(),
-                of.retrying().growth(), of.retrying().heedsRetryAfter()));
+            case "load.rate" ->
+                of.with(new Scenario.Load(
+                        value,
+                        of.load().lengthMs(),
+                        of.load().warmUpMs(),
+                        of.load().spacing(),
+                        of.load().exponentialWork(),
+                        of.load().connections()));
+            case "clients.retries" ->
+                of.with(new Retrying(
+                        (int) value,
+                        of.retrying().waitMs(),
+                        of.retrying().growth(),
+                        of.retrying().heedsRetryAfter()));
             case "tiers.count" -> of.withCount((int) value);
-            case "sidecars.front" -> of.with(new Scenario.Sidecars((int) value,
-                of.sidecars().ownProcess()));
+            case "sidecars.front" ->
+                of.with(new Scenario.Sidecars((int) value, of.sidecars().ownProcess()));
             default -> of;
         };
     }
--- a/lab/src/main/java/lemonrail/lab/decider/Deciders.java
+++ b/lab/src/main/java/lemonrail/lab/decider/Deciders.java
@@ -19,8 +19,9 @@
 
     /** Makes balancers of this kind. */
     public Decider decider() {
-        return this == BOXCAR ? Decide::new : (settings, seed, host) ->
-            new Textbook(Textbook.Rule.valueOf(name()), settings, seed, host);
+        return this == BOXCAR
+                ? Decide::new
+                : (settings, seed, host) -> new Textbook(Textbook.Rule.valueOf(name()), settings, seed, host);
     }
 
     /** As a scenario names it. */
--- a/lab/src/main/java/lemonrail/lab/decider/Textbook.java
+++ b/lab/src/main/java/lemonrail/lab/decider/Textbook.java
@@ -25,7 +25,12 @@
 public final class Textbook implements Events {
 
     /** The rules to pick by. */
-    public enum Rule { RANDOM, ROUND_ROBIN, LEAST_OUTSTANDING, TWO_CHOICES }
+    public enum Rule {
+        RANDOM,
+        ROUND_ROBIN,
+        LEAST_OUTSTANDING,
+        TWO_CHOICES
+    }
 
     private static final double MOST_COOL_DOWN_MS = 1000;
 
@@ -75,8 +80,10 @@
             }
         }
         ready.clear();
-        servers.values().stream().filter(server -> server.state() == State.READY).map(Server::id)
-            .forEach(ready::add);
+        servers.values().stream()
+                .filter(server -> server.state() == State.READY)
+                .map(Server::id)
+                .forEach(ready::add);
     }
 
     @Override
@@ -101,15 +108,15 @@
 
     private String pick(String not) {
         List<String> from = ready.size() > 1 && ready.contains(not)
-            ? ready.stream().filter(id -> !id.equals(not)).toList() : ready;
+                ? ready.stream().filter(id -> !id.equals(not)).toList()
+                : ready;
         if (from.isEmpty()) {
             return null;
         }
         return switch (rule) {
             case RANDOM -> from.get(random.nextInt(from.size()));
             case ROUND_ROBIN -> from.get(Math.floorMod(turn++, from.size()));
-            case TWO_CHOICES -> lesser(from.get(random.nextInt(from.size())),
-                from.get(random.nextInt(from.size())));
+            case TWO_CHOICES -> lesser(from.get(random.nextInt(from.size())), from.get(random.nextInt(from.size())));
             case LEAST_OUTSTANDING -> {
                 int begin = random.nextInt(from.size());
                 String best = from.get(begin);
@@ -129,7 +136,9 @@
         calls.remove(call.request.id());
         RequestClass kind = settings.classes().get(call.request.requestClass());
         if (!call.mayHaveRun || kind.refusableAfterRun()) {
-            host.refuse(call.request.id(), Math.min(MOST_COOL_DOWN_MS, settings.limits().maxCoolDownMs()));
+            host.refuse(
+                    call.request.id(),
+                    Math.min(MOST_COOL_DOWN_MS, settings.limits().maxCoolDownMs()));
         } else {
             host.fail(call.request.id());
         }
@@ -149,9 +158,11 @@
         boolean ran = !finished.outcome().neverRan();
         call.mayHaveRun |= ran;
         RequestClass kind = settings.classes().get(call.request.requestClass());
-        boolean again = finished.replayable() && call.attempts < settings.limits().tries()
-            && finished.outcome() != Outcome.TIMED_OUT && now < call.request.deadlineMs()
-            && (!ran || kind.effect() == Effect.REPEATABLE);
+        boolean again = finished.replayable()
+                && call.attempts < settings.limits().tries()
+                && finished.outcome() != Outcome.TIMED_OUT
+                && now < call.request.deadlineMs()
+                && (!ran || kind.effect() == Effect.REPEATABLE);
         if (again) {
             send(now, call);
         } else {
--- a/lab/src/main/java/lemonrail/lab/host/AgentHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/AgentHost.java
@@ -47,21 +47,29 @@
      * @param addresses where the sidecar reaches an endpoint
      * @param unixMs the Unix time at which the run began
      */
-    AgentHost(EventLoop loop, Registry.Agent agent, Function<String, EndpointHost> endpoints,
-            Function<String, InetSocketAddress> addresses, double unixMs) {
+    AgentHost(
+            EventLoop loop,
+            Registry.Agent agent,
+            Function<String, EndpointHost> endpoints,
+            Function<String, InetSocketAddress> addresses,
+            double unixMs) {
         this.agent = agent;
         this.endpoints = endpoints;
         this.addresses = addresses;
         this.unixMs = unixMs;
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel fresh) {
-                    fresh.pipeline().addLast(new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_BODY_BYTES), new Asked());
-                }
-            }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly()
-            .channel();
+        listener = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        fresh.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES), new Asked());
+                    }
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .syncUninterruptibly()
+                .channel();
     }
 
     InetSocketAddress address() {
@@ -74,17 +82,20 @@
     }
 
     private ObjectNode json(Registry.Answer answer) {
-        ObjectNode list = JSON.createObjectNode().put("version", answer.version()).put("full", answer.full());
+        ObjectNode list =
+                JSON.createObjectNode().put("version", answer.version()).put("full", answer.full());
         var servers = list.putArray("servers");
         for (Registry.Line line : answer.lines()) {
             InetSocketAddress at = addresses.apply(line.id());
-            servers.addObject().put("id", line.id())
-                .put("addr", at.getAddress().getHostAddress() + ":" + at.getPort())
-                .put("zone", "default").put("kind", "std")
-                .put("cell", endpoints.apply(line.id()).model().shape().rack())
-                .put("state", line.state().name().toLowerCase(Locale.ROOT)).put("weight", 1.0)
-                .put("started_ms", Double.isInfinite(line.startedMs()) ? 0
-                    : Math.round(unixMs + line.startedMs()));
+            servers.addObject()
+                    .put("id", line.id())
+                    .put("addr", at.getAddress().getHostAddress() + ":" + at.getPort())
+                    .put("zone", "default")
+                    .put("kind", "std")
+                    .put("cell", endpoints.apply(line.id()).model().shape().rack())
+                    .put("state", line.state().name().toLowerCase(Locale.ROOT))
+                    .put("weight", 1.0)
+                    .put("started_ms", Double.isInfinite(line.startedMs()) ? 0 : Math.round(unixMs + line.startedMs()));
         }
         return list;
     }
@@ -98,17 +109,20 @@
             if (!query.path().equals("/registry/instances")) {
                 write(ctx, HttpResponseStatus.NOT_FOUND, "");
             } else if (parameters.containsKey("index")) {
-                agent.watch(Long.parseLong(parameters.get("index").get(0)),
-                    Double.parseDouble(parameters.getOrDefault("wait", List.of("0")).get(0)),
-                    answer -> write(ctx, HttpResponseStatus.OK, json(answer).toString()));
+                agent.watch(
+                        Long.parseLong(parameters.get("index").get(0)),
+                        Double.parseDouble(
+                                parameters.getOrDefault("wait", List.of("0")).get(0)),
+                        answer -> write(ctx, HttpResponseStatus.OK, json(answer).toString()));
             } else {
-                agent.whole(answer -> write(ctx, HttpResponseStatus.OK, json(answer).toString()));
+                agent.whole(
+                        answer -> write(ctx, HttpResponseStatus.OK, json(answer).toString()));
             }
         }
 
         private void write(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
-            FullHttpResponse made = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+            FullHttpResponse made = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
             made.headers().set(HttpHeaderNames.CONTENT_LENGTH, made.content().readableBytes());
             ctx.writeAndFlush(made);
         }
--- a/lab/src/main/java/lemonrail/lab/host/AnswerRules.java
+++ b/lab/src/main/java/lemonrail/lab/host/AnswerRules.java
@@ -29,18 +29,18 @@
     }
 
     /** One final answer, made by an endpoint where it serves, and no refusal of what may have run. */
-    void check(String id, RequestClass kind, Ask.End end, FullHttpResponse answer, double sentMs,
-            double waitMs) {
+    void check(String id, RequestClass kind, Ask.End end, FullHttpResponse answer, double sentMs, double waitMs) {
         List<AttemptRecorder.Attempt> attempts = recorder.of(id);
         if (end == Ask.End.GIVEN_UP) {
-            recorder.broken("no answer within " + Math.round(agenda.nowMs() - sentMs) + " of "
-                + Math.round(waitMs) + " ms: " + id);
+            recorder.broken("no answer within " + Math.round(agenda.nowMs() - sentMs) + " of " + Math.round(waitMs)
+                    + " ms: " + id);
         } else if (end == Ask.End.LOST && linkIsPlain) {
             recorder.broken("the connection ended without a whole answer: " + id);
         } else if (end == Ask.End.SERVED) {
             checkServed(id, answer, attempts);
         }
-        if (end == Ask.End.REFUSED && !kind.refusableAfterRun()
+        if (end == Ask.End.REFUSED
+                && !kind.refusableAfterRun()
                 && attempts.stream().anyMatch(attempt -> !Double.isNaN(attempt.ranMs()))) {
             recorder.broken("refused after it may have run: " + id);
         }
--- a/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
+++ b/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
@@ -22,8 +22,7 @@
         private String end = "open";
         private int calls;
 
-        Attempt(String request, int tier, String endpoint, double beganMs, double workMs,
-                Attempt parent) {
+        Attempt(String request, int tier, String endpoint, double beganMs, double workMs, Attempt parent) {
             this.request = request;
             this.tier = tier;
             this.endpoint = endpoint;
@@ -97,8 +96,7 @@
     /** By so much the rules are longer on sockets. */
     private static final double SLACK_MS = 50;
 
-    private record Route(String sidecar, Attempt onBehalfOf) {
-    }
+    private record Route(String sidecar, Attempt onBehalfOf) {}
 
     private final Agenda agenda;
     private final double graceMs;
@@ -134,14 +132,12 @@
             broken.add("a request that nobody sent: " + request);
         }
         double now = agenda.nowMs();
-        Attempt made = new Attempt(request, tier, endpoint, now, workMs,
-            route == null ? null : route.onBehalfOf);
+        Attempt made = new Attempt(request, tier, endpoint, now, workMs, route == null ? null : route.onBehalfOf);
         attempts.add(made);
         List<Attempt> before = byRequest.computeIfAbsent(request, id -> new ArrayList<>(1));
         before.stream().filter(other -> Double.isNaN(other.endedMs)).forEach(this::awaitEnd);
         before.add(made);
-        if (route != null
-                && now - unwanted.getOrDefault(route.sidecar + " " + endpoint, now) > graceMs + SLACK_MS) {
+        if (route != null && now - unwanted.getOrDefault(route.sidecar + " " + endpoint, now) > graceMs + SLACK_MS) {
             broken.add("sent to " + endpoint + " although it drains or is gone: " + request);
         }
         return made;
--- a/lab/src/main/java/lemonrail/lab/host/ChildProcess.java
+++ b/lab/src/main/java/lemonrail/lab/host/ChildProcess.java
@@ -16,8 +16,7 @@
     /** A Java process that has not been started, with the collector and heap of the edge's usual call. */
     public static ProcessBuilder java(String... arguments) {
         List<String> line = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-            "-Xmx160m"));
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC", "-Xmx160m"));
         line.addAll(List.of(arguments));
         return new ProcessBuilder(line);
     }
@@ -30,7 +29,8 @@
     /** Its resident memory in MiB, or NaN where the system does not tell. */
     public double residentMb() throws IOException {
         return Files.isReadable(Path.of("/proc", String.valueOf(process.pid()), "status"))
-            ? ProcessUsage.residentMb(process.pid()) : Double.NaN;
+                ? ProcessUsage.residentMb(process.pid())
+                : Double.NaN;
     }
 
     @Override
