--- a/lab/src/main/java/lemonrail/lab/host/ClientPool.java
+++ b/lab/src/main/java/lemonrail/lab/host/ClientPool.java
@@ -119,20 +119,23 @@
 
     private void wait(Call call, long nanos) {
         long dueNanos = System.nanoTime() + nanos;
-        call.patience = loop.schedule(() -> {
-            long lateNanos = System.nanoTime() - dueNanos;
-            if (call.over) {
-                return;
-            }
-            if (lateNanos > MOST_LATE_NANOS) {
-                // The loop was busy: what came meanwhile has not been read, and is no fault of the sidecar's.
-                wait(call, lateNanos);
-                return;
-            }
-            call.finish();
-            call.release();
-            call.reply.ended(Ask.End.GIVEN_UP, null);
-        }, nanos, TimeUnit.NANOSECONDS);
+        call.patience = loop.schedule(
+                () -> {
+                    long lateNanos = System.nanoTime() - dueNanos;
+                    if (call.over) {
+                        return;
+                    }
+                    if (lateNanos > MOST_LATE_NANOS) {
+                        // The loop was busy: what came meanwhile has not been read, and is no fault of the sidecar's.
+                        wait(call, lateNanos);
+                        return;
+                    }
+                    call.finish();
+                    call.release();
+                    call.reply.ended(Ask.End.GIVEN_UP, null);
+                },
+                nanos,
+                TimeUnit.NANOSECONDS);
     }
 
     private void dispatch(Call call) {
@@ -183,21 +186,28 @@
         Connection(Call first) {
             call = first;
             first.on = this;
-            ChannelFuture coming = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline().addLast(new ChannelInboundHandlerAdapter() {
-                            @Override
-                            public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                                answering = true;
-                                ctx.fireChannelRead(bytes);
-                            }
-                        }, new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY_BYTES),
-                            Connection.this);
-                    }
-                }).connect(address);
+            ChannelFuture coming = new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .handler(new ChannelInitializer<SocketChannel>() {
+                        @Override
+                        protected void initChannel(SocketChannel fresh) {
+                            fresh.pipeline()
+                                    .addLast(
+                                            new ChannelInboundHandlerAdapter() {
+                                                @Override
+                                                public void channelRead(ChannelHandlerContext ctx, Object bytes) {
+                                                    answering = true;
+                                                    ctx.fireChannelRead(bytes);
+                                                }
+                                            },
+                                            new HttpClientCodec(),
+                                            new HttpObjectAggregator(MOST_BODY_BYTES),
+                                            Connection.this);
+                        }
+                    })
+                    .connect(address);
             channel = coming.channel();
             channel.closeFuture().addListener(gone -> gone());
             coming.addListener(up -> {
@@ -246,8 +256,9 @@
                 ctx.close();
             }
             int status = answer.status().code();
-            answered.end(status == 200 ? Ask.End.SERVED
-                : status == 429 || status == 503 ? Ask.End.REFUSED : Ask.End.FAILED, answer);
+            answered.end(
+                    status == 200 ? Ask.End.SERVED : status == 429 || status == 503 ? Ask.End.REFUSED : Ask.End.FAILED,
+                    answer);
             serveWaiting();
         }
 
--- a/lab/src/main/java/lemonrail/lab/host/EdgeFiles.java
+++ b/lab/src/main/java/lemonrail/lab/host/EdgeFiles.java
@@ -14,8 +14,7 @@
 
     private static final TomlMapper TOML = new TomlMapper();
 
-    private EdgeFiles() {
-    }
+    private EdgeFiles() {}
 
     /**
      * One sidecar's place.
@@ -25,25 +24,31 @@
      * @param discovery where its agent is
      * @param listen where it listens; port 0 takes a free one
      */
-    record Place(String name, int tier, int number, int count, InetSocketAddress discovery,
-            InetSocketAddress listen, long seed, ColdStart cold) {
-    }
+    record Place(
+            String name,
+            int tier,
+            int number,
+            int count,
+            InetSocketAddress discovery,
+            InetSocketAddress listen,
+            long seed,
+            ColdStart cold) {}
 
     /** Writes the file into a folder, where the sidecar also keeps what it keeps. */
     static Path write(Path base, Path folder, Place place) throws IOException {
         ObjectNode root = (ObjectNode) TOML.readTree(base.toFile());
-        root.put("name", place.name).put("state-dir", folder.toString())
-            .put("seed", place.seed & Integer.MAX_VALUE);
+        root.put("name", place.name).put("state-dir", folder.toString()).put("seed", place.seed & Integer.MAX_VALUE);
         root.remove("admin");
         root.remove("endpoints");
         ArrayNode listeners = root.putArray("listeners");
         listeners.addObject().put("address", text(place.listen));
         root.putObject("discovery").put("address", text(place.discovery));
-        table(root, "balancing").put("balancers", place.count).put("number", place.number)
-            .put("tier", place.tier);
+        table(root, "balancing")
+                .put("balancers", place.count)
+                .put("number", place.number)
+                .put("tier", place.tier);
         if (place.cold.warmMs() > 0) {
-            table(root, "cold-start").put("share", place.cold.share())
-                .put("duration", place.cold.warmMs() + "ms");
+            table(root, "cold-start").put("share", place.cold.share()).put("duration", place.cold.warmMs() + "ms");
         }
         Path file = folder.resolve(place.name + ".toml");
         Files.writeString(file, TOML.writeValueAsString(root));
--- a/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
@@ -39,8 +39,7 @@
     /** Calls the next tier for an endpoint. */
     public interface NextTier {
         /** One call on behalf of a request, which {@code done} hears of unless the call is dropped. */
-        Runnable call(FullHttpRequest of, AttemptRecorder.Attempt onBehalfOf, double leftMs,
-            Consumer<Boolean> done);
+        Runnable call(FullHttpRequest of, AttemptRecorder.Attempt onBehalfOf, double leftMs, Consumer<Boolean> done);
     }
 
     private final Agenda agenda;
@@ -60,24 +59,37 @@
     }
 
     /** Listens at a free port. */
-    public EndpointHost(EventLoop loop, Agenda agenda, Endpoint model, int tier, double workShare,
-            CallCount calls, AttemptRecorder recorder) {
+    public EndpointHost(
+            EventLoop loop,
+            Agenda agenda,
+            Endpoint model,
+            int tier,
+            double workShare,
+            CallCount calls,
+            AttemptRecorder recorder) {
         this.agenda = agenda;
         this.model = model;
         this.tier = tier;
         this.workShare = workShare;
         this.calls = calls;
         this.recorder = recorder;
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel fresh) {
-                    fresh.pipeline().addLast(new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_BODY_BYTES), new Connection());
-                }
-            }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly()
-            .channel();
+        listener = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        fresh.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MOST_BODY_BYTES),
+                                        new Connection());
+                    }
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .syncUninterruptibly()
+                .channel();
     }
 
     /** Who calls the next tier; set before the first request where there is one. */
@@ -152,7 +164,8 @@
             }
             String left = request.headers().get("X-Deadline-Ms");
             double leftMs = left == null ? Double.POSITIVE_INFINITY : Double.parseDouble(left);
-            List<String> given = new QueryStringDecoder(request.uri()).parameters().get("work");
+            List<String> given =
+                    new QueryStringDecoder(request.uri()).parameters().get("work");
             double askedMs = given == null ? 0 : Double.parseDouble(given.get(0)) * workShare;
             AttemptRecorder.Attempt seen = recorder.attempt(id, tier, id(), askedMs);
             work = new Served(request.retain(), id, seen, askedMs, leftMs);
@@ -165,8 +178,8 @@
         }
 
         void answer(HttpResponseStatus status, boolean notRun, String text) {
-            FullHttpResponse made = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+            FullHttpResponse made = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
             made.headers().set(HttpHeaderNames.CONTENT_LENGTH, made.content().readableBytes());
             if (notRun) {
                 made.headers().set("X-Not-Run", "1");
@@ -198,8 +211,7 @@
             private final double untilMs;
             private Runnable dropCall;
 
-            Served(FullHttpRequest request, String id, AttemptRecorder.Attempt seen, double askedMs,
-                    double leftMs) {
+            Served(FullHttpRequest request, String id, AttemptRecorder.Attempt seen, double askedMs, double leftMs) {
                 super(request.headers().get("Idempotency-Key"), askedMs, next == null ? 0 : calls.draw());
                 this.request = request;
                 this.id = id;
@@ -230,10 +242,9 @@
                 }
                 switch (answer) {
                     case SERVED -> Connection.this.answer(HttpResponseStatus.OK, false, id() + " " + id);
-                    case ERROR -> Connection.this.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, false,
-                        "a call failed");
-                    default -> Connection.this.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, true,
-                        "no room");
+                    case ERROR ->
+                        Connection.this.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, false, "a call failed");
+                    default -> Connection.this.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, true, "no room");
                 }
             }
 
--- a/lab/src/main/java/lemonrail/lab/host/EndpointTier.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointTier.java
@@ -27,7 +27,12 @@
     private final Map<String, EndpointHost> byId = new HashMap<>();
     private final Map<EndpointHost, Relay> links = new HashMap<>();
 
-    EndpointTier(Scenario.Tier tier, int number, EventLoop loop, Agenda agenda, Registry registry,
+    EndpointTier(
+            Scenario.Tier tier,
+            int number,
+            EventLoop loop,
+            Agenda agenda,
+            Registry registry,
             AttemptRecorder recorder) {
         this.tier = tier;
         this.number = number;
@@ -57,9 +62,20 @@
 
     private Endpoint model(int place, Rack rack, UniformRandomProvider random) {
         double speed = tier.leastSpeed() + (tier.mostSpeed() - tier.leastSpeed()) * random.nextDouble();
-        Endpoint model = new Endpoint(agenda, new EndpointShape(tier.name() + "-" + (place + 1),
-            place % tier.racks(), tier.cores(), speed, tier.slots(), tier.waitingRoom(), tier.connections(),
-            tier.handshakeMs(), tier.cold(), tier.crowding()), rack);
+        Endpoint model = new Endpoint(
+                agenda,
+                new EndpointShape(
+                        tier.name() + "-" + (place + 1),
+                        place % tier.racks(),
+                        tier.cores(),
+                        speed,
+                        tier.slots(),
+                        tier.waitingRoom(),
+                        tier.connections(),
+                        tier.handshakeMs(),
+                        tier.cold(),
+                        tier.crowding()),
+                rack);
         if (tier.startsCold()) {
             model.start();
         }
@@ -68,8 +84,14 @@
 
     private EndpointHost host(Endpoint model, UniformRandomProvider random) {
         double calls = tier.calls();
-        return new EndpointHost(loop, agenda, model, number, tier.workShare(),
-            () -> (int) calls + (random.nextDouble() < calls - (int) calls ? 1 : 0), recorder);
+        return new EndpointHost(
+                loop,
+                agenda,
+                model,
+                number,
+                tier.workShare(),
+                () -> (int) calls + (random.nextDouble() < calls - (int) calls ? 1 : 0),
+                recorder);
     }
 
     Registry registry() {
--- a/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
+++ b/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
@@ -15,8 +15,7 @@
 final class FaultPlayer {
 
     /** What one tier has that can go wrong. */
-    record Tier(List<EndpointHost> endpoints, Function<EndpointHost, Relay> links, Registry registry) {
-    }
+    record Tier(List<EndpointHost> endpoints, Function<EndpointHost, Relay> links, Registry registry) {}
 
     private static final double DRAIN_PART = 0.5;
 
@@ -26,8 +25,7 @@
     /** Of several that befall an endpoint at once the worst is in force. */
     private final List<Slowed> slowed = new ArrayList<>();
 
-    private record Slowed(EndpointHost host, Fault fault) {
-    }
+    private record Slowed(EndpointHost host, Fault fault) {}
 
     FaultPlayer(Agenda agenda, List<Tier> tiers, UniformRandomProvider random) {
         this.agenda = agenda;
@@ -53,7 +51,9 @@
         List<EndpointHost> all = new ArrayList<>(tier.endpoints);
         if (share == 0) {
             int rack = all.get(random.nextInt(all.size())).model().shape().rack();
-            return all.stream().filter(host -> host.model().shape().rack() == rack).toList();
+            return all.stream()
+                    .filter(host -> host.model().shape().rack() == rack)
+                    .toList();
         }
         for (int i = all.size() - 1; i > 0; i--) {
             Collections.swap(all, i, random.nextInt(i + 1));
@@ -63,16 +63,24 @@
 
     private void begin(Fault fault, Tier tier, List<EndpointHost> whom) {
         switch (fault.kind()) {
-            case VANISH -> during(fault, whom, host -> host.model().vanish(), host -> {
-                host.reset();
-                start(tier, host);
-            });
-            case SLOW -> during(fault, whom, host -> slow(host, fault, true),
-                host -> slow(host, fault, false));
-            case HANG -> during(fault, whom, host -> host.model().hang(true),
-                host -> host.model().hang(false));
-            case FAIL -> during(fault, whom, host -> host.model().fail(true),
-                host -> host.model().fail(false));
+            case VANISH ->
+                during(fault, whom, host -> host.model().vanish(), host -> {
+                    host.reset();
+                    start(tier, host);
+                });
+            case SLOW -> during(fault, whom, host -> slow(host, fault, true), host -> slow(host, fault, false));
+            case HANG ->
+                during(
+                        fault,
+                        whom,
+                        host -> host.model().hang(true),
+                        host -> host.model().hang(false));
+            case FAIL ->
+                during(
+                        fault,
+                        whom,
+                        host -> host.model().fail(true),
+                        host -> host.model().fail(false));
             case RESTART -> {
                 double each = fault.lengthMs() / whom.size();
                 for (int i = 0; i < whom.size(); i++) {
@@ -80,23 +88,45 @@
                     agenda.after(i * each, () -> restart(tier, host, each));
                 }
             }
-            case DRAIN -> during(fault, whom, host -> {
-                host.model().drain(true);
-                say(tier, host, Registry.State.TERMINATING);
-            }, host -> {
-                host.model().drain(false);
-                say(tier, host, Registry.State.IN_SERVICE);
-            });
-            case RESET -> during(fault, whom, host -> {
-                tier.links.apply(host).reset();
-                tier.links.apply(host).resetNewAfter(fault.size());
-            }, host -> tier.links.apply(host).resetNewAfter(Double.NaN));
-            case HALF_OPEN -> during(fault, whom, host -> tier.links.apply(host).freeze(),
-                host -> tier.links.apply(host).reset());
-            case DELAY -> during(fault, whom, host -> tier.links.apply(host).delay(fault.size()),
-                host -> tier.links.apply(host).delay(0));
-            case LOSS -> during(fault, whom, host -> tier.links.apply(host).lose(fault.size()),
-                host -> tier.links.apply(host).lose(0));
+            case DRAIN ->
+                during(
+                        fault,
+                        whom,
+                        host -> {
+                            host.model().drain(true);
+                            say(tier, host, Registry.State.TERMINATING);
+                        },
+                        host -> {
+                            host.model().drain(false);
+                            say(tier, host, Registry.State.IN_SERVICE);
+                        });
+            case RESET ->
+                during(
+                        fault,
+                        whom,
+                        host -> {
+                            tier.links.apply(host).reset();
+                            tier.links.apply(host).resetNewAfter(fault.size());
+                        },
+                        host -> tier.links.apply(host).resetNewAfter(Double.NaN));
+            case HALF_OPEN ->
+                during(
+                        fault,
+                        whom,
+                        host -> tier.links.apply(host).freeze(),
+                        host -> tier.links.apply(host).reset());
+            case DELAY ->
+                during(
+                        fault,
+                        whom,
+                        host -> tier.links.apply(host).delay(fault.size()),
+                        host -> tier.links.apply(host).delay(0));
+            case LOSS ->
+                during(
+                        fault,
+                        whom,
+                        host -> tier.links.apply(host).lose(fault.size()),
+                        host -> tier.links.apply(host).lose(0));
             case LIST_DOWN -> {
                 tiers.forEach(each -> each.registry.reachable(false));
                 agenda.after(fault.lengthMs(), () -> tiers.forEach(each -> each.registry.reachable(true)));
@@ -114,8 +144,8 @@
         }
     }
 
-    private void during(Fault fault, List<EndpointHost> whom, Consumer<EndpointHost> begin,
-            Consumer<EndpointHost> end) {
+    private void during(
+            Fault fault, List<EndpointHost> whom, Consumer<EndpointHost> begin, Consumer<EndpointHost> end) {
         whom.forEach(begin);
         agenda.after(fault.lengthMs(), () -> whom.forEach(end));
     }
@@ -126,8 +156,12 @@
         } else {
             slowed.remove(new Slowed(host, fault));
         }
-        host.model().slow(slowed.stream().filter(entry -> entry.host == host)
-            .mapToDouble(entry -> entry.fault.size()).max().orElse(1));
+        host.model()
+                .slow(slowed.stream()
+                        .filter(entry -> entry.host == host)
+                        .mapToDouble(entry -> entry.fault.size())
+                        .max()
+                        .orElse(1));
     }
 
     /** Drains for half of the time, then ends and starts again, cold. */
--- a/lab/src/main/java/lemonrail/lab/host/LoopAgenda.java
+++ b/lab/src/main/java/lemonrail/lab/host/LoopAgenda.java
@@ -37,11 +37,13 @@
     public Due after(double ms, Runnable what) {
         long nanos = (long) (Math.max(0, ms) * 1e6);
         long dueNanos = System.nanoTime() + nanos;
-        Future<?> due = loop.schedule(() -> {
-            lateMicros.recordValue(Math.min(MOST_MICROS,
-                Math.max(0, (System.nanoTime() - dueNanos) / 1000)));
-            what.run();
-        }, nanos, TimeUnit.NANOSECONDS);
+        Future<?> due = loop.schedule(
+                () -> {
+                    lateMicros.recordValue(Math.min(MOST_MICROS, Math.max(0, (System.nanoTime() - dueNanos) / 1000)));
+                    what.run();
+                },
+                nanos,
+                TimeUnit.NANOSECONDS);
         return () -> due.cancel(false);
     }
 
--- a/lab/src/main/java/lemonrail/lab/host/Played.java
+++ b/lab/src/main/java/lemonrail/lab/host/Played.java
@@ -13,21 +13,29 @@
  * @param mostOpen connections of clients that were open at once
  * @param cpuMs of the sidecars, or NaN where they share the lab's process
  */
-public record Played(Scenario scenario, Scenario.Variant variant, long seed, Settings settings, boolean whole,
-        List<Ask> asks, AttemptRecorder recorder, List<Node> nodes, List<String> broken, Lateness lateness,
-        int mostOpen, double cpuMs) {
+public record Played(
+        Scenario scenario,
+        Scenario.Variant variant,
+        long seed,
+        Settings settings,
+        boolean whole,
+        List<Ask> asks,
+        AttemptRecorder recorder,
+        List<Node> nodes,
+        List<String> broken,
+        Lateness lateness,
+        int mostOpen,
+        double cpuMs) {
 
     /** An endpoint and the work that it did, in ms on a core of speed 1. */
-    public record Node(int tier, String id, double speed, double doneMs, int mostHeld) {
-    }
+    public record Node(int tier, String id, double speed, double doneMs, int mostHeld) {}
 
     /**
      * How late the lab itself was: its timers and the sending of requests, in ms.
      *
      * @param waited requests that found all of the clients' connections busy
      */
-    public record Lateness(double timers99Ms, double timersMostMs, double sentMeanMs, double sentMostMs,
-            long waited) {
+    public record Lateness(double timers99Ms, double timersMostMs, double sentMeanMs, double sentMostMs, long waited) {
 
         /** A run whose lab was later than this in its timers, 99 in 100, is void. */
         public static final double MOST_TIMERS_MS = 10;
--- a/lab/src/main/java/lemonrail/lab/host/ProcessUsage.java
+++ b/lab/src/main/java/lemonrail/lab/host/ProcessUsage.java
@@ -59,6 +59,7 @@
 
     /** Ticks of {@code /proc/PID/stat}, which Linux shows as 100 a second whatever it counts by itself. */
     private static final double TICK_MS = 10;
+
     private static final int USER_TICKS = 11;
     private static final double NANOS = 1e6;
     private static final double KILO = 1024;
@@ -69,8 +70,7 @@
         String stat = Files.readString(process.resolve("stat"));
         // The name may hold blanks and brackets; what follows its last bracket does not.
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        double statMs = TICK_MS
-            * (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[USER_TICKS + 1]));
+        double statMs = TICK_MS * (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[USER_TICKS + 1]));
         Map<String, Threads> threads = new HashMap<>();
         for (Path task : list(process.resolve("task"))) {
             try {
@@ -80,8 +80,8 @@
                 continue;
             }
         }
-        return new ProcessUsage(statMs, threads, residentMb(pid),
-            list(process.resolve("fd")).size());
+        return new ProcessUsage(
+                statMs, threads, residentMb(pid), list(process.resolve("fd")).size());
     }
 
     private static Path folder(long pid) {
@@ -116,16 +116,20 @@
 
     private static Threads thread(Path task) throws IOException {
         String[] nanos = Files.readString(task.resolve("schedstat")).trim().split(" ");
-        return new Threads(kind(Files.readString(task.resolve("comm")).trim()),
-            Long.parseLong(nanos[0]) / NANOS, Long.parseLong(nanos[1]) / NANOS,
-            (long) number(task.resolve("status"), "voluntary_ctxt_switches:"));
+        return new Threads(
+                kind(Files.readString(task.resolve("comm")).trim()),
+                Long.parseLong(nanos[0]) / NANOS,
+                Long.parseLong(nanos[1]) / NANOS,
+                (long) number(task.resolve("status"), "voluntary_ctxt_switches:"));
     }
 
     private static double number(Path file, String key) throws IOException {
         for (String line : Files.readAllLines(file)) {
             if (line.startsWith(key)) {
-                return Double.parseDouble(line.substring(key.length()).toLowerCase(Locale.ROOT)
-                    .replace("kb", "").trim());
+                return Double.parseDouble(line.substring(key.length())
+                        .toLowerCase(Locale.ROOT)
+                        .replace("kb", "")
+                        .trim());
             }
         }
         return Double.NaN;
@@ -133,13 +137,16 @@
 
     /** What threads of a kind have used. */
     public Threads of(Kind kind) {
-        return threads.values().stream().filter(thread -> thread.kind == kind).reduce(Threads.none(kind),
-            Threads::plus);
+        return threads.values().stream()
+                .filter(thread -> thread.kind == kind)
+                .reduce(Threads.none(kind), Threads::plus);
     }
 
     /** Processor time of all threads in ms. */
     public double cpuMs() {
-        return threads.isEmpty() ? Double.NaN : threads.values().stream().mapToDouble(Threads::ranMs).sum();
+        return threads.isEmpty()
+                ? Double.NaN
+                : threads.values().stream().mapToDouble(Threads::ranMs).sum();
     }
 
     /**
@@ -170,8 +177,8 @@
     /** What has been used since then; memory and descriptors are those of now. */
     public ProcessUsage since(ProcessUsage before) {
         Map<String, Threads> used = new HashMap<>();
-        threads.forEach((id, now) -> used.put(id, before.threads.containsKey(id)
-            ? now.minus(before.threads.get(id)) : now));
+        threads.forEach(
+                (id, now) -> used.put(id, before.threads.containsKey(id) ? now.minus(before.threads.get(id)) : now));
         return new ProcessUsage(statMs - before.statMs, used, residentMb, descriptors);
     }
 
@@ -179,7 +186,10 @@
     public ProcessUsage plus(ProcessUsage more) {
         Map<String, Threads> all = new HashMap<>(threads);
         more.threads.forEach((id, thread) -> all.merge(id, thread, Threads::plus));
-        return new ProcessUsage(statMs + more.statMs, all, Math.max(residentMb, more.residentMb),
-            Math.max(descriptors, more.descriptors));
+        return new ProcessUsage(
+                statMs + more.statMs,
+                all,
+                Math.max(residentMb, more.residentMb),
+                Math.max(descriptors, more.descriptors));
     }
 }
--- a/lab/src/main/java/lemonrail/lab/host/Relay.java
+++ b/lab/src/main/java/lemonrail/lab/host/Relay.java
@@ -33,6 +33,7 @@
     static final double REPEAT_MS = 200;
     /** Bytes on their way each way; beyond it the sender is not read. */
     private static final int MOST_HELD_BYTES = 256 * 1024;
+
     private static final double NANOS = 1e6;
 
     private final EventLoop loop;
@@ -52,15 +53,20 @@
         this.target = target;
         this.link = link;
         this.random = random;
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel fresh) {
-                    pairs.add(new Pair(fresh));
-                }
-            }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly()
-            .channel();
+        listener = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        pairs.add(new Pair(fresh));
+                    }
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .syncUninterruptibly()
+                .channel();
     }
 
     /** Where it listens. */
@@ -129,9 +135,13 @@
             out = new Way(this);
             back = new Way(this);
             near.pipeline().addLast(out);
-            var coming = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.AUTO_READ, false)
-                .handler(back).connect(target);
+            var coming = new Bootstrap()
+                    .group(loop)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.AUTO_READ, false)
+                    .handler(back)
+                    .connect(target);
             far = coming.channel();
             out.to = far;
             back.to = near;
@@ -180,8 +190,7 @@
     private final class Way extends ChannelInboundHandlerAdapter {
 
         /** Bytes and when they arrive, or the end where there are none. */
-        private record Piece(ByteBuf bytes, long atNanos) {
-        }
+        private record Piece(ByteBuf bytes, long atNanos) {}
 
         private final Pair pair;
         private final Deque<Piece> held = new ArrayDeque<>();
@@ -213,8 +222,10 @@
         }
 
         private void hold(ByteBuf piece) {
-            double ms = link.delayMs() + moreDelayMs + link.jitterMs() * random.nextDouble()
-                + (lossShare > 0 && random.nextDouble() < lossShare ? REPEAT_MS : 0);
+            double ms = link.delayMs()
+                    + moreDelayMs
+                    + link.jitterMs() * random.nextDouble()
+                    + (lossShare > 0 && random.nextDouble() < lossShare ? REPEAT_MS : 0);
             long at = Math.max(lastNanos, System.nanoTime() + (long) (ms * NANOS));
             if (link.bytesPerMs() > 0) {
                 at += (long) (piece.readableBytes() / link.bytesPerMs() * NANOS);
@@ -232,10 +243,13 @@
                 long inNanos = held.peek().atNanos - System.nanoTime();
                 if (inNanos > 0) {
                     armed = true;
-                    loop.schedule(() -> {
-                        armed = false;
-                        pump();
-                    }, inNanos, TimeUnit.NANOSECONDS);
+                    loop.schedule(
+                            () -> {
+                                armed = false;
+                                pump();
+                            },
+                            inNanos,
+                            TimeUnit.NANOSECONDS);
                     return;
                 }
                 pass(held.poll());
@@ -260,8 +274,9 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             if (!pair.frozen) {
                 // The end travels behind the last bytes.
-                held.add(new Piece(null, Math.max(lastNanos,
-                    System.nanoTime() + (long) ((link.delayMs() + moreDelayMs) * NANOS))));
+                held.add(new Piece(
+                        null,
+                        Math.max(lastNanos, System.nanoTime() + (long) ((link.delayMs() + moreDelayMs) * NANOS))));
                 pump();
             }
         }
--- a/lab/src/main/java/lemonrail/lab/host/RequestMessages.java
+++ b/lab/src/main/java/lemonrail/lab/host/RequestMessages.java
@@ -20,13 +20,15 @@
     private static final String DEADLINE = "X-Deadline-Ms";
     private static final String KEY = "Idempotency-Key";
 
-    private RequestMessages() {
-    }
+    private RequestMessages() {}
 
     /** What a client asks; {@code tenant} is null where there are none. */
     static FullHttpRequest of(Ask ask, String id, String className, String tenant, double patienceMs) {
-        FullHttpRequest request = message(ask.key() == null ? HttpMethod.GET : HttpMethod.POST,
-            String.format(Locale.ROOT, "/api?work=%.3f", ask.workMs()), id, patienceMs);
+        FullHttpRequest request = message(
+                ask.key() == null ? HttpMethod.GET : HttpMethod.POST,
+                String.format(Locale.ROOT, "/api?work=%.3f", ask.workMs()),
+                id,
+                patienceMs);
         request.headers().set(CLASS, className);
         if (ask.key() != null) {
             request.headers().set(KEY, ask.key());
@@ -54,10 +56,12 @@
     }
 
     private static FullHttpRequest message(HttpMethod method, String uri, String id, double waitMs) {
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri,
-            Unpooled.EMPTY_BUFFER);
-        request.headers().set(HttpHeaderNames.HOST, "lab").set(ID, id).set(DEADLINE, (long) waitMs)
-            .set(HttpHeaderNames.CONTENT_LENGTH, 0);
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, Unpooled.EMPTY_BUFFER);
+        request.headers()
+                .set(HttpHeaderNames.HOST, "lab")
+                .set(ID, id)
+                .set(DEADLINE, (long) waitMs)
+                .set(HttpHeaderNames.CONTENT_LENGTH, 0);
         return request;
     }
 
--- a/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
@@ -81,10 +81,11 @@
     }
 
     /** A sidecar in a process of its own, which has been started and may not be ready yet. */
-    static SidecarHost process(Path jar, Path file, Map<String, String> environment, InetSocketAddress at,
-            Path log) throws IOException {
-        ProcessBuilder builder = ChildProcess.java("-jar", jar.toString(), "serve", "--config",
-            file.toString()).redirectErrorStream(true).redirectOutput(log.toFile());
+    static SidecarHost process(Path jar, Path file, Map<String, String> environment, InetSocketAddress at, Path log)
+            throws IOException {
+        ProcessBuilder builder = ChildProcess.java("-jar", jar.toString(), "serve", "--config", file.toString())
+                .redirectErrorStream(true)
+                .redirectOutput(log.toFile());
         builder.environment().putAll(environment);
         ChildProcess child = new ChildProcess(builder.start());
         return new SidecarHost() {
@@ -119,8 +120,9 @@
     default void awaitReady() throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
         URI ready = URI.create("http://" + address().getAddress().getHostAddress() + ":"
-            + address().getPort() + "/health/ready");
-        HttpRequest ask = HttpRequest.newBuilder(ready).timeout(Duration.ofSeconds(1)).build();
+                + address().getPort() + "/health/ready");
+        HttpRequest ask =
+                HttpRequest.newBuilder(ready).timeout(Duration.ofSeconds(1)).build();
         while (true) {
             try {
                 if (CLIENT.send(ask, HttpResponse.BodyHandlers.discarding()).statusCode() == 200) {
--- a/lab/src/main/java/lemonrail/lab/host/Testbed.java
+++ b/lab/src/main/java/lemonrail/lab/host/Testbed.java
@@ -42,6 +42,7 @@
 
     /** A sidecar may answer by so much later than its client gives up, before a rule is broken. */
     static final double ANSWER_SLACK_MS = 50;
+
     private static final int LOOK_MS = 100;
     /** A request and its answer together are not larger than this. */
     private static final double MESSAGE_BYTES = 1024;
@@ -49,8 +50,7 @@
     private static final double END_SLACK_MS = 1500;
 
     /** Builds of the edge that sidecars of their own processes run. */
-    public record Builds(Path jar) {
-    }
+    public record Builds(Path jar) {}
 
     private final Scenario scenario;
     private final Scenario.Variant variant;
@@ -58,8 +58,8 @@
     private final Builds builds;
     private final Path folder;
     private final Settings settings;
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-        new DefaultThreadFactory("testbed", true), NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("testbed", true), NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final LoopAgenda agenda = new LoopAgenda(loop);
     private final AttemptRecorder recorder;
@@ -84,8 +84,11 @@
         this.folder = Files.createDirectories(folder);
         settings = EdgeSettings.load(scenario.edge(), variant.set());
         recorder = new AttemptRecorder(agenda, settings.rules().drainGraceMs(), linkMs());
-        answers = new AnswerRules(agenda, recorder, settings.limits().tries(),
-            scenario.clientLink().isPlain());
+        answers = new AnswerRules(
+                agenda,
+                recorder,
+                settings.limits().tries(),
+                scenario.clientLink().isPlain());
         try {
             start();
         } catch (IOException | InterruptedException | RuntimeException e) {
@@ -123,9 +126,11 @@
     /** By how much one link to an endpoint may be slower than another. */
     private double linkMs() {
         Scenario.Link link = scenario.endpointLink();
-        double worse = scenario.faults().stream().mapToDouble(fault ->
-            fault.kind() == Fault.Kind.DELAY ? fault.size()
-                : fault.kind() == Fault.Kind.LOSS ? Relay.REPEAT_MS : 0).sum();
+        double worse = scenario.faults().stream()
+                .mapToDouble(fault -> fault.kind() == Fault.Kind.DELAY
+                        ? fault.size()
+                        : fault.kind() == Fault.Kind.LOSS ? Relay.REPEAT_MS : 0)
+                .sum();
         return link.delayMs() + link.jitterMs() + worse;
     }
 
@@ -142,37 +147,46 @@
         boolean relays = FaultPlayer.needLinks(scenario.faults(), scenario.endpointLink());
         for (int i = 0; i < scenario.tiers().size(); i++) {
             Scenario.Discovery how = scenario.discovery();
-            Registry registry = new Registry(agenda, random("registry " + i), how.pushes(), how.pollMs(),
-                how.leastLagMs(), how.mostLagMs());
-            EndpointTier tier = new EndpointTier(scenario.tiers().get(i), i, loop, agenda, registry,
-                recorder);
+            Registry registry = new Registry(
+                    agenda, random("registry " + i), how.pushes(), how.pollMs(), how.leastLagMs(), how.mostLagMs());
+            EndpointTier tier = new EndpointTier(scenario.tiers().get(i), i, loop, agenda, registry, recorder);
             parts.add(tier);
             tiers.add(tier);
             tier.open(random("tier " + i), relays ? scenario.endpointLink() : null);
         }
-        faults = new FaultPlayer(agenda, tiers.stream().map(EndpointTier::forFaults).toList(),
-            random("faults"));
+        faults = new FaultPlayer(
+                agenda, tiers.stream().map(EndpointTier::forFaults).toList(), random("faults"));
     }
 
     private InetSocketAddress sidecar(int tier, int number, int count) throws IOException {
         String name = name(tier, number);
         EndpointTier endpoints = tiers.get(tier);
-        Registry.Agent source = on(() -> endpoints.registry().agent(line ->
-            recorder.told(name, line.id(), line.state() == Registry.State.IN_SERVICE)));
-        AgentHost agent = new AgentHost(loop, source, endpoints::host, endpoints::address,
-            System.currentTimeMillis());
+        Registry.Agent source = on(() -> endpoints
+                .registry()
+                .agent(line -> recorder.told(name, line.id(), line.state() == Registry.State.IN_SERVICE)));
+        AgentHost agent = new AgentHost(loop, source, endpoints::host, endpoints::address, System.currentTimeMillis());
         parts.add(agent);
         boolean process = scenario.sidecars().ownProcess();
-        InetSocketAddress listen = process ? SidecarHost.freePort()
-            : new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        Path file = EdgeFiles.write(scenario.edge(), folder, new EdgeFiles.Place(name, tier, number, count,
-            agent.address(), listen, random(name).nextInt(), scenario.tiers().get(tier).cold()));
+        InetSocketAddress listen =
+                process ? SidecarHost.freePort() : new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        Path file = EdgeFiles.write(
+                scenario.edge(),
+                folder,
+                new EdgeFiles.Place(
+                        name,
+                        tier,
+                        number,
+                        count,
+                        agent.address(),
+                        listen,
+                        random(name).nextInt(),
+                        scenario.tiers().get(tier).cold()));
         Map<String, String> environment = EdgeSettings.environment(variant.set());
         Path log = folder.resolve(name + ".log");
         SidecarHost host = process
-            ? SidecarHost.process(variant.jar() == null ? builds.jar() : variant.jar(), file, environment,
-                listen, log)
-            : SidecarHost.inside(file, environment, variant.decider(), log);
+                ? SidecarHost.process(
+                        variant.jar() == null ? builds.jar() : variant.jar(), file, environment, listen, log)
+                : SidecarHost.inside(file, environment, variant.decider(), log);
         sidecars.put(name, host);
         return host.address();
     }
@@ -182,26 +196,34 @@
         List<EndpointHost> above = tiers.get(tier - 1).hosts();
         for (int i = 0; i < above.size(); i++) {
             String name = name(tier, i);
-            ClientPool pool = new ClientPool(loop, sidecar(tier, i, above.size()),
-                scenario.tiers().get(tier - 1).slots());
+            ClientPool pool = new ClientPool(
+                    loop,
+                    sidecar(tier, i, above.size()),
+                    scenario.tiers().get(tier - 1).slots());
             parts.add(pool);
             UniformRandomProvider random = random("calls of " + name);
-            above.get(i).next((of, onBehalfOf, leftMs, done) -> call(pool, name, random, of, onBehalfOf,
-                leftMs, done));
+            above.get(i).next((of, onBehalfOf, leftMs, done) -> call(pool, name, random, of, onBehalfOf, leftMs, done));
         }
     }
 
-    private Runnable call(ClientPool pool, String sidecar, UniformRandomProvider random, FullHttpRequest of,
-            AttemptRecorder.Attempt onBehalfOf, double leftMs, Consumer<Boolean> done) {
+    private Runnable call(
+            ClientPool pool,
+            String sidecar,
+            UniformRandomProvider random,
+            FullHttpRequest of,
+            AttemptRecorder.Attempt onBehalfOf,
+            double leftMs,
+            Consumer<Boolean> done) {
         if (leftMs < 1) {
             agenda.after(0, () -> done.accept(false));
-            return () -> { };
+            return () -> {};
         }
         String id = Long.toHexString(random.nextLong());
         FullHttpRequest request = RequestMessages.onBehalfOf(of, id, onBehalfOf.nextCall(), leftMs);
         recorder.sent(id, sidecar, onBehalfOf);
         double sentMs = agenda.nowMs();
-        RequestClass kind = settings.classes().get(classNames().indexOf(of.headers().get("X-Class")));
+        RequestClass kind =
+                settings.classes().get(classNames().indexOf(of.headers().get("X-Class")));
         return pool.send(request, leftMs + ANSWER_SLACK_MS, (end, answer) -> {
             answers.check(id, kind, end, answer, sentMs, leftMs);
             done.accept(end == Ask.End.SERVED);
@@ -220,55 +242,70 @@
             int place = classNames().indexOf(requests.className());
             RequestClass kind = classes.get(place);
             places.add(place);
-            kinds.add(new Clients.Kind(kind.deadlineMs(), kind.effect() != Effect.REPEATABLE,
-                requests.share(), requests.workMs()));
+            kinds.add(new Clients.Kind(
+                    kind.deadlineMs(), kind.effect() != Effect.REPEATABLE, requests.share(), requests.workMs()));
         }
-        List<Double> shares = scenario.tenants().isEmpty() ? List.of(1.0)
-            : scenario.tenants().stream().map(Scenario.Tenant::share).toList();
-        Arrivals arrivals = new Arrivals(scenario.load().rate(), scenario.load().spacing(),
-            random("arrivals"));
-        scenario.faults().stream().filter(fault -> fault.kind() == Fault.Kind.BURST)
-            .forEach(fault -> arrivals.burst(fault.beginMs(), fault.lengthMs(), fault.size()));
+        List<Double> shares = scenario.tenants().isEmpty()
+                ? List.of(1.0)
+                : scenario.tenants().stream().map(Scenario.Tenant::share).toList();
+        Arrivals arrivals = new Arrivals(scenario.load().rate(), scenario.load().spacing(), random("arrivals"));
+        scenario.faults().stream()
+                .filter(fault -> fault.kind() == Fault.Kind.BURST)
+                .forEach(fault -> arrivals.burst(fault.beginMs(), fault.lengthMs(), fault.size()));
         UniformRandomProvider dealt = random("front");
-        clients = new Clients(agenda, new Clients.Shape(kinds, shares, scenario.retrying(),
-            scenario.patience().least(), scenario.patience().most(), scenario.load().exponentialWork()),
-            arrivals, scenario.load().lengthMs(), random("clients"), (ask, id, patienceMs, reply) -> {
-                int to = dealt.nextInt(pools.size());
-                recorder.sent(id, names.get(to), null);
-                double sentMs = agenda.nowMs();
-                RequestClass kind = classes.get(places.get(ask.requestClass()));
-                FullHttpRequest request = RequestMessages.of(ask, id, kind.name(), tenantName(ask),
-                    patienceMs);
-                pools.get(to).send(request, patienceMs + slackMs(), (end, answer) -> {
-                    answers.check(id, kind, end, answer, sentMs, patienceMs);
-                    reply.ended(end, answer == null ? 0 : answer.status().code(),
-                        RequestMessages.retryAfterMs(answer));
+        clients = new Clients(
+                agenda,
+                new Clients.Shape(
+                        kinds,
+                        shares,
+                        scenario.retrying(),
+                        scenario.patience().least(),
+                        scenario.patience().most(),
+                        scenario.load().exponentialWork()),
+                arrivals,
+                scenario.load().lengthMs(),
+                random("clients"),
+                (ask, id, patienceMs, reply) -> {
+                    int to = dealt.nextInt(pools.size());
+                    recorder.sent(id, names.get(to), null);
+                    double sentMs = agenda.nowMs();
+                    RequestClass kind = classes.get(places.get(ask.requestClass()));
+                    FullHttpRequest request = RequestMessages.of(ask, id, kind.name(), tenantName(ask), patienceMs);
+                    pools.get(to).send(request, patienceMs + slackMs(), (end, answer) -> {
+                        answers.check(id, kind, end, answer, sentMs, patienceMs);
+                        reply.ended(
+                                end, answer == null ? 0 : answer.status().code(), RequestMessages.retryAfterMs(answer));
+                    });
                 });
-            });
     }
 
     /** The tenant's name, or null where the scenario has no tenants. */
     private String tenantName(Ask ask) {
-        return scenario.tenants().isEmpty() ? null : scenario.tenants().get(ask.tenant()).name();
+        return scenario.tenants().isEmpty()
+                ? null
+                : scenario.tenants().get(ask.tenant()).name();
     }
 
     /** A sidecar counts from when a request has come: the way there and back is not its own doing. */
     private double slackMs() {
         Scenario.Link link = scenario.clientLink();
-        return ANSWER_SLACK_MS + 2 * (link.delayMs() + link.jitterMs())
-            + (link.bytesPerMs() > 0 ? MESSAGE_BYTES / link.bytesPerMs() : 0);
+        return ANSWER_SLACK_MS
+                + 2 * (link.delayMs() + link.jitterMs())
+                + (link.bytesPerMs() > 0 ? MESSAGE_BYTES / link.bytesPerMs() : 0);
     }
 
     /** Plays to the end, or until this thread is interrupted; {@code each} may look at what was asked. */
     public Played play(Consumer<Supplier<List<Ask>>> each) {
         cpuBeganMs = cpu();
         loop.submit(() -> {
-            agenda.begin();
-            faults.play(scenario.faults());
-            clients.start();
-        }).syncUninterruptibly();
-        double mostMs = scenario.load().lengthMs() + END_SLACK_MS
-            + (1 + scenario.retrying().most()) * longestMs();
+                    agenda.begin();
+                    faults.play(scenario.faults());
+                    clients.start();
+                })
+                .syncUninterruptibly();
+        double mostMs = scenario.load().lengthMs()
+                + END_SLACK_MS
+                + (1 + scenario.retrying().most()) * longestMs();
         boolean whole = true;
         try {
             while (!on(clients::isOver) && agenda.nowMs() < mostMs) {
@@ -294,21 +331,28 @@
     }
 
     private double longestMs() {
-        return settings.classes().stream().mapToDouble(RequestClass::deadlineMs).max().orElse(0);
+        return settings.classes().stream()
+                .mapToDouble(RequestClass::deadlineMs)
+                .max()
+                .orElse(0);
     }
 
     /** How it stands: an endpoint of the first tier, what it was sent and what is wrong with it. */
-    public record Standing(String id, int attempts, String trouble) {
-    }
+    public record Standing(String id, int attempts, String trouble) {}
 
     /** How the endpoints of the first tier stand now. */
     public List<Standing> standings() {
         return on(() -> {
             Map<String, Integer> counts = new HashMap<>();
-            recorder.attempts().stream().filter(attempt -> attempt.tier() == 0)
-                .forEach(attempt -> counts.merge(attempt.endpoint(), 1, Integer::sum));
-            return tiers.get(0).hosts().stream().map(host -> new Standing(host.id(),
-                counts.getOrDefault(host.id(), 0), host.model().trouble())).toList();
+            recorder.attempts().stream()
+                    .filter(attempt -> attempt.tier() == 0)
+                    .forEach(attempt -> counts.merge(attempt.endpoint(), 1, Integer::sum));
+            return tiers.get(0).hosts().stream()
+                    .map(host -> new Standing(
+                            host.id(),
+                            counts.getOrDefault(host.id(), 0),
+                            host.model().trouble()))
+                    .toList();
         });
     }
 
@@ -326,11 +370,24 @@
         ranTwice(broken);
         pushedOver(broken);
         crashed(broken);
-        return new Played(scenario, variant, seed, settings, whole, clients.asks(), recorder, nodes(), broken,
-            new Played.Lateness(agenda.lateMicros().getValueAtPercentile(99) / 1e3,
-                agenda.lateMicros().getMaxValue() / 1e3, clients.meanLateMs(), clients.mostLateMs(),
-                pools.stream().mapToLong(ClientPool::waited).sum()),
-            pools.stream().mapToInt(ClientPool::mostOpen).sum(), cpuMs);
+        return new Played(
+                scenario,
+                variant,
+                seed,
+                settings,
+                whole,
+                clients.asks(),
+                recorder,
+                nodes(),
+                broken,
+                new Played.Lateness(
+                        agenda.lateMicros().getValueAtPercentile(99) / 1e3,
+                        agenda.lateMicros().getMaxValue() / 1e3,
+                        clients.meanLateMs(),
+                        clients.mostLateMs(),
+                        pools.stream().mapToLong(ClientPool::waited).sum()),
+                pools.stream().mapToInt(ClientPool::mostOpen).sum(),
+                cpuMs);
     }
 
     /** Adds the requests with a key that endpoints ran more than once. */
@@ -344,7 +401,9 @@
                 root = root.parent();
             }
             Ask ask = byTry.get(root.request());
-            if (ask != null && ask.key() != null && !Double.isNaN(attempt.ranMs())
+            if (ask != null
+                    && ask.key() != null
+                    && !Double.isNaN(attempt.ranMs())
                     && ran.merge(attempt.request(), 1, Integer::sum) == 2) {
                 broken.add("ran twice: " + attempt.request());
             }
@@ -352,8 +411,10 @@
     }
 
     private void pushedOver(List<String> broken) {
-        tiers.stream().flatMap(tier -> tier.hosts().stream()).filter(host -> host.model().hasFallen())
-            .forEach(host -> broken.add("pushed over while cold: " + host.id()));
+        tiers.stream()
+                .flatMap(tier -> tier.hosts().stream())
+                .filter(host -> host.model().hasFallen())
+                .forEach(host -> broken.add("pushed over while cold: " + host.id()));
     }
 
     private void crashed(List<String> broken) {
@@ -368,8 +429,12 @@
         List<Played.Node> nodes = new ArrayList<>();
         for (int tier = 0; tier < tiers.size(); tier++) {
             for (EndpointHost host : tiers.get(tier).hosts()) {
-                nodes.add(new Played.Node(tier, host.id(), host.model().shape().speed(),
-                    host.model().doneMs(), host.model().mostHeld()));
+                nodes.add(new Played.Node(
+                        tier,
+                        host.id(),
+                        host.model().shape().speed(),
+                        host.model().doneMs(),
+                        host.model().mostHeld()));
             }
         }
         return nodes;
@@ -379,17 +444,18 @@
     public void close() {
         sidecars.values().forEach(SidecarHost::close);
         loop.submit(() -> {
-            for (ClientPool pool : pools) {
-                pool.close();
-            }
-            for (AutoCloseable part : parts) {
-                try {
-                    part.close();
-                } catch (Exception e) {
-                    throw new IllegalStateException(e);
-                }
-            }
-        }).awaitUninterruptibly();
+                    for (ClientPool pool : pools) {
+                        pool.close();
+                    }
+                    for (AutoCloseable part : parts) {
+                        try {
+                            part.close();
+                        } catch (Exception e) {
+                            throw new IllegalStateException(e);
+                        }
+                    }
+                })
+                .awaitUninterruptibly();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/load/Loads.java
+++ b/lab/src/main/java/lemonrail/lab/load/Loads.java
@@ -40,8 +40,7 @@
 
     /** Loads on a loop of their own. */
     public Loads() {
-        this(new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("load", true),
-            NioIoHandler.newFactory()));
+        this(new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("load", true), NioIoHandler.newFactory()));
     }
 
     /** Loads on the first loop of this group, which ends with them. */
@@ -50,14 +49,15 @@
     }
 
     /** Requests of one form; each has a fresh id, and a fresh key where it is a keyed one. */
-    public static IntFunction<FullHttpRequest> requests(HttpMethod method, String host, String path,
-            Map<String, String> headers, boolean keyed, long seed) {
+    public static IntFunction<FullHttpRequest> requests(
+            HttpMethod method, String host, String path, Map<String, String> headers, boolean keyed, long seed) {
         return number -> {
-            FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path,
-                Unpooled.EMPTY_BUFFER);
-            request.headers().set(HttpHeaderNames.HOST, host)
-                .set("X-Request-Id", Long.toHexString(seed) + "-" + number)
-                .set(HttpHeaderNames.CONTENT_LENGTH, 0);
+            FullHttpRequest request =
+                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.EMPTY_BUFFER);
+            request.headers()
+                    .set(HttpHeaderNames.HOST, host)
+                    .set("X-Request-Id", Long.toHexString(seed) + "-" + number)
+                    .set(HttpHeaderNames.CONTENT_LENGTH, 0);
             if (keyed) {
                 request.headers().set("Idempotency-Key", Long.toHexString(seed) + "-" + number);
             }
@@ -67,8 +67,8 @@
     }
 
     /** Plays a load; an interrupt ends it early, and stays with the thread. */
-    public OpenLoop.Result play(InetSocketAddress address, OpenLoop.Plan plan, long seed,
-            IntFunction<FullHttpRequest> requests) {
+    public OpenLoop.Result play(
+            InetSocketAddress address, OpenLoop.Plan plan, long seed, IntFunction<FullHttpRequest> requests) {
         try {
             return play(address, plan, seed, requests, null);
         } catch (IOException e) {
@@ -77,12 +77,20 @@
     }
 
     /** The same, watched; an interrupted load's watcher may hear of neither beginning nor end. */
-    public OpenLoop.Result play(InetSocketAddress address, OpenLoop.Plan plan, long seed,
-            IntFunction<FullHttpRequest> requests, Watcher watcher) throws IOException {
+    public OpenLoop.Result play(
+            InetSocketAddress address,
+            OpenLoop.Plan plan,
+            long seed,
+            IntFunction<FullHttpRequest> requests,
+            Watcher watcher)
+            throws IOException {
         EventLoop loop = (EventLoop) group.next();
-        OpenLoop load = new OpenLoop(loop, address, plan,
-            new Arrivals(plan.rate() / plan.batch(), plan.spacing(),
-            RandomSource.XO_SHI_RO_256_PP.create(seed)), requests);
+        OpenLoop load = new OpenLoop(
+                loop,
+                address,
+                plan,
+                new Arrivals(plan.rate() / plan.batch(), plan.spacing(), RandomSource.XO_SHI_RO_256_PP.create(seed)),
+                requests);
         CountDownLatch over = new CountDownLatch(1);
         load.start(over::countDown);
         try {
--- a/lab/src/main/java/lemonrail/lab/load/OpenLoop.java
+++ b/lab/src/main/java/lemonrail/lab/load/OpenLoop.java
@@ -19,6 +19,7 @@
 
     /** A run is void where a request in a hundred was sent later than this after it was due. */
     public static final double MOST_LATE_MS = 5;
+
     private static final long MOST_MICROS = TimeUnit.MINUTES.toMicros(10);
 
     /**
@@ -29,11 +30,23 @@
      * @param spread all connections are used in turn, and not as few as will do
      * @param batch requests that are due at the same moment; the rate is that of all of them
      */
-    public record Plan(double rate, double lengthMs, double warmUpMs, int connections, double timeoutMs,
-            Arrivals.Spacing spacing, boolean spread, int batch) {
+    public record Plan(
+            double rate,
+            double lengthMs,
+            double warmUpMs,
+            int connections,
+            double timeoutMs,
+            Arrivals.Spacing spacing,
+            boolean spread,
+            int batch) {
 
         /** Load on as few connections as will do. */
-        public Plan(double rate, double lengthMs, double warmUpMs, int connections, double timeoutMs,
+        public Plan(
+                double rate,
+                double lengthMs,
+                double warmUpMs,
+                int connections,
+                double timeoutMs,
                 Arrivals.Spacing spacing) {
             this(rate, lengthMs, warmUpMs, connections, timeoutMs, spacing, false, 1);
         }
@@ -46,8 +59,18 @@
      * @param waited requests that found all connections busy
      * @param late99Ms how late requests were sent, 99 in 100
      */
-    public record Result(Plan plan, long sent, long served, long refused, long failed, long lost,
-            Histogram servedMicros, double lastedMs, double late99Ms, double lateMostMs, int mostOpen,
+    public record Result(
+            Plan plan,
+            long sent,
+            long served,
+            long refused,
+            long failed,
+            long lost,
+            Histogram servedMicros,
+            double lastedMs,
+            double late99Ms,
+            double lateMostMs,
+            int mostOpen,
             long waited) {
 
         /** Whether the generator itself, and not what it called, made the figures. */
@@ -81,7 +104,11 @@
     private long lost;
 
     /** Load on one address; {@code requests} makes the request of a number, counted from 0. */
-    public OpenLoop(EventLoop loop, InetSocketAddress address, Plan plan, Arrivals arrivals,
+    public OpenLoop(
+            EventLoop loop,
+            InetSocketAddress address,
+            Plan plan,
+            Arrivals arrivals,
             IntFunction<FullHttpRequest> requests) {
         this.loop = loop;
         this.plan = plan;
@@ -167,8 +194,18 @@
 
     /** Requests of all kinds that were sent and have ended so far, warm-up excluded. */
     public Result result() {
-        return new Result(plan, sent, served, refused, failed, lost, micros.copy(),
-            Math.min(nowMs(), plan.lengthMs()) - plan.warmUpMs(), late.getValueAtPercentile(99) / 1e3,
-            late.getMaxValue() / 1e3, pool.mostOpen(), pool.waited());
+        return new Result(
+                plan,
+                sent,
+                served,
+                refused,
+                failed,
+                lost,
+                micros.copy(),
+                Math.min(nowMs(), plan.lengthMs()) - plan.warmUpMs(),
+                late.getValueAtPercentile(99) / 1e3,
+                late.getMaxValue() / 1e3,
+                pool.mostOpen(),
+                pool.waited());
     }
 }
--- a/lab/src/main/java/lemonrail/lab/load/Plain.java
+++ b/lab/src/main/java/lemonrail/lab/load/Plain.java
@@ -32,34 +32,44 @@
     private static final int MOST_BODY_BYTES = 64 * 1024;
     private static final byte[] BODY = new byte[64];
 
-    private Plain() {
-    }
+    private Plain() {}
 
-    private static InetSocketAddress bind(EventLoopGroup group, ChannelInitializer<SocketChannel> each,
-            boolean reads) {
-        return (InetSocketAddress) new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, 4096).childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.AUTO_READ, reads).childHandler(each)
-            .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly().channel()
-            .localAddress();
+    private static InetSocketAddress bind(EventLoopGroup group, ChannelInitializer<SocketChannel> each, boolean reads) {
+        return (InetSocketAddress) new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, 4096)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.AUTO_READ, reads)
+                .childHandler(each)
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .syncUninterruptibly()
+                .channel()
+                .localAddress();
     }
 
     /** An endpoint that answers each request at once with the same few bytes. */
     public static InetSocketAddress endpoint(EventLoopGroup group) {
-        return bind(group, new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(SocketChannel fresh) {
-                fresh.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES),
-                    new Answering());
-            }
-        }, true);
+        return bind(
+                group,
+                new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        fresh.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MOST_BODY_BYTES),
+                                        new Answering());
+                    }
+                },
+                true);
     }
 
     private static final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                Unpooled.wrappedBuffer(BODY));
+            FullHttpResponse answer = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(BODY));
             answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
             ctx.writeAndFlush(answer);
         }
@@ -72,23 +82,30 @@
 
     /** A relay that passes bytes on as they come, a connection for a connection. */
     public static InetSocketAddress relay(EventLoopGroup group, InetSocketAddress target) {
-        return bind(group, new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(SocketChannel near) {
-                Passing back = new Passing(near);
-                Channel far = new Bootstrap().group(near.eventLoop()).channel(
-                    NioSocketChannel.class)
-                    .option(ChannelOption.TCP_NODELAY, true).handler(back).connect(target)
-                    .addListener(up -> {
-                        if (up.isSuccess()) {
-                            near.config().setAutoRead(true);
-                        } else {
-                            near.close();
-                        }
-                    }).channel();
-                near.pipeline().addLast(new Passing(far));
-            }
-        }, false);
+        return bind(
+                group,
+                new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(SocketChannel near) {
+                        Passing back = new Passing(near);
+                        Channel far = new Bootstrap()
+                                .group(near.eventLoop())
+                                .channel(NioSocketChannel.class)
+                                .option(ChannelOption.TCP_NODELAY, true)
+                                .handler(back)
+                                .connect(target)
+                                .addListener(up -> {
+                                    if (up.isSuccess()) {
+                                        near.config().setAutoRead(true);
+                                    } else {
+                                        near.close();
+                                    }
+                                })
+                                .channel();
+                        near.pipeline().addLast(new Passing(far));
+                    }
+                },
+                false);
     }
 
     private static final class Passing extends ChannelInboundHandlerAdapter {
--- a/lab/src/main/java/lemonrail/lab/model/Arrivals.java
+++ b/lab/src/main/java/lemonrail/lab/model/Arrivals.java
@@ -11,11 +11,13 @@
 public final class Arrivals {
 
     /** How requests follow one another. */
-    public enum Spacing { POISSON, EVEN }
-
-    private record Burst(double beginMs, double endMs, double times) {
+    public enum Spacing {
+        POISSON,
+        EVEN
     }
 
+    private record Burst(double beginMs, double endMs, double times) {}
+
     private final double perMs;
     private final Spacing spacing;
     private final UniformRandomProvider random;
--- a/lab/src/main/java/lemonrail/lab/model/Ask.java
+++ b/lab/src/main/java/lemonrail/lab/model/Ask.java
@@ -23,8 +23,7 @@
     }
 
     /** One try; its times are the run's, in ms. */
-    public record Try(String id, double sentMs, double endedMs, End end, int status) {
-    }
+    public record Try(String id, double sentMs, double endedMs, End end, int status) {}
 
     private final int number;
     private final double arrivedMs;
--- a/lab/src/main/java/lemonrail/lab/model/Clients.java
+++ b/lab/src/main/java/lemonrail/lab/model/Clients.java
@@ -18,8 +18,7 @@
      * @param growth each later wait is so many times the one before; 1 keeps it the same
      * @param heedsRetryAfter whether an answer's Retry-After goes before the client's own wait
      */
-    public record Retrying(int most, double waitMs, double growth, boolean heedsRetryAfter) {
-    }
+    public record Retrying(int most, double waitMs, double growth, boolean heedsRetryAfter) {}
 
     /**
      * A class as its clients see it.
@@ -28,13 +27,16 @@
      * @param share of all requests
      * @param workMs mean work of all tiers
      */
-    public record Kind(double deadlineMs, boolean keyed, double share, double workMs) {
-    }
+    public record Kind(double deadlineMs, boolean keyed, double share, double workMs) {}
 
     /** All that is true of the clients; a try is given up after a part of its deadline within the two. */
-    public record Shape(List<Kind> kinds, List<Double> tenantShares, Retrying retrying, double leastPatience,
-            double mostPatience, boolean exponentialWork) {
-    }
+    public record Shape(
+            List<Kind> kinds,
+            List<Double> tenantShares,
+            Retrying retrying,
+            double leastPatience,
+            double mostPatience,
+            boolean exponentialWork) {}
 
     /** What comes back for one try. */
     public interface Reply {
@@ -63,8 +65,13 @@
     private double sumLateMs;
 
     /** Clients whose requests come for {@code lengthMs}. */
-    public Clients(Agenda agenda, Shape shape, Arrivals arrivals, double lengthMs,
-            UniformRandomProvider random, Sender sender) {
+    public Clients(
+            Agenda agenda,
+            Shape shape,
+            Arrivals arrivals,
+            double lengthMs,
+            UniformRandomProvider random,
+            Sender sender) {
         this.agenda = agenda;
         this.shape = shape;
         kindShares = shape.kinds.stream().mapToDouble(Kind::share).toArray();
@@ -104,8 +111,7 @@
         int tenant = draw(tenantShares);
         Kind of = shape.kinds.get(kind);
         double work = of.workMs * (shape.exponentialWork ? -Math.log1p(-random.nextDouble()) : 1);
-        Ask ask = new Ask(asks.size(), atMs, kind, tenant, work,
-            of.keyed ? Long.toHexString(random.nextLong()) : null);
+        Ask ask = new Ask(asks.size(), atMs, kind, tenant, work, of.keyed ? Long.toHexString(random.nextLong()) : null);
         asks.add(ask);
         open++;
         attempt(ask, 0);
@@ -129,13 +135,15 @@
     private void attempt(Ask ask, int number) {
         String id = Long.toHexString(random.nextLong());
         double patience = shape.kinds.get(ask.requestClass()).deadlineMs
-            * (shape.leastPatience + (shape.mostPatience - shape.leastPatience) * random.nextDouble());
+                * (shape.leastPatience + (shape.mostPatience - shape.leastPatience) * random.nextDouble());
         // A first try counts from when it was due, whenever the generator came to send it.
         double sentMs = number == 0 ? ask.arrivedMs() : agenda.nowMs();
         sender.send(ask, id, patience, (end, status, retryAfterMs) -> {
             ask.tries().add(new Ask.Try(id, sentMs, agenda.nowMs(), end, status));
-            boolean again = (end == Ask.End.REFUSED || end == Ask.End.FAILED || end == Ask.End.LOST
-                || end == Ask.End.UNREACHED) && number < shape.retrying.most && !stopped;
+            boolean again =
+                    (end == Ask.End.REFUSED || end == Ask.End.FAILED || end == Ask.End.LOST || end == Ask.End.UNREACHED)
+                            && number < shape.retrying.most
+                            && !stopped;
             if (!again) {
                 open--;
                 return;
--- a/lab/src/main/java/lemonrail/lab/model/Endpoint.java
+++ b/lab/src/main/java/lemonrail/lab/model/Endpoint.java
@@ -20,16 +20,17 @@
     private final Agenda agenda;
     private final EndpointShape shape;
     private final Rack rack;
-    private final PriorityQueue<Work> running =
-        new PriorityQueue<>(Comparator.comparingDouble((Work work) -> work.target)
-            .thenComparingLong(work -> work.number));
+    private final PriorityQueue<Work> running = new PriorityQueue<>(
+            Comparator.comparingDouble((Work work) -> work.target).thenComparingLong(work -> work.number));
     private final Deque<Work> waiting = new ArrayDeque<>();
     private Agenda.Due next;
     /** Whose part of work is done when {@link #next} comes, or null. */
     private Work ends;
+
     private double lastMs;
     /** Work that each running job has had since the beginning of time. */
     private double attained;
+
     private long ran;
     private int taken;
     private int connections;
@@ -48,6 +49,7 @@
     private int mostHeld;
     /** Work sent to it while cold, by when. */
     private final Deque<double[]> sentCold = new ArrayDeque<>();
+
     private double sentColdMs;
 
     /** An endpoint that has run for long and is warm. */
@@ -225,10 +227,13 @@
     /** Work that each running job has a millisecond. */
     private double rate(double atMs) {
         int jobs = running.size();
-        return jobs == 0 || hangs || silent || fallen ? 0
-            : shape.speed() * warmth(atMs) / slowness
-                / (Double.isNaN(slowedAt) ? 1 : shape.crowding().factor())
-                * Math.min(1, shape.cores() / (double) jobs);
+        return jobs == 0 || hangs || silent || fallen
+                ? 0
+                : shape.speed()
+                        * warmth(atMs)
+                        / slowness
+                        / (Double.isNaN(slowedAt) ? 1 : shape.crowding().factor())
+                        * Math.min(1, shape.cores() / (double) jobs);
     }
 
     /** The share of its full capacity that it has now. */
@@ -296,10 +301,11 @@
             next = null;
         }
         double rate = rate(agenda.nowMs());
-        boolean changes = warmth() < 1 || !Double.isNaN(slowedAt) || !Double.isNaN(crowdedSince)
-            || held() > shape.crowding().perCore() * shape.cores();
-        double inMs = rate > 0 ? Math.max(0, (running.peek().target - attained) / rate)
-            : Double.POSITIVE_INFINITY;
+        boolean changes = warmth() < 1
+                || !Double.isNaN(slowedAt)
+                || !Double.isNaN(crowdedSince)
+                || held() > shape.crowding().perCore() * shape.cores();
+        double inMs = rate > 0 ? Math.max(0, (running.peek().target - attained) / rate) : Double.POSITIVE_INFINITY;
         ends = running.peek();
         if (changes && !silent && !fallen && inMs > STEP_MS) {
             inMs = STEP_MS;
@@ -413,9 +419,19 @@
 
     /** What is wrong with it now, in a word, or nothing. */
     public String trouble() {
-        return silent ? "silent" : fallen ? "fallen" : hangs ? "hanging" : fails ? "failing"
-            : draining ? "draining" : slowness > 1 ? "slow" : isCrowded() ? "crowded"
-                : warmth() < 1 ? "cold" : "";
+        return silent
+                ? "silent"
+                : fallen
+                        ? "fallen"
+                        : hangs
+                                ? "hanging"
+                                : fails
+                                        ? "failing"
+                                        : draining
+                                                ? "draining"
+                                                : slowness > 1
+                                                        ? "slow"
+                                                        : isCrowded() ? "crowded" : warmth() < 1 ? "cold" : "";
     }
 
     /** Whether it says nothing. */
--- a/lab/src/main/java/lemonrail/lab/model/EndpointShape.java
+++ b/lab/src/main/java/lemonrail/lab/model/EndpointShape.java
@@ -12,11 +12,23 @@
  * @param connections open at once; more are turned away
  * @param handshakeMs work that each new connection costs
  */
-public record EndpointShape(String id, int rack, int cores, double speed, int slots, int waitingRoom,
-        int connections, double handshakeMs, ColdStart cold, Crowding crowding) {
+public record EndpointShape(
+        String id,
+        int rack,
+        int cores,
+        double speed,
+        int slots,
+        int waitingRoom,
+        int connections,
+        double handshakeMs,
+        ColdStart cold,
+        Crowding crowding) {
 
     /** Whether an endpoint warms with the time or with the work that it has done. */
-    public enum Warming { TIME, WORK }
+    public enum Warming {
+        TIME,
+        WORK
+    }
 
     /**
      * How an endpoint begins: with a share of what it can do, growing evenly to the whole, by work too never
@@ -28,8 +40,7 @@
      */
     public record ColdStart(double share, double warmMs, Warming by, double tipMultiple, double windowMs) {
         /** Warm at once. */
-        public static final ColdStart NONE =
-            new ColdStart(1, 0, Warming.TIME, Double.POSITIVE_INFINITY, 1000);
+        public static final ColdStart NONE = new ColdStart(1, 0, Warming.TIME, Double.POSITIVE_INFINITY, 1000);
     }
 
     /**
--- a/lab/src/main/java/lemonrail/lab/model/Rack.java
+++ b/lab/src/main/java/lemonrail/lab/model/Rack.java
@@ -8,8 +8,7 @@
 /** What the endpoints of one rack remember together: the keys that they have begun, for a while. */
 public final class Rack {
 
-    private record Begun(String key, double atMs) {
-    }
+    private record Begun(String key, double atMs) {}
 
     private final Agenda agenda;
     private final double windowMs;
--- a/lab/src/main/java/lemonrail/lab/model/Registry.java
+++ b/lab/src/main/java/lemonrail/lab/model/Registry.java
@@ -15,15 +15,17 @@
 public final class Registry {
 
     /** What is said of an endpoint. */
-    public enum State { IN_SERVICE, TERMINATING, TERMINATED }
+    public enum State {
+        IN_SERVICE,
+        TERMINATING,
+        TERMINATED
+    }
 
     /** One line of the list; {@code startedMs} is minus infinity for long ago. */
-    public record Line(String id, State state, double startedMs) {
-    }
+    public record Line(String id, State state, double startedMs) {}
 
     /** What an agent answers: all it knows, or what is newer than the asker's version. */
-    public record Answer(long version, boolean full, List<Line> lines) {
-    }
+    public record Answer(long version, boolean full, List<Line> lines) {}
 
     /** What was told to an agent's edge, and when. */
     public interface Told {
@@ -31,8 +33,7 @@
         void told(Line line);
     }
 
-    private record Change(long version, Line line) {
-    }
+    private record Change(long version, Line line) {}
 
     private final Agenda agenda;
     private final UniformRandomProvider random;
@@ -49,8 +50,13 @@
      * A registry that tells of a change after a time between the two; one that does not push is asked for the
      * whole list by its agents once in {@code pollMs}.
      */
-    public Registry(Agenda agenda, UniformRandomProvider random, boolean pushes, double pollMs,
-            double leastLagMs, double mostLagMs) {
+    public Registry(
+            Agenda agenda,
+            UniformRandomProvider random,
+            boolean pushes,
+            double pollMs,
+            double leastLagMs,
+            double mostLagMs) {
         this.agenda = agenda;
         this.random = random;
         this.pushes = pushes;
@@ -105,8 +111,7 @@
                 hidden.remove(id);
             }
             if (line != null) {
-                agents.forEach(agent -> agent.hear(now ? new Line(id, State.TERMINATED, line.startedMs())
-                    : line));
+                agents.forEach(agent -> agent.hear(now ? new Line(id, State.TERMINATED, line.startedMs()) : line));
             }
         }
     }
@@ -134,10 +139,15 @@
         private void poll() {
             agenda.after(pollMs, this::poll);
             if (reachable) {
-                truth.values().stream().filter(line -> !hidden.containsKey(line.id()))
-                    .filter(line -> !line.equals(known.get(line.id()))).toList().forEach(this::take);
-                known.values().stream().filter(line -> !truth.containsKey(line.id())).toList()
-                    .forEach(line -> take(new Line(line.id(), State.TERMINATED, line.startedMs())));
+                truth.values().stream()
+                        .filter(line -> !hidden.containsKey(line.id()))
+                        .filter(line -> !line.equals(known.get(line.id())))
+                        .toList()
+                        .forEach(this::take);
+                known.values().stream()
+                        .filter(line -> !truth.containsKey(line.id()))
+                        .toList()
+                        .forEach(line -> take(new Line(line.id(), State.TERMINATED, line.startedMs())));
                 answer();
             }
         }
@@ -206,9 +216,16 @@
             Consumer<Answer> asker = watcher;
             watcher = null;
             boolean full = watched > version || watched < 1;
-            asker.accept(tell(full ? new Answer(version, true, List.copyOf(known.values()))
-                : new Answer(version, false, changes.stream()
-                    .filter(change -> change.version() > watched).map(Change::line).toList())));
+            asker.accept(tell(
+                    full
+                            ? new Answer(version, true, List.copyOf(known.values()))
+                            : new Answer(
+                                    version,
+                                    false,
+                                    changes.stream()
+                                            .filter(change -> change.version() > watched)
+                                            .map(Change::line)
+                                            .toList())));
         }
 
         private Answer tell(Answer answer) {
--- a/lab/src/main/java/lemonrail/lab/model/Work.java
+++ b/lab/src/main/java/lemonrail/lab/model/Work.java
@@ -6,7 +6,11 @@
 public abstract class Work {
 
     /** What an endpoint answers. */
-    public enum Answer { SERVED, ERROR, TURNED_AWAY }
+    public enum Answer {
+        SERVED,
+        ERROR,
+        TURNED_AWAY
+    }
 
     private final String key;
     private final double workMs;
@@ -15,6 +19,7 @@
 
     /** The endpoint's own marks. */
     double target;
+
     long number;
     boolean slotted;
     boolean repeat;
--- a/lab/src/main/java/lemonrail/lab/report/Bootstrap.java
+++ b/lab/src/main/java/lemonrail/lab/report/Bootstrap.java
@@ -25,8 +25,7 @@
     /** With fewer than so many values the interval is too narrow to mean anything. */
     public static final int LEAST = 4;
 
-    private Bootstrap() {
-    }
+    private Bootstrap() {}
 
     /** The interval that holds so large a part of the means, as in 0.95. */
     public static Interval mean(List<Double> values, double part) {
@@ -44,7 +43,10 @@
         }
         Arrays.sort(means);
         double tail = (1 - part) / 2;
-        return new Interval(values.stream().mapToDouble(value -> value).average().orElseThrow(),
-            means[(int) (tail * SAMPLES)], means[(int) ((1 - tail) * SAMPLES) - 1], values.size());
+        return new Interval(
+                values.stream().mapToDouble(value -> value).average().orElseThrow(),
+                means[(int) (tail * SAMPLES)],
+                means[(int) ((1 - tail) * SAMPLES) - 1],
+                values.size());
     }
 }
--- a/lab/src/main/java/lemonrail/lab/report/Charts.java
+++ b/lab/src/main/java/lemonrail/lab/report/Charts.java
@@ -38,8 +38,14 @@
     private static final int HEIGHT = 420;
     private static final double LABEL = 3;
     private static final Color BAND = new Color(230, 120, 60, 45);
-    private static final Color[] LINES = {new Color(31, 119, 180), new Color(214, 39, 40),
-        new Color(44, 160, 44), new Color(148, 103, 189), new Color(255, 127, 14), new Color(23, 190, 207)};
+    private static final Color[] LINES = {
+        new Color(31, 119, 180),
+        new Color(214, 39, 40),
+        new Color(44, 160, 44),
+        new Color(148, 103, 189),
+        new Color(255, 127, 14),
+        new Color(23, 190, 207)
+    };
 
     private final Path folder;
 
@@ -49,16 +55,18 @@
     }
 
     /** Lines over time in seconds, with the faults as bands behind them. */
-    void overTime(String name, String title, String unit, XYSeriesCollection lines, List<Fault> faults,
-            double untilS) throws IOException {
-        JFreeChart chart = ChartFactory.createXYLineChart(title, "s", unit, lines, PlotOrientation.VERTICAL,
-            true, false, false);
+    void overTime(String name, String title, String unit, XYSeriesCollection lines, List<Fault> faults, double untilS)
+            throws IOException {
+        JFreeChart chart =
+                ChartFactory.createXYLineChart(title, "s", unit, lines, PlotOrientation.VERTICAL, true, false, false);
         XYPlot plot = style(chart);
         plot.getDomainAxis().setRange(0, untilS);
         for (int i = 0; i < faults.size(); i++) {
             Fault fault = faults.get(i);
-            IntervalMarker band = new IntervalMarker(fault.beginMs() / 1000,
-                Math.min(untilS, Math.max(fault.endMs(), fault.beginMs() + 100) / 1000), BAND);
+            IntervalMarker band = new IntervalMarker(
+                    fault.beginMs() / 1000,
+                    Math.min(untilS, Math.max(fault.endMs(), fault.beginMs() + 100) / 1000),
+                    BAND);
             band.setLabel(fault.kind().name().toLowerCase(Locale.ROOT).replace('_', ' '));
             band.setLabelAnchor(RectangleAnchor.TOP_LEFT);
             band.setLabelTextAnchor(TextAnchor.TOP_LEFT);
@@ -70,10 +78,11 @@
     }
 
     /** Lines over numbers; either axis may be logarithmic. */
-    public void lines(String name, String title, String x, String y, XYSeriesCollection lines, boolean logX,
-            boolean logY) throws IOException {
-        JFreeChart chart = ChartFactory.createXYLineChart(title, x, y, lines, PlotOrientation.VERTICAL, true,
-            false, false);
+    public void lines(
+            String name, String title, String x, String y, XYSeriesCollection lines, boolean logX, boolean logY)
+            throws IOException {
+        JFreeChart chart =
+                ChartFactory.createXYLineChart(title, x, y, lines, PlotOrientation.VERTICAL, true, false, false);
         XYPlot plot = style(chart);
         ((XYLineAndShapeRenderer) plot.getRenderer()).setDefaultShapesVisible(true);
         if (logX) {
@@ -92,18 +101,15 @@
     }
 
     /** A group of bars for each column. */
-    public void bars(String name, String title, String unit, CategoryDataset bars, boolean stacked)
-            throws IOException {
+    public void bars(String name, String title, String unit, CategoryDataset bars, boolean stacked) throws IOException {
         JFreeChart chart = stacked
-            ? ChartFactory.createStackedBarChart(title, "", unit, bars, PlotOrientation.VERTICAL, true, false,
-                false)
-            : ChartFactory.createBarChart(title, "", unit, bars, PlotOrientation.VERTICAL, true, false,
-                false);
+                ? ChartFactory.createStackedBarChart(
+                        title, "", unit, bars, PlotOrientation.VERTICAL, true, false, false)
+                : ChartFactory.createBarChart(title, "", unit, bars, PlotOrientation.VERTICAL, true, false, false);
         CategoryPlot plot = chart.getCategoryPlot();
         plot.setBackgroundPaint(Color.WHITE);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
-        plot.getDomainAxis().setCategoryLabelPositions(
-            CategoryLabelPositions.UP_45);
+        plot.getDomainAxis().setCategoryLabelPositions(CategoryLabelPositions.UP_45);
         BarRenderer renderer = (BarRenderer) plot.getRenderer();
         renderer.setBarPainter(new StandardBarPainter());
         renderer.setShadowVisible(false);
--- a/lab/src/main/java/lemonrail/lab/report/Comparison.java
+++ b/lab/src/main/java/lemonrail/lab/report/Comparison.java
@@ -17,8 +17,7 @@
     private static final double PART = 0.95;
 
     /** One run of it. */
-    public record Entry(String scenario, String variant, long seed, Verdict verdict, boolean isVoid) {
-    }
+    public record Entry(String scenario, String variant, long seed, Verdict verdict, boolean isVoid) {}
 
     private final List<String> variants;
     private final List<Entry> entries = new ArrayList<>();
@@ -38,24 +37,30 @@
     }
 
     private List<Entry> of(String scenario, String variant) {
-        return entries.stream().filter(entry -> entry.variant().equals(variant)
-            && (scenario == null || entry.scenario().equals(scenario)) && !entry.isVoid()).toList();
+        return entries.stream()
+                .filter(entry -> entry.variant().equals(variant)
+                        && (scenario == null || entry.scenario().equals(scenario))
+                        && !entry.isVoid())
+                .toList();
     }
 
     /** What a variant has more of than the first one, over the pairs of runs of one scenario and seed. */
     private List<Double> differences(String scenario, String variant, ToDoubleFunction<Verdict> figure) {
         List<Double> differences = new ArrayList<>();
         for (Entry other : of(scenario, variant)) {
-            of(other.scenario(), variants.get(0)).stream().filter(base -> base.seed() == other.seed())
-                .forEach(base -> differences.add(figure.applyAsDouble(other.verdict())
-                    - figure.applyAsDouble(base.verdict())));
+            of(other.scenario(), variants.get(0)).stream()
+                    .filter(base -> base.seed() == other.seed())
+                    .forEach(base -> differences.add(
+                            figure.applyAsDouble(other.verdict()) - figure.applyAsDouble(base.verdict())));
         }
         return differences;
     }
 
     private static double mean(List<Entry> entries, ToDoubleFunction<Verdict> figure) {
-        return entries.stream().mapToDouble(entry -> figure.applyAsDouble(entry.verdict())).average()
-            .orElse(Double.NaN);
+        return entries.stream()
+                .mapToDouble(entry -> figure.applyAsDouble(entry.verdict()))
+                .average()
+                .orElse(Double.NaN);
     }
 
     /** Sentences that say which variants differ. */
@@ -77,27 +82,53 @@
             return where + ": " + variant + " and " + variants.get(0) + " have no run in common that counts";
         }
         Bootstrap.Interval interval = Bootstrap.mean(differences, PART);
-        String so = interval.excludesZero() ? interval.mean() > 0 ? "is better than" : "is worse than"
-            : interval.count() < Bootstrap.LEAST ? "has too few pairs to tell from"
-                : "cannot be told from";
-        return String.format(Locale.ROOT, "%s: %s %s %s: service %+.3f, 95 %% within %+.3f and %+.3f "
-            + "(%d pairs)", where, variant, so, variants.get(0), interval.mean(), interval.low(),
-            interval.high(), interval.count());
+        String so = interval.excludesZero()
+                ? interval.mean() > 0 ? "is better than" : "is worse than"
+                : interval.count() < Bootstrap.LEAST ? "has too few pairs to tell from" : "cannot be told from";
+        return String.format(
+                Locale.ROOT,
+                "%s: %s %s %s: service %+.3f, 95 %% within %+.3f and %+.3f " + "(%d pairs)",
+                where,
+                variant,
+                so,
+                variants.get(0),
+                interval.mean(),
+                interval.low(),
+                interval.high(),
+                interval.count());
     }
 
     /** Writes {@code compare.md}, {@code compare.csv} and a chart. */
     public void keep(Path folder, String version) throws IOException {
         Files.createDirectories(folder);
         StringBuilder csv = new StringBuilder("scenario,variant,seed,void,service,whole,worst_10s,"
-            + "worst_class,worst_tenant,waste,late,asked,served,refused,failed,unanswered,per_ask,p50_ms,"
-            + "p99_ms,broken\n");
+                + "worst_class,worst_tenant,waste,late,asked,served,refused,failed,unanswered,per_ask,p50_ms,"
+                + "p99_ms,broken\n");
         for (Entry entry : entries) {
             Verdict v = entry.verdict();
-            csv.append(String.format(Locale.ROOT, "%s,%s,%d,%b,%.4f,%.4f,%.4f,%.4f,%.4f,%.4f,%.4f,%d,%d,%d,"
-                + "%d,%d,%.3f,%.1f,%.1f,%d%n", entry.scenario(), entry.variant(), entry.seed(),
-                entry.isVoid(), v.service(), v.whole(), v.worst10s(), v.worstClass(), v.worstTenant(),
-                v.waste(), v.late(), v.asked(), v.served(), v.refused(), v.failed(), v.unanswered(),
-                v.perAsk(), v.p50Ms(), v.p99Ms(), v.broken()));
+            csv.append(String.format(
+                    Locale.ROOT,
+                    "%s,%s,%d,%b,%.4f,%.4f,%.4f,%.4f,%.4f,%.4f,%.4f,%d,%d,%d," + "%d,%d,%.3f,%.1f,%.1f,%d%n",
+                    entry.scenario(),
+                    entry.variant(),
+                    entry.seed(),
+                    entry.isVoid(),
+                    v.service(),
+                    v.whole(),
+                    v.worst10s(),
+                    v.worstClass(),
+                    v.worstTenant(),
+                    v.waste(),
+                    v.late(),
+                    v.asked(),
+                    v.served(),
+                    v.refused(),
+                    v.failed(),
+                    v.unanswered(),
+                    v.perAsk(),
+                    v.p50Ms(),
+                    v.p99Ms(),
+                    v.broken()));
         }
         Files.writeString(folder.resolve("compare.csv"), csv);
         StringBuilder text = new StringBuilder("# Variants side by side\n\nVersion " + version + ".\n");
@@ -111,8 +142,11 @@
         text.append("\n## Do they differ?\n\n");
         sentences().forEach(sentence -> text.append("- ").append(sentence).append('\n'));
         long voids = entries.stream().filter(Entry::isVoid).count();
-        text.append("\n").append(entries.size()).append(" runs, ").append(voids)
-            .append(" of them void and left out.\n\n![service](service.svg)\n");
+        text.append("\n")
+                .append(entries.size())
+                .append(" runs, ")
+                .append(voids)
+                .append(" of them void and left out.\n\n![service](service.svg)\n");
         Files.writeString(folder.resolve("compare.md"), text);
         DefaultCategoryDataset bars = new DefaultCategoryDataset();
         for (String variant : variants) {
@@ -124,8 +158,13 @@
     }
 
     private void table(StringBuilder text, String title, ToDoubleFunction<Verdict> figure) {
-        text.append("\n## ").append(title).append("\n\n| scenario | ").append(String.join(" | ", variants))
-            .append(" |\n| --- |").append(" --- |".repeat(variants.size())).append('\n');
+        text.append("\n## ")
+                .append(title)
+                .append("\n\n| scenario | ")
+                .append(String.join(" | ", variants))
+                .append(" |\n| --- |")
+                .append(" --- |".repeat(variants.size()))
+                .append('\n');
         for (String scenario : scenarios()) {
             row(text, scenario, scenario, figure);
         }
--- a/lab/src/main/java/lemonrail/lab/report/Report.java
+++ b/lab/src/main/java/lemonrail/lab/report/Report.java
@@ -16,11 +16,9 @@
 public final class Report {
 
     private static final long MOST_MICROS = 3_600_000_000L;
-    private static final double[] PERCENTILES = {0, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.8, 99.9, 99.95,
-        99.99};
+    private static final double[] PERCENTILES = {0, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.8, 99.9, 99.95, 99.99};
 
-    private Report() {
-    }
+    private Report() {}
 
     /** Writes {@code report.md} and the charts beside it. */
     public static void render(RunFolder folder) throws IOException {
@@ -42,26 +40,26 @@
     private static void latency(Charts charts, RunFolder folder, List<RunFolder.AskRow> asks, double untilS)
             throws IOException {
         Map<Integer, Histogram> seconds = new TreeMap<>();
-        asks.stream().filter(ask -> !Double.isNaN(ask.servedMs())).forEach(ask ->
-            seconds.computeIfAbsent((int) (ask.arrivedMs() / 1000),
-                second -> new Histogram(MOST_MICROS, 3)).recordValue(micros(ask)));
+        asks.stream()
+                .filter(ask -> !Double.isNaN(ask.servedMs()))
+                .forEach(ask -> seconds.computeIfAbsent(
+                                (int) (ask.arrivedMs() / 1000), second -> new Histogram(MOST_MICROS, 3))
+                        .recordValue(micros(ask)));
         XYSeriesCollection lines = new XYSeriesCollection();
         for (double percentile : new double[] {50, 90, 99}) {
             XYSeries line = new XYSeries(String.format(Locale.ROOT, "p%.0f", percentile));
-            seconds.forEach((second, of) ->
-                line.add(second + 0.5, of.getValueAtPercentile(percentile) / 1e3));
+            seconds.forEach((second, of) -> line.add(second + 0.5, of.getValueAtPercentile(percentile) / 1e3));
             lines.addSeries(line);
         }
-        charts.overTime("latency", "Time to a served answer, by when it was due", "ms", lines,
-            folder.faults(), untilS);
+        charts.overTime("latency", "Time to a served answer, by when it was due", "ms", lines, folder.faults(), untilS);
     }
 
-    private static void percentiles(Charts charts, List<RunFolder.AskRow> asks, double warmMs)
-            throws IOException {
+    private static void percentiles(Charts charts, List<RunFolder.AskRow> asks, double warmMs) throws IOException {
         Map<String, Histogram> classes = new TreeMap<>();
-        asks.stream().filter(ask -> !Double.isNaN(ask.servedMs()) && ask.arrivedMs() >= warmMs)
-            .forEach(ask -> classes.computeIfAbsent(ask.requestClass(),
-                name -> new Histogram(MOST_MICROS, 3)).recordValue(micros(ask)));
+        asks.stream()
+                .filter(ask -> !Double.isNaN(ask.servedMs()) && ask.arrivedMs() >= warmMs)
+                .forEach(ask -> classes.computeIfAbsent(ask.requestClass(), name -> new Histogram(MOST_MICROS, 3))
+                        .recordValue(micros(ask)));
         XYSeriesCollection lines = new XYSeriesCollection();
         classes.forEach((name, of) -> {
             XYSeries line = new XYSeries(name);
@@ -95,35 +93,41 @@
         lines.addSeries(served);
         lines.addSeries(failed);
         lines.addSeries(refused);
-        charts.overTime("outcomes", "What came of it, by when it was due", "a second", lines, folder.faults(),
-            untilS);
+        charts.overTime("outcomes", "What came of it, by when it was due", "a second", lines, folder.faults(), untilS);
     }
 
     private static void attempts(Charts charts, RunFolder folder) throws IOException {
         Map<String, Map<String, Integer>> counts = new TreeMap<>();
         for (RunFolder.AttemptRow attempt : folder.attemptRows()) {
             counts.computeIfAbsent(attempt.tier() + " " + attempt.endpoint(), id -> new TreeMap<>())
-                .merge(attempt.end(), 1, Integer::sum);
+                    .merge(attempt.end(), 1, Integer::sum);
         }
         DefaultCategoryDataset bars = new DefaultCategoryDataset();
         for (String end : List.of("served", "error", "turned_away", "closed", "open")) {
-            counts.forEach((endpoint, of) -> bars.addValue(of.getOrDefault(end, 0), end,
-                endpoint.substring(endpoint.indexOf(' ') + 1)));
+            counts.forEach((endpoint, of) ->
+                    bars.addValue(of.getOrDefault(end, 0), end, endpoint.substring(endpoint.indexOf(' ') + 1)));
         }
         charts.bars("attempts", "Attempts at each endpoint", "attempts", bars, true);
     }
 
     private static String text(JsonNode run, Verdict verdict) {
         StringBuilder out = new StringBuilder();
-        out.append("# ").append(run.get("scenario").asText()).append(", ").append(run.get("variant").asText())
-            .append(", seed ").append(run.get("seed").asText()).append("\n\n")
-            .append(run.get("about").asText()).append("\n\n");
+        out.append("# ")
+                .append(run.get("scenario").asText())
+                .append(", ")
+                .append(run.get("variant").asText())
+                .append(", seed ")
+                .append(run.get("seed").asText())
+                .append("\n\n")
+                .append(run.get("about").asText())
+                .append("\n\n");
         if (!run.get("whole").asBoolean()) {
             out.append("**The run was interrupted: these are the results so far.**\n\n");
         }
         if (run.get("void").asBoolean()) {
-            out.append("**Void: the lab itself was late or out of connections (").append(run.get("lateness"))
-                .append("). The figures are not the sidecar's.**\n\n");
+            out.append("**Void: the lab itself was late or out of connections (")
+                    .append(run.get("lateness"))
+                    .append("). The figures are not the sidecar's.**\n\n");
         }
         out.append("| figure | value |\n| --- | --- |\n");
         row(out, "service", verdict.service());
@@ -133,15 +137,30 @@
         row(out, "worst tenant", verdict.worstTenant());
         row(out, "work wasted, of the work asked for", verdict.waste());
         row(out, "served only after the wanted time", verdict.late());
-        out.append("| asked / served / refused / failed / unanswered | ").append(verdict.asked())
-            .append(" / ").append(verdict.served()).append(" / ").append(verdict.refused()).append(" / ")
-            .append(verdict.failed()).append(" / ").append(verdict.unanswered()).append(" |\n");
+        out.append("| asked / served / refused / failed / unanswered | ")
+                .append(verdict.asked())
+                .append(" / ")
+                .append(verdict.served())
+                .append(" / ")
+                .append(verdict.refused())
+                .append(" / ")
+                .append(verdict.failed())
+                .append(" / ")
+                .append(verdict.unanswered())
+                .append(" |\n");
         row(out, "attempts in the first tier for each", verdict.perAsk());
-        out.append(String.format(Locale.ROOT, "| p50 / p99 / p99.9 | %.1f / %.1f / %.1f ms |%n",
-            verdict.p50Ms(), verdict.p99Ms(), verdict.p999Ms()));
+        out.append(String.format(
+                Locale.ROOT,
+                "| p50 / p99 / p99.9 | %.1f / %.1f / %.1f ms |%n",
+                verdict.p50Ms(),
+                verdict.p99Ms(),
+                verdict.p999Ms()));
         out.append("| rules broken | ").append(verdict.broken()).append(" |\n");
-        out.append("| version | ").append(run.get("version").asText()).append(" |\n| machine | ")
-            .append(run.get("machine").asText()).append(" |\n\n");
+        out.append("| version | ")
+                .append(run.get("version").asText())
+                .append(" |\n| machine | ")
+                .append(run.get("machine").asText())
+                .append(" |\n\n");
         verdict.rules().forEach(rule -> out.append("- ").append(rule).append('\n'));
         for (String chart : List.of("latency", "percentiles", "outcomes", "attempts")) {
             out.append("\n![").append(chart).append("](").append(chart).append(".svg)\n");
--- a/lab/src/main/java/lemonrail/lab/report/RunFolder.java
+++ b/lab/src/main/java/lemonrail/lab/report/RunFolder.java
@@ -27,16 +27,14 @@
 public final class RunFolder {
 
     /** One thing asked for, as the raw data has it; times in ms, NaN where it was not served. */
-    record AskRow(double arrivedMs, String requestClass, int tries, String end, double servedMs) {
-    }
+    record AskRow(double arrivedMs, String requestClass, int tries, String end, double servedMs) {}
 
     /** One attempt at an endpoint, as the raw data has it. */
-    record AttemptRow(int tier, String endpoint, double beganMs, String end) {
-    }
+    record AttemptRow(int tier, String endpoint, double beganMs, String end) {}
 
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-    private static final CSVFormat READ = CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true)
-        .build();
+    private static final CSVFormat READ =
+            CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).build();
 
     private final Path folder;
 
@@ -53,20 +51,25 @@
     /** Keeps a run. */
     public void keep(Played played, Verdict verdict, String version) throws IOException {
         Files.createDirectories(folder);
-        Files.copy(played.scenario().file(), folder.resolve("scenario.toml"),
-            StandardCopyOption.REPLACE_EXISTING);
-        Files.copy(played.scenario().edge(), folder.resolve("edge.toml"),
-            StandardCopyOption.REPLACE_EXISTING);
-        ObjectNode run = JSON.createObjectNode().put("scenario", played.scenario().name())
-            .put("about", played.scenario().about()).put("variant", played.variant().name())
-            .put("seed", played.seed()).put("version", version).put("whole", played.whole())
-            .put("void", played.lateness().isVoid()).put("cpu_ms", rounded(played.cpuMs()))
-            .put("client_connections", played.mostOpen())
-            .put("machine", System.getProperty("os.arch") + ", "
-                + Runtime.getRuntime().availableProcessors() + " cores, Java "
-                + System.getProperty("java.version"))
-            .put("length_ms", played.scenario().load().lengthMs())
-            .put("warm_up_ms", played.scenario().load().warmUpMs());
+        Files.copy(played.scenario().file(), folder.resolve("scenario.toml"), StandardCopyOption.REPLACE_EXISTING);
+        Files.copy(played.scenario().edge(), folder.resolve("edge.toml"), StandardCopyOption.REPLACE_EXISTING);
+        ObjectNode run = JSON.createObjectNode()
+                .put("scenario", played.scenario().name())
+                .put("about", played.scenario().about())
+                .put("variant", played.variant().name())
+                .put("seed", played.seed())
+                .put("version", version)
+                .put("whole", played.whole())
+                .put("void", played.lateness().isVoid())
+                .put("cpu_ms", rounded(played.cpuMs()))
+                .put("client_connections", played.mostOpen())
+                .put(
+                        "machine",
+                        System.getProperty("os.arch") + ", "
+                                + Runtime.getRuntime().availableProcessors() + " cores, Java "
+                                + System.getProperty("java.version"))
+                .put("length_ms", played.scenario().load().lengthMs())
+                .put("warm_up_ms", played.scenario().load().warmUpMs());
         run.set("lateness", JSON.valueToTree(played.lateness()));
         run.set("verdict", JSON.valueToTree(verdict));
         run.set("faults", JSON.valueToTree(played.scenario().faults()));
@@ -85,25 +88,41 @@
     }
 
     private CSVPrinter table(String name, String... header) throws IOException {
-        return new CSVPrinter(Files.newBufferedWriter(folder.resolve(name)),
-            CSVFormat.DEFAULT.builder().setHeader(header).setRecordSeparator('\n').build());
+        return new CSVPrinter(
+                Files.newBufferedWriter(folder.resolve(name)),
+                CSVFormat.DEFAULT
+                        .builder()
+                        .setHeader(header)
+                        .setRecordSeparator('\n')
+                        .build());
     }
 
     private void asks(Played played) throws IOException {
-        try (CSVPrinter asks = table("asks.csv", "ask", "arrived_ms", "class", "tenant", "work_ms", "tries",
-                "end", "served_ms");
-                CSVPrinter tries = table("tries.csv", "ask", "request", "sidecar", "sent_ms", "ended_ms",
-                    "end", "status")) {
+        try (CSVPrinter asks = table(
+                        "asks.csv", "ask", "arrived_ms", "class", "tenant", "work_ms", "tries", "end", "served_ms");
+                CSVPrinter tries =
+                        table("tries.csv", "ask", "request", "sidecar", "sent_ms", "ended_ms", "end", "status")) {
             for (Ask ask : played.asks()) {
-                asks.printRecord(ask.number(), ms(ask.arrivedMs()),
-                    played.scenario().requests().get(ask.requestClass()).className(),
-                    played.scenario().tenants().isEmpty() ? ""
-                        : played.scenario().tenants().get(ask.tenant()).name(),
-                    ms(ask.workMs()), ask.tries().size(),
-                    ask.tries().isEmpty() ? "open" : word(ask.last().end()), ms(ask.servedMs()));
+                asks.printRecord(
+                        ask.number(),
+                        ms(ask.arrivedMs()),
+                        played.scenario().requests().get(ask.requestClass()).className(),
+                        played.scenario().tenants().isEmpty()
+                                ? ""
+                                : played.scenario().tenants().get(ask.tenant()).name(),
+                        ms(ask.workMs()),
+                        ask.tries().size(),
+                        ask.tries().isEmpty() ? "open" : word(ask.last().end()),
+                        ms(ask.servedMs()));
                 for (Ask.Try each : ask.tries()) {
-                    tries.printRecord(ask.number(), each.id(), played.recorder().sidecar(each.id()),
-                        ms(each.sentMs()), ms(each.endedMs()), word(each.end()), each.status());
+                    tries.printRecord(
+                            ask.number(),
+                            each.id(),
+                            played.recorder().sidecar(each.id()),
+                            ms(each.sentMs()),
+                            ms(each.endedMs()),
+                            word(each.end()),
+                            each.status());
                 }
             }
         }
@@ -114,13 +133,30 @@
     }
 
     private void attempts(Played played) throws IOException {
-        try (CSVPrinter out = table("attempts.csv", "request", "sidecar", "tier", "endpoint", "began_ms",
-                "ran_ms", "ended_ms", "end", "work_ms", "for")) {
+        try (CSVPrinter out = table(
+                "attempts.csv",
+                "request",
+                "sidecar",
+                "tier",
+                "endpoint",
+                "began_ms",
+                "ran_ms",
+                "ended_ms",
+                "end",
+                "work_ms",
+                "for")) {
             for (AttemptRecorder.Attempt attempt : played.recorder().attempts()) {
-                out.printRecord(attempt.request(), played.recorder().sidecar(attempt.request()),
-                    attempt.tier() + 1, attempt.endpoint(), ms(attempt.beganMs()), ms(attempt.ranMs()),
-                    ms(attempt.endedMs()), attempt.end(), ms(attempt.workMs()),
-                    attempt.parent() == null ? "" : attempt.parent().request());
+                out.printRecord(
+                        attempt.request(),
+                        played.recorder().sidecar(attempt.request()),
+                        attempt.tier() + 1,
+                        attempt.endpoint(),
+                        ms(attempt.beganMs()),
+                        ms(attempt.ranMs()),
+                        ms(attempt.endedMs()),
+                        attempt.end(),
+                        ms(attempt.workMs()),
+                        attempt.parent() == null ? "" : attempt.parent().request());
             }
         }
     }
@@ -128,8 +164,7 @@
     private void nodes(Played played) throws IOException {
         try (CSVPrinter out = table("endpoints.csv", "tier", "endpoint", "speed", "done_ms", "most_held")) {
             for (Played.Node node : played.nodes()) {
-                out.printRecord(node.tier() + 1, node.id(), ms(node.speed()), ms(node.doneMs()),
-                    node.mostHeld());
+                out.printRecord(node.tier() + 1, node.id(), ms(node.speed()), ms(node.doneMs()), node.mostHeld());
             }
         }
     }
@@ -161,7 +196,8 @@
 
     private <T> List<T> read(String name, Row<T> row) throws IOException {
         List<T> rows = new ArrayList<>();
-        try (Reader in = Files.newBufferedReader(folder.resolve(name)); var records = READ.parse(in)) {
+        try (Reader in = Files.newBufferedReader(folder.resolve(name));
+                var records = READ.parse(in)) {
             for (CSVRecord record : records) {
                 rows.add(row.of(record));
             }
@@ -171,13 +207,24 @@
 
     /** All that was asked for. */
     List<AskRow> askRows() throws IOException {
-        return read("asks.csv", record -> new AskRow(number(record.get("arrived_ms")), record.get("class"),
-            Integer.parseInt(record.get("tries")), record.get("end"), number(record.get("served_ms"))));
+        return read(
+                "asks.csv",
+                record -> new AskRow(
+                        number(record.get("arrived_ms")),
+                        record.get("class"),
+                        Integer.parseInt(record.get("tries")),
+                        record.get("end"),
+                        number(record.get("served_ms"))));
     }
 
     /** All attempts. */
     List<AttemptRow> attemptRows() throws IOException {
-        return read("attempts.csv", record -> new AttemptRow(Integer.parseInt(record.get("tier")),
-            record.get("endpoint"), number(record.get("began_ms")), record.get("end")));
+        return read(
+                "attempts.csv",
+                record -> new AttemptRow(
+                        Integer.parseInt(record.get("tier")),
+                        record.get("endpoint"),
+                        number(record.get("began_ms")),
+                        record.get("end")));
     }
 }
--- a/lab/src/main/java/lemonrail/lab/report/Scorer.java
+++ b/lab/src/main/java/lemonrail/lab/report/Scorer.java
@@ -24,10 +24,12 @@
     private static final double LATE_PRICE = 0.12;
     /** Of its worth, what something costs that was given up late without one attempt. */
     private static final double UNTRIED_PRICE = 0.3;
+
     private static final double WINDOW_MS = 10_000;
     private static final double STEP_MS = 1000;
     /** A window that asked for less than this part of the mean is too thin to be the worst. */
     private static final double THIN = 0.25;
+
     private static final long MOST_MICROS = 3_600_000_000L;
     private static final int MOST_RULES = 20;
 
@@ -37,8 +39,12 @@
 
     private Scorer(Played played) {
         this.played = played;
-        classes = played.scenario().requests().stream().map(requests -> played.settings().classes().stream()
-            .filter(kind -> kind.name().equals(requests.className())).findFirst().orElseThrow()).toList();
+        classes = played.scenario().requests().stream()
+                .map(requests -> played.settings().classes().stream()
+                        .filter(kind -> kind.name().equals(requests.className()))
+                        .findFirst()
+                        .orElseThrow())
+                .toList();
     }
 
     /** Scores a run; what was due before the warm-up ended does not count. */
@@ -61,9 +67,13 @@
             return 0;
         }
         Ask.Try last = ask.last();
-        boolean late = last.end() == Ask.End.GIVEN_UP || last.endedMs() - last.sentMs()
-            > classes.get(ask.requestClass()).deadlineMs() * played.scenario().patience().least() / 2;
-        boolean tried = ask.tries().stream().anyMatch(each -> !played.recorder().of(each.id()).isEmpty());
+        boolean late = last.end() == Ask.End.GIVEN_UP
+                || last.endedMs() - last.sentMs()
+                        > classes.get(ask.requestClass()).deadlineMs()
+                                * played.scenario().patience().least()
+                                / 2;
+        boolean tried = ask.tries().stream()
+                .anyMatch(each -> !played.recorder().of(each.id()).isEmpty());
         return late && !tried ? UNTRIED_PRICE * worth(ask) : 0;
     }
 
@@ -80,8 +90,11 @@
     private void findSurplus(List<Ask> asks) {
         for (int place = 0; place < played.scenario().tenants().size(); place++) {
             String name = played.scenario().tenants().get(place).name();
-            double rate = played.settings().tenants().stream().filter(each -> each.name().equals(name))
-                .mapToDouble(Tenant::allowancePerSecond).findFirst().orElse(0);
+            double rate = played.settings().tenants().stream()
+                    .filter(each -> each.name().equals(name))
+                    .mapToDouble(Tenant::allowancePerSecond)
+                    .findFirst()
+                    .orElse(0);
             if (rate <= 0) {
                 continue;
             }
@@ -104,8 +117,9 @@
     private Verdict verdict() {
         findSurplus(played.asks());
         double warmMs = played.scenario().load().warmUpMs();
-        List<Ask> asks = played.asks().stream().filter(ask -> ask.arrivedMs() >= warmMs
-            && !ask.tries().isEmpty()).toList();
+        List<Ask> asks = played.asks().stream()
+                .filter(ask -> ask.arrivedMs() >= warmMs && !ask.tries().isEmpty())
+                .toList();
         double whole = share(asks);
         double worst = worstWindow(asks, warmMs, whole);
         double worstClass = worstOf(asks, classes.size(), Ask::requestClass);
@@ -114,21 +128,40 @@
         double asked = sum(asks, Ask::workMs);
         double waste = asked == 0 ? 0 : wasted(warmMs) / asked;
         double late = sum(asks, ask -> !Double.isNaN(ask.servedMs()) && got(ask) <= 0 ? worth(ask) : 0)
-            / Math.max(1e-9, sum(asks, this::worth));
-        double service = WHOLE_WEIGHT * whole + WORST_WINDOW_WEIGHT * worst + WORST_CLASS_WEIGHT * worstClass
-            + WORST_TENANT_WEIGHT * worstTenant - WASTE_PRICE * Math.min(1, waste) - LATE_PRICE * late;
+                / Math.max(1e-9, sum(asks, this::worth));
+        double service = WHOLE_WEIGHT * whole
+                + WORST_WINDOW_WEIGHT * worst
+                + WORST_CLASS_WEIGHT * worstClass
+                + WORST_TENANT_WEIGHT * worstTenant
+                - WASTE_PRICE * Math.min(1, waste)
+                - LATE_PRICE * late;
         Histogram micros = new Histogram(MOST_MICROS, 3);
-        asks.stream().filter(ask -> !Double.isNaN(ask.servedMs())).forEach(ask ->
-            micros.recordValue(Math.min(MOST_MICROS, (long) ((ask.servedMs() - ask.arrivedMs()) * 1000))));
-        long attempts = played.recorder().attempts().stream().filter(attempt -> attempt.tier() == 0
-            && attempt.beganMs() >= warmMs).count();
-        return new Verdict(service, whole, worst, worstClass, worstTenant, waste, late, asks.size(),
-            count(asks, end -> end == Ask.End.SERVED), count(asks, end -> end == Ask.End.REFUSED),
-            count(asks, end -> end == Ask.End.FAILED || end == Ask.End.UNREACHED),
-            count(asks, end -> end == Ask.End.LOST || end == Ask.End.GIVEN_UP),
-            attempts / (double) Math.max(1, asks.size()), micros.getValueAtPercentile(50) / 1e3,
-            micros.getValueAtPercentile(99) / 1e3, micros.getValueAtPercentile(99.9) / 1e3,
-            played.broken().size(), played.broken().stream().limit(MOST_RULES).toList());
+        asks.stream()
+                .filter(ask -> !Double.isNaN(ask.servedMs()))
+                .forEach(ask ->
+                        micros.recordValue(Math.min(MOST_MICROS, (long) ((ask.servedMs() - ask.arrivedMs()) * 1000))));
+        long attempts = played.recorder().attempts().stream()
+                .filter(attempt -> attempt.tier() == 0 && attempt.beganMs() >= warmMs)
+                .count();
+        return new Verdict(
+                service,
+                whole,
+                worst,
+                worstClass,
+                worstTenant,
+                waste,
+                late,
+                asks.size(),
+                count(asks, end -> end == Ask.End.SERVED),
+                count(asks, end -> end == Ask.End.REFUSED),
+                count(asks, end -> end == Ask.End.FAILED || end == Ask.End.UNREACHED),
+                count(asks, end -> end == Ask.End.LOST || end == Ask.End.GIVEN_UP),
+                attempts / (double) Math.max(1, asks.size()),
+                micros.getValueAtPercentile(50) / 1e3,
+                micros.getValueAtPercentile(99) / 1e3,
+                micros.getValueAtPercentile(99.9) / 1e3,
+                played.broken().size(),
+                played.broken().stream().limit(MOST_RULES).toList());
     }
 
     private static int count(List<Ask> asks, Predicate<Ask.End> end) {
@@ -141,8 +174,9 @@
         double worst = whole;
         for (double from = warmMs; from + WINDOW_MS <= lastMs; from += STEP_MS) {
             double begin = from;
-            List<Ask> in = asks.stream().filter(ask -> ask.arrivedMs() >= begin
-                && ask.arrivedMs() < begin + WINDOW_MS).toList();
+            List<Ask> in = asks.stream()
+                    .filter(ask -> ask.arrivedMs() >= begin && ask.arrivedMs() < begin + WINDOW_MS)
+                    .toList();
             if (sum(in, this::worth) >= mean * THIN) {
                 worst = Math.min(worst, share(in));
             }
@@ -154,8 +188,11 @@
         double worst = 1;
         for (int i = 0; i < groups; i++) {
             int place = i;
-            worst = Math.min(worst, share(asks.stream().filter(ask -> group.applyAsInt(ask) == place)
-                .toList()));
+            worst = Math.min(
+                    worst,
+                    share(asks.stream()
+                            .filter(ask -> group.applyAsInt(ask) == place)
+                            .toList()));
         }
         return groups == 0 ? share(asks) : worst;
     }
@@ -163,8 +200,10 @@
     /** Work of attempts that were begun and of which no client had anything. */
     private double wasted(double warmMs) {
         Set<String> served = new HashSet<>();
-        played.asks().forEach(ask -> ask.tries().stream().filter(each -> each.end() == Ask.End.SERVED)
-            .forEach(each -> served.add(each.id())));
+        played.asks()
+                .forEach(ask -> ask.tries().stream()
+                        .filter(each -> each.end() == Ask.End.SERVED)
+                        .forEach(each -> served.add(each.id())));
         double wasted = 0;
         for (AttemptRecorder.Attempt attempt : played.recorder().attempts()) {
             if (!Double.isNaN(attempt.ranMs()) && attempt.beganMs() >= warmMs && !useful(attempt, served)) {
@@ -178,7 +217,6 @@
         if (!attempt.end().equals("served")) {
             return false;
         }
-        return attempt.parent() == null ? served.contains(attempt.request())
-            : useful(attempt.parent(), served);
+        return attempt.parent() == null ? served.contains(attempt.request()) : useful(attempt.parent(), served);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/report/Sweep.java
+++ b/lab/src/main/java/lemonrail/lab/report/Sweep.java
@@ -42,16 +42,31 @@
         points.computeIfAbsent(value, at -> new ArrayList<>()).add(verdict);
     }
 
-    private record Point(double value, double service, double p99Ms, double waste, double perAsk, int runs) {
-    }
+    private record Point(double value, double service, double p99Ms, double waste, double perAsk, int runs) {}
 
     private List<Point> curve() {
-        return points.entrySet().stream().map(at -> new Point(at.getKey(),
-            at.getValue().stream().mapToDouble(Verdict::service).average().orElse(0),
-            at.getValue().stream().mapToDouble(Verdict::p99Ms).average().orElse(0),
-            at.getValue().stream().mapToDouble(Verdict::waste).average().orElse(0),
-            at.getValue().stream().mapToDouble(Verdict::perAsk).average().orElse(0), at.getValue().size()))
-            .sorted((one, other) -> Double.compare(one.value, other.value)).toList();
+        return points.entrySet().stream()
+                .map(at -> new Point(
+                        at.getKey(),
+                        at.getValue().stream()
+                                .mapToDouble(Verdict::service)
+                                .average()
+                                .orElse(0),
+                        at.getValue().stream()
+                                .mapToDouble(Verdict::p99Ms)
+                                .average()
+                                .orElse(0),
+                        at.getValue().stream()
+                                .mapToDouble(Verdict::waste)
+                                .average()
+                                .orElse(0),
+                        at.getValue().stream()
+                                .mapToDouble(Verdict::perAsk)
+                                .average()
+                                .orElse(0),
+                        at.getValue().size()))
+                .sorted((one, other) -> Double.compare(one.value, other.value))
+                .toList();
     }
 
     /** The value at the knee; none where the curve is flat, straight or of fewer than three points. */
@@ -82,9 +97,14 @@
     public String sentence() {
         OptionalDouble knee = knee();
         return knee.isPresent()
-            ? String.format(Locale.ROOT, "%s, %s: service bends at %s = %s", scenario, variant, setting,
-                plain(knee.getAsDouble()))
-            : scenario + ", " + variant + ": service has no knee over these values of " + setting;
+                ? String.format(
+                        Locale.ROOT,
+                        "%s, %s: service bends at %s = %s",
+                        scenario,
+                        variant,
+                        setting,
+                        plain(knee.getAsDouble()))
+                : scenario + ", " + variant + ": service has no knee over these values of " + setting;
     }
 
     private static String plain(double value) {
@@ -95,14 +115,21 @@
     public void keep(Path folder, String version) throws IOException {
         Files.createDirectories(folder);
         StringBuilder text = new StringBuilder("# " + setting + " in " + scenario + ", " + variant
-            + "\n\nVersion " + version + ".\n\n| " + setting
-            + " | service | p99, ms | waste | attempts for each | runs |\n|" + " --- |".repeat(COLUMNS)
-            + "\n");
+                + "\n\nVersion " + version + ".\n\n| " + setting
+                + " | service | p99, ms | waste | attempts for each | runs |\n|" + " --- |".repeat(COLUMNS)
+                + "\n");
         XYSeries service = new XYSeries("service");
         XYSeries slow = new XYSeries("p99");
         for (Point point : curve()) {
-            text.append(String.format(Locale.ROOT, "| %s | %.3f | %.0f | %.3f | %.2f | %d |%n",
-                plain(point.value), point.service, point.p99Ms, point.waste, point.perAsk, point.runs));
+            text.append(String.format(
+                    Locale.ROOT,
+                    "| %s | %.3f | %.0f | %.3f | %.2f | %d |%n",
+                    plain(point.value),
+                    point.service,
+                    point.p99Ms,
+                    point.waste,
+                    point.perAsk,
+                    point.runs));
             service.add(point.value, point.service);
             slow.add(point.value, point.p99Ms);
         }
@@ -110,7 +137,6 @@
         Files.writeString(folder.resolve("sweep.md"), text);
         Charts charts = new Charts(folder);
         charts.lines("service", "Service", setting, "service", new XYSeriesCollection(service), false, false);
-        charts.lines("p99", "Time to a served answer, p99", setting, "ms", new XYSeriesCollection(slow),
-            false, false);
+        charts.lines("p99", "Time to a served answer, p99", setting, "ms", new XYSeriesCollection(slow), false, false);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/report/Verdict.java
+++ b/lab/src/main/java/lemonrail/lab/report/Verdict.java
@@ -13,7 +13,22 @@
  * @param p50Ms and the others: time to a served answer, from when it was due
  * @param rules rules broken, in words, the first of them
  */
-public record Verdict(double service, double whole, double worst10s, double worstClass, double worstTenant,
-        double waste, double late, int asked, int served, int refused, int failed, int unanswered,
-        double perAsk, double p50Ms, double p99Ms, double p999Ms, int broken, List<String> rules) {
-}
+public record Verdict(
+        double service,
+        double whole,
+        double worst10s,
+        double worstClass,
+        double worstTenant,
+        double waste,
+        double late,
+        int asked,
+        int served,
+        int refused,
+        int failed,
+        int unanswered,
+        double perAsk,
+        double p50Ms,
+        double p99Ms,
+        double p999Ms,
+        int broken,
+        List<String> rules) {}
--- a/lab/src/main/java/lemonrail/lab/scale/Churn.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Churn.java
@@ -8,8 +8,7 @@
 
     private static final double PIECE_MS = 100;
 
-    private Churn() {
-    }
+    private Churn() {}
 
     /** Has each change made in its time, by its number from 0; none at a rate of 0. */
     static void run(double perSecond, double lengthMs, LongConsumer change) throws InterruptedException {
--- a/lab/src/main/java/lemonrail/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ControlPlane.java
@@ -47,8 +47,7 @@
      *
      * @param peakBytesPerS payload both ways, the most within one second
      */
-    record Cost(double cpuMs, double lagP99Ms, double lagMostMs, long bytes, long peakBytesPerS, long calls) {
-    }
+    record Cost(double cpuMs, double lagP99Ms, double lagMostMs, long bytes, long peakBytesPerS, long calls) {}
 
     /** Why it cannot do this, or empty where it can. */
     Optional<String> missing(Ability ability);
@@ -92,8 +91,7 @@
      *
      * @param balancers how many watch the same list, which is what it paces its calls by
      */
-    record Place(Path folder, String name, InetSocketAddress listen, int balancers, List<String> zones) {
-    }
+    record Place(Path folder, String name, InetSocketAddress listen, int balancers, List<String> zones) {}
 
     /** Takes a list as a whole, from nothing. */
     void list(String list, List<Line> lines);
@@ -128,8 +126,7 @@
     List<Heard> heard(String group);
 
     /** A call that asked on from a version. */
-    record Heard(long atNanos, long version) {
-    }
+    record Heard(long atNanos, long version) {}
 
     @Override
     void close();
--- a/lab/src/main/java/lemonrail/lab/scale/Fleet.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Fleet.java
@@ -48,16 +48,18 @@
     }
 
     /** What real sidecars had taken when something began. */
-    record Began(long atNanos, Map<Integer, Double> cpuMs) {
-    }
+    record Began(long atNanos, Map<Integer, Double> cpuMs) {}
 
     /** What a real sidecar took in the mean, and the most bytes within a second at any. */
     record Spent(double lengthMs, double corePercent, double bytesPerS, long peakBytesPerS) {
         /** In the mean over a longer time in which else all was quiet. */
         Spent over(double spanMs, Spent quiet) {
             double part = lengthMs / Math.max(lengthMs, spanMs);
-            return new Spent(spanMs, quiet.corePercent + part * (corePercent - quiet.corePercent),
-                quiet.bytesPerS + part * (bytesPerS - quiet.bytesPerS), peakBytesPerS);
+            return new Spent(
+                    spanMs,
+                    quiet.corePercent + part * (corePercent - quiet.corePercent),
+                    quiet.bytesPerS + part * (bytesPerS - quiet.bytesPerS),
+                    peakBytesPerS);
         }
     }
 
@@ -71,13 +73,15 @@
     private final Map<Integer, List<ControlPlane.Heard>> heard = new HashMap<>();
     /** The last word on each endpoint, by its number. */
     private final Map<Integer, Line> lines = new TreeMap<>();
+
     private long words;
 
     Fleet(ScaleScenario scenario, Listed listed, ControlPlane plane, EdgeConfig config) {
         site = scenario.site();
         this.listed = listed;
         this.plane = plane;
-        hollow = new HollowFleet(scenario.sidecars().loops(), config, scenario.sidecars().seed());
+        hollow = new HollowFleet(
+                scenario.sidecars().loops(), config, scenario.sidecars().seed());
         for (int i = 0; i < site.endpoints(); i++) {
             lines.put(i, site.line(i));
         }
@@ -87,8 +91,18 @@
     void open(int realCount, ServeCommand command, Path scratch) throws IOException, InterruptedException {
         expected().forEach((list, all) -> plane.list(list, List.copyOf(all.values())));
         for (int i = 0; i < realCount; i++) {
-            real.put(i, RealSidecar.start("real-" + listed.name().toLowerCase(Locale.ROOT) + "-" + i, command,
-                scratch, plane, site.endpoints(), site.zoneNames(), list(i), node(i), group(i)));
+            real.put(
+                    i,
+                    RealSidecar.start(
+                            "real-" + listed.name().toLowerCase(Locale.ROOT) + "-" + i,
+                            command,
+                            scratch,
+                            plane,
+                            site.endpoints(),
+                            site.zoneNames(),
+                            list(i),
+                            node(i),
+                            group(i)));
         }
         startHollow(IntStream.range(realCount, site.endpoints()).boxed().toList());
         for (RealSidecar sidecar : real.values()) {
@@ -134,7 +148,9 @@
     /** The control nodes of a region. */
     List<Integer> nodes(int region) {
         return IntStream.range(0, plane.nodes())
-            .filter(node -> (int) ((long) node * site.regions() / plane.nodes()) == region).boxed().toList();
+                .filter(node -> (int) ((long) node * site.regions() / plane.nodes()) == region)
+                .boxed()
+                .toList();
     }
 
     private static String group(int number) {
@@ -144,8 +160,8 @@
     /** What all must come to have, by list and endpoint. */
     private Map<String, Map<String, Line>> expected() {
         Map<String, Map<String, Line>> lists = new HashMap<>();
-        lines.forEach((number, line) -> lists.computeIfAbsent(home(number), k -> new LinkedHashMap<>())
-            .put(line.id(), line));
+        lines.forEach((number, line) ->
+                lists.computeIfAbsent(home(number), k -> new LinkedHashMap<>()).put(line.id(), line));
         return lists;
     }
 
@@ -259,10 +275,11 @@
             if (change.applied.versions().containsKey(list)) {
                 long since = change.sinceNanos(site.region(number));
                 taken.add(heard.getOrDefault(number, List.of()).stream()
-                    .filter(call -> call.atNanos() >= change.applied.atNanos()
-                        && change.applied.isIn(list, call.version()))
-                    .mapToDouble(call -> Math.max(0, (call.atNanos() - since) / 1e6)).findFirst()
-                    .orElse(Double.NaN));
+                        .filter(call ->
+                                call.atNanos() >= change.applied.atNanos() && change.applied.isIn(list, call.version()))
+                        .mapToDouble(call -> Math.max(0, (call.atNanos() - since) / 1e6))
+                        .findFirst()
+                        .orElse(Double.NaN));
             }
         }
         return taken;
@@ -270,8 +287,9 @@
 
     /** Takes in what was heard of real sidecars. */
     void hear() {
-        real.keySet().forEach(number -> heard.computeIfAbsent(number, k -> new ArrayList<>())
-            .addAll(plane.heard(group(number))));
+        real.keySet()
+                .forEach(number ->
+                        heard.computeIfAbsent(number, k -> new ArrayList<>()).addAll(plane.heard(group(number))));
     }
 
     /** Forgets what has been: costs count from here. */
@@ -299,8 +317,7 @@
         long peak = 0;
         for (Map.Entry<Integer, RealSidecar> each : real.entrySet()) {
             Traffic.Seen seen = plane.traffic(group(each.getKey()));
-            percent += 100 * (each.getValue().cpuMs() - began.cpuMs.get(each.getKey())) / lengthMs
-                / real.size();
+            percent += 100 * (each.getValue().cpuMs() - began.cpuMs.get(each.getKey())) / lengthMs / real.size();
             bytes += seen.bytes() / lengthMs * 1000 / real.size();
             peak = Math.max(peak, seen.peakPerSecond());
         }
--- a/lab/src/main/java/lemonrail/lab/scale/HollowFleet.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowFleet.java
@@ -24,8 +24,7 @@
      * @param cpuMs of all loops together
      * @param mostCpuMs of the busiest
      */
-    record Load(double lagP99Ms, double lagMostMs, double cpuMs, double mostCpuMs) {
-    }
+    record Load(double lagP99Ms, double lagMostMs, double cpuMs, double mostCpuMs) {}
 
     private final MultiThreadIoEventLoopGroup group;
     private final List<EventLoop> loops = new ArrayList<>();
@@ -38,8 +37,8 @@
     HollowFleet(int loopCount, EdgeConfig config, long seed) {
         this.config = config;
         this.seed = seed;
-        group = new MultiThreadIoEventLoopGroup(loopCount, new DefaultThreadFactory("hollow", true),
-            NioIoHandler.newFactory());
+        group = new MultiThreadIoEventLoopGroup(
+                loopCount, new DefaultThreadFactory("hollow", true), NioIoHandler.newFactory());
         for (int i = 0; i < loopCount; i++) {
             loops.add((EventLoop) group.next());
             watches.add(new LoopWatch(loops.get(i)));
@@ -47,15 +46,17 @@
     }
 
     /** Starts the sidecars of these numbers at once. */
-    void start(Collection<Integer> numbers, ControlPlane plane, IntFunction<String> list,
-            IntUnaryOperator node) {
+    void start(Collection<Integer> numbers, ControlPlane plane, IntFunction<String> list, IntUnaryOperator node) {
         Map<Integer, Future<HollowSidecar>> starting = new TreeMap<>();
         for (int number : numbers) {
             EventLoop loop = loops.get(number % loops.size());
-            starting.put(number, loop.submit(() -> new HollowSidecar(loop, config, seed + number, plane,
-                number, list.apply(number), node.applyAsInt(number))));
+            starting.put(
+                    number,
+                    loop.submit(() -> new HollowSidecar(
+                            loop, config, seed + number, plane, number, list.apply(number), node.applyAsInt(number))));
         }
-        starting.forEach((number, made) -> sidecars.put(number, made.syncUninterruptibly().getNow()));
+        starting.forEach((number, made) ->
+                sidecars.put(number, made.syncUninterruptibly().getNow()));
     }
 
     /** The processes of these are gone. */
@@ -93,9 +94,10 @@
     /** How many of them have, in their deciders, what control says now. */
     int knowing(Map<String, Map<String, Line>> lists) {
         List<Future<Boolean>> asked = new ArrayList<>();
-        sidecars.values().forEach(sidecar -> asked.add(sidecar.loop().submit(() ->
-            sidecar.knows(lists.get(sidecar.list())))));
-        return (int) asked.stream().filter(one -> one.syncUninterruptibly().getNow()).count();
+        sidecars.values()
+                .forEach(sidecar -> asked.add(sidecar.loop().submit(() -> sidecar.knows(lists.get(sidecar.list())))));
+        return (int)
+                asked.stream().filter(one -> one.syncUninterruptibly().getNow()).count();
     }
 
     /** What the loops were like since the last call. */
--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -43,8 +43,7 @@
     record Told(long atNanos, double weight, boolean gone) {
         /** Whether this is the word that is looked for, or a later one. */
         boolean has(Line line) {
-            return gone || line.state() != Line.State.TERMINATED && weight >= line.weight()
-                || weight > line.weight();
+            return gone || line.state() != Line.State.TERMINATED && weight >= line.weight() || weight > line.weight();
         }
     }
 
@@ -58,25 +57,31 @@
     private final Exchange<RequestMessage, Answer> exchange;
     /** By endpoint, in the order of time. Guarded by itself: the run reads it from its own thread. */
     private final Map<String, List<Told>> told = new HashMap<>();
+
     private long wholeLists;
 
     /** One on its loop, which begins to watch at once; to be made on that loop. */
-    HollowSidecar(EventLoop loop, EdgeConfig config, long seed, ControlPlane plane, int number, String list,
-            int node) {
+    HollowSidecar(EventLoop loop, EdgeConfig config, long seed, ControlPlane plane, int number, String list, int node) {
         this.number = number;
         this.loop = loop;
         this.list = list;
         Clock clock = new Clock();
         EventLog log = new EventLog(clock, new Silence());
-        Shard shard = new Shard(loop, clock, log, new Metrics(config.classNames()), new Budget(BODIES_BYTES),
-            new Lifecycle(() -> true), config.settings(), config.idleCloseMs());
+        Shard shard = new Shard(
+                loop,
+                clock,
+                log,
+                new Metrics(config.classNames()),
+                new Budget(BODIES_BYTES),
+                new Lifecycle(() -> true),
+                config.settings(),
+                config.idleCloseMs());
         suspensions = new Suspensions(config.kept("hollow"), log);
         watch = plane.watch(loop, config, log, seed, list, node);
         endpoints = new Http1().upstream(shard, CONNECTIONS);
         // Set before the exchange begins the watch.
         watch.listen(this::take);
-        exchange = new Exchange<>(shard, endpoints, suspensions, Decide::new, seed, config.known(),
-            watch::watch);
+        exchange = new Exchange<>(shard, endpoints, suspensions, Decide::new, seed, config.known(), watch::watch);
     }
 
     private void take(ServerList news) {
@@ -95,8 +100,8 @@
             }
             for (ServerList.Entry entry : news.entries()) {
                 Server server = entry.server();
-                told.computeIfAbsent(server.id(), id -> new ArrayList<>(2)).add(new Told(now, server.weight(),
-                    server.state() == State.GONE));
+                told.computeIfAbsent(server.id(), id -> new ArrayList<>(2))
+                        .add(new Told(now, server.weight(), server.state() == State.GONE));
             }
         }
     }
@@ -149,13 +154,15 @@
     /** Whether the decider's list is this one; to be asked on its loop. */
     boolean knows(Map<String, Line> lines) {
         List<Server> shown = suspensions.shown(lines.keySet());
-        return suspensions.listed() == lines.size() && endpoints.size() == lines.size()
-            && shown.size() == lines.size() && shown.stream().allMatch(server -> {
-                Line line = lines.get(server.id());
-                return server.state() == (line.state() == Line.State.IN_SERVICE ? State.READY
-                    : State.DRAINING)
-                    && server.startedMs() == line.startedMs() && server.weight() == line.weight();
-            });
+        return suspensions.listed() == lines.size()
+                && endpoints.size() == lines.size()
+                && shown.size() == lines.size()
+                && shown.stream().allMatch(server -> {
+                    Line line = lines.get(server.id());
+                    return server.state() == (line.state() == Line.State.IN_SERVICE ? State.READY : State.DRAINING)
+                            && server.startedMs() == line.startedMs()
+                            && server.weight() == line.weight();
+                });
     }
 
     /** Goes on at another place, as a reload has it; on its loop. */
--- a/lab/src/main/java/lemonrail/lab/scale/Line.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Line.java
@@ -8,11 +8,14 @@
  * @param rack what the platform calls its cell
  * @param startedMs Unix time, 0 for long ago
  */
-public record Line(String id, String address, String zone, int rack, State state, long startedMs,
-        double weight) {
+public record Line(String id, String address, String zone, int rack, State state, long startedMs, double weight) {
 
     /** What is said of an endpoint, in discovery's words. */
-    public enum State { IN_SERVICE, TERMINATING, TERMINATED }
+    public enum State {
+        IN_SERVICE,
+        TERMINATING,
+        TERMINATED
+    }
 
     /** The same endpoint in another state. */
     public Line with(State other) {
@@ -32,7 +35,8 @@
     /** As discovery writes it. */
     String json() {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"" + zone
-            + "\",\"kind\":\"std\",\"cell\":" + rack + ",\"state\":\"" + state.name().toLowerCase(Locale.ROOT)
-            + "\",\"weight\":" + weight + ",\"started_ms\":" + startedMs + "}";
+                + "\",\"kind\":\"std\",\"cell\":" + rack + ",\"state\":\""
+                + state.name().toLowerCase(Locale.ROOT)
+                + "\",\"weight\":" + weight + ",\"started_ms\":" + startedMs + "}";
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/LinearFit.java
+++ b/lab/src/main/java/lemonrail/lab/scale/LinearFit.java
@@ -17,14 +17,12 @@
     public static final int LEAST_POINTS = 3;
 
     /** A measured point. */
-    public record Point(double x, double y) {
-    }
+    public record Point(double x, double y) {}
 
     /** The line of these points, which must be three or more, not all at one place. */
     public static LinearFit of(List<Point> points) {
         if (points.size() < LEAST_POINTS) {
-            throw new IllegalArgumentException("a fit takes " + LEAST_POINTS + " points or more, not "
-                + points.size());
+            throw new IllegalArgumentException("a fit takes " + LEAST_POINTS + " points or more, not " + points.size());
         }
         if (points.stream().mapToDouble(Point::x).distinct().count() == 1) {
             throw new IllegalArgumentException("all points of a fit are at " + points.get(0).x);
@@ -36,9 +34,12 @@
     public static LinearFit through(List<Point> points) {
         double meanX = points.stream().mapToDouble(Point::x).average().orElse(Double.NaN);
         double meanY = points.stream().mapToDouble(Point::y).average().orElse(Double.NaN);
-        double xx = points.stream().mapToDouble(p -> (p.x - meanX) * (p.x - meanX)).sum();
-        double xy = points.stream().mapToDouble(p -> (p.x - meanX) * (p.y - meanY)).sum();
-        double yy = points.stream().mapToDouble(p -> (p.y - meanY) * (p.y - meanY)).sum();
+        double xx =
+                points.stream().mapToDouble(p -> (p.x - meanX) * (p.x - meanX)).sum();
+        double xy =
+                points.stream().mapToDouble(p -> (p.x - meanX) * (p.y - meanY)).sum();
+        double yy =
+                points.stream().mapToDouble(p -> (p.y - meanY) * (p.y - meanY)).sum();
         double slope = xx == 0 ? Double.NaN : xy / xx;
         return new LinearFit(slope, meanY - slope * meanX, yy == 0 ? 1 : xy * xy / (xx * yy), points.size());
     }
--- a/lab/src/main/java/lemonrail/lab/scale/LoopWatch.java
+++ b/lab/src/main/java/lemonrail/lab/scale/LoopWatch.java
@@ -15,8 +15,7 @@
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     /** What a loop was like since it was last asked. */
-    record Seen(double lagP99Ms, double lagMostMs, double cpuMs) {
-    }
+    record Seen(double lagP99Ms, double lagMostMs, double cpuMs) {}
 
     private final EventLoop loop;
     private final long thread;
@@ -27,7 +26,9 @@
 
     LoopWatch(EventLoop loop) {
         this.loop = loop;
-        thread = loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow();
+        thread = loop.submit(() -> Thread.currentThread().getId())
+                .syncUninterruptibly()
+                .getNow();
         dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TICK_MS);
         ticking = loop.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         cpuMs = threadCpuMs();
@@ -37,8 +38,7 @@
         long now = System.nanoTime();
         // A loop that was held up for long has missed the ticks between: each would have been late as well.
         long late = Math.min(MOST_MICROS, Math.max(0, (now - dueNanos) / 1000));
-        lateMicros.recordValueWithExpectedInterval(late,
-            TimeUnit.MILLISECONDS.toMicros(TICK_MS));
+        lateMicros.recordValueWithExpectedInterval(late, TimeUnit.MILLISECONDS.toMicros(TICK_MS));
         dueNanos = now + TimeUnit.MILLISECONDS.toNanos(TICK_MS);
     }
 
@@ -49,13 +49,15 @@
     /** What it was like since the last call; begins anew. */
     Seen take() {
         return loop.submit(() -> {
-            double now = threadCpuMs();
-            Seen seen = new Seen(lateMicros.getValueAtPercentile(99) / 1e3, lateMicros.getMaxValue() / 1e3,
-                now - cpuMs);
-            cpuMs = now;
-            lateMicros.reset();
-            return seen;
-        }).syncUninterruptibly().getNow();
+                    double now = threadCpuMs();
+                    Seen seen = new Seen(
+                            lateMicros.getValueAtPercentile(99) / 1e3, lateMicros.getMaxValue() / 1e3, now - cpuMs);
+                    cpuMs = now;
+                    lateMicros.reset();
+                    return seen;
+                })
+                .syncUninterruptibly()
+                .getNow();
     }
 
     @Override
--- a/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
@@ -44,13 +44,13 @@
     private static final int MOST_HEARD = 16_384;
 
     /** A call of a real sidecar, by the digest that it told. */
-    private record Asked(long atNanos, long digest) {
-    }
+    private record Asked(long atNanos, long digest) {}
 
     private final int regions;
     private final Path folder;
     /** What nodes say of each other's coming and going is the run's own doing. */
     private final LogSink sink = new TextSink(new PrintStream(OutputStream.nullOutputStream()));
+
     private final List<ControlNode> nodes = new ArrayList<>();
     private final List<LoopWatch> loops = new ArrayList<>();
     private final List<Traffic> nodeTraffic = new ArrayList<>();
@@ -58,6 +58,7 @@
     private final List<Boolean> up = new ArrayList<>();
     /** Guarded by itself, as nodes' loops write to it: by the sidecar's name. */
     private final Map<String, Traffic> traffic = new HashMap<>();
+
     private final Map<String, List<Asked>> asked = new HashMap<>();
     /** By the real sidecar's name: the list that it watches. */
     private final Map<String, String> lists = new HashMap<>();
@@ -65,6 +66,7 @@
     private final Map<String, Map<Long, Long>> sequences = new HashMap<>();
     /** What was to be said at a node that was down. */
     private final List<Change> unsaid = new ArrayList<>();
+
     private final List<Long> settingsTold = new ArrayList<>();
     private long sequence;
     private int watches;
@@ -114,9 +116,18 @@
         if (fromNothing) {
             Files.deleteIfExists(kept);
         }
-        ControlNode node = ControlNode.create(new ControlConfig("control-" + i, "region-" + region(i), at(i),
-            null, others, ControlConfig.MOST_WATCHERS, ControlConfig.ANSWER_GAP_MS, folder,
-            LogSettings.USUAL), sink);
+        ControlNode node = ControlNode.create(
+                new ControlConfig(
+                        "control-" + i,
+                        "region-" + region(i),
+                        at(i),
+                        null,
+                        others,
+                        ControlConfig.MOST_WATCHERS,
+                        ControlConfig.ANSWER_GAP_MS,
+                        folder,
+                        LogSettings.USUAL),
+                sink);
         node.open();
         Traffic own = nodeTraffic.get(i);
         node.observe((watcher, digest, called, answered) -> saw(own, watcher, digest, called + answered));
@@ -191,8 +202,7 @@
         synchronized (traffic) {
             name = "hollow-" + watches++;
         }
-        ControlClient client = new ControlClient(loop, new Clock(), plan(name, list, node), config.names(),
-            seed, log);
+        ControlClient client = new ControlClient(loop, new Clock(), plan(name, list, node), config.names(), seed, log);
         client.takeSettings(text -> {
             if (text != null) {
                 SettingsDocument.over(config.settings(), text);
@@ -260,9 +270,16 @@
             aim = "800ms"
             deadline = "3s"
             worth = 4
-            """.formatted(group, place.folder(), text(place.listen()), texts(plan.addresses()),
-            texts(plan.fallbacks()), list, DOCUMENT, place.zones().stream().map(zone -> "\"" + zone + "\"")
-                .collect(Collectors.joining(", ")), place.balancers()));
+            """.formatted(
+                        group,
+                        place.folder(),
+                        text(place.listen()),
+                        texts(plan.addresses()),
+                        texts(plan.fallbacks()),
+                        list,
+                        DOCUMENT,
+                        place.zones().stream().map(zone -> "\"" + zone + "\"").collect(Collectors.joining(", ")),
+                        place.balancers()));
     }
 
     private static String texts(List<InetSocketAddress> addresses) {
@@ -297,8 +314,9 @@
     }
 
     private static Change change(String list, Line line) {
-        return line.state() == Line.State.TERMINATED ? Change.endpointGone(list, line.id())
-            : Change.endpoint(list, line.id(), line.json().getBytes(StandardCharsets.UTF_8));
+        return line.state() == Line.State.TERMINATED
+                ? Change.endpointGone(list, line.id())
+                : Change.endpoint(list, line.id(), line.json().getBytes(StandardCharsets.UTF_8));
     }
 
     private void say(int node, Change change) {
@@ -344,8 +362,11 @@
     private boolean inForce(String stamp) {
         return nodes.stream().allMatch(node -> {
             Map<?, ?> watching = (Map<?, ?>) node.status().get("watching");
-            return ((List<?>) watching.get("settings")).stream().map(each -> (Map<?, ?>) each)
-                .allMatch(each -> stamp.equals(each.get("oldest")) && each.get("refusals").equals(0));
+            return ((List<?>) watching.get("settings"))
+                    .stream()
+                            .map(each -> (Map<?, ?>) each)
+                            .allMatch(each -> stamp.equals(each.get("oldest"))
+                                    && each.get("refusals").equals(0));
         });
     }
 
@@ -384,8 +405,13 @@
         LoopWatch.Seen seen = up.get(node) ? loops.get(node).take() : new LoopWatch.Seen(0, 0, 0);
         synchronized (traffic) {
             Traffic.Seen passed = nodeTraffic.get(node).take();
-            return new Cost(seen.cpuMs(), seen.lagP99Ms(), seen.lagMostMs(), passed.bytes(),
-                passed.peakPerSecond(), passed.calls());
+            return new Cost(
+                    seen.cpuMs(),
+                    seen.lagP99Ms(),
+                    seen.lagMostMs(),
+                    passed.bytes(),
+                    passed.peakPerSecond(),
+                    passed.calls());
         }
     }
 
@@ -412,8 +438,10 @@
             learn(list, nodes.get(0), sequence);
         }
         Map<Long, Long> known = sequences.getOrDefault(list, Map.of());
-        return calls.stream().filter(call -> known.containsKey(call.digest()))
-            .map(call -> new Heard(call.atNanos(), known.get(call.digest()))).toList();
+        return calls.stream()
+                .filter(call -> known.containsKey(call.digest()))
+                .map(call -> new Heard(call.atNanos(), known.get(call.digest())))
+                .toList();
     }
 
     @Override
--- a/lab/src/main/java/lemonrail/lab/scale/Point.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Point.java
@@ -14,8 +14,17 @@
  * @param proportionalMb the same, with what is shared among processes shared out
  * @param isVoid the lab was the bottleneck, so the figure is none of this
  */
-public record Point(What what, int listed, int watchers, double changesPerS, double corePercent,
-        double bytesPerS, double residentMb, double proportionalMb, double controlLagMs, double hollowLagMs,
+public record Point(
+        What what,
+        int listed,
+        int watchers,
+        double changesPerS,
+        double corePercent,
+        double bytesPerS,
+        double residentMb,
+        double proportionalMb,
+        double controlLagMs,
+        double hollowLagMs,
         boolean isVoid) {
 
     /** Whose cost a point is. */
@@ -30,13 +39,24 @@
 
     /** The heading of {@link #csv}. */
     public static final String HEADER = "what,listed,watchers,changes_per_s,core_percent,bytes_per_s,"
-        + "resident_mb,proportional_mb,control_lag_p99_ms,hollow_lag_p99_ms,void";
+            + "resident_mb,proportional_mb,control_lag_p99_ms,hollow_lag_p99_ms,void";
 
     /** As a line of CSV. */
     public String csv() {
-        return String.format(Locale.ROOT, "%s,%d,%d,%.3f,%.4f,%.1f,%s,%s,%.2f,%.2f,%b",
-            what.name().toLowerCase(Locale.ROOT), listed, watchers, changesPerS, corePercent, bytesPerS,
-            plain(residentMb), plain(proportionalMb), controlLagMs, hollowLagMs, isVoid);
+        return String.format(
+                Locale.ROOT,
+                "%s,%d,%d,%.3f,%.4f,%.1f,%s,%s,%.2f,%.2f,%b",
+                what.name().toLowerCase(Locale.ROOT),
+                listed,
+                watchers,
+                changesPerS,
+                corePercent,
+                bytesPerS,
+                plain(residentMb),
+                plain(proportionalMb),
+                controlLagMs,
+                hollowLagMs,
+                isVoid);
     }
 
     private static String plain(double value) {
--- a/lab/src/main/java/lemonrail/lab/scale/RealSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RealSidecar.java
@@ -34,16 +34,26 @@
      * @param balancers how many watch the same list, which is what it paces its calls by
      * @param group whose traffic is counted, and who is heard
      */
-    static RealSidecar start(String name, ServeCommand command, Path scratch, ControlPlane plane,
-            int balancers, List<String> zones, String list, int node, String group) throws IOException {
+    static RealSidecar start(
+            String name,
+            ServeCommand command,
+            Path scratch,
+            ControlPlane plane,
+            int balancers,
+            List<String> zones,
+            String list,
+            int node,
+            String group)
+            throws IOException {
         InetSocketAddress listen = SidecarHost.freePort();
         Path folder = Files.createDirectories(scratch.resolve(name));
-        Path file = plane.file(new ControlPlane.Place(folder, name, listen, balancers, zones), list, node,
-            group);
+        Path file = plane.file(new ControlPlane.Place(folder, name, listen, balancers, zones), list, node, group);
         Path log = folder.resolve("log");
         ProcessBuilder builder = (file.toString().endsWith(".toml")
-            ? command.builder("--config", file.toString()) : command.builder())
-            .redirectErrorStream(true).redirectOutput(log.toFile());
+                        ? command.builder("--config", file.toString())
+                        : command.builder())
+                .redirectErrorStream(true)
+                .redirectOutput(log.toFile());
         builder.environment().put("GW_CONFIG", file.toString());
         builder.environment().put("TMPDIR", folder.toString());
         builder.environment().remove("GW_MGMT");
@@ -99,8 +109,9 @@
     }
 
     private long reloads() throws IOException {
-        return Files.readAllLines(log).stream().filter(line -> line.contains("configuration read again"))
-            .count();
+        return Files.readAllLines(log).stream()
+                .filter(line -> line.contains("configuration read again"))
+                .count();
     }
 
     @Override
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
@@ -19,18 +19,22 @@
     private final RegistryNode node = new RegistryNode("control-0");
     /** Where hollow sidecars watch each list, and a second place of the same. */
     private final Map<String, InetSocketAddress> places = new ConcurrentHashMap<>();
+
     private final Map<String, InetSocketAddress> elsewhere = new ConcurrentHashMap<>();
 
     @Override
     public Optional<String> missing(Ability ability) {
-        return Optional.of(switch (ability) {
-            case NODE_LOST -> "a sidecar knows one address of discovery; another one takes a file and a "
-                + "SIGHUP at each process, and a whole list";
-            case REGIONS_CUT -> "there is one registry: the region without it hears of no change, its own "
-                + "among them, until the regions hear each other";
-            case SETTINGS -> "settings are a file and a SIGHUP at each process; nobody knows what is in "
-                + "force where";
-        });
+        return Optional.of(
+                switch (ability) {
+                    case NODE_LOST ->
+                        "a sidecar knows one address of discovery; another one takes a file and a "
+                                + "SIGHUP at each process, and a whole list";
+                    case REGIONS_CUT ->
+                        "there is one registry: the region without it hears of no change, its own "
+                                + "among them, until the regions hear each other";
+                    case SETTINGS ->
+                        "settings are a file and a SIGHUP at each process; nobody knows what is in " + "force where";
+                });
     }
 
     @Override
@@ -45,15 +49,29 @@
 
     @Override
     public Watch watch(EventLoop loop, EdgeConfig config, EventLog log, long seed, String list, int at) {
-        return new RegistryWatch(new DiscoveryClient(loop, places.get(list), config.names(),
-            config.known().version(), WatchPace.ofFleet(config.settings().balancers(),
-                config.settings().rules().drainGraceMs(), seed), log), elsewhere.get(list));
+        return new RegistryWatch(
+                new DiscoveryClient(
+                        loop,
+                        places.get(list),
+                        config.names(),
+                        config.known().version(),
+                        WatchPace.ofFleet(
+                                config.settings().balancers(),
+                                config.settings().rules().drainGraceMs(),
+                                seed),
+                        log),
+                elsewhere.get(list));
     }
 
     @Override
     public Path file(Place place, String list, int at, String group) throws IOException {
-        return PlatformConfig.write(place.folder().resolve("config.json"), place.name(), place.listen(),
-            address(list, group), place.balancers(), place.zones());
+        return PlatformConfig.write(
+                place.folder().resolve("config.json"),
+                place.name(),
+                place.listen(),
+                address(list, group),
+                place.balancers(),
+                place.zones());
     }
 
     /** The edge's own client, at one of two addresses of the list. */
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryNode.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryNode.java
@@ -48,25 +48,26 @@
     private static final int BACKLOG = 4096;
     /** Changes that are remembered; who asks from before them gets the whole list. */
     private static final int MOST_CHANGES = 8192;
+
     private static final double MOST_WAIT_MS = 60_000;
     private static final int MOST_HEARD = 16_384;
     private static final String PATH = "/registry/instances";
 
-    private record Change(long version, String id) {
-    }
+    private record Change(long version, String id) {}
 
-    private record Watch(ChannelHandlerContext ctx, long index, Future<?> end) {
-    }
+    private record Watch(ChannelHandlerContext ctx, long index, Future<?> end) {}
 
     /** One list and who waits for changes to it. */
     private final class Listing {
         private final Map<String, Line> lines = new LinkedHashMap<>();
         /** Endpoints as they were last told, gone ones among them. */
         private final Map<String, Line> told = new HashMap<>();
+
         private final Deque<Change> changes = new ArrayDeque<>();
         private final Map<Channel, Watch> waiting = new LinkedHashMap<>();
         /** Answers of the version now, by the version that was asked from; -1 is the whole list. */
         private final Map<Long, ByteBuf> answers = new HashMap<>();
+
         private long version;
         /** The version up to which changes are not known one by one. */
         private long forgotten;
@@ -119,11 +120,14 @@
                 write(ctx, index);
                 return;
             }
-            Future<?> end = loop.schedule(() -> {
-                if (waiting.remove(ctx.channel()) != null) {
-                    write(ctx, index);
-                }
-            }, (long) Math.min(MOST_WAIT_MS, waitMs), TimeUnit.MILLISECONDS);
+            Future<?> end = loop.schedule(
+                    () -> {
+                        if (waiting.remove(ctx.channel()) != null) {
+                            write(ctx, index);
+                        }
+                    },
+                    (long) Math.min(MOST_WAIT_MS, waitMs),
+                    TimeUnit.MILLISECONDS);
             waiting.put(ctx.channel(), new Watch(ctx, index, end));
         }
 
@@ -144,7 +148,7 @@
             Collection<Line> answered = lines.values();
             if (index >= 0) {
                 Set<String> ids = new LinkedHashSet<>();
-                for (var newest = changes.descendingIterator(); newest.hasNext();) {
+                for (var newest = changes.descendingIterator(); newest.hasNext(); ) {
                     Change change = newest.next();
                     if (change.version <= index) {
                         break;
@@ -153,15 +157,22 @@
                 }
                 answered = ids.stream().map(told::get).toList();
             }
-            StringBuilder body = new StringBuilder("{\"version\":").append(version).append(",\"full\":")
-                .append(index < 0).append(",\"servers\":[");
+            StringBuilder body = new StringBuilder("{\"version\":")
+                    .append(version)
+                    .append(",\"full\":")
+                    .append(index < 0)
+                    .append(",\"servers\":[");
             int start = body.length();
-            answered.forEach(line -> body.append(body.length() == start ? "" : ",").append(line.json()));
+            answered.forEach(
+                    line -> body.append(body.length() == start ? "" : ",").append(line.json()));
             byte[] bytes = body.append("]}").toString().getBytes(StandardCharsets.UTF_8);
             byte[] head = ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
-                + bytes.length
-                + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
-            return Unpooled.directBuffer(head.length + bytes.length).writeBytes(head).writeBytes(bytes);
+                            + bytes.length
+                            + "\r\n\r\n")
+                    .getBytes(StandardCharsets.US_ASCII);
+            return Unpooled.directBuffer(head.length + bytes.length)
+                    .writeBytes(head)
+                    .writeBytes(bytes);
         }
     }
 
@@ -178,17 +189,27 @@
         }
 
         void open() {
-            channel = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        connections.add(fresh);
-                        fresh.pipeline().addLast(new Counting(group), new HttpRequestDecoder(),
-                            new HttpObjectAggregator(MOST_BODY_BYTES), new Asked(listing, group));
-                    }
-                }).bind(address).syncUninterruptibly().channel();
+            channel = new ServerBootstrap()
+                    .group(loop)
+                    .channel(NioServerSocketChannel.class)
+                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_REUSEADDR, true)
+                    .childOption(ChannelOption.TCP_NODELAY, true)
+                    .childHandler(new ChannelInitializer<SocketChannel>() {
+                        @Override
+                        protected void initChannel(SocketChannel fresh) {
+                            connections.add(fresh);
+                            fresh.pipeline()
+                                    .addLast(
+                                            new Counting(group),
+                                            new HttpRequestDecoder(),
+                                            new HttpObjectAggregator(MOST_BODY_BYTES),
+                                            new Asked(listing, group));
+                        }
+                    })
+                    .bind(address)
+                    .syncUninterruptibly()
+                    .channel();
             address = (InetSocketAddress) channel.localAddress();
         }
     }
@@ -205,8 +226,7 @@
     private boolean stopped;
 
     RegistryNode(String name) {
-        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(name, true),
-            NioIoHandler.newFactory());
+        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(name, true), NioIoHandler.newFactory());
         loop = (EventLoop) group.next();
         watch = new LoopWatch(loop);
     }
@@ -278,8 +298,13 @@
     ControlPlane.Cost cost() {
         LoopWatch.Seen seen = watch.take();
         Traffic.Seen carried = on(traffic::take);
-        return new ControlPlane.Cost(seen.cpuMs(), seen.lagP99Ms(), seen.lagMostMs(), carried.bytes(),
-            carried.peakPerSecond(), carried.calls());
+        return new ControlPlane.Cost(
+                seen.cpuMs(),
+                seen.lagP99Ms(),
+                seen.lagMostMs(),
+                carried.bytes(),
+                carried.peakPerSecond(),
+                carried.calls());
     }
 
     Traffic.Seen traffic(String of) {
@@ -365,8 +390,12 @@
             if (known.size() < MOST_HEARD) {
                 known.add(new ControlPlane.Heard(System.nanoTime(), from));
             }
-            listing.ask(ctx, from, Double.parseDouble(query.parameters().getOrDefault("wait", List.of("0"))
-                .get(0)));
+            listing.ask(
+                    ctx,
+                    from,
+                    Double.parseDouble(query.parameters()
+                            .getOrDefault("wait", List.of("0"))
+                            .get(0)));
         }
 
         @Override
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleRun.java
@@ -13,8 +13,7 @@
 /** Plays a scale run: slopes, then storms. */
 public final class ScaleRun {
 
-    private ScaleRun() {
-    }
+    private ScaleRun() {}
 
     /**
      * Plays it; what it came to is kept where it cannot go on, or is interrupted, as well.
@@ -22,13 +21,26 @@
      * @param command by which real sidecars are started
      * @param planes makes the control that storms are played against
      */
-    public static ScaleResults play(ScaleScenario scenario, ServeCommand command, Path scratch,
-            String version, Supplier<ControlPlane> planes, PrintWriter words) throws IOException {
+    public static ScaleResults play(
+            ScaleScenario scenario,
+            ServeCommand command,
+            Path scratch,
+            String version,
+            Supplier<ControlPlane> planes,
+            PrintWriter words)
+            throws IOException {
         long began = System.nanoTime();
         InetSocketAddress nowhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-        Path file = PlatformConfig.write(scratch.resolve("hollow.json"), "hollow", nowhere, nowhere,
-            scenario.site().endpoints(), scenario.site().zoneNames());
-        EdgeConfig config = ConfigSource.of(file, Map.of("TMPDIR", scratch.toString())).load().config();
+        Path file = PlatformConfig.write(
+                scratch.resolve("hollow.json"),
+                "hollow",
+                nowhere,
+                nowhere,
+                scenario.site().endpoints(),
+                scenario.site().zoneNames());
+        EdgeConfig config = ConfigSource.of(file, Map.of("TMPDIR", scratch.toString()))
+                .load()
+                .config();
         SlopeRun slopes = new SlopeRun(scenario, command, scratch, config, words, planes);
         StormRun storms = new StormRun(scenario, command, scratch, config, words, planes);
         String cutShort = "";
@@ -42,7 +54,13 @@
         } catch (InterruptedException e) {
             cutShort = "interrupted";
         }
-        return new ScaleResults(scenario, version, (System.nanoTime() - began) / 1e6, slopes.points(),
-            storms.rows(), storms.changeLines(), cutShort);
+        return new ScaleResults(
+                scenario,
+                version,
+                (System.nanoTime() - began) / 1e6,
+                slopes.points(),
+                storms.rows(),
+                storms.changeLines(),
+                cutShort);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleScenario.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleScenario.java
@@ -10,8 +10,15 @@
  * @param sidecars how they are played
  * @param slopes what is varied, or null where there are none
  */
-public record ScaleScenario(String name, Path file, String about, Site site, Sidecars sidecars,
-        Targets targets, Slopes slopes, List<Storm> storms) {
+public record ScaleScenario(
+        String name,
+        Path file,
+        String about,
+        Site site,
+        Sidecars sidecars,
+        Targets targets,
+        Slopes slopes,
+        List<Storm> storms) {
 
     /**
      * How sidecars are played.
@@ -21,8 +28,7 @@
      * @param warmUpMs changes at a high rate before the first storm, for the compiler
      * @param idleMs without changes after that, which shows what there is without any
      */
-    public record Sidecars(int real, int loops, long seed, double warmUpMs, double idleMs) {
-    }
+    public record Sidecars(int real, int loops, long seed, double warmUpMs, double idleMs) {}
 
     /**
      * What must hold.
@@ -32,8 +38,7 @@
      * @param memoryMb that control may cost a sidecar
      * @param kilobytesPerS that control may cost a sidecar
      */
-    public record Targets(double inForceMs, double corePercent, double memoryMb, double kilobytesPerS) {
-    }
+    public record Targets(double inForceMs, double corePercent, double memoryMb, double kilobytesPerS) {}
 
     /**
      * What costs are measured against.
@@ -44,9 +49,14 @@
      * @param perSize real sidecars for each number of endpoints listed
      * @param heatMs load before the first point, for the compiler
      */
-    public record Slopes(List<Integer> listed, List<Double> changes, List<Integer> watchers, int perSize,
-            double heatMs, double warmUpMs, double windowMs) {
-    }
+    public record Slopes(
+            List<Integer> listed,
+            List<Double> changes,
+            List<Integer> watchers,
+            int perSize,
+            double heatMs,
+            double warmUpMs,
+            double windowMs) {}
 
     /** What befalls control or the site. */
     public enum Kind {
@@ -90,6 +100,5 @@
      * @param changes how many there are, where the kind lets one choose
      * @param lengthMs over which they come, or for how long control is away
      */
-    public record Storm(Kind kind, Listed listed, int changes, double lengthMs) {
-    }
+    public record Storm(Kind kind, Listed listed, int changes, double lengthMs) {}
 }
--- a/lab/src/main/java/lemonrail/lab/scale/Site.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Site.java
@@ -64,15 +64,27 @@
 
     /** What control says of an endpoint in the beginning; no address is ever called. */
     public Line line(int endpoint) {
-        return new Line(String.format(Locale.ROOT, "s-%08x", endpoint * 2654435761L & 0xffffffffL),
-            address(endpoint, 0), "zone-" + zone(endpoint), endpoint / rack, Line.State.IN_SERVICE, 0, 1);
+        return new Line(
+                String.format(Locale.ROOT, "s-%08x", endpoint * 2654435761L & 0xffffffffL),
+                address(endpoint, 0),
+                "zone-" + zone(endpoint),
+                endpoint / rack,
+                Line.State.IN_SERVICE,
+                0,
+                1);
     }
 
     /** The process that takes an endpoint's place in a release. */
     public Line successor(int endpoint, long startedMs) {
         Line line = line(endpoint);
-        return new Line(line.id() + "-" + startedMs % 100_000, address(endpoint, 1), line.zone(), line.rack(),
-            Line.State.IN_SERVICE, startedMs, 1);
+        return new Line(
+                line.id() + "-" + startedMs % 100_000,
+                address(endpoint, 1),
+                line.zone(),
+                line.rack(),
+                Line.State.IN_SERVICE,
+                startedMs,
+                1);
     }
 
     private static String address(int endpoint, int generation) {
--- a/lab/src/main/java/lemonrail/lab/scale/Slope.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Slope.java
@@ -23,61 +23,134 @@
 
     /** As a line of CSV. */
     public String csv() {
-        return String.format(Locale.ROOT, "%s,%s,%s,%.6g,%.6g,%.4f,%d", name, against, unit, fit.slope(),
-            fit.intercept(), fit.rSquared(), fit.points());
+        return String.format(
+                Locale.ROOT,
+                "%s,%s,%s,%.6g,%.6g,%.4f,%d",
+                name,
+                against,
+                unit,
+                fit.slope(),
+                fit.intercept(),
+                fit.rSquared(),
+                fit.points());
     }
 
     /** All that these points have three values or more for; void points are left out. */
     public static List<Slope> of(List<Point> points) {
         List<Slope> slopes = new ArrayList<>();
         List<LinearFit.Point> perChange = new ArrayList<>();
-        List<Integer> sizes = points.stream().filter(point -> point.what() == Point.What.SIDECAR)
-            .map(Point::listed).distinct().sorted().toList();
+        List<Integer> sizes = points.stream()
+                .filter(point -> point.what() == Point.What.SIDECAR)
+                .map(Point::listed)
+                .distinct()
+                .sorted()
+                .toList();
         for (int listed : sizes) {
-            Slope slope = add(slopes, points, "sidecar processor time at " + listed + " listed",
-                "changes a second",
-                "ms a change; intercept ms a second", point -> point.what() == Point.What.SIDECAR
-                    && point.listed() == listed, Point::changesPerS,
-                point -> point.corePercent() * MS_A_PERCENT);
+            Slope slope = add(
+                    slopes,
+                    points,
+                    "sidecar processor time at " + listed + " listed",
+                    "changes a second",
+                    "ms a change; intercept ms a second",
+                    point -> point.what() == Point.What.SIDECAR && point.listed() == listed,
+                    Point::changesPerS,
+                    point -> point.corePercent() * MS_A_PERCENT);
             if (slope != null) {
                 perChange.add(new LinearFit.Point(listed, slope.fit.slope()));
             }
         }
         if (perChange.size() >= LinearFit.LEAST_POINTS) {
-            slopes.add(new Slope("sidecar processor time of one change", "endpoints listed",
-                "ms an endpoint listed; intercept ms", LinearFit.of(perChange)));
+            slopes.add(new Slope(
+                    "sidecar processor time of one change",
+                    "endpoints listed",
+                    "ms an endpoint listed; intercept ms",
+                    LinearFit.of(perChange)));
         }
         Predicate<Point> idle = point -> point.what() == Point.What.SIDECAR && point.changesPerS() == 0;
-        add(slopes, points, "sidecar processor time without changes", "endpoints listed",
-            "percent of a core an endpoint", idle, Point::listed, Point::corePercent);
+        add(
+                slopes,
+                points,
+                "sidecar processor time without changes",
+                "endpoints listed",
+                "percent of a core an endpoint",
+                idle,
+                Point::listed,
+                Point::corePercent);
         double most = points.stream().mapToDouble(Point::changesPerS).max().orElse(0);
         Predicate<Point> busy = point -> point.what() == Point.What.SIDECAR && point.changesPerS() == most;
-        add(slopes, points, "sidecar resident memory at the most changes", "endpoints listed",
-            "MB an endpoint; intercept MB", busy, Point::listed, Point::residentMb);
+        add(
+                slopes,
+                points,
+                "sidecar resident memory at the most changes",
+                "endpoints listed",
+                "MB an endpoint; intercept MB",
+                busy,
+                Point::listed,
+                Point::residentMb);
         int largest = sizes.isEmpty() ? 0 : sizes.get(sizes.size() - 1);
-        add(slopes, points, "sidecar bytes at " + largest + " listed", "changes a second",
-            "bytes a change; intercept bytes a second", point -> point.what() == Point.What.SIDECAR
-                && point.listed() == largest, Point::changesPerS, Point::bytesPerS);
-        add(slopes, points, "sidecar bytes without changes", "endpoints listed",
-            "bytes a second an endpoint", idle, Point::listed, Point::bytesPerS);
+        add(
+                slopes,
+                points,
+                "sidecar bytes at " + largest + " listed",
+                "changes a second",
+                "bytes a change; intercept bytes a second",
+                point -> point.what() == Point.What.SIDECAR && point.listed() == largest,
+                Point::changesPerS,
+                Point::bytesPerS);
+        add(
+                slopes,
+                points,
+                "sidecar bytes without changes",
+                "endpoints listed",
+                "bytes a second an endpoint",
+                idle,
+                Point::listed,
+                Point::bytesPerS);
         Predicate<Point> control = point -> point.what() == Point.What.CONTROL;
-        add(slopes, points, "control node processor time", "changes a second times watchers",
-            "ms a change and watcher; intercept ms a second", control,
-            point -> point.changesPerS() * point.watchers(), point -> point.corePercent() * MS_A_PERCENT);
-        add(slopes, points, "control node processor time without changes", "watchers",
-            "percent of a core a watcher", control.and(point -> point.changesPerS() == 0), Point::watchers,
-            Point::corePercent);
-        add(slopes, points, "control node bytes", "changes a second times watchers",
-            "bytes a change and watcher; intercept bytes a second", control,
-            point -> point.changesPerS() * point.watchers(), Point::bytesPerS);
+        add(
+                slopes,
+                points,
+                "control node processor time",
+                "changes a second times watchers",
+                "ms a change and watcher; intercept ms a second",
+                control,
+                point -> point.changesPerS() * point.watchers(),
+                point -> point.corePercent() * MS_A_PERCENT);
+        add(
+                slopes,
+                points,
+                "control node processor time without changes",
+                "watchers",
+                "percent of a core a watcher",
+                control.and(point -> point.changesPerS() == 0),
+                Point::watchers,
+                Point::corePercent);
+        add(
+                slopes,
+                points,
+                "control node bytes",
+                "changes a second times watchers",
+                "bytes a change and watcher; intercept bytes a second",
+                control,
+                point -> point.changesPerS() * point.watchers(),
+                Point::bytesPerS);
         return slopes;
     }
 
-    private static Slope add(List<Slope> slopes, List<Point> points, String name, String against, String unit,
-            Predicate<Point> which, ToDoubleFunction<Point> x, ToDoubleFunction<Point> y) {
-        List<LinearFit.Point> fitted = points.stream().filter(which.and(point -> !point.isVoid()))
-            .map(point -> new LinearFit.Point(x.applyAsDouble(point), y.applyAsDouble(point)))
-            .sorted(Comparator.comparingDouble(LinearFit.Point::x)).toList();
+    private static Slope add(
+            List<Slope> slopes,
+            List<Point> points,
+            String name,
+            String against,
+            String unit,
+            Predicate<Point> which,
+            ToDoubleFunction<Point> x,
+            ToDoubleFunction<Point> y) {
+        List<LinearFit.Point> fitted = points.stream()
+                .filter(which.and(point -> !point.isVoid()))
+                .map(point -> new LinearFit.Point(x.applyAsDouble(point), y.applyAsDouble(point)))
+                .sorted(Comparator.comparingDouble(LinearFit.Point::x))
+                .toList();
         if (fitted.stream().mapToDouble(LinearFit.Point::x).distinct().count() < LinearFit.LEAST_POINTS) {
             return null;
         }
