--- a/lab/src/main/java/lemonrail/lab/scale/SlopeRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/SlopeRun.java
@@ -18,6 +18,7 @@
 
     /** Endpoints that the watchers list where it is the control node that is measured. */
     private static final int SHORT_LIST = 10;
+
     private static final String SHORT = "short";
     /** Without changes a call waits so long that a plain window may hold none of it. */
     private static final double LEAST_IDLE_MS = 12_000;
@@ -30,7 +31,12 @@
     private final Supplier<ControlPlane> planes;
     private final List<Point> points = new ArrayList<>();
 
-    SlopeRun(ScaleScenario scenario, ServeCommand command, Path scratch, EdgeConfig config, PrintWriter words,
+    SlopeRun(
+            ScaleScenario scenario,
+            ServeCommand command,
+            Path scratch,
+            EdgeConfig config,
+            PrintWriter words,
             Supplier<ControlPlane> planes) {
         this.planes = planes;
         this.scenario = scenario;
@@ -55,14 +61,15 @@
         Map<String, List<Line>> changes = new LinkedHashMap<>();
         lists.forEach((list, lines) -> {
             Line line = lines.get((int) (number / 2 % lines.size()));
-            changes.put(list, List.of(number % 2 == 0 ? line.with(Line.State.TERMINATING)
-                : line.started(1_000_000 + number)));
+            changes.put(
+                    list,
+                    List.of(number % 2 == 0 ? line.with(Line.State.TERMINATING) : line.started(1_000_000 + number)));
         });
         return changes;
     }
 
-    private static void pour(ControlPlane plane, Map<String, List<Line>> lists, double perSecond,
-            double lengthMs) throws InterruptedException {
+    private static void pour(ControlPlane plane, Map<String, List<Line>> lists, double perSecond, double lengthMs)
+            throws InterruptedException {
         Churn.run(perSecond, lengthMs, number -> plane.apply(0, change(lists, number)));
     }
 
@@ -73,15 +80,28 @@
         try (ControlPlane plane = planes.get()) {
             try {
                 for (int listed : slopes.listed()) {
-                    Site site = new Site(listed, 1, 1, scenario.site().zones(), scenario.site().rack());
+                    Site site = new Site(
+                            listed,
+                            1,
+                            1,
+                            scenario.site().zones(),
+                            scenario.site().rack());
                     String list = "listed-" + listed;
                     lists.put(list, site.lines());
                     plane.list(list, site.lines());
                     for (int i = 0; i < slopes.perSize(); i++) {
                         String name = list + "-" + i;
-                        real.computeIfAbsent(listed, k -> new ArrayList<>()).add(RealSidecar.start(name,
-                            command, scratch, plane, scenario.site().endpoints(),
-                            scenario.site().zoneNames(), list, 0, name));
+                        real.computeIfAbsent(listed, k -> new ArrayList<>())
+                                .add(RealSidecar.start(
+                                        name,
+                                        command,
+                                        scratch,
+                                        plane,
+                                        scenario.site().endpoints(),
+                                        scenario.site().zoneNames(),
+                                        list,
+                                        0,
+                                        name));
                     }
                 }
                 for (List<RealSidecar> group : real.values()) {
@@ -90,8 +110,11 @@
                     }
                 }
                 double heat = slopes.changes().get(slopes.changes().size() - 1);
-                words.printf(Locale.ROOT, "slopes: %d real sidecars, warming up by %.0f changes a second%n",
-                    real.values().stream().mapToInt(List::size).sum(), heat);
+                words.printf(
+                        Locale.ROOT,
+                        "slopes: %d real sidecars, warming up by %.0f changes a second%n",
+                        real.values().stream().mapToInt(List::size).sum(),
+                        heat);
                 words.flush();
                 pour(plane, lists, heat, slopes.heatMs());
                 for (double rate : slopes.changes()) {
@@ -103,11 +126,11 @@
         }
     }
 
-    private record Before(double cpuMs, long atNanos) {
-    }
+    private record Before(double cpuMs, long atNanos) {}
 
-    private void point(ControlPlane plane, Map<Integer, List<RealSidecar>> real,
-            Map<String, List<Line>> lists, double rate) throws IOException, InterruptedException {
+    private void point(
+            ControlPlane plane, Map<Integer, List<RealSidecar>> real, Map<String, List<Line>> lists, double rate)
+            throws IOException, InterruptedException {
         pour(plane, lists, rate, scenario.slopes().warmUpMs());
         Map<RealSidecar, Before> before = new LinkedHashMap<>();
         for (List<RealSidecar> group : real.values()) {
@@ -117,8 +140,9 @@
             }
         }
         plane.cost(0);
-        double windowMs = rate == 0 ? Math.max(LEAST_IDLE_MS, scenario.slopes().windowMs())
-            : scenario.slopes().windowMs();
+        double windowMs = rate == 0
+                ? Math.max(LEAST_IDLE_MS, scenario.slopes().windowMs())
+                : scenario.slopes().windowMs();
         pour(plane, lists, rate, windowMs);
         ControlPlane.Cost cost = plane.cost(0);
         String why = Bottleneck.why(windowMs, cost, 0, 0, scenario.targets().inForceMs());
@@ -135,21 +159,30 @@
                 resident += sidecar.residentMb() / count;
                 proportional += sidecar.proportionalMb() / count;
             }
-            add(new Point(Point.What.SIDECAR, group.getKey(), 0, rate, percent, bytes, resident, proportional,
-                cost.lagP99Ms(), 0, !why.isEmpty()));
+            add(new Point(
+                    Point.What.SIDECAR,
+                    group.getKey(),
+                    0,
+                    rate,
+                    percent,
+                    bytes,
+                    resident,
+                    proportional,
+                    cost.lagP99Ms(),
+                    0,
+                    !why.isEmpty()));
         }
     }
 
     private void control() throws InterruptedException {
         Map<String, List<Line>> lists = Map.of(SHORT, new Site(SHORT_LIST, 1, 1, 1, 1).lines());
         try (ControlPlane plane = planes.get();
-                HollowFleet fleet = new HollowFleet(scenario.sidecars().loops(), config,
-                    scenario.sidecars().seed())) {
+                HollowFleet fleet = new HollowFleet(
+                        scenario.sidecars().loops(), config, scenario.sidecars().seed())) {
             plane.list(SHORT, lists.get(SHORT));
             int running = 0;
             for (int watchers : scenario.slopes().watchers()) {
-                fleet.start(IntStream.range(running, watchers).boxed().toList(), plane, number -> SHORT,
-                    number -> 0);
+                fleet.start(IntStream.range(running, watchers).boxed().toList(), plane, number -> SHORT, number -> 0);
                 running = watchers;
                 for (double rate : scenario.slopes().changes()) {
                     pour(plane, lists, rate, scenario.slopes().warmUpMs());
@@ -160,14 +193,37 @@
                     double ms = (System.nanoTime() - began) / 1e6;
                     ControlPlane.Cost cost = plane.cost(0);
                     HollowFleet.Load load = fleet.load();
-                    boolean isVoid = !Bottleneck.why(ms, cost, load.lagP99Ms(), load.mostCpuMs(),
-                        scenario.targets().inForceMs()).isEmpty();
-                    add(new Point(Point.What.CONTROL, SHORT_LIST, watchers, rate, 100 * cost.cpuMs() / ms,
-                        cost.bytes() / ms * 1000, Double.NaN, Double.NaN, cost.lagP99Ms(), load.lagP99Ms(),
-                        isVoid));
-                    add(new Point(Point.What.HOLLOW, SHORT_LIST, watchers, rate,
-                        100 * load.cpuMs() / ms / watchers, cost.bytes() / ms * 1000 / watchers, Double.NaN,
-                        Double.NaN, cost.lagP99Ms(), load.lagP99Ms(), isVoid));
+                    boolean isVoid = !Bottleneck.why(
+                                    ms,
+                                    cost,
+                                    load.lagP99Ms(),
+                                    load.mostCpuMs(),
+                                    scenario.targets().inForceMs())
+                            .isEmpty();
+                    add(new Point(
+                            Point.What.CONTROL,
+                            SHORT_LIST,
+                            watchers,
+                            rate,
+                            100 * cost.cpuMs() / ms,
+                            cost.bytes() / ms * 1000,
+                            Double.NaN,
+                            Double.NaN,
+                            cost.lagP99Ms(),
+                            load.lagP99Ms(),
+                            isVoid));
+                    add(new Point(
+                            Point.What.HOLLOW,
+                            SHORT_LIST,
+                            watchers,
+                            rate,
+                            100 * load.cpuMs() / ms / watchers,
+                            cost.bytes() / ms * 1000 / watchers,
+                            Double.NaN,
+                            Double.NaN,
+                            cost.lagP99Ms(),
+                            load.lagP99Ms(),
+                            isVoid));
                 }
             }
         }
--- a/lab/src/main/java/lemonrail/lab/scale/StormRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/StormRun.java
@@ -19,16 +19,20 @@
 
     /** A change is waited for so many times as long as it may take until it is in force. */
     private static final double WAIT_TIMES = 7;
+
     private static final double LOOK_MS = 50;
     /** Before a storm all is quiet for so long; after the last is in force costs still count for so long. */
     private static final double QUIET_MS = 700;
+
     private static final double AFTER_MS = 500;
     /** Processor time and bytes are judged over this time at least, and those of a day over a day. */
     private static final double JUDGED_MS = 60_000;
+
     private static final double DAY_MS = 86_400_000;
     private static final double CHANGES_A_DAY = 1200;
     /** Changes before the first storm. */
     private static final double HEAT_PER_S = 20;
+
     private static final double S_MS = 1000;
     /** So that changes that follow one another are of other racks. */
     private static final int STRIDE = 7;
@@ -48,12 +52,18 @@
     private final List<Fleet.Change> changes = new ArrayList<>();
     /** How long settings took until they were in force at each sidecar. */
     private List<Double> settingsMs = List.of();
+
     private final double mostWaitMs;
     private Fleet fleet;
     /** A real sidecar's cost while nothing happens. */
     private Fleet.Spent quiet;
 
-    StormRun(ScaleScenario scenario, ServeCommand command, Path scratch, EdgeConfig config, PrintWriter words,
+    StormRun(
+            ScaleScenario scenario,
+            ServeCommand command,
+            Path scratch,
+            EdgeConfig config,
+            PrintWriter words,
             Supplier<ControlPlane> planes) {
         this.scenario = scenario;
         this.site = scenario.site();
@@ -78,7 +88,8 @@
     void run() throws IOException, InterruptedException {
         for (Listed listed : Listed.values()) {
             List<Storm> storms = scenario.storms().stream()
-                .filter(storm -> storm.listed() == listed).toList();
+                    .filter(storm -> storm.listed() == listed)
+                    .toList();
             if (!storms.isEmpty()) {
                 try (Fleet opened = new Fleet(scenario, listed, planes.get(), config)) {
                     fleet = opened;
@@ -93,16 +104,18 @@
 
     private void prepare(Listed listed) throws IOException, InterruptedException {
         fleet.open(scenario.sidecars().real(), command, scratch);
-        say("storms: %d hollow and %d real sidecars stand, each told of %s", fleet.hollow().sidecars().size(),
-            fleet.real().size(), word(listed));
+        say(
+                "storms: %d hollow and %d real sidecars stand, each told of %s",
+                fleet.hollow().sidecars().size(), fleet.real().size(), word(listed));
         pour(HEAT_PER_S, scenario.sidecars().warmUpMs());
         fleet.awaitKnowing(mostWaitMs);
         Churn.rest(QUIET_MS);
         Fleet.Began idle = fleet.begin();
         Churn.rest(scenario.sidecars().idleMs());
         quiet = fleet.spent(idle);
-        say("storms: while nothing happens a real sidecar takes %.2f %% of a core and %.0f bytes a second",
-            quiet.corePercent(), quiet.bytesPerS());
+        say(
+                "storms: while nothing happens a real sidecar takes %.2f %% of a core and %.0f bytes a second",
+                quiet.corePercent(), quiet.bytesPerS());
     }
 
     private void say(String format, Object... values) {
@@ -126,10 +139,19 @@
         StormRow row = row(storm, fleet.spent(began), fleet.hollow().wholeLists() - wholeLists, notCarried);
         rows.add(row);
         changeLines(storm, began.atNanos());
-        say("storms: %s, %s listed: %s; in force after %.0f ms (p50), %.0f (p99), %.0f (most), real %.0f; a "
-            + "real sidecar %.2f %% of a core, %.0f B/s%s", row.name(), word(storm.listed()),
-            row.verdict().word(), row.p50Ms(), row.p99Ms(), row.mostMs(), row.realMostMs(),
-            row.realCpuPercent(), row.realBytesPerS(), row.note().isEmpty() ? "" : "; " + row.note());
+        say(
+                "storms: %s, %s listed: %s; in force after %.0f ms (p50), %.0f (p99), %.0f (most), real %.0f; a "
+                        + "real sidecar %.2f %% of a core, %.0f B/s%s",
+                row.name(),
+                word(storm.listed()),
+                row.verdict().word(),
+                row.p50Ms(),
+                row.p99Ms(),
+                row.mostMs(),
+                row.realMostMs(),
+                row.realCpuPercent(),
+                row.realBytesPerS(),
+                row.note().isEmpty() ? "" : "; " + row.note());
     }
 
     // ---- what happens ----
@@ -160,27 +182,36 @@
 
     /** Changes of one endpoint each, at an even rate. */
     private void pour(double perSecond, double lengthMs) throws InterruptedException {
-        Churn.run(perSecond, lengthMs, number -> changes.add(fleet.apply(0,
-            fleet.again(List.of((int) (number * STRIDE % site.endpoints()))))));
+        Churn.run(
+                perSecond,
+                lengthMs,
+                number ->
+                        changes.add(fleet.apply(0, fleet.again(List.of((int) (number * STRIDE % site.endpoints()))))));
     }
 
     /** One service's endpoints leave one after another, and each is replaced at the next step. */
     private void release(Storm storm) throws InterruptedException {
-        List<Integer> members = IntStream.range(0, site.endpoints()).filter(i -> site.service(i) == 1).boxed()
-            .toList();
+        List<Integer> members = IntStream.range(0, site.endpoints())
+                .filter(i -> site.service(i) == 1)
+                .boxed()
+                .toList();
         int steps = 2 * members.size();
         Churn.run(steps * S_MS / storm.lengthMs(), storm.lengthMs(), number -> {
             int member = members.get((int) (number / 2 % members.size()));
             Line line = fleet.line(member);
-            changes.add(fleet.apply(0, number % 2 == 0
-                ? fleet.now(Map.of(member, line.with(Line.State.TERMINATING)))
-                : fleet.replaced(member, site.successor(member, 1 + rows.size()))));
+            changes.add(fleet.apply(
+                    0,
+                    number % 2 == 0
+                            ? fleet.now(Map.of(member, line.with(Line.State.TERMINATING)))
+                            : fleet.replaced(member, site.successor(member, 1 + rows.size()))));
         });
     }
 
     /** So many endpoints and their sidecars are lost, and are back after the storm's length. */
     private void lose(int count, Storm storm) throws InterruptedException {
-        List<Integer> lost = IntStream.range(site.endpoints() - count, site.endpoints()).boxed().toList();
+        List<Integer> lost = IntStream.range(site.endpoints() - count, site.endpoints())
+                .boxed()
+                .toList();
         changes.add(fleet.lose(lost));
         Churn.rest(storm.lengthMs());
         changes.add(fleet.back(lost));
@@ -188,7 +219,8 @@
 
     /** A change that each sidecar must have, of one endpoint of each service. */
     private Fleet.Change ofEach(int node) {
-        return fleet.apply(node, fleet.again(IntStream.range(0, site.services()).boxed().toList()));
+        return fleet.apply(
+                node, fleet.again(IntStream.range(0, site.services()).boxed().toList()));
     }
 
     /** Control is away for the storm's length; what changes meanwhile counts from when it is back. */
@@ -240,16 +272,19 @@
             return missing.get();
         }
         List<Integer> near = fleet.nodes(0);
-        List<Integer> far = IntStream.range(0, fleet.plane().nodes()).filter(node -> !near.contains(node))
-            .boxed().toList();
+        List<Integer> far = IntStream.range(0, fleet.plane().nodes())
+                .filter(node -> !near.contains(node))
+                .boxed()
+                .toList();
         near.forEach(one -> far.forEach(other -> fleet.plane().cut(one, other, true)));
         List<Fleet.Change> meanwhile = new ArrayList<>();
         Churn.run(storm.changes() * S_MS / storm.lengthMs(), storm.lengthMs(), number -> {
             int region = (int) (number % 2);
-            int endpoint = region == 0 ? (int) number % site.regionSize()
-                : site.endpoints() - 1 - (int) number % site.regionSize();
-            meanwhile.add(fleet.apply(region == 0 ? near.get(0) : far.get(0),
-                fleet.again(List.of(endpoint))).in(region == 0 ? 0 : site.regions() - 1, 0));
+            int endpoint = region == 0
+                    ? (int) number % site.regionSize()
+                    : site.endpoints() - 1 - (int) number % site.regionSize();
+            meanwhile.add(fleet.apply(region == 0 ? near.get(0) : far.get(0), fleet.again(List.of(endpoint)))
+                    .in(region == 0 ? 0 : site.regions() - 1, 0));
         });
         long healed = System.nanoTime();
         near.forEach(one -> far.forEach(other -> fleet.plane().cut(one, other, false)));
@@ -267,8 +302,12 @@
         for (RealSidecar sidecar : fleet.real()) {
             most = Math.max(most, sidecar.reload((long) mostWaitMs));
         }
-        return missing.get() + String.format(Locale.ROOT, "; %d real ones were told by hand, one after "
-            + "another, and said so after %.0f ms at most", fleet.real().size(), most);
+        return missing.get()
+                + String.format(
+                        Locale.ROOT,
+                        "; %d real ones were told by hand, one after " + "another, and said so after %.0f ms at most",
+                        fleet.real().size(),
+                        most);
     }
 
     // ---- what came of it ----
@@ -292,11 +331,10 @@
 
     private boolean isEverywhere(Fleet.Change change) {
         return fleet.hollowMs(change).stream().noneMatch(ms -> ms.isNaN())
-            && fleet.realMs(change).stream().noneMatch(ms -> ms.isNaN());
+                && fleet.realMs(change).stream().noneMatch(ms -> ms.isNaN());
     }
 
-    private StormRow row(Storm storm, Fleet.Spent spent, long wholeLists, String notCarried)
-            throws IOException {
+    private StormRow row(Storm storm, Fleet.Spent spent, long wholeLists, String notCarried) throws IOException {
         fleet.hear();
         InForce all = new InForce();
         InForce reals = new InForce();
@@ -312,27 +350,59 @@
         String note = notCarried;
         StormRow.Verdict verdict = StormRow.Verdict.NOT_CARRIED;
         if (notCarried.isEmpty()) {
-            note = Bottleneck.why(spent.lengthMs(), control, load.lagP99Ms(), load.mostCpuMs(),
-                scenario.targets().inForceMs());
+            note = Bottleneck.why(
+                    spent.lengthMs(),
+                    control,
+                    load.lagP99Ms(),
+                    load.mostCpuMs(),
+                    scenario.targets().inForceMs());
             verdict = StormRow.Verdict.VOID;
             if (note.isEmpty()) {
-                note = missed(all, reals, knowing < hollow, spent.over(
-                    storm.kind() == ScaleScenario.Kind.DAY ? DAY_MS * storm.changes() / CHANGES_A_DAY
-                        : JUDGED_MS, quiet));
+                note = missed(
+                        all,
+                        reals,
+                        knowing < hollow,
+                        spent.over(
+                                storm.kind() == ScaleScenario.Kind.DAY
+                                        ? DAY_MS * storm.changes() / CHANGES_A_DAY
+                                        : JUDGED_MS,
+                                quiet));
                 verdict = note.isEmpty() ? StormRow.Verdict.MET : StormRow.Verdict.MISSED;
-                String late = Bottleneck.whyLate(load.lagMostMs(), scenario.targets().inForceMs());
+                String late =
+                        Bottleneck.whyLate(load.lagMostMs(), scenario.targets().inForceMs());
                 if (all.percentileMs(1) > scenario.targets().inForceMs() && !late.isEmpty()) {
                     note = late + "; " + note;
                     verdict = StormRow.Verdict.VOID;
                 }
             }
         }
-        return new StormRow(storm, hollow + fleet.real().size(), changes.size(), spent.lengthMs(),
-            all.pairs(), all.never(), all.percentileMs(0.5), all.percentileMs(0.99), all.percentileMs(1),
-            all.lastPercentileMs(0.5), reals.percentileMs(1), knowing, hollow, (int) wholeLists,
-            100 * control.cpuMs() / spent.lengthMs(), control.bytes() / spent.lengthMs() * S_MS,
-            control.peakBytesPerS(), load.cpuMs() / hollow, spent.corePercent(), spent.bytesPerS(),
-            spent.peakBytesPerS(), fleet.residentMb(), control.lagP99Ms(), load.lagP99Ms(), verdict, note);
+        return new StormRow(
+                storm,
+                hollow + fleet.real().size(),
+                changes.size(),
+                spent.lengthMs(),
+                all.pairs(),
+                all.never(),
+                all.percentileMs(0.5),
+                all.percentileMs(0.99),
+                all.percentileMs(1),
+                all.lastPercentileMs(0.5),
+                reals.percentileMs(1),
+                knowing,
+                hollow,
+                (int) wholeLists,
+                100 * control.cpuMs() / spent.lengthMs(),
+                control.bytes() / spent.lengthMs() * S_MS,
+                control.peakBytesPerS(),
+                load.cpuMs() / hollow,
+                spent.corePercent(),
+                spent.bytesPerS(),
+                spent.peakBytesPerS(),
+                fleet.residentMb(),
+                control.lagP99Ms(),
+                load.lagP99Ms(),
+                verdict,
+                note);
     }
 
     private String missed(InForce all, InForce reals, boolean unknowing, Fleet.Spent spent) {
@@ -341,8 +411,7 @@
         if (all.never() + reals.never() > 0) {
             missed.add(all.never() + reals.never() + " were never in force");
         }
-        double most = Math.max(all.percentileMs(1), reals.pairs() == reals.never() ? 0
-            : reals.percentileMs(1));
+        double most = Math.max(all.percentileMs(1), reals.pairs() == reals.never() ? 0 : reals.percentileMs(1));
         if (most > targets.inForceMs()) {
             missed.add(String.format(Locale.ROOT, "in force after %.0f ms", most));
         }
@@ -362,10 +431,18 @@
         for (int i = 0; i < changes.size(); i++) {
             InForce one = new InForce();
             one.add(fleet.hollowMs(changes.get(i)));
-            changeLines.add(String.format(Locale.ROOT, "%s,%s,%d,%.1f,%d,%d,%.2f,%.2f,%.2f",
-                word(storm.kind()), word(storm.listed()), i,
-                (changes.get(i).applied().atNanos() - began) / 1e6, one.pairs(), one.never(),
-                one.percentileMs(0.5), one.percentileMs(0.99), one.percentileMs(1)));
+            changeLines.add(String.format(
+                    Locale.ROOT,
+                    "%s,%s,%d,%.1f,%d,%d,%.2f,%.2f,%.2f",
+                    word(storm.kind()),
+                    word(storm.listed()),
+                    i,
+                    (changes.get(i).applied().atNanos() - began) / 1e6,
+                    one.pairs(),
+                    one.never(),
+                    one.percentileMs(0.5),
+                    one.percentileMs(0.99),
+                    one.percentileMs(1)));
         }
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/Traffic.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Traffic.java
@@ -6,8 +6,7 @@
     private static final long SECOND_NANOS = 1_000_000_000L;
 
     /** What has passed since it was last asked: bytes, and the most within one second. */
-    public record Seen(long bytes, long peakPerSecond, long calls) {
-    }
+    public record Seen(long bytes, long peakPerSecond, long calls) {}
 
     private long bytes;
     private long calls;
--- a/lab/src/main/java/lemonrail/lab/scale/path/FixedDiscovery.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/FixedDiscovery.java
@@ -36,15 +36,19 @@
 
     FixedDiscovery(EventLoopGroup group, List<InetSocketAddress> endpoints) {
         whole = list(endpoints);
-        listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel fresh) {
-                    fresh.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES),
-                        new Asked());
-                }
-            }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly()
-            .channel();
+        listener = new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        fresh.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES), new Asked());
+                    }
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .syncUninterruptibly()
+                .channel();
     }
 
     InetSocketAddress address() {
@@ -55,9 +59,10 @@
     static String list(List<InetSocketAddress> endpoints) {
         StringJoiner lines = new StringJoiner(",");
         for (int i = 0; i < endpoints.size(); i++) {
-            lines.add("{\"id\":\"e" + i + "\",\"addr\":\"127.0.0.1:" + endpoints.get(i).getPort()
-                + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\"in_service\",\"weight\":1.0,"
-                + "\"started_ms\":0}");
+            lines.add("{\"id\":\"e" + i + "\",\"addr\":\"127.0.0.1:"
+                    + endpoints.get(i).getPort()
+                    + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\"in_service\",\"weight\":1.0,"
+                    + "\"started_ms\":0}");
         }
         return "{\"version\":" + VERSION + ",\"full\":true,\"servers\":[" + lines + "]}";
     }
@@ -68,18 +73,21 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             var parameters = new QueryStringDecoder(request.uri()).parameters();
             if (parameters.getOrDefault("index", List.of("")).get(0).equals(String.valueOf(VERSION))) {
-                long waitMs = Long.parseLong(parameters.getOrDefault("wait", List.of("0")).get(0));
-                ctx.executor().schedule(() -> write(ctx,
-                    "{\"version\":" + VERSION + ",\"full\":false,\"servers\":[]}"), waitMs,
-                    TimeUnit.MILLISECONDS);
+                long waitMs = Long.parseLong(
+                        parameters.getOrDefault("wait", List.of("0")).get(0));
+                ctx.executor()
+                        .schedule(
+                                () -> write(ctx, "{\"version\":" + VERSION + ",\"full\":false,\"servers\":[]}"),
+                                waitMs,
+                                TimeUnit.MILLISECONDS);
             } else {
                 write(ctx, whole);
             }
         }
 
         private void write(ChannelHandlerContext ctx, String text) {
-            FullHttpResponse made = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+            FullHttpResponse made = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
             made.headers().set(HttpHeaderNames.CONTENT_LENGTH, made.content().readableBytes());
             ctx.writeAndFlush(made);
         }
--- a/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
@@ -46,6 +46,7 @@
     private final SpinningLoop standIns;
     /** How long services took over calls that their callers have not heard of yet, by the call's id. */
     private final Map<String, Long> tookNanos;
+
     private final Channel listener;
     private final ClientPool next;
     private final IntFunction<FullHttpRequest> requests;
@@ -56,19 +57,28 @@
         this.standIns = standIns;
         this.tookNanos = tookNanos;
         next = to == null ? null : new ClientPool(standIns.loop(), to, MOST_CONNECTIONS);
-        requests = Loads.requests(HttpMethod.GET, NAME, "/api", Map.of("X-Class", ServedProcess.CLASS,
-            "X-Deadline-Ms", String.valueOf(ServedProcess.DEADLINE_MS)), false, System.nanoTime());
-        listener = new ServerBootstrap().group(standIns.group()).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, MOST_CONNECTIONS)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<SocketChannel>() {
-                @Override
-                protected void initChannel(SocketChannel fresh) {
-                    fresh.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES),
-                        new Asked());
-                }
-            }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly()
-            .channel();
+        requests = Loads.requests(
+                HttpMethod.GET,
+                NAME,
+                "/api",
+                Map.of("X-Class", ServedProcess.CLASS, "X-Deadline-Ms", String.valueOf(ServedProcess.DEADLINE_MS)),
+                false,
+                System.nanoTime());
+        listener = new ServerBootstrap()
+                .group(standIns.group())
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, MOST_CONNECTIONS)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel fresh) {
+                        fresh.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES), new Asked());
+                    }
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .syncUninterruptibly()
+                .channel();
     }
 
     /** The last service of a chain. */
@@ -105,7 +115,8 @@
             long began = System.nanoTime();
             // Nobody asks how long a call took that comes from outside the chain.
             String id = NAME.equals(request.headers().get(HttpHeaderNames.HOST))
-                ? request.headers().get(ID, "") : "";
+                    ? request.headers().get(ID, "")
+                    : "";
             if (next == null) {
                 answer(ctx, id, began, HttpResponseStatus.OK);
                 return;
@@ -119,14 +130,13 @@
                     long nanos = System.nanoTime() - sent - inner;
                     addedMicros.recordValue(Math.max(0, Math.min(MOST_MICROS, nanos / 1000)));
                 }
-                answer(ctx, id, began, end == Ask.End.SERVED ? HttpResponseStatus.OK
-                    : HttpResponseStatus.BAD_GATEWAY);
+                answer(ctx, id, began, end == Ask.End.SERVED ? HttpResponseStatus.OK : HttpResponseStatus.BAD_GATEWAY);
             });
         }
 
         private void answer(ChannelHandlerContext ctx, String id, long began, HttpResponseStatus status) {
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(BODY));
+            FullHttpResponse answer =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(BODY));
             answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
             // Before the write, in which it goes out: what comes after is no work of this service.
             if (!id.isEmpty()) {
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRow.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRow.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Locale;
-import lemonrail.lab.host.ProcessUsage.Kind;
 import lemonrail.lab.host.ProcessUsage;
+import lemonrail.lab.host.ProcessUsage.Kind;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -25,15 +25,44 @@
  * @param waited calls that found all client connections busy
  * @param load the machine's load over the last minute (processes that run or want to)
  */
-record PathRow(Part part, Way way, int round, int step, int endpoints, int connections, int batch, int rate,
-        long sent, long served, Histogram micros, long calls, double wallMs, ProcessUsage usage,
-        double late99Ms, double away99Ms, long waited, double load) {
+record PathRow(
+        Part part,
+        Way way,
+        int round,
+        int step,
+        int endpoints,
+        int connections,
+        int batch,
+        int rate,
+        long sent,
+        long served,
+        Histogram micros,
+        long calls,
+        double wallMs,
+        ProcessUsage usage,
+        double late99Ms,
+        double away99Ms,
+        long waited,
+        double load) {
 
     /** What was varied. */
-    enum Part { WARM_UP, SIDE_BY_SIDE, RATE, BATCH, ENDPOINTS, CONNECTIONS, CHAIN, RAMP }
+    enum Part {
+        WARM_UP,
+        SIDE_BY_SIDE,
+        RATE,
+        BATCH,
+        ENDPOINTS,
+        CONNECTIONS,
+        CHAIN,
+        RAMP
+    }
 
     /** Who stands between. */
-    enum Way { DIRECT, RELAY, SIDECAR }
+    enum Way {
+        DIRECT,
+        RELAY,
+        SIDECAR
+    }
 
     /** Beyond a quarter of what may be added, the lab's own lateness makes the figures. */
     static final double MOST_LATE_MS = PathVerdict.MOST_ADDED_MS / 4;
@@ -43,9 +72,9 @@
     private static final double RAMP_MOST_MS = 50;
 
     static final String HEADER = "part,way,round,step,endpoints,connections,batch,rate,sent,served,"
-        + "p50_ms,p99_ms,p999_ms,cpu_us,stat_us,loop_us,compiler_us,vm_us,other_us,no_core_us,wakeups,"
-        + "cpu_percent,rss_mb,"
-        + "descriptors,late99_ms,away99_ms,load,void";
+            + "p50_ms,p99_ms,p999_ms,cpu_us,stat_us,loop_us,compiler_us,vm_us,other_us,no_core_us,wakeups,"
+            + "cpu_percent,rss_mb,"
+            + "descriptors,late99_ms,away99_ms,load,void";
 
     /**
      * Whether generator or stand-in, and not what stands between, made the figures. Calls that come at once
@@ -57,7 +86,9 @@
         double mostMs = MOST_LATE_MS * batch;
         boolean isOneProcess = part != Part.CHAIN || step > 0;
         return isOneProcess && noCoreUs() > MOST_NO_CORE_US
-            || late99Ms > mostMs || away99Ms > mostMs || waited > sent / 100;
+                || late99Ms > mostMs
+                || away99Ms > mostMs
+                || waited > sent / 100;
     }
 
     /** Whether calls were lost or refused, one in a thousand or more. */
@@ -115,19 +146,43 @@
 
     /** As a line of CSV; what is not known is empty. */
     String csv() {
-        return String.format(Locale.ROOT, "%s,%s,%d,%d,%d,%d,%d,%d,%d,%d,%s,%s,%s,%s,%s,%s,%s,%s,%s,%s,%s,"
-            + "%s,%s,%d,%.3f,%.3f,%.1f,%b", part.name().toLowerCase(Locale.ROOT),
-            way.name().toLowerCase(Locale.ROOT), round, step, endpoints, connections, batch, rate, sent,
-            served, number(ms(50), 3), number(ms(99), 3),
-            number(ms(99.9), 3), number(cpuUs(), 1), number(statUs(), 1), number(cpuUs(Kind.LOOP), 1),
-            number(cpuUs(Kind.COMPILER), 1), number(cpuUs(Kind.VM), 1), number(cpuUs(Kind.OTHER), 1),
-            number(noCoreUs(), 1), number(wakeups(), 2), number(cpuPercent(), 2),
-            number(usage.residentMb(), 1), usage.descriptors(), late99Ms, away99Ms, load, isVoid());
+        return String.format(
+                Locale.ROOT,
+                "%s,%s,%d,%d,%d,%d,%d,%d,%d,%d,%s,%s,%s,%s,%s,%s,%s,%s,%s,%s,%s," + "%s,%s,%d,%.3f,%.3f,%.1f,%b",
+                part.name().toLowerCase(Locale.ROOT),
+                way.name().toLowerCase(Locale.ROOT),
+                round,
+                step,
+                endpoints,
+                connections,
+                batch,
+                rate,
+                sent,
+                served,
+                number(ms(50), 3),
+                number(ms(99), 3),
+                number(ms(99.9), 3),
+                number(cpuUs(), 1),
+                number(statUs(), 1),
+                number(cpuUs(Kind.LOOP), 1),
+                number(cpuUs(Kind.COMPILER), 1),
+                number(cpuUs(Kind.VM), 1),
+                number(cpuUs(Kind.OTHER), 1),
+                number(noCoreUs(), 1),
+                number(wakeups(), 2),
+                number(cpuPercent(), 2),
+                number(usage.residentMb(), 1),
+                usage.descriptors(),
+                late99Ms,
+                away99Ms,
+                load,
+                isVoid());
     }
 
     static String number(double value, int digits) {
-        return Double.isNaN(value) || Double.isInfinite(value) ? ""
-            : String.format(Locale.ROOT, "%." + digits + "f", value);
+        return Double.isNaN(value) || Double.isInfinite(value)
+                ? ""
+                : String.format(Locale.ROOT, "%." + digits + "f", value);
     }
 
     /** Rounds of one measurement together: all their calls, all their processor time. */
@@ -139,14 +194,24 @@
             micros.add(more.micros);
             usage = usage.plus(more.usage);
         }
-        return new PathRow(first.part, first.way, 0, first.step, first.endpoints, first.connections,
-            first.batch, first.rate, rounds.stream().mapToLong(PathRow::sent).sum(),
-            rounds.stream().mapToLong(PathRow::served).sum(), micros,
-            rounds.stream().mapToLong(PathRow::calls).sum(),
-            rounds.stream().mapToDouble(PathRow::wallMs).sum(), usage,
-            rounds.stream().mapToDouble(PathRow::late99Ms).max().orElseThrow(),
-            rounds.stream().mapToDouble(PathRow::away99Ms).max().orElseThrow(),
-            rounds.stream().mapToLong(PathRow::waited).sum(),
-            rounds.stream().mapToDouble(PathRow::load).max().orElseThrow());
+        return new PathRow(
+                first.part,
+                first.way,
+                0,
+                first.step,
+                first.endpoints,
+                first.connections,
+                first.batch,
+                first.rate,
+                rounds.stream().mapToLong(PathRow::sent).sum(),
+                rounds.stream().mapToLong(PathRow::served).sum(),
+                micros,
+                rounds.stream().mapToLong(PathRow::calls).sum(),
+                rounds.stream().mapToDouble(PathRow::wallMs).sum(),
+                usage,
+                rounds.stream().mapToDouble(PathRow::late99Ms).max().orElseThrow(),
+                rounds.stream().mapToDouble(PathRow::away99Ms).max().orElseThrow(),
+                rounds.stream().mapToLong(PathRow::waited).sum(),
+                rounds.stream().mapToDouble(PathRow::load).max().orElseThrow());
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import lemonrail.lab.host.ProcessUsage;
+import lemonrail.lab.host.ProcessUsage.Kind;
 import lemonrail.lab.load.Loads;
 import lemonrail.lab.load.OpenLoop;
 import lemonrail.lab.load.Plain;
@@ -19,7 +20,6 @@
 import lemonrail.lab.scale.ServeCommand;
 import lemonrail.lab.scale.path.PathRow.Part;
 import lemonrail.lab.scale.path.PathRow.Way;
-import lemonrail.lab.host.ProcessUsage.Kind;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -34,9 +34,11 @@
     private static final int USUAL_CONNECTIONS = 256;
     /** Calls a second through a whole chain, each of which is one at every step. */
     private static final int MOST_CHAIN_RATE = 1000;
+
     private static final int WARM_MS = 1000;
     /** Warm: the compilers take less than this part, and a call costs what it did within this part. */
     private static final double COMPILER_SHARE = 0.02;
+
     private static final double SETTLED = 0.1;
     /** All client connections are opened within the warm-up, with some time to spare. */
     private static final double OPENING = 1.3;
@@ -68,11 +70,11 @@
      * @param scratch where files of the sidecars go
      * @param rows hears of each measurement
      */
-    public static PathRun of(PathPlan plan, Path home, List<String> main, Path scratch,
-            PathReport rows) throws IOException {
+    public static PathRun of(PathPlan plan, Path home, List<String> main, Path scratch, PathReport rows)
+            throws IOException {
         ServeCommand command = ServeCommand.of(home.toAbsolutePath().normalize());
-        return new PathRun(plan, main.isEmpty() ? command : command.main(main.toArray(String[]::new)),
-            scratch, rows::add);
+        return new PathRun(
+                plan, main.isEmpty() ? command : command.main(main.toArray(String[]::new)), scratch, rows::add);
     }
 
     private PathRun(PathPlan plan, ServeCommand command, Path scratch, Consumer<PathRow> rows) {
@@ -95,8 +97,8 @@
         sidecar.awaitReady();
         Route way = new Route(Way.SIDECAR, sidecar.address(), sidecar, LEAST_ENDPOINTS);
         warm(way);
-        List<Route> routes = List.of(new Route(Way.DIRECT, plain.get(0), null, 1),
-            new Route(Way.RELAY, relay.address(), relay, 1), way);
+        List<Route> routes = List.of(
+                new Route(Way.DIRECT, plain.get(0), null, 1), new Route(Way.RELAY, relay.address(), relay, 1), way);
         warm(routes.get(1));
         sideBySide(routes);
         curve(List.of(routes.get(1), way));
@@ -133,8 +135,8 @@
     }
 
     private ServedProcess sidecar(List<InetSocketAddress> endpoints) throws IOException {
-        ServedProcess started = ServedProcess.sidecar(command, standIns,
-            Files.createDirectories(scratch.resolve("sidecar-" + processes++)), endpoints);
+        ServedProcess started = ServedProcess.sidecar(
+                command, standIns, Files.createDirectories(scratch.resolve("sidecar-" + processes++)), endpoints);
         open.add(started);
         return started;
     }
@@ -154,13 +156,21 @@
     private void warm(Route route, double rate) throws IOException, InterruptedException {
         double before = Double.NaN;
         for (int chunk = 1; chunk <= plan.warmChunks(); chunk++) {
-            PathRow row = play(Part.WARM_UP, route, chunk, USUAL_CONNECTIONS, new OpenLoop.Plan(rate,
-                WARM_MS, WARM_MS / 10.0, USUAL_CONNECTIONS, ServedProcess.DEADLINE_MS,
-                Arrivals.Spacing.POISSON));
+            PathRow row = play(
+                    Part.WARM_UP,
+                    route,
+                    chunk,
+                    USUAL_CONNECTIONS,
+                    new OpenLoop.Plan(
+                            rate,
+                            WARM_MS,
+                            WARM_MS / 10.0,
+                            USUAL_CONNECTIONS,
+                            ServedProcess.DEADLINE_MS,
+                            Arrivals.Spacing.POISSON));
             add(row);
             double cost = row.cpuUs(Kind.LOOP);
-            if (row.cpuUs(Kind.COMPILER) < COMPILER_SHARE * cost
-                    && Math.abs(cost - before) < SETTLED * cost) {
+            if (row.cpuUs(Kind.COMPILER) < COMPILER_SHARE * cost && Math.abs(cost - before) < SETTLED * cost) {
                 return;
             }
             before = cost;
@@ -169,11 +179,21 @@
 
     private PathRow measure(Part part, Route route, int round, int connections, int rate, boolean spread)
             throws IOException, InterruptedException {
-        double warmUpMs = spread ? Math.max(plan.warmUpMs(), connections * 1000.0 / rate * OPENING)
-            : plan.warmUpMs();
-        return play(part, route, round, connections, new OpenLoop.Plan(rate, plan.lengthMs() - plan.warmUpMs()
-            + warmUpMs, warmUpMs, connections, ServedProcess.DEADLINE_MS, Arrivals.Spacing.POISSON, spread,
-            1));
+        double warmUpMs = spread ? Math.max(plan.warmUpMs(), connections * 1000.0 / rate * OPENING) : plan.warmUpMs();
+        return play(
+                part,
+                route,
+                round,
+                connections,
+                new OpenLoop.Plan(
+                        rate,
+                        plan.lengthMs() - plan.warmUpMs() + warmUpMs,
+                        warmUpMs,
+                        connections,
+                        ServedProcess.DEADLINE_MS,
+                        Arrivals.Spacing.POISSON,
+                        spread,
+                        1));
     }
 
     /** Reads what a process uses between two moments. */
@@ -216,13 +236,41 @@
             return idle(part, route, round, load, meter);
         }
         standIns.begin();
-        OpenLoop.Result result = loads.play(route.address(), load, ++seed, Loads.requests(HttpMethod.GET,
-            "lab", "/api", Map.of("X-Class", ServedProcess.CLASS, "X-Deadline-Ms",
-                String.valueOf(ServedProcess.DEADLINE_MS)), false, System.nanoTime()), meter);
-        return new PathRow(part, route.way(), round, 0, route.endpoints(), connections, load.batch(),
-            (int) load.rate(),
-            result.sent(), result.served(), result.servedMicros(), meter.calls, meter.wallMs(), meter.usage,
-            result.late99Ms(), standIns.away99Ms(), result.waited(), load());
+        OpenLoop.Result result = loads.play(
+                route.address(),
+                load,
+                ++seed,
+                Loads.requests(
+                        HttpMethod.GET,
+                        "lab",
+                        "/api",
+                        Map.of(
+                                "X-Class",
+                                ServedProcess.CLASS,
+                                "X-Deadline-Ms",
+                                String.valueOf(ServedProcess.DEADLINE_MS)),
+                        false,
+                        System.nanoTime()),
+                meter);
+        return new PathRow(
+                part,
+                route.way(),
+                round,
+                0,
+                route.endpoints(),
+                connections,
+                load.batch(),
+                (int) load.rate(),
+                result.sent(),
+                result.served(),
+                result.servedMicros(),
+                meter.calls,
+                meter.wallMs(),
+                meter.usage,
+                result.late99Ms(),
+                standIns.away99Ms(),
+                result.waited(),
+                load());
     }
 
     private PathRow idle(Part part, Route route, int round, OpenLoop.Plan load, Meter meter)
@@ -230,8 +278,25 @@
         meter.begun();
         TimeUnit.MILLISECONDS.sleep((long) load.lengthMs());
         meter.ending(0);
-        return new PathRow(part, route.way(), round, 0, route.endpoints(), 0, 1, 0, 0, 0, new Histogram(1), 0,
-            meter.wallMs(), meter.usage, 0, 0, 0, load());
+        return new PathRow(
+                part,
+                route.way(),
+                round,
+                0,
+                route.endpoints(),
+                0,
+                1,
+                0,
+                0,
+                0,
+                new Histogram(1),
+                0,
+                meter.wallMs(),
+                meter.usage,
+                0,
+                0,
+                0,
+                load());
     }
 
     /** The machine's load over the last minute. */
@@ -259,9 +324,15 @@
         for (int round = 1; round <= turns(); round++) {
             for (int rate : plan.curve()) {
                 for (Route route : routes) {
-                    add(rate == 0 ? play(Part.RATE, route, round, 0, new OpenLoop.Plan(0, plan.lengthMs(), 0,
-                        0, 0, Arrivals.Spacing.POISSON))
-                        : measure(Part.RATE, route, round, USUAL_CONNECTIONS, rate, false));
+                    add(
+                            rate == 0
+                                    ? play(
+                                            Part.RATE,
+                                            route,
+                                            round,
+                                            0,
+                                            new OpenLoop.Plan(0, plan.lengthMs(), 0, 0, 0, Arrivals.Spacing.POISSON))
+                                    : measure(Part.RATE, route, round, USUAL_CONNECTIONS, rate, false));
                 }
             }
         }
@@ -271,9 +342,20 @@
         for (int round = 1; round <= turns(); round++) {
             for (int batch : plan.batches()) {
                 for (Route route : routes) {
-                    add(play(Part.BATCH, route, round, USUAL_CONNECTIONS, new OpenLoop.Plan(
-                        PathPlan.TARGET_RATE, plan.lengthMs(), plan.warmUpMs(), USUAL_CONNECTIONS,
-                        ServedProcess.DEADLINE_MS, Arrivals.Spacing.POISSON, false, batch)));
+                    add(play(
+                            Part.BATCH,
+                            route,
+                            round,
+                            USUAL_CONNECTIONS,
+                            new OpenLoop.Plan(
+                                    PathPlan.TARGET_RATE,
+                                    plan.lengthMs(),
+                                    plan.warmUpMs(),
+                                    USUAL_CONNECTIONS,
+                                    ServedProcess.DEADLINE_MS,
+                                    Arrivals.Spacing.POISSON,
+                                    false,
+                                    batch)));
                 }
             }
         }
@@ -323,8 +405,13 @@
             step.process().awaitReady();
         }
         // The last step's sidecar is warmed with all others: calls go through the chain.
-        warm(new Route(Way.SIDECAR, hops.get(0).address(), steps.get(plan.depth() - 1).process(), 1),
-            Math.min(plan.warmRate(), MOST_CHAIN_RATE));
+        warm(
+                new Route(
+                        Way.SIDECAR,
+                        hops.get(0).address(),
+                        steps.get(plan.depth() - 1).process(),
+                        1),
+                Math.min(plan.warmRate(), MOST_CHAIN_RATE));
         for (int round = 1; round <= turns(); round++) {
             chained(round, Way.DIRECT, direct, List.of());
             chained(round, Way.SIDECAR, hops, steps);
@@ -362,24 +449,67 @@
         ChainMeter meters = new ChainMeter(hops, steps);
         standIns.begin();
         int rate = plan.rates().get(0);
-        OpenLoop.Result result = loads.play(hops.get(0).address(), new OpenLoop.Plan(rate, plan.lengthMs(),
-            plan.warmUpMs(), USUAL_CONNECTIONS, ServedProcess.DEADLINE_MS, Arrivals.Spacing.POISSON), ++seed,
-            Loads.requests(HttpMethod.GET, "lab", "/api", Map.of(), false, System.nanoTime()), meters);
+        OpenLoop.Result result = loads.play(
+                hops.get(0).address(),
+                new OpenLoop.Plan(
+                        rate,
+                        plan.lengthMs(),
+                        plan.warmUpMs(),
+                        USUAL_CONNECTIONS,
+                        ServedProcess.DEADLINE_MS,
+                        Arrivals.Spacing.POISSON),
+                ++seed,
+                Loads.requests(HttpMethod.GET, "lab", "/api", Map.of(), false, System.nanoTime()),
+                meters);
         double away99Ms = standIns.away99Ms();
         double load = load();
-        ProcessUsage all = meters.meters.stream().map(meter -> meter.usage).reduce(ProcessUsage::plus)
-            .orElse(ProcessUsage.NONE);
+        ProcessUsage all = meters.meters.stream()
+                .map(meter -> meter.usage)
+                .reduce(ProcessUsage::plus)
+                .orElse(ProcessUsage.NONE);
         double wallMs = meters.meters.isEmpty() ? 0 : meters.meters.get(0).wallMs();
         long calls = meters.meters.isEmpty() ? 0 : meters.meters.get(0).calls;
-        add(new PathRow(Part.CHAIN, way, round, 0, 1, USUAL_CONNECTIONS, 1, rate, result.sent(),
-            result.served(),
-            result.servedMicros(), calls, wallMs, all, result.late99Ms(), away99Ms, result.waited(), load));
+        add(new PathRow(
+                Part.CHAIN,
+                way,
+                round,
+                0,
+                1,
+                USUAL_CONNECTIONS,
+                1,
+                rate,
+                result.sent(),
+                result.served(),
+                result.servedMicros(),
+                calls,
+                wallMs,
+                all,
+                result.late99Ms(),
+                away99Ms,
+                result.waited(),
+                load));
         for (int i = 0; i < plan.depth(); i++) {
             Histogram added = hops.get(i).added();
             ProcessUsage usage = steps.isEmpty() ? ProcessUsage.NONE : meters.meters.get(i).usage;
-            add(new PathRow(Part.CHAIN, way, round, i + 1, 1, USUAL_CONNECTIONS, 1, rate,
-                added.getTotalCount(),
-                added.getTotalCount(), added, calls, wallMs, usage, result.late99Ms(), away99Ms, 0, load));
+            add(new PathRow(
+                    Part.CHAIN,
+                    way,
+                    round,
+                    i + 1,
+                    1,
+                    USUAL_CONNECTIONS,
+                    1,
+                    rate,
+                    added.getTotalCount(),
+                    added.getTotalCount(),
+                    added,
+                    calls,
+                    wallMs,
+                    usage,
+                    result.late99Ms(),
+                    away99Ms,
+                    0,
+                    load));
         }
     }
 
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathVerdict.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathVerdict.java
@@ -44,8 +44,8 @@
             whole &= !compared.isVoid();
             mind(missed, compared.rate + " calls/s", compared.addedMs(99));
             if (compared.sidecar.isUnserved()) {
-                missed.add(compared.rate + " calls/s: " + compared.sidecar.served() + " of "
-                    + compared.sidecar.sent() + " served");
+                missed.add(compared.rate + " calls/s: " + compared.sidecar.served() + " of " + compared.sidecar.sent()
+                        + " served");
             }
         }
         for (PathRow step : steps) {
@@ -57,8 +57,8 @@
 
     private static void mind(List<String> missed, String where, double addedMs) {
         if (!(addedMs <= MOST_ADDED_MS)) {
-            missed.add(String.format(Locale.ROOT, "%s: %.3f ms added for 99 in 100, above %.2f", where,
-                addedMs, MOST_ADDED_MS));
+            missed.add(String.format(
+                    Locale.ROOT, "%s: %.3f ms added for 99 in 100, above %.2f", where, addedMs, MOST_ADDED_MS));
         }
     }
 
--- a/lab/src/main/java/lemonrail/lab/scale/path/ServedProcess.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/ServedProcess.java
@@ -26,6 +26,7 @@
     private static final int LOOK_MS = 20;
     /** The class of all calls. */
     static final String CLASS = "read";
+
     private static final int AIM_MS = 1000;
     static final int DEADLINE_MS = 5000;
 
@@ -44,12 +45,16 @@
      *
      * @param folder where its file, its log and what it keeps go; no other sidecar's
      */
-    static ServedProcess sidecar(ServeCommand command, SpinningLoop standIns, Path folder,
-            List<InetSocketAddress> endpoints) throws IOException {
+    static ServedProcess sidecar(
+            ServeCommand command, SpinningLoop standIns, Path folder, List<InetSocketAddress> endpoints)
+            throws IOException {
         Files.createDirectories(folder);
         FixedDiscovery discovery = new FixedDiscovery(standIns.group(), endpoints);
         InetSocketAddress at = SidecarHost.freePort();
-        Path file = Files.writeString(folder.resolve("sidecar.json"), String.format(Locale.ROOT, """
+        Path file = Files.writeString(
+                folder.resolve("sidecar.json"),
+                String.format(
+                        Locale.ROOT, """
             {"name":"path","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"1",
              "limits":{"cores":1.0,"memory_mb":192,"sockets":8192},
              "known":{"version":0,"full":true,"servers":[]},
@@ -59,8 +64,9 @@
               "limits":{"cancel":true,"dial-timeout-ms":500,"idle-close-ms":15000,"try-limit":3},
               "rules":{}}}
             """, at.getPort(), discovery.address().getPort(), CLASS, DEADLINE_MS, AIM_MS));
-        ProcessBuilder builder = command.builder().redirectErrorStream(true)
-            .redirectOutput(folder.resolve("sidecar.log").toFile());
+        ProcessBuilder builder = command.builder()
+                .redirectErrorStream(true)
+                .redirectOutput(folder.resolve("sidecar.log").toFile());
         builder.environment().put("GW_CONFIG", file.toAbsolutePath().toString());
         builder.environment().put("TMPDIR", folder.toAbsolutePath().toString());
         return new ServedProcess(new ChildProcess(builder.start()), at, discovery);
@@ -68,27 +74,33 @@
 
     /** Starts a bare relay to this endpoint, on the same kind of JVM as a sidecar. */
     static ServedProcess relay(ServeCommand command, InetSocketAddress endpoint) throws IOException {
-        ChildProcess child = new ChildProcess(command.main("lemonrail.lab.Main", "relay",
-            String.valueOf(endpoint.getPort())).builder().redirectError(ProcessBuilder.Redirect.DISCARD)
-            .start());
-        String port = new BufferedReader(new InputStreamReader(child.process().getInputStream(),
-            StandardCharsets.UTF_8)).readLine();
+        ChildProcess child =
+                new ChildProcess(command.main("lemonrail.lab.Main", "relay", String.valueOf(endpoint.getPort()))
+                        .builder()
+                        .redirectError(ProcessBuilder.Redirect.DISCARD)
+                        .start());
+        String port = new BufferedReader(
+                        new InputStreamReader(child.process().getInputStream(), StandardCharsets.UTF_8))
+                .readLine();
         if (port == null) {
             child.close();
             throw new IOException("the relay has ended while starting");
         }
-        return new ServedProcess(child, new InetSocketAddress(InetAddress.getLoopbackAddress(),
-            Integer.parseInt(port.trim())), null);
+        return new ServedProcess(
+                child, new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(port.trim())), null);
     }
 
     /** Waits until a sidecar says that it is ready. */
     void awaitReady() throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SidecarHost.READY_MS);
-        HttpRequest ask = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + address.getPort()
-            + "/health/ready")).timeout(Duration.ofSeconds(1)).build();
+        HttpRequest ask = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + address.getPort() + "/health/ready"))
+                .timeout(Duration.ofSeconds(1))
+                .build();
         while (true) {
             try {
-                if (SidecarHost.CLIENT.send(ask, HttpResponse.BodyHandlers.discarding()).statusCode()
+                if (SidecarHost.CLIENT
+                                .send(ask, HttpResponse.BodyHandlers.discarding())
+                                .statusCode()
                         == 200) {
                     return;
                 }
--- a/lab/src/main/java/lemonrail/lab/scale/path/SpinningLoop.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/SpinningLoop.java
@@ -19,19 +19,23 @@
 
     /** Passes that take less are the loop's usual round. */
     private static final long USUAL_NANOS = 5_000;
+
     private static final long MOST_MICROS = TimeUnit.MINUTES.toMicros(1);
 
     private final EventLoopGroup group;
     private final EventLoop loop;
     /** Each absence counts as often as it has microseconds, so that percentiles are parts of the time. */
     private final Histogram awayMicros = new Histogram(MOST_MICROS, 2);
+
     private long sinceNanos;
     private long lastNanos;
     private long awayNanos;
 
     SpinningLoop(String name) {
-        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(name, true),
-            NioIoHandler.newFactory(SelectorProvider.provider(), () -> this::look));
+        group = new MultiThreadIoEventLoopGroup(
+                1,
+                new DefaultThreadFactory(name, true),
+                NioIoHandler.newFactory(SelectorProvider.provider(), () -> this::look));
         loop = (EventLoop) group.next();
         loop.submit(this::reset).syncUninterruptibly();
     }
@@ -64,13 +68,15 @@
     /** In 99 of 100 moments since the beginning the loop was away for no longer than this, in ms. */
     double away99Ms() {
         return loop.submit(() -> {
-            long restMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sinceNanos - awayNanos);
-            Histogram all = awayMicros.copy();
-            if (restMicros > 0) {
-                all.recordValueWithCount(0, restMicros);
-            }
-            return all.getValueAtPercentile(99) / 1e3;
-        }).syncUninterruptibly().getNow();
+                    long restMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sinceNanos - awayNanos);
+                    Histogram all = awayMicros.copy();
+                    if (restMicros > 0) {
+                        all.recordValueWithCount(0, restMicros);
+                    }
+                    return all.getValueAtPercentile(99) / 1e3;
+                })
+                .syncUninterruptibly()
+                .getNow();
     }
 
     EventLoopGroup group() {
--- a/lab/src/test/java/lemonrail/lab/DemoTest.java
+++ b/lab/src/test/java/lemonrail/lab/DemoTest.java
@@ -20,24 +20,25 @@
 class DemoTest {
 
     private static final Pattern SUMMARY = Pattern.compile(
-        "(\\d+) requests: (\\d+) served, (\\d+) refused, (\\d+) failed, "
-        + "0 without an answer; (\\d+) retried");
+            "(\\d+) requests: (\\d+) served, (\\d+) refused, (\\d+) failed, " + "0 without an answer; (\\d+) retried");
     private static final Path EXAMPLE = Path.of("..", "deploy", "lemonrail.toml");
 
     private final StringWriter out = new StringWriter();
 
     @Test
     void itEndsByItselfWithASummaryInWhichEachRequestHasOneAnswer() throws Exception {
-        try (Demo demo = new Demo(EXAMPLE, 100, 3, 1, false, Duration.ofSeconds(4), new PrintWriter(out),
-                false)) {
+        try (Demo demo = new Demo(EXAMPLE, 100, 3, 1, false, Duration.ofSeconds(4), new PrintWriter(out), false)) {
             demo.run();
             assertTrue(demo.isSound(), out.toString());
         }
         Matcher summary = SUMMARY.matcher(out.toString());
         assertTrue(summary.find(), out.toString());
         int sent = Integer.parseInt(summary.group(1));
-        assertEquals(sent, Integer.parseInt(summary.group(2)) + Integer.parseInt(summary.group(3))
-            + Integer.parseInt(summary.group(4)));
+        assertEquals(
+                sent,
+                Integer.parseInt(summary.group(2))
+                        + Integer.parseInt(summary.group(3))
+                        + Integer.parseInt(summary.group(4)));
         assertTrue(sent >= 300, out.toString());
         assertTrue(Integer.parseInt(summary.group(2)) > sent / 2, out.toString());
         assertTrue(out.toString().contains("(failing)"), out.toString());
@@ -46,12 +47,11 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"--for soon", "--for 0s", "--rate 0", "--rate x", "--endpoints 99",
-        "--config none.toml"})
+    @ValueSource(strings = {"--for soon", "--for 0s", "--rate 0", "--rate x", "--endpoints 99", "--config none.toml"})
     void aBadCallEndsWithTwo(String args) {
-        CommandLine line = new CommandLine(new DemoCall()).setErr(new PrintWriter(out))
-            .setExecutionExceptionHandler((e, parsed, result) ->
-                e instanceof IllegalArgumentException ? 2 : 1);
+        CommandLine line = new CommandLine(new DemoCall())
+                .setErr(new PrintWriter(out))
+                .setExecutionExceptionHandler((e, parsed, result) -> e instanceof IllegalArgumentException ? 2 : 1);
         assertEquals(2, line.execute(args.split(" ")), out.toString());
     }
 }
--- a/lab/src/test/java/lemonrail/lab/LabLayersTest.java
+++ b/lab/src/test/java/lemonrail/lab/LabLayersTest.java
@@ -10,35 +10,71 @@
 class LabLayersTest {
 
     private final JavaClasses classes = new ClassFileImporter()
-        .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("lemonrail.lab");
+            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+            .importPackages("lemonrail.lab");
 
     @Test
     void modelsUseNothingButCollectionsAndRandomNumbers() {
-        ArchRuleDefinition.classes().that().resideInAPackage("lemonrail.lab.model").should()
-            .onlyDependOnClassesThat().resideInAnyPackage("lemonrail.lab.model", "java.lang..", "java.util",
-                "java.util.function", "java.util.stream", "org.apache.commons.rng").check(classes);
-        ArchRuleDefinition.noClasses().that().resideInAPackage("lemonrail.lab.model").should()
-            .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-            .orShould().dependOnClassesThat().belongToAnyOf(Thread.class).check(classes);
+        ArchRuleDefinition.classes()
+                .that()
+                .resideInAPackage("lemonrail.lab.model")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage(
+                        "lemonrail.lab.model",
+                        "java.lang..",
+                        "java.util",
+                        "java.util.function",
+                        "java.util.stream",
+                        "org.apache.commons.rng")
+                .check(classes);
+        ArchRuleDefinition.noClasses()
+                .that()
+                .resideInAPackage("lemonrail.lab.model")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .dependOnClassesThat()
+                .belongToAnyOf(Thread.class)
+                .check(classes);
     }
 
     @Test
     void lowerPackagesKnowNothingOfHigherOnes() {
-        String[] upwards = {"lemonrail.lab.model", "lemonrail.lab.decider", "lemonrail.lab.scenario",
-            "lemonrail.lab.host", "lemonrail.lab.load", "lemonrail.lab.report", "lemonrail.lab.scale",
-            "lemonrail.lab.scale.path", "lemonrail.lab.cli"};
+        String[] upwards = {
+            "lemonrail.lab.model",
+            "lemonrail.lab.decider",
+            "lemonrail.lab.scenario",
+            "lemonrail.lab.host",
+            "lemonrail.lab.load",
+            "lemonrail.lab.report",
+            "lemonrail.lab.scale",
+            "lemonrail.lab.scale.path",
+            "lemonrail.lab.cli"
+        };
         for (int i = 0; i < upwards.length; i++) {
             for (int j = i + 1; j < upwards.length; j++) {
-                ArchRuleDefinition.noClasses().that().resideInAPackage(upwards[i]).should()
-                    .dependOnClassesThat().resideInAPackage(upwards[j]).check(classes);
+                ArchRuleDefinition.noClasses()
+                        .that()
+                        .resideInAPackage(upwards[i])
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAPackage(upwards[j])
+                        .check(classes);
             }
         }
     }
 
     @Test
     void oneClockIsEnough() {
-        ArchRuleDefinition.noClasses().that().doNotHaveSimpleName("Testbed").should()
-            .callMethod(System.class, "currentTimeMillis")
-            .because("clock steps must not move a measurement").check(classes);
+        ArchRuleDefinition.noClasses()
+                .that()
+                .doNotHaveSimpleName("Testbed")
+                .should()
+                .callMethod(System.class, "currentTimeMillis")
+                .because("clock steps must not move a measurement")
+                .check(classes);
     }
 }
--- a/lab/src/test/java/lemonrail/lab/cli/CallsTest.java
+++ b/lab/src/test/java/lemonrail/lab/cli/CallsTest.java
@@ -24,21 +24,28 @@
 
     @TempDir
     private Path folder;
+
     private final StringWriter out = new StringWriter();
 
     private int execute(Object call, String... args) {
-        return new CommandLine(call).setOut(new PrintWriter(out, true)).setErr(new PrintWriter(out, true))
-            .setExecutionExceptionHandler((e, line, parsed) -> {
-                out.append(e.getMessage()).append('\n');
-                return e instanceof IllegalArgumentException ? 2 : 1;
-            }).execute(args);
+        return new CommandLine(call)
+                .setOut(new PrintWriter(out, true))
+                .setErr(new PrintWriter(out, true))
+                .setExecutionExceptionHandler((e, line, parsed) -> {
+                    out.append(e.getMessage()).append('\n');
+                    return e instanceof IllegalArgumentException ? 2 : 1;
+                })
+                .execute(args);
     }
 
     private String brief() throws Exception {
         Files.copy(CALM.resolveSibling("edge.toml"), folder.resolve("edge.toml"));
-        return Files.writeString(folder.resolve("brief.toml"), Files.readString(CALM)
-            .replace("length = \"30s\"", "length = \"2s\"").replace("warm-up = \"3s\"", "warm-up = \"0s\""))
-            .toString();
+        return Files.writeString(
+                        folder.resolve("brief.toml"),
+                        Files.readString(CALM)
+                                .replace("length = \"30s\"", "length = \"2s\"")
+                                .replace("warm-up = \"3s\"", "warm-up = \"0s\""))
+                .toString();
     }
 
     @Test
@@ -50,7 +57,10 @@
         assertTrue(out.toString().contains("rules broken 0"), out.toString());
         Path run;
         try (Stream<Path> files = Files.walk(folder.resolve("runs"))) {
-            run = files.filter(file -> file.endsWith("run.json")).findFirst().orElseThrow().getParent();
+            run = files.filter(file -> file.endsWith("run.json"))
+                    .findFirst()
+                    .orElseThrow()
+                    .getParent();
         }
         Files.delete(run.resolve("latency.png"));
         assertEquals(0, execute(new ReportCall(), run.toString()), out.toString());
@@ -64,24 +74,57 @@
     void compareAndSweepKeepTheirTables() throws Exception {
         String runs = folder.resolve("runs").toString();
         String scenario = brief();
-        assertEquals(0, execute(new CompareCall(), "boxcar", "random", "--in", scenario, "--seeds", "2",
-            "--parallel", "2", "--out", runs), out.toString());
-        assertTrue(out.toString().contains("random has too few pairs to tell from boxcar")
-            || out.toString().contains("no run in common that counts"), out.toString());
-        assertEquals(0, execute(new SweepCall(), scenario, "--set", "limits.attempts", "--values", "1,3",
-            "--seeds", "1", "--parallel", "2", "--out", runs), out.toString());
+        assertEquals(
+                0,
+                execute(
+                        new CompareCall(),
+                        "boxcar",
+                        "random",
+                        "--in",
+                        scenario,
+                        "--seeds",
+                        "2",
+                        "--parallel",
+                        "2",
+                        "--out",
+                        runs),
+                out.toString());
+        assertTrue(
+                out.toString().contains("random has too few pairs to tell from boxcar")
+                        || out.toString().contains("no run in common that counts"),
+                out.toString());
+        assertEquals(
+                0,
+                execute(
+                        new SweepCall(),
+                        scenario,
+                        "--set",
+                        "limits.attempts",
+                        "--values",
+                        "1,3",
+                        "--seeds",
+                        "1",
+                        "--parallel",
+                        "2",
+                        "--out",
+                        runs),
+                out.toString());
         List<String> names;
         try (Stream<Path> files = Files.walk(folder.resolve("runs"))) {
             names = files.map(file -> file.getFileName().toString()).toList();
         }
-        assertTrue(names.containsAll(List.of("compare.md", "compare.csv", "sweep.md", "service.svg")),
-            names.toString());
+        assertTrue(
+                names.containsAll(List.of("compare.md", "compare.csv", "sweep.md", "service.svg")), names.toString());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"--rate 0 http://127.0.0.1:1/", "--rate 5 ftp://x/",
-        "--rate 5 --for soon http://x/",
-        "--rate 5 --for 1s --warm-up 2s http://127.0.0.1:1/"})
+    @ValueSource(
+            strings = {
+                "--rate 0 http://127.0.0.1:1/",
+                "--rate 5 ftp://x/",
+                "--rate 5 --for soon http://x/",
+                "--rate 5 --for 1s --warm-up 2s http://127.0.0.1:1/"
+            })
     void aBadLoadEndsWithTwo(String args) {
         assertEquals(2, execute(new LoadCall(), args.split(" ")), out.toString());
     }
@@ -90,10 +133,20 @@
     void unknownVariantsAndFoldersAreNamed() {
         assertEquals(2, execute(new RunCall(), CALM.toString(), "--variant", "best"));
         assertTrue(out.toString().contains("it has [boxcar, random"), out.toString());
-        assertEquals(2, execute(new SweepCall(), CALM.toString(), "--set", "limits.atempts", "--values", "1",
-            "--out", folder.toString()));
+        assertEquals(
+                2,
+                execute(
+                        new SweepCall(),
+                        CALM.toString(),
+                        "--set",
+                        "limits.atempts",
+                        "--values",
+                        "1",
+                        "--out",
+                        folder.toString()));
         assertTrue(out.toString().contains("limits.atempts is no key"), out.toString());
         assertEquals(2, execute(new ReportCall(), folder.toString()));
-        assertEquals(2, execute(new HistoryCall(), "--out", folder.resolve("none").toString()));
+        assertEquals(
+                2, execute(new HistoryCall(), "--out", folder.resolve("none").toString()));
     }
 }
--- a/lab/src/test/java/lemonrail/lab/cli/ScaleCallTest.java
+++ b/lab/src/test/java/lemonrail/lab/cli/ScaleCallTest.java
@@ -15,14 +15,18 @@
 
     @TempDir
     private Path folder;
+
     private final StringWriter out = new StringWriter();
 
     private int execute(String... args) {
-        return new CommandLine(new ScaleCall()).setOut(new PrintWriter(out, true))
-            .setErr(new PrintWriter(out, true)).setExecutionExceptionHandler((e, line, parsed) -> {
-                out.append(e.getMessage()).append('\n');
-                return e instanceof IllegalArgumentException ? 2 : 1;
-            }).execute(args);
+        return new CommandLine(new ScaleCall())
+                .setOut(new PrintWriter(out, true))
+                .setErr(new PrintWriter(out, true))
+                .setExecutionExceptionHandler((e, line, parsed) -> {
+                    out.append(e.getMessage()).append('\n');
+                    return e instanceof IllegalArgumentException ? 2 : 1;
+                })
+                .execute(args);
     }
 
     @Test
@@ -33,11 +37,10 @@
 
     @Test
     void aBadFileEndsWithTwo() throws Exception {
-        Path file = Files.writeString(folder.resolve("bad.toml"), "about = \"x\"\n[site]\nendpoints = 0\n"
-            + "services = 1\n");
+        Path file = Files.writeString(
+                folder.resolve("bad.toml"), "about = \"x\"\n[site]\nendpoints = 0\n" + "services = 1\n");
         assertEquals(2, execute("control", file.toString()));
-        assertTrue(out.toString().contains("bad.toml:3: site.endpoints = 0: must be a whole number"),
-            out.toString());
+        assertTrue(out.toString().contains("bad.toml:3: site.endpoints = 0: must be a whole number"), out.toString());
         assertEquals(2, execute("control", folder.resolve("none.toml").toString()));
     }
 }
--- a/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
@@ -43,6 +43,7 @@
 
     /** The deciders' clock when the run begins: a start time of 0 is the distant past to them. */
     static final double EPOCH_MS = 1_000_000;
+
     static final double AIM_MS = 2000;
     static final double DEADLINE_MS = 5000;
     private static final double KEY_WINDOW_MS = 4000;
@@ -54,12 +55,14 @@
     static final double MEAN_WORK_MS = 80;
     /** What the next tier takes, while the endpoint keeps the request's slot. */
     private static final double DOWNSTREAM_MS = 250;
+
     static final double COLD_SHARE = 0.2;
     static final double COLD_MS = 15_000;
     static final double TIP_MULTIPLE = 3;
     private static final double TIP_MS = 3000;
     /** How long after the word that an endpoint drains the one in its place starts. */
     static final double REPLACED_AFTER_MS = 1500;
+
     private static final int RACK_SIZE = 8;
 
     final VirtualAgenda agenda = new VirtualAgenda();
@@ -77,6 +80,7 @@
     private final TreeMap<Long, Integer> listCalls = new TreeMap<>();
     /** What came whole to a cold endpoint from members who had been told of its start, by its id. */
     private final Map<String, List<ColdSend>> coldSends = new LinkedHashMap<>();
+
     private int named;
     int firstTries;
     int attempts;
@@ -113,10 +117,21 @@
         if (named % RACK_SIZE == 1) {
             racks.add(new Rack(agenda, KEY_WINDOW_MS));
         }
-        Endpoint endpoint = new Endpoint(agenda, new EndpointShape(id, racks.size() - 1, 1, 1, 20, 20, 600, 2,
-            new EndpointShape.ColdStart(COLD_SHARE, COLD_MS, EndpointShape.Warming.TIME, tipMultiple,
-                TIP_MS),
-            new EndpointShape.Crowding(7, 2500, 2.5, 3500, 25_000)), racks.get(racks.size() - 1));
+        Endpoint endpoint = new Endpoint(
+                agenda,
+                new EndpointShape(
+                        id,
+                        racks.size() - 1,
+                        1,
+                        1,
+                        20,
+                        20,
+                        600,
+                        2,
+                        new EndpointShape.ColdStart(
+                                COLD_SHARE, COLD_MS, EndpointShape.Warming.TIME, tipMultiple, TIP_MS),
+                        new EndpointShape.Crowding(7, 2500, 2.5, 3500, 25_000)),
+                racks.get(racks.size() - 1));
         endpoints.put(id, endpoint);
         if (cold) {
             endpoint.start();
@@ -212,8 +227,12 @@
                 // As little as it can do at any time of the window.
                 double sinceMs = Math.max(0, atMs - TIP_MS - startedMs);
                 double warmth = COLD_SHARE + (1 - COLD_SHARE) * Math.min(1, sinceMs / COLD_MS);
-                ColdWindow window = new ColdWindow(sends.getKey(), atMs - startedMs, last - first + 1,
-                    workMs / meanWorkMs, tipMultiple * warmth * TIP_MS / meanWorkMs);
+                ColdWindow window = new ColdWindow(
+                        sends.getKey(),
+                        atMs - startedMs,
+                        last - first + 1,
+                        workMs / meanWorkMs,
+                        tipMultiple * warmth * TIP_MS / meanWorkMs);
                 worst = window.share() > worst.share() ? window : worst;
             }
         }
@@ -221,8 +240,7 @@
     }
 
     /** A request that came whole to a cold endpoint, and its work. */
-    private record ColdSend(double atMs, double workMs) {
-    }
+    private record ColdSend(double atMs, double workMs) {}
 
     /**
      * A window that ends so long after an endpoint's start, the requests it was sent then, by number and in
@@ -247,6 +265,7 @@
         private final Set<String> listed = new HashSet<>();
         /** The starts that it has been told of. */
         private final Map<String, Double> told = new HashMap<>();
+
         private long version;
         private long watch;
         private int numbered;
@@ -258,16 +277,26 @@
         double lateConnectionMs;
 
         Member(int number, int of, long seed) {
-            settings = new Settings(of, number, 0, 0, false, false, 0.2, 0, List.of(
-                new RequestClass("read", AIM_MS, DEADLINE_MS, 5, 0, Effect.REPEATABLE, Group.ALL, 0, false),
-                new RequestClass("save", AIM_MS, DEADLINE_MS, 8, 0, Effect.BY_KEY, Group.CELL, KEY_WINDOW_MS,
-                    false),
-                new RequestClass("order", AIM_MS, DEADLINE_MS, 5, 0, Effect.ONCE, Group.ALL, 0, false)),
-                List.of(), new Limits(4, false, true, 2000, CONNECT_TIMEOUT_MS),
-                new Rules(COLD_SHARE, COLD_MS, tipMultiple, TIP_MS, GRACE_MS, 10_000));
+            settings = new Settings(
+                    of,
+                    number,
+                    0,
+                    0,
+                    false,
+                    false,
+                    0.2,
+                    0,
+                    List.of(
+                            new RequestClass("read", AIM_MS, DEADLINE_MS, 5, 0, Effect.REPEATABLE, Group.ALL, 0, false),
+                            new RequestClass(
+                                    "save", AIM_MS, DEADLINE_MS, 8, 0, Effect.BY_KEY, Group.CELL, KEY_WINDOW_MS, false),
+                            new RequestClass("order", AIM_MS, DEADLINE_MS, 5, 0, Effect.ONCE, Group.ALL, 0, false)),
+                    List.of(),
+                    new Limits(4, false, true, 2000, CONNECT_TIMEOUT_MS),
+                    new Rules(COLD_SHARE, COLD_MS, tipMultiple, TIP_MS, GRACE_MS, 10_000));
             decide = new Decide(settings, seed, this);
             pace = WatchPace.ofFleet(of, GRACE_MS, seed);
-            agent = registry.agent(line -> { });
+            agent = registry.agent(line -> {});
             agent.whole(this::listed);
         }
 
@@ -296,13 +325,18 @@
         }
 
         private Server server(Registry.Line line) {
-            return new Server(line.id(), 0, 0, endpoints.get(line.id()).shape().rack(),
-                line.startedMs() == Double.NEGATIVE_INFINITY ? 0 : EPOCH_MS + line.startedMs(),
-                switch (line.state()) {
-                    case IN_SERVICE -> State.READY;
-                    case TERMINATING -> State.DRAINING;
-                    case TERMINATED -> State.GONE;
-                }, 1);
+            return new Server(
+                    line.id(),
+                    0,
+                    0,
+                    endpoints.get(line.id()).shape().rack(),
+                    line.startedMs() == Double.NEGATIVE_INFINITY ? 0 : EPOCH_MS + line.startedMs(),
+                    switch (line.state()) {
+                        case IN_SERVICE -> State.READY;
+                        case TERMINATING -> State.DRAINING;
+                        case TERMINATED -> State.GONE;
+                    },
+                    1);
         }
 
         private void watch() {
@@ -314,11 +348,14 @@
                     agenda.after(pace.failed(), this::watch);
                 }
             });
-            agent.watch(version, pace.waitMs(), answer -> agenda.after(lateMs, () -> {
-                if (call == watch && !deaf) {
-                    listed(answer);
-                }
-            }));
+            agent.watch(
+                    version,
+                    pace.waitMs(),
+                    answer -> agenda.after(lateMs, () -> {
+                        if (call == watch && !deaf) {
+                            listed(answer);
+                        }
+                    }));
         }
 
         /** Whether it has been told of this endpoint's last start. */
@@ -355,8 +392,9 @@
         }
 
         void end() {
-            requests.values().stream().filter(request -> request.answers != 1)
-                .forEach(request -> breaks.add(request.id + " had " + request.answers + " answers"));
+            requests.values().stream()
+                    .filter(request -> request.answers != 1)
+                    .forEach(request -> breaks.add(request.id + " had " + request.answers + " answers"));
         }
 
         @Override
@@ -377,9 +415,16 @@
             for (Try before : request.tries) {
                 boolean mayHaveRun = before.outcome != null && !before.outcome.neverRan();
                 Effect effect = settings.classes().get(request.kind).effect();
-                if (before.outcome == null || mayHaveRun && (effect == Effect.ONCE || effect == Effect.BY_KEY
-                        && (endpoints.get(before.server).shape().rack() != rack
-                            || agenda.nowMs() - before.sentMs > KEY_WINDOW_MS))) {
+                if (before.outcome == null
+                        || mayHaveRun
+                                && (effect == Effect.ONCE
+                                        || effect == Effect.BY_KEY
+                                                && (endpoints
+                                                                        .get(before.server)
+                                                                        .shape()
+                                                                        .rack()
+                                                                != rack
+                                                        || agenda.nowMs() - before.sentMs > KEY_WINDOW_MS))) {
                     breaks.add(request.id + " was repeated though " + before.outcome);
                 }
             }
@@ -439,8 +484,8 @@
         public void refuse(String id, double coolDownMs) {
             Open request = requests.get(id);
             RequestClass kind = settings.classes().get(request.kind);
-            if (!kind.refusableAfterRun() && request.tries.stream().anyMatch(made -> made.outcome == null
-                    || !made.outcome.neverRan())) {
+            if (!kind.refusableAfterRun()
+                    && request.tries.stream().anyMatch(made -> made.outcome == null || !made.outcome.neverRan())) {
                 breaks.add(id + " was refused though it may have run");
             }
             refused++;
@@ -509,8 +554,9 @@
                     arrived = true;
                     Endpoint endpoint = endpoints.get(server);
                     if (endpoint.warmth() < 1 && knowsOfStart(server)) {
-                        coldSends.computeIfAbsent(server, id -> new ArrayList<>())
-                            .add(new ColdSend(agenda.nowMs(), request.workMs));
+                        coldSends
+                                .computeIfAbsent(server, id -> new ArrayList<>())
+                                .add(new ColdSend(agenda.nowMs(), request.workMs));
                     }
                     endpoint.offer(this);
                 }
@@ -540,8 +586,16 @@
                     served.merge(server, 1, Integer::sum);
                     servedInTime += agenda.nowMs() - request.arrivedMs <= AIM_MS ? 1 : 0;
                 }
-                decide.onFinished(now(), new Finished(request.id, number, server, how,
-                    agenda.nowMs() - sentMs, first || request.answers > 0, Load.NONE));
+                decide.onFinished(
+                        now(),
+                        new Finished(
+                                request.id,
+                                number,
+                                server,
+                                how,
+                                agenda.nowMs() - sentMs,
+                                first || request.answers > 0,
+                                Load.NONE));
             }
 
             @Override
@@ -556,11 +610,14 @@
 
             @Override
             protected void answered(Answer answer) {
-                agenda.after(NET_MS, () -> end(switch (answer) {
-                    case SERVED -> Outcome.OK;
-                    case ERROR -> Outcome.FAILED;
-                    case TURNED_AWAY -> Outcome.QUEUE_FULL;
-                }));
+                agenda.after(
+                        NET_MS,
+                        () -> end(
+                                switch (answer) {
+                                    case SERVED -> Outcome.OK;
+                                    case ERROR -> Outcome.FAILED;
+                                    case TURNED_AWAY -> Outcome.QUEUE_FULL;
+                                }));
             }
         }
     }
--- a/lab/src/test/java/lemonrail/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/FleetTest.java
@@ -35,8 +35,9 @@
         assertTrue(fleet.attemptsPerTry() < 1.01, fleet.attemptsPerTry() + " attempts a request");
         assertTrue(fleet.unevenness() < uneven, "the busiest had " + fleet.unevenness() + " times the mean");
         assertTrue(fleet.mostListCalls() <= 2 * deciders, fleet.mostListCalls() + " calls for the list");
-        assertTrue(fleet.mostConnections() <= 4 * Math.max(4, deciders),
-            fleet.mostConnections() + " connections to one endpoint");
+        assertTrue(
+                fleet.mostConnections() <= 4 * Math.max(4, deciders),
+                fleet.mostConnections() + " connections to one endpoint");
     }
 
     /** Guards against warm endpoints that are left with the calls of those that cold ones replace. */
@@ -51,8 +52,11 @@
         }
         int[] crowded = new int[1];
         for (int at = 10_000; at < LENGTH_MS; at += 500) {
-            fleet.agenda.after(at, () -> crowded[0] +=
-                (int) fleet.endpoints.values().stream().filter(Endpoint::isCrowded).count());
+            fleet.agenda.after(
+                    at,
+                    () -> crowded[0] += (int) fleet.endpoints.values().stream()
+                            .filter(Endpoint::isCrowded)
+                            .count());
         }
         fleet.play(LENGTH_MS);
         keepsTheRules(fleet);
@@ -67,12 +71,15 @@
     void aLostZoneAndItsColdReturnAreBorne(int deciders, int servers, long seed) {
         Fleet fleet = new Fleet(deciders, servers, 0.4, seed);
         List<String> lost = List.copyOf(fleet.endpoints.keySet()).subList(0, servers / 3);
-        fleet.agenda.after(10_000, () -> lost.forEach(id -> fleet.endpoints.get(id).vanish()));
+        fleet.agenda.after(
+                10_000, () -> lost.forEach(id -> fleet.endpoints.get(id).vanish()));
         fleet.agenda.after(18_000, () -> lost.forEach(id -> fleet.tell(id, Registry.State.TERMINATED)));
-        fleet.agenda.after(22_000, () -> lost.forEach(id -> {
-            fleet.endpoints.get(id).start();
-            fleet.tell(id, Registry.State.IN_SERVICE);
-        }));
+        fleet.agenda.after(
+                22_000,
+                () -> lost.forEach(id -> {
+                    fleet.endpoints.get(id).start();
+                    fleet.tell(id, Registry.State.IN_SERVICE);
+                }));
         fleet.play(LENGTH_MS);
         keepsTheRules(fleet);
         assertTrue(fleet.servedShare() > 0.95, "served " + fleet.servedShare());
@@ -88,8 +95,11 @@
         fleet.agenda.after(9000, () -> fleet.members.forEach(member -> member.deaf = true));
         fleet.agenda.after(10_500, () -> fleet.tell(leaving, Registry.State.TERMINATING));
         long[] know = new long[1];
-        fleet.agenda.after(15_000, () ->
-            know[0] = fleet.members.stream().filter(member -> member.knowsOfLeaving(leaving)).count());
+        fleet.agenda.after(
+                15_000,
+                () -> know[0] = fleet.members.stream()
+                        .filter(member -> member.knowsOfLeaving(leaving))
+                        .count());
         fleet.play(20_000);
         keepsTheRules(fleet);
         assertEquals(deciders, know[0], "know of it after 4.5 s");
@@ -102,10 +112,24 @@
      * Counted is what comes whole from those who had been told; what others send isn't ours.
      */
     @ParameterizedTest
-    @CsvSource({"20, 60, 0.5, false, 1", "20, 60, 4, false, 2", "30, 9, 0.5, true, 3", "30, 3, 0.8, true, 4",
-        "30, 2, 4, false, 5", "1000, 9, 0.5, false, 6", "1000, 9, 0.5, true, 7", "1000, 9, 4, false, 8",
-        "1000, 3, 1.5, false, 9", "1000, 3, 4, false, 9", "1000, 90, 0.5, true, 10", "20, 1, 6, false, 11",
-        "30, 1, 6, false, 12", "30, 2, 6, false, 13", "1000, 3, 6, true, 14", "1000, 20, 6, false, 15"})
+    @CsvSource({
+        "20, 60, 0.5, false, 1",
+        "20, 60, 4, false, 2",
+        "30, 9, 0.5, true, 3",
+        "30, 3, 0.8, true, 4",
+        "30, 2, 4, false, 5",
+        "1000, 9, 0.5, false, 6",
+        "1000, 9, 0.5, true, 7",
+        "1000, 9, 4, false, 8",
+        "1000, 3, 1.5, false, 9",
+        "1000, 3, 4, false, 9",
+        "1000, 90, 0.5, true, 10",
+        "20, 1, 6, false, 11",
+        "30, 1, 6, false, 12",
+        "30, 2, 6, false, 13",
+        "1000, 3, 6, true, 14",
+        "1000, 20, 6, false, 15"
+    })
     void coldEndpointsBearTheSumOfAll(int deciders, int servers, double load, boolean othersHang, long seed) {
         coldEndpointsBear(new Fleet(deciders, servers, load, seed), deciders, servers, othersHang);
     }
@@ -121,8 +145,17 @@
 
     /** The same with more to come for each endpoint, by draws. */
     @ParameterizedTest
-    @CsvSource({"1000, 1, 6, 1", "1000, 1, 12, 2", "1000, 2, 6, 3", "1000, 2, 6, 4", "1000, 2, 12, 5",
-        "1000, 2, 3, 6", "300, 2, 6, 7", "100, 1, 6, 8", "3000, 2, 6, 9"})
+    @CsvSource({
+        "1000, 1, 6, 1",
+        "1000, 1, 12, 2",
+        "1000, 2, 6, 3",
+        "1000, 2, 6, 4",
+        "1000, 2, 12, 5",
+        "1000, 2, 3, 6",
+        "300, 2, 6, 7",
+        "100, 1, 6, 8",
+        "3000, 2, 6, 9"
+    })
     void coldEndpointsBearFarMoreThanTheyAnswer(int deciders, int servers, double load, long seed) {
         coldEndpointsBear(new Fleet(deciders, servers, load, seed), deciders, servers, false);
     }
@@ -140,10 +173,16 @@
 
     /** Guards against a ramp that takes one length of calls, or one multiple of the settings, for granted. */
     @ParameterizedTest
-    @CsvSource({"100, 2, 4, 400, 3, 1", "1000, 2, 6, 400, 3, 2", "1000, 2, 6, 80, 1.5, 3",
-        "30, 1, 4, 80, 1.5, 4", "1000, 9, 4, 80, 1.5, 5", "1000, 2, 6, 20, 3, 6"})
-    void coldEndpointsBearOtherWorkAndOtherMultiples(int deciders, int servers, double load, double workMs,
-            double multiple, long seed) {
+    @CsvSource({
+        "100, 2, 4, 400, 3, 1",
+        "1000, 2, 6, 400, 3, 2",
+        "1000, 2, 6, 80, 1.5, 3",
+        "30, 1, 4, 80, 1.5, 4",
+        "1000, 9, 4, 80, 1.5, 5",
+        "1000, 2, 6, 20, 3, 6"
+    })
+    void coldEndpointsBearOtherWorkAndOtherMultiples(
+            int deciders, int servers, double load, double workMs, double multiple, long seed) {
         Fleet fleet = new Fleet(deciders, servers, load, seed, workMs, multiple);
         coldEndpointsBear(fleet, deciders, servers, false);
     }
@@ -153,9 +192,18 @@
      * the warm part of what comes for each endpoint. A balancer of its own has one call at a time there.
      */
     @ParameterizedTest
-    @CsvSource({"1, 2, 0.5, 10, 1", "2, 3, 0.8, 10, 2", "20, 1, 0.5, 10, 3", "20, 2, 0.5, 10, 4",
-        "30, 1, 0.5, 10, 5", "30, 2, 0.5, 10, 6", "50, 20, 0.5, 10, 7", "30, 1, 0.8, 60, 8",
-        "1000, 2, 0.5, 120, 9", "1000, 9, 0.5, 60, 10"})
+    @CsvSource({
+        "1, 2, 0.5, 10, 1",
+        "2, 3, 0.8, 10, 2",
+        "20, 1, 0.5, 10, 3",
+        "20, 2, 0.5, 10, 4",
+        "30, 1, 0.5, 10, 5",
+        "30, 2, 0.5, 10, 6",
+        "50, 20, 0.5, 10, 7",
+        "30, 1, 0.8, 60, 8",
+        "1000, 2, 0.5, 120, 9",
+        "1000, 9, 0.5, 60, 10"
+    })
     void coldEndpointsDoServe(int deciders, int servers, double load, double afterSeconds, long seed) {
         Fleet fleet = new Fleet(deciders, servers, load, seed);
         double startedMs = afterSeconds * 1000;
@@ -164,11 +212,13 @@
         fleet.agenda.after(startedMs, () -> fleet.replace(replaced));
         fleet.play(startedMs + Fleet.REPLACED_AFTER_MS + Fleet.COLD_MS);
         keepsTheRules(fleet);
-        String cold = fleet.endpoints.keySet().stream().filter(id -> !before.contains(id)).findFirst()
-            .orElseThrow();
+        String cold = fleet.endpoints.keySet().stream()
+                .filter(id -> !before.contains(id))
+                .findFirst()
+                .orElseThrow();
         double warmPart = (1 + Fleet.COLD_SHARE) / 2 * Fleet.COLD_MS * load / Fleet.MEAN_WORK_MS;
-        assertTrue(fleet.servedBy(cold) >= warmPart / 2,
-            "served " + fleet.servedBy(cold) + ", its warm part " + warmPart);
+        assertTrue(
+                fleet.servedBy(cold) >= warmPart / 2, "served " + fleet.servedBy(cold) + ", its warm part " + warmPart);
     }
 
     private static void coldEndpointsBear(Fleet fleet, int deciders, int servers, boolean othersHang) {
@@ -184,8 +234,10 @@
             fleet.agenda.after(10_000 + 7000.0 * i / replaced, () -> fleet.replace(id));
         }
         if (othersHang) {
-            fleet.agenda.after(12_000, () ->
-                all.subList(servers / 2, servers).forEach(id -> fleet.endpoints.get(id).hang(true)));
+            fleet.agenda.after(
+                    12_000,
+                    () -> all.subList(servers / 2, servers)
+                            .forEach(id -> fleet.endpoints.get(id).hang(true)));
         }
         fleet.play(30_000);
         keepsTheRules(fleet);
--- a/lab/src/test/java/lemonrail/lab/host/PlayTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/PlayTest.java
@@ -46,8 +46,9 @@
 
     private Scenario scenario(String faults, String more) throws IOException {
         // One tenant that may send all.
-        Files.writeString(folder.resolve("edge.toml"),
-            Files.readString(SHIPPED.resolve("edge.toml")).replace("rate = 10\n", "rate = 1000\n"));
+        Files.writeString(
+                folder.resolve("edge.toml"),
+                Files.readString(SHIPPED.resolve("edge.toml")).replace("rate = 10\n", "rate = 1000\n"));
         String text = """
             about = "A short run."
             [load]
@@ -85,9 +86,8 @@
 
     private Played play(Scenario scenario, Decider decider) throws IOException, InterruptedException {
         Scenario.Variant variant = new Scenario.Variant("it", decider, Map.of(), null);
-        try (Testbed testbed = new Testbed(scenario, variant, 7, new Testbed.Builds(null),
-                folder.resolve("run"))) {
-            return testbed.play(asks -> { });
+        try (Testbed testbed = new Testbed(scenario, variant, 7, new Testbed.Builds(null), folder.resolve("run"))) {
+            return testbed.play(asks -> {});
         }
     }
 
@@ -109,20 +109,44 @@
     private static void assertAllAnswered(Played played) {
         long served = count(played, Ask.End.SERVED);
         assertEquals(played.asks().size(), served + count(played, Ask.End.REFUSED));
-        assertTrue(served >= played.asks().size() * 0.8, served + " of " + played.asks().size());
+        assertTrue(
+                served >= played.asks().size() * 0.8,
+                served + " of " + played.asks().size());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"vanish", "slow", "hang", "fail", "restart", "drain", "reset", "list-down",
-        "list-shrinks", "list-restarts", "half-open", "delay", "loss", "burst"})
+    @ValueSource(
+            strings = {
+                "vanish",
+                "slow",
+                "hang",
+                "fail",
+                "restart",
+                "drain",
+                "reset",
+                "list-down",
+                "list-shrinks",
+                "list-restarts",
+                "half-open",
+                "delay",
+                "loss",
+                "burst"
+            })
     void eachFaultCanBePlayedAndNoRuleIsBroken(String kind) throws Exception {
-        Fault.Kind of = Fault.Kind.valueOf(kind.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
+        Fault.Kind of =
+                Fault.Kind.valueOf(kind.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
         String size = of == Fault.Kind.LOSS ? "0.2" : of == Fault.Kind.DELAY ? "50" : "3";
-        Played played = play(scenario("[[faults]]\nkind = \"" + kind + "\"\nbegin = \"500ms\"\n"
-            + "length = \"800ms\"\nshare = 0.25\nsize = " + size + "\n", ""), Deciders.BOXCAR);
+        Played played = play(
+                scenario(
+                        "[[faults]]\nkind = \"" + kind + "\"\nbegin = \"500ms\"\n"
+                                + "length = \"800ms\"\nshare = 0.25\nsize = " + size + "\n",
+                        ""),
+                Deciders.BOXCAR);
         assertEquals(List.of(), played.broken());
-        assertEquals(played.asks().size(), count(played, Ask.End.SERVED) + count(played, Ask.End.REFUSED)
-            + count(played, Ask.End.FAILED), "each has one final answer");
+        assertEquals(
+                played.asks().size(),
+                count(played, Ask.End.SERVED) + count(played, Ask.End.REFUSED) + count(played, Ask.End.FAILED),
+                "each has one final answer");
         assertTrue(count(played, Ask.End.SERVED) > played.asks().size() / 2);
     }
 
@@ -150,13 +174,15 @@
         for (int tier = 0; tier < 3; tier++) {
             int place = tier;
             List<AttemptRecorder.Attempt> attempts = played.recorder().attempts().stream()
-                .filter(attempt -> attempt.tier() == place).toList();
+                    .filter(attempt -> attempt.tier() == place)
+                    .toList();
             assertTrue(attempts.size() >= count(played, Ask.End.SERVED) * (tier == 0 ? 1 : 2));
             assertTrue(attempts.stream().allMatch(attempt -> attempt.parent() == null == (place == 0)));
         }
-        assertTrue(played.recorder().attempts().stream().filter(attempt -> attempt.tier() == 2)
-            .map(attempt -> played.recorder().sidecar(attempt.request()))
-            .allMatch(sidecar -> sidecar.startsWith("sidecar-3-")));
+        assertTrue(played.recorder().attempts().stream()
+                .filter(attempt -> attempt.tier() == 2)
+                .map(attempt -> played.recorder().sidecar(attempt.request()))
+                .allMatch(sidecar -> sidecar.startsWith("sidecar-3-")));
     }
 
     /** Breaks rules on purpose: it heeds neither what drains nor what may have run. */
@@ -182,7 +208,10 @@
 
             @Override
             public void onServers(double now, ListKind kind, List<Server> entries) {
-                entries.stream().map(Server::id).filter(id -> !servers.contains(id)).forEach(servers::add);
+                entries.stream()
+                        .map(Server::id)
+                        .filter(id -> !servers.contains(id))
+                        .forEach(servers::add);
             }
 
             @Override
@@ -215,8 +244,9 @@
     }
 
     private static void assertBroken(Played played, String rule) {
-        assertTrue(played.broken().stream().anyMatch(broken -> broken.startsWith(rule)),
-            rule + " is not among " + played.broken());
+        assertTrue(
+                played.broken().stream().anyMatch(broken -> broken.startsWith(rule)),
+                rule + " is not among " + played.broken());
     }
 
     @Test
@@ -239,18 +269,21 @@
 
     @Test
     void aRefusalOfWhatMayHaveRunIsFoundOut() throws Exception {
-        Played played = play(scenario("[[faults]]\nkind = \"fail\"\nbegin = \"100ms\"\nlength = \"1h\"\n"
-            + "share = 1.0\n", ""), (settings, seed, host) -> reckless(1, host));
+        Played played = play(
+                scenario("[[faults]]\nkind = \"fail\"\nbegin = \"100ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
+                (settings, seed, host) -> reckless(1, host));
         assertBroken(played, "refused after it may have run: ");
     }
 
     @Test
     void noDeciderCanHaveMoreAttemptsMadeThanAllowed() throws Exception {
-        Played played = play(scenario("[[faults]]\nkind = \"hang\"\nbegin = \"600ms\"\nlength = \"1h\"\n"
-            + "share = 1.0\n", ""), PlayTest::reckless);
+        Played played = play(
+                scenario("[[faults]]\nkind = \"hang\"\nbegin = \"600ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
+                PlayTest::reckless);
         Map<String, Integer> attempts = new HashMap<>();
         played.recorder().attempts().forEach(each -> attempts.merge(each.request(), 1, Integer::sum));
-        assertEquals(4, attempts.values().stream().mapToInt(count -> count).max().orElse(0));
+        assertEquals(
+                4, attempts.values().stream().mapToInt(count -> count).max().orElse(0));
     }
 
     @Test
@@ -271,8 +304,9 @@
 
     @Test
     void aFaultThatOutlastsTheRunStillEndsIt() throws Exception {
-        Played played = play(scenario("[[faults]]\nkind = \"hang\"\nbegin = \"700ms\"\nlength = \"1h\"\n"
-            + "share = 1.0\n", ""), Deciders.BOXCAR);
+        Played played = play(
+                scenario("[[faults]]\nkind = \"hang\"\nbegin = \"700ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
+                Deciders.BOXCAR);
         assertEquals(List.of(), played.broken());
         assertTrue(count(played, Ask.End.SERVED) < played.asks().size());
         assertEquals(0, count(played, Ask.End.GIVEN_UP) + count(played, Ask.End.LOST));
@@ -299,8 +333,7 @@
         Scenario scenario = scenario("", "");
         Scenario.Variant variant = scenario.variants().get(0);
         Thread player = Thread.currentThread();
-        try (Testbed testbed = new Testbed(scenario, variant, 1, new Testbed.Builds(null),
-                folder.resolve("run"))) {
+        try (Testbed testbed = new Testbed(scenario, variant, 1, new Testbed.Builds(null), folder.resolve("run"))) {
             Played played = testbed.play(asks -> {
                 if (asks.get().size() > 30) {
                     player.interrupt();
@@ -308,8 +341,7 @@
             });
             assertFalse(played.whole());
             assertTrue(played.asks().size() < 100);
-            assertEquals(played.asks().size(), count(played, Ask.End.SERVED) + count(played,
-                Ask.End.REFUSED));
+            assertEquals(played.asks().size(), count(played, Ask.End.SERVED) + count(played, Ask.End.REFUSED));
         }
     }
 
@@ -323,16 +355,22 @@
         kept.keep(played, verdict, "v1");
         Report.render(kept);
         String report = Files.readString(kept.path().resolve("report.md"));
-        assertTrue(report.contains("| asked / served / refused / failed / unanswered | " + verdict.asked()
-            + " / " + verdict.served() + " / " + verdict.refused() + " / 0 / 0 |"), report);
+        assertTrue(
+                report.contains("| asked / served / refused / failed / unanswered | " + verdict.asked() + " / "
+                        + verdict.served() + " / " + verdict.refused() + " / 0 / 0 |"),
+                report);
         for (String chart : List.of("latency", "percentiles", "outcomes", "attempts")) {
             assertTrue(Files.readString(kept.path().resolve(chart + ".svg")).contains("<svg"));
             assertTrue(Files.size(kept.path().resolve(chart + ".png")) > 1000);
         }
         byte[] before = Files.readAllBytes(kept.path().resolve("latency.svg"));
         Report.render(kept);
-        assertEquals(new String(before, java.nio.charset.StandardCharsets.UTF_8),
-            Files.readString(kept.path().resolve("latency.svg")), "the same data gives the same chart");
-        assertEquals(played.asks().size() + 1, Files.readAllLines(kept.path().resolve("asks.csv")).size());
+        assertEquals(
+                new String(before, java.nio.charset.StandardCharsets.UTF_8),
+                Files.readString(kept.path().resolve("latency.svg")),
+                "the same data gives the same chart");
+        assertEquals(
+                played.asks().size() + 1,
+                Files.readAllLines(kept.path().resolve("asks.csv")).size());
     }
 }
--- a/lab/src/test/java/lemonrail/lab/host/ProcessUsageTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/ProcessUsageTest.java
@@ -25,8 +25,13 @@
         assertEquals(6 + 8 + 1, all.cpuMs(), EXACT);
         assertEquals(41, all.residentMb(), EXACT);
         assertEquals(20, all.processMs(), EXACT, "the process's own count is ahead");
-        assertEquals(6 + 8 + 1 + 30, new ProcessUsage(20, Map.of("1/4", ran(30)), 41, 8).remembering(all)
-            .processMs(), EXACT, "its threads are ahead");
+        assertEquals(
+                6 + 8 + 1 + 30,
+                new ProcessUsage(20, Map.of("1/4", ran(30)), 41, 8)
+                        .remembering(all)
+                        .processMs(),
+                EXACT,
+                "its threads are ahead");
     }
 
     @Test
--- a/lab/src/test/java/lemonrail/lab/host/RelayTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/RelayTest.java
@@ -51,8 +51,11 @@
 
     private void join(Link link) throws IOException {
         if (relay == null) {
-            relay = new Relay(loop, (java.net.InetSocketAddress) server.getLocalSocketAddress(), link,
-                RandomSource.XO_SHI_RO_256_PP.create(3L));
+            relay = new Relay(
+                    loop,
+                    (java.net.InetSocketAddress) server.getLocalSocketAddress(),
+                    link,
+                    RandomSource.XO_SHI_RO_256_PP.create(3L));
         }
         near = new Socket(relay.address().getAddress(), relay.address().getPort());
         far = server.accept();
@@ -137,7 +140,8 @@
         now(relay::freeze);
         frozen.getOutputStream().write(2);
         frozenFar.setSoTimeout(200);
-        assertThrows(SocketTimeoutException.class, () -> frozenFar.getInputStream().read());
+        assertThrows(
+                SocketTimeoutException.class, () -> frozenFar.getInputStream().read());
         join(PLAIN);
         near.getOutputStream().write(3);
         assertEquals(3, far.getInputStream().read());
--- a/lab/src/test/java/lemonrail/lab/load/OpenLoopTest.java
+++ b/lab/src/test/java/lemonrail/lab/load/OpenLoopTest.java
@@ -31,6 +31,7 @@
     private volatile int status = 200;
     /** The request of this number is answered after so long, and with one worker the rest wait behind it. */
     private volatile int slowNumber = -1;
+
     private volatile int slowMs;
 
     @BeforeEach
@@ -57,9 +58,11 @@
 
     private OpenLoop.Result load(double rate, double lengthMs, double warmUpMs, int connections) {
         try (Loads loads = new Loads()) {
-            return loads.play(server.getAddress(), new OpenLoop.Plan(rate, lengthMs, warmUpMs, connections,
-                30_000, Arrivals.Spacing.EVEN), 1, Loads.requests(HttpMethod.GET, "test", "/x", Map.of(),
-                false, 5));
+            return loads.play(
+                    server.getAddress(),
+                    new OpenLoop.Plan(rate, lengthMs, warmUpMs, connections, 30_000, Arrivals.Spacing.EVEN),
+                    1,
+                    Loads.requests(HttpMethod.GET, "test", "/x", Map.of(), false, 5));
         }
     }
 
--- a/lab/src/test/java/lemonrail/lab/model/EndpointTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/EndpointTest.java
@@ -19,8 +19,7 @@
     private final List<String> seen = new ArrayList<>();
 
     private Endpoint endpoint(int slots, int room, ColdStart cold, Crowding crowding) {
-        return new Endpoint(agenda,
-            new EndpointShape("e", 0, 1, 1, slots, room, 3, 50, cold, crowding), rack);
+        return new Endpoint(agenda, new EndpointShape("e", 0, 1, 1, slots, room, 3, 50, cold, crowding), rack);
     }
 
     private Work work(String name, String key, double ms, int calls) {
@@ -50,8 +49,7 @@
         endpoint.offer(work("b", null, 100, 0));
         endpoint.offer(work("c", null, 100, 0));
         agenda.runUntil(1000);
-        assertEquals(List.of("a began 0", "c TURNED_AWAY 0", "b began 100", "a SERVED 100", "b SERVED 200"),
-            seen);
+        assertEquals(List.of("a began 0", "c TURNED_AWAY 0", "b began 100", "a SERVED 100", "b SERVED 200"), seen);
         assertEquals(2, endpoint.mostHeld());
     }
 
@@ -61,8 +59,16 @@
         endpoint.offer(work("a", null, 100, 2));
         endpoint.offer(work("unlucky", null, 100, 2));
         agenda.runUntil(1000);
-        assertEquals(List.of("a began 0", "a calls 50", "a calls 80", "unlucky began 160", "a SERVED 160",
-            "unlucky calls 210", "unlucky ERROR 240"), seen);
+        assertEquals(
+                List.of(
+                        "a began 0",
+                        "a calls 50",
+                        "a calls 80",
+                        "unlucky began 160",
+                        "a SERVED 160",
+                        "unlucky calls 210",
+                        "unlucky ERROR 240"),
+                seen);
     }
 
     @Test
@@ -87,8 +93,16 @@
         agenda.after(60, () -> far.offer(work("far", "k", 100, 0)));
         agenda.after(10_001, () -> other.offer(work("late", "k", 100, 0)));
         agenda.runUntil(20_000);
-        assertEquals(List.of("a began 0", "repeat SERVED 50", "far began 60", "a SERVED 100",
-            "far SERVED 160", "late began 10001", "late SERVED 10101"), seen);
+        assertEquals(
+                List.of(
+                        "a began 0",
+                        "repeat SERVED 50",
+                        "far began 60",
+                        "a SERVED 100",
+                        "far SERVED 160",
+                        "late began 10001",
+                        "late SERVED 10101"),
+                seen);
     }
 
     @Test
--- a/lab/src/test/java/lemonrail/lab/model/ModelsTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/ModelsTest.java
@@ -22,8 +22,11 @@
     private final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(5L);
 
     private long arrivals(Arrivals arrivals, double fromMs, double toMs) {
-        return IntStream.iterate(0, i -> i + 1).mapToDouble(i -> arrivals.next()).takeWhile(at -> at < toMs)
-            .filter(at -> at >= fromMs).count();
+        return IntStream.iterate(0, i -> i + 1)
+                .mapToDouble(i -> arrivals.next())
+                .takeWhile(at -> at < toMs)
+                .filter(at -> at >= fromMs)
+                .count();
     }
 
     @Test
@@ -37,23 +40,28 @@
     }
 
     private Clients clients(Retrying retrying, List<Double> sent, Ask.End... ends) {
-        Clients.Shape shape = new Clients.Shape(List.of(new Kind(1000, true, 1, 10)), List.of(1.0), retrying,
-            0.5, 1, false);
+        Clients.Shape shape =
+                new Clients.Shape(List.of(new Kind(1000, true, 1, 10)), List.of(1.0), retrying, 0.5, 1, false);
         int[] tries = new int[1];
-        return new Clients(agenda, shape, new Arrivals(10, Arrivals.Spacing.EVEN, random), 150, random,
-            (ask, id, patience, reply) -> {
-                assertTrue(patience >= 500 && patience <= 1000);
-                sent.add(agenda.nowMs());
-                Ask.End end = ends[tries[0]++];
-                agenda.after(10, () -> reply.ended(end, 503, end == Ask.End.REFUSED ? 700 : Double.NaN));
-            });
+        return new Clients(
+                agenda,
+                shape,
+                new Arrivals(10, Arrivals.Spacing.EVEN, random),
+                150,
+                random,
+                (ask, id, patience, reply) -> {
+                    assertTrue(patience >= 500 && patience <= 1000);
+                    sent.add(agenda.nowMs());
+                    Ask.End end = ends[tries[0]++];
+                    agenda.after(10, () -> reply.ended(end, 503, end == Ask.End.REFUSED ? 700 : Double.NaN));
+                });
     }
 
     @Test
     void triesWaitLongerEachTimeAndBelongToTheirFirst() {
         List<Double> sent = new ArrayList<>();
-        Clients clients = clients(new Retrying(3, 100, 2, false), sent, Ask.End.FAILED, Ask.End.REFUSED,
-            Ask.End.LOST, Ask.End.SERVED);
+        Clients clients = clients(
+                new Retrying(3, 100, 2, false), sent, Ask.End.FAILED, Ask.End.REFUSED, Ask.End.LOST, Ask.End.SERVED);
         clients.start();
         agenda.runUntil(10_000);
         assertEquals(List.of(100.0, 210.0, 420.0, 830.0), sent);
@@ -89,7 +97,9 @@
     }
 
     private static List<String> ids(Registry.Answer answer) {
-        return answer.lines().stream().map(line -> line.id() + " " + line.state()).toList();
+        return answer.lines().stream()
+                .map(line -> line.id() + " " + line.state())
+                .toList();
     }
 
     @Test
@@ -118,7 +128,7 @@
     void outOfReachItSaysNothingAndTellsAllAfterwards() {
         Registry registry = registry(true);
         agenda.runUntil(1000);
-        Registry.Agent agent = registry.agent(line -> { });
+        Registry.Agent agent = registry.agent(line -> {});
         List<Registry.Answer> answers = new ArrayList<>();
         agent.whole(answers::add);
         registry.reachable(false);
@@ -135,7 +145,7 @@
     void aRestartedRegistryGivesTheWholeListToWhoeverWatches() {
         Registry registry = registry(true);
         agenda.runUntil(1000);
-        Registry.Agent agent = registry.agent(line -> { });
+        Registry.Agent agent = registry.agent(line -> {});
         List<Registry.Answer> answers = new ArrayList<>();
         agent.whole(answers::add);
         agent.watch(answers.get(0).version(), 20_000, answers::add);
@@ -149,7 +159,7 @@
     void aListThatShrinksLeavesSomeOutAndHasThemAgain() {
         Registry registry = registry(true);
         agenda.runUntil(1000);
-        Registry.Agent agent = registry.agent(line -> { });
+        Registry.Agent agent = registry.agent(line -> {});
         List<Registry.Answer> answers = new ArrayList<>();
         registry.hide(List.of("a"), true);
         agent.whole(answers::add);
@@ -162,7 +172,7 @@
     @Test
     void polledItIsAsOldAsTheLastPoll() {
         Registry registry = registry(false);
-        Registry.Agent agent = registry.agent(line -> { });
+        Registry.Agent agent = registry.agent(line -> {});
         List<Registry.Answer> answers = new ArrayList<>();
         registry.set(new Line("b", State.TERMINATED, 0));
         agenda.runUntil(499);
--- a/lab/src/test/java/lemonrail/lab/model/QueueingTheoryTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/QueueingTheoryTest.java
@@ -25,8 +25,20 @@
     }
 
     private Endpoint endpoint(int cores, int slots) {
-        return new Endpoint(agenda, new EndpointShape("e", 0, cores, 1, slots, MANY, MANY, 0,
-            EndpointShape.ColdStart.NONE, EndpointShape.Crowding.NONE), new Rack(agenda, 1000));
+        return new Endpoint(
+                agenda,
+                new EndpointShape(
+                        "e",
+                        0,
+                        cores,
+                        1,
+                        slots,
+                        MANY,
+                        MANY,
+                        0,
+                        EndpointShape.ColdStart.NONE,
+                        EndpointShape.Crowding.NONE),
+                new Rack(agenda, 1000));
     }
 
     private final class Timed extends Work {
--- a/lab/src/test/java/lemonrail/lab/report/CapacityPageTest.java
+++ b/lab/src/test/java/lemonrail/lab/report/CapacityPageTest.java
@@ -29,8 +29,7 @@
 
     private static final Path DOCS = Path.of("..", "docs");
     private static final String PAGE = "CAPACITY.md";
-    private static final Pattern QUOTED =
-        Pattern.compile("\\[([^\\]]*)\\]\\((results/[^ )]*\\.csv) \"([^\"]*)\"\\)");
+    private static final Pattern QUOTED = Pattern.compile("\\[([^\\]]*)\\]\\((results/[^ )]*\\.csv) \"([^\"]*)\"\\)");
     private static final Pattern ANY_LINK_TO_DATA = Pattern.compile("\\]\\(results/[^)]*\\.csv");
     private static final Pattern WORD = Pattern.compile("worked out|assumed|\\bset\\b|missing|not run|`");
     /** A page that quotes next to nothing would pass by being empty. */
@@ -50,8 +49,10 @@
         }
         assertEquals(List.of(), wrong);
         assertTrue(quoted >= FEWEST_FIGURES, "only " + quoted + " figures are quoted");
-        assertEquals(ANY_LINK_TO_DATA.matcher(page()).results().count(), quoted,
-            "links to kept data that don't name row and column");
+        assertEquals(
+                ANY_LINK_TO_DATA.matcher(page()).results().count(),
+                quoted,
+                "links to kept data that don't name row and column");
     }
 
     @Test
@@ -60,10 +61,13 @@
         String[] lines = page().split("\n");
         for (int i = 2; i < lines.length; i++) {
             boolean inTable = lines[i].startsWith("|") && lines[i - 1].startsWith("|");
-            boolean headOrRule = i + 1 < lines.length && lines[i + 1].startsWith("| ---")
-                || lines[i].startsWith("| ---");
+            boolean headOrRule =
+                    i + 1 < lines.length && lines[i + 1].startsWith("| ---") || lines[i].startsWith("| ---");
             boolean digits = lines[i].matches(".*\\d.*");
-            if (inTable && !headOrRule && digits && !QUOTED.matcher(lines[i]).find()
+            if (inTable
+                    && !headOrRule
+                    && digits
+                    && !QUOTED.matcher(lines[i]).find()
                     && !WORD.matcher(lines[i]).find()) {
                 bare.add(lines[i]);
             }
@@ -93,7 +97,11 @@
         String[] words = place.trim().split("\\s+");
         String column = words[words.length - 1];
         List<CSVRecord> rows = new ArrayList<>();
-        CSVFormat format = CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).build();
+        CSVFormat format = CSVFormat.DEFAULT
+                .builder()
+                .setHeader()
+                .setSkipHeaderRecord(true)
+                .build();
         try (CSVParser parser = CSVParser.parse(data, StandardCharsets.UTF_8, format)) {
             if (!parser.getHeaderMap().containsKey(column)) {
                 return "no column " + column;
@@ -109,16 +117,14 @@
         }
         BigDecimal shown = new BigDecimal(figure.replace(",", ""));
         BigDecimal kept = new BigDecimal(rows.get(0).get(column));
-        return kept.setScale(shown.scale(), RoundingMode.HALF_UP).compareTo(shown) == 0 ? null
-            : "the file has " + kept;
+        return kept.setScale(shown.scale(), RoundingMode.HALF_UP).compareTo(shown) == 0 ? null : "the file has " + kept;
     }
 
     private static boolean isMeant(CSVRecord row, String[] words) {
         for (int i = 0; i < words.length - 1; i++) {
             int equals = words[i].indexOf('=');
             String name = equals < 0 ? words[i] : words[i].substring(0, equals);
-            if (!row.isMapped(name)
-                    || !row.get(name).replace(' ', '_').equals(words[i].substring(equals + 1))) {
+            if (!row.isMapped(name) || !row.get(name).replace(' ', '_').equals(words[i].substring(equals + 1))) {
                 return false;
             }
         }
--- a/lab/src/test/java/lemonrail/lab/report/StatisticsTest.java
+++ b/lab/src/test/java/lemonrail/lab/report/StatisticsTest.java
@@ -19,8 +19,8 @@
     private Path folder;
 
     private static Verdict verdict(double service) {
-        return new Verdict(service, service, service, service, service, 0, 0, 100, 90, 5, 5, 0, 1, 10, 20, 30,
-            0, List.of());
+        return new Verdict(
+                service, service, service, service, service, 0, 0, 100, 90, 5, 5, 0, 1, 10, 20, 30, 0, List.of());
     }
 
     @Test
@@ -45,10 +45,9 @@
         for (int seed = 1; seed <= 12; seed++) {
             double base = 0.8 + random.nextGaussian() * 0.05;
             comparison.add(new Comparison.Entry("s", "a", seed, verdict(base), false));
-            comparison.add(new Comparison.Entry("s", "b", seed,
-                verdict(base + (seed % 2 == 0 ? 0.01 : -0.01)), false));
-            comparison.add(new Comparison.Entry("s", "c", seed,
-                verdict(base - 0.1 + random.nextGaussian() * 0.02), false));
+            comparison.add(new Comparison.Entry("s", "b", seed, verdict(base + (seed % 2 == 0 ? 0.01 : -0.01)), false));
+            comparison.add(
+                    new Comparison.Entry("s", "c", seed, verdict(base - 0.1 + random.nextGaussian() * 0.02), false));
         }
         comparison.add(new Comparison.Entry("s", "b", 99, verdict(0), true));
         List<String> sentences = comparison.sentences();
--- a/lab/src/test/java/lemonrail/lab/scale/BottleneckTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/BottleneckTest.java
@@ -29,17 +29,22 @@
         "400,  20,  1001, 900, the hollow sidecars' loops were late by 1001 ms",
         "400,  20,  50,  3700, a hollow sidecars' loop was busy 93 % of the time",
     })
-    void theLabItselfIsNotWhatIsMeasured(double controlCpuMs, double controlLagMs, double hollowLagMs,
-            double hollowCpuMs, String why) {
-        assertEquals(why, Bottleneck.why(LENGTH_MS, new ControlPlane.Cost(controlCpuMs, controlLagMs,
-            controlLagMs, 0, 0, 0), hollowLagMs, hollowCpuMs, IN_FORCE_MS));
+    void theLabItselfIsNotWhatIsMeasured(
+            double controlCpuMs, double controlLagMs, double hollowLagMs, double hollowCpuMs, String why) {
+        assertEquals(
+                why,
+                Bottleneck.why(
+                        LENGTH_MS,
+                        new ControlPlane.Cost(controlCpuMs, controlLagMs, controlLagMs, 0, 0, 0),
+                        hollowLagMs,
+                        hollowCpuMs,
+                        IN_FORCE_MS));
     }
 
     @Test
     void aTimeThatIsTooLongIsNotControlsWhereHollowOnesWereLate() {
         assertEquals("", Bottleneck.whyLate(1000, IN_FORCE_MS));
-        assertEquals("the hollow sidecars' loops were late by 1100 ms at most",
-            Bottleneck.whyLate(1100, IN_FORCE_MS));
+        assertEquals("the hollow sidecars' loops were late by 1100 ms at most", Bottleneck.whyLate(1100, IN_FORCE_MS));
     }
 
     @Test
@@ -48,14 +53,15 @@
         EventLoop loop = (EventLoop) group.next();
         try (LoopWatch watch = new LoopWatch(loop)) {
             // Two hundred ticks in time come first: one that is late would be less than one in a hundred.
-            loop.schedule(() -> { }, 2, TimeUnit.SECONDS).sync();
+            loop.schedule(() -> {}, 2, TimeUnit.SECONDS).sync();
             long began = System.nanoTime();
             loop.submit(() -> {
-                while (System.nanoTime() - began < HELD_MS * 1_000_000) {
-                    Thread.onSpinWait();
-                }
-            }).sync();
-            loop.schedule(() -> { }, 50, TimeUnit.MILLISECONDS).sync();
+                        while (System.nanoTime() - began < HELD_MS * 1_000_000) {
+                            Thread.onSpinWait();
+                        }
+                    })
+                    .sync();
+            loop.schedule(() -> {}, 50, TimeUnit.MILLISECONDS).sync();
             LoopWatch.Seen seen = watch.take();
             assertTrue(seen.lagMostMs() > HELD_MS / 2, "late by " + seen.lagMostMs());
             assertTrue(seen.lagP99Ms() > HELD_MS / 2, "late by " + seen.lagP99Ms());
@@ -68,7 +74,8 @@
     @Test
     void whatIsVoidMissedOrNotCarriedIsNoPass() {
         for (StormRow.Verdict verdict : StormRow.Verdict.values()) {
-            assertEquals(verdict == StormRow.Verdict.MET, results(verdict, false).passes(), verdict.word());
+            assertEquals(
+                    verdict == StormRow.Verdict.MET, results(verdict, false).passes(), verdict.word());
         }
         assertFalse(results(StormRow.Verdict.MET, true).passes());
     }
@@ -91,17 +98,45 @@
     }
 
     private static ScaleScenario scenario() {
-        return new ScaleScenario("s", Path.of("s.toml"), "about", new Site(1000, 110, 2, 7, 20),
-            new ScaleScenario.Sidecars(8, 4, 1, 0, 100), new ScaleScenario.Targets(IN_FORCE_MS, 2.2, 32,
-                15), null,
-            List.of());
+        return new ScaleScenario(
+                "s",
+                Path.of("s.toml"),
+                "about",
+                new Site(1000, 110, 2, 7, 20),
+                new ScaleScenario.Sidecars(8, 4, 1, 0, 100),
+                new ScaleScenario.Targets(IN_FORCE_MS, 2.2, 32, 15),
+                null,
+                List.of());
     }
 
     private static ScaleResults results(StormRow.Verdict verdict, boolean voidPoint) {
-        StormRow row = new StormRow(new ScaleScenario.Storm(ScaleScenario.Kind.CHANGE,
-            ScaleScenario.Listed.ALL, 1, 1), 10, 1, 1000, 10, 0, 1, 2, 3, 3, 2, 9, 9, 0, 1, 1, 1, 1, 1, 1,
-                1, 60, 1, 1, verdict,
-            verdict == StormRow.Verdict.MET ? "" : "late");
+        StormRow row = new StormRow(
+                new ScaleScenario.Storm(ScaleScenario.Kind.CHANGE, ScaleScenario.Listed.ALL, 1, 1),
+                10,
+                1,
+                1000,
+                10,
+                0,
+                1,
+                2,
+                3,
+                3,
+                2,
+                9,
+                9,
+                0,
+                1,
+                1,
+                1,
+                1,
+                1,
+                1,
+                1,
+                60,
+                1,
+                1,
+                verdict,
+                verdict == StormRow.Verdict.MET ? "" : "late");
         Point point = new Point(Point.What.SIDECAR, 10, 0, 5, 1, 1, 60, 40, 0, 0, voidPoint);
         return new ScaleResults(scenario(), "1", 1, List.of(point), List.of(row), List.of(), "");
     }
--- a/lab/src/test/java/lemonrail/lab/scale/HollowFleetTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/HollowFleetTest.java
@@ -29,14 +29,19 @@
 
     @TempDir
     private Path folder;
+
     private final RegistryControlPlane plane = new RegistryControlPlane();
     private HollowFleet fleet;
 
     @BeforeEach
     void open() throws Exception {
         InetSocketAddress nowhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-        EdgeConfig config = ConfigSource.of(PlatformConfig.write(folder.resolve("hollow.json"), "hollow",
-            nowhere, nowhere, COUNT, SITE.zoneNames()), Map.of("TMPDIR", folder.toString())).load().config();
+        EdgeConfig config = ConfigSource.of(
+                        PlatformConfig.write(
+                                folder.resolve("hollow.json"), "hollow", nowhere, nowhere, COUNT, SITE.zoneNames()),
+                        Map.of("TMPDIR", folder.toString()))
+                .load()
+                .config();
         plane.list(Site.ALL, SITE.lines());
         fleet = new HollowFleet(2, config, 1);
         fleet.start(IntStream.range(0, COUNT).boxed().toList(), plane, number -> Site.ALL, number -> 0);
@@ -65,8 +70,14 @@
     void eachChangeReachesEachDecider() {
         plane.apply(0, Map.of(Site.ALL, List.of(SITE.line(3).weighing(2))));
         await(() -> knowing() == COUNT);
-        plane.apply(0, Map.of(Site.ALL, List.of(SITE.line(4).with(Line.State.TERMINATING),
-            SITE.line(5).with(Line.State.TERMINATED), SITE.line(6).started(77))));
+        plane.apply(
+                0,
+                Map.of(
+                        Site.ALL,
+                        List.of(
+                                SITE.line(4).with(Line.State.TERMINATING),
+                                SITE.line(5).with(Line.State.TERMINATED),
+                                SITE.line(6).started(77))));
         await(() -> knowing() == COUNT);
         assertEquals(COUNT, fleet.wholeLists(), "the whole list comes once to each, then changes");
     }
@@ -92,12 +103,14 @@
         fleet.stop(List.of(0, 1, 2, 3, 4));
         assertEquals(1, fleet.sidecars().size());
         for (int weight = 2; weight < 5; weight++) {
-            long version = plane.apply(0, Map.of(Site.ALL, List.of(SITE.line(3).weighing(weight)))).versions()
-                .get(Site.ALL);
+            long version = plane.apply(0, Map.of(Site.ALL, List.of(SITE.line(3).weighing(weight))))
+                    .versions()
+                    .get(Site.ALL);
             int[] asked = new int[1];
             await(() -> {
-                asked[0] += (int) plane.heard("hollow").stream().filter(call -> call.version() >= version)
-                    .count();
+                asked[0] += (int) plane.heard("hollow").stream()
+                        .filter(call -> call.version() >= version)
+                        .count();
                 return asked[0] > 0 && knowing() == 1;
             });
             assertEquals(1, asked[0], "one runs, and it asks on once");
--- a/lab/src/test/java/lemonrail/lab/scale/LinearFitTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/LinearFitTest.java
@@ -15,8 +15,8 @@
 
     @Test
     void aLineIsFoundAgain() {
-        LinearFit fit = LinearFit.of(List.of(
-            new LinearFit.Point(0, 7), new LinearFit.Point(10, 12), new LinearFit.Point(40, 27)));
+        LinearFit fit = LinearFit.of(
+                List.of(new LinearFit.Point(0, 7), new LinearFit.Point(10, 12), new LinearFit.Point(40, 27)));
         assertEquals(0.5, fit.slope(), EXACT);
         assertEquals(7, fit.intercept(), EXACT);
         assertEquals(1, fit.rSquared(), EXACT);
@@ -26,8 +26,8 @@
     @Test
     void leastSquaresByHand() {
         // Of (1, 1), (2, 3), (3, 2): mean 2, 2; slope 1 / 2, intercept 1, explained 0.5 of 2.
-        LinearFit fit = LinearFit.of(List.of(
-            new LinearFit.Point(1, 1), new LinearFit.Point(2, 3), new LinearFit.Point(3, 2)));
+        LinearFit fit =
+                LinearFit.of(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(2, 3), new LinearFit.Point(3, 2)));
         assertEquals(0.5, fit.slope(), EXACT);
         assertEquals(1, fit.intercept(), EXACT);
         assertEquals(0.25, fit.rSquared(), EXACT);
@@ -47,19 +47,21 @@
 
     @Test
     void whatDoesNotGrowHasNoSlope() {
-        LinearFit fit = LinearFit.of(List.of(
-            new LinearFit.Point(1, 4), new LinearFit.Point(2, 4), new LinearFit.Point(3, 4)));
+        LinearFit fit =
+                LinearFit.of(List.of(new LinearFit.Point(1, 4), new LinearFit.Point(2, 4), new LinearFit.Point(3, 4)));
         assertEquals(0, fit.slope(), EXACT);
         assertEquals(1, fit.rSquared(), EXACT);
     }
 
     @Test
     void tooFewPointsAreNoSlope() {
-        assertThrows(IllegalArgumentException.class, () ->
-            LinearFit.of(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(2, 2))));
-        assertThrows(IllegalArgumentException.class, () ->
-            LinearFit.of(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(1, 2),
-                new LinearFit.Point(1, 3))));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> LinearFit.of(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(2, 2))));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> LinearFit.of(
+                        List.of(new LinearFit.Point(1, 1), new LinearFit.Point(1, 2), new LinearFit.Point(1, 3))));
     }
 
     @Test
@@ -68,8 +70,10 @@
         for (int rate : new int[] {0, 1, 5, 20}) {
             points.add(point(rate, 1 + rate, rate == 20));
         }
-        Slope slope = Slope.of(points).stream().filter(each -> each.name().contains("processor time at"))
-            .findFirst().orElseThrow();
+        Slope slope = Slope.of(points).stream()
+                .filter(each -> each.name().contains("processor time at"))
+                .findFirst()
+                .orElseThrow();
         assertEquals(3, slope.fit().points());
         assertEquals(10, slope.fit().slope(), EXACT);
         points.set(0, point(0, 1, true));
--- a/lab/src/test/java/lemonrail/lab/scale/NodesControlPlaneTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/NodesControlPlaneTest.java
@@ -23,21 +23,31 @@
     void controlNodesCarryEachStorm() throws Exception {
         ScaleScenario scenario = ScaleFile.read(Path.of("scenarios", "scale-nodes-small.toml"));
         // Not by the command of service: its jar is there only after the package phase.
-        ServeCommand command = new ServeCommand(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp",
-            System.getProperty("java.class.path"), "lemonrail.cli.Main", "serve"), folder);
-        ScaleResults results = ScaleRun.play(scenario, command, folder, "test",
-            () -> new NodesControlPlane(4, 2),
-            new PrintWriter(new StringWriter(), true));
+        ServeCommand command = new ServeCommand(
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx64m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "lemonrail.cli.Main",
+                        "serve"),
+                folder);
+        ScaleResults results = ScaleRun.play(
+                scenario,
+                command,
+                folder,
+                "test",
+                () -> new NodesControlPlane(4, 2),
+                new PrintWriter(new StringWriter(), true));
         Path kept = folder.resolve("kept");
         results.keep(kept);
         String table = Files.readString(kept.resolve("table.md"));
         assertEquals(scenario.storms().size(), results.rows().size(), table);
         for (StormRow row : results.rows()) {
             // A busy machine may make a row void, which is then said; what came of it holds all the same.
-            assertTrue(row.verdict() == StormRow.Verdict.MET || row.verdict() == StormRow.Verdict.VOID,
-                table);
+            assertTrue(row.verdict() == StormRow.Verdict.MET || row.verdict() == StormRow.Verdict.VOID, table);
             assertEquals(0, row.never(), table);
             assertEquals(row.hollow(), row.knowing(), table);
             assertEquals(0, row.wholeLists(), table);
--- a/lab/src/test/java/lemonrail/lab/scale/RegistryNodeTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/RegistryNodeTest.java
@@ -48,8 +48,10 @@
     }
 
     private CompletableFuture<JsonNode> ask(InetSocketAddress at, String query) {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort()
-            + "/registry/instances" + query)).timeout(Duration.ofSeconds(10)).build();
+        HttpRequest request = HttpRequest.newBuilder(
+                        URI.create("http://127.0.0.1:" + at.getPort() + "/registry/instances" + query))
+                .timeout(Duration.ofSeconds(10))
+                .build();
         return client.sendAsync(request, HttpResponse.BodyHandlers.ofString()).thenApply(answer -> {
             try {
                 return JSON.readTree(answer.body());
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleFileTest.java
@@ -41,39 +41,48 @@
         assertEquals(new ScaleScenario.Targets(3000, 2.2, 32, 15), scenario.targets());
         assertEquals(143, scenario.site().zoneSize());
         assertEquals(500, scenario.site().regionSize());
-        assertTrue(Arrays.stream(ScaleScenario.Kind.values()).allMatch(kind -> scenario.storms().stream()
-            .anyMatch(storm -> storm.kind() == kind)), "each kind of storm is played");
+        assertTrue(
+                Arrays.stream(ScaleScenario.Kind.values())
+                        .allMatch(kind -> scenario.storms().stream().anyMatch(storm -> storm.kind() == kind)),
+                "each kind of storm is played");
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "endpoints = 1000      | endpoints = 0         | site.endpoints    | a whole number from",
-        "endpoints = 1000      | endpoints = 100       | site.services     | is above site.endpoints",
-        "endpoints = 1000      | endpoints = 8         | sidecars.real     | must leave some",
-        "endpoints = 1000      |                       | site.endpoints    | is missing",
-        "services = 110        | servces = 110         | site.servces      | unknown key",
-        "real = 8              | real = 33             | sidecars.real     | a whole number from",
-        "in-force = \"3s\"     | in-force = 3          | targets.in-force  | a time with its unit",
-        "core-percent = 2.2    | core-percent = 0      | targets.core-percent | a number from",
-        "listed = [10, 100, 1000, 3000] | listed = [10, 100] | slopes.listed | 3 or more rising",
-        "listed = [10, 100, 1000, 3000] | listed = [10, 100, 5000] | slopes.listed | from 1 to 4000",
-        "changes = [0.0, 1.0, 5.0, 20.0] | changes = [0.0, 5.0, 5.0] | slopes.changes | 3 or more rising",
-        "watchers = [100, 300, 1000] | watchers = [100, 300, 0.5] | slopes.watchers | 3 or more rising",
-        "kind = \"zone\"       | kind = \"planet\"     | storms[5].kind    | one of \"change\"",
-        "listed = \"service\"  | listed = \"some\"     | storms[12].listed | one of \"all\"",
-        "length = \"60s\"      | length = \"60\"       | storms[7].length  | a time with its unit",
-    })
-    void whatIsWrongIsNamedWithItsLine(String right, String wrong, String key, String why)
-            throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "endpoints = 1000      | endpoints = 0         | site.endpoints    | a whole number from",
+                "endpoints = 1000      | endpoints = 100       | site.services     | is above site.endpoints",
+                "endpoints = 1000      | endpoints = 8         | sidecars.real     | must leave some",
+                "endpoints = 1000      |                       | site.endpoints    | is missing",
+                "services = 110        | servces = 110         | site.servces      | unknown key",
+                "real = 8              | real = 33             | sidecars.real     | a whole number from",
+                "in-force = \"3s\"     | in-force = 3          | targets.in-force  | a time with its unit",
+                "core-percent = 2.2    | core-percent = 0      | targets.core-percent | a number from",
+                "listed = [10, 100, 1000, 3000] | listed = [10, 100] | slopes.listed | 3 or more rising",
+                "listed = [10, 100, 1000, 3000] | listed = [10, 100, 5000] | slopes.listed | from 1 to 4000",
+                "changes = [0.0, 1.0, 5.0, 20.0] | changes = [0.0, 5.0, 5.0] | slopes.changes | 3 or more rising",
+                "watchers = [100, 300, 1000] | watchers = [100, 300, 0.5] | slopes.watchers | 3 or more rising",
+                "kind = \"zone\"       | kind = \"planet\"     | storms[5].kind    | one of \"change\"",
+                "listed = \"service\"  | listed = \"some\"     | storms[12].listed | one of \"all\"",
+                "length = \"60s\"      | length = \"60\"       | storms[7].length  | a time with its unit",
+            })
+    void whatIsWrongIsNamedWithItsLine(String right, String wrong, String key, String why) throws IOException {
         String text = Files.readString(SHIPPED.resolve("scale.toml"));
         assertTrue(text.contains(right), "the scenario no longer has " + right);
-        Path file = Files.writeString(folder.resolve("spoilt.toml"), text.replaceFirst(Pattern.quote(right),
-            wrong == null ? "" : Matcher.quoteReplacement(wrong)));
-        List<Problem> problems = assertThrows(ConfigException.class, () -> ScaleFile.read(file)).problems();
-        assertTrue(problems.stream().anyMatch(problem -> problem.key().equals(key)
-            && problem.allowed().contains(why)), problems.toString());
-        assertTrue(problems.stream().allMatch(problem -> problem.line() > 0 || problem.value() == null),
-            problems.toString());
+        Path file = Files.writeString(
+                folder.resolve("spoilt.toml"),
+                text.replaceFirst(Pattern.quote(right), wrong == null ? "" : Matcher.quoteReplacement(wrong)));
+        List<Problem> problems =
+                assertThrows(ConfigException.class, () -> ScaleFile.read(file)).problems();
+        assertTrue(
+                problems.stream()
+                        .anyMatch(problem ->
+                                problem.key().equals(key) && problem.allowed().contains(why)),
+                problems.toString());
+        assertTrue(
+                problems.stream().allMatch(problem -> problem.line() > 0 || problem.value() == null),
+                problems.toString());
     }
 
     @Test
@@ -86,7 +95,8 @@
             zones = 2
             rack = 2
             """);
-        List<Problem> problems = assertThrows(ConfigException.class, () -> ScaleFile.read(file)).problems();
+        List<Problem> problems =
+                assertThrows(ConfigException.class, () -> ScaleFile.read(file)).problems();
         assertEquals("storms", problems.get(0).key());
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
@@ -31,28 +31,38 @@
     void theSmallFormMeetsItsTargets() throws Exception {
         ScaleScenario scenario = ScaleFile.read(Path.of("scenarios", "scale-small.toml"));
         // Not by the command of service: its jar is there only after the package phase.
-        ServeCommand command = new ServeCommand(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp",
-            System.getProperty("java.class.path"), "lemonrail.cli.Main", "serve"), folder);
+        ServeCommand command = new ServeCommand(
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx64m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "lemonrail.cli.Main",
+                        "serve"),
+                folder);
         StringWriter words = new StringWriter();
-        ScaleResults results = ScaleRun.play(scenario, command, folder, "test", RegistryControlPlane::new,
-            new PrintWriter(words, true));
+        ScaleResults results = ScaleRun.play(
+                scenario, command, folder, "test", RegistryControlPlane::new, new PrintWriter(words, true));
         Path kept = folder.resolve("kept");
         results.keep(kept);
         String table = Files.readString(kept.resolve("table.md"));
         assertEquals(scenario.storms().size(), results.rows().size(), table);
         for (StormRow row : results.rows()) {
             // A busy machine may make a row void, which is then said; what came of it holds all the same.
-            assertTrue(row.verdict() == StormRow.Verdict.MET || row.verdict() == StormRow.Verdict.VOID,
-                table);
+            assertTrue(row.verdict() == StormRow.Verdict.MET || row.verdict() == StormRow.Verdict.VOID, table);
             assertEquals(0, row.never(), table);
             assertEquals(row.hollow(), row.knowing(), table);
             assertTrue(row.pairs() >= row.changes(), table);
         }
-        assertEquals(results.rows().stream().allMatch(row -> row.verdict() == StormRow.Verdict.MET),
-            results.passes(), table);
-        assertEquals(1 + results.rows().size(), Files.readAllLines(kept.resolve("storms.csv")).size());
+        assertEquals(
+                results.rows().stream().allMatch(row -> row.verdict() == StormRow.Verdict.MET),
+                results.passes(),
+                table);
+        assertEquals(
+                1 + results.rows().size(),
+                Files.readAllLines(kept.resolve("storms.csv")).size());
         assertTrue(Files.exists(kept.resolve("in-force.svg")));
     }
 
@@ -76,8 +86,7 @@
         }
 
         @Override
-        public Watch watch(EventLoop loop, EdgeConfig config, EventLog log, long seed, String list,
-                int node) {
+        public Watch watch(EventLoop loop, EdgeConfig config, EventLog log, long seed, String list, int node) {
             return registry.watch(loop, config, log, seed, list, node);
         }
 
@@ -94,8 +103,9 @@
         @Override
         public Applied apply(int node, Map<String, List<Line>> changes) {
             Map<String, List<Line>> told = new HashMap<>();
-            changes.forEach((list, lines) -> told.put(list, lines.stream()
-                .filter(line -> !line.id().equals(forgotten)).toList()));
+            changes.forEach((list, lines) -> told.put(
+                    list,
+                    lines.stream().filter(line -> !line.id().equals(forgotten)).toList()));
             return registry.apply(node, told);
         }
 
@@ -139,26 +149,36 @@
     void aChangeThatIsNotToldIsSeen() throws Exception {
         Site site = new Site(12, 2, 2, 2, 3);
         Path file = Files.writeString(folder.resolve("forgetful.toml"), "about = \"a control that forgets\"");
-        ScaleScenario scenario = new ScaleScenario("forgetful", file, "a control that forgets", site,
-            new ScaleScenario.Sidecars(0, 2, 1, 0, 100), new ScaleScenario.Targets(300, 50, 32, 15), null,
-            List.of(new ScaleScenario.Storm(ScaleScenario.Kind.CHANGE, ScaleScenario.Listed.ALL, 2, 200)));
-        ScaleResults results = ScaleRun.play(scenario, new ServeCommand(List.of("none"), folder), folder,
-            "test", () -> new Forgetful(site.line(7).id()), new PrintWriter(new StringWriter()));
+        ScaleScenario scenario = new ScaleScenario(
+                "forgetful",
+                file,
+                "a control that forgets",
+                site,
+                new ScaleScenario.Sidecars(0, 2, 1, 0, 100),
+                new ScaleScenario.Targets(300, 50, 32, 15),
+                null,
+                List.of(new ScaleScenario.Storm(ScaleScenario.Kind.CHANGE, ScaleScenario.Listed.ALL, 2, 200)));
+        ScaleResults results = ScaleRun.play(
+                scenario,
+                new ServeCommand(List.of("none"), folder),
+                folder,
+                "test",
+                () -> new Forgetful(site.line(7).id()),
+                new PrintWriter(new StringWriter()));
         StormRow row = results.rows().get(0);
         assertEquals(site.endpoints(), row.never(), "the second change, of endpoint 7, reached nobody");
         assertEquals(0, row.knowing(), row.toString());
-        assertTrue(row.verdict() == StormRow.Verdict.MISSED || row.verdict() == StormRow.Verdict.VOID,
-            row.toString());
+        assertTrue(row.verdict() == StormRow.Verdict.MISSED || row.verdict() == StormRow.Verdict.VOID, row.toString());
         assertFalse(results.passes());
     }
 
     @Test
     void whatCannotGoOnIsKeptAndNoPass() throws Exception {
         ScaleScenario scenario = ScaleFile.read(Path.of("scenarios", "scale-small.toml"));
-        ServeCommand ends = new ServeCommand(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-version"), folder);
-        ScaleResults results = ScaleRun.play(scenario, ends, folder, "test", RegistryControlPlane::new,
-            new PrintWriter(new StringWriter()));
+        ServeCommand ends = new ServeCommand(
+                List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-version"), folder);
+        ScaleResults results = ScaleRun.play(
+                scenario, ends, folder, "test", RegistryControlPlane::new, new PrintWriter(new StringWriter()));
         assertEquals("a sidecar has ended while starting", results.cutShort());
         assertFalse(results.passes());
         results.keep(folder.resolve("kept"));
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathReportTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathReportTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import lemonrail.lab.host.ProcessUsage;
-import lemonrail.lab.scale.path.PathRow.Part;
-import lemonrail.lab.scale.path.PathRow.Way;
 import lemonrail.lab.host.ProcessUsage.Kind;
 import lemonrail.lab.host.ProcessUsage.Threads;
+import lemonrail.lab.scale.path.PathRow.Part;
+import lemonrail.lab.scale.path.PathRow.Way;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -21,16 +21,33 @@
 
     @TempDir
     private Path folder;
-    private final PathReport report = new PathReport(line -> { });
+
+    private final PathReport report = new PathReport(line -> {});
 
     private void add(Part part, Way way, int round, int step, int endpoints, long micros, double lateMs) {
         Histogram all = new Histogram(3);
         all.recordValueWithCount(micros, 1000);
-        report.add(new PathRow(part, way, round, step, endpoints, 64, 1, 390, 1000,
-            endpoints == 20 ? 500 : 1000,
-            all, 1000, 2500,
-            way == Way.DIRECT ? ProcessUsage.NONE : new ProcessUsage(120, Map.of("1/1", new Threads(Kind.LOOP,
-                100 + endpoints, 2, 900)), 70, 40), lateMs, 0.01, 0, 1.5));
+        report.add(new PathRow(
+                part,
+                way,
+                round,
+                step,
+                endpoints,
+                64,
+                1,
+                390,
+                1000,
+                endpoints == 20 ? 500 : 1000,
+                all,
+                1000,
+                2500,
+                way == Way.DIRECT
+                        ? ProcessUsage.NONE
+                        : new ProcessUsage(120, Map.of("1/1", new Threads(Kind.LOOP, 100 + endpoints, 2, 900)), 70, 40),
+                lateMs,
+                0.01,
+                0,
+                1.5));
     }
 
     private void addSound() {
@@ -51,13 +68,16 @@
         assertTrue(text.contains("**Target met.**"), text);
         assertTrue(text.contains("| 390 | sidecar | 0.300 | 0.300 | 0.300 | 0.300 |"), text);
         assertTrue(text.contains("| 390 | relay | 0.050 | 0.050 | 0.050 | 0.050 |"), text);
-        assertTrue(text.contains("| sidecar | 20 | 64 | 1 | 390 | 500 of 1000 | 0.400 | 0.400 | 0.400 | "
-            + "120 | "
-            + "120 |"), text);
+        assertTrue(
+                text.contains(
+                        "| sidecar | 20 | 64 | 1 | 390 | 500 of 1000 | 0.400 | 0.400 | 0.400 | " + "120 | " + "120 |"),
+                text);
         assertTrue(text.contains("| sidecar (void) | 10 | 64 | 1 | 390 |"), text);
         // 10 endpoints more cost 10 µs a call more.
-        assertTrue(text.contains("| CPU, µs a call, for each 1,000 endpoints listed | 1000.0000 | 100.00 "
-            + "| 1.000 | 2 |"), text);
+        assertTrue(
+                text.contains(
+                        "| CPU, µs a call, for each 1,000 endpoints listed | 1000.0000 | 100.00 " + "| 1.000 | 2 |"),
+                text);
         assertEquals(1 + 7, Files.readAllLines(folder.resolve("path.csv")).size());
         for (String chart : List.of("path-cpu.svg", "path-chain.svg")) {
             assertTrue(Files.size(folder.resolve(chart)) > 500, chart);
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathRunTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathRunTest.java
@@ -25,9 +25,9 @@
     @Test
     void theSmallFormGivesEachRow() throws Exception {
         PathPlan plan = PathPlan.small();
-        PathReport report = new PathReport(line -> { });
-        try (PathRun run = PathRun.of(plan, Path.of(".."), List.of("lemonrail.cli.Main", "serve"),
-                folder.resolve("files"), report)) {
+        PathReport report = new PathReport(line -> {});
+        try (PathRun run = PathRun.of(
+                plan, Path.of(".."), List.of("lemonrail.cli.Main", "serve"), folder.resolve("files"), report)) {
             run.run();
         }
         List<PathRow> rows = report.rows();
@@ -36,8 +36,11 @@
             assertTrue(row.served() <= row.sent(), row.csv());
             assertTrue(row.rate() == 0 || row.sent() > 0, row.csv());
             if (row.way() != Way.DIRECT) {
-                assertTrue(row.usage().residentMb() > 1 && row.usage().cpuMs() >= 0
-                    && row.usage().descriptors() > 0, row.csv());
+                assertTrue(
+                        row.usage().residentMb() > 1
+                                && row.usage().cpuMs() >= 0
+                                && row.usage().descriptors() > 0,
+                        row.csv());
             }
             if (row.way() == Way.SIDECAR && row.rate() > 0 && row.calls() > 0) {
                 assertTrue(row.cpuUs() > 1 && row.wakeups() > 0, row.csv());
@@ -46,14 +49,30 @@
                 assertTrue(row.ms(50) > 0 && row.ms(50) <= row.ms(99.9), row.csv());
             }
         }
-        assertEquals(plan.rates(), report.compared().stream().map(PathVerdict.Compared::rate).toList());
-        assertEquals(plan.depth(), rows.stream().filter(row -> row.part() == Part.CHAIN
-            && row.way() == Way.SIDECAR && row.step() > 0 && row.served() > 0).count());
+        assertEquals(
+                plan.rates(),
+                report.compared().stream().map(PathVerdict.Compared::rate).toList());
+        assertEquals(
+                plan.depth(),
+                rows.stream()
+                        .filter(row -> row.part() == Part.CHAIN
+                                && row.way() == Way.SIDECAR
+                                && row.step() > 0
+                                && row.served() > 0)
+                        .count());
         report.keep(folder.resolve("kept"), "v");
-        assertEquals(rows.size() + 1, Files.readAllLines(folder.resolve("kept").resolve("path.csv")).size());
+        assertEquals(
+                rows.size() + 1,
+                Files.readAllLines(folder.resolve("kept").resolve("path.csv")).size());
         String page = Files.readString(folder.resolve("kept").resolve("path.md"));
-        assertTrue(rows.stream().filter(row -> row.part() == Part.RAMP).map(PathRow::way).collect(
-            Collectors.toSet()).size() == Way.values().length, "a ramp for each way");
+        assertTrue(
+                rows.stream()
+                                .filter(row -> row.part() == Part.RAMP)
+                                .map(PathRow::way)
+                                .collect(Collectors.toSet())
+                                .size()
+                        == Way.values().length,
+                "a ramp for each way");
         assertTrue(page.contains("| 100 | sidecar") && page.contains("| step 2"), page);
         assertTrue(Files.size(folder.resolve("kept").resolve("path-chain.svg")) > 500);
     }
@@ -62,10 +81,13 @@
     void theCommandIsThePlatforms() throws Exception {
         ServeCommand command = ServeCommand.of(Path.of(".."));
         assertTrue(command.words().contains("-XX:TieredStopAtLevel=1"), command.toString());
-        assertEquals(List.of("-jar", "edge/target/lemonrail.jar", "serve"),
-            command.words().subList(command.words().size() - 3, command.words().size()));
-        List<String> other = command.main("lemonrail.lab.Main", "relay").main("lemonrail.cli.Main", "serve")
-            .words();
+        assertEquals(
+                List.of("-jar", "edge/target/lemonrail.jar", "serve"),
+                command.words()
+                        .subList(command.words().size() - 3, command.words().size()));
+        List<String> other = command.main("lemonrail.lab.Main", "relay")
+                .main("lemonrail.cli.Main", "serve")
+                .words();
         assertEquals("java", other.get(0));
         assertTrue(other.contains("-XX:TieredStopAtLevel=1") && !other.contains("-jar"), other.toString());
         assertEquals(List.of("lemonrail.cli.Main", "serve"), other.subList(other.size() - 2, other.size()));
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathVerdictTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathVerdictTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 import lemonrail.lab.host.ProcessUsage;
+import lemonrail.lab.host.ProcessUsage.Kind;
+import lemonrail.lab.host.ProcessUsage.Threads;
 import lemonrail.lab.scale.LinearFit;
 import lemonrail.lab.scale.path.PathRow.Part;
 import lemonrail.lab.scale.path.PathRow.Way;
 import lemonrail.lab.scale.path.PathVerdict.Compared;
-import lemonrail.lab.host.ProcessUsage.Kind;
-import lemonrail.lab.host.ProcessUsage.Threads;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -21,23 +21,41 @@
 /** The arithmetic of rows and verdict. */
 class PathVerdictTest {
 
-    private static final ProcessUsage USAGE = new ProcessUsage(40, Map.of("1/1", new Threads(Kind.LOOP, 36, 3,
-        500), "1/2", new Threads(Kind.COMPILER, 4, 1, 20)), 70, 40);
+    private static final ProcessUsage USAGE = new ProcessUsage(
+            40, Map.of("1/1", new Threads(Kind.LOOP, 36, 3, 500), "1/2", new Threads(Kind.COMPILER, 4, 1, 20)), 70, 40);
 
     /** 1,000 calls: 980 that took {@code fastMicros}, and 20 that took {@code slowMicros}. */
-    private static PathRow row(Way way, int step, long fastMicros, long slowMicros, double lateMs,
-            long served) {
+    private static PathRow row(Way way, int step, long fastMicros, long slowMicros, double lateMs, long served) {
         Histogram micros = new Histogram(3);
         micros.recordValueWithCount(fastMicros, 980);
         micros.recordValueWithCount(slowMicros, 20);
-        return new PathRow(step > 0 ? Part.CHAIN : Part.SIDE_BY_SIDE, way, 1, step, 10, 64, 1, 390, 1000,
-            served,
-            micros, 800, 2000, USAGE, lateMs, 0.01, 0, 1.5);
+        return new PathRow(
+                step > 0 ? Part.CHAIN : Part.SIDE_BY_SIDE,
+                way,
+                1,
+                step,
+                10,
+                64,
+                1,
+                390,
+                1000,
+                served,
+                micros,
+                800,
+                2000,
+                USAGE,
+                lateMs,
+                0.01,
+                0,
+                1.5);
     }
 
     private static Compared compared(long slowMicros, double lateMs, long served) {
-        return new Compared(390, row(Way.DIRECT, 0, 50, 100, 0.01, 1000),
-            row(Way.RELAY, 0, 90, 160, 0.01, 1000), row(Way.SIDECAR, 0, 150, slowMicros, lateMs, served));
+        return new Compared(
+                390,
+                row(Way.DIRECT, 0, 50, 100, 0.01, 1000),
+                row(Way.RELAY, 0, 90, 160, 0.01, 1000),
+                row(Way.SIDECAR, 0, 150, slowMicros, lateMs, served));
     }
 
     @Test
@@ -58,11 +76,11 @@
         "515, 415, 0.01, 999,  true,  true",
         "515, 415, 0.01, 998,  true,  false",
     })
-    void theTargetHoldsAtEachRateAndStep(long slowMicros, long stepMicros, double lateMs, long served,
-            boolean whole, boolean met) {
-        PathVerdict verdict = PathVerdict.of(List.of(compared(400, 0.01, 1000),
-            compared(slowMicros, lateMs, served)), List.of(row(Way.SIDECAR, 1, 150, 300, 0.01, 1000),
-            row(Way.SIDECAR, 2, 150, stepMicros, 0.01, 1000)));
+    void theTargetHoldsAtEachRateAndStep(
+            long slowMicros, long stepMicros, double lateMs, long served, boolean whole, boolean met) {
+        PathVerdict verdict = PathVerdict.of(
+                List.of(compared(400, 0.01, 1000), compared(slowMicros, lateMs, served)),
+                List.of(row(Way.SIDECAR, 1, 150, 300, 0.01, 1000), row(Way.SIDECAR, 2, 150, stepMicros, 0.01, 1000)));
         assertEquals(whole, verdict.whole());
         assertEquals(met, verdict.isMet(), verdict.toString());
         assertEquals(met || !whole, verdict.missed().isEmpty(), verdict.toString());
@@ -72,10 +90,25 @@
     @CsvSource({"19, false", "21, true"})
     void aProcessWithoutACoreMakesARowVoid(double noCoreUs, boolean isVoid) {
         PathRow row = row(Way.SIDECAR, 0, 50, 100, 0.01, 1000);
-        PathRow waited = new PathRow(row.part(), row.way(), 1, 0, 10, 64, 1, 390, 1000, 1000, row.micros(),
-            800, 2000, new ProcessUsage(40, Map.of("1/1",
-            new Threads(Kind.LOOP, 36, noCoreUs * 0.8, 500)), 70, 40),
-            0.01, 0.01, 0, 1.5);
+        PathRow waited = new PathRow(
+                row.part(),
+                row.way(),
+                1,
+                0,
+                10,
+                64,
+                1,
+                390,
+                1000,
+                1000,
+                row.micros(),
+                800,
+                2000,
+                new ProcessUsage(40, Map.of("1/1", new Threads(Kind.LOOP, 36, noCoreUs * 0.8, 500)), 70, 40),
+                0.01,
+                0.01,
+                0,
+                1.5);
         assertEquals(isVoid, waited.isVoid());
     }
 
@@ -83,10 +116,12 @@
     void nothingMeasuredShowsNothing() {
         PathRow step = row(Way.SIDECAR, 1, 150, 300, 0.01, 1000);
         assertFalse(PathVerdict.of(List.of(), List.of(step)).isMet());
-        assertFalse(PathVerdict.of(List.of(compared(400, 0.01, 1000)), List.of()).isMet());
-        PathRow empty = new PathRow(Part.CHAIN, Way.SIDECAR, 1, 1, 1, 64, 1, 390, 0, 0, new Histogram(3), 0,
-            2000, USAGE, 0, 0, 0, 0);
-        assertFalse(PathVerdict.of(List.of(compared(400, 0.01, 1000)), List.of(empty)).isMet());
+        assertFalse(
+                PathVerdict.of(List.of(compared(400, 0.01, 1000)), List.of()).isMet());
+        PathRow empty = new PathRow(
+                Part.CHAIN, Way.SIDECAR, 1, 1, 1, 64, 1, 390, 0, 0, new Histogram(3), 0, 2000, USAGE, 0, 0, 0, 0);
+        assertFalse(PathVerdict.of(List.of(compared(400, 0.01, 1000)), List.of(empty))
+                .isMet());
     }
 
     @Test
@@ -106,8 +141,8 @@
 
     @Test
     void roundsTogetherAreAllTheirCalls() {
-        PathRow all = PathRow.merged(List.of(row(Way.SIDECAR, 0, 50, 100, 0.01, 1000),
-            row(Way.SIDECAR, 0, 70, 200, 0.05, 990)));
+        PathRow all = PathRow.merged(
+                List.of(row(Way.SIDECAR, 0, 50, 100, 0.01, 1000), row(Way.SIDECAR, 0, 70, 200, 0.05, 990)));
         assertEquals(2000, all.sent());
         assertEquals(1990, all.served());
         assertEquals(2000, all.micros().getTotalCount());
@@ -118,8 +153,11 @@
 
     @Test
     void threadsThatHaveEndedTakeNothingAway() {
-        ProcessUsage before = new ProcessUsage(10, Map.of("1/1", new Threads(Kind.LOOP, 5, 1, 10), "1/9",
-            new Threads(Kind.COMPILER, 300, 50, 70)), 60, 30);
+        ProcessUsage before = new ProcessUsage(
+                10,
+                Map.of("1/1", new Threads(Kind.LOOP, 5, 1, 10), "1/9", new Threads(Kind.COMPILER, 300, 50, 70)),
+                60,
+                30);
         ProcessUsage used = USAGE.since(before);
         assertEquals(31 + 4, used.cpuMs(), 1e-9);
         assertEquals(4, used.of(Kind.COMPILER).ranMs(), 1e-9);
@@ -129,22 +167,28 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"sidecar-1-1, LOOP", "multiThreadIoEv, LOOP", "C1 CompilerThre, COMPILER", "VM Thread, VM",
-        "VM Periodic Tas, VM", "log, OTHER"})
+    @CsvSource({
+        "sidecar-1-1, LOOP",
+        "multiThreadIoEv, LOOP",
+        "C1 CompilerThre, COMPILER",
+        "VM Thread, VM",
+        "VM Periodic Tas, VM",
+        "log, OTHER"
+    })
     void threadsAreKnownByTheirNames(String name, Kind kind) {
         assertEquals(kind, ProcessUsage.kind(name));
     }
 
     @Test
     void aLineIsFittedByLeastSquares() {
-        LinearFit line = LinearFit.through(List.of(new LinearFit.Point(0, 3), new LinearFit.Point(10, 23),
-            new LinearFit.Point(20, 43)));
+        LinearFit line = LinearFit.through(
+                List.of(new LinearFit.Point(0, 3), new LinearFit.Point(10, 23), new LinearFit.Point(20, 43)));
         assertEquals(2, line.slope(), 1e-9);
         assertEquals(3, line.intercept(), 1e-9);
         assertEquals(1, line.rSquared(), 1e-9);
         // By hand: means 2 and 4; xx = 2, xy = 1, yy = 2.
-        LinearFit loose = LinearFit.through(List.of(new LinearFit.Point(1, 4), new LinearFit.Point(2, 3),
-            new LinearFit.Point(3, 5)));
+        LinearFit loose = LinearFit.through(
+                List.of(new LinearFit.Point(1, 4), new LinearFit.Point(2, 3), new LinearFit.Point(3, 5)));
         assertEquals(0.5, loose.slope(), 1e-9);
         assertEquals(3, loose.intercept(), 1e-9);
         assertEquals(0.25, loose.rSquared(), 1e-9);
--- a/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
@@ -26,8 +26,10 @@
 
     static Stream<Path> shipped() throws IOException {
         // Scale runs have a form of their own, whose files ScaleFileTest reads.
-        return Files.list(SHIPPED).filter(file -> !file.endsWith("edge.toml")
-            && !file.getFileName().toString().startsWith("scale")).sorted();
+        return Files.list(SHIPPED)
+                .filter(file -> !file.endsWith("edge.toml")
+                        && !file.getFileName().toString().startsWith("scale"))
+                .sorted();
     }
 
     @ParameterizedTest
@@ -46,40 +48,47 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "rate = 31             | rate = 0            | load.rate            | a number from",
-        "rate = 31             | rtae = 31           | load.rtae            | unknown key",
-        "rate = 31             |                     | load.rate            | is missing",
-        "warm-up = \"3s\"      | warm-up = \"30s\"   | load.warm-up         | must be below load.length",
-        "work = \"205ms\"      | work = 205          | requests[0].work     | a time with its unit",
-        "most-speed = 1.1      | most-speed = 0.1    | tiers[0].least-speed | is above the most",
-        "racks = 2             | racks = 0           | tiers[0].racks       | a whole number from 1",
-        "racks = 2             | calls = 1.5         | tiers[0].calls       | must be 0 in the last tier",
-        "kind = \"vanish\"     | kind = \"explode\"  | faults[0].kind       | one of \"vanish\"",
-        "begin = \"8s\"        | begin = \"8\"       | faults[0].begin      | a time with its unit",
-        "begin = \"8s\"        | tier = 3            | faults[0].tier       | there are only 1 tiers",
-        "decider = \"random\"  | decider = \"best\"  | variants[1].decider  | one of \"boxcar\"",
-        "decider = \"random\"  | set = \"attempts\"  | variants[1].set      | settings of the edge",
-        "decider = \"random\"  | jar = \"x.jar\"     | variants[1].jar      | only where sidecars.run",
-        "name = \"random\"     | name = \"boxcar\"   | variants[1].name     | is there twice",
-        "decider = \"random\"  | set = \"limits.atempts=2\" | variants[1].set | limits.atempts is no key",
-        "decider = \"random\"  | set = \"limits.attempts=x\" | variants[1].set | a whole number",
-        "class = \"quote-issue\" | class = \"quote\" | requests[1].class | which are [quote-preview",
-        "name = \"north\"      | name = \"nobody\"   | tenants[1].name      | which are [central, north",
-        "seeds = 3             | edge = \"none\"     | edge                 | there is no such file",
-    })
-    void whatIsWrongIsNamedWithItsLine(String right, String wrong, String key, String why)
-            throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "rate = 31             | rate = 0            | load.rate            | a number from",
+                "rate = 31             | rtae = 31           | load.rtae            | unknown key",
+                "rate = 31             |                     | load.rate            | is missing",
+                "warm-up = \"3s\"      | warm-up = \"30s\"   | load.warm-up         | must be below load.length",
+                "work = \"205ms\"      | work = 205          | requests[0].work     | a time with its unit",
+                "most-speed = 1.1      | most-speed = 0.1    | tiers[0].least-speed | is above the most",
+                "racks = 2             | racks = 0           | tiers[0].racks       | a whole number from 1",
+                "racks = 2             | calls = 1.5         | tiers[0].calls       | must be 0 in the last tier",
+                "kind = \"vanish\"     | kind = \"explode\"  | faults[0].kind       | one of \"vanish\"",
+                "begin = \"8s\"        | begin = \"8\"       | faults[0].begin      | a time with its unit",
+                "begin = \"8s\"        | tier = 3            | faults[0].tier       | there are only 1 tiers",
+                "decider = \"random\"  | decider = \"best\"  | variants[1].decider  | one of \"boxcar\"",
+                "decider = \"random\"  | set = \"attempts\"  | variants[1].set      | settings of the edge",
+                "decider = \"random\"  | jar = \"x.jar\"     | variants[1].jar      | only where sidecars.run",
+                "name = \"random\"     | name = \"boxcar\"   | variants[1].name     | is there twice",
+                "decider = \"random\"  | set = \"limits.atempts=2\" | variants[1].set | limits.atempts is no key",
+                "decider = \"random\"  | set = \"limits.attempts=x\" | variants[1].set | a whole number",
+                "class = \"quote-issue\" | class = \"quote\" | requests[1].class | which are [quote-preview",
+                "name = \"north\"      | name = \"nobody\"   | tenants[1].name      | which are [central, north",
+                "seeds = 3             | edge = \"none\"     | edge                 | there is no such file",
+            })
+    void whatIsWrongIsNamedWithItsLine(String right, String wrong, String key, String why) throws IOException {
         Files.copy(SHIPPED.resolve("edge.toml"), folder.resolve("edge.toml"));
         String text = Files.readString(SHIPPED.resolve("one-silent.toml"));
         assertTrue(text.contains(right), "the scenario no longer has " + right);
-        Path file = Files.writeString(folder.resolve("spoilt.toml"), text.replaceFirst(
-            java.util.regex.Pattern.quote(right), wrong == null ? "" : wrong.replace("\\", "\\\\")));
+        Path file = Files.writeString(
+                folder.resolve("spoilt.toml"),
+                text.replaceFirst(
+                        java.util.regex.Pattern.quote(right), wrong == null ? "" : wrong.replace("\\", "\\\\")));
         List<Problem> problems = assertThrows(ConfigException.class, () -> ScenarioFile.read(file))
-            .problems();
-        assertTrue(problems.stream().anyMatch(problem -> problem.key().equals(key)
-            && problem.allowed().contains(why)), problems.toString());
-        assertTrue(problems.stream().allMatch(problem -> problem.line() > 0 || problem.value() == null),
-            problems.toString());
+                .problems();
+        assertTrue(
+                problems.stream()
+                        .anyMatch(problem ->
+                                problem.key().equals(key) && problem.allowed().contains(why)),
+                problems.toString());
+        assertTrue(
+                problems.stream().allMatch(problem -> problem.line() > 0 || problem.value() == null),
+                problems.toString());
     }
 }
