--- a/core/src/main/java/lemonrail/core/Contract.java
+++ b/core/src/main/java/lemonrail/core/Contract.java
@@ -93,7 +93,7 @@
 
         /** Whether a request that may have run may still be refused, which calls a repeat harmless. */
         public boolean refusableAfterRun() {
-            return effect == Effect.REPEATABLE || effect == Effect.BY_KEY && group == Group.ALL;
+            return effect == Effect.REPEATABLE || (effect == Effect.BY_KEY && group == Group.ALL);
         }
     }
 
--- a/core/src/main/java/lemonrail/core/control/ControlState.java
+++ b/core/src/main/java/lemonrail/core/control/ControlState.java
@@ -54,7 +54,6 @@
         final Map<String, Held> items = new HashMap<>();
         final TreeMap<Long, Held> byArrival = new TreeMap<>();
         long digest;
-        int live;
     }
 
     private final String origin;
@@ -230,7 +229,6 @@
             }
         } else {
             topic.digest += item.digest();
-            topic.live++;
             live++;
         }
     }
@@ -242,7 +240,6 @@
             removed.remove(held.arrival());
         } else {
             topic.digest -= held.item().digest();
-            topic.live--;
             live--;
         }
     }
--- a/core/src/main/java/lemonrail/core/control/HybridClock.java
+++ b/core/src/main/java/lemonrail/core/control/HybridClock.java
@@ -24,7 +24,7 @@
 
     /** Takes in another's reading. */
     void hear(Stamp stamp) {
-        if (stamp.ms() > ms || stamp.ms() == ms && stamp.counter() > counter) {
+        if (stamp.ms() > ms || (stamp.ms() == ms && stamp.counter() > counter)) {
             ms = stamp.ms();
             counter = stamp.counter();
         }
--- a/core/src/main/java/lemonrail/core/policy/Decide.java
+++ b/core/src/main/java/lemonrail/core/policy/Decide.java
@@ -89,6 +89,7 @@
     }
 
     /** How many servers that discovery calls ready are left out for what they did; it changes nothing. */
+    @Override
     public int avoided(double now) {
         return (int) targets.values().stream()
                 .filter(target -> Health.isAvoided(now, target))
@@ -135,8 +136,8 @@
 
     /** A call that cannot be tried again must not be the one to find out whether a server is well. */
     private boolean isSecondBest(Call call, Target target) {
-        return target.onTrial && call.kind.effect() == Effect.ONCE && anyRepeatable
-                || !call.attempts.isEmpty() && call.attempts.stream().anyMatch(a -> a.slot().target == target);
+        return (target.onTrial && call.kind.effect() == Effect.ONCE && anyRepeatable)
+                || (!call.attempts.isEmpty() && call.attempts.stream().anyMatch(a -> a.slot().target == target));
     }
 
     private void send(double now, Call call, Slot slot) {
@@ -152,7 +153,7 @@
     /** The final answer of a call that cannot be served: a refusal where that is true, else a failure. */
     private void answer(Call call) {
         call.answered = true;
-        if (call.mayHaveRun == null && call.out == 0 || call.kind.refusableAfterRun()) {
+        if ((call.mayHaveRun == null && call.out == 0) || call.kind.refusableAfterRun()) {
             // Told with every refusal, also where few clients are said to heed it: it costs nothing.
             host.refuse(call.request.id(), settings.limits().maxCoolDownMs() / 4);
         } else {
--- a/core/src/main/java/lemonrail/core/policy/Health.java
+++ b/core/src/main/java/lemonrail/core/policy/Health.java
@@ -45,7 +45,7 @@
 
     /** Whether a ready endpoint gets fewer or no requests because of its failures. */
     static boolean isAvoided(double now, Target target) {
-        return target.ready && (target.onTrial || target.held == 0 && now < target.pausedUntil);
+        return target.ready && (target.onTrial || (target.held == 0 && now < target.pausedUntil));
     }
 
     /** Learns from how long a call has waited, with or without an answer. */
@@ -115,7 +115,7 @@
     private static boolean fails(Target target, Outcome outcome) {
         target.failing += Target.FAILING_GAIN * (1 - target.failing);
         return target.onTrial
-                || outcome != Outcome.FAILED && outcome != Outcome.RESET
+                || (outcome != Outcome.FAILED && outcome != Outcome.RESET)
                 || target.failing > FAILING_SHARE;
     }
 
--- a/core/src/main/java/lemonrail/core/policy/Limit.java
+++ b/core/src/main/java/lemonrail/core/policy/Limit.java
@@ -148,7 +148,7 @@
         lastTook = finished.servedMs();
         Target target = attempt.slot().target;
         if (!tellsOfCrowding(finished.outcome())
-                || finished.outcome() == Outcome.TIMED_OUT && health.hangs(now, target)) {
+                || (finished.outcome() == Outcome.TIMED_OUT && health.hangs(now, target))) {
             return;
         }
         double ratio = finished.outcome() == Outcome.QUEUE_FULL ? 1 : excess(call, finished);
--- a/core/src/main/java/lemonrail/core/policy/Pool.java
+++ b/core/src/main/java/lemonrail/core/policy/Pool.java
@@ -68,7 +68,7 @@
     }
 
     private Slot lower(Slot a, Slot b) {
-        return a == null || b != null && order(b, a) < 0 ? b : a;
+        return a == null || (b != null && order(b, a) < 0) ? b : a;
     }
 
     /** The order in which calls take slots: by rank, other zones' put back by what locality is worth. */
@@ -130,7 +130,7 @@
                 || Double.isNaN(target.place)
                 || now < target.pausedUntil
                 || Long.bitCount(target.held) >= most
-                || target.onTrial && target.inFlight > 0) {
+                || (target.onTrial && target.inFlight > 0)) {
             return;
         }
         Slot slot = new Slot(target, Long.numberOfTrailingZeros(~target.held));
--- a/core/src/main/java/lemonrail/core/policy/Ranks.java
+++ b/core/src/main/java/lemonrail/core/policy/Ranks.java
@@ -32,7 +32,7 @@
     void list(Target target, Server entry) {
         boolean isReady = entry.state() == State.READY;
         if (target.ready != isReady
-                || isReady && (entry.weight() != target.listed.weight() || entry.zone() != target.listed.zone())) {
+                || (isReady && (entry.weight() != target.listed.weight() || entry.zone() != target.listed.zone()))) {
             unsettled++;
         }
         ready += (isReady ? 1 : 0) - (target.ready ? 1 : 0);
--- a/core/src/main/java/lemonrail/core/policy/Retries.java
+++ b/core/src/main/java/lemonrail/core/policy/Retries.java
@@ -30,10 +30,10 @@
                 || call.attempts.size() >= settings.limits().tries()
                 || outcome == Outcome.IGNORED
                 || call.usefulUntil - now < call.learned.typicalMs() / 2
-                || call.mayHaveRun != null
+                || (call.mayHaveRun != null
                         && (call.kind.effect() == Effect.ONCE
-                                || call.kind.effect() == Effect.BY_KEY
-                                        && now - call.mayHaveRun.sentAt() >= call.kind.windowMs() * WINDOW_SHARE)) {
+                                || (call.kind.effect() == Effect.BY_KEY
+                                        && now - call.mayHaveRun.sentAt() >= call.kind.windowMs() * WINDOW_SHARE)))) {
             return false;
         }
         // Retries feed on themselves when all is slow, and multiply from tier to tier.
--- a/core/src/test/java/lemonrail/core/SharedPartsTest.java
+++ b/core/src/test/java/lemonrail/core/SharedPartsTest.java
@@ -121,8 +121,8 @@
 
     private static long unmixed(String text) {
         long h = 0x811c9dc5L;
-        for (char c : text.toCharArray()) {
-            h = (h ^ c) * 0x01000193L & 0xffffffffL;
+        for (int i = 0; i < text.length(); i++) {
+            h = (h ^ text.charAt(i)) * 0x01000193L & 0xffffffffL;
         }
         return h;
     }
--- a/core/src/test/java/lemonrail/core/control/ControlStateTest.java
+++ b/core/src/test/java/lemonrail/core/control/ControlStateTest.java
@@ -165,7 +165,7 @@
     void afterARestartFromNothingVersionsGoOnAndLittleIsSentAgain() {
         Node a = new Node("a", T).begun();
         for (int i = 0; i < 100; i++) {
-            a.put(T + i * 1000, "s" + i, "up");
+            a.put(T + i * 1000L, "s" + i, "up");
         }
         Node b = new Node("b", T);
         b.hear(T + 100_000, a);
@@ -263,7 +263,7 @@
         nodes.forEach(node -> node.hear(T, nodes.get(0)));
         Replica watcher = new Replica();
         for (int step = 0; step < 2000; step++) {
-            long now = T + step * 3;
+            long now = T + step * 3L;
             Node node = nodes.get(random.nextInt(nodes.size()));
             String id = "s" + random.nextInt(30);
             switch (random.nextInt(5)) {
--- a/core/src/test/java/lemonrail/core/control/ReplicaTest.java
+++ b/core/src/test/java/lemonrail/core/control/ReplicaTest.java
@@ -8,7 +8,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemonrail.core.control.Replica.Key;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -16,8 +15,8 @@
 /** What a watcher holds, and where it goes. */
 class ReplicaTest {
 
-    private static final Key S1 = new Key("quote", "s1");
-    private static final Key S2 = new Key("quote", "s2");
+    private static final Replica.Key S1 = new Replica.Key("quote", "s1");
+    private static final Replica.Key S2 = new Replica.Key("quote", "s2");
     private final Replica replica = new Replica();
 
     private static Stamp stamp(long ms, String origin) {
@@ -49,13 +48,13 @@
     @Test
     void removalsAreBounded() {
         for (int i = 0; i < 2 * Replica.MOST_REMOVED; i++) {
-            Key key = new Key("quote", "s" + i);
+            Replica.Key key = new Replica.Key("quote", "s" + i);
             replica.take(key, stamp(5, "a"), false);
             replica.take(key, stamp(6, "a"), true);
         }
-        Key last = new Key("quote", "s" + (2 * Replica.MOST_REMOVED - 1));
+        Replica.Key last = new Replica.Key("quote", "s" + (2 * Replica.MOST_REMOVED - 1));
         assertFalse(replica.take(last, stamp(5, "a"), false));
-        assertTrue(replica.take(new Key("quote", "s0"), stamp(5, "a"), false), "the oldest is forgotten");
+        assertTrue(replica.take(new Replica.Key("quote", "s0"), stamp(5, "a"), false), "the oldest is forgotten");
     }
 
     @Test
--- a/core/src/test/java/lemonrail/core/policy/DecideTest.java
+++ b/core/src/test/java/lemonrail/core/policy/DecideTest.java
@@ -391,7 +391,7 @@
         Recorder.Sent left = f.host.sent.get(3 * each - 3);
         assertEquals(lowest, left.server());
         for (Recorder.Sent sent : List.copyOf(f.host.sent)) {
-            if (sent != left) {
+            if (!sent.equals(left)) {
                 f.finish(sent, Outcome.OK, 10);
             }
         }
--- a/core/src/test/java/lemonrail/core/policy/Fixture.java
+++ b/core/src/test/java/lemonrail/core/policy/Fixture.java
@@ -121,8 +121,8 @@
     /** The ranks that the design gives to a server's first slot, worked out apart from the module. */
     static long hash(String id) {
         int h = 0x811c9dc5;
-        for (char c : id.toCharArray()) {
-            h = (h ^ c) * 0x01000193;
+        for (int i = 0; i < id.length(); i++) {
+            h = (h ^ id.charAt(i)) * 0x01000193;
         }
         h ^= h >>> 16;
         h *= 0x7feb352d;
--- a/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
@@ -163,7 +163,7 @@
         for (int step = 0; step < 4000; step++) {
             judge.now += random.nextInt(12);
             fireTimers(judge, balancer);
-            endOverdue(judge, balancer, open, random);
+            endOverdue(judge, balancer, open);
             int what = random.nextInt(20);
             if (what == 0 || step == 0) {
                 changeList(judge, balancer, random, step == 0);
@@ -187,14 +187,14 @@
                 balancer.onClientGone(judge.now, id);
             } else if (!open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
-                end(judge, balancer, id, random, Outcome.values()[random.nextInt(8)]);
+                end(judge, balancer, id, Outcome.values()[random.nextInt(8)]);
             }
             open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
         }
         for (int i = 0; i < 400; i++) {
             judge.now += 50;
             fireTimers(judge, balancer);
-            endOverdue(judge, balancer, open, random);
+            endOverdue(judge, balancer, open);
             open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
         }
         assertTrue(judge.seen.values().stream().allMatch(c -> c.over), "a request was lost");
@@ -214,21 +214,21 @@
     }
 
     /** The host cuts attempts off at the client's deadline, within the slack that the judge allows. */
-    private static void endOverdue(Judge judge, Decide balancer, List<String> open, Random random) {
+    private static void endOverdue(Judge judge, Decide balancer, List<String> open) {
         for (String id : List.copyOf(open)) {
             Seen call = judge.seen.get(id);
             if (call.deadlineMs <= judge.now + 15) {
                 double now = judge.now;
                 judge.now = Math.min(now, call.deadlineMs);
                 while (call.out() > 0) {
-                    end(judge, balancer, id, random, Outcome.TIMED_OUT);
+                    end(judge, balancer, id, Outcome.TIMED_OUT);
                 }
                 judge.now = now;
             }
         }
     }
 
-    private static void end(Judge judge, Decide balancer, String id, Random random, Outcome outcome) {
+    private static void end(Judge judge, Decide balancer, String id, Outcome outcome) {
         Seen call = judge.seen.get(id);
         int attempt = call.ends.indexOf(null);
         if (attempt < 0) {
--- a/edge/src/main/java/lemonrail/admin/Router.java
+++ b/edge/src/main/java/lemonrail/admin/Router.java
@@ -35,8 +35,8 @@
                 "/v1/sidecar/drain", new Route(HttpMethod.PUT, () -> done("draining", operations::drain)),
                 "/v1/sidecar/activate", new Route(HttpMethod.PUT, () -> done("active", operations::activate)));
         ofEndpoint = Map.of(
-                "/suspend", id -> answer(id, "suspended", operations.suspend(id)),
-                "/resume", id -> answer(id, "resumed", operations.resume(id)));
+                "/suspend", id -> answer("suspended", operations.suspend(id)),
+                "/resume", id -> answer("resumed", operations.resume(id)));
     }
 
     /** Carries a call out. */
@@ -97,7 +97,7 @@
         return Answer.of(HttpResponseStatus.OK, line);
     }
 
-    private static Answer answer(String id, String word, Operations.Verdict verdict) {
+    private static Answer answer(String word, Operations.Verdict verdict) {
         return switch (verdict) {
             case DONE -> Answer.of(HttpResponseStatus.OK, word);
             case UNKNOWN_ENDPOINT -> Answer.of(HttpResponseStatus.NOT_FOUND, "no endpoint of that id was ever listed");
--- a/edge/src/main/java/lemonrail/assembly/Sidecar.java
+++ b/edge/src/main/java/lemonrail/assembly/Sidecar.java
@@ -406,7 +406,8 @@
         boolean listAppears = config.discovery() == null && after.containsKey("discovery.address");
         boolean listGoes = config.discovery() != null && !after.containsKey("discovery.address");
         return Stream.concat(next.stream(), values.stream())
-                .filter(value -> !value.live() || value.key().equals("discovery.address") && (listAppears || listGoes))
+                .filter(value ->
+                        !value.live() || (value.key().equals("discovery.address") && (listAppears || listGoes)))
                 .map(Loaded.Value::key)
                 .distinct()
                 .filter(key -> !Objects.equals(before.get(key), after.get(key)))
@@ -455,7 +456,7 @@
         long lastCallMs = Math.max(LINGER_MS, endMs - FINISH_MS);
         loop.execute(() -> {
             lifecycle.stop();
-            listeners.each(front -> front.endAfter(endMs));
+            listeners.each(front -> front.endAfter((double) endMs));
             boolean succeeded = presence.hasOther();
             log.info("stopping", "stopping" + (succeeded ? ", another process goes on" : ""), "succeeded", succeeded);
             if (succeeded) {
--- /dev/null
+++ b/edge/src/main/java/lemonrail/assembly/package-info.java
@@ -0,0 +1,2 @@
+/** The sidecar put together from its parts. */
+package lemonrail.assembly;
--- a/edge/src/main/java/lemonrail/benchlink/BenchLink.java
+++ b/edge/src/main/java/lemonrail/benchlink/BenchLink.java
@@ -189,7 +189,7 @@
         public void timer(double inMs, long name) {
             begin("NotifyMe");
             field("in-ms", inMs);
-            field("name", name);
+            field("name", (double) name);
             end();
         }
 
--- /dev/null
+++ b/edge/src/main/java/lemonrail/cli/package-info.java
@@ -0,0 +1,2 @@
+/** The command line: one class a command. */
+package lemonrail.cli;
--- a/edge/src/main/java/lemonrail/config/ValueType.java
+++ b/edge/src/main/java/lemonrail/config/ValueType.java
@@ -54,7 +54,7 @@
                 "true or false",
                 node -> node.isBoolean()
                         ? (Boolean) node.booleanValue()
-                        : node.isTextual() && node.textValue().matches("true|false")
+                        : (node.isTextual() && node.textValue().matches("true|false"))
                                 ? Boolean.valueOf(node.textValue())
                                 : null);
     }
--- a/edge/src/main/java/lemonrail/control/Answers.java
+++ b/edge/src/main/java/lemonrail/control/Answers.java
@@ -78,7 +78,7 @@
     private void keep(Lack lack, byte[] text) {
         texts.put(lack, text);
         bytes += text.length;
-        while (texts.size() > MOST_TEXTS || bytes > MOST_BYTES && texts.size() > 1) {
+        while (texts.size() > MOST_TEXTS || (bytes > MOST_BYTES && texts.size() > 1)) {
             Lack oldest = texts.keySet().iterator().next();
             bytes -= texts.remove(oldest).length;
         }
--- a/edge/src/main/java/lemonrail/control/WatchConnection.java
+++ b/edge/src/main/java/lemonrail/control/WatchConnection.java
@@ -135,7 +135,7 @@
 
     private void takeWatcher() {
         List<String> topics = shared.topics(call);
-        if (call.index() < 0 || call.digest() == null && !settled) {
+        if (call.index() < 0 || (call.digest() == null && !settled)) {
             whole(topics);
             return;
         }
@@ -210,7 +210,7 @@
         return call.isOfPeer()
                 || topics.stream()
                         .anyMatch(topic ->
-                                call.topics().contains(topic) || call.all() && !topic.startsWith(Item.SETTINGS));
+                                call.topics().contains(topic) || (call.all() && !topic.startsWith(Item.SETTINGS)));
     }
 
     /** There is something to tell: now, or once the gap since the last answer is over. */
--- a/edge/src/main/java/lemonrail/discovery/ControlClient.java
+++ b/edge/src/main/java/lemonrail/discovery/ControlClient.java
@@ -15,7 +15,6 @@
 import lemonrail.core.Contract.State;
 import lemonrail.core.control.Item;
 import lemonrail.core.control.Replica;
-import lemonrail.core.control.Replica.Key;
 import lemonrail.core.control.Route;
 import lemonrail.core.control.Stamp;
 import lemonrail.json.Json;
@@ -236,11 +235,11 @@
         if (!(answer.get("node") instanceof String node)) {
             throw new IOException("it is no control node");
         }
-        List<Key> keys = new ArrayList<>();
+        List<Replica.Key> keys = new ArrayList<>();
         List<Stamp> stamps = new ArrayList<>();
         for (Object line : (List<?>) answer.get("servers")) {
             Map<?, ?> fields = (Map<?, ?>) line;
-            keys.add(new Key(text(fields, "service"), text(fields, "id")));
+            keys.add(new Replica.Key(text(fields, "service"), text(fields, "id")));
             stamps.add(Stamp.parse(text(fields, "stamp")));
         }
         Map<String, Stamp> upTo = new LinkedHashMap<>();
@@ -257,7 +256,7 @@
         }
         settings(answer, keys);
         if (list.full()) {
-            for (Key gone : replica.keepOnly(keys, upTo)) {
+            for (Replica.Key gone : replica.keepOnly(keys, upTo)) {
                 if (gone.topic().startsWith(Item.SETTINGS)) {
                     settle(null, Stamp.NONE);
                 } else {
@@ -279,7 +278,7 @@
         throw new IOException("field servers[]." + name + " is missing");
     }
 
-    private void settings(Map<?, ?> answer, List<Key> keys) {
+    private void settings(Map<?, ?> answer, List<Replica.Key> keys) {
         if (!(answer.get("settings") instanceof List<?> documents)) {
             return;
         }
@@ -287,7 +286,7 @@
             if (each instanceof Map<?, ?> line
                     && plan.document() != null
                     && plan.document().equals(line.get("name"))) {
-                Key key = new Key(Item.SETTINGS + plan.document(), plan.document());
+                Replica.Key key = new Replica.Key(Item.SETTINGS + plan.document(), plan.document());
                 Stamp stamp = Stamp.parse(String.valueOf(line.get("stamp")));
                 boolean gone = Boolean.TRUE.equals(line.get("gone"));
                 if (replica.take(key, stamp, gone)) {
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -44,6 +44,7 @@
 
     /** What comes of the watch. */
     public interface Listener {
+        /** Called on the event loop with each list or change that has arrived. */
         void listed(ServerList list);
     }
 
--- a/edge/src/main/java/lemonrail/exchange/Message.java
+++ b/edge/src/main/java/lemonrail/exchange/Message.java
@@ -22,6 +22,6 @@
 
     /** Whether it can still be sent from its first byte on. */
     default boolean isReplayable() {
-        return rest() == null || !rest().isTouched() && !rest().isBroken();
+        return rest() == null || (!rest().isTouched() && !rest().isBroken());
     }
 }
--- a/edge/src/main/java/lemonrail/http1/ClientConnection.java
+++ b/edge/src/main/java/lemonrail/http1/ClientConnection.java
@@ -278,7 +278,9 @@
         guard.full(replies.size() >= MOST_AHEAD);
         channel.config()
                 .setAutoRead(guard.takes()
-                        && (ending || guard.isDiscarding() || !farFull && (channel.isWritable() || uploading != null)));
+                        && (ending
+                                || guard.isDiscarding()
+                                || (!farFull && (channel.isWritable() || uploading != null))));
     }
 
     @Override
@@ -315,7 +317,7 @@
     }
 
     private void write(ClientReply reply) {
-        boolean last = reply.isLast() || frontend.letsGo(this) && replies.size() == 1;
+        boolean last = reply.isLast() || (frontend.letsGo(this) && replies.size() == 1);
         if (uploading == reply) {
             // Its client still sends what nobody needs any more, and would go on with it.
             last = true;
--- a/edge/src/main/java/lemonrail/http1/ClientReply.java
+++ b/edge/src/main/java/lemonrail/http1/ClientReply.java
@@ -91,7 +91,7 @@
 
     /** The id of a request that the module or an endpoint is still busy with, else null. */
     String openId() {
-        return response == null || body != null && !body.isDone() ? id : null;
+        return response == null || (body != null && !body.isDone()) ? id : null;
     }
 
     void keepAlive(boolean kept) {
--- a/edge/src/main/java/lemonrail/http1/RequestHeads.java
+++ b/edge/src/main/java/lemonrail/http1/RequestHeads.java
@@ -96,7 +96,9 @@
                 headers.get(ID),
                 kind,
                 tenant(headers),
-                Math.min(deadline(headers), inForce.get().classes().get(kind).deadlineMs()),
+                Math.min(
+                        (double) deadline(headers),
+                        inForce.get().classes().get(kind).deadlineMs()),
                 "1".equals(headers.get("X-Retry")));
     }
 
--- /dev/null
+++ b/edge/src/main/java/lemonrail/json/package-info.java
@@ -0,0 +1,2 @@
+/** Strict reading of JSON documents. */
+package lemonrail.json;
--- /dev/null
+++ b/edge/src/main/java/lemonrail/lifecycle/package-info.java
@@ -0,0 +1,2 @@
+/** The phases of a process from its start to its end. */
+package lemonrail.lifecycle;
--- a/edge/src/main/java/lemonrail/logging/BoundedSink.java
+++ b/edge/src/main/java/lemonrail/logging/BoundedSink.java
@@ -62,6 +62,8 @@
         return dropped.get();
     }
 
+    // END is a marker, which no event equals.
+    @SuppressWarnings("ReferenceEquality")
     private void writeAll() {
         try {
             while (true) {
--- /dev/null
+++ b/edge/src/main/java/lemonrail/net/package-info.java
@@ -0,0 +1,2 @@
+/** Addresses and socket options. */
+package lemonrail.net;
--- a/edge/src/main/java/lemonrail/streaming/Pipe.java
+++ b/edge/src/main/java/lemonrail/streaming/Pipe.java
@@ -113,7 +113,7 @@
         if (closed || ended) {
             return;
         }
-        boolean room = unwritten == 0 || unwritten < WINDOW_BYTES && budget.hasRoom();
+        boolean room = unwritten == 0 || (unwritten < WINDOW_BYTES && budget.hasRoom());
         if (!room && unwritten < WINDOW_BYTES) {
             budget.await(wake);
         }
--- a/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
@@ -283,9 +283,7 @@
     private record Failing(Actions host) implements Events {
 
         @Override
-        public void onServers(double now, ListKind kind, List<Server> entries) {
-            return;
-        }
+        public void onServers(double now, ListKind kind, List<Server> entries) {}
 
         @Override
         public void onRequest(double now, Request request) {
@@ -294,23 +292,15 @@
         }
 
         @Override
-        public void onStreamStarted(double now, String request, int attempt) {
-            return;
-        }
+        public void onStreamStarted(double now, String request, int attempt) {}
 
         @Override
-        public void onFinished(double now, Finished finished) {
-            return;
-        }
+        public void onFinished(double now, Finished finished) {}
 
         @Override
-        public void onClientGone(double now, String request) {
-            return;
-        }
+        public void onClientGone(double now, String request) {}
 
         @Override
-        public void onTimer(double now, long name) {
-            return;
-        }
+        public void onTimer(double now, long name) {}
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/ListPathTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ListPathTest.java
@@ -29,7 +29,7 @@
         for (int i = 0; i < 6; i++) {
             long before = CPU.getCurrentThreadCpuTime();
             work.run();
-            least = Math.min(least, CPU.getCurrentThreadCpuTime() - before);
+            least = Math.min(least, (double) (CPU.getCurrentThreadCpuTime() - before));
         }
         return least;
     }
--- a/edge/src/test/java/lemonrail/assembly/StreamingTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StreamingTest.java
@@ -386,7 +386,7 @@
             refusedAfter(out, body, refused);
             Wire.Message answer = client.read();
             assertTrue(
-                    answer.status() == 200 && answer.body().equals(digest(body)) || answer.status() == 503,
+                    (answer.status() == 200 && answer.body().equals(digest(body))) || answer.status() == 503,
                     answer.line());
         }
     }
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -149,7 +149,6 @@
     @Override
     public void disconnect(String server) {
         // No connection is ever idle.
-        return;
     }
 
     @Override
--- a/lab/src/main/java/lemonrail/lab/Demo.java
+++ b/lab/src/main/java/lemonrail/lab/Demo.java
@@ -54,7 +54,7 @@
             throws IOException, InterruptedException {
         this.out = out;
         this.terminal = terminal;
-        Scenario scenario = scenario(file, rate, count, calm, length.toMillis());
+        Scenario scenario = scenario(file, rate, count, calm, (double) length.toMillis());
         testbed = new Testbed(scenario, scenario.variants().get(0), seed, new Testbed.Builds(null), scratch.path());
     }
 
--- /dev/null
+++ b/lab/src/main/java/lemonrail/lab/decider/package-info.java
@@ -0,0 +1,2 @@
+/** Baseline load balancers to compare against. */
+package lemonrail.lab.decider;
--- a/lab/src/main/java/lemonrail/lab/host/ProcessUsage.java
+++ b/lab/src/main/java/lemonrail/lab/host/ProcessUsage.java
@@ -45,10 +45,12 @@
             return new Threads(kind, 0, 0, 0);
         }
 
+        /** Returns the sums of both usages. */
         public Threads plus(Threads more) {
             return new Threads(kind, ranMs + more.ranMs, waitedMs + more.waitedMs, wakeups + more.wakeups);
         }
 
+        /** Returns this usage without the other. */
         public Threads minus(Threads less) {
             return new Threads(kind, ranMs - less.ranMs, waitedMs - less.waitedMs, wakeups - less.wakeups);
         }
@@ -104,6 +106,7 @@
         }
     }
 
+    /** Returns what a thread of this name does. */
     public static Kind kind(String thread) {
         if (thread.startsWith("sidecar-") || thread.startsWith("multiThreadIoEv")) {
             return Kind.LOOP;
--- /dev/null
+++ b/lab/src/main/java/lemonrail/lab/load/package-info.java
@@ -0,0 +1,2 @@
+/** Open-loop load generation. */
+package lemonrail.lab.load;
--- a/lab/src/main/java/lemonrail/lab/model/Endpoint.java
+++ b/lab/src/main/java/lemonrail/lab/model/Endpoint.java
@@ -126,7 +126,7 @@
         if (fallen) {
             return;
         }
-        if (draining || taken >= shape.slots() && waiting.size() >= shape.waitingRoom()) {
+        if (draining || (taken >= shape.slots() && waiting.size() >= shape.waitingRoom())) {
             work.over = true;
             work.answered(Work.Answer.TURNED_AWAY);
             return;
--- /dev/null
+++ b/lab/src/main/java/lemonrail/lab/package-info.java
@@ -0,0 +1,2 @@
+/** The lab's program and the demo. */
+package lemonrail.lab;
--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -43,7 +43,7 @@
     record Told(long atNanos, double weight, boolean gone) {
         /** Whether this is the word that is looked for, or a later one. */
         boolean has(Line line) {
-            return gone || line.state() != Line.State.TERMINATED && weight >= line.weight() || weight > line.weight();
+            return gone || (line.state() != Line.State.TERMINATED && weight >= line.weight()) || weight > line.weight();
         }
     }
 
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleFile.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleFile.java
@@ -127,10 +127,10 @@
                         if (!fits.apply(element)
                                 || number < least
                                 || number > most
-                                || !numbers.isEmpty()
+                                || (!numbers.isEmpty()
                                         && number
                                                 <= numbers.get(numbers.size() - 1)
-                                                        .doubleValue()) {
+                                                        .doubleValue())) {
                             return null;
                         }
                         numbers.add(read.apply(element));
--- a/lab/src/main/java/lemonrail/lab/scale/ServeCommand.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ServeCommand.java
@@ -33,7 +33,7 @@
     }
 
     /** The same JVM with another main class, from this process's own class path. */
-    public ServeCommand main(String... call) {
+    public ServeCommand withMainClass(String... call) {
         int flags = words.contains(JAR) ? words.indexOf(JAR) : words.indexOf(CLASS_PATH);
         List<String> other = new ArrayList<>(words.subList(0, flags));
         other.removeIf(word -> word.startsWith(ARCHIVE));
--- /dev/null
+++ b/lab/src/main/java/lemonrail/lab/scale/package-info.java
@@ -0,0 +1,2 @@
+/** Scale runs: many sidecars before a control plane. */
+package lemonrail.lab.scale;
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRow.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRow.java
@@ -85,7 +85,7 @@
     boolean isVoid() {
         double mostMs = MOST_LATE_MS * batch;
         boolean isOneProcess = part != Part.CHAIN || step > 0;
-        return isOneProcess && noCoreUs() > MOST_NO_CORE_US
+        return (isOneProcess && noCoreUs() > MOST_NO_CORE_US)
                 || late99Ms > mostMs
                 || away99Ms > mostMs
                 || waited > sent / 100;
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
@@ -74,7 +74,10 @@
             throws IOException {
         ServeCommand command = ServeCommand.of(home.toAbsolutePath().normalize());
         return new PathRun(
-                plan, main.isEmpty() ? command : command.main(main.toArray(String[]::new)), scratch, rows::add);
+                plan,
+                main.isEmpty() ? command : command.withMainClass(main.toArray(String[]::new)),
+                scratch,
+                rows::add);
     }
 
     private PathRun(PathPlan plan, ServeCommand command, Path scratch, Consumer<PathRow> rows) {
@@ -419,7 +422,7 @@
     }
 
     /** What each step's process uses, and what its way adds to calls. */
-    private final class ChainMeter implements Loads.Watcher {
+    private static final class ChainMeter implements Loads.Watcher {
         private final List<Meter> meters = new ArrayList<>();
         private final List<Hop> hops;
 
--- a/lab/src/main/java/lemonrail/lab/scale/path/ServedProcess.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/ServedProcess.java
@@ -74,8 +74,8 @@
 
     /** Starts a bare relay to this endpoint, on the same kind of JVM as a sidecar. */
     static ServedProcess relay(ServeCommand command, InetSocketAddress endpoint) throws IOException {
-        ChildProcess child =
-                new ChildProcess(command.main("lemonrail.lab.Main", "relay", String.valueOf(endpoint.getPort()))
+        ChildProcess child = new ChildProcess(
+                command.withMainClass("lemonrail.lab.Main", "relay", String.valueOf(endpoint.getPort()))
                         .builder()
                         .redirectError(ProcessBuilder.Redirect.DISCARD)
                         .start());
--- /dev/null
+++ b/lab/src/main/java/lemonrail/lab/scenario/package-info.java
@@ -0,0 +1,2 @@
+/** Scenario files and their reader. */
+package lemonrail.lab.scenario;
--- a/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
@@ -416,15 +416,15 @@
                 boolean mayHaveRun = before.outcome != null && !before.outcome.neverRan();
                 Effect effect = settings.classes().get(request.kind).effect();
                 if (before.outcome == null
-                        || mayHaveRun
+                        || (mayHaveRun
                                 && (effect == Effect.ONCE
-                                        || effect == Effect.BY_KEY
+                                        || (effect == Effect.BY_KEY
                                                 && (endpoints
                                                                         .get(before.server)
                                                                         .shape()
                                                                         .rack()
                                                                 != rack
-                                                        || agenda.nowMs() - before.sentMs > KEY_WINDOW_MS))) {
+                                                        || agenda.nowMs() - before.sentMs > KEY_WINDOW_MS))))) {
                     breaks.add(request.id + " was repeated though " + before.outcome);
                 }
             }
--- a/lab/src/test/java/lemonrail/lab/load/OpenLoopTest.java
+++ b/lab/src/test/java/lemonrail/lab/load/OpenLoopTest.java
@@ -70,7 +70,7 @@
     void allIsSentAndTheWarmUpDoesNotCount() {
         OpenLoop.Result result = load(200, 2000, 500, 100);
         assertEquals(399, seen.get(), 2);
-        assertEquals(300, result.sent(), 2);
+        assertEquals(300, (float) result.sent(), 2);
         assertEquals(result.sent(), result.served());
         assertEquals(result.served(), result.servedMicros().getTotalCount());
     }
@@ -89,7 +89,7 @@
     @Test
     void answersAreCountedByWhatTheySay() {
         status = 503;
-        assertEquals(99, load(100, 1000, 0, 10).refused(), 1);
+        assertEquals(99, (float) load(100, 1000, 0, 10).refused(), 1);
         status = 500;
         OpenLoop.Result failed = load(100, 1000, 0, 10);
         assertEquals(failed.sent(), failed.failed());
--- a/lab/src/test/java/lemonrail/lab/model/EndpointTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/EndpointTest.java
@@ -200,7 +200,9 @@
     @Test
     void connectionsAreCappedAndCostAHandshake() {
         Endpoint endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
-        assertTrue(endpoint.connect() && endpoint.connect() && endpoint.connect());
+        for (int i = 0; i < 3; i++) {
+            assertTrue(endpoint.connect());
+        }
         assertFalse(endpoint.connect());
         endpoint.disconnect();
         assertTrue(endpoint.connect());
--- a/lab/src/test/java/lemonrail/lab/model/ModelsTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/ModelsTest.java
@@ -33,10 +33,10 @@
     void aBurstMultipliesTheRateWhileItLasts() {
         Arrivals even = new Arrivals(100, Arrivals.Spacing.EVEN, random);
         even.burst(10_000, 5000, 2.5);
-        assertEquals(1250, arrivals(even, 10_000, 15_000), 2);
+        assertEquals(1250, (float) arrivals(even, 10_000, 15_000), 2);
         Arrivals poisson = new Arrivals(100, Arrivals.Spacing.POISSON, random);
         poisson.burst(10_000, 50_000, 2);
-        assertEquals(10_000, arrivals(poisson, 10_000, 60_000), 300);
+        assertEquals(10_000, (float) arrivals(poisson, 10_000, 60_000), 300);
     }
 
     private Clients clients(Retrying retrying, List<Double> sent, Ask.End... ends) {
--- a/lab/src/test/java/lemonrail/lab/report/CapacityPageTest.java
+++ b/lab/src/test/java/lemonrail/lab/report/CapacityPageTest.java
@@ -62,7 +62,7 @@
         for (int i = 2; i < lines.length; i++) {
             boolean inTable = lines[i].startsWith("|") && lines[i - 1].startsWith("|");
             boolean headOrRule =
-                    i + 1 < lines.length && lines[i + 1].startsWith("| ---") || lines[i].startsWith("| ---");
+                    (i + 1 < lines.length && lines[i + 1].startsWith("| ---")) || lines[i].startsWith("| ---");
             boolean digits = lines[i].matches(".*\\d.*");
             if (inTable
                     && !headOrRule
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathRunTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathRunTest.java
@@ -85,8 +85,8 @@
                 List.of("-jar", "edge/target/lemonrail.jar", "serve"),
                 command.words()
                         .subList(command.words().size() - 3, command.words().size()));
-        List<String> other = command.main("lemonrail.lab.Main", "relay")
-                .main("lemonrail.cli.Main", "serve")
+        List<String> other = command.withMainClass("lemonrail.lab.Main", "relay")
+                .withMainClass("lemonrail.cli.Main", "serve")
                 .words();
         assertEquals("java", other.get(0));
         assertTrue(other.contains("-XX:TieredStopAtLevel=1") && !other.contains("-jar"), other.toString());
--- a/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
@@ -26,10 +26,14 @@
 
     static Stream<Path> shipped() throws IOException {
         // Scale runs have a form of their own, whose files ScaleFileTest reads.
-        return Files.list(SHIPPED)
-                .filter(file -> !file.endsWith("edge.toml")
-                        && !file.getFileName().toString().startsWith("scale"))
-                .sorted();
+        try (Stream<Path> files = Files.list(SHIPPED)) {
+            return files
+                    .filter(file -> !file.endsWith("edge.toml")
+                            && !file.getFileName().toString().startsWith("scale"))
+                    .sorted()
+                    .toList()
+                    .stream();
+        }
     }
 
     @ParameterizedTest
