--- a/core/src/main/java/lemonrail/core/ServedShare.java
+++ b/core/src/main/java/lemonrail/core/AdmissionRate.java
@@ -4,7 +4,7 @@
  * The share of recent requests that were served. It goes by their count and not by time: the shares of many
  * processes with little traffic, each weighed by its traffic, come near that of them all.
  */
-public final class ServedShare {
+public final class AdmissionRate {
 
     /** What a request's weight loses with each one after it. */
     private static final double FADE = 1.0 / 32;
--- a/core/src/main/java/lemonrail/core/DialChance.java
+++ b/core/src/main/java/lemonrail/core/ConnectFailureRate.java
@@ -4,7 +4,7 @@
  * How often connections do not come up though their server is well. A failure counts only once a connection
  * to the same server has come up after it: so dead servers do not make it look as if that were chance.
  */
-public final class DialChance {
+public final class ConnectFailureRate {
 
     /** Weight of a new connection, and what an occurrence must be more likely than to pass for chance. */
     private static final double GAIN = 1.0 / 16;
--- a/core/src/main/java/lemonrail/core/AnswerTimes.java
+++ b/core/src/main/java/lemonrail/core/LatencyEstimator.java
@@ -1,9 +1,9 @@
 package lemonrail.core;
 
-import lemonrail.core.Contract.RequestClass;
+import lemonrail.core.balancer.RequestClass;
 
 /** The times that answers of a class take, learned one by one: the usual, the one few exceed, the least. */
-public final class AnswerTimes {
+public final class LatencyEstimator {
 
     /** Weight of a new sample. */
     private static final double GAIN = 1.0 / 32;
@@ -26,10 +26,10 @@
     private int samples;
 
     /** Nothing is learned yet: the class's own figures stand in. */
-    public AnswerTimes(RequestClass kind) {
+    public LatencyEstimator(RequestClass kind) {
         mostMs = kind.deadlineMs();
-        typicalMs = kind.aimMs() / 4;
-        tailMs = kind.aimMs();
+        typicalMs = kind.latencyObjectiveMs() / 4;
+        tailMs = kind.latencyObjectiveMs();
     }
 
     /** The class's deadline from now on; what was learned stays. */
--- a/core/src/main/java/lemonrail/core/TroubleReport.java
+++ b/core/src/main/java/lemonrail/core/LoadSheddingReport.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 
 /** Counts what operators should hear of, and makes one line of it at most once in a while. */
-public final class TroubleReport {
+public final class LoadSheddingReport {
 
     private static final double EVERY_MS = 10_000;
 
--- a/core/src/main/java/lemonrail/core/Ring.java
+++ b/core/src/main/java/lemonrail/core/RingPlacement.java
@@ -8,7 +8,7 @@
 import java.util.function.ToIntFunction;
 
 /** Places of weighted members on a ring, the same wherever the same members are known. */
-public final class Ring {
+public final class RingPlacement {
 
     /** Any large odd number: its powers put the members of each ring into another order. */
     private static final long MIX = 0x9E3779B1L;
@@ -18,7 +18,7 @@
 
     private static final int BEFORE = 1;
 
-    private Ring() {}
+    private RingPlacement() {}
 
     /** Where a member of this hash comes on the ring of this number; ring 0 has the hash's own order. */
     public static long order(long hash, int ring) {
--- a/core/src/main/java/lemonrail/core/SettingsReader.java
+++ b/core/src/main/java/lemonrail/core/SettingsReader.java
@@ -3,15 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Group;
-import lemonrail.core.Contract.Limits;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Rules;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.AttemptLimits;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.DeduplicationScope;
+import lemonrail.core.balancer.DrainSettings;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.SlowStartSettings;
+import lemonrail.core.balancer.TenantQuota;
 
-/** Turns the wire's settings object into {@link Settings}; what it does not know it passes over. */
+/** Turns the wire's settings object into {@link BalancerSettings}; what it does not know it passes over. */
 public final class SettingsReader {
 
     private SettingsReader() {}
@@ -20,7 +21,7 @@
      * The settings that the decisions need, from the object with maps for its objects, lists for its arrays
      * and {@link Double} for its numbers.
      */
-    public static Settings settings(Map<String, Object> p) {
+    public static BalancerSettings settings(Map<String, Object> p) {
         List<RequestClass> classes = new ArrayList<>();
         for (Map<String, Object> c : maps(p, "classes")) {
             classes.add(new RequestClass(
@@ -34,27 +35,26 @@
                     number(c, "memory-span-ms", 0),
                     flag(c, "stream")));
         }
-        List<Tenant> tenants = new ArrayList<>();
+        List<TenantQuota> tenants = new ArrayList<>();
         for (Map<String, Object> t : maps(p, "projects")) {
-            tenants.add(new Tenant(text(t, "name", ""), number(t, "allowance-per-s", 0), number(t, "share", 0)));
+            tenants.add(new TenantQuota(text(t, "name", ""), number(t, "allowance-per-s", 0), number(t, "share", 0)));
         }
         Map<String, Object> l = map(p, "limits");
-        Limits limits = new Limits(
+        AttemptLimits limits = new AttemptLimits(
                 (int) number(l, "try-limit", 1),
                 flag(l, "parallel-tries"),
                 flag(l, "cancel"),
                 number(l, "max-retry-after-ms", 0),
                 number(l, "dial-timeout-ms", 250));
         Map<String, Object> r = map(p, "rules");
-        Rules rules = new Rules(
+        SlowStartSettings slowStart = new SlowStartSettings(
                 number(r, "cold-share", 1),
                 number(r, "cold-ms", 0),
                 number(r, "tip-multiple", 1),
-                number(r, "fall-ms", 1000),
-                number(r, "drain-grace-ms", 0),
-                number(r, "ask-within-ms", 10_000));
+                number(r, "fall-ms", 1000));
+        DrainSettings drain = new DrainSettings(number(r, "drain-grace-ms", 0));
         String weights = text(p, "weight-kind", "silent");
-        return new Settings(
+        return new BalancerSettings(
                 (int) number(p, "replicas-of-me", 1),
                 (int) number(p, "slot-no", 0),
                 (int) number(p, "zone", 0),
@@ -66,23 +66,25 @@
                 classes,
                 tenants,
                 limits,
-                rules);
+                slowStart,
+                drain,
+                number(r, "ask-within-ms", 10_000));
     }
 
-    private static Effect effect(String word) {
+    private static Idempotency effect(String word) {
         return switch (word) {
-            case "repeatable" -> Effect.REPEATABLE;
-            case "by_key" -> Effect.BY_KEY;
-            case "once" -> Effect.ONCE;
+            case "repeatable" -> Idempotency.IDEMPOTENT;
+            case "by_key" -> Idempotency.KEYED;
+            case "once" -> Idempotency.NON_IDEMPOTENT;
             default -> throw new IllegalArgumentException("setting classes[].effect is unknown: " + word);
         };
     }
 
-    private static Group group(String word) {
+    private static DeduplicationScope group(String word) {
         return switch (word) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw new IllegalArgumentException("setting classes[].group is unknown: " + word);
         };
     }
--- a/core/src/main/java/lemonrail/core/WatchPace.java
+++ b/core/src/main/java/lemonrail/core/WatchSchedule.java
@@ -29,7 +29,7 @@
  * calls that a node holds, to ask no less often; and TCP keep-alive, which doesn't notice a machine that has
  * been cut off, nor a watch that is silent on a connection that lives.
  */
-public final class WatchPace {
+public final class WatchSchedule {
 
     /** The longest wait, of a large fleet or by an operators' file: see the sum above. */
     public static final int LONGEST_WAIT_MS = 3_000;
@@ -67,16 +67,16 @@
      * @param drainGraceMs the time in which sends to a leaving server must cease, as in the settings
      * @param seed its own
      */
-    public WatchPace(int waitMs, double drainGraceMs, long seed) {
+    public WatchSchedule(int waitMs, double drainGraceMs, long seed) {
         this.waitMs = waitMs;
         mostPauseMs = Math.max(PAUSE_MS, Math.min(MOST_PAUSE_MS, drainGraceMs * MOST_PAUSE_SHARE));
         random = new SplittableRandom(seed);
     }
 
     /** The pace of one among so many instances that watch the same list. */
-    public static WatchPace ofFleet(int instances, double drainGraceMs, long seed) {
+    public static WatchSchedule ofFleet(int instances, double drainGraceMs, long seed) {
         long shareMs = instances * 1000L / FLEET_CALLS_PER_S;
-        return new WatchPace((int) Math.max(USUAL_WAIT_MS, Math.min(LONGEST_WAIT_MS, shareMs)), drainGraceMs, seed);
+        return new WatchSchedule((int) Math.max(USUAL_WAIT_MS, Math.min(LONGEST_WAIT_MS, shareMs)), drainGraceMs, seed);
     }
 
     /** How long the next call asks discovery to wait for news. */
--- /dev/null
+++ b/core/src/main/java/lemonrail/core/balancer/SlowStartSettings.java
@@ -0,0 +1,38 @@
+package lemonrail.core.balancer;
+
+/**
+ * The site's rule on endpoints that have just started.
+ *
+ * @param initialFraction the fraction of its full load that an endpoint can take at its start, above 0
+ * @param durationMs how long an endpoint warms up; 0 if it does not
+ * @param overloadMultiple an endpoint fails at this multiple of the load that it can take
+ * @param overloadWindowMs the time over which that load is counted
+ */
+public record SlowStartSettings(
+        double initialFraction, double durationMs, double overloadMultiple, double overloadWindowMs) {
+
+    /**
+     * Checks the values.
+     *
+     * @throws IllegalArgumentException naming the value that is out of range
+     */
+    public SlowStartSettings {
+        Checks.positive("slowStart.initialFraction", initialFraction);
+        Checks.finite("slowStart.initialFraction", initialFraction);
+        Checks.notNegative("slowStart.duration", durationMs);
+        Checks.finite("slowStart.duration", durationMs);
+        Checks.positive("slowStart.overloadMultiple", overloadMultiple);
+        Checks.positive("slowStart.overloadWindow", overloadWindowMs);
+    }
+
+    /**
+     * Returns the fraction of its full load that an endpoint can take now, which grows linearly from its start.
+     *
+     * @param startedMs when the endpoint started; 0 or less for the distant past
+     */
+    public double warmUpFraction(double nowMs, double startedMs) {
+        return startedMs <= 0 || durationMs <= 0 || nowMs - startedMs >= durationMs
+                ? 1
+                : initialFraction + (1 - initialFraction) * Math.max(0, nowMs - startedMs) / durationMs;
+    }
+}
--- a/core/src/main/java/lemonrail/core/policy/Decide.java
+++ b/core/src/main/java/lemonrail/core/policy/BoxcarLoadBalancer.java
@@ -1,4 +1,4 @@
-// The decision module. The types, events and actions it deals in are declared in Contract.java.
+// The decision module. Its events are declared in LoadBalancer.java, its actions in LoadBalancerHost.java.
 package lemonrail.core.policy;
 
 import java.util.HashMap;
@@ -8,35 +8,35 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import lemonrail.core.AnswerTimes;
-import lemonrail.core.Contract.*;
-import lemonrail.core.TroubleReport;
+import lemonrail.core.LatencyEstimator;
+import lemonrail.core.LoadSheddingReport;
+import lemonrail.core.balancer.*;
 
 /**
  * One balancer after Boxcar: a bounded pool of ranked slots on servers; every call takes the lowest-ranked
  * free slot, a failed attempt discards its slot and the call goes on to the next best one within bounds,
  * and a full pool turns calls away. Single-threaded; time comes with the events.
  */
-public final class Decide implements Events {
+public final class BoxcarLoadBalancer implements LoadBalancer {
 
     /** The most servers placed anew for each change of the list, however fast changes come. */
     private static final int SETTLED_A_CHANGE = 32;
 
-    private Settings settings;
-    private final Actions host;
+    private BalancerSettings settings;
+    private final LoadBalancerHost host;
     private final EndpointListPoller listPoller;
-    private final Map<String, Target> targets = new LinkedHashMap<>();
-    private final Map<String, Call> calls = new HashMap<>();
-    private final AnswerTimes[] learned;
+    private final Map<String, EndpointRecord> targets = new LinkedHashMap<>();
+    private final Map<String, InFlightRequest> calls = new HashMap<>();
+    private final LatencyEstimator[] learned;
     private final boolean anyRepeatable;
-    private final Ranks ranks;
-    private final Cold cold;
-    private final Locality locality;
-    private final Pool pool;
-    private final Health health;
-    private final Limit limit;
-    private final Retries retries;
-    private final TroubleReport report = new TroubleReport();
+    private final SlotRanking ranks;
+    private final SlowStart cold;
+    private final ZoneAffinity locality;
+    private final SlotPool pool;
+    private final OutlierDetector health;
+    private final ConcurrencyLimit limit;
+    private final RetryPolicy retries;
+    private final LoadSheddingReport report = new LoadSheddingReport();
     /** The pause between refills: by it, too, ranks may lag behind the list. */
     private final double pauseMs;
 
@@ -44,32 +44,32 @@
     private double nextSettle;
 
     /** A balancer that knows its settings and nothing else; it acts through {@code host}. */
-    public Decide(Settings settings, long seed, Actions host) {
+    public BoxcarLoadBalancer(BalancerSettings settings, long seed, LoadBalancerHost host) {
         this.settings = settings;
         this.host = host;
         pauseMs = settings.limits().connectTimeoutMs() / 2;
-        listPoller = new EndpointListPoller(settings.rules().askWithinMs(), new SplittableRandom(seed), host);
-        learned = settings.classes().stream().map(AnswerTimes::new).toArray(AnswerTimes[]::new);
-        anyRepeatable = settings.classes().stream().anyMatch(kind -> kind.effect() != Effect.ONCE);
-        ranks = new Ranks(settings);
-        cold = new Cold(ranks);
-        locality = new Locality(settings, ranks);
-        pool = new Pool(ranks, cold, locality, host);
-        health = new Health(settings, pool, report);
-        limit = new Limit(settings, ranks, health, locality, report);
-        retries = new Retries(settings);
-        if (settings.asksForList()) {
+        listPoller = new EndpointListPoller(settings.pollIntervalMs(), new SplittableRandom(seed), host);
+        learned = settings.classes().stream().map(LatencyEstimator::new).toArray(LatencyEstimator[]::new);
+        anyRepeatable = settings.classes().stream().anyMatch(kind -> kind.idempotency() != Idempotency.NON_IDEMPOTENT);
+        ranks = new SlotRanking(settings);
+        cold = new SlowStart(ranks);
+        locality = new ZoneAffinity(settings, ranks);
+        pool = new SlotPool(ranks, cold, locality, host);
+        health = new OutlierDetector(settings, pool, report);
+        limit = new ConcurrencyLimit(settings, ranks, health, locality, report);
+        retries = new RetryPolicy(settings);
+        if (settings.pollsEndpoints()) {
             listPoller.scheduleFirstPoll();
         }
     }
 
     @Override
-    public boolean takesSettings() {
+    public boolean supportsSettingsUpdate() {
         return true;
     }
 
     @Override
-    public void onSettings(double now, Settings changed) {
+    public void onSettings(double now, BalancerSettings changed) {
         settings = changed;
         limit.adopt(changed);
         retries.settings = changed;
@@ -90,9 +90,9 @@
 
     /** How many servers that discovery calls ready are left out for what they did; it changes nothing. */
     @Override
-    public int avoided(double now) {
+    public int ejectedEndpoints(double now) {
         return (int) targets.values().stream()
-                .filter(target -> Health.isAvoided(now, target))
+                .filter(target -> OutlierDetector.isAvoided(now, target))
                 .count();
     }
 
@@ -103,8 +103,8 @@
             throw new IllegalArgumentException("request " + request.id() + " is in hand already");
         }
         tick(now);
-        Call call =
-                new Call(now, request, settings.classes().get(request.requestClass()), learned[request.requestClass()]);
+        InFlightRequest call = new InFlightRequest(
+                now, request, settings.classes().get(request.requestClass()), learned[request.requestClass()]);
         calls.put(request.id(), call);
         locality.demand(call.learned.baseMs());
         retries.taken();
@@ -116,7 +116,7 @@
     }
 
     /** Sends a call to the lowest-ranked free slot it may use, second-best servers last; false if none. */
-    private boolean place(double now, Call call) {
+    private boolean place(double now, InFlightRequest call) {
         Slot best = pool.lowest(slot -> mayUse(now, call, slot) && !isSecondBest(call, slot.target));
         if (best == null) {
             best = pool.lowest(slot -> mayUse(now, call, slot));
@@ -128,59 +128,59 @@
         return best != null;
     }
 
-    private boolean mayUse(double now, Call call, Slot slot) {
+    private boolean mayUse(double now, InFlightRequest call, Slot slot) {
         return cold.gentle(now, slot)
                 && !(call.attempts.isEmpty() && limit.crowds(slot))
-                && Retries.sameGroup(call, slot.target);
+                && RetryPolicy.sameGroup(call, slot.target);
     }
 
     /** A call that cannot be tried again must not be the one to find out whether a server is well. */
-    private boolean isSecondBest(Call call, Target target) {
-        return (target.onTrial && call.kind.effect() == Effect.ONCE && anyRepeatable)
+    private boolean isSecondBest(InFlightRequest call, EndpointRecord target) {
+        return (target.onTrial && call.kind.idempotency() == Idempotency.NON_IDEMPOTENT && anyRepeatable)
                 || (!call.attempts.isEmpty() && call.attempts.stream().anyMatch(a -> a.slot().target == target));
     }
 
-    private void send(double now, Call call, Slot slot) {
+    private void send(double now, InFlightRequest call, Slot slot) {
         double timeout = retries.timeout(now, call);
-        call.attempts.add(new Call.Attempt(slot, now, new Outcome[1]));
+        call.attempts.add(new InFlightRequest.Attempt(slot, now, new AttemptOutcome[1]));
         call.out++;
         slot.busy = true;
         slot.target.inFlight++;
         limit.sent();
-        host.send(call.request.id(), slot.target.id, timeout);
+        host.startAttempt(call.request.id(), slot.target.id, timeout);
     }
 
     /** The final answer of a call that cannot be served: a refusal where that is true, else a failure. */
-    private void answer(Call call) {
+    private void answer(InFlightRequest call) {
         call.answered = true;
-        if ((call.mayHaveRun == null && call.out == 0) || call.kind.refusableAfterRun()) {
+        if ((call.mayHaveRun == null && call.out == 0) || call.kind.mayRejectAfterExecution()) {
             // Told with every refusal, also where few clients are said to heed it: it costs nothing.
-            host.refuse(call.request.id(), settings.limits().maxCoolDownMs() / 4);
+            host.reject(call.request.id(), settings.limits().maxRetryAfterMs() / 4);
         } else {
             host.fail(call.request.id());
         }
         forget(call);
     }
 
-    private void forget(Call call) {
+    private void forget(InFlightRequest call) {
         if (call.isOver()) {
             calls.remove(call.request.id());
         }
     }
 
     @Override
-    public void onFinished(double now, Finished finished) {
+    public void onAttemptFinished(double now, AttemptResult finished) {
         tick(now);
-        Call call = calls.get(finished.request());
-        Call.Attempt attempt = call == null ? null : call.open(finished.attempt());
+        InFlightRequest call = calls.get(finished.request());
+        InFlightRequest.Attempt attempt = call == null ? null : call.open(finished.attempt());
         if (attempt == null) {
             return;
         }
-        Outcome outcome = finished.outcome();
+        AttemptOutcome outcome = finished.outcome();
         call.end(attempt, outcome);
         learn(now, call, attempt.slot().target, finished);
         limit.judge(now, call, attempt, finished);
-        release(now, attempt.slot(), outcome, Health.isFailure(call, finished));
+        release(now, attempt.slot(), outcome, OutlierDetector.isFailure(call, finished));
         if (finished.concluded()) {
             call.answered = true;
         } else if (!call.answered
@@ -191,9 +191,9 @@
     }
 
     @Override
-    public void onStreamStarted(double now, String request, int attempt) {
+    public void onResponseStreamStarted(double now, String request, int attempt) {
         tick(now);
-        Call call = calls.get(request);
+        InFlightRequest call = calls.get(request);
         if (call == null || attempt >= call.attempts.size()) {
             return;
         }
@@ -207,9 +207,9 @@
     }
 
     @Override
-    public void onClientGone(double now, String request) {
+    public void onRequestCancelled(double now, String request) {
         tick(now);
-        Call call = calls.get(request);
+        InFlightRequest call = calls.get(request);
         if (call == null) {
             return;
         }
@@ -217,26 +217,26 @@
         // Nobody waits for these attempts any more: work that has not begun need not be done.
         for (int i = 0; i < call.attempts.size() && settings.limits().cancel(); i++) {
             if (call.open(i) != null) {
-                host.cancel(request, i);
+                host.cancelAttempt(request, i);
             }
         }
         forget(call);
     }
 
-    private void learn(double now, Call call, Target target, Finished finished) {
-        boolean ok = finished.outcome() == Outcome.OK;
-        if (ok || finished.outcome() == Outcome.TIMED_OUT) {
-            call.learned.waited(finished.servedMs());
-            health.waited(now, target, call.learned, finished.servedMs());
+    private void learn(double now, InFlightRequest call, EndpointRecord target, AttemptResult finished) {
+        boolean ok = finished.outcome() == AttemptOutcome.OK;
+        if (ok || finished.outcome() == AttemptOutcome.TIMED_OUT) {
+            call.learned.waited(finished.endpointTimeMs());
+            health.waited(now, target, call.learned, finished.endpointTimeMs());
         }
         if (ok) {
-            call.learned.answered(finished.servedMs());
+            call.learned.answered(finished.endpointTimeMs());
             cold.answers.served();
         }
     }
 
-    private void release(double now, Slot slot, Outcome outcome, boolean failed) {
-        Target target = slot.target;
+    private void release(double now, Slot slot, AttemptOutcome outcome, boolean failed) {
+        EndpointRecord target = slot.target;
         slot.busy = false;
         target.inFlight -= slot.streaming ? 0 : 1;
         limit.inFlight -= slot.streaming ? 0 : 1;
@@ -246,7 +246,7 @@
         }
         health.judge(now, slot, outcome, failed);
         if (slot.discarded && target.held == 0 && target.inFlight == 0) {
-            host.disconnect(target.id);
+            host.closeIdleConnections(target.id);
             forgetGone(now, target);
         }
     }
@@ -276,17 +276,17 @@
     }
 
     @Override
-    public void onServers(double now, ListKind kind, List<Server> entries) {
-        if (kind == ListKind.FAILED) {
+    public void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> entries) {
+        if (kind == EndpointUpdateKind.FAILED) {
             listPoller.onPollFailed();
             return;
         }
         listPoller.onListReceived();
-        if (kind != ListKind.DELTA) {
-            Set<String> named = entries.stream().map(Server::id).collect(Collectors.toSet());
+        if (kind != EndpointUpdateKind.DELTA) {
+            Set<String> named = entries.stream().map(Endpoint::id).collect(Collectors.toSet());
             List.copyOf(targets.values()).stream()
                     .filter(target -> !named.contains(target.id))
-                    .forEach(target -> update(now, target.listed.with(State.GONE)));
+                    .forEach(target -> update(now, target.listed.withState(EndpointState.GONE)));
         }
         entries.forEach(entry -> update(now, entry));
         // In a storm the next refill pause does it, once for many: it costs as the list, not as the change.
@@ -296,9 +296,9 @@
         limit.resize(cold.able(now));
     }
 
-    private void update(double now, Server entry) {
-        Target target = targets.get(entry.id());
-        if (target == null && entry.state() == State.GONE) {
+    private void update(double now, Endpoint entry) {
+        EndpointRecord target = targets.get(entry.id());
+        if (target == null && entry.state() == EndpointState.GONE) {
             return;
         }
         if (target != null && entry.startedMs() != target.listed.startedMs()) {
@@ -308,31 +308,31 @@
             target = null;
         }
         if (target == null) {
-            target = new Target(entry);
+            target = new EndpointRecord(entry);
             targets.put(entry.id(), target);
         }
-        if (entry.state() == State.READY && target.listed.state() != State.READY) {
+        if (entry.state() == EndpointState.READY && target.listed.state() != EndpointState.READY) {
             // Back from a drain, as by an operator's word: what it did before counts no more.
             health.heal(target);
         }
         ranks.list(target, entry);
         cold.watch(now, target);
-        if (entry.state() != State.READY) {
+        if (entry.state() != EndpointState.READY) {
             pool.dropAll(target);
         }
         pool.reprice(now, target, true);
         forgetGone(now, target);
     }
 
-    private void forgetGone(double now, Target target) {
-        if (target.listed.state() == State.GONE && target.inFlight == 0) {
+    private void forgetGone(double now, EndpointRecord target) {
+        if (target.listed.state() == EndpointState.GONE && target.inFlight == 0) {
             forget(now, target);
         }
     }
 
     /** From here on the server is none of this balancer's; ends of calls there only free what they held. */
-    private void forget(double now, Target target) {
-        ranks.list(target, target.listed.with(State.GONE));
+    private void forget(double now, EndpointRecord target) {
+        ranks.list(target, target.listed.withState(EndpointState.GONE));
         health.heal(target);
         target.forgotten = true;
         pool.offer(now, target);
--- a/core/src/main/java/lemonrail/core/policy/Limit.java
+++ b/core/src/main/java/lemonrail/core/policy/ConcurrencyLimit.java
@@ -1,11 +1,14 @@
 package lemonrail.core.policy;
 
-import lemonrail.core.Contract.*;
+import lemonrail.core.LoadSheddingReport;
 import lemonrail.core.TokenBucket;
-import lemonrail.core.TroubleReport;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.RequestClass;
 
 /** How many calls may be out at once, learned from outcomes, and who is turned away. */
-final class Limit {
+final class ConcurrencyLimit {
 
     /** Calls a server, over all balancers, that the limit starts from, and that it keeps: one is no crowd. */
     static final double FIRST_CALLS = 4;
@@ -36,10 +39,10 @@
     /** While answers are slow, no server may hold more than this multiple of what the limit stands for. */
     private static final double CASCADE = 2;
 
-    private Settings settings;
-    private final Ranks ranks;
-    private final Health health;
-    private final Locality locality;
+    private BalancerSettings settings;
+    private final SlotRanking ranks;
+    private final OutlierDetector health;
+    private final ZoneAffinity locality;
     private double mostWorth;
     int inFlight;
     double peak;
@@ -56,13 +59,18 @@
 
     private double nextCut;
     private double quickUntil;
-    private final TroubleReport report;
+    private final LoadSheddingReport report;
     /** When a call within its tenant's share was last turned away. */
     private double shareTurnedAway = Double.NEGATIVE_INFINITY;
     /** This balancer's part of each tenant's allowance. */
     private final TokenBucket[] allowances;
 
-    Limit(Settings settings, Ranks ranks, Health health, Locality locality, TroubleReport report) {
+    ConcurrencyLimit(
+            BalancerSettings settings,
+            SlotRanking ranks,
+            OutlierDetector health,
+            ZoneAffinity locality,
+            LoadSheddingReport report) {
         this.report = report;
         this.settings = settings;
         this.ranks = ranks;
@@ -74,15 +82,15 @@
     }
 
     /** Goes by the worths and allowances of these settings from now on. */
-    void adopt(Settings changed) {
+    void adopt(BalancerSettings changed) {
         settings = changed;
         double worth = settings.classes().stream()
-                .mapToDouble(RequestClass::worth)
+                .mapToDouble(RequestClass::priorityWeight)
                 .max()
                 .orElse(0);
         mostWorth = worth > 0 ? worth : 1;
         for (int i = 0; i < allowances.length; i++) {
-            double perMs = settings.tenants().get(i).allowancePerSecond() / settings.balancers() / 1000;
+            double perMs = settings.tenants().get(i).requestsPerSecond() / settings.balancers() / 1000;
             allowances[i].rate(perMs, 1 + ALLOWANCE_SAVINGS_S * 1000 * perMs);
         }
     }
@@ -90,18 +98,18 @@
     /** Takes in what the ready servers can surely do together, in warm ones. */
     void resize(double able) {
         if (limit == 0) {
-            limit = Math.min(Pool.CEILING, Math.max(1, FIRST_CALLS * able / settings.balancers()));
+            limit = Math.min(SlotPool.CEILING, Math.max(1, FIRST_CALLS * able / settings.balancers()));
             quickUntil = 2 * limit;
         } else if (capacity > 0 && able > 0) {
             // What was learned holds for each server: fewer, or cold ones, must not get the calls of all.
-            limit = Math.min(Pool.CEILING, limit * able / capacity);
+            limit = Math.min(SlotPool.CEILING, limit * able / capacity);
             quickUntil *= able / capacity;
         }
         capacity = able;
     }
 
     /** Whether there is room for a call. Lower tiers do not shed: a call there carries work done above. */
-    boolean admits(double now, Call call) {
+    boolean admits(double now, InFlightRequest call) {
         call.withinShare = settings.tier() > 0 || allowances.length == 0 || allowances[call.request.tenant()].take(now);
         boolean admitted = hasRoom(now, call);
         if (!admitted) {
@@ -111,13 +119,14 @@
         return admitted;
     }
 
-    private boolean hasRoom(double now, Call call) {
+    private boolean hasRoom(double now, InFlightRequest call) {
         if (settings.tier() > 0) {
-            return inFlight < Pool.CEILING;
+            return inFlight < SlotPool.CEILING;
         }
         // The last of what there is is for calls of more worth.
-        double most =
-                limit * ((call.withinShare ? 1 : BEYOND_SHARE) * (1 - RESERVE * (1 - call.kind.worth() / mostWorth)));
+        double most = limit
+                * ((call.withinShare ? 1 : BEYOND_SHARE)
+                        * (1 - RESERVE * (1 - call.kind.priorityWeight() / mostWorth)));
         if (call.withinShare) {
             return most >= 1 ? inFlight < most : inFlight == 0 && now >= pacedUntil(most);
         }
@@ -143,19 +152,19 @@
     }
 
     /** Moves the limit by an outcome: down while answers take too much of the aim, else slowly up. */
-    void judge(double now, Call call, Call.Attempt attempt, Finished finished) {
+    void judge(double now, InFlightRequest call, InFlightRequest.Attempt attempt, AttemptResult finished) {
         lastEnd = now;
-        lastTook = finished.servedMs();
-        Target target = attempt.slot().target;
+        lastTook = finished.endpointTimeMs();
+        EndpointRecord target = attempt.slot().target;
         if (!tellsOfCrowding(finished.outcome())
-                || (finished.outcome() == Outcome.TIMED_OUT && health.hangs(now, target))) {
+                || (finished.outcome() == AttemptOutcome.TIMED_OUT && health.hangs(now, target))) {
             return;
         }
-        double ratio = finished.outcome() == Outcome.QUEUE_FULL ? 1 : excess(call, finished);
+        double ratio = finished.outcome() == AttemptOutcome.QUEUE_FULL ? 1 : excess(call, finished);
         locality.crowding(target, ratio);
-        if (finished.outcome() == Outcome.OK) {
+        if (finished.outcome() == AttemptOutcome.OK) {
             target.answered(now, ratio);
-        } else if (finished.outcome() == Outcome.TIMED_OUT
+        } else if (finished.outcome() == AttemptOutcome.TIMED_OUT
                 && target.lastAnswer > attempt.sentAt()
                 // It has answered others since, in comfort: the lost call tells no more than they do.
                 && target.crowding < comfort()
@@ -171,29 +180,31 @@
                 // What was slow before a cut must not cut again; where balancers outnumber servers it may.
                 pressure = growth() < 1 ? pressure : comfort();
             }
-        } else if (finished.outcome() == Outcome.OK && inFlight * 2 >= limit) {
+        } else if (finished.outcome() == AttemptOutcome.OK && inFlight * 2 >= limit) {
             // Where balancers are few, a drained one's calls come at once: a step a round would refuse many.
             boolean sought = growth() == 1 && now - shareTurnedAway < SHARE_FIRST_MS;
             boolean quick = (limit < quickUntil || sought) && pressure < comfort() / 2;
-            limit = Math.min(Pool.CEILING, limit + Math.min(limit, (quick ? 1 : 1 / limit) * growth()));
+            limit = Math.min(SlotPool.CEILING, limit + Math.min(limit, (quick ? 1 : 1 / limit) * growth()));
         }
     }
 
     /** How crowded servers are shows in what they answer and when; each such word moves the limit once. */
-    private static boolean tellsOfCrowding(Outcome outcome) {
-        return outcome == Outcome.OK || outcome == Outcome.TIMED_OUT || outcome == Outcome.QUEUE_FULL;
+    private static boolean tellsOfCrowding(AttemptOutcome outcome) {
+        return outcome == AttemptOutcome.OK
+                || outcome == AttemptOutcome.TIMED_OUT
+                || outcome == AttemptOutcome.QUEUE_FULL;
     }
 
     /**
      * What an attempt took beyond the base time, as a part of what the aim leaves. Quicker answers count
      * below zero: calls differ in work, and if only the slow ones counted, that would pass for crowding.
      */
-    private static double excess(Call call, Finished finished) {
+    private static double excess(InFlightRequest call, AttemptResult finished) {
         double base = call.learned.baseMs();
-        double aim = call.kind.aimMs();
-        double ratio = (finished.servedMs() - base) / Math.max(aim - base, aim / 4);
+        double aim = call.kind.latencyObjectiveMs();
+        double ratio = (finished.endpointTimeMs() - base) / Math.max(aim - base, aim / 4);
         // How long it would have taken is not known of an answer that has not come.
-        double least = finished.outcome() == Outcome.OK ? -MOST_EXCESS : 0;
+        double least = finished.outcome() == AttemptOutcome.OK ? -MOST_EXCESS : 0;
         return Math.max(least, Math.min(MOST_EXCESS, ratio));
     }
 
--- a/core/src/main/java/lemonrail/core/policy/EndpointListPoller.java
+++ b/core/src/main/java/lemonrail/core/policy/EndpointListPoller.java
@@ -1,7 +1,7 @@
 package lemonrail.core.policy;
 
 import java.util.SplittableRandom;
-import lemonrail.core.Contract.*;
+import lemonrail.core.balancer.LoadBalancerHost;
 
 /** Schedules polls of the endpoint list, with random delays and a backoff that grows with each failed poll. */
 final class EndpointListPoller {
@@ -13,10 +13,10 @@
 
     private final double pollIntervalMs;
     private final SplittableRandom random;
-    private final Actions host;
+    private final LoadBalancerHost host;
     private int consecutiveFailures;
 
-    EndpointListPoller(double pollIntervalMs, SplittableRandom random, Actions host) {
+    EndpointListPoller(double pollIntervalMs, SplittableRandom random, LoadBalancerHost host) {
         this.pollIntervalMs = pollIntervalMs;
         this.random = random;
         this.host = host;
@@ -39,12 +39,12 @@
     /** Polls the list if the timer is this poller's. */
     void onTimer(long name) {
         if (name == POLL_TIMER) {
-            host.subscribe();
+            host.pollEndpoints();
         }
     }
 
     /** The delay is random so that balancers which start or fail together do not poll together. */
     private void schedule(double maxDelayMs) {
-        host.timer(random.nextDouble() * maxDelayMs, POLL_TIMER);
+        host.startTimer(random.nextDouble() * maxDelayMs, POLL_TIMER);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/Target.java
+++ b/core/src/main/java/lemonrail/core/policy/EndpointRecord.java
@@ -1,10 +1,10 @@
 package lemonrail.core.policy;
 
-import lemonrail.core.Contract.Server;
 import lemonrail.core.StableHash;
+import lemonrail.core.balancer.Endpoint;
 
 /** What this balancer knows of one server. */
-final class Target {
+final class EndpointRecord {
 
     /** Weights of a new sample and of a new outcome in what is learned of a server. */
     static final double SERVER_GAIN = 1.0 / 12;
@@ -13,7 +13,7 @@
 
     final String id;
     final long hash;
-    Server listed;
+    Endpoint listed;
     boolean forgotten;
     /** Bits of the slots in the pool, and the next slot outside it, if it may have one. */
     long held;
@@ -47,7 +47,7 @@
     /** Its place there, the same at every balancer that has the same list; NaN while it has none. */
     double place = Double.NaN;
 
-    Target(Server listed) {
+    EndpointRecord(Endpoint listed) {
         this.id = listed.id();
         this.listed = listed;
         this.hash = StableHash.of(id);
--- a/core/src/main/java/lemonrail/core/policy/Call.java
+++ b/core/src/main/java/lemonrail/core/policy/InFlightRequest.java
@@ -2,21 +2,23 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lemonrail.core.AnswerTimes;
-import lemonrail.core.Contract.*;
+import lemonrail.core.LatencyEstimator;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.Request;
+import lemonrail.core.balancer.RequestClass;
 
 /** A request in hand. */
-final class Call {
+final class InFlightRequest {
 
     /** Where a late answer is worth nothing, a call ends at this part of its aim: later costs more. */
     private static final double USEFUL = 0.99;
 
     /** One attempt of a call; its end is null until it has come. */
-    record Attempt(Slot slot, double sentAt, Outcome[] end) {}
+    record Attempt(Slot slot, double sentAt, AttemptOutcome[] end) {}
 
     final Request request;
     final RequestClass kind;
-    final AnswerTimes learned;
+    final LatencyEstimator learned;
     final List<Attempt> attempts = new ArrayList<>(2);
     /** When an answer stops being worth waiting for. */
     final double usefulUntil;
@@ -34,10 +36,10 @@
     }
 
     /** Records the outcome of an attempt that was in flight. */
-    void end(Attempt attempt, Outcome outcome) {
+    void end(Attempt attempt, AttemptOutcome outcome) {
         attempt.end()[0] = outcome;
         out--;
-        if (!outcome.neverRan() && mayHaveRun == null) {
+        if (!outcome.provesNotExecuted() && mayHaveRun == null) {
             mayHaveRun = attempt;
         }
     }
@@ -47,12 +49,12 @@
         return answered && out == 0;
     }
 
-    Call(double now, Request request, RequestClass kind, AnswerTimes learned) {
+    InFlightRequest(double now, Request request, RequestClass kind, LatencyEstimator learned) {
         this.request = request;
         this.kind = kind;
         this.learned = learned;
-        usefulUntil = kind.lateWorth() > 0
+        usefulUntil = kind.lateResponseWeight() > 0
                 ? request.deadlineMs()
-                : Math.min(request.deadlineMs(), now + kind.aimMs() * USEFUL);
+                : Math.min(request.deadlineMs(), now + kind.latencyObjectiveMs() * USEFUL);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/Health.java
+++ b/core/src/main/java/lemonrail/core/policy/OutlierDetector.java
@@ -2,13 +2,15 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lemonrail.core.AnswerTimes;
-import lemonrail.core.Contract.*;
-import lemonrail.core.DialChance;
-import lemonrail.core.TroubleReport;
+import lemonrail.core.ConnectFailureRate;
+import lemonrail.core.LatencyEstimator;
+import lemonrail.core.LoadSheddingReport;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
 
 /** The servers' health: who pauses after a failure, and who is on trial. */
-final class Health {
+final class OutlierDetector {
 
     /** The share of a server's outcomes that may fail by chance, and the most doublings of its pause. */
     private static final double FAILING_SHARE = 0.4;
@@ -19,50 +21,51 @@
     /** A server's slowness is kept below this factor: more would rest on too few samples. */
     private static final double SLOWEST = 8;
 
-    private final Pool pool;
-    private final Settings settings;
-    private final List<Target> paused = new ArrayList<>();
+    private final SlotPool pool;
+    private final BalancerSettings settings;
+    private final List<EndpointRecord> paused = new ArrayList<>();
     /** Servers on trial. */
     int ailing;
 
-    private final TroubleReport report;
-    private final DialChance dials = new DialChance();
+    private final LoadSheddingReport report;
+    private final ConnectFailureRate dials = new ConnectFailureRate();
 
-    Health(Settings settings, Pool pool, TroubleReport report) {
+    OutlierDetector(BalancerSettings settings, SlotPool pool, LoadSheddingReport report) {
         this.report = report;
         this.pool = pool;
         this.settings = settings;
     }
 
     /** Whether an outcome counts against the endpoint: a timeout does only if the attempt was a long one. */
-    static boolean isFailure(Call call, Finished finished) {
+    static boolean isFailure(InFlightRequest call, AttemptResult finished) {
         return switch (finished.outcome()) {
             case FAILED, CONNECT_ERROR, RESET -> true;
-            case TIMED_OUT -> finished.servedMs() >= call.learned.tailMs();
+            case TIMED_OUT -> finished.endpointTimeMs() >= call.learned.tailMs();
             default -> false;
         };
     }
 
     /** Whether a ready endpoint gets fewer or no requests because of its failures. */
-    static boolean isAvoided(double now, Target target) {
+    static boolean isAvoided(double now, EndpointRecord target) {
         return target.ready && (target.onTrial || (target.held == 0 && now < target.pausedUntil));
     }
 
     /** Learns from how long a call has waited, with or without an answer. */
-    void waited(double now, Target target, AnswerTimes known, double tookMs) {
+    void waited(double now, EndpointRecord target, LatencyEstimator known, double tookMs) {
         if (pool.cold.warmth(now, target) >= 1) {
-            target.slowness += Target.SERVER_GAIN * (Math.min(tookMs / known.typicalMs(), SLOWEST) - target.slowness);
+            target.slowness +=
+                    EndpointRecord.SERVER_GAIN * (Math.min(tookMs / known.typicalMs(), SLOWEST) - target.slowness);
             pool.reprice(now, target, false);
         }
     }
 
     /** Takes in the end of an attempt on this slot. */
-    void judge(double now, Slot slot, Outcome outcome, boolean failed) {
-        Target target = slot.target;
+    void judge(double now, Slot slot, AttemptOutcome outcome, boolean failed) {
+        EndpointRecord target = slot.target;
         boolean alive = learnConnection(slot, outcome);
-        if (outcome == Outcome.CONNECT_ERROR
+        if (outcome == AttemptOutcome.CONNECT_ERROR
                 && dials.explains(target.connectsFailed)
-                && pool.ranks.ready * Limit.FIRST_CALLS >= settings.balancers()) {
+                && pool.ranks.ready * ConcurrencyLimit.FIRST_CALLS >= settings.balancers()) {
             // As many fail at servers that are well. Where many share few, the sum of new dials needs pauses.
             pool.drop(slot);
             pool.offer(now, target);
@@ -75,11 +78,11 @@
                 strike(now, target);
             }
             pool.offer(now, target);
-        } else if (outcome == Outcome.OK) {
-            target.failing -= Target.FAILING_GAIN * target.failing;
+        } else if (outcome == AttemptOutcome.OK) {
+            target.failing -= EndpointRecord.FAILING_GAIN * target.failing;
             recover(now, target);
         }
-        if (outcome == Outcome.QUEUE_FULL) {
+        if (outcome == AttemptOutcome.QUEUE_FULL) {
             report.metFullServer();
             // It is crowded, not sick: no other slot is taken there for a while.
             pool.drop(slot);
@@ -88,17 +91,21 @@
     }
 
     /** True if only the connect failed while other connections stand, which at first tells nothing. */
-    private boolean learnConnection(Slot slot, Outcome outcome) {
-        if (!slot.connected && outcome != Outcome.CANCELED && outcome != Outcome.IGNORED) {
-            pool.connected(outcome == Outcome.CONNECT_ERROR);
+    private boolean learnConnection(Slot slot, AttemptOutcome outcome) {
+        if (!slot.connected && outcome != AttemptOutcome.CANCELED && outcome != AttemptOutcome.IGNORED) {
+            pool.connected(outcome == AttemptOutcome.CONNECT_ERROR);
         }
-        boolean cameUp = outcome == Outcome.OK || outcome == Outcome.FAILED || outcome == Outcome.QUEUE_FULL;
+        boolean cameUp = outcome == AttemptOutcome.OK
+                || outcome == AttemptOutcome.FAILED
+                || outcome == AttemptOutcome.QUEUE_FULL;
         if (cameUp && (!slot.connected || slot.target.connectsFailed > 0)) {
             dials.cameUp(slot.target.connectsFailed);
             slot.target.connectsFailed = 0;
         }
         slot.connected = cameUp;
-        return outcome == Outcome.CONNECT_ERROR && ++slot.target.connectsFailed == 1 && pool.hasOtherConnected(slot);
+        return outcome == AttemptOutcome.CONNECT_ERROR
+                && ++slot.target.connectsFailed == 1
+                && pool.hasOtherConnected(slot);
     }
 
     /** When half of all servers look bad, something they share is: giving them up would leave none. */
@@ -107,20 +114,20 @@
     }
 
     /** A crowded server answers late, a hung one not at all, and fewer calls help only the first. */
-    boolean hangs(double now, Target target) {
+    boolean hangs(double now, EndpointRecord target) {
         return target.answerGapMs > 0 && now - target.lastAnswer > HANG_GAPS * target.answerGapMs && !blamedOnShared();
     }
 
     /** One error may be by chance, whoever sends it; a time-out or a failed connect seldom is. */
-    private static boolean fails(Target target, Outcome outcome) {
-        target.failing += Target.FAILING_GAIN * (1 - target.failing);
+    private static boolean fails(EndpointRecord target, AttemptOutcome outcome) {
+        target.failing += EndpointRecord.FAILING_GAIN * (1 - target.failing);
         return target.onTrial
-                || (outcome != Outcome.FAILED && outcome != Outcome.RESET)
+                || (outcome != AttemptOutcome.FAILED && outcome != AttemptOutcome.RESET)
                 || target.failing > FAILING_SHARE;
     }
 
     /** A failure: the server pauses, longer each time; at the second in a row it loses all its slots. */
-    private void strike(double now, Target target) {
+    private void strike(double now, EndpointRecord target) {
         target.strikes = Math.min(target.strikes + 1, MOST_DOUBLINGS);
         target.trialAnswers = 0;
         if (!target.onTrial) {
@@ -134,7 +141,7 @@
         }
     }
 
-    private void pause(double now, Target target, double ms) {
+    private void pause(double now, EndpointRecord target, double ms) {
         if (target.pausedUntil <= now) {
             paused.add(target);
         }
@@ -142,7 +149,7 @@
         pool.offer(now, target);
     }
 
-    private void recover(double now, Target target) {
+    private void recover(double now, EndpointRecord target) {
         if (!target.onTrial) {
             target.strikes = 0;
         } else if (++target.trialAnswers >= 1 << Math.min(target.strikes, 3)) {
@@ -155,14 +162,14 @@
 
     /** Lets those whose pause is over take part again. */
     void tick(double now) {
-        List<Target> over =
+        List<EndpointRecord> over =
                 paused.stream().filter(target -> target.pausedUntil <= now).toList();
         paused.removeAll(over);
         over.forEach(target -> pool.offer(now, target));
     }
 
     /** What the server did before counts no more. */
-    void heal(Target target) {
+    void heal(EndpointRecord target) {
         if (target.onTrial) {
             target.onTrial = false;
             ailing--;
@@ -176,7 +183,7 @@
         target.answerGapMs = 0;
     }
 
-    void forget(Target target) {
+    void forget(EndpointRecord target) {
         paused.remove(target);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/Retries.java
+++ b/core/src/main/java/lemonrail/core/policy/RetryPolicy.java
@@ -1,9 +1,11 @@
 package lemonrail.core.policy;
 
-import lemonrail.core.Contract.*;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.Idempotency;
 
 /** Which calls may be sent again, where, and how often all of them together. */
-final class Retries {
+final class RetryPolicy {
 
     /** Retries allowed for each request taken, and how many may be saved up for when many servers die. */
     private static final double SHARE = 0.2;
@@ -14,10 +16,10 @@
     /** The part of its window in which a keyed call may be repeated. */
     private static final double WINDOW_SHARE = 0.9;
 
-    Settings settings;
+    BalancerSettings settings;
     private double left = SAVINGS;
 
-    Retries(Settings settings) {
+    RetryPolicy(BalancerSettings settings) {
         this.settings = settings;
     }
 
@@ -25,15 +27,16 @@
         left = Math.min(SAVINGS, left + SHARE);
     }
 
-    boolean allows(double now, Call call, Outcome outcome) {
+    boolean allows(double now, InFlightRequest call, AttemptOutcome outcome) {
         if (call.out > 0
-                || call.attempts.size() >= settings.limits().tries()
-                || outcome == Outcome.IGNORED
+                || call.attempts.size() >= settings.limits().maxAttempts()
+                || outcome == AttemptOutcome.IGNORED
                 || call.usefulUntil - now < call.learned.typicalMs() / 2
                 || (call.mayHaveRun != null
-                        && (call.kind.effect() == Effect.ONCE
-                                || (call.kind.effect() == Effect.BY_KEY
-                                        && now - call.mayHaveRun.sentAt() >= call.kind.windowMs() * WINDOW_SHARE)))) {
+                        && (call.kind.idempotency() == Idempotency.NON_IDEMPOTENT
+                                || (call.kind.idempotency() == Idempotency.KEYED
+                                        && now - call.mayHaveRun.sentAt()
+                                                >= call.kind.deduplicationWindowMs() * WINDOW_SHARE)))) {
             return false;
         }
         // Retries feed on themselves when all is slow, and multiply from tier to tier.
@@ -43,19 +46,19 @@
     }
 
     /** Only the group that remembers a keyed call's first run drops its repeat. */
-    static boolean sameGroup(Call call, Target target) {
+    static boolean sameGroup(InFlightRequest call, EndpointRecord target) {
         return call.mayHaveRun == null
-                || call.kind.effect() != Effect.BY_KEY
-                || call.kind.group().holds(call.mayHaveRun.slot().target.listed, target.listed);
+                || call.kind.idempotency() != Idempotency.KEYED
+                || call.kind.deduplicationScope().includesBoth(call.mayHaveRun.slot().target.listed, target.listed);
     }
 
     /** How long to wait: a hung server must not eat all of a call's time while another could serve it. */
-    double timeout(double now, Call call) {
+    double timeout(double now, InFlightRequest call) {
         double most = call.usefulUntil - now;
         double patience =
                 Math.max(call.learned.tailMs() * PATIENCE, settings.limits().connectTimeoutMs());
-        return call.kind.effect() != Effect.ONCE
-                        && call.attempts.size() + 1 < settings.limits().tries()
+        return call.kind.idempotency() != Idempotency.NON_IDEMPOTENT
+                        && call.attempts.size() + 1 < settings.limits().maxAttempts()
                         && most - patience > call.learned.typicalMs()
                 ? patience
                 : most;
--- a/core/src/main/java/lemonrail/core/policy/Slot.java
+++ b/core/src/main/java/lemonrail/core/policy/Slot.java
@@ -5,7 +5,7 @@
 /** A slot: the right to have one call at a time at one server. */
 final class Slot implements Comparable<Slot> {
 
-    final Target target;
+    final EndpointRecord target;
     final int number;
     /** The rank it has by the design's formula, at the server's present place and cost. */
     double rank;
@@ -20,7 +20,7 @@
     /** Left the pool while a call was still out on it. */
     boolean discarded;
 
-    Slot(Target target, int number) {
+    Slot(EndpointRecord target, int number) {
         this.target = target;
         this.number = number;
     }
--- a/core/src/main/java/lemonrail/core/policy/Pool.java
+++ b/core/src/main/java/lemonrail/core/policy/SlotPool.java
@@ -4,10 +4,10 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.function.Predicate;
-import lemonrail.core.Contract.*;
+import lemonrail.core.balancer.LoadBalancerHost;
 
 /** The bounded pool of slots, the lowest rank first, and those next outside it. */
-final class Pool {
+final class SlotPool {
 
     /** The most slots a pool may hold, whatever the fleet's size: one on each of the largest list. */
     static final int CEILING = 1024;
@@ -27,10 +27,10 @@
     private static final double CONNECT_FADE = 0.99;
     private static final double CONNECT_ROUNDS = 4;
 
-    final Ranks ranks;
-    final Cold cold;
-    private final Locality locality;
-    private final Actions host;
+    final SlotRanking ranks;
+    final SlowStart cold;
+    private final ZoneAffinity locality;
+    private final LoadBalancerHost host;
     private final List<Slot> slots = new ArrayList<>();
     /** The slots next outside it in order, one a server at most: the own zone's and all others. */
     private final List<Slot> nearSpares = new ArrayList<>();
@@ -39,7 +39,7 @@
     /** The recent share of failures among calls that had to open a connection. */
     private double connectFailing;
 
-    Pool(Ranks ranks, Cold cold, Locality locality, Actions host) {
+    SlotPool(SlotRanking ranks, SlowStart cold, ZoneAffinity locality, LoadBalancerHost host) {
         this.ranks = ranks;
         this.cold = cold;
         this.locality = locality;
@@ -95,7 +95,7 @@
 
     /** Takes a spare slot into the pool and offers the server's next; others are there already. */
     void adopt(double now, Slot slot) {
-        Target target = slot.target;
+        EndpointRecord target = slot.target;
         if (target.spare == slot) {
             withdraw(target);
             target.held |= 1L << slot.number;
@@ -113,16 +113,16 @@
         slots.remove(slot);
         slot.target.held &= ~(1L << slot.number);
         if (slot.target.held == 0 && slot.target.inFlight == 0) {
-            host.disconnect(slot.target.id);
+            host.closeIdleConnections(slot.target.id);
         }
     }
 
-    void dropAll(Target target) {
+    void dropAll(EndpointRecord target) {
         List.copyOf(slots).stream().filter(slot -> slot.target == target).forEach(this::drop);
     }
 
     /** Puts the server's lowest slot outside the pool into the index, if it may have one more. */
-    void offer(double now, Target target) {
+    void offer(double now, EndpointRecord target) {
         withdraw(target);
         int most = target.onTrial || cold.warmth(now, target) < 1 ? 1 : SLOTS_PER_SERVER;
         if (target.forgotten
@@ -140,7 +140,7 @@
         slot.spares.add(-1 - Collections.binarySearch(slot.spares, slot), slot);
     }
 
-    private static void withdraw(Target target) {
+    private static void withdraw(EndpointRecord target) {
         if (target.spare != null) {
             target.spare.spares.remove(Collections.binarySearch(target.spare.spares, target.spare));
             target.spare = null;
@@ -148,7 +148,7 @@
     }
 
     /** Moves a server's slots up or down by what it can do: slow, small or cold ones get fewer calls. */
-    void reprice(double now, Target target, boolean always) {
+    void reprice(double now, EndpointRecord target, boolean always) {
         double cost = Math.max(CHEAPEST, target.slowness);
         if (!always && cost < target.cost * REPRICE && cost > target.cost / REPRICE) {
             return;
--- a/core/src/main/java/lemonrail/core/policy/Ranks.java
+++ b/core/src/main/java/lemonrail/core/policy/SlotRanking.java
@@ -3,18 +3,20 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import lemonrail.core.Contract.*;
-import lemonrail.core.Ring;
+import lemonrail.core.RingPlacement;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
 
 /** The ranks of slots, by the design's formula, and the servers' places on the ring that it rests on. */
-final class Ranks {
+final class SlotRanking {
 
     /** A multiple of its usual cost moves a server back by this part of a round of ranks. */
     private static final double STEP_BACK = 0.5;
 
-    final Settings settings;
+    final BalancerSettings settings;
     /** The ready servers and those that were so when places were last settled, in order as of then. */
-    final List<Target> ring = new ArrayList<>();
+    final List<EndpointRecord> ring = new ArrayList<>();
 
     private double meanWeight = 1;
     /** Changes of the list since then that move places. */
@@ -24,13 +26,13 @@
 
     int readyInZone;
 
-    Ranks(Settings settings) {
+    SlotRanking(BalancerSettings settings) {
         this.settings = settings;
     }
 
     /** Takes in what discovery says of a server: who is ready counts at once, places wait to be settled. */
-    void list(Target target, Server entry) {
-        boolean isReady = entry.state() == State.READY;
+    void list(EndpointRecord target, Endpoint entry) {
+        boolean isReady = entry.state() == EndpointState.READY;
         if (target.ready != isReady
                 || (isReady && (entry.weight() != target.listed.weight() || entry.zone() != target.listed.zone()))) {
             unsettled++;
@@ -52,18 +54,19 @@
         ring.forEach(target -> target.onRing = target.ready);
         ring.removeIf(target -> !target.ready);
         // Several rings where balancers outnumber servers: who leaves a full one must not crowd the next.
-        int number =
-                settings.ownNumber() % Integer.highestOneBit(Math.max(1, settings.balancers() / Math.max(1, ready)));
+        int number = settings.balancerIndex()
+                % Integer.highestOneBit(Math.max(1, settings.balancers() / Math.max(1, ready)));
         double weights = 0;
-        for (Target target : ring) {
+        for (EndpointRecord target : ring) {
             readyInZone += isFar(target) ? 0 : 1;
             weights += target.listed.weight();
-            target.ringOrder = Ring.order(target.hash, number);
+            target.ringOrder = RingPlacement.order(target.hash, number);
         }
         meanWeight = ready == 0 || weights <= 0 ? 1 : weights / ready;
         // Nearly in order since the last time, which the sort makes use of.
-        ring.sort(Comparator.comparingLong((Target target) -> target.ringOrder).thenComparing(t -> t.id));
-        Ring.place(
+        ring.sort(Comparator.comparingLong((EndpointRecord target) -> target.ringOrder)
+                .thenComparing(t -> t.id));
+        RingPlacement.place(
                 ring,
                 target -> target.listed.zone(),
                 this::relativeWeight,
@@ -80,14 +83,14 @@
     double formula(Slot slot) {
         int balancers = settings.balancers();
         return slot.number * balancers / relativeWeight(slot.target)
-                + (settings.ownNumber() + slot.target.place) % balancers;
+                + (settings.balancerIndex() + slot.target.place) % balancers;
     }
 
-    double relativeWeight(Target target) {
+    double relativeWeight(EndpointRecord target) {
         return settings.weighted() && target.listed.weight() > 0 ? target.listed.weight() / meanWeight : 1;
     }
 
-    boolean isFar(Target target) {
-        return target.listed.zone() != settings.ownZone();
+    boolean isFar(EndpointRecord target) {
+        return target.listed.zone() != settings.zone();
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/Locality.java
+++ b/core/src/main/java/lemonrail/core/policy/ZoneAffinity.java
@@ -1,9 +1,9 @@
 package lemonrail.core.policy;
 
-import lemonrail.core.Contract.Settings;
+import lemonrail.core.balancer.BalancerSettings;
 
 /** How far the own zone's slots come before those of others. */
-final class Locality {
+final class ZoneAffinity {
 
     /** Other zones' slots rank after as many of the own zone's as this multiple of the usual calls need. */
     private static final double SPILL = 3;
@@ -18,8 +18,8 @@
 
     private static final double GAIN = 1.0 / 16;
 
-    private final Settings settings;
-    private final Ranks ranks;
+    private final BalancerSettings settings;
+    private final SlotRanking ranks;
     private double lastTick;
     /** Base time of the calls taken since the last tick, and the calls at once that it usually makes. */
     private double demandMs;
@@ -33,12 +33,12 @@
     private double nearCrowding;
     private double farCrowding;
 
-    Locality(Settings settings, Ranks ranks) {
+    ZoneAffinity(BalancerSettings settings, SlotRanking ranks) {
         this.settings = settings;
         this.ranks = ranks;
     }
 
-    double spill(Target target) {
+    double spill(EndpointRecord target) {
         return ranks.isFar(target) ? spill : 0;
     }
 
@@ -46,7 +46,7 @@
         demandMs += baseMs;
     }
 
-    void crowding(Target target, double ratio) {
+    void crowding(EndpointRecord target, double ratio) {
         if (ranks.isFar(target)) {
             farCrowding += GAIN * (ratio - farCrowding);
         } else {
@@ -64,7 +64,7 @@
         // A sudden flood must not pass for usual: it counts for twice the usual at most.
         atOnce = usual == 0 ? atOnce : Math.min(atOnce, 2 * usual + 1);
         usual += (usual == 0 ? 0.1 : pauses / CALM_PAUSES) * (atOnce - usual);
-        locality = nearCrowding > farCrowding + MARGIN * settings.crossZonePrice()
+        locality = nearCrowding > farCrowding + MARGIN * settings.crossZoneCost()
                 ? locality * CUT
                 : Math.min(1, locality + REGAIN);
         // Other zones are known only from calls sent there: old news fades to the best.
--- a/core/src/main/java/lemonrail/core/control/InForce.java
+++ b/core/src/main/java/lemonrail/core/replication/AppliedVersions.java
@@ -1,4 +1,4 @@
-package lemonrail.core.control;
+package lemonrail.core.replication;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /** Who watches at a node, which settings are in force at each watcher, and who has refused which and why. */
-public final class InForce {
+public final class AppliedVersions {
 
     /** Watchers that have not called for so long are forgotten: the longest wait, and twice as much more. */
     public static final long SILENT_MS = 180_000;
@@ -21,11 +21,11 @@
      * What a watcher has said.
      *
      * @param document the settings document that it follows, empty if none
-     * @param inForce the stamp of the one in force there, {@link Stamp#NONE} for that of its own file
+     * @param inForce the stamp of the one in force there, {@link HybridTimestamp#NONE} for that of its own file
      * @param refused the stamp of the last one that it has refused, or null
      * @param why in one line, empty if nothing is refused
      */
-    public record Word(String name, String document, Stamp inForce, Stamp refused, String why) {}
+    public record Word(String name, String document, HybridTimestamp inForce, HybridTimestamp refused, String why) {}
 
     /**
      * Of one document at the watchers of a node.
@@ -37,7 +37,12 @@
      * @param refused some of them
      */
     public record Summary(
-            String document, int watchers, Stamp oldest, List<String> oldestNames, int refusals, List<Word> refused) {}
+            String document,
+            int watchers,
+            HybridTimestamp oldest,
+            List<String> oldestNames,
+            int refusals,
+            List<Word> refused) {}
 
     private record Seen(Word word, long atMs) {}
 
@@ -75,10 +80,10 @@
                         .add(word));
         List<Summary> all = new ArrayList<>();
         byDocument.forEach((document, words) -> {
-            Stamp oldest = words.stream()
+            HybridTimestamp oldest = words.stream()
                     .map(Word::inForce)
                     .min(Comparator.naturalOrder())
-                    .orElse(Stamp.NONE);
+                    .orElse(HybridTimestamp.NONE);
             List<Word> refused = words.stream()
                     .filter(word -> word.refused() != null && word.refused().compareTo(word.inForce()) > 0)
                     .toList();
--- a/core/src/main/java/lemonrail/core/control/HybridClock.java
+++ b/core/src/main/java/lemonrail/core/replication/HybridLogicalClock.java
@@ -1,29 +1,29 @@
-package lemonrail.core.control;
+package lemonrail.core.replication;
 
 /** A hybrid logical clock: near to real time, and each reading above all that were heard before. */
-final class HybridClock {
+final class HybridLogicalClock {
 
     private final String origin;
     private long ms;
     private int counter;
 
-    HybridClock(String origin) {
+    HybridLogicalClock(String origin) {
         this.origin = origin;
     }
 
     /** A reading above all earlier ones and all that were heard. */
-    Stamp read(long nowMs) {
+    HybridTimestamp read(long nowMs) {
         if (nowMs > ms) {
             ms = nowMs;
             counter = 0;
         } else {
             counter++;
         }
-        return new Stamp(ms, counter, origin);
+        return new HybridTimestamp(ms, counter, origin);
     }
 
     /** Takes in another's reading. */
-    void hear(Stamp stamp) {
+    void hear(HybridTimestamp stamp) {
         if (stamp.ms() > ms || (stamp.ms() == ms && stamp.counter() > counter)) {
             ms = stamp.ms();
             counter = stamp.counter();
--- a/core/src/main/java/lemonrail/core/control/Route.java
+++ b/core/src/main/java/lemonrail/core/replication/NodeSelector.java
@@ -1,4 +1,4 @@
-package lemonrail.core.control;
+package lemonrail.core.replication;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,7 +9,7 @@
  * heard nothing new for long, and back to its first one after a while, spread over time. Times are in
  * milliseconds.
  */
-public final class Route {
+public final class NodeSelector {
 
     /** A node that has heard no other for so long is behind; another is looked at once in a while. */
     static final double STALE_MS = 5_000;
@@ -51,10 +51,10 @@
      * @param nodes those of its region
      * @param others those that come after all of these have failed
      */
-    public Route(String name, List<String> nodes, List<String> others, long seed) {
-        order.addAll(Spread.order(name, nodes));
+    public NodeSelector(String name, List<String> nodes, List<String> others, long seed) {
+        order.addAll(RendezvousOrder.order(name, nodes));
         own = order.size();
-        Spread.order(name, others).stream()
+        RendezvousOrder.order(name, others).stream()
                 .filter(node -> !order.contains(node))
                 .forEach(order::add);
         if (order.isEmpty()) {
--- a/core/src/main/java/lemonrail/core/control/ControlState.java
+++ b/core/src/main/java/lemonrail/core/replication/ReplicatedStore.java
@@ -1,4 +1,4 @@
-package lemonrail.core.control;
+package lemonrail.core.replication;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -16,7 +16,7 @@
  * one item the one of the higher stamp holds, whatever way and order they come. Single-threaded; time comes
  * with the calls, in milliseconds of Unix time.
  */
-public final class ControlState {
+public final class ReplicatedStore {
 
     /** Arrival numbers in a millisecond, as a power of two: Unix time leaves them 53 bits until 2248. */
     private static final int NUMBERS_BITS = 10;
@@ -48,7 +48,7 @@
     public record Batch(Set<String> topics, int news, int refused) {}
 
     /** An item, its number here and the node that told of it, empty where it was taken here. */
-    private record Held(Item item, long arrival, String via) {}
+    private record Held(VersionedEntry item, long arrival, String via) {}
 
     private static final class Topic {
         final Map<String, Held> items = new HashMap<>();
@@ -58,23 +58,23 @@
 
     private final String origin;
     private final Bounds bounds;
-    private final HybridClock clock;
+    private final HybridLogicalClock clock;
     private final Map<String, Topic> topics = new HashMap<>();
     private final TreeMap<Long, Held> all = new TreeMap<>();
     /** Removed items by their arrival: the oldest is forgotten first. */
     private final TreeMap<Long, Held> removed = new TreeMap<>();
     /** For each node the stamp up to which everything of it has come. */
-    private final Map<String, Stamp> heard = new TreeMap<>();
+    private final Map<String, HybridTimestamp> heard = new TreeMap<>();
 
     private long last;
     private int live;
     private boolean ready;
 
     /** A node that knows nothing yet. */
-    public ControlState(String origin, Bounds bounds, long nowMs) {
+    public ReplicatedStore(String origin, Bounds bounds, long nowMs) {
         this.origin = origin;
         this.bounds = bounds;
-        clock = new HybridClock(origin);
+        clock = new HybridLogicalClock(origin);
         last = nowMs << NUMBERS_BITS;
     }
 
@@ -102,7 +102,7 @@
             throw new IllegalStateException("not ready: no other node has been heard yet");
         }
         boolean late = asOfMs < nowMs;
-        Stamp stamp = late ? Stamp.asOf(asOfMs, origin) : clock.read(nowMs);
+        HybridTimestamp stamp = late ? HybridTimestamp.asOf(asOfMs, origin) : clock.read(nowMs);
         Held held = held(topic, id);
         if (held != null && stamp.compareTo(held.item().stamp()) <= 0) {
             return stamp.equals(held.item().stamp())
@@ -120,7 +120,7 @@
         if (!late) {
             heard.put(origin, stamp);
         }
-        put(new Item(topic, id, stamp, gone, gone ? "" : body), next(nowMs), "");
+        put(new VersionedEntry(topic, id, stamp, gone, gone ? "" : body), next(nowMs), "");
         return Taken.NEWS;
     }
 
@@ -138,15 +138,15 @@
      * @param itsHeard up to where that node has heard all others
      * @param via that node
      */
-    public Batch takeAll(long nowMs, List<Item> items, Map<String, Stamp> itsHeard, String via) {
+    public Batch takeAll(long nowMs, List<VersionedEntry> items, Map<String, HybridTimestamp> itsHeard, String via) {
         Set<String> changed = new TreeSet<>();
         int news = 0;
         int refused = 0;
-        List<Item> ordered = new ArrayList<>(items);
+        List<VersionedEntry> ordered = new ArrayList<>(items);
         // So that those of one node come in its order, and none looks like one that was heard before.
-        ordered.sort(Comparator.comparing(Item::stamp));
+        ordered.sort(Comparator.comparing(VersionedEntry::stamp));
         long byStamp = 0;
-        for (Item item : ordered) {
+        for (VersionedEntry item : ordered) {
             byStamp = Math.max(byStamp + 1, item.stamp().ms() << NUMBERS_BITS);
             Taken taken = take(nowMs, item, byStamp, via);
             if (taken == Taken.NEWS) {
@@ -158,15 +158,15 @@
         }
         itsHeard.forEach((node, stamp) -> {
             if (stamp.ms() <= nowMs + bounds.aheadMs()) {
-                heard.merge(node, stamp, ControlState::higher);
+                heard.merge(node, stamp, ReplicatedStore::higher);
                 clock.hear(stamp);
             }
         });
         return new Batch(changed, news, refused);
     }
 
-    private Taken take(long nowMs, Item item, long byStamp, String via) {
-        Stamp stamp = item.stamp();
+    private Taken take(long nowMs, VersionedEntry item, long byStamp, String via) {
+        HybridTimestamp stamp = item.stamp();
         if (stamp.ms() > nowMs + bounds.aheadMs()) {
             return Taken.AHEAD;
         }
@@ -184,13 +184,13 @@
         }
         clock.hear(stamp);
         if (!stamp.isAsOf()) {
-            heard.merge(stamp.origin(), stamp, ControlState::higher);
+            heard.merge(stamp.origin(), stamp, ReplicatedStore::higher);
         }
         put(item, ready ? next(nowMs) : byStamp(byStamp), via);
         return Taken.NEWS;
     }
 
-    private static Stamp higher(Stamp one, Stamp other) {
+    private static HybridTimestamp higher(HybridTimestamp one, HybridTimestamp other) {
         return one.compareTo(other) >= 0 ? one : other;
     }
 
@@ -213,7 +213,7 @@
         return in == null ? null : in.items.get(id);
     }
 
-    private void put(Item item, long arrival, String via) {
+    private void put(VersionedEntry item, long arrival, String via) {
         Topic topic = topics.computeIfAbsent(item.topic(), name -> new Topic());
         Held now = new Held(item, arrival, via);
         Held before = topic.items.put(item.id(), now);
@@ -290,7 +290,7 @@
     }
 
     /** What is newer than a version in these topics, removals as well, in the order of arrival. */
-    public List<Item> since(Collection<String> names, long version) {
+    public List<VersionedEntry> since(Collection<String> names, long version) {
         List<Held> newer = new ArrayList<>();
         for (String name : names) {
             Topic topic = topics.get(name);
@@ -303,17 +303,17 @@
     }
 
     /** All that is there in these topics. */
-    public List<Item> live(Collection<String> names) {
+    public List<VersionedEntry> live(Collection<String> names) {
         return since(names, -1).stream().filter(item -> !item.gone()).toList();
     }
 
     /** All items, removals as well, in the order of arrival: what a node gets that starts from nothing. */
-    public List<Item> everything() {
+    public List<VersionedEntry> everything() {
         return all.values().stream().map(Held::item).toList();
     }
 
     /** What is newer than a version in all topics, but for what came by this node. */
-    public List<Item> sinceForPeer(String peer, long version) {
+    public List<VersionedEntry> sinceForPeer(String peer, long version) {
         return all.tailMap(version, false).values().stream()
                 .filter(held -> !held.via().equals(peer))
                 .map(Held::item)
@@ -321,7 +321,7 @@
     }
 
     /** The last word on an item, also that it is gone; null where there is none. */
-    public Item get(String topic, String id) {
+    public VersionedEntry get(String topic, String id) {
         Held held = held(topic, id);
         return held == null ? null : held.item();
     }
@@ -337,7 +337,7 @@
     }
 
     /** For each node the stamp up to which everything of it has come. */
-    public Map<String, Stamp> heard() {
+    public Map<String, HybridTimestamp> heard() {
         return new LinkedHashMap<>(heard);
     }
 
--- a/core/src/main/java/lemonrail/core/control/Item.java
+++ b/core/src/main/java/lemonrail/core/replication/VersionedEntry.java
@@ -1,4 +1,4 @@
-package lemonrail.core.control;
+package lemonrail.core.replication;
 
 /**
  * The last word on one thing: an endpoint of a service or a settings document.
@@ -9,7 +9,7 @@
  * @param gone whether it is the word that the thing is no more
  * @param body what is said of it, of no meaning here; empty where it is gone
  */
-public record Item(String topic, String id, Stamp stamp, boolean gone, String body) {
+public record VersionedEntry(String topic, String id, HybridTimestamp stamp, boolean gone, String body) {
 
     /** What the topics of settings documents begin with; no service's name has a colon. */
     public static final String SETTINGS = "settings:";
@@ -25,7 +25,7 @@
     }
 
     /** The part of an item in a digest: 64 bits, the same in every process. */
-    static long digest(String topic, String id, Stamp stamp) {
+    static long digest(String topic, String id, HybridTimestamp stamp) {
         long hash = 0xcbf29ce484222325L;
         hash = add(hash, topic);
         hash = add(hash, id);
--- a/core/src/main/java/lemonrail/core/control/Replica.java
+++ b/core/src/main/java/lemonrail/core/replication/WatcherReplica.java
@@ -1,4 +1,4 @@
-package lemonrail.core.control;
+package lemonrail.core.replication;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -12,7 +12,7 @@
  * What a watcher holds of its topics: the stamps alone, by which it knows news from what it has heard, also
  * when it comes to a node that knows less.
  */
-public final class Replica {
+public final class WatcherReplica {
 
     /** Removed items whose removal is remembered. */
     static final int MOST_REMOVED = 4096;
@@ -20,26 +20,26 @@
     /** An item's name. */
     public record Key(String topic, String id) {}
 
-    private final Map<Key, Stamp> live = new HashMap<>();
-    private final LinkedHashMap<Key, Stamp> removed = new LinkedHashMap<>() {
+    private final Map<Key, HybridTimestamp> live = new HashMap<>();
+    private final LinkedHashMap<Key, HybridTimestamp> removed = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Key, Stamp> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<Key, HybridTimestamp> eldest) {
             return size() > MOST_REMOVED;
         }
     };
     private long digest;
 
     /** Takes a word; true if it holds and is news. */
-    public boolean take(Key key, Stamp stamp, boolean gone) {
-        Stamp known = live.getOrDefault(key, removed.get(key));
+    public boolean take(Key key, HybridTimestamp stamp, boolean gone) {
+        HybridTimestamp known = live.getOrDefault(key, removed.get(key));
         if (known != null && stamp.compareTo(known) <= 0) {
             return false;
         }
-        Stamp before = live.remove(key);
+        HybridTimestamp before = live.remove(key);
         if (before != null) {
-            digest -= Item.digest(key.topic(), key.id(), before);
+            digest -= VersionedEntry.digest(key.topic(), key.id(), before);
         }
         if (gone) {
             removed.remove(key);
@@ -48,7 +48,7 @@
         }
         removed.remove(key);
         live.put(key, stamp);
-        digest += Item.digest(key.topic(), key.id(), stamp);
+        digest += VersionedEntry.digest(key.topic(), key.id(), stamp);
         return true;
     }
 
@@ -56,7 +56,7 @@
      * Drops what a whole list doesn't name, if its node has heard of it; what it has not heard of yet stays.
      * Returns what was dropped.
      */
-    public List<Key> keepOnly(Collection<Key> named, Map<String, Stamp> heard) {
+    public List<Key> keepOnly(Collection<Key> named, Map<String, HybridTimestamp> heard) {
         Set<Key> there = Set.copyOf(named);
         List<Key> dropped = new ArrayList<>();
         live.forEach((key, stamp) -> {
@@ -64,7 +64,7 @@
                 dropped.add(key);
             }
         });
-        dropped.forEach(key -> digest -= Item.digest(key.topic(), key.id(), live.remove(key)));
+        dropped.forEach(key -> digest -= VersionedEntry.digest(key.topic(), key.id(), live.remove(key)));
         return dropped;
     }
 
--- a/core/src/main/java/lemonrail/core/control/package-info.java
+++ b/core/src/main/java/lemonrail/core/replication/package-info.java
@@ -1,2 +1,2 @@
 /** The replicated state of control nodes and of their watchers. No I/O, no clock, no threads. */
-package lemonrail.core.control;
+package lemonrail.core.replication;
--- a/core/src/test/java/lemonrail/core/ServedShareTest.java
+++ b/core/src/test/java/lemonrail/core/AdmissionRateTest.java
@@ -7,16 +7,16 @@
 import org.junit.jupiter.api.Test;
 
 /** What is learned of the share of requests that are served. */
-class ServedShareTest {
+class AdmissionRateTest {
 
     @Test
     void nothingKnownIsWhatIsGivenForUnknown() {
-        assertEquals(0.3, new ServedShare().share(0.3));
+        assertEquals(0.3, new AdmissionRate().share(0.3));
     }
 
     @Test
     void whatWasNotSentTellsNothing() {
-        ServedShare share = new ServedShare();
+        AdmissionRate share = new AdmissionRate();
         for (int i = 0; i < 100; i++) {
             share.came(false);
         }
@@ -25,7 +25,7 @@
 
     @Test
     void itNearsTheShareAndForgetsWhatWasBefore() {
-        ServedShare share = new ServedShare();
+        AdmissionRate share = new AdmissionRate();
         for (int i = 0; i < 500; i++) {
             share.came(true);
             share.served();
@@ -51,7 +51,7 @@
         int processes = 1000;
         double sum = 0;
         for (int process = 0; process < processes; process++) {
-            ServedShare share = new ServedShare();
+            AdmissionRate share = new AdmissionRate();
             for (int i = random.nextInt(4); i > 0; i--) {
                 share.came(true);
                 if (random.nextInt(6) == 0) {
--- a/core/src/test/java/lemonrail/core/SharedPartsTest.java
+++ b/core/src/test/java/lemonrail/core/SharedPartsTest.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.stream.IntStream;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Group;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Rules;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.DeduplicationScope;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.SlowStartSettings;
 import org.junit.jupiter.api.Test;
 
 /** What the deciders share: rates, hashes, rings and answer times. */
@@ -40,18 +40,18 @@
     /** Guards against news that a silent watch keeps from a sidecar, and against fleets that ask in step. */
     @Test
     void watchesAreShortAndTheFleetsCallsFew() {
-        assertEquals(1000, WatchPace.ofFleet(1, 1000, 1).waitMs());
-        assertEquals(1000, WatchPace.ofFleet(14, 1000, 1).waitMs());
-        assertEquals(1000, WatchPace.ofFleet(100, 1000, 1).waitMs());
-        assertEquals(2500, WatchPace.ofFleet(250, 1000, 1).waitMs());
-        assertEquals(3000, WatchPace.ofFleet(550, 1000, 1).waitMs());
-        assertEquals(3000, WatchPace.ofFleet(100_000, 1000, 1).waitMs());
+        assertEquals(1000, WatchSchedule.ofFleet(1, 1000, 1).waitMs());
+        assertEquals(1000, WatchSchedule.ofFleet(14, 1000, 1).waitMs());
+        assertEquals(1000, WatchSchedule.ofFleet(100, 1000, 1).waitMs());
+        assertEquals(2500, WatchSchedule.ofFleet(250, 1000, 1).waitMs());
+        assertEquals(3000, WatchSchedule.ofFleet(550, 1000, 1).waitMs());
+        assertEquals(3000, WatchSchedule.ofFleet(100_000, 1000, 1).waitMs());
         List<Double> first = IntStream.range(0, 50)
-                .mapToObj(i -> new WatchPace(1000, 1000, i).failed())
+                .mapToObj(i -> new WatchSchedule(1000, 1000, i).failed())
                 .toList();
         assertEquals(50, first.stream().distinct().count(), "not in step");
         assertTrue(first.stream().allMatch(pause -> pause >= 50 && pause < 150), first.toString());
-        WatchPace pace = new WatchPace(1000, 3000, 7);
+        WatchSchedule pace = new WatchSchedule(1000, 3000, 7);
         double last = IntStream.range(0, 10).mapToDouble(i -> pace.failed()).reduce(0, (a, b) -> b);
         assertTrue(last >= 500 && last < 1500, "longer and longer, within bounds: " + last);
         pace.answered();
@@ -67,11 +67,11 @@
         for (int instances : new int[] {1, 100, 550, 1000, 100_000}) {
             for (double graceMs : new double[] {0, 1000, 60_000}) {
                 for (int seed = 0; seed < 200; seed++) {
-                    WatchPace pace = WatchPace.ofFleet(instances, graceMs, seed);
+                    WatchSchedule pace = WatchSchedule.ofFleet(instances, graceMs, seed);
                     String who = instances + ", " + graceMs + ", " + seed;
                     double askedMs = noticedMs(pace);
                     assertTrue(askedMs <= 4000, who + ": " + askedMs);
-                    assertTrue(askedMs + WatchPace.answerMs() <= 6000, "an answer in pieces: " + who);
+                    assertTrue(askedMs + WatchSchedule.answerMs() <= 6000, "an answer in pieces: " + who);
                     askedMs += noticedMs(pace);
                     assertTrue(askedMs <= 5000, who + ": " + askedMs);
                     askedMs += noticedMs(pace);
@@ -84,14 +84,14 @@
     }
 
     /** Until the next call after one that is made now and gets no answer. */
-    private static double noticedMs(WatchPace pace) {
-        return pace.waitMs() + WatchPace.silenceMs() + pace.failed();
+    private static double noticedMs(WatchSchedule pace) {
+        return pace.waitMs() + WatchSchedule.silenceMs() + pace.failed();
     }
 
     /** Guards against pauses that keep from a sidecar what discovery has at its return. */
     @Test
     void noPauseKeepsNewsForLong() {
-        WatchPace pace = WatchPace.ofFleet(1000, 60_000, 7);
+        WatchSchedule pace = WatchSchedule.ofFleet(1000, 60_000, 7);
         double longest =
                 IntStream.range(0, 500).mapToDouble(i -> pace.failed()).max().orElseThrow();
         assertTrue(longest + noticedMs(pace) < 6000, longest + ", and one more call in vain");
@@ -101,14 +101,14 @@
     @Test
     void noPauseOutlastsHalfTheTimeInWhichSendsMustCease() {
         for (double graceMs : new double[] {300, 1000, 2500}) {
-            WatchPace pace = new WatchPace(1000, graceMs, 7);
+            WatchSchedule pace = new WatchSchedule(1000, graceMs, 7);
             double longest = IntStream.range(0, 500)
                     .mapToDouble(i -> pace.failed())
                     .max()
                     .orElseThrow();
             assertTrue(longest <= graceMs / 2 && longest > graceMs / 4, graceMs + ": " + longest);
         }
-        assertTrue(new WatchPace(1000, 0, 7).failed() >= 50, "it never spins");
+        assertTrue(new WatchSchedule(1000, 0, 7).failed() >= 50, "it never spins");
     }
 
     @Test
@@ -135,7 +135,7 @@
     @Test
     void arcsAreAsWideAsWeightsInEachGroup() {
         Map<String, Double> places = new HashMap<>();
-        Ring.place(
+        RingPlacement.place(
                 List.of("a1", "b1", "a2", "a3"),
                 name -> name.charAt(0),
                 name -> Character.digit(name.charAt(1), 10),
@@ -150,20 +150,22 @@
     void eachRingHasAnOrderOfItsOwn() {
         List<Long> hashes =
                 IntStream.range(0, 50).mapToObj(i -> StableHash.of("s" + i)).toList();
-        assertEquals(hashes, hashes.stream().map(hash -> Ring.order(hash, 0)).toList());
+        assertEquals(
+                hashes,
+                hashes.stream().map(hash -> RingPlacement.order(hash, 0)).toList());
         List<Long> first = hashes.stream()
-                .sorted(Comparator.comparing(h -> Ring.order(h, 1)))
+                .sorted(Comparator.comparing(h -> RingPlacement.order(h, 1)))
                 .toList();
         List<Long> second = hashes.stream()
-                .sorted(Comparator.comparing(h -> Ring.order(h, 2)))
+                .sorted(Comparator.comparing(h -> RingPlacement.order(h, 2)))
                 .toList();
         assertNotEquals(first, second);
     }
 
     @Test
     void answerTimesStartFromTheClassAndFollowWhatComes() {
-        AnswerTimes times =
-                new AnswerTimes(new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false));
+        LatencyEstimator times = new LatencyEstimator(
+                new RequestClass("read", 1000, 3000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
         assertEquals(250, times.typicalMs());
         assertEquals(250, times.baseMs());
         assertEquals(1000, times.tailMs());
@@ -182,31 +184,32 @@
 
     @Test
     void warmthGrowsEvenlyFromTheStart() {
-        Rules rules = new Rules(0.2, 1000, 3, 1000, 1000, 10_000);
-        assertEquals(1, rules.warmth(5, 0), "0 is long ago");
-        assertEquals(0.2, rules.warmth(5000, 5000));
-        assertEquals(0.6, rules.warmth(5500, 5000), 1e-12);
-        assertEquals(1, rules.warmth(6000, 5000));
-        assertEquals(0.2, rules.warmth(4000, 5000), "clocks may disagree");
+        SlowStartSettings slowStart = new SlowStartSettings(0.2, 1000, 3, 1000);
+        assertEquals(1, slowStart.warmUpFraction(5, 0), "0 is long ago");
+        assertEquals(0.2, slowStart.warmUpFraction(5000, 5000));
+        assertEquals(0.6, slowStart.warmUpFraction(5500, 5000), 1e-12);
+        assertEquals(1, slowStart.warmUpFraction(6000, 5000));
+        assertEquals(0.2, slowStart.warmUpFraction(4000, 5000), "clocks may disagree");
     }
 
     @Test
     void groupsHoldServersOfOneZoneOrRack() {
-        Server one = new Server("one", 1, 0, 7, 0, State.READY, 1);
-        Server other = new Server("other", 1, 0, 8, 0, State.READY, 1);
-        assertTrue(Group.ALL.holds(one, other));
-        assertTrue(Group.ZONE.holds(one, other));
-        assertFalse(Group.CELL.holds(one, other));
-        assertEquals(State.DRAINING, one.with(State.DRAINING).state());
+        Endpoint one = new Endpoint("one", 1, 0, 7, 0, EndpointState.READY, 1);
+        Endpoint other = new Endpoint("other", 1, 0, 8, 0, EndpointState.READY, 1);
+        assertTrue(DeduplicationScope.ALL.includesBoth(one, other));
+        assertTrue(DeduplicationScope.ZONE.includesBoth(one, other));
+        assertFalse(DeduplicationScope.CELL.includesBoth(one, other));
+        assertEquals(
+                EndpointState.DRAINING, one.withState(EndpointState.DRAINING).state());
     }
 
-    /** Guards against servers that are avoided by chance, and against dead ones that pass for chance. */
+    /** Guards against servers that are ejectedEndpoints by chance, and against dead ones that pass for chance. */
     @Test
     void failedDialsAreChanceWhereServersThatAreWellHaveThemToo() {
-        DialChance calm = new DialChance();
+        ConnectFailureRate calm = new ConnectFailureRate();
         calm.cameUp(0);
         assertFalse(calm.explains(1), "none fails where all is well");
-        DialChance late = new DialChance();
+        ConnectFailureRate late = new ConnectFailureRate();
         Random random = new Random(5);
         for (int i = 0; i < 200; i++) {
             int failed = 0;
@@ -217,7 +220,7 @@
         }
         assertTrue(late.explains(1), "one in three fails");
         assertFalse(late.explains(4), "four in a row are beyond that");
-        DialChance back = new DialChance();
+        ConnectFailureRate back = new ConnectFailureRate();
         back.cameUp(9);
         assertFalse(back.explains(2), "a server that was away for a while makes no others' failures chance");
     }
--- a/core/src/test/java/lemonrail/core/policy/BadInputTest.java
+++ b/core/src/test/java/lemonrail/core/policy/BadInputTest.java
@@ -5,18 +5,19 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.Group;
-import lemonrail.core.Contract.Limits;
-import lemonrail.core.Contract.Load;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Request;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Rules;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.AttemptLimits;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.DeduplicationScope;
+import lemonrail.core.balancer.DrainSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.LoadReport;
+import lemonrail.core.balancer.Request;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.SlowStartSettings;
+import lemonrail.core.balancer.TenantQuota;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -33,40 +34,56 @@
     @ParameterizedTest
     @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
     void numbersThatCannotBeAreNamed(double bad) {
-        refused("classes[].aim", bad, () -> new RequestClass("c", bad, 1000, 1, 0, Effect.ONCE, Group.ALL, 0, false));
+        refused(
+                "classes[].latencyObjective",
+                bad,
+                () -> new RequestClass(
+                        "c", bad, 1000, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
         refused(
                 "classes[].deadline",
                 bad,
-                () -> new RequestClass("c", 100, bad, 1, 0, Effect.ONCE, Group.ALL, 0, false));
+                () -> new RequestClass(
+                        "c", 100, bad, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+        refused(
+                "classes[].priorityWeight",
+                bad,
+                () -> new RequestClass(
+                        "c", 100, 1000, bad, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+        refused("limits.connectTimeout", bad, () -> new AttemptLimits(3, true, true, 2000, bad));
+        refused("limits.maxRetryAfter", bad, () -> new AttemptLimits(3, true, true, bad, 200));
+        refused("slowStart.initialFraction", bad, () -> new SlowStartSettings(bad, 8000, 3, 1000));
+        refused("slowStart.duration", bad, () -> new SlowStartSettings(0.3, bad, 3, 1000));
+        refused("drain.grace", -1, () -> new DrainSettings(-1));
+        refused("pollInterval", bad, () -> Fixture.settingsPolledWithin(bad));
+        refused("tenants[].requestsPerSecond", bad, () -> new TenantQuota("t", bad, 1));
+        refused("endpoint.weight", bad, () -> new Endpoint("s", 0, 0, 0, 0, EndpointState.READY, bad));
         refused(
-                "classes[].worth",
+                "result.duration",
                 bad,
-                () -> new RequestClass("c", 100, 1000, bad, 0, Effect.ONCE, Group.ALL, 0, false));
-        refused("limits.connectTimeout", bad, () -> new Limits(3, true, true, 2000, bad));
-        refused("limits.maxCoolDown", bad, () -> new Limits(3, true, true, bad, 200));
-        refused("rules.coldShare", bad, () -> new Rules(bad, 8000, 3, 1000, 1000, 10_000));
-        refused("rules.coldMs", bad, () -> new Rules(0.3, bad, 3, 1000, 1000, 10_000));
-        refused("rules.askWithin", bad, () -> new Rules(0.3, 8000, 3, 1000, 1000, bad));
-        refused("tenants[].allowance", bad, () -> new Tenant("t", bad, 1));
-        refused("server.weight", bad, () -> new Server("s", 0, 0, 0, 0, State.READY, bad));
-        refused("finished.took", bad, () -> new Finished("r", 0, "s", Outcome.OK, bad, true, Load.NONE));
-        refused("finished.connect", bad, () -> new Finished("r", 0, "s", Outcome.OK, 5, bad, true, true, Load.NONE));
+                () -> new AttemptResult("r", 0, "s", AttemptOutcome.OK, bad, true, LoadReport.NONE));
+        refused(
+                "result.connect",
+                bad,
+                () -> new AttemptResult("r", 0, "s", AttemptOutcome.OK, 5, bad, true, true, LoadReport.NONE));
     }
 
     @Test
     void whatIsMissingIsNamed() {
         refused("request.id", null, () -> new Request(null, 0, 0, 1000, false));
         refused("request.deadline", Double.NaN, () -> new Request("r", 0, 0, Double.NaN, false));
-        refused("finished.outcome", null, () -> new Finished("r", 0, "s", null, 5, true, Load.NONE));
-        refused("finished.attempt", -1, () -> new Finished("r", -1, "s", Outcome.OK, 5, true, Load.NONE));
-        refused("server.id", null, () -> new Server(null, 0, 0, 0, 0, State.READY, 1));
-        refused("server.state", null, () -> new Server("s", 0, 0, 0, 0, null, 1));
+        refused("result.outcome", null, () -> new AttemptResult("r", 0, "s", null, 5, true, LoadReport.NONE));
+        refused(
+                "result.attempt",
+                -1,
+                () -> new AttemptResult("r", -1, "s", AttemptOutcome.OK, 5, true, LoadReport.NONE));
+        refused("endpoint.id", null, () -> new Endpoint(null, 0, 0, 0, 0, EndpointState.READY, 1));
+        refused("endpoint.state", null, () -> new Endpoint("s", 0, 0, 0, 0, null, 1));
     }
 
     @Test
     void aBadRequestChangesNothing() {
         Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(3));
-        String first = f.request(Fixture.REPEATABLE);
+        String first = f.request(Fixture.IDEMPOTENT);
         f.now += 60_000;
         List<String> before = List.copyOf(f.host.all);
         refused("class", 9, () -> f.balancer.onRequest(f.now, new Request("x", 9, 0, f.now + 100, false)));
@@ -78,14 +95,15 @@
 
     @Test
     void extremeButLegalFleetsGetLegalAnswers() {
-        for (List<Server> list : List.of(List.<Server>of(), List.of(Fixture.server("d", 0, 0, State.DRAINING)))) {
+        for (List<Endpoint> list :
+                List.of(List.<Endpoint>of(), List.of(Fixture.server("d", 0, 0, EndpointState.DRAINING)))) {
             Fixture f = Fixture.of(1, 0, 0).list(list);
-            String refused = f.request(Fixture.ONCE);
+            String refused = f.request(Fixture.NON_IDEMPOTENT);
             assertEquals(List.of(refused), f.host.refused);
             assertTrue(f.host.sent.isEmpty());
         }
         Fixture many = Fixture.of(5000, 4999, 0).list(Fixture.servers(1));
-        many.request(Fixture.ONCE);
+        many.request(Fixture.NON_IDEMPOTENT);
         assertEquals("s0", many.host.last().server());
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/DecideTest.java
+++ b/core/src/test/java/lemonrail/core/policy/BoxcarLoadBalancerTest.java
@@ -16,34 +16,33 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import lemonrail.core.Contract;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Load;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.LoadReport;
+import lemonrail.core.balancer.TenantQuota;
 import org.junit.jupiter.api.Test;
 
 /** The mechanism as the design page gives it, and the defence against each failure met. */
-class DecideTest {
+class BoxcarLoadBalancerTest {
 
     /** How many of 20 calls leave the zone once its answers take {@code nearMs} and others' {@code farMs}. */
     private static int callsThatLeaveTheZone(double nearMs, double farMs) {
         Fixture f = Fixture.of(2, 0, 1);
-        List<Contract.Server> servers = new ArrayList<>();
+        List<Endpoint> servers = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            servers.add(new Contract.Server("s" + i, i % 2, 0, 0, 0, State.READY, 1));
+            servers.add(new Endpoint("s" + i, i % 2, 0, 0, 0, EndpointState.READY, 1));
         }
         f.list(servers);
         int left = 0;
         for (int i = 0; i < 120; i++) {
             f.now += 200;
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             Recorder.Sent sent = f.host.last();
             boolean far = Integer.parseInt(sent.server().substring(1)) % 2 == 1;
-            f.finish(sent, Outcome.OK, i < 50 ? 50 : far ? farMs : nearMs);
+            f.finish(sent, AttemptOutcome.OK, i < 50 ? 50 : far ? farMs : nearMs);
             left += far && i >= 100 ? 1 : 0;
         }
         return left;
@@ -59,12 +58,12 @@
         for (int round = 0; round < 6; round++) {
             int before = f.host.sent.size();
             for (int i = 0; i < 200; i++) {
-                f.request(Fixture.REPEATABLE);
+                f.request(Fixture.IDEMPOTENT);
             }
             List<Recorder.Sent> out = List.copyOf(f.host.sent.subList(before, f.host.sent.size()));
             taken = out.size();
             f.now += 50;
-            out.forEach(sent -> f.finish(sent, Outcome.OK, 50));
+            out.forEach(sent -> f.finish(sent, AttemptOutcome.OK, 50));
         }
         assertTrue(taken >= 120, taken + " of 200 are taken at once by then");
     }
@@ -77,19 +76,19 @@
         Fixture f = Fixture.of(1, 0, 0).list(Fixture.servers(2));
         int taken = 0;
         for (int i = 0; i < 40; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             Recorder.Sent sent = f.host.last();
-            f.balancer.onStreamStarted(f.now, sent.request(), sent.attempt());
+            f.balancer.onResponseStreamStarted(f.now, sent.request(), sent.attempt());
             taken = f.host.sent.size();
         }
         assertEquals(40, taken, "none is turned away");
         for (Recorder.Sent sent : List.copyOf(f.host.sent)) {
-            f.finish(sent, Outcome.OK, 50);
+            f.finish(sent, AttemptOutcome.OK, 50);
         }
         assertEquals(0, f.balancer.openCalls());
         int before = f.host.sent.size();
         for (int i = 0; i < 40; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         assertTrue(f.host.sent.size() < before + 40, "those that are out count as ever");
     }
@@ -98,26 +97,35 @@
     @Test
     void whatCannotBeReplayedIsNotSentAgain() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(2));
-        String id = f.request(Fixture.ONCE);
+        String id = f.request(Fixture.NON_IDEMPOTENT);
         Recorder.Sent sent = f.host.last();
-        f.balancer.onFinished(
+        f.balancer.onAttemptFinished(
                 f.now,
-                new Finished(id, sent.attempt(), sent.server(), Outcome.CONNECT_ERROR, 5, 5, false, false, Load.NONE));
+                new AttemptResult(
+                        id,
+                        sent.attempt(),
+                        sent.server(),
+                        AttemptOutcome.CONNECT_ERROR,
+                        5,
+                        5,
+                        false,
+                        false,
+                        LoadReport.NONE));
         assertEquals(1, f.host.sent.size());
         assertEquals(List.of(id), f.host.refused);
     }
 
-    /** What operators read: servers on trial are avoided, and a drained one comes back with a clean slate. */
+    /** What operators read: servers on trial are ejectedEndpoints, and a drained one comes back with a clean slate. */
     @Test
     void serversOnTrialAreCountedAsAvoidedUntilTheyComeBackFromADrain() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(4));
-        assertEquals(0, f.balancer.avoided(f.now));
-        String bad = f.failTwice(Outcome.FAILED);
-        assertEquals(1, f.balancer.avoided(f.now));
-        f.change(Fixture.server(bad, 0, 0, State.DRAINING));
-        assertEquals(0, f.balancer.avoided(f.now), "it is discovery that leaves it out now");
-        f.change(Fixture.server(bad, 0, 0, State.READY));
-        assertEquals(0, f.balancer.avoided(f.now));
+        assertEquals(0, f.balancer.ejectedEndpoints(f.now));
+        String bad = f.failTwice(AttemptOutcome.FAILED);
+        assertEquals(1, f.balancer.ejectedEndpoints(f.now));
+        f.change(Fixture.server(bad, 0, 0, EndpointState.DRAINING));
+        assertEquals(0, f.balancer.ejectedEndpoints(f.now), "it is discovery that leaves it out now");
+        f.change(Fixture.server(bad, 0, 0, EndpointState.READY));
+        assertEquals(0, f.balancer.ejectedEndpoints(f.now));
     }
 
     // ---- the mechanism ----
@@ -140,7 +148,7 @@
         Fixture f = Fixture.of(balancers, own, 1).list(Fixture.servers(4));
         record Slot(String server, double rank) {}
         List<String> inHashOrder = Fixture.servers(4).stream()
-                .map(Contract.Server::id)
+                .map(Endpoint::id)
                 .sorted(Comparator.comparingLong(Fixture::hash))
                 .toList();
         List<Slot> expected = new ArrayList<>();
@@ -152,7 +160,7 @@
         }
         expected.sort(Comparator.comparingDouble(Slot::rank));
         for (int i = 0; i < 12; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             assertEquals(expected.get(i).server(), f.host.last().server(), "call " + i);
         }
     }
@@ -160,42 +168,42 @@
     @Test
     void aFreedSlotIsTakenAgainBeforeHigherOnes() {
         Fixture f = Fixture.of(3, 0, 1).list(Fixture.servers(5));
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         Recorder.Sent first = f.host.last();
-        f.request(Fixture.REPEATABLE);
-        f.finish(first, Outcome.OK, 10);
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
+        f.finish(first, AttemptOutcome.OK, 10);
+        f.request(Fixture.IDEMPOTENT);
         assertEquals(first.server(), f.host.last().server());
     }
 
     @Test
     void theLowestSlotsOfAllBalancersAreSpreadByWeight() {
         Map<String, Integer> firsts = new HashMap<>();
-        List<Contract.Server> servers = new ArrayList<>(Fixture.servers(8));
-        servers.set(3, new Contract.Server("s3", 0, 0, 0, 0, Contract.State.READY, 3));
+        List<Endpoint> servers = new ArrayList<>(Fixture.servers(8));
+        servers.set(3, new Endpoint("s3", 0, 0, 0, 0, EndpointState.READY, 3));
         for (int own = 0; own < 200; own++) {
             Fixture f = Fixture.of(200, own, 1).list(servers);
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             firsts.merge(f.host.last().server(), 1, Integer::sum);
         }
-        for (Contract.Server server : servers) {
+        for (Endpoint server : servers) {
             // Each of the sixteen rings rounds to whole balancers by itself.
             assertEquals(20 * server.weight(), firsts.get(server.id()), 4, server.id());
         }
     }
 
     /** The first server of each of 200 balancers with this list, once those in {@code without} are full. */
-    private static List<String> firstServers(List<Contract.Server> servers, Set<String> without) {
+    private static List<String> firstServers(List<Endpoint> servers, Set<String> without) {
         List<String> firsts = new ArrayList<>();
         for (int own = 0; own < 200; own++) {
             Fixture f = Fixture.of(200, own, 1).list(servers);
             for (String id : without) {
-                f.request(Fixture.REPEATABLE);
+                f.request(Fixture.IDEMPOTENT);
                 while (f.host.last().server().equals(id)) {
-                    f.finish(f.host.last(), Outcome.QUEUE_FULL, 1);
+                    f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 1);
                 }
             }
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             firsts.add(f.host.last().server());
         }
         return firsts;
@@ -218,8 +226,8 @@
     /** Guards against cold servers that send all of their calls to others, or take them all (h68f2a6). */
     @Test
     void aColdServerKeepsTheWarmPartOfItsCalls() {
-        List<Contract.Server> servers = new ArrayList<>(Fixture.servers(8));
-        servers.set(3, Fixture.server("s3", 0, 1_000_000 - 1, State.READY));
+        List<Endpoint> servers = new ArrayList<>(Fixture.servers(8));
+        servers.set(3, Fixture.server("s3", 0, 1_000_000 - 1, EndpointState.READY));
         int cold = Collections.frequency(firstServers(servers, Set.of()), "s3");
         assertTrue(cold >= 5 && cold <= 10, cold + " of 25, at three tenths of its capacity");
     }
@@ -227,9 +235,9 @@
     @Test
     void equalRanksGoToTheLowerHash() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(6));
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         String lowest = Fixture.servers(6).stream()
-                .map(Contract.Server::id)
+                .map(Endpoint::id)
                 .min(Comparator.comparingLong(Fixture::hash))
                 .orElseThrow();
         assertEquals(lowest, f.host.last().server());
@@ -239,28 +247,28 @@
     void aFullPoolTurnsCallsAwayAndKeepsNoQueue() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(32));
         for (int i = 0; i < 1068; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         assertEquals(1024, f.host.sent.size());
         assertEquals(44, f.host.refused.size());
-        f.finish(f.host.sent.get(0), Outcome.OK, 10);
+        f.finish(f.host.sent.get(0), AttemptOutcome.OK, 10);
         assertEquals(1024, f.host.sent.size(), "a refused call must not be sent later");
     }
 
     @Test
     void noServersMeansARefusal() {
         Fixture f = Fixture.of(1, 0, 0).list(List.of());
-        f.request(Fixture.ONCE);
+        f.request(Fixture.NON_IDEMPOTENT);
         assertEquals(List.of("r0"), f.host.refused);
     }
 
     @Test
     void retriesAreBoundedAndGoToOtherServers() {
         Fixture f = Fixture.of(2, 0, 1).list(Fixture.servers(6));
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         for (int i = 0; i < 3; i++) {
             f.now += 5;
-            f.finish(f.host.last(), Outcome.FAILED, 5);
+            f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
         }
         assertEquals(3, f.host.sent.size());
         assertEquals(
@@ -274,11 +282,11 @@
         int calls = 200;
         for (int i = 0; i < calls; i++) {
             f.now += 50;
-            String id = f.request(Fixture.REPEATABLE);
+            String id = f.request(Fixture.IDEMPOTENT);
             for (int tries = 0;
                     tries < 9 && f.host.last().request().equals(id) && !f.host.refused.contains(id);
                     tries++) {
-                f.finish(f.host.last(), Outcome.FAILED, 5);
+                f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
             }
         }
         assertTrue(f.host.sent.size() <= calls * 1.2 + 11, "sent " + f.host.sent.size());
@@ -289,8 +297,8 @@
     @Test
     void aCallThatMustNotRunTwiceIsNotRetriedOnceItMayHaveRun() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
-        f.request(Fixture.ONCE);
-        f.finish(f.host.last(), Outcome.RESET, 5);
+        f.request(Fixture.NON_IDEMPOTENT);
+        f.finish(f.host.last(), AttemptOutcome.RESET, 5);
         assertEquals(1, f.host.sent.size());
         assertEquals(List.of("r0"), f.host.failed);
         assertTrue(f.host.refused.isEmpty());
@@ -299,25 +307,25 @@
     @Test
     void aCallThatMustNotRunTwiceIsRetriedWhenItNeverRan() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
-        f.request(Fixture.ONCE);
-        f.finish(f.host.last(), Outcome.CONNECT_ERROR, 5);
+        f.request(Fixture.NON_IDEMPOTENT);
+        f.finish(f.host.last(), AttemptOutcome.CONNECT_ERROR, 5);
         assertEquals(2, f.host.sent.size());
     }
 
     @Test
     void aKeyedCallIsRepeatedOnlyInsideItsGroupAndWindow() {
-        List<Contract.Server> list = new ArrayList<>();
+        List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
-            list.add(Fixture.server("s" + i, i % 3, 0, State.READY));
+            list.add(Fixture.server("s" + i, i % 3, 0, EndpointState.READY));
         }
         Fixture f = Fixture.of(2, 0, 0).list(list);
         f.request(Fixture.BY_CELL);
         int first = f.host.last().server().charAt(1) % 3;
-        f.finish(f.host.last(), Outcome.FAILED, 5);
+        f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
         assertEquals(2, f.host.sent.size());
         assertEquals(first, f.host.last().server().charAt(1) % 3);
         f.now += 900;
-        f.finish(f.host.last(), Outcome.FAILED, 900);
+        f.finish(f.host.last(), AttemptOutcome.FAILED, 900);
         assertEquals(2, f.host.sent.size(), "the window is over");
         assertEquals(List.of("r0"), f.host.failed, "a keyed call that may have run is not refused");
     }
@@ -327,11 +335,11 @@
     @Test
     void aRequestGetsOneFinalAnswerAndNothingAfterIt() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
-        String id = f.request(Fixture.REPEATABLE);
+        String id = f.request(Fixture.IDEMPOTENT);
         Recorder.Sent sent = f.host.last();
-        f.balancer.onClientGone(f.now, id);
-        f.finish(sent, Outcome.CANCELED, 5);
-        f.finish(sent, Outcome.FAILED, 6);
+        f.balancer.onRequestCancelled(f.now, id);
+        f.finish(sent, AttemptOutcome.CANCELED, 5);
+        f.finish(sent, AttemptOutcome.FAILED, 6);
         assertEquals(1, f.host.sent.size());
         assertTrue(f.host.refused.isEmpty() && f.host.failed.isEmpty());
         assertEquals(List.of("r0#0"), f.host.cancelled);
@@ -340,9 +348,9 @@
     @Test
     void eventsForThingsUnknownAreIgnored() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(2));
-        f.balancer.onClientGone(f.now, "nobody");
-        f.finish(new Recorder.Sent("nobody", 0, "s0", 1), Outcome.OK, 1);
-        f.balancer.onStreamStarted(f.now, "nobody", 0);
+        f.balancer.onRequestCancelled(f.now, "nobody");
+        f.finish(new Recorder.Sent("nobody", 0, "s0", 1), AttemptOutcome.OK, 1);
+        f.balancer.onResponseStreamStarted(f.now, "nobody", 0);
         f.balancer.onTimer(f.now, 99);
         assertTrue(f.host.sent.isEmpty() && f.host.refused.isEmpty());
     }
@@ -352,12 +360,12 @@
     @Test
     void nothingIsSentToADrainingOrGoneServer() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(3));
-        f.request(Fixture.REPEATABLE);
-        f.change(Fixture.server("s0", 0, 0, State.DRAINING), Fixture.server("s1", 0, 0, State.GONE));
+        f.request(Fixture.IDEMPOTENT);
+        f.change(Fixture.server("s0", 0, 0, EndpointState.DRAINING), Fixture.server("s1", 0, 0, EndpointState.GONE));
         int before = f.host.sent.size();
         for (int i = 0; i < 50; i++) {
             f.now += 20;
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         assertTrue(f.host.sent.stream().skip(before).allMatch(s -> s.server().equals("s2")));
     }
@@ -366,15 +374,15 @@
     void aServerMissingFromAFullListIsGone() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(2));
         f.list(List.of(Fixture.server("s1")));
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         assertEquals("s1", f.host.last().server());
     }
 
     @Test
     void aFailedCallForTheListLeavesTheOldOneInUse() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(2));
-        f.balancer.onServers(f.now, ListKind.FAILED, List.of());
-        f.request(Fixture.REPEATABLE);
+        f.balancer.onEndpointUpdate(f.now, EndpointUpdateKind.FAILED, List.of());
+        f.request(Fixture.IDEMPOTENT);
         assertEquals(1, f.host.sent.size());
         assertEquals(1, f.host.timers.size(), "it asks again later");
     }
@@ -385,30 +393,30 @@
     private static Recorder.Sent allAnsweredButOne(Fixture f, int each) {
         f.list(Fixture.servers(3));
         for (int i = 0; i < 3 * each; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         String lowest = f.host.sent.get(0).server();
         Recorder.Sent left = f.host.sent.get(3 * each - 3);
         assertEquals(lowest, left.server());
         for (Recorder.Sent sent : List.copyOf(f.host.sent)) {
             if (!sent.equals(left)) {
-                f.finish(sent, Outcome.OK, 10);
+                f.finish(sent, AttemptOutcome.OK, 10);
             }
         }
         return left;
     }
 
     private static void connectFails(Fixture f, Recorder.Sent sent) {
-        f.balancer.onFinished(
+        f.balancer.onAttemptFinished(
                 f.now,
-                new Contract.Finished(
+                new AttemptResult(
                         sent.request(),
                         sent.attempt(),
                         sent.server(),
-                        Outcome.CONNECT_ERROR,
+                        AttemptOutcome.CONNECT_ERROR,
                         200,
                         true,
-                        Contract.Load.NONE));
+                        LoadReport.NONE));
     }
 
     /** Guards against slow or failing handshakes taken for dead servers (incident i190c84). */
@@ -417,18 +425,18 @@
         Fixture f = Fixture.of(1, 0, 1);
         Recorder.Sent left = allAnsweredButOne(f, 2);
         connectFails(f, left);
-        f.request(Fixture.REPEATABLE);
-        f.finish(f.host.last(), Outcome.OK, 10);
+        f.request(Fixture.IDEMPOTENT);
+        f.finish(f.host.last(), AttemptOutcome.OK, 10);
         f.now += 1500;
         for (int i = 0; i < 6; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         Recorder.Sent again = f.host.last();
         assertEquals(left.server(), again.server(), "the slot without a connection comes last");
         connectFails(f, again);
         assertEquals(List.of(), f.host.disconnected);
-        f.finish(f.host.sent.get(f.host.sent.size() - 6), Outcome.OK, 10);
-        f.request(Fixture.ONCE);
+        f.finish(f.host.sent.get(f.host.sent.size() - 6), AttemptOutcome.OK, 10);
+        f.request(Fixture.NON_IDEMPOTENT);
         assertEquals(left.server(), f.host.last().server(), "a call that must not run twice goes there");
     }
 
@@ -440,12 +448,12 @@
         connectFails(f, left);
         int before = f.host.sent.size();
         for (int i = 0; i < 4; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         connectFails(f, f.host.last());
         f.now += 1500;
-        f.finish(f.host.sent.get(before), Outcome.OK, 10);
-        f.request(Fixture.ONCE);
+        f.finish(f.host.sent.get(before), AttemptOutcome.OK, 10);
+        f.request(Fixture.NON_IDEMPOTENT);
         assertTrue(!f.host.last().server().equals(left.server()), "not trusted any more");
     }
 
@@ -454,21 +462,23 @@
     void dialsThatFailByChancePutFewServersOnTrial() {
         Fixture f = Fixture.of(3, 0, 1).list(Fixture.servers(4));
         Random random = new Random(11);
-        int avoided = 0;
+        int ejectedEndpoints = 0;
         int rounds = 600;
         for (int round = 0; round < rounds; round++) {
             f.now += 50;
-            f.request(Fixture.REPEATABLE);
-            avoided += round < 100 ? 0 : f.balancer.avoided(f.now);
+            f.request(Fixture.IDEMPOTENT);
+            ejectedEndpoints += round < 100 ? 0 : f.balancer.ejectedEndpoints(f.now);
             int sent;
             do {
                 sent = f.host.sent.size();
                 boolean late = random.nextInt(3) == 0;
                 f.now += late ? 200 : 20;
-                f.finish(f.host.last(), late ? Outcome.CONNECT_ERROR : Outcome.OK, late ? 200 : 20);
+                f.finish(f.host.last(), late ? AttemptOutcome.CONNECT_ERROR : AttemptOutcome.OK, late ? 200 : 20);
             } while (f.host.sent.size() > sent);
         }
-        assertTrue(avoided < 4 * (rounds - 100) / 10, avoided + " of " + 4 * (rounds - 100) + " are avoided");
+        assertTrue(
+                ejectedEndpoints < 4 * (rounds - 100) / 10,
+                ejectedEndpoints + " of " + 4 * (rounds - 100) + " are avoided");
     }
 
     // ---- crowding ----
@@ -492,9 +502,9 @@
     void theLimitGoesWithWhatColdServersCanDo() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
         assertEquals(8, takenAtOnce(f));
-        List<Server> replaced = new ArrayList<>(Fixture.servers(2));
-        replaced.add(Fixture.server("cold-1", 0, f.now, State.READY));
-        replaced.add(Fixture.server("cold-2", 0, f.now, State.READY));
+        List<Endpoint> replaced = new ArrayList<>(Fixture.servers(2));
+        replaced.add(Fixture.server("cold-1", 0, f.now, EndpointState.READY));
+        replaced.add(Fixture.server("cold-2", 0, f.now, EndpointState.READY));
         f.list(replaced);
         assertEquals(6, takenAtOnce(f), "two warm servers, and two that can do three tenths of one");
         f.now += 4000;
@@ -510,12 +520,12 @@
         int sent = f.host.sent.size();
         int refused = f.host.refused.size();
         while (f.host.refused.size() == refused) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         List<Recorder.Sent> out = List.copyOf(f.host.sent.subList(sent, f.host.sent.size()));
         for (Recorder.Sent call : out) {
-            f.balancer.onClientGone(f.now, call.request());
-            f.finish(call, Outcome.CANCELED, 1);
+            f.balancer.onRequestCancelled(f.now, call.request());
+            f.finish(call, AttemptOutcome.CANCELED, 1);
         }
         return out.size();
     }
@@ -525,7 +535,7 @@
     void theFirstTierStartsCarefully() {
         Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(20));
         for (int i = 0; i < 100; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         assertEquals(8, f.host.sent.size(), "four calls a server over ten balancers");
         assertEquals(92, f.host.refused.size());
@@ -550,7 +560,7 @@
         List<Recorder.Sent> hung = new ArrayList<>();
         int from = f.host.sent.size();
         for (int i = 0; i < before; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         List<Recorder.Sent> sent = List.copyOf(f.host.sent.subList(from, f.host.sent.size()));
         f.now += 100;
@@ -558,16 +568,22 @@
             if (each.server().equals(sent.get(0).server())) {
                 hung.add(each);
             } else {
-                f.finish(each, Outcome.OK, 100);
+                f.finish(each, AttemptOutcome.OK, 100);
             }
         }
         assertTrue(hung.size() >= 3, hung.size() + " calls hang");
         for (Recorder.Sent each : hung) {
             f.now += 990;
-            f.balancer.onFinished(
+            f.balancer.onAttemptFinished(
                     f.now,
-                    new Finished(
-                            each.request(), each.attempt(), each.server(), Outcome.TIMED_OUT, 990, true, Load.NONE));
+                    new AttemptResult(
+                            each.request(),
+                            each.attempt(),
+                            each.server(),
+                            AttemptOutcome.TIMED_OUT,
+                            990,
+                            true,
+                            LoadReport.NONE));
         }
         int after = atOnceAfter(f, 100, 1);
         assertTrue(after > before * 0.8, before + " calls at once before the hang and " + after + " after");
@@ -625,18 +641,18 @@
      */
     @Test
     void aServerThatIsGoneLeavesWhateverZoneTheWordNames() {
-        for (State state : List.of(State.GONE, State.DRAINING, State.READY)) {
+        for (EndpointState state : List.of(EndpointState.GONE, EndpointState.DRAINING, EndpointState.READY)) {
             Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(2));
-            f.change(new Server("s0", -1, -1, 0, 0, state, 1));
+            f.change(new Endpoint("s0", -1, -1, 0, 0, state, 1));
             assertTimeoutPreemptively(Duration.ofSeconds(10), () -> {
                 for (int i = 0; i < 20; i++) {
                     f.now += 200;
-                    f.request(Fixture.REPEATABLE);
+                    f.request(Fixture.IDEMPOTENT);
                 }
             });
             assertTrue(f.host.sent.stream().anyMatch(sent -> sent.server().equals("s1")));
             assertEquals(
-                    state == State.READY,
+                    state == EndpointState.READY,
                     f.host.sent.stream().anyMatch(sent -> sent.server().equals("s0")),
                     "" + state);
         }
@@ -645,16 +661,17 @@
     /** Guards against a limit that ends which tell nothing cut again and again after a slow moment. */
     @Test
     void endsThatTellNothingOfCrowdingLeaveTheLimitAlone() {
-        for (Outcome outcome : List.of(Outcome.CANCELED, Outcome.CONNECT_ERROR, Outcome.RESET, Outcome.FAILED)) {
+        for (AttemptOutcome outcome : List.of(
+                AttemptOutcome.CANCELED, AttemptOutcome.CONNECT_ERROR, AttemptOutcome.RESET, AttemptOutcome.FAILED)) {
             Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(20));
             atOnceAfter(f, 100, 20);
             atOnceAfter(f, 900, 2);
             int before = takenAtOnce(f);
             for (int i = 0; i < 20; i++) {
                 f.now += 300;
-                f.request(Fixture.ONCE);
+                f.request(Fixture.NON_IDEMPOTENT);
                 Recorder.Sent sent = f.host.last();
-                f.balancer.onClientGone(f.now, sent.request());
+                f.balancer.onRequestCancelled(f.now, sent.request());
                 f.finish(sent, outcome, 200);
             }
             assertTrue(takenAtOnce(f) >= before, "after " + outcome);
@@ -683,23 +700,23 @@
         for (int round = 0; round < 60; round++) {
             int from = f.host.sent.size();
             for (int i = 0; i < 60; i++) {
-                f.request(Fixture.REPEATABLE);
+                f.request(Fixture.IDEMPOTENT);
             }
             List<Recorder.Sent> out = List.copyOf(f.host.sent.subList(from, f.host.sent.size()));
             f.now += 900;
             for (Recorder.Sent sent : out) {
-                f.balancer.onFinished(
+                f.balancer.onAttemptFinished(
                         f.now,
-                        new Finished(
+                        new AttemptResult(
                                 sent.request(),
                                 sent.attempt(),
                                 sent.server(),
-                                Outcome.OK,
+                                AttemptOutcome.OK,
                                 900,
                                 800,
                                 true,
                                 true,
-                                Load.NONE));
+                                LoadReport.NONE));
             }
         }
         assertTrue(takenAtOnce(f) >= before, before + " calls at once before, " + takenAtOnce(f) + " after");
@@ -732,9 +749,9 @@
 
     private static void oneAfterAnother(Fixture f, int calls, double tookMs) {
         for (int i = 0; i < calls; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             f.now += tookMs;
-            f.finish(f.host.last(), Outcome.OK, tookMs);
+            f.finish(f.host.last(), AttemptOutcome.OK, tookMs);
         }
     }
 
@@ -743,10 +760,10 @@
         int before = f.host.sent.size();
         for (int i = 0; i < 10; i++) {
             int sent = f.host.sent.size();
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             f.now += tookMs;
             if (f.host.sent.size() > sent) {
-                f.finish(f.host.last(), Outcome.OK, tookMs);
+                f.finish(f.host.last(), AttemptOutcome.OK, tookMs);
             }
         }
         return f.host.sent.size() - before;
@@ -760,13 +777,13 @@
             callsTakenInASecond(f, 100);
         }
         for (int i = 0; i < 2; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             for (int attempt = 0; attempt < 3; attempt++) {
-                f.finish(f.host.last(), Outcome.QUEUE_FULL, 1);
+                f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 1);
             }
         }
         int sent = f.host.sent.size();
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         assertEquals(sent, f.host.sent.size(), "six servers are full: a seventh is not tried");
         f.now += 60_000;
         callsTakenInASecond(f, 100);
@@ -791,12 +808,12 @@
         for (int round = 0; round < rounds; round++) {
             int before = f.host.sent.size();
             for (int i = 0; i < 60; i++) {
-                f.request(Fixture.REPEATABLE);
+                f.request(Fixture.IDEMPOTENT);
             }
             List<Recorder.Sent> out = List.copyOf(f.host.sent.subList(before, f.host.sent.size()));
             f.now += Math.max(tookMs, otherMs);
             for (int i = 0; i < out.size(); i++) {
-                f.finish(out.get(i), Outcome.OK, i % 2 == 0 ? tookMs : otherMs);
+                f.finish(out.get(i), AttemptOutcome.OK, i % 2 == 0 ? tookMs : otherMs);
             }
             atOnce = out.size();
         }
@@ -808,7 +825,7 @@
     void lowerTiersDoNotShed() {
         Fixture f = Fixture.of(10, 0, 1).list(Fixture.servers(20));
         for (int i = 0; i < 100; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         assertEquals(100, f.host.sent.size());
     }
@@ -816,15 +833,15 @@
     /** Guards against a tenant's flood: what is beyond its allowance gives way first. */
     @Test
     void trafficBeyondATenantsShareGivesWayFirst() {
-        Fixture f = new Fixture(
-                Fixture.settings(10, 0, 0, true, new Tenant("flood", 10, 0.1), new Tenant("calm", 1000, 0.9)));
+        Fixture f = new Fixture(Fixture.settings(
+                10, 0, 0, true, new TenantQuota("flood", 10, 0.1), new TenantQuota("calm", 1000, 0.9)));
         f.list(Fixture.servers(20));
         for (int i = 0; i < 50; i++) {
-            f.request(Fixture.REPEATABLE, 0);
+            f.request(Fixture.IDEMPOTENT, 0);
         }
         int flooded = f.host.sent.size();
         for (int i = 0; i < 50; i++) {
-            f.request(Fixture.REPEATABLE, 1);
+            f.request(Fixture.IDEMPOTENT, 1);
         }
         assertTrue(flooded < f.host.sent.size(), "room is left for the tenant within its share");
         assertEquals(8, f.host.sent.size());
@@ -834,25 +851,25 @@
     @Test
     void aFloodDoesNotTakeASmallLimitsLastSlot() {
         Fixture f = new Fixture(
-                Fixture.settings(10, 0, 0, true, new Tenant("flood", 0, 0.1), new Tenant("calm", 1000, 0.9)));
+                Fixture.settings(10, 0, 0, true, new TenantQuota("flood", 0, 0.1), new TenantQuota("calm", 1000, 0.9)));
         f.list(Fixture.servers(4));
-        f.request(Fixture.REPEATABLE, 0);
+        f.request(Fixture.IDEMPOTENT, 0);
         f.now += 10;
         for (int i = 0; i < 20; i++) {
-            f.request(Fixture.REPEATABLE, 0);
+            f.request(Fixture.IDEMPOTENT, 0);
         }
         assertTrue(f.host.sent.size() <= 1, "the flood got " + f.host.sent.size());
-        f.request(Fixture.REPEATABLE, 1);
+        f.request(Fixture.IDEMPOTENT, 1);
         assertEquals("r21", f.host.last().request());
-        f.request(Fixture.REPEATABLE, 1);
+        f.request(Fixture.IDEMPOTENT, 1);
         assertEquals(
                 List.of("r22"),
                 f.host.refused.subList(f.host.refused.size() - 1, f.host.refused.size()),
                 "the limit is full");
-        f.finish(f.host.last(), Outcome.OK, 10);
+        f.finish(f.host.last(), AttemptOutcome.OK, 10);
         f.now += 500;
         int before = f.host.sent.size();
-        f.request(Fixture.REPEATABLE, 0);
+        f.request(Fixture.IDEMPOTENT, 0);
         assertEquals(before, f.host.sent.size(), "a call within its share was turned away just now");
     }
 
@@ -860,13 +877,13 @@
     @Test
     void anAttemptEndsBeforeTheAimWhereLateIsWorthNothing() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(1));
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         f.now += 200;
-        f.finish(f.host.last(), Outcome.QUEUE_FULL, 200);
+        f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 200);
         for (Recorder.Sent sent : f.host.sent) {
             assertTrue(sent.timeoutMs() < 1000, "time-out " + sent.timeoutMs());
         }
-        f.request(Fixture.ONCE);
+        f.request(Fixture.NON_IDEMPOTENT);
         assertEquals(3000, f.host.last().timeoutMs(), "late is worth something to this class");
     }
 
@@ -875,18 +892,18 @@
     @Test
     void aFailingServerIsPausedAndLetBackOneCallAtATime() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(4));
-        String bad = f.failTwice(Outcome.FAILED);
+        String bad = f.failTwice(AttemptOutcome.FAILED);
         assertNotEquals(bad, f.host.last().server());
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             used.add(f.host.last().server());
         }
         assertFalse(used.contains(bad));
         f.now += 5000;
         long atOnce = 0;
         for (int i = 0; i < 20; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             atOnce += f.host.last().server().equals(bad) ? 1 : 0;
         }
         assertTrue(atOnce <= 1, "at once " + atOnce);
@@ -897,13 +914,13 @@
     void anOddFailureAmongManyAnswersPutsNoServerOnTrial() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(1));
         for (int i = 0; i < 100; i++) {
-            f.request(Fixture.ONCE);
-            f.finish(f.host.last(), i % 10 == 9 ? Outcome.RESET : Outcome.OK, 20);
+            f.request(Fixture.NON_IDEMPOTENT);
+            f.finish(f.host.last(), i % 10 == 9 ? AttemptOutcome.RESET : AttemptOutcome.OK, 20);
             f.now += 300;
         }
         int before = f.host.sent.size();
         for (int i = 0; i < 5; i++) {
-            f.request(Fixture.ONCE);
+            f.request(Fixture.NON_IDEMPOTENT);
         }
         assertEquals(before + 5, f.host.sent.size(), "it takes several calls at once");
     }
@@ -913,16 +930,16 @@
     void aNewProcessUnderAnOldIdStartsWithACleanSheet() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(3));
         for (int i = 0; i < 12; i++) {
-            f.request(Fixture.ONCE);
+            f.request(Fixture.NON_IDEMPOTENT);
         }
         List<Recorder.Sent> old =
                 f.host.sent.stream().filter(sent -> sent.server().equals("s0")).toList();
         assertTrue(old.size() > 2, "calls to the former process: " + old.size());
-        f.change(Fixture.server("s0", 0, f.now - 60_000, State.READY));
-        old.forEach(sent -> f.finish(sent, Outcome.RESET, 5));
+        f.change(Fixture.server("s0", 0, f.now - 60_000, EndpointState.READY));
+        old.forEach(sent -> f.finish(sent, AttemptOutcome.RESET, 5));
         int before = f.host.sent.size();
         for (int i = 0; i < 12; i++) {
-            f.request(Fixture.ONCE);
+            f.request(Fixture.NON_IDEMPOTENT);
         }
         long atOnce = f.host.sent.stream()
                 .skip(before)
@@ -936,11 +953,11 @@
     void nothingIsKeptOfServersThatAreGone() {
         Fixture f = Fixture.of(2, 0, 0);
         for (int i = 0; i < 5000; i++) {
-            f.change(Fixture.server("s" + i, 0, f.now, State.READY));
-            f.request(Fixture.REPEATABLE);
-            f.change(Fixture.server("s" + i, 0, f.now, State.GONE));
+            f.change(Fixture.server("s" + i, 0, f.now, EndpointState.READY));
+            f.request(Fixture.IDEMPOTENT);
+            f.change(Fixture.server("s" + i, 0, f.now, EndpointState.GONE));
             while (f.balancer.openCalls() > 0) {
-                f.finish(f.host.last(), Outcome.RESET, 1);
+                f.finish(f.host.last(), AttemptOutcome.RESET, 1);
             }
             f.now += 50;
         }
@@ -952,14 +969,14 @@
     @Test
     void aServerThatAnswersSlowlyGivesUpEvenItsLowestRanks() {
         Fixture f = Fixture.of(50, 0, 1).list(Fixture.servers(10));
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         String favourite = f.host.last().server();
         int uses = 0;
         for (int i = 0; i < 60; i++) {
             Recorder.Sent sent = f.host.last();
             f.now += 100;
-            f.finish(sent, Outcome.OK, sent.server().equals(favourite) ? 700 : 100);
-            f.request(Fixture.REPEATABLE);
+            f.finish(sent, AttemptOutcome.OK, sent.server().equals(favourite) ? 700 : 100);
+            f.request(Fixture.IDEMPOTENT);
             uses += i >= 30 && f.host.last().server().equals(favourite) ? 1 : 0;
         }
         assertEquals(0, uses, "calls it still got");
@@ -969,14 +986,14 @@
     @Test
     void aFullServerIsPausedButNotTreatedAsSick() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(3));
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         String full = f.host.last().server();
-        f.finish(f.host.last(), Outcome.QUEUE_FULL, 2);
+        f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 2);
         assertNotEquals(full, f.host.last().server());
         f.now += 300;
         int before = f.host.sent.size();
         for (int i = 0; i < 12; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         long again = f.host.sent.subList(before, f.host.sent.size()).stream()
                 .filter(s -> s.server().equals(full))
@@ -988,20 +1005,20 @@
     @Test
     void onlyAnswersLetAServerRecover() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(6));
-        String bad = f.failTwice(Outcome.RESET);
+        String bad = f.failTwice(AttemptOutcome.RESET);
         f.now += 600;
         for (int i = 0; i < 10; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         List<Recorder.Sent> trials =
                 f.host.sent.stream().filter(s -> s.server().equals(bad)).toList();
         Recorder.Sent trial = trials.get(trials.size() - 1);
         for (int i = 0; i < 8; i++) {
-            f.finish(trial, i % 2 == 0 ? Outcome.CANCELED : Outcome.IGNORED, 1);
+            f.finish(trial, i % 2 == 0 ? AttemptOutcome.CANCELED : AttemptOutcome.IGNORED, 1);
             f.now += 200;
             int before = f.host.sent.size();
             for (int j = 0; j < 8; j++) {
-                f.request(Fixture.REPEATABLE);
+                f.request(Fixture.IDEMPOTENT);
             }
             List<Recorder.Sent> again = f.host.sent.subList(before, f.host.sent.size()).stream()
                     .filter(s -> s.server().equals(bad))
@@ -1016,11 +1033,11 @@
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(4));
         for (int i = 0; i < 100; i++) {
             f.now += 10;
-            f.request(Fixture.REPEATABLE);
-            f.finish(f.host.last(), Outcome.FAILED, 2);
+            f.request(Fixture.IDEMPOTENT);
+            f.finish(f.host.last(), AttemptOutcome.FAILED, 2);
         }
         int before = f.host.sent.size();
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         assertEquals(before + 1, f.host.sent.size(), "something is still tried");
     }
 
@@ -1031,9 +1048,9 @@
         int users = 0;
         for (int own = 0; own < balancers; own++) {
             Fixture f = Fixture.of(balancers, own, 1);
-            f.list(List.of(Fixture.server("cold", 0, f.now - 100, State.READY), Fixture.server("warm")));
+            f.list(List.of(Fixture.server("cold", 0, f.now - 100, EndpointState.READY), Fixture.server("warm")));
             for (int i = 0; i < 3; i++) {
-                f.request(Fixture.REPEATABLE);
+                f.request(Fixture.IDEMPOTENT);
             }
             users += (int)
                     f.host.sent.stream().filter(s -> s.server().equals("cold")).count();
@@ -1049,7 +1066,7 @@
         Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(20));
         for (int i = 0; i < 300; i++) {
             f.now += 100;
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
         }
         assertTrue(f.host.log.size() >= 2 && f.host.log.size() <= 4, "lines " + f.host.log.size());
         String last = f.host.log.get(f.host.log.size() - 1);
@@ -1067,7 +1084,7 @@
                 f.request(random.nextInt(3));
                 if (!f.host.sent.isEmpty() && random.nextBoolean()) {
                     Recorder.Sent sent = f.host.sent.get(random.nextInt(f.host.sent.size()));
-                    f.finish(sent, Outcome.values()[random.nextInt(6)], random.nextInt(900));
+                    f.finish(sent, AttemptOutcome.values()[random.nextInt(6)], random.nextInt(900));
                 }
             }
             runs.add(f.host.all);
--- a/core/src/test/java/lemonrail/core/policy/EmbeddingExampleTest.java
+++ b/core/src/test/java/lemonrail/core/policy/EmbeddingExampleTest.java
@@ -3,20 +3,21 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import lemonrail.core.Contract.Actions;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.Group;
-import lemonrail.core.Contract.Limits;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Load;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Request;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Rules;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.AttemptLimits;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.DeduplicationScope;
+import lemonrail.core.balancer.DrainSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.LoadBalancerHost;
+import lemonrail.core.balancer.LoadReport;
+import lemonrail.core.balancer.Request;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.SlowStartSettings;
 import org.junit.jupiter.api.Test;
 
 /** The README's example, which must compile and run. */
@@ -25,9 +26,9 @@
     @Test
     void aSidecarCreatesFeedsAndObeysABalancer() {
         Recorder recorder = new Recorder();
-        Actions sidecar = recorder;
+        LoadBalancerHost sidecar = recorder;
         // README: begin
-        Settings settings = new Settings(
+        BalancerSettings settings = new BalancerSettings(
                 3,
                 0,
                 0,
@@ -36,22 +37,26 @@
                 false,
                 0.1,
                 0,
-                List.of(new RequestClass("read", 300, 1000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false)),
+                List.of(new RequestClass(
+                        "read", 300, 1000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false)),
                 List.of(),
-                new Limits(3, true, true, 2000, 250),
-                new Rules(0.3, 9000, 3, 1000, 1000, 10_000));
-        Decide balancer = new Decide(settings, 42, sidecar);
+                new AttemptLimits(3, true, true, 2000, 250),
+                new SlowStartSettings(0.3, 9000, 3, 1000),
+                new DrainSettings(1000),
+                10_000);
+        BoxcarLoadBalancer balancer = new BoxcarLoadBalancer(settings, 42, sidecar);
 
         double now = 0;
-        balancer.onServers(
+        balancer.onEndpointUpdate(
                 now,
-                ListKind.FULL,
+                EndpointUpdateKind.SNAPSHOT,
                 List.of(
-                        new Server("10.0.0.1:80", 0, 0, 0, 0, State.READY, 1),
-                        new Server("10.0.0.2:80", 0, 0, 0, 0, State.READY, 1)));
+                        new Endpoint("10.0.0.1:80", 0, 0, 0, 0, EndpointState.READY, 1),
+                        new Endpoint("10.0.0.2:80", 0, 0, 0, 0, EndpointState.READY, 1)));
         balancer.onRequest(now, new Request("r1", 0, 0, now + 1000, false));
         // The balancer has called sidecar.send("r1", server, timeoutMs): carry it out, then tell the end.
-        balancer.onFinished(now + 12, new Finished("r1", 0, "10.0.0.1:80", Outcome.OK, 12, true, Load.NONE));
+        balancer.onAttemptFinished(
+                now + 12, new AttemptResult("r1", 0, "10.0.0.1:80", AttemptOutcome.OK, 12, true, LoadReport.NONE));
         // README: end
         assertEquals(1, recorder.sent.size());
         assertEquals(0, balancer.openCalls());
--- a/core/src/test/java/lemonrail/core/policy/Fixture.java
+++ b/core/src/test/java/lemonrail/core/policy/Fixture.java
@@ -2,43 +2,55 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.Group;
-import lemonrail.core.Contract.Limits;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Load;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Request;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Rules;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.State;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.AttemptLimits;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.DeduplicationScope;
+import lemonrail.core.balancer.DrainSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.LoadReport;
+import lemonrail.core.balancer.Request;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.SlowStartSettings;
+import lemonrail.core.balancer.TenantQuota;
 
 /** A balancer with a recording host and a clock set by hand. */
 final class Fixture {
 
-    static final int REPEATABLE = 0;
-    static final int ONCE = 1;
+    static final int IDEMPOTENT = 0;
+    static final int NON_IDEMPOTENT = 1;
     static final int BY_CELL = 2;
 
     final Recorder host = new Recorder();
-    final Decide balancer;
+    final BoxcarLoadBalancer balancer;
     double now = 1_000_000;
     private int requests;
 
-    Fixture(Settings settings) {
-        balancer = new Decide(settings, 7, host);
+    Fixture(BalancerSettings settings) {
+        balancer = new BoxcarLoadBalancer(settings, 7, host);
     }
 
-    static Settings settings(int balancers, int own, int tier, boolean parallel, Tenant... tenants) {
+    static BalancerSettings settings(int balancers, int own, int tier, boolean parallel, TenantQuota... tenants) {
+        return settings(balancers, own, tier, parallel, 10_000, tenants);
+    }
+
+    /** Returns settings whose endpoint list is polled within this time. */
+    static BalancerSettings settingsPolledWithin(double pollIntervalMs) {
+        return settings(1, 0, 0, true, pollIntervalMs);
+    }
+
+    private static BalancerSettings settings(
+            int balancers, int own, int tier, boolean parallel, double pollIntervalMs, TenantQuota... tenants) {
         List<RequestClass> classes = List.of(
-                new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false),
-                new RequestClass("order", 1000, 3000, 1, 0.5, Effect.ONCE, Group.ALL, 0, false),
-                new RequestClass("save", 1000, 3000, 1, 0.5, Effect.BY_KEY, Group.CELL, 800, false));
-        return new Settings(
+                new RequestClass("read", 1000, 3000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
+                new RequestClass(
+                        "order", 1000, 3000, 1, 0.5, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false),
+                new RequestClass("save", 1000, 3000, 1, 0.5, Idempotency.KEYED, DeduplicationScope.CELL, 800, false));
+        return new BalancerSettings(
                 balancers,
                 own,
                 0,
@@ -49,37 +61,39 @@
                 0,
                 classes,
                 List.of(tenants),
-                new Limits(3, parallel, true, 2000, 200),
-                new Rules(0.3, 8000, 3, 1000, 1000, 10_000));
+                new AttemptLimits(3, parallel, true, 2000, 200),
+                new SlowStartSettings(0.3, 8000, 3, 1000),
+                new DrainSettings(1000),
+                pollIntervalMs);
     }
 
     static Fixture of(int balancers, int own, int tier) {
         return new Fixture(settings(balancers, own, tier, true));
     }
 
-    static Server server(String id) {
-        return new Server(id, 0, 0, 0, 0, State.READY, 1);
+    static Endpoint server(String id) {
+        return new Endpoint(id, 0, 0, 0, 0, EndpointState.READY, 1);
     }
 
-    static Server server(String id, int cell, double startedMs, State state) {
-        return new Server(id, 0, 0, cell, startedMs, state, 1);
+    static Endpoint server(String id, int cell, double startedMs, EndpointState state) {
+        return new Endpoint(id, 0, 0, cell, startedMs, state, 1);
     }
 
-    static List<Server> servers(int count) {
-        List<Server> list = new ArrayList<>();
+    static List<Endpoint> servers(int count) {
+        List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             list.add(server("s" + i));
         }
         return list;
     }
 
-    Fixture list(List<Server> servers) {
-        balancer.onServers(now, ListKind.FULL, servers);
+    Fixture list(List<Endpoint> servers) {
+        balancer.onEndpointUpdate(now, EndpointUpdateKind.SNAPSHOT, servers);
         return this;
     }
 
-    void change(Server... servers) {
-        balancer.onServers(now, ListKind.DELTA, List.of(servers));
+    void change(Endpoint... servers) {
+        balancer.onEndpointUpdate(now, EndpointUpdateKind.DELTA, List.of(servers));
     }
 
     String request(int kind) {
@@ -92,27 +106,27 @@
         return id;
     }
 
-    void finish(Recorder.Sent sent, Outcome outcome, double tookMs) {
-        balancer.onFinished(
+    void finish(Recorder.Sent sent, AttemptOutcome outcome, double tookMs) {
+        balancer.onAttemptFinished(
                 now,
-                new Finished(
+                new AttemptResult(
                         sent.request(),
                         sent.attempt(),
                         sent.server(),
                         outcome,
                         tookMs,
-                        outcome == Outcome.OK,
-                        Load.NONE));
+                        outcome == AttemptOutcome.OK,
+                        LoadReport.NONE));
     }
 
     /** Has a server fail two calls in a row, which is more than chance, and tells which. */
-    String failTwice(Outcome outcome) {
-        request(REPEATABLE);
+    String failTwice(AttemptOutcome outcome) {
+        request(IDEMPOTENT);
         Recorder.Sent first = host.last();
         finish(first, outcome, 2);
         do {
             now += 300;
-            request(REPEATABLE);
+            request(IDEMPOTENT);
         } while (!host.last().server().equals(first.server()));
         finish(host.last(), outcome, 2);
         return first.server();
--- a/core/src/test/java/lemonrail/core/policy/FleetSizeTest.java
+++ b/core/src/test/java/lemonrail/core/policy/FleetSizeTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lemonrail.core.Contract.Server;
+import lemonrail.core.balancer.Endpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -26,7 +26,7 @@
     void oneBalancerHasACallOutAtEachOfAllServers(int tier) {
         Fixture fixture = Fixture.of(1, 0, tier).list(Fixture.servers(SIZE));
         for (int i = 0; i < SIZE; i++) {
-            fixture.request(Fixture.REPEATABLE);
+            fixture.request(Fixture.IDEMPOTENT);
         }
         Set<String> used = new HashSet<>();
         fixture.host.sent.forEach(sent -> used.add(sent.server()));
@@ -38,11 +38,11 @@
     /** Guards against balancers or servers that are cut off a list: each has a place of its own among all. */
     @Test
     void theFirstCallsOfAllBalancersReachServersAllOverTheList() {
-        List<Server> listed = Fixture.servers(SIZE);
+        List<Endpoint> listed = Fixture.servers(SIZE);
         Map<String, Integer> calls = new HashMap<>();
         for (int own = 0; own < SIZE; own++) {
             Fixture fixture = Fixture.of(SIZE, own, 1).list(listed);
-            fixture.request(Fixture.REPEATABLE);
+            fixture.request(Fixture.IDEMPOTENT);
             calls.merge(fixture.host.last().server(), 1, Integer::sum);
         }
         assertTrue(calls.size() > SIZE / 2, calls.size() + " servers got a first call");
--- a/core/src/test/java/lemonrail/core/policy/ListChangeCost.java
+++ b/core/src/test/java/lemonrail/core/policy/ListChangeCost.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
 
 /**
  * What a change of the list costs a decider, in microseconds of processor time, by how many servers are
@@ -40,11 +40,11 @@
     }
 
     /** The servers of a fleet in seven zones. */
-    static List<Server> fleet(int listed) {
-        List<Server> servers = new ArrayList<>();
+    static List<Endpoint> fleet(int listed) {
+        List<Endpoint> servers = new ArrayList<>();
         for (int i = 0; i < listed; i++) {
-            servers.add(
-                    new Server("s-" + Integer.toHexString(i * 7919 + 1), i % 7, 0, i % 3, 0, State.READY, 1 + i % 2));
+            servers.add(new Endpoint(
+                    "s-" + Integer.toHexString(i * 7919 + 1), i % 7, 0, i % 3, 0, EndpointState.READY, 1 + i % 2));
         }
         return servers;
     }
@@ -55,15 +55,16 @@
      */
     static double change(int listed, double everyMs, int changes) {
         Fixture f = Fixture.of(listed, 3, 0).list(fleet(listed));
-        List<Server> servers = fleet(listed);
+        List<Endpoint> servers = fleet(listed);
         Random random = new Random(5);
         double nextCall = 0;
         double spentNs = 0;
         for (int i = 0; i < 2 * changes; i++) {
             f.now += everyMs;
             int which = random.nextInt(listed);
-            Server was = servers.get(which);
-            Server is = was.with(was.state() == State.READY ? State.DRAINING : State.READY);
+            Endpoint was = servers.get(which);
+            Endpoint is =
+                    was.withState(was.state() == EndpointState.READY ? EndpointState.DRAINING : EndpointState.READY);
             servers.set(which, is);
             long before = CPU.getCurrentThreadCpuTime();
             f.change(is);
@@ -79,7 +80,7 @@
     /** Microseconds of processor time for a whole list in which nothing has changed. */
     private static double all(int listed) {
         Fixture f = Fixture.of(listed, 3, 0).list(fleet(listed));
-        List<Server> servers = fleet(listed);
+        List<Endpoint> servers = fleet(listed);
         double spentNs = 0;
         int lists = 200;
         for (int i = 0; i < 2 * lists; i++) {
@@ -94,9 +95,9 @@
 
     private static void call(Fixture f) {
         int sent = f.host.sent.size();
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         if (f.host.sent.size() > sent) {
-            f.finish(f.host.last(), Outcome.OK, 20);
+            f.finish(f.host.last(), AttemptOutcome.OK, 20);
         }
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
+++ b/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -35,7 +35,7 @@
     private static List<String> firstServers(Fixture f, int calls) {
         List<String> servers = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             servers.add(f.host.last().server());
         }
         return servers;
@@ -49,13 +49,13 @@
     private static Fixture inAStorm() {
         Fixture f = before(LISTED);
         f.now += 1000;
-        f.change(ListChangeCost.fleet(LISTED).get(7).with(State.DRAINING));
+        f.change(ListChangeCost.fleet(LISTED).get(7).withState(EndpointState.DRAINING));
         firstServers(f, 1);
         f.now += 1;
         return f;
     }
 
-    private static Server named(String id) {
+    private static Endpoint named(String id) {
         return ListChangeCost.fleet(LISTED).stream()
                 .filter(s -> s.id().equals(id))
                 .findFirst()
@@ -87,13 +87,13 @@
 
     private static double movesNoPlaceNs(int listed) {
         Fixture f = before(listed);
-        List<Server> fleet = ListChangeCost.fleet(listed);
+        List<Endpoint> fleet = ListChangeCost.fleet(listed);
         long began = 0;
         for (int i = 0; i < 1000; i++) {
             f.now += 1000;
             began = i == 500 ? ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() : began;
-            Server was = fleet.get(i % listed);
-            f.change(new Server(was.id(), was.zone(), 0, was.cell() + 1 + i, 0, State.READY, was.weight()));
+            Endpoint was = fleet.get(i % listed);
+            f.change(new Endpoint(was.id(), was.zone(), 0, was.cell() + 1 + i, 0, EndpointState.READY, was.weight()));
         }
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - began;
     }
@@ -102,25 +102,25 @@
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
     void afterAPauseAllIsAsIfTheListHadComeAtOnce(int seed) {
         Random random = new Random(seed);
-        Map<String, Server> listed = new HashMap<>();
+        Map<String, Endpoint> listed = new HashMap<>();
         ListChangeCost.fleet(LISTED).forEach(server -> listed.put(server.id(), server));
         Fixture f = before(LISTED);
         for (int step = 0; step < 300; step++) {
             f.now += random.nextInt(12);
-            List<Server> changes = new ArrayList<>();
+            List<Endpoint> changes = new ArrayList<>();
             for (int i = random.nextInt(random.nextInt(20) == 0 ? 60 : 3); i >= 0; i--) {
-                Server was = named("s-" + Integer.toHexString(random.nextInt(LISTED) * 7919 + 1));
-                changes.add(new Server(
+                Endpoint was = named("s-" + Integer.toHexString(random.nextInt(LISTED) * 7919 + 1));
+                changes.add(new Endpoint(
                         was.id(),
                         random.nextInt(7),
                         0,
                         was.cell(),
                         random.nextInt(4) == 0 ? f.now - random.nextInt(1000) : 0,
-                        State.values()[random.nextInt(3)],
+                        EndpointState.values()[random.nextInt(3)],
                         1 + random.nextInt(3)));
             }
             changes.forEach(server -> listed.put(server.id(), server));
-            f.change(changes.toArray(Server[]::new));
+            f.change(changes.toArray(Endpoint[]::new));
             if (random.nextBoolean()) {
                 f.balancer.onTimer(f.now, NO_TIMER);
             }
@@ -129,8 +129,9 @@
         f.balancer.onTimer(f.now, NO_TIMER);
         Fixture fresh = Fixture.of(LISTED, 3, 1);
         fresh.now = f.now;
-        List<Server> left =
-                listed.values().stream().filter(s -> s.state() != State.GONE).toList();
+        List<Endpoint> left = listed.values().stream()
+                .filter(s -> s.state() != EndpointState.GONE)
+                .toList();
         fresh.list(left);
         assertEquals(firstServers(fresh, 250), firstServers(f, 250));
         assertEquals(left.size(), f.balancer.knownServers());
@@ -139,15 +140,15 @@
     /** What rules rest on doesn't wait for the pause. */
     @ParameterizedTest
     @ValueSource(strings = {"DRAINING", "GONE"})
-    void whoLeavesInAStormGetsNothingMoreInTheSameTurn(State state) {
+    void whoLeavesInAStormGetsNothingMoreInTheSameTurn(EndpointState state) {
         Fixture f = inAStorm();
         Set<String> left = new HashSet<>();
         for (int i = 0; i < 10; i++) {
-            f.request(Fixture.REPEATABLE);
+            f.request(Fixture.IDEMPOTENT);
             String id = f.host.last().server();
             assertFalse(left.contains(id), id + " has left");
             left.add(id);
-            f.change(named(id).with(state));
+            f.change(named(id).withState(state));
         }
     }
 
@@ -155,7 +156,7 @@
     void whoReturnsOrStartsInAStormServesWithinAPause() {
         Fixture f = inAStorm();
         String first = firstServers(f, 1).get(0);
-        f.change(named(first).with(State.DRAINING));
+        f.change(named(first).withState(EndpointState.DRAINING));
         f.change(named(first));
         f.now += PAUSE_MS;
         assertTrue(firstServers(f, 250).contains(first));
@@ -165,12 +166,12 @@
     @Test
     void aFleetReplacedInAStormIsServedByItsSuccessors() {
         Fixture f = inAStorm();
-        List<Server> changes = new ArrayList<>();
-        for (Server server : ListChangeCost.fleet(LISTED)) {
-            changes.add(server.with(State.GONE));
-            changes.add(new Server("n" + server.id(), server.zone(), 0, 0, 0, State.READY, 1));
+        List<Endpoint> changes = new ArrayList<>();
+        for (Endpoint server : ListChangeCost.fleet(LISTED)) {
+            changes.add(server.withState(EndpointState.GONE));
+            changes.add(new Endpoint("n" + server.id(), server.zone(), 0, 0, 0, EndpointState.READY, 1));
         }
-        f.change(changes.toArray(Server[]::new));
+        f.change(changes.toArray(Endpoint[]::new));
         assertTrue(firstServers(f, 100).stream().allMatch(id -> id.startsWith("n")));
     }
 
@@ -178,10 +179,10 @@
     @Test
     void callsAreNotLeftToTheLastOnesWhileSuccessorsWait() {
         Fixture f = inAStorm();
-        List<Server> fleet = ListChangeCost.fleet(LISTED);
+        List<Endpoint> fleet = ListChangeCost.fleet(LISTED);
         for (int i = 2; i < LISTED; i++) {
-            f.change(fleet.get(i).with(State.GONE));
-            f.change(new Server("n" + i, i % 7, 0, 0, 0, State.READY, 1));
+            f.change(fleet.get(i).withState(EndpointState.GONE));
+            f.change(new Endpoint("n" + i, i % 7, 0, 0, 0, EndpointState.READY, 1));
         }
         assertTrue(new HashSet<>(firstServers(f, 60)).size() > 50);
     }
@@ -192,7 +193,7 @@
         assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
             Fixture f = Fixture.of(3, 0, 1).list(Fixture.servers(6));
             for (int i = 0; i < 6; i++) {
-                f.change(new Server("s" + i, 1 + i % 2, 0, 0, 0, State.READY, 1));
+                f.change(new Endpoint("s" + i, 1 + i % 2, 0, 0, 0, EndpointState.READY, 1));
                 f.now += PAUSE_MS;
                 assertNotEquals(0, firstServers(f, 3).size());
             }
--- a/core/src/test/java/lemonrail/core/policy/LiveSettingsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/LiveSettingsTest.java
@@ -4,61 +4,64 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import lemonrail.core.Contract.Limits;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.AttemptLimits;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.TenantQuota;
 import org.junit.jupiter.api.Test;
 
 /** Settings that change while calls are in hand: what may, is taken up, and what was learned stays. */
 class LiveSettingsTest {
 
-    private static Settings with(Settings base, double aimMs, double deadlineMs, int tries, Tenant... tenants) {
+    private static BalancerSettings with(
+            BalancerSettings base, double latencyObjectiveMs, double deadlineMs, int tries, TenantQuota... tenants) {
         List<RequestClass> classes = base.classes().stream()
                 .map(kind -> new RequestClass(
                         kind.name(),
-                        aimMs,
+                        latencyObjectiveMs,
                         deadlineMs,
-                        kind.worth(),
-                        kind.lateWorth(),
-                        kind.effect(),
-                        kind.group(),
-                        kind.windowMs(),
+                        kind.priorityWeight(),
+                        kind.lateResponseWeight(),
+                        kind.idempotency(),
+                        kind.deduplicationScope(),
+                        kind.deduplicationWindowMs(),
                         kind.stream()))
                 .toList();
-        Limits limits = base.limits();
-        return new Settings(
+        AttemptLimits limits = base.limits();
+        return new BalancerSettings(
                 base.balancers(),
-                base.ownNumber(),
-                base.ownZone(),
+                base.balancerIndex(),
+                base.zone(),
                 base.tier(),
-                base.asksForList(),
+                base.pollsEndpoints(),
                 base.weighted(),
-                base.overShareWorth(),
-                base.crossZonePrice(),
+                base.overQuotaWeight(),
+                base.crossZoneCost(),
                 classes,
                 List.of(tenants),
-                new Limits(
+                new AttemptLimits(
                         tries,
-                        limits.parallelTries(),
+                        limits.parallelAttempts(),
                         limits.cancel(),
-                        limits.maxCoolDownMs(),
+                        limits.maxRetryAfterMs(),
                         limits.connectTimeoutMs()),
-                base.rules());
+                base.slowStart(),
+                base.drain(),
+                base.pollIntervalMs());
     }
 
     /** An answer after the aim is worth nothing here, so a call waits no longer than for that. */
     @Test
     void anAimHoldsForTheNextCall() {
-        Settings base = Fixture.settings(1, 0, 0, true);
+        BalancerSettings base = Fixture.settings(1, 0, 0, true);
         Fixture f = new Fixture(base).list(Fixture.servers(1));
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         double before = f.host.last().timeoutMs();
-        f.finish(f.host.last(), Outcome.OK, 10);
+        f.finish(f.host.last(), AttemptOutcome.OK, 10);
         f.balancer.onSettings(f.now, with(base, 400, 3000, 3));
         f.now += 100;
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         assertTrue(
                 before > 900 && f.host.last().timeoutMs() < 400,
                 before + " and " + f.host.last().timeoutMs());
@@ -66,44 +69,45 @@
 
     @Test
     void fewerAttemptsHoldForCallsInHand() {
-        Settings base = Fixture.settings(1, 0, 0, true);
+        BalancerSettings base = Fixture.settings(1, 0, 0, true);
         Fixture f = new Fixture(base).list(Fixture.servers(3));
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
         f.balancer.onSettings(f.now, with(base, 1000, 3000, 1));
-        f.finish(f.host.last(), Outcome.FAILED, 2);
+        f.finish(f.host.last(), AttemptOutcome.FAILED, 2);
         assertEquals(1, f.host.sent.size(), "not sent again");
     }
 
     /** Guards against a change of a rate that gives a flood its savings again. */
     @Test
     void anAllowanceChangesAndItsSavingsStay() {
-        Settings base = Fixture.settings(1, 0, 0, true, new Tenant("flood", 10, 0.1), new Tenant("calm", 1000, 0.9));
+        BalancerSettings base =
+                Fixture.settings(1, 0, 0, true, new TenantQuota("flood", 10, 0.1), new TenantQuota("calm", 1000, 0.9));
         Fixture f = new Fixture(base).list(Fixture.servers(20));
-        Settings same = with(base, 1000, 3000, 3, base.tenants().toArray(Tenant[]::new));
+        BalancerSettings same = with(base, 1000, 3000, 3, base.tenants().toArray(TenantQuota[]::new));
         int taken = 0;
         for (int i = 0; i < 60; i++) {
             f.balancer.onSettings(f.now, same);
             int before = f.host.sent.size();
-            f.request(Fixture.REPEATABLE, 0);
+            f.request(Fixture.IDEMPOTENT, 0);
             taken += f.host.sent.size() - before;
         }
         Fixture plain = new Fixture(base).list(Fixture.servers(20));
         for (int i = 0; i < 60; i++) {
-            plain.request(Fixture.REPEATABLE, 0);
+            plain.request(Fixture.IDEMPOTENT, 0);
         }
         assertEquals(plain.host.sent.size(), taken);
     }
 
     @Test
     void whatWasLearnedStays() {
-        Settings base = Fixture.settings(1, 0, 0, true);
+        BalancerSettings base = Fixture.settings(1, 0, 0, true);
         Fixture f = new Fixture(base).list(Fixture.servers(2));
         Fixture other = new Fixture(base).list(Fixture.servers(2));
         for (int i = 0; i < 200; i++) {
             for (Fixture each : List.of(f, other)) {
                 each.now += 20;
-                each.request(Fixture.REPEATABLE);
-                each.finish(each.host.last(), Outcome.OK, 15);
+                each.request(Fixture.IDEMPOTENT);
+                each.finish(each.host.last(), AttemptOutcome.OK, 15);
             }
             f.balancer.onSettings(f.now, base);
         }
--- a/core/src/test/java/lemonrail/core/policy/PolicyFileTest.java
+++ b/core/src/test/java/lemonrail/core/policy/PolicyFileTest.java
@@ -81,6 +81,6 @@
     @Test
     void theFirstLinesNameTheInterfaceFile() throws IOException {
         List<String> firstLines = linesOf(listedFiles().get(0)).subList(0, FIRST_LINES);
-        assertTrue(firstLines.stream().anyMatch(line -> line.contains("Contract.java")));
+        assertTrue(firstLines.stream().anyMatch(line -> line.contains("LoadBalancer.java")));
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
@@ -9,18 +9,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import lemonrail.core.Contract.Actions;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Load;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Request;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.State;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.LoadBalancerHost;
+import lemonrail.core.balancer.LoadReport;
+import lemonrail.core.balancer.Request;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.TenantQuota;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -33,7 +33,7 @@
         final double deadlineMs;
         final List<String> servers = new ArrayList<>();
         final List<Double> sentAt = new ArrayList<>();
-        final List<Outcome> ends = new ArrayList<>();
+        final List<AttemptOutcome> ends = new ArrayList<>();
         boolean over;
 
         Seen(int kind, double deadlineMs) {
@@ -44,7 +44,7 @@
         /** The first attempt that is out or may have run; -1 if there is none. */
         int mayHaveRun() {
             for (int i = 0; i < ends.size(); i++) {
-                if (ends.get(i) == null || !ends.get(i).neverRan()) {
+                if (ends.get(i) == null || !ends.get(i).provesNotExecuted()) {
                     return i;
                 }
             }
@@ -57,37 +57,37 @@
     }
 
     /** Checks every action as it comes. */
-    private static final class Judge implements Actions {
-        final Settings settings;
+    private static final class Judge implements LoadBalancerHost {
+        final BalancerSettings settings;
         final Map<String, Seen> seen = new HashMap<>();
-        final Map<String, Server> listed = new HashMap<>();
+        final Map<String, Endpoint> listed = new HashMap<>();
         final List<Double> timers = new ArrayList<>();
         final List<Long> timerNames = new ArrayList<>();
         double now;
         int out;
 
-        Judge(Settings settings) {
+        Judge(BalancerSettings settings) {
             this.settings = settings;
         }
 
         @Override
-        public void send(String request, String server, double timeoutMs) {
+        public void startAttempt(String request, String server, double timeoutMs) {
             Seen call = seen.get(request);
             RequestClass kind = settings.classes().get(call.kind);
             assertFalse(call.over, "sent after its end: " + request);
-            assertEquals(State.READY, listed.get(server).state(), "sent to a server that is not ready");
+            assertEquals(EndpointState.READY, listed.get(server).state(), "sent to a server that is not ready");
             assertTrue(timeoutMs <= call.deadlineMs - now + 1e-6, "outlasts the client");
-            assertTrue(call.ends.size() < settings.limits().tries(), "too many attempts");
-            assertTrue(settings.limits().parallelTries() || call.out() == 0, "two attempts at once");
+            assertTrue(call.ends.size() < settings.limits().maxAttempts(), "too many attempts");
+            assertTrue(settings.limits().parallelAttempts() || call.out() == 0, "two attempts at once");
             int first = call.mayHaveRun();
             if (first >= 0) {
-                assertTrue(kind.effect() != Effect.ONCE, "a call that may have run was sent again");
-                if (kind.effect() == Effect.BY_KEY) {
+                assertTrue(kind.idempotency() != Idempotency.NON_IDEMPOTENT, "a call that may have run was sent again");
+                if (kind.idempotency() == Idempotency.KEYED) {
                     assertEquals(
                             listed.get(call.servers.get(first)).cell(),
                             listed.get(server).cell(),
                             "repeat outside the group");
-                    assertTrue(now - call.sentAt.get(first) < kind.windowMs(), "repeat after the window");
+                    assertTrue(now - call.sentAt.get(first) < kind.deduplicationWindowMs(), "repeat after the window");
                 }
             }
             call.servers.add(server);
@@ -98,10 +98,10 @@
         }
 
         @Override
-        public void refuse(String request, double coolDownMs) {
+        public void reject(String request, double coolDownMs) {
             Seen call = seen.get(request);
             assertTrue(
-                    settings.classes().get(call.kind).effect() == Effect.REPEATABLE || call.mayHaveRun() < 0,
+                    settings.classes().get(call.kind).idempotency() == Idempotency.IDEMPOTENT || call.mayHaveRun() < 0,
                     "refused though it may have run");
             finish(call);
         }
@@ -118,46 +118,46 @@
         }
 
         @Override
-        public void cancel(String request, int attempt) {
+        public void cancelAttempt(String request, int attempt) {
             assertTrue(attempt < seen.get(request).ends.size(), "cancelled an attempt never made");
         }
 
         @Override
-        public void timer(double inMs, long name) {
+        public void startTimer(double inMs, long name) {
             timers.add(now + inMs);
             timerNames.add(name);
         }
 
         @Override
-        public void disconnect(String server) {
+        public void closeIdleConnections(String server) {
             assertTrue(listed.containsKey(server));
         }
 
         @Override
-        public void subscribe() {}
+        public void pollEndpoints() {}
 
         @Override
         public void log(String line) {}
     }
 
-    private static Settings settings(Random random) {
+    private static BalancerSettings settings(Random random) {
         return Fixture.settings(
                 1 + random.nextInt(40),
                 0,
                 random.nextInt(2),
                 random.nextBoolean(),
-                new Tenant("a", 20, 0.5),
-                new Tenant("b", 5, 0.5));
+                new TenantQuota("a", 20, 0.5),
+                new TenantQuota("b", 5, 0.5));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void theRulesHoldUnderRandomEvents(int seed) {
         Random random = new Random(seed);
-        Settings settings = settings(random);
+        BalancerSettings settings = settings(random);
         Judge judge = new Judge(settings);
         judge.now = 10_000;
-        Decide balancer = new Decide(settings, seed, judge);
+        BoxcarLoadBalancer balancer = new BoxcarLoadBalancer(settings, seed, judge);
         List<String> open = new ArrayList<>();
         int requests = 0;
         for (int step = 0; step < 4000; step++) {
@@ -184,10 +184,10 @@
             } else if (what < 10 && !open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
                 judge.seen.get(id).over = true;
-                balancer.onClientGone(judge.now, id);
+                balancer.onRequestCancelled(judge.now, id);
             } else if (!open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
-                end(judge, balancer, id, Outcome.values()[random.nextInt(8)]);
+                end(judge, balancer, id, AttemptOutcome.values()[random.nextInt(8)]);
             }
             open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
         }
@@ -203,7 +203,7 @@
         assertEquals(0, balancer.openCalls(), "state is left over");
     }
 
-    private static void fireTimers(Judge judge, Decide balancer) {
+    private static void fireTimers(Judge judge, BoxcarLoadBalancer balancer) {
         for (int i = 0; i < judge.timers.size(); i++) {
             if (judge.timers.get(i) <= judge.now) {
                 judge.timers.remove(i);
@@ -214,21 +214,21 @@
     }
 
     /** The host cuts attempts off at the client's deadline, within the slack that the judge allows. */
-    private static void endOverdue(Judge judge, Decide balancer, List<String> open) {
+    private static void endOverdue(Judge judge, BoxcarLoadBalancer balancer, List<String> open) {
         for (String id : List.copyOf(open)) {
             Seen call = judge.seen.get(id);
             if (call.deadlineMs <= judge.now + 15) {
                 double now = judge.now;
                 judge.now = Math.min(now, call.deadlineMs);
                 while (call.out() > 0) {
-                    end(judge, balancer, id, Outcome.TIMED_OUT);
+                    end(judge, balancer, id, AttemptOutcome.TIMED_OUT);
                 }
                 judge.now = now;
             }
         }
     }
 
-    private static void end(Judge judge, Decide balancer, String id, Outcome outcome) {
+    private static void end(Judge judge, BoxcarLoadBalancer balancer, String id, AttemptOutcome outcome) {
         Seen call = judge.seen.get(id);
         int attempt = call.ends.indexOf(null);
         if (attempt < 0) {
@@ -236,32 +236,32 @@
         }
         call.ends.set(attempt, outcome);
         judge.out--;
-        boolean served = outcome == Outcome.OK && !call.over;
+        boolean served = outcome == AttemptOutcome.OK && !call.over;
         boolean concluded = call.over || served;
         call.over |= served;
-        balancer.onFinished(
+        balancer.onAttemptFinished(
                 judge.now,
-                new Finished(
+                new AttemptResult(
                         id,
                         attempt,
                         call.servers.get(attempt),
                         outcome,
                         judge.now - call.sentAt.get(attempt),
                         concluded,
-                        Load.NONE));
+                        LoadReport.NONE));
     }
 
-    private static void changeList(Judge judge, Decide balancer, Random random, boolean whole) {
-        List<Server> changes = new ArrayList<>();
+    private static void changeList(Judge judge, BoxcarLoadBalancer balancer, Random random, boolean whole) {
+        List<Endpoint> changes = new ArrayList<>();
         for (int i = 0; i < (whole ? 12 : 2); i++) {
             String id = "s" + (whole ? i : random.nextInt(15));
-            State state = whole ? State.READY : State.values()[random.nextInt(3)];
+            EndpointState state = whole ? EndpointState.READY : EndpointState.values()[random.nextInt(3)];
             double started = random.nextInt(4) == 0 ? judge.now - random.nextInt(9000) : 0;
             int number = Integer.parseInt(id.substring(1));
-            Server server = new Server(id, number % 2, 0, number % 4, started, state, 1);
+            Endpoint server = new Endpoint(id, number % 2, 0, number % 4, started, state, 1);
             changes.add(server);
             judge.listed.put(id, server);
         }
-        balancer.onServers(judge.now, whole ? ListKind.CACHED : ListKind.DELTA, changes);
+        balancer.onEndpointUpdate(judge.now, whole ? EndpointUpdateKind.CACHED : EndpointUpdateKind.DELTA, changes);
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/Recorder.java
+++ b/core/src/test/java/lemonrail/core/policy/Recorder.java
@@ -4,10 +4,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemonrail.core.Contract.Actions;
+import lemonrail.core.balancer.LoadBalancerHost;
 
 /** A host that carries nothing out and remembers what it was told. */
-final class Recorder implements Actions {
+final class Recorder implements LoadBalancerHost {
 
     /** One attempt that was sent. */
     record Sent(String request, int attempt, String server, double timeoutMs) {}
@@ -28,14 +28,14 @@
     }
 
     @Override
-    public void send(String request, String server, double timeoutMs) {
+    public void startAttempt(String request, String server, double timeoutMs) {
         int attempt = attempts.merge(request, 1, Integer::sum) - 1;
         sent.add(new Sent(request, attempt, server, timeoutMs));
         all.add("send " + request + " " + server + " " + timeoutMs);
     }
 
     @Override
-    public void refuse(String request, double coolDownMs) {
+    public void reject(String request, double coolDownMs) {
         refused.add(request);
         all.add("refuse " + request);
     }
@@ -47,25 +47,25 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) {
+    public void cancelAttempt(String request, int attempt) {
         cancelled.add(request + "#" + attempt);
         all.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void timer(double inMs, long name) {
+    public void startTimer(double inMs, long name) {
         timers.add(inMs);
         all.add("timer " + name);
     }
 
     @Override
-    public void disconnect(String server) {
+    public void closeIdleConnections(String server) {
         disconnected.add(server);
         all.add("disconnect " + server);
     }
 
     @Override
-    public void subscribe() {
+    public void pollEndpoints() {
         subscriptions++;
         all.add("subscribe");
     }
--- a/core/src/test/java/lemonrail/core/policy/ColdTest.java
+++ b/core/src/test/java/lemonrail/core/policy/SlowStartTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /** What a server that has just started is given, and what it is given once it is warm. */
-class ColdTest {
+class SlowStartTest {
 
     private static final int LOWER_TIER = 1;
     /** So many before two servers are more than a cold one bears calls at once from. */
@@ -23,13 +23,13 @@
     @Test
     void aServerThatTurnsWarmGetsMoreThanOneCallAtOnce() {
         Fixture f = Fixture.of(1, 0, LOWER_TIER);
-        f.list(List.of(Fixture.server("cold", 0, f.now, State.READY)));
-        f.request(Fixture.REPEATABLE);
-        f.request(Fixture.REPEATABLE);
+        f.list(List.of(Fixture.server("cold", 0, f.now, EndpointState.READY)));
+        f.request(Fixture.IDEMPOTENT);
+        f.request(Fixture.IDEMPOTENT);
         assertEquals(1, f.host.sent.size(), "one call at a time while it is cold");
         f.now += 8000;
-        f.request(Fixture.REPEATABLE);
-        f.request(Fixture.REPEATABLE);
+        f.request(Fixture.IDEMPOTENT);
+        f.request(Fixture.IDEMPOTENT);
         assertEquals(3, f.host.sent.size(), "two more now that it is warm, beside the one still out");
     }
 
@@ -62,19 +62,19 @@
             f.list(List.of(Fixture.server("other"), Fixture.server("warm")));
             for (int i = 0; i < callsBefore; i++) {
                 f.now += 300;
-                f.request(Fixture.REPEATABLE);
-                f.finish(f.host.last(), Outcome.OK, 10);
+                f.request(Fixture.IDEMPOTENT);
+                f.finish(f.host.last(), AttemptOutcome.OK, 10);
                 for (int unserved = 1; unserved < oneServedIn; unserved++) {
-                    f.request(Fixture.ONCE);
-                    f.finish(f.host.last(), Outcome.CANCELED, 10);
+                    f.request(Fixture.NON_IDEMPOTENT);
+                    f.finish(f.host.last(), AttemptOutcome.CANCELED, 10);
                 }
             }
-            f.list(List.of(Fixture.server("cold", 0, f.now, State.READY), Fixture.server("warm")));
+            f.list(List.of(Fixture.server("cold", 0, f.now, EndpointState.READY), Fixture.server("warm")));
             f.now += 100;
             f.balancer.onTimer(f.now, 99);
             int before = f.host.sent.size();
             for (int i = 0; i < 3; i++) {
-                f.request(Fixture.REPEATABLE);
+                f.request(Fixture.IDEMPOTENT);
             }
             users += (int) f.host.sent.stream()
                     .skip(before)
--- a/core/src/test/java/lemonrail/core/policy/SpareZoneTest.java
+++ b/core/src/test/java/lemonrail/core/policy/SpareZoneTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /** Servers whose zone is told otherwise than before: of one that is gone it need not be told at all. */
@@ -17,8 +17,8 @@
 
     private static final Duration PATIENCE = Duration.ofSeconds(10);
 
-    private static Server in(String id, int zone, State state) {
-        return new Server(id, zone, 0, 0, 0, state, 1);
+    private static Endpoint in(String id, int zone, EndpointState state) {
+        return new Endpoint(id, zone, 0, 0, 0, state, 1);
     }
 
     /** Calls come and go for long enough that the pool is refilled many times. */
@@ -29,8 +29,8 @@
                 () -> {
                     for (int i = 0; i < 50; i++) {
                         f.now += 150;
-                        f.request(Fixture.REPEATABLE);
-                        f.finish(f.host.last(), Outcome.OK, 10);
+                        f.request(Fixture.IDEMPOTENT);
+                        f.finish(f.host.last(), AttemptOutcome.OK, 10);
                     }
                 },
                 "a loop without an end");
@@ -42,20 +42,22 @@
     /** Guards against a spare slot that is looked for in another zone than it was put in. */
     @Test
     void aServerThatIsGoneLeavesNothingBehindWhateverItsZone() {
-        Fixture f = Fixture.of(1, 0, 0).list(List.of(in("s0", 0, State.READY), in("s1", 0, State.READY)));
+        Fixture f =
+                Fixture.of(1, 0, 0).list(List.of(in("s0", 0, EndpointState.READY), in("s1", 0, EndpointState.READY)));
         serve(f);
-        f.change(in("s0", -1, State.GONE));
+        f.change(in("s0", -1, EndpointState.GONE));
         assertEquals(Set.of("s1"), serve(f));
     }
 
     @Test
     void aServerMayMoveToAnotherZone() {
-        Fixture f = Fixture.of(1, 0, 0).list(List.of(in("s0", 0, State.READY), in("s1", 0, State.READY)));
+        Fixture f =
+                Fixture.of(1, 0, 0).list(List.of(in("s0", 0, EndpointState.READY), in("s1", 0, EndpointState.READY)));
         serve(f);
-        f.change(in("s0", 1, State.READY));
+        f.change(in("s0", 1, EndpointState.READY));
         serve(f);
-        f.change(in("s0", 0, State.READY));
-        f.change(in("s1", 1, State.DRAINING));
+        f.change(in("s0", 0, EndpointState.READY));
+        f.change(in("s1", 1, EndpointState.DRAINING));
         assertEquals(Set.of("s0"), serve(f));
     }
 }
--- a/core/src/test/java/lemonrail/core/control/RouteTest.java
+++ b/core/src/test/java/lemonrail/core/replication/NodeSelectorTest.java
@@ -1,4 +1,4 @@
-package lemonrail.core.control;
+package lemonrail.core.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,18 +12,18 @@
 import org.junit.jupiter.api.Test;
 
 /** Where a watcher goes, on virtual time. */
-class RouteTest {
+class NodeSelectorTest {
 
     private static final List<String> WEST = List.of("w1", "w2", "w3");
     private static final List<String> EAST = List.of("e1", "e2", "e3");
 
-    private static Route route(int number) {
-        return new Route("sidecar-" + number, WEST, EAST, number);
+    private static NodeSelector route(int number) {
+        return new NodeSelector("sidecar-" + number, WEST, EAST, number);
     }
 
     @Test
     void theNextNodeIsAskedAtOnceAndTheOwnRegionFirst() {
-        Route route = route(1);
+        NodeSelector route = route(1);
         List<String> asked = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             asked.add(route.current());
@@ -39,7 +39,7 @@
 
     @Test
     void pausesGrowAndAreBounded() {
-        Route route = route(1);
+        NodeSelector route = route(1);
         double longest = 0;
         for (int i = 0; i < 200; i++) {
             longest = Math.max(longest, route.failed(i));
@@ -57,7 +57,7 @@
     void watchersComeBackSpreadOverTime() {
         List<Double> back = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            Route route = route(i);
+            NodeSelector route = route(i);
             String home = route.current();
             route.failed(0);
             assertNotEquals(home, route.current());
@@ -76,7 +76,7 @@
     /** Guards against watchers that stay in another region, which then may lose theirs, for a minute. */
     @Test
     void aWatcherInAnotherRegionLooksAtItsOwnSoonAndOneNodeAtATime() {
-        Route route = route(1);
+        NodeSelector route = route(1);
         for (int i = 0; i < 3; i++) {
             route.failed(0);
         }
@@ -89,7 +89,7 @@
             while (!route.answered(now, 0)) {
                 now += 100;
             }
-            assertTrue(now - since >= Route.LEAST_ABROAD_MS && now - since <= Route.MOST_ABROAD_MS + 100);
+            assertTrue(now - since >= NodeSelector.LEAST_ABROAD_MS && now - since <= NodeSelector.MOST_ABROAD_MS + 100);
             looked.add(route.current());
             assertEquals(0, route.failed(now));
             assertEquals(abroad, route.current(), "it goes on where it was");
@@ -106,15 +106,15 @@
 
     @Test
     void aNodeThatHearsNothingNewIsLeftForAnother() {
-        Route route = route(1);
+        NodeSelector route = route(1);
         String home = route.current();
-        assertFalse(route.answered(0, Route.STALE_MS));
-        assertTrue(route.answered(1000, Route.STALE_MS + 1));
+        assertFalse(route.answered(0, NodeSelector.STALE_MS));
+        assertTrue(route.answered(1000, NodeSelector.STALE_MS + 1));
         assertNotEquals(home, route.current());
-        assertFalse(route.answered(2000, Route.STALE_MS + 1), "where all are so it stays for a while");
+        assertFalse(route.answered(2000, NodeSelector.STALE_MS + 1), "where all are so it stays for a while");
         boolean moved = false;
         for (double now = 2000; now < 50_000 && !moved; now += 1000) {
-            moved = route.answered(now, Route.STALE_MS + 1);
+            moved = route.answered(now, NodeSelector.STALE_MS + 1);
         }
         assertTrue(moved);
     }
