--- a/core/src/test/java/lemonrail/core/control/ControlStateTest.java
+++ b/core/src/test/java/lemonrail/core/replication/ReplicatedStoreTest.java
@@ -1,4 +1,4 @@
-package lemonrail.core.control;
+package lemonrail.core.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,14 +12,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import lemonrail.core.control.ControlState.Bounds;
-import lemonrail.core.control.ControlState.Taken;
+import lemonrail.core.replication.ReplicatedStore.Bounds;
+import lemonrail.core.replication.ReplicatedStore.Taken;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The merge of what nodes know, on virtual time. */
-class ControlStateTest {
+class ReplicatedStoreTest {
 
     private static final long T = 1_790_000_000_000L;
     private static final List<String> QUOTE = List.of("quote");
@@ -27,13 +27,13 @@
     /** A node with its links, which bring all that is new at once. */
     private static final class Node {
         final String name;
-        ControlState state;
+        ReplicatedStore state;
         /** Up to where each other node was heard, in its versions. */
         final Map<String, Long> upTo = new HashMap<>();
 
         Node(String name, long nowMs) {
             this.name = name;
-            state = new ControlState(name, Bounds.USUAL, nowMs);
+            state = new ReplicatedStore(name, Bounds.USUAL, nowMs);
         }
 
         Node begun() {
@@ -44,14 +44,15 @@
         /** Hears all that is new at another node. */
         void hear(long nowMs, Node other) {
             Long known = upTo.get(other.name);
-            List<Item> items = known == null ? other.state.everything() : other.state.sinceForPeer(name, known);
+            List<VersionedEntry> items =
+                    known == null ? other.state.everything() : other.state.sinceForPeer(name, known);
             upTo.put(other.name, other.state.version(nowMs));
             state.takeAll(nowMs, items, other.state.heard(), other.name);
             state.begin();
         }
 
         String said(String id) {
-            Item item = state.get("quote", id);
+            VersionedEntry item = state.get("quote", id);
             return item == null ? null : item.gone() ? "gone" : item.body();
         }
 
@@ -149,7 +150,10 @@
         assertEquals(west.state.digest(QUOTE), east.state.digest(QUOTE));
         assertEquals(
                 List.of("s1", "s3", "s9"),
-                west.state.since(QUOTE, before).stream().map(Item::id).sorted().toList(),
+                west.state.since(QUOTE, before).stream()
+                        .map(VersionedEntry::id)
+                        .sorted()
+                        .toList(),
                 "only what changed, no jump");
     }
 
@@ -177,8 +181,8 @@
         assertTrue(again.state.version(T + 121_000) > told, "it never goes back");
         assertEquals(
                 List.of("s7"),
-                again.state.since(QUOTE, ControlState.back(told, 10_000)).stream()
-                        .map(Item::id)
+                again.state.since(QUOTE, ReplicatedStore.back(told, 10_000)).stream()
+                        .map(VersionedEntry::id)
                         .toList());
     }
 
@@ -199,7 +203,7 @@
 
     @Test
     void versionsNeverGoBackAndEachArrivalIsAboveWhatWasTold() {
-        ControlState state = new ControlState("a", Bounds.USUAL, T);
+        ReplicatedStore state = new ReplicatedStore("a", Bounds.USUAL, T);
         state.begin();
         long told = state.version(T);
         for (int i = 0; i < 5000; i++) {
@@ -215,7 +219,7 @@
     @Test
     void everythingIsBounded() {
         Bounds bounds = new Bounds(2, 3, 2, 1000, 60_000);
-        ControlState state = new ControlState("a", bounds, T);
+        ReplicatedStore state = new ReplicatedStore("a", bounds, T);
         state.begin();
         assertEquals(Taken.NEWS, state.accept(T, "one", "1", false, ""));
         assertEquals(Taken.NEWS, state.accept(T, "two", "1", false, ""));
@@ -224,7 +228,11 @@
         assertEquals(Taken.FULL, state.accept(T, "one", "3", false, ""));
         assertEquals(
                 1,
-                state.takeAll(T, List.of(new Item("one", "4", new Stamp(T, 0, "b"), false, "")), Map.of(), "b")
+                state.takeAll(
+                                T,
+                                List.of(new VersionedEntry("one", "4", new HybridTimestamp(T, 0, "b"), false, "")),
+                                Map.of(),
+                                "b")
                         .refused());
         assertEquals(Taken.NEWS, state.accept(T, "one", "1", false, "changed"), "a change needs no room");
         for (String id : List.of("1", "2")) {
@@ -242,8 +250,9 @@
                 a.state
                         .takeAll(
                                 T,
-                                List.of(new Item("quote", "s1", new Stamp(T + 61_000, 0, "b"), false, "up")),
-                                Map.of("b", new Stamp(T + 61_000, 0, "b")),
+                                List.of(new VersionedEntry(
+                                        "quote", "s1", new HybridTimestamp(T + 61_000, 0, "b"), false, "up")),
+                                Map.of("b", new HybridTimestamp(T + 61_000, 0, "b")),
                                 "b")
                         .refused());
         assertNull(a.said("s1"));
@@ -261,7 +270,7 @@
         }
         nodes.get(0).begun();
         nodes.forEach(node -> node.hear(T, nodes.get(0)));
-        Replica watcher = new Replica();
+        WatcherReplica watcher = new WatcherReplica();
         for (int step = 0; step < 2000; step++) {
             long now = T + step * 3L;
             Node node = nodes.get(random.nextInt(nodes.size()));
@@ -273,8 +282,9 @@
                 default -> node.hear(now, nodes.get(random.nextInt(nodes.size())));
             }
             node.state
-                    .since(QUOTE, ControlState.back(node.state.version(now), random.nextInt(500)))
-                    .forEach(item -> watcher.take(new Replica.Key("quote", item.id()), item.stamp(), item.gone()));
+                    .since(QUOTE, ReplicatedStore.back(node.state.version(now), random.nextInt(500)))
+                    .forEach(item ->
+                            watcher.take(new WatcherReplica.Key("quote", item.id()), item.stamp(), item.gone()));
         }
         for (int round = 0; round < 3; round++) {
             nodes.forEach(node -> nodes.forEach(other -> node.hear(T + 10_000, other)));
@@ -284,10 +294,12 @@
             assertEquals(first, content(node), node.name);
             assertEquals(nodes.get(0).state.digest(QUOTE), node.state.digest(QUOTE));
         }
-        List<Item> whole = nodes.get(3).state.live(QUOTE);
-        whole.forEach(item -> watcher.take(new Replica.Key("quote", item.id()), item.stamp(), false));
+        List<VersionedEntry> whole = nodes.get(3).state.live(QUOTE);
+        whole.forEach(item -> watcher.take(new WatcherReplica.Key("quote", item.id()), item.stamp(), false));
         watcher.keepOnly(
-                whole.stream().map(item -> new Replica.Key("quote", item.id())).toList(),
+                whole.stream()
+                        .map(item -> new WatcherReplica.Key("quote", item.id()))
+                        .toList(),
                 nodes.get(3).state.heard());
         assertEquals(nodes.get(1).state.digest(QUOTE), watcher.digest());
         assertEquals(whole.size(), watcher.size());
@@ -296,6 +308,6 @@
     private static Map<String, String> content(Node node) {
         return node.state.live(QUOTE).stream()
                 .collect(Collectors.toMap(
-                        Item::id, item -> item.body() + item.stamp().text()));
+                        VersionedEntry::id, item -> item.body() + item.stamp().text()));
     }
 }
--- a/core/src/test/java/lemonrail/core/control/ReplicaTest.java
+++ b/core/src/test/java/lemonrail/core/replication/WatcherReplicaTest.java
@@ -1,4 +1,4 @@
-package lemonrail.core.control;
+package lemonrail.core.replication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What a watcher holds, and where it goes. */
-class ReplicaTest {
+class WatcherReplicaTest {
 
-    private static final Replica.Key S1 = new Replica.Key("quote", "s1");
-    private static final Replica.Key S2 = new Replica.Key("quote", "s2");
-    private final Replica replica = new Replica();
+    private static final WatcherReplica.Key S1 = new WatcherReplica.Key("quote", "s1");
+    private static final WatcherReplica.Key S2 = new WatcherReplica.Key("quote", "s2");
+    private final WatcherReplica replica = new WatcherReplica();
 
-    private static Stamp stamp(long ms, String origin) {
-        return new Stamp(ms, 0, origin);
+    private static HybridTimestamp stamp(long ms, String origin) {
+        return new HybridTimestamp(ms, 0, origin);
     }
 
     @Test
@@ -47,26 +47,27 @@
 
     @Test
     void removalsAreBounded() {
-        for (int i = 0; i < 2 * Replica.MOST_REMOVED; i++) {
-            Replica.Key key = new Replica.Key("quote", "s" + i);
+        for (int i = 0; i < 2 * WatcherReplica.MOST_REMOVED; i++) {
+            WatcherReplica.Key key = new WatcherReplica.Key("quote", "s" + i);
             replica.take(key, stamp(5, "a"), false);
             replica.take(key, stamp(6, "a"), true);
         }
-        Replica.Key last = new Replica.Key("quote", "s" + (2 * Replica.MOST_REMOVED - 1));
+        WatcherReplica.Key last = new WatcherReplica.Key("quote", "s" + (2 * WatcherReplica.MOST_REMOVED - 1));
         assertFalse(replica.take(last, stamp(5, "a"), false));
-        assertTrue(replica.take(new Replica.Key("quote", "s0"), stamp(5, "a"), false), "the oldest is forgotten");
+        assertTrue(
+                replica.take(new WatcherReplica.Key("quote", "s0"), stamp(5, "a"), false), "the oldest is forgotten");
     }
 
     @Test
     void stampsAreReadAsTheyAreTold() {
-        Stamp stamp = new Stamp(1_790_000_000_000L, 3, "west.1");
-        assertEquals(stamp, Stamp.parse(stamp.text()));
+        HybridTimestamp stamp = new HybridTimestamp(1_790_000_000_000L, 3, "west.1");
+        assertEquals(stamp, HybridTimestamp.parse(stamp.text()));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "1", "1.2", "x.0.a", "1.x.a", "-1.0.a", "99999999999999999999.0.a"})
     void whatIsNoStampIsRefused(String text) {
-        assertThrows(IllegalArgumentException.class, () -> Stamp.parse(text));
+        assertThrows(IllegalArgumentException.class, () -> HybridTimestamp.parse(text));
     }
 
     /** Each of six nodes gets its sixth, and a lost node's watchers go to all of the others. */
@@ -76,7 +77,7 @@
         Map<String, Integer> first = new HashMap<>();
         Map<String, Integer> second = new HashMap<>();
         for (int i = 0; i < 1200; i++) {
-            List<String> order = Spread.order("sidecar-" + i, nodes);
+            List<String> order = RendezvousOrder.order("sidecar-" + i, nodes);
             assertEquals(6, order.size());
             first.merge(order.get(0), 1, Integer::sum);
             if (order.get(0).equals("n1:1")) {
@@ -90,20 +91,21 @@
 
     @Test
     void theOldestInForceAndWhoRefusedAreTold() {
-        InForce inForce = new InForce();
-        inForce.called(1000, new InForce.Word("one", "base", stamp(5, "a"), null, ""));
-        inForce.called(1000, new InForce.Word("two", "base", stamp(7, "a"), null, ""));
-        inForce.called(1001, new InForce.Word("three", "base", stamp(5, "a"), stamp(7, "a"), "no such class"));
-        inForce.called(1001, new InForce.Word("four", "", Stamp.NONE, null, ""));
-        InForce.Summary base = inForce.summaries(1002).get(0);
+        AppliedVersions inForce = new AppliedVersions();
+        inForce.called(1000, new AppliedVersions.Word("one", "base", stamp(5, "a"), null, ""));
+        inForce.called(1000, new AppliedVersions.Word("two", "base", stamp(7, "a"), null, ""));
+        inForce.called(1001, new AppliedVersions.Word("three", "base", stamp(5, "a"), stamp(7, "a"), "no such class"));
+        inForce.called(1001, new AppliedVersions.Word("four", "", HybridTimestamp.NONE, null, ""));
+        AppliedVersions.Summary base = inForce.summaries(1002).get(0);
         assertEquals(3, base.watchers());
         assertEquals(stamp(5, "a"), base.oldest());
         assertEquals(List.of("one", "three"), base.oldestNames());
         assertEquals("no such class", base.refused().get(0).why());
         assertEquals(4, inForce.watchers(1002));
-        inForce.called(1001 + InForce.SILENT_MS, new InForce.Word("two", "base", stamp(8, "a"), null, ""));
+        inForce.called(
+                1001 + AppliedVersions.SILENT_MS, new AppliedVersions.Word("two", "base", stamp(8, "a"), null, ""));
         assertEquals(
                 List.of("three"),
-                inForce.summaries(1001 + InForce.SILENT_MS).get(0).oldestNames());
+                inForce.summaries(1001 + AppliedVersions.SILENT_MS).get(0).oldestNames());
     }
 }
--- a/edge/src/main/java/lemonrail/admin/Calls.java
+++ b/edge/src/main/java/lemonrail/admin/AdminHandlers.java
@@ -3,8 +3,8 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /** What the calls of an admin API do. */
-public interface Calls {
+public interface AdminHandlers {
 
     /** Carries a call out. */
-    Answer answer(HttpMethod method, String uri, byte[] body);
+    AdminResponse answer(HttpMethod method, String uri, byte[] body);
 }
--- a/edge/src/main/java/lemonrail/admin/Operations.java
+++ b/edge/src/main/java/lemonrail/admin/AdminOperations.java
@@ -3,7 +3,7 @@
 import lemonrail.logging.Severity;
 
 /** What the admin API can have done, on the event loop; whoever owns the state carries it out. */
-public interface Operations {
+public interface AdminOperations {
 
     /** What came of a call. */
     enum Verdict {
--- a/edge/src/main/java/lemonrail/admin/Answer.java
+++ b/edge/src/main/java/lemonrail/admin/AdminResponse.java
@@ -9,10 +9,10 @@
  * @param text ends with a line break
  * @param allowed the only method of this path, where another was used; else null
  */
-public record Answer(HttpResponseStatus status, String text, HttpMethod allowed) {
+public record AdminResponse(HttpResponseStatus status, String text, HttpMethod allowed) {
 
     /** An answer of one line. */
-    public static Answer of(HttpResponseStatus status, String line) {
-        return new Answer(status, line + "\n", null);
+    public static AdminResponse of(HttpResponseStatus status, String line) {
+        return new AdminResponse(status, line + "\n", null);
     }
 }
--- a/edge/src/main/java/lemonrail/admin/Router.java
+++ b/edge/src/main/java/lemonrail/admin/AdminRouter.java
@@ -12,26 +12,30 @@
 import lemonrail.logging.Severity;
 
 /** Which call is which: from method and path to what is answered. It keeps no state of its own. */
-final class Router {
+final class AdminRouter {
 
     private static final String ENDPOINTS = "/v1/endpoints/";
     private static final Pattern LOGGER =
             Pattern.compile("/v1/loggers/(lemonrail(?:\\.[a-z0-9]{1,32})?)/(debug|info|warn|error)");
 
-    private record Route(HttpMethod method, Supplier<Answer> call) {}
+    private record Route(HttpMethod method, Supplier<AdminResponse> call) {}
 
-    private final Operations operations;
+    private final AdminOperations operations;
     private final Map<String, Route> fixed;
-    private final Map<String, Function<String, Answer>> ofEndpoint;
+    private final Map<String, Function<String, AdminResponse>> ofEndpoint;
 
-    Router(Operations operations) {
+    AdminRouter(AdminOperations operations) {
         this.operations = operations;
         fixed = Map.of(
                 "/v1/readyz", new Route(HttpMethod.GET, this::ready),
                 "/v1/metrics",
-                        new Route(HttpMethod.GET, () -> new Answer(HttpResponseStatus.OK, operations.figures(), null)),
+                        new Route(
+                                HttpMethod.GET,
+                                () -> new AdminResponse(HttpResponseStatus.OK, operations.figures(), null)),
                 "/v1/loggers",
-                        new Route(HttpMethod.GET, () -> new Answer(HttpResponseStatus.OK, operations.levels(), null)),
+                        new Route(
+                                HttpMethod.GET,
+                                () -> new AdminResponse(HttpResponseStatus.OK, operations.levels(), null)),
                 "/v1/sidecar/drain", new Route(HttpMethod.PUT, () -> done("draining", operations::drain)),
                 "/v1/sidecar/activate", new Route(HttpMethod.PUT, () -> done("active", operations::activate)));
         ofEndpoint = Map.of(
@@ -40,7 +44,7 @@
     }
 
     /** Carries a call out. */
-    Answer route(HttpMethod method, String uri) {
+    AdminResponse route(HttpMethod method, String uri) {
         int query = uri.indexOf('?');
         String path = query < 0 ? uri : uri.substring(0, query);
         Matcher logger = LOGGER.matcher(path);
@@ -48,10 +52,10 @@
                 ? endpointRoute(path)
                 : logger.matches() ? levelRoute(logger.group(1), logger.group(2)) : fixed.get(path);
         if (route == null) {
-            return Answer.of(HttpResponseStatus.NOT_FOUND, "unknown path");
+            return AdminResponse.of(HttpResponseStatus.NOT_FOUND, "unknown path");
         }
         if (!route.method().equals(method)) {
-            return new Answer(
+            return new AdminResponse(
                     HttpResponseStatus.METHOD_NOT_ALLOWED,
                     "this path takes " + route.method() + " only\n",
                     route.method());
@@ -61,7 +65,7 @@
 
     private Route endpointRoute(String path) {
         int slash = path.lastIndexOf('/');
-        Function<String, Answer> call = ofEndpoint.get(path.substring(slash));
+        Function<String, AdminResponse> call = ofEndpoint.get(path.substring(slash));
         if (call == null || slash <= ENDPOINTS.length() || path.indexOf('/', ENDPOINTS.length()) < slash) {
             return null;
         }
@@ -71,7 +75,7 @@
             try {
                 id = QueryStringDecoder.decodeComponent(encoded.replace("+", "%2B"));
             } catch (IllegalArgumentException e) {
-                return Answer.of(HttpResponseStatus.BAD_REQUEST, "the endpoint's id is not readable");
+                return AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "the endpoint's id is not readable");
             }
             return call.apply(id);
         });
@@ -82,26 +86,27 @@
         return new Route(
                 HttpMethod.PUT,
                 () -> operations.level(logger, severity)
-                        ? Answer.of(HttpResponseStatus.OK, logger + "=" + level)
-                        : Answer.of(HttpResponseStatus.CONFLICT, "too many loggers have a level of their own"));
+                        ? AdminResponse.of(HttpResponseStatus.OK, logger + "=" + level)
+                        : AdminResponse.of(HttpResponseStatus.CONFLICT, "too many loggers have a level of their own"));
     }
 
-    private Answer ready() {
-        return Answer.of(
+    private AdminResponse ready() {
+        return AdminResponse.of(
                 operations.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                 operations.phase());
     }
 
-    private static Answer done(String line, Runnable call) {
+    private static AdminResponse done(String line, Runnable call) {
         call.run();
-        return Answer.of(HttpResponseStatus.OK, line);
+        return AdminResponse.of(HttpResponseStatus.OK, line);
     }
 
-    private static Answer answer(String word, Operations.Verdict verdict) {
+    private static AdminResponse answer(String word, AdminOperations.Verdict verdict) {
         return switch (verdict) {
-            case DONE -> Answer.of(HttpResponseStatus.OK, word);
-            case UNKNOWN_ENDPOINT -> Answer.of(HttpResponseStatus.NOT_FOUND, "no endpoint of that id was ever listed");
-            case FAILED -> Answer.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "not " + word + ": see the log");
+            case DONE -> AdminResponse.of(HttpResponseStatus.OK, word);
+            case UNKNOWN_ENDPOINT ->
+                AdminResponse.of(HttpResponseStatus.NOT_FOUND, "no endpoint of that id was ever listed");
+            case FAILED -> AdminResponse.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "not " + word + ": see the log");
         };
     }
 }
--- a/edge/src/main/java/lemonrail/admin/AdminServer.java
+++ b/edge/src/main/java/lemonrail/admin/AdminServer.java
@@ -48,7 +48,7 @@
 
     private final EventLoop loop;
     private final ByteBufAllocator buffers;
-    private final Calls calls;
+    private final AdminHandlers calls;
     private final int mostBodyBytes;
     private final BiConsumer<String, Throwable> bugs;
     /** Those without a whole call, the oldest first, and those that take their answer. */
@@ -59,15 +59,15 @@
 
     /** A server of an edge on this loop; what goes wrong in it is told to {@code bugs}. */
     public AdminServer(
-            EventLoop loop, ByteBufAllocator buffers, Operations operations, BiConsumer<String, Throwable> bugs) {
-        this(loop, buffers, calls(new Router(operations)), MOST_BODY_BYTES, bugs);
+            EventLoop loop, ByteBufAllocator buffers, AdminOperations operations, BiConsumer<String, Throwable> bugs) {
+        this(loop, buffers, calls(new AdminRouter(operations)), MOST_BODY_BYTES, bugs);
     }
 
     /** A server of other calls, whose bodies may have so many bytes. */
     public AdminServer(
             EventLoop loop,
             ByteBufAllocator buffers,
-            Calls calls,
+            AdminHandlers calls,
             int mostBodyBytes,
             BiConsumer<String, Throwable> bugs) {
         this.loop = loop;
@@ -77,7 +77,7 @@
         this.bugs = bugs;
     }
 
-    private static Calls calls(Router router) {
+    private static AdminHandlers calls(AdminRouter router) {
         return (method, uri, body) -> router.route(method, uri);
     }
 
@@ -118,7 +118,7 @@
             silent.add(this);
             makeRoom();
             limit = loop.schedule(
-                    () -> answer(Answer.of(HttpResponseStatus.REQUEST_TIMEOUT, "no whole call in time")),
+                    () -> answer(AdminResponse.of(HttpResponseStatus.REQUEST_TIMEOUT, "no whole call in time")),
                     CALL_MS,
                     TimeUnit.MILLISECONDS);
         }
@@ -129,20 +129,20 @@
                 return;
             }
             if (call.decoderResult().isFailure()) {
-                answer(Answer.of(HttpResponseStatus.BAD_REQUEST, "malformed call"));
+                answer(AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "malformed call"));
                 return;
             }
-            Answer answer;
+            AdminResponse answer;
             try {
                 answer = calls.answer(call.method(), call.uri(), ByteBufUtil.getBytes(call.content()));
             } catch (RuntimeException e) {
                 bugs.accept("a call of the operators failed", e);
-                answer = Answer.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed: see the log");
+                answer = AdminResponse.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed: see the log");
             }
             answer(answer);
         }
 
-        private void answer(Answer answer) {
+        private void answer(AdminResponse answer) {
             if (done) {
                 return;
             }
--- a/edge/src/main/java/lemonrail/assembly/Listeners.java
+++ b/edge/src/main/java/lemonrail/assembly/Listeners.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
 import java.util.function.Predicate;
-import lemonrail.exchange.Front;
+import lemonrail.exchange.Downstream;
 
 /**
  * The listeners that are open, one front each, which share the connections that clients may have, and those
@@ -32,20 +32,20 @@
     }
 
     /** Makes a front of so many connections. */
-    private final IntFunction<Front> maker;
+    private final IntFunction<Downstream> maker;
 
-    private final Map<InetSocketAddress, Front> open = new LinkedHashMap<>();
-    private final List<Front> leaving = new ArrayList<>();
+    private final Map<InetSocketAddress, Downstream> open = new LinkedHashMap<>();
+    private final List<Downstream> leaving = new ArrayList<>();
     private int most;
 
-    Listeners(IntFunction<Front> maker, int most) {
+    Listeners(IntFunction<Downstream> maker, int most) {
         this.maker = maker;
         this.most = most;
     }
 
     /** Opens a listener; where that fails it is as if it had not been tried. */
     ChannelFuture open(InetSocketAddress address) {
-        Front front = maker.apply(Math.max(LEAST_CONNECTIONS, most));
+        Downstream front = maker.apply(Math.max(LEAST_CONNECTIONS, most));
         open.put(address, front);
         share();
         ChannelFuture bound = front.listen(address);
@@ -93,7 +93,7 @@
     }
 
     private void leave(InetSocketAddress address) {
-        Front front = open.remove(address);
+        Downstream front = open.remove(address);
         front.leave();
         front.finish();
         leaving.add(front);
@@ -112,13 +112,13 @@
     }
 
     /** Has each front do this, those that leave as well. */
-    void each(Consumer<Front> action) {
-        leaving.removeIf(Front::isEmpty);
+    void each(Consumer<Downstream> action) {
+        leaving.removeIf(Downstream::isEmpty);
         List.copyOf(leaving).forEach(action);
         List.copyOf(open.values()).forEach(action);
     }
 
-    boolean all(Predicate<Front> condition) {
+    boolean all(Predicate<Downstream> condition) {
         return leaving.stream().allMatch(condition) && open.values().stream().allMatch(condition);
     }
 }
--- a/edge/src/main/java/lemonrail/assembly/Sidecar.java
+++ b/edge/src/main/java/lemonrail/assembly/Sidecar.java
@@ -18,24 +18,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
+import lemonrail.admin.AdminOperations;
 import lemonrail.admin.AdminServer;
-import lemonrail.admin.Operations;
 import lemonrail.config.ConfigSource;
 import lemonrail.config.EdgeConfig;
-import lemonrail.config.Loaded;
+import lemonrail.config.LoadedConfiguration;
 import lemonrail.config.PlatformFile;
 import lemonrail.config.SettingsDocument;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Decider;
-import lemonrail.core.WatchPace;
-import lemonrail.core.policy.Decide;
+import lemonrail.core.WatchSchedule;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.LoadBalancerFactory;
+import lemonrail.core.policy.BoxcarLoadBalancer;
 import lemonrail.discovery.ControlClient;
 import lemonrail.discovery.DiscoveryClient;
-import lemonrail.exchange.Exchange;
-import lemonrail.exchange.Front;
-import lemonrail.exchange.Message;
+import lemonrail.exchange.Downstream;
+import lemonrail.exchange.EventLoopContext;
 import lemonrail.exchange.Protocol;
-import lemonrail.exchange.Shard;
+import lemonrail.exchange.ProtocolRequest;
+import lemonrail.exchange.RequestDispatcher;
 import lemonrail.exchange.Upstream;
 import lemonrail.lifecycle.Lifecycle;
 import lemonrail.logging.EventLog;
@@ -43,12 +43,12 @@
 import lemonrail.logging.Severity;
 import lemonrail.metrics.Metrics;
 import lemonrail.net.Sockets;
-import lemonrail.streaming.Budget;
-import lemonrail.suspension.Suspensions;
+import lemonrail.streaming.BufferBudget;
+import lemonrail.suspension.SuspendedEndpoints;
 import lemonrail.time.Clock;
-import lemonrail.time.LoopLag;
-import lemonrail.time.MeasuredIo;
-import lemonrail.upgrade.Presence;
+import lemonrail.time.EventLoopLag;
+import lemonrail.time.LagMeasuringIoHandler;
+import lemonrail.upgrade.SiblingProcessLock;
 
 /** One real sidecar: its parts on one event loop, which is the only thread that touches any of them. */
 public final class Sidecar {
@@ -86,25 +86,25 @@
     private final LogSink sink;
     private final EdgeConfig config;
     /** The values in force, which a reload compares with the file's. */
-    private List<Loaded.Value> values;
+    private List<LoadedConfiguration.Value> values;
 
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
-    private final LoopLag lag = new LoopLag();
+    private final EventLoopLag lag = new EventLoopLag();
     private final Protocol<?, ?> protocol;
-    private final Decider decider;
+    private final LoadBalancerFactory decider;
     private final Lifecycle lifecycle = new Lifecycle(() -> knowsEndpoints());
-    private Shard shard;
+    private EventLoopContext shard;
     private final Metrics metrics;
     private EventLog log;
-    private Suspensions suspensions;
-    private Presence presence;
+    private SuspendedEndpoints suspensions;
+    private SiblingProcessLock presence;
     private AdminServer adminServer;
     private Listeners listeners;
     private DiscoveryClient discovery;
     private ControlClient control;
     /** What may change of the settings while it runs is in these. */
-    private volatile Settings inForce;
+    private volatile BalancerSettings inForce;
 
     private Upstream<?, ?> endpoints;
     private final List<InetSocketAddress> addresses = new CopyOnWriteArrayList<>();
@@ -114,9 +114,14 @@
     private boolean reloading;
 
     private boolean reloadAgain;
-    private Exchange<?, ?> exchange;
-
-    private Sidecar(Protocol<?, ?> protocol, ConfigSource source, Loaded loaded, LogSink sink, Decider decider) {
+    private RequestDispatcher<?, ?> exchange;
+
+    private Sidecar(
+            Protocol<?, ?> protocol,
+            ConfigSource source,
+            LoadedConfiguration loaded,
+            LogSink sink,
+            LoadBalancerFactory decider) {
         this.protocol = protocol;
         this.decider = decider;
         this.source = source;
@@ -126,18 +131,23 @@
         this.sink = sink;
         metrics = new Metrics(config.classNames());
         group = new MultiThreadIoEventLoopGroup(
-                1, new DefaultThreadFactory("sidecar"), new MeasuredIo(NioIoHandler.newFactory(), lag));
+                1, new DefaultThreadFactory("sidecar"), new LagMeasuringIoHandler(NioIoHandler.newFactory(), lag));
         loop = (EventLoop) group.next();
     }
 
     /** Builds the parts by a configuration that was loaded from this source, which a reload reads again. */
-    public static Sidecar create(Protocol<?, ?> protocol, ConfigSource source, Loaded loaded, LogSink sink) {
-        return create(protocol, source, loaded, sink, Decide::new);
+    public static Sidecar create(
+            Protocol<?, ?> protocol, ConfigSource source, LoadedConfiguration loaded, LogSink sink) {
+        return create(protocol, source, loaded, sink, BoxcarLoadBalancer::new);
     }
 
     /** The same, with another decider in place of the project's own, as experiments have it. */
     public static Sidecar create(
-            Protocol<?, ?> protocol, ConfigSource source, Loaded loaded, LogSink sink, Decider decider) {
+            Protocol<?, ?> protocol,
+            ConfigSource source,
+            LoadedConfiguration loaded,
+            LogSink sink,
+            LoadBalancerFactory decider) {
         Sidecar sidecar = new Sidecar(protocol, source, loaded, sink, decider);
         sidecar.loop.submit(sidecar::build).syncUninterruptibly();
         return sidecar;
@@ -200,14 +210,15 @@
     private void build() {
         Clock clock = new Clock(lag);
         log = new EventLog(clock, sink);
-        suspensions = new Suspensions(config.kept("suspended"), log);
-        presence = new Presence(config.kept("processes"), log);
+        suspensions = new SuspendedEndpoints(config.kept("suspended"), log);
+        presence = new SiblingProcessLock(config.kept("processes"), log);
         ownFiles = openFiles() + SPARE_SOCKETS + (config.admin() == null ? 0 : AdminServer.MOST_CONNECTIONS);
         sharesLimits = presence.hasOther();
         int half = half();
         double bodiesMb = Math.min(MOST_BODIES_MB, config.memoryMb() / BODIES_SHARE);
-        Budget budget = new Budget((long) (bodiesMb * 1024 * 1024));
-        shard = new Shard(loop, clock, log, metrics, budget, lifecycle, config.settings(), config.idleCloseMs());
+        BufferBudget budget = new BufferBudget((long) (bodiesMb * 1024 * 1024));
+        shard = new EventLoopContext(
+                loop, clock, log, metrics, budget, lifecycle, config.settings(), config.idleCloseMs());
         discovery = config.discovery() == null
                 ? null
                 : new DiscoveryClient(
@@ -227,26 +238,26 @@
         metrics.gauge("log_dropped", sink::dropped);
         metrics.gauge("log_suppressed", log::suppressed);
         metrics.gauge("loop_late_ms", () -> (int) Math.ceil(lag.recentMs()));
-        int[] boundsMs = LoopLag.boundsMs();
+        int[] boundsMs = EventLoopLag.boundsMs();
         for (int i = 0; i < boundsMs.length; i++) {
             int bound = i;
             metrics.gauge("loop_late.over_" + boundsMs[i] + "ms", () -> lag.timesOver(bound));
         }
         metrics.gauge("targets", suspensions::listed);
-        metrics.gauge("targets_disabled", () -> suspensions.listedSuspended() + exchange.avoided());
+        metrics.gauge("targets_disabled", () -> suspensions.listedSuspended() + exchange.ejectedEndpoints());
         loop.scheduleWithFixedDelay(this::lookRound, LOOK_ROUND_MS, LOOK_ROUND_MS, TimeUnit.MILLISECONDS);
     }
 
-    private WatchPace pace() {
-        double drainGraceMs = config.settings().rules().drainGraceMs();
+    private WatchSchedule pace() {
+        double drainGraceMs = config.settings().drain().graceMs();
         return config.discoveryWaitMs() == null
-                ? WatchPace.ofFleet(config.settings().balancers(), drainGraceMs, config.seed())
-                : new WatchPace(config.discoveryWaitMs().intValue(), drainGraceMs, config.seed());
+                ? WatchSchedule.ofFleet(config.settings().balancers(), drainGraceMs, config.seed())
+                : new WatchSchedule(config.discoveryWaitMs().intValue(), drainGraceMs, config.seed());
     }
 
-    private <M extends Message, A> void connect(Protocol<M, A> spoken, int half) {
+    private <M extends ProtocolRequest, A> void connect(Protocol<M, A> spoken, int half) {
         Upstream<M, A> upstream = spoken.upstream(shard, half);
-        Exchange<M, A> between = new Exchange<>(
+        RequestDispatcher<M, A> between = new RequestDispatcher<>(
                 shard,
                 upstream,
                 suspensions,
@@ -258,7 +269,7 @@
         exchange = between;
         listeners = new Listeners(
                 most -> {
-                    Front front = spoken.front(shard, between, most);
+                    Downstream front = spoken.front(shard, between, most);
                     if (lifecycle.phase() == Lifecycle.Phase.DRAINING) {
                         front.drain();
                     }
@@ -270,7 +281,7 @@
     /** Takes the control nodes' settings document up, or goes back to the file's own; null, or why not. */
     private String takeSettings(String text) {
         try {
-            Settings next = text == null ? config.settings() : SettingsDocument.over(config.settings(), text);
+            BalancerSettings next = text == null ? config.settings() : SettingsDocument.over(config.settings(), text);
             if (!exchange.settings(next)) {
                 return "the decider of this edge takes no settings while it runs";
             }
@@ -344,7 +355,7 @@
         }
         reloading = true;
         try {
-            Loaded next = source.load();
+            LoadedConfiguration next = source.load();
             if (source instanceof PlatformFile) {
                 // The platform changes where its discovery is, and nothing else.
                 adopt(next);
@@ -375,7 +386,7 @@
         metrics.reloaded(false);
     }
 
-    private void adopt(Loaded next) {
+    private void adopt(LoadedConfiguration next) {
         EdgeConfig now = next.config();
         if (discovery != null && now.discovery() != null) {
             log.info("config_reloaded", "configuration read again: discovery is at " + now.discovery());
@@ -395,7 +406,7 @@
     }
 
     /** Which values differ from those in force but cannot be taken up before the next start. */
-    private List<String> unchangeable(List<Loaded.Value> next) {
+    private List<String> unchangeable(List<LoadedConfiguration.Value> next) {
         if (source instanceof PlatformFile) {
             return List.of();
         }
@@ -408,7 +419,7 @@
         return Stream.concat(next.stream(), values.stream())
                 .filter(value ->
                         !value.live() || (value.key().equals("discovery.address") && (listAppears || listGoes)))
-                .map(Loaded.Value::key)
+                .map(LoadedConfiguration.Value::key)
                 .distinct()
                 .filter(key -> !Objects.equals(before.get(key), after.get(key)))
                 .sorted()
@@ -416,9 +427,9 @@
     }
 
     private final class ListenersChanged implements Listeners.Changed {
-        private final Loaded next;
+        private final LoadedConfiguration next;
 
-        ListenersChanged(Loaded next) {
+        ListenersChanged(LoadedConfiguration next) {
             this.next = next;
         }
 
@@ -460,15 +471,15 @@
             boolean succeeded = presence.hasOther();
             log.info("stopping", "stopping" + (succeeded ? ", another process goes on" : ""), "succeeded", succeeded);
             if (succeeded) {
-                listeners.each(Front::leave);
+                listeners.each(Downstream::leave);
             }
         });
-        loop.schedule(() -> listeners.each(Front::closeListener), LINGER_MS, TimeUnit.MILLISECONDS);
-        loop.schedule(() -> listeners.each(Front::finish), lastCallMs, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> listeners.each(Downstream::closeListener), LINGER_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> listeners.each(Downstream::finish), lastCallMs, TimeUnit.MILLISECONDS);
         loop.schedule(() -> exchange.end(), endMs + LAST_ANSWER_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(
                 () -> {
-                    if (listeners.all(Front::isEmpty)) {
+                    if (listeners.all(Downstream::isEmpty)) {
                         empty.countDown();
                     }
                 },
@@ -520,7 +531,7 @@
     }
 
     /** What operators may have done, carried out by the parts that own the state. */
-    private final class Controls implements Operations {
+    private final class Controls implements AdminOperations {
 
         @Override
         public boolean ready() {
@@ -598,7 +609,7 @@
         public void drain() {
             if (lifecycle.drain()) {
                 log.info("drain_started", "drain by hand: connections are emptied until the sidecar is activated");
-                listeners.each(Front::drain);
+                listeners.each(Downstream::drain);
             }
         }
 
@@ -606,7 +617,7 @@
         public void activate() {
             if (lifecycle.activate()) {
                 log.info("drain_ended", "activated by hand: the drain is over");
-                listeners.each(Front::activate);
+                listeners.each(Downstream::activate);
             }
         }
     }
--- a/edge/src/main/java/lemonrail/cli/CommandLineCalls.java
+++ b/edge/src/main/java/lemonrail/cli/CommandLineCalls.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import lemonrail.config.ConfigException;
+import lemonrail.config.ConfigProblem;
 import lemonrail.config.ConfigSource;
 import lemonrail.config.ControlFile;
-import lemonrail.config.Loaded;
-import lemonrail.config.Problem;
-import lemonrail.config.SchemaText;
+import lemonrail.config.LoadedConfiguration;
+import lemonrail.config.SchemaPrinter;
 import picocli.AutoComplete;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -115,7 +115,7 @@
 
         @Override
         public Integer call() {
-            return new Controlling(config.file(), System.getenv(), System.err).start();
+            return new ControlNodeProcess(config.file(), System.getenv(), System.err).start();
         }
     }
 
@@ -141,7 +141,7 @@
         @Override
         public Integer call() throws IOException {
             PrintWriter out = spec.commandLine().getOut();
-            List<Problem> problems = new ArrayList<>();
+            List<ConfigProblem> problems = new ArrayList<>();
             for (Path file : files) {
                 try {
                     List<String> lines = lines(file);
@@ -158,9 +158,9 @@
 
         private static List<String> lines(Path file) throws IOException {
             return ControlFile.isOne(file, System.getenv())
-                    ? Outline.lines(
+                    ? ConfigurationSummary.lines(
                             file, new ControlFile(file, System.getenv()).load().config())
-                    : Outline.lines(
+                    : ConfigurationSummary.lines(
                             file, ConfigSource.of(file, System.getenv()).load().config());
         }
     }
@@ -197,7 +197,7 @@
 
         @Override
         public Integer call() throws IOException {
-            for (Loaded.Value value : ControlFile.isOne(config.file(), System.getenv())
+            for (LoadedConfiguration.Value value : ControlFile.isOne(config.file(), System.getenv())
                     ? new ControlFile(config.file(), System.getenv()).load().values()
                     : ConfigSource.of(config.file(), System.getenv()).load().values()) {
                 if (effective || !value.origin().equals("default")) {
@@ -231,7 +231,7 @@
 
         @Override
         public Integer call() throws IOException {
-            spec.commandLine().getOut().print(format == Form.JSON ? SchemaText.json() : SchemaText.text());
+            spec.commandLine().getOut().print(format == Form.JSON ? SchemaPrinter.json() : SchemaPrinter.text());
             spec.commandLine().getOut().flush();
             return Main.OK;
         }
--- a/edge/src/main/java/lemonrail/cli/Outline.java
+++ b/edge/src/main/java/lemonrail/cli/ConfigurationSummary.java
@@ -6,24 +6,24 @@
 import java.util.stream.Collectors;
 import lemonrail.config.ControlConfig;
 import lemonrail.config.EdgeConfig;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.RequestClass;
 
 /** What an edge of a configuration would do, in a few lines for people. */
-final class Outline {
+final class ConfigurationSummary {
 
-    private Outline() {}
+    private ConfigurationSummary() {}
 
     static List<String> lines(Path file, EdgeConfig config) {
         List<String> lines = new ArrayList<>();
         lines.add(file + ": good");
         lines.add("  " + config.name() + " would listen on "
-                + config.listeners().stream().map(Outline::plain).collect(Collectors.joining(", "))
+                + config.listeners().stream().map(ConfigurationSummary::plain).collect(Collectors.joining(", "))
                 + (config.admin() == null
                         ? ", without an operators' door"
                         : ", operators call " + plain(config.admin())));
         long ready = config.known().servers().stream()
-                .filter(server -> server.state() == State.READY)
+                .filter(server -> server.state() == EndpointState.READY)
                 .count();
         lines.add("  it would send to "
                 + (config.control() != null
@@ -39,15 +39,16 @@
                                         + config.known().servers().size() + " known endpoints"));
         for (RequestClass kind : config.settings().classes()) {
             lines.add("  class " + kind.name() + ": "
-                    + switch (kind.effect()) {
-                        case REPEATABLE -> "repeated where that helps";
-                        case BY_KEY -> "repeated by key within " + time(kind.windowMs());
+                    + switch (kind.idempotency()) {
+                        case IDEMPOTENT -> "repeated where that helps";
+                        case KEYED -> "repeated by key within " + time(kind.deduplicationWindowMs());
                         default -> "never repeated if it may have run";
                     }
-                    + ", wanted within " + time(kind.aimMs()) + ", given up after " + time(kind.deadlineMs()));
+                    + ", wanted within " + time(kind.latencyObjectiveMs()) + ", given up after "
+                    + time(kind.deadlineMs()));
         }
         lines.add("  " + config.settings().tenants().size() + " tenants, at most "
-                + config.settings().limits().tries() + " attempts a request, " + config.sockets()
+                + config.settings().limits().maxAttempts() + " attempts a request, " + config.sockets()
                 + " descriptors, " + (long) config.memoryMb() + "MiB");
         lines.add("  files are kept at " + config.kept("*"));
         return lines;
--- a/edge/src/main/java/lemonrail/cli/Controlling.java
+++ b/edge/src/main/java/lemonrail/cli/ControlNodeProcess.java
@@ -13,12 +13,12 @@
 import sun.misc.Signal;
 
 /** One control node as a process. */
-final class Controlling {
+final class ControlNodeProcess {
 
     private final ControlFile source;
     private final PrintStream errors;
 
-    Controlling(Path file, Map<String, String> environment, PrintStream errors) {
+    ControlNodeProcess(Path file, Map<String, String> environment, PrintStream errors) {
         source = new ControlFile(file, environment);
         this.errors = errors;
     }
--- a/edge/src/main/java/lemonrail/cli/Main.java
+++ b/edge/src/main/java/lemonrail/cli/Main.java
@@ -10,8 +10,8 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.nio.file.Path;
-import lemonrail.benchlink.BenchLink;
-import lemonrail.benchlink.WireException;
+import lemonrail.simulator.SimulatorAdapter;
+import lemonrail.simulator.SimulatorProtocolException;
 
 /**
  * The program's entry. The two calls that a platform makes, {@code serve} and {@code benchlink} without
@@ -73,9 +73,9 @@
     /** The adapter on streams of the caller's; returns the exit status. */
     public static int benchlink(InputStream in, OutputStream out, PrintStream errors) throws IOException {
         try {
-            new BenchLink(in, out, errors).run();
+            new SimulatorAdapter(in, out, errors).run();
             return OK;
-        } catch (WireException e) {
+        } catch (SimulatorProtocolException e) {
             errors.println("lemonrail: " + e.getMessage());
             return FAILURE;
         }
@@ -84,6 +84,6 @@
     /** Starts an edge, to run until SIGTERM; returns the exit status of a start that failed. */
     static int serve(Path file, PrintStream errors) {
         leanNetty();
-        return new Serving(file, System.getenv(), errors).start();
+        return new SidecarProcess(file, System.getenv(), errors).start();
     }
 }
--- a/edge/src/main/java/lemonrail/cli/Serving.java
+++ b/edge/src/main/java/lemonrail/cli/SidecarProcess.java
@@ -7,19 +7,19 @@
 import java.util.concurrent.CompletableFuture;
 import lemonrail.assembly.Sidecar;
 import lemonrail.config.ConfigSource;
-import lemonrail.config.Loaded;
-import lemonrail.http1.Http1;
+import lemonrail.config.LoadedConfiguration;
+import lemonrail.http1.Http1Protocol;
 import lemonrail.logging.LogSink;
 import lemonrail.logging.LogSinks;
 import sun.misc.Signal;
 
 /** One edge as a process: its configuration and log, and what signals do. */
-final class Serving {
+final class SidecarProcess {
 
     private final ConfigSource source;
     private final PrintStream errors;
 
-    Serving(Path file, Map<String, String> environment, PrintStream errors) {
+    SidecarProcess(Path file, Map<String, String> environment, PrintStream errors) {
         source = ConfigSource.of(file, environment);
         this.errors = errors;
     }
@@ -30,9 +30,9 @@
         CompletableFuture<Sidecar> running = new CompletableFuture<>();
         Signal.handle(new Signal("HUP"), signal -> running.thenAccept(Sidecar::reload));
         try {
-            Loaded loaded = source.load();
+            LoadedConfiguration loaded = source.load();
             LogSink log = LogSinks.open(loaded.config().logging(), errors);
-            Sidecar sidecar = Sidecar.create(new Http1(), source, loaded, log);
+            Sidecar sidecar = Sidecar.create(new Http1Protocol(), source, loaded, log);
             // Halting from the hook, once empty, makes a stop by SIGTERM a clean exit.
             Thread stop = new Thread(
                     () -> {
--- a/edge/src/main/java/lemonrail/config/ConfigException.java
+++ b/edge/src/main/java/lemonrail/config/ConfigException.java
@@ -7,9 +7,9 @@
 
     private static final long serialVersionUID = 1;
 
-    private final transient List<Problem> problems;
+    private final transient List<ConfigProblem> problems;
 
-    ConfigException(List<Problem> problems) {
+    ConfigException(List<ConfigProblem> problems) {
         super(problems.get(0)
                 + (problems.size() == 1
                         ? ""
@@ -18,7 +18,7 @@
     }
 
     /** All that is wrong, in the order of the file. */
-    public List<Problem> problems() {
+    public List<ConfigProblem> problems() {
         return problems;
     }
 }
--- a/edge/src/main/java/lemonrail/config/Problem.java
+++ b/edge/src/main/java/lemonrail/config/ConfigProblem.java
@@ -10,7 +10,7 @@
  * @param value as it stands in the file, or null where it is missing
  * @param allowed what would be right
  */
-public record Problem(Path file, int line, String key, String value, String allowed) {
+public record ConfigProblem(Path file, int line, String key, String value, String allowed) {
 
     /** One line: file, line, key, value and what is allowed. */
     @Override
--- a/edge/src/main/java/lemonrail/config/ConfigSource.java
+++ b/edge/src/main/java/lemonrail/config/ConfigSource.java
@@ -8,7 +8,7 @@
 public interface ConfigSource {
 
     /** Reads it; a {@link ConfigException} names what cannot be used. */
-    Loaded load() throws IOException;
+    LoadedConfiguration load() throws IOException;
 
     /** The file that is read. */
     Path file();
--- a/edge/src/main/java/lemonrail/config/Table.java
+++ b/edge/src/main/java/lemonrail/config/ConfigTable.java
@@ -9,7 +9,7 @@
  * @param most how many there may be, as with {@code [[listeners]]}, or 0 where there is one at most
  * @param meaning one line for the operators
  */
-public record Table(String name, int most, String meaning, List<Key<?>> keys) {
+public record ConfigTable(String name, int most, String meaning, List<ConfigKey<?>> keys) {
 
     boolean isRepeated() {
         return most > 0;
--- a/edge/src/main/java/lemonrail/config/ControlFile.java
+++ b/edge/src/main/java/lemonrail/config/ControlFile.java
@@ -14,10 +14,11 @@
 /** The operators' file of a control node: a TOML file with a table [control]. */
 public record ControlFile(Path file, Map<String, String> environment) {
 
-    private static final List<Table> TABLES = List.of(Schema.CONTROL, Schema.PEERS, Schema.ADMIN_TABLE, Schema.LOGGING);
+    private static final List<ConfigTable> TABLES =
+            List.of(Schema.CONTROL, Schema.PEERS, Schema.ADMIN_TABLE, Schema.LOGGING);
 
     /** A control node's configuration, and each value with its origin. */
-    public record Read(ControlConfig config, List<Loaded.Value> values) {}
+    public record Read(ControlConfig config, List<LoadedConfiguration.Value> values) {}
 
     /** Whether this is a control node's file; one that can't be read is none. */
     public static boolean isOne(Path file, Map<String, String> environment) {
@@ -32,7 +33,7 @@
     /** Reads it; a {@link ConfigException} names all that is wrong. */
     public Read load() throws IOException {
         TomlDocument document = TomlDocument.read(file, environment);
-        Section top = document.top(Schema.ROOT, TABLES);
+        TableReader top = document.top(Schema.ROOT, TABLES);
         String name = top.get(Schema.NAME);
         if (!top.has(Schema.NAME) && !environment.containsKey("LEMONRAIL_NAME")) {
             document.wrong("name", null, "is missing; each control node must have a name of its own");
@@ -41,18 +42,18 @@
         if (!document.has(Schema.CONTROL)) {
             document.wrong("control", null, "is missing; a control node's file must have [control]");
         }
-        Section control = document.one(Schema.CONTROL);
+        TableReader control = document.one(Schema.CONTROL);
         InetSocketAddress address = control.get(Schema.CONTROL_ADDRESS);
         String region = control.get(Schema.REGION);
         Integer watchers = control.get(Schema.WATCHERS);
         Double gapMs = control.get(Schema.ANSWER_GAP);
         List<Peer> peers = peers(document, name);
-        Section adminSection = document.one(Schema.ADMIN_TABLE);
+        TableReader adminSection = document.one(Schema.ADMIN_TABLE);
         InetSocketAddress admin = adminSection.get(Schema.ADMIN);
         if (admin != null && admin.equals(address) && admin.getPort() != 0) {
             adminSection.contradicts(Schema.ADMIN, "is taken by control.address");
         }
-        LogSettings logging = TomlReading.logging(document);
+        LogSettings logging = EdgeConfigReader.logging(document);
         document.check();
         return new Read(
                 new ControlConfig(
@@ -71,7 +72,7 @@
     private static List<Peer> peers(TomlDocument document, String own) {
         List<Peer> peers = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Section section : document.all(Schema.PEERS)) {
+        for (TableReader section : document.all(Schema.PEERS)) {
             String name = section.get(Schema.PEER_NAME);
             InetSocketAddress address = section.get(Schema.PEER_ADDRESS);
             String region = section.get(Schema.PEER_REGION);
--- a/edge/src/main/java/lemonrail/config/EdgeConfig.java
+++ b/edge/src/main/java/lemonrail/config/EdgeConfig.java
@@ -3,10 +3,10 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Settings;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.RequestClass;
 import lemonrail.discovery.ControlClient;
-import lemonrail.discovery.ServerList;
+import lemonrail.discovery.EndpointList;
 import lemonrail.logging.LogSettings;
 
 /**
@@ -37,9 +37,9 @@
         double memoryMb,
         int sockets,
         double idleCloseMs,
-        ServerList.Names names,
-        ServerList known,
-        Settings settings,
+        EndpointList.Names names,
+        EndpointList known,
+        BalancerSettings settings,
         LogSettings logging,
         ControlClient.Plan control) {
 
--- a/edge/src/main/java/lemonrail/config/TomlReading.java
+++ b/edge/src/main/java/lemonrail/config/EdgeConfigReader.java
@@ -10,22 +10,23 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ThreadLocalRandom;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Group;
-import lemonrail.core.Contract.Limits;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Rules;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.AttemptLimits;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.DeduplicationScope;
+import lemonrail.core.balancer.DrainSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.SlowStartSettings;
+import lemonrail.core.balancer.TenantQuota;
 import lemonrail.discovery.ControlClient;
-import lemonrail.discovery.ServerList;
+import lemonrail.discovery.EndpointList;
 import lemonrail.logging.EventLog;
 import lemonrail.logging.LogSettings;
 import lemonrail.logging.Severity;
 
 /** From an operators' file to what an edge is told; goes on where something is wrong. */
-final class TomlReading {
+final class EdgeConfigReader {
 
     private static final double NEVER_MS = 1e12;
 
@@ -34,37 +35,37 @@
     /** Addresses that are taken, and by which key. */
     private final Map<InetSocketAddress, String> taken = new HashMap<>();
 
-    TomlReading(TomlDocument document, Map<String, String> environment) {
+    EdgeConfigReader(TomlDocument document, Map<String, String> environment) {
         this.document = document;
         this.environment = environment;
     }
 
     /** The configuration, or null where anything is wrong, which the report has heard of. */
     EdgeConfig read() {
-        Section top = document.top(Schema.ROOT, Schema.TABLES);
+        TableReader top = document.top(Schema.ROOT, Schema.TABLES);
         String name = top.get(Schema.NAME);
         String folder = top.get(Schema.STATE_DIR);
         Integer seed = top.get(Schema.SEED);
         List<InetSocketAddress> listeners = listeners();
         InetSocketAddress admin = admin();
-        Section list = document.one(Schema.LIST);
+        TableReader list = document.one(Schema.LIST);
         InetSocketAddress discovery = list.get(Schema.DISCOVERY);
         Double discoveryWaitMs = list.get(Schema.DISCOVERY_WAIT);
         ControlClient.Plan control = control(list, name, discoveryWaitMs);
         if (document.has(Schema.PEERS)) {
             document.wrong(Schema.PEERS.name(), null, "goes into a control node's file");
         }
-        Section fleet = document.one(Schema.FLEET);
+        TableReader fleet = document.one(Schema.FLEET);
         List<String> zones = fleet.get(Schema.ZONES);
-        int ownZone = ownZone(fleet, zones);
+        int zone = zone(fleet, zones);
         Boolean weighted = fleet.get(Schema.WEIGHTED);
-        List<ServerList.Entry> endpoints = endpoints(zones);
+        List<EndpointList.Entry> endpoints = endpoints(zones);
         if (discovery == null && !document.has(Schema.ENDPOINTS) && !document.has(Schema.LIST)) {
             document.wrong("endpoints", null, "is missing; there must be [[endpoints]] or discovery.address");
         }
         List<RequestClass> classes = classes();
-        List<Tenant> tenants = tenants();
-        Section limits = document.one(Schema.LIMITS);
+        List<TenantQuota> tenants = tenants();
+        TableReader limits = document.one(Schema.LIMITS);
         Long memory = limits.get(Schema.MEMORY);
         Integer descriptors = limits.get(Schema.DESCRIPTORS);
         Integer attempts = limits.get(Schema.ATTEMPTS);
@@ -74,7 +75,7 @@
         if (connectMs != null && classes.stream().anyMatch(kind -> connectMs > kind.deadlineMs())) {
             limits.contradicts(Schema.CONNECT_TIMEOUT, "is longer than the deadline of a class");
         }
-        Section balancing = document.one(Schema.BALANCING);
+        TableReader balancing = document.one(Schema.BALANCING);
         Integer balancers = balancing.get(Schema.BALANCERS);
         Integer number = balancing.get(Schema.NUMBER);
         if (balancers != null && number != null && number >= balancers) {
@@ -83,7 +84,7 @@
         Integer tier = balancing.get(Schema.TIER);
         Double overShare = balancing.get(Schema.OVER_SHARE);
         Double crossZone = balancing.get(Schema.CROSS_ZONE);
-        Section cold = document.one(Schema.COLD_START);
+        TableReader cold = document.one(Schema.COLD_START);
         Double coldShare = cold.get(Schema.COLD_SHARE);
         Double coldMs = cold.get(Schema.COLD_TIME);
         Double tip = cold.get(Schema.TIP);
@@ -93,10 +94,10 @@
         if (document.isWrong()) {
             return null;
         }
-        Settings settings = new Settings(
+        BalancerSettings settings = new BalancerSettings(
                 balancers,
                 number,
-                ownZone,
+                zone,
                 tier,
                 false,
                 weighted,
@@ -104,8 +105,10 @@
                 crossZone,
                 classes,
                 tenants,
-                new Limits(attempts, false, true, retryAfterMs, connectMs),
-                new Rules(coldShare, coldMs, tip, tipMs, graceMs, NEVER_MS));
+                new AttemptLimits(attempts, false, true, retryAfterMs, connectMs),
+                new SlowStartSettings(coldShare, coldMs, tip, tipMs),
+                new DrainSettings(graceMs),
+                NEVER_MS);
         return new EdgeConfig(
                 name,
                 listeners,
@@ -117,21 +120,21 @@
                 memory / (double) (1 << 20),
                 descriptors,
                 idleMs,
-                new ServerList.Names(zones, List.of()),
-                new ServerList(0, true, endpoints),
+                new EndpointList.Names(zones, List.of()),
+                new EndpointList(0, true, endpoints),
                 settings,
                 logging,
                 control);
     }
 
     /** The control nodes to watch at, or null where there are none. */
-    private static ControlClient.Plan control(Section list, String name, Double waitMs) {
+    private static ControlClient.Plan control(TableReader list, String name, Double waitMs) {
         List<InetSocketAddress> nodes = list.get(Schema.NODES);
         List<InetSocketAddress> fallbacks = list.get(Schema.FALLBACKS);
         List<String> services = list.get(Schema.SERVICES);
         String settings = list.get(Schema.DOCUMENT);
         if (nodes == null) {
-            for (Key<?> key : List.of(Schema.FALLBACKS, Schema.SERVICES, Schema.DOCUMENT)) {
+            for (ConfigKey<?> key : List.of(Schema.FALLBACKS, Schema.SERVICES, Schema.DOCUMENT)) {
                 if (list.has(key)) {
                     list.contradicts(key, "goes with discovery.addresses only");
                 }
@@ -150,7 +153,7 @@
                 waitMs);
     }
 
-    private void takeAddress(Section section, Key<InetSocketAddress> key, InetSocketAddress address) {
+    private void takeAddress(TableReader section, ConfigKey<InetSocketAddress> key, InetSocketAddress address) {
         if (address != null && address.getPort() != 0) {
             String other = taken.putIfAbsent(address, section.path(key.name()));
             if (other != null) {
@@ -161,7 +164,7 @@
 
     private List<InetSocketAddress> listeners() {
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (Section section : document.all(Schema.LISTENERS)) {
+        for (TableReader section : document.all(Schema.LISTENERS)) {
             InetSocketAddress address = section.get(Schema.LISTENER);
             section.get(Schema.PROTOCOL);
             takeAddress(section, Schema.LISTENER, address);
@@ -174,13 +177,13 @@
     }
 
     private InetSocketAddress admin() {
-        Section section = document.one(Schema.ADMIN_TABLE);
+        TableReader section = document.one(Schema.ADMIN_TABLE);
         InetSocketAddress address = section.get(Schema.ADMIN);
         takeAddress(section, Schema.ADMIN, address);
         return address;
     }
 
-    private static int ownZone(Section fleet, List<String> zones) {
+    private static int zone(TableReader fleet, List<String> zones) {
         String own = fleet.get(Schema.OWN_ZONE);
         if (own == null || zones == null) {
             return 0;
@@ -192,16 +195,16 @@
     }
 
     /** Says so where a name comes twice; the first one holds. */
-    private static void unique(Section section, Key<String> key, String name, Set<String> names) {
+    private static void unique(TableReader section, ConfigKey<String> key, String name, Set<String> names) {
         if (name != null && !names.add(name)) {
             section.contradicts(key, "is there twice; each must be there once");
         }
     }
 
-    private List<ServerList.Entry> endpoints(List<String> zones) {
-        List<ServerList.Entry> entries = new ArrayList<>();
+    private List<EndpointList.Entry> endpoints(List<String> zones) {
+        List<EndpointList.Entry> entries = new ArrayList<>();
         Set<String> ids = new HashSet<>();
-        for (Section section : document.all(Schema.ENDPOINTS)) {
+        for (TableReader section : document.all(Schema.ENDPOINTS)) {
             String id = section.get(Schema.ENDPOINT_ID);
             unique(section, Schema.ENDPOINT_ID, id, ids);
             InetSocketAddress address = section.get(Schema.ENDPOINT);
@@ -214,8 +217,8 @@
             Double weight = section.get(Schema.ENDPOINT_WEIGHT);
             var state = section.get(Schema.ENDPOINT_STATE);
             if (!document.isWrong()) {
-                entries.add(new ServerList.Entry(
-                        new Server(id, zone == null ? 0 : zones.indexOf(zone), 0, rack, 0, state, weight), address));
+                entries.add(new EndpointList.Entry(
+                        new Endpoint(id, zone == null ? 0 : zones.indexOf(zone), 0, rack, 0, state, weight), address));
             }
         }
         return entries;
@@ -224,30 +227,38 @@
     private List<RequestClass> classes() {
         List<RequestClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Section section : document.all(Schema.CLASSES)) {
+        for (TableReader section : document.all(Schema.CLASSES)) {
             String name = section.get(Schema.CLASS_NAME);
             unique(section, Schema.CLASS_NAME, name, names);
-            Effect effect = section.get(Schema.EFFECT);
+            Idempotency effect = section.get(Schema.EFFECT);
             Double aim = section.get(Schema.AIM);
             Double deadline = section.get(Schema.DEADLINE);
             if (aim != null && deadline != null && aim > deadline) {
                 section.contradicts(Schema.AIM, "is above the deadline of this class");
             }
             Double worth = section.get(Schema.WORTH);
-            Double lateWorth = section.get(Schema.LATE_WORTH);
-            if (worth != null && lateWorth != null && lateWorth > worth) {
+            Double lateResponseWeight = section.get(Schema.LATE_WORTH);
+            if (worth != null && lateResponseWeight != null && lateResponseWeight > worth) {
                 section.contradicts(Schema.LATE_WORTH, "is above the worth of an answer in time");
             }
-            Group scope = section.get(Schema.KEY_SCOPE);
+            DeduplicationScope scope = section.get(Schema.KEY_SCOPE);
             Double window = section.get(Schema.KEY_WINDOW);
-            if (effect == Effect.BY_KEY && window == null && !section.has(Schema.KEY_WINDOW)) {
+            if (effect == Idempotency.KEYED && window == null && !section.has(Schema.KEY_WINDOW)) {
                 section.contradicts(Schema.KEY_WINDOW, "is missing; a keyed class must have it, as in \"10s\"");
-            } else if (effect != null && effect != Effect.BY_KEY && window != null) {
+            } else if (effect != null && effect != Idempotency.KEYED && window != null) {
                 section.contradicts(Schema.KEY_WINDOW, "goes with effect = \"keyed\" only");
             }
             if (!document.isWrong()) {
                 classes.add(new RequestClass(
-                        name, aim, deadline, worth, lateWorth, effect, scope, window == null ? 0 : window, false));
+                        name,
+                        aim,
+                        deadline,
+                        worth,
+                        lateResponseWeight,
+                        effect,
+                        scope,
+                        window == null ? 0 : window,
+                        false));
             }
         }
         if (!document.has(Schema.CLASSES)) {
@@ -256,15 +267,15 @@
         return classes;
     }
 
-    private List<Tenant> tenants() {
-        List<Tenant> tenants = new ArrayList<>();
+    private List<TenantQuota> tenants() {
+        List<TenantQuota> tenants = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Section section : document.all(Schema.TENANTS)) {
+        for (TableReader section : document.all(Schema.TENANTS)) {
             String name = section.get(Schema.TENANT);
             unique(section, Schema.TENANT, name, names);
             Double rate = section.get(Schema.RATE);
             if (!document.isWrong()) {
-                tenants.add(new Tenant(name, rate, 0));
+                tenants.add(new TenantQuota(name, rate, 0));
             }
         }
         return tenants;
@@ -276,7 +287,7 @@
 
     /** The log, also of a control node; null where anything is wrong so far. */
     static LogSettings logging(TomlDocument document) {
-        Section section = document.one(Schema.LOGGING);
+        TableReader section = document.one(Schema.LOGGING);
         LogSettings.Format format = section.get(Schema.FORMAT);
         Severity level = section.get(Schema.LEVEL);
         Map<String, Severity> some = section.get(Schema.LEVELS);
--- a/edge/src/main/java/lemonrail/config/Loaded.java
+++ b/edge/src/main/java/lemonrail/config/LoadedConfiguration.java
@@ -7,7 +7,7 @@
  *
  * @param values each value and where it came from, in the words of the operators' file
  */
-public record Loaded(EdgeConfig config, List<Value> values) {
+public record LoadedConfiguration(EdgeConfig config, List<Value> values) {
 
     /**
      * One value in force.
--- a/edge/src/main/java/lemonrail/config/PlatformFile.java
+++ b/edge/src/main/java/lemonrail/config/PlatformFile.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import lemonrail.core.SettingsReader;
-import lemonrail.discovery.ServerList;
+import lemonrail.discovery.EndpointList;
 import lemonrail.json.Json;
 import lemonrail.logging.LogSettings;
 
@@ -22,9 +22,9 @@
     private static final String WAIT_VARIABLE = "LEMONRAIL_DISCOVERY_WAIT";
 
     @Override
-    public Loaded load() throws IOException {
+    public LoadedConfiguration load() throws IOException {
         EdgeConfig config = read();
-        return new Loaded(config, PlatformValues.of(this, config));
+        return new LoadedConfiguration(config, PlatformValues.of(this, config));
     }
 
     private EdgeConfig read() throws IOException {
@@ -41,16 +41,16 @@
             return of(config);
         } catch (JsonProcessingException e) {
             throw whole(e.getLocation().getLineNr(), "it is not JSON: " + e.getOriginalMessage());
-        } catch (ServerList.BadField e) {
-            throw new ConfigException(
-                    List.of(new Problem(file, JsonLines.line(bytes, e.field()), e.field(), e.value(), e.getMessage())));
+        } catch (EndpointList.BadField e) {
+            throw new ConfigException(List.of(
+                    new ConfigProblem(file, JsonLines.line(bytes, e.field()), e.field(), e.value(), e.getMessage())));
         } catch (IllegalArgumentException e) {
             throw e instanceof ConfigException ? e : whole(0, e.getMessage());
         }
     }
 
     private ConfigException whole(int line, String why) {
-        return new ConfigException(List.of(new Problem(file, line, "", null, why)));
+        return new ConfigException(List.of(new ConfigProblem(file, line, "", null, why)));
     }
 
     private EdgeConfig of(Map<?, ?> config) {
@@ -59,13 +59,13 @@
         object("settings.rules", settings.get("rules"));
         positive("settings.limits.dial-timeout-ms", limits.get("dial-timeout-ms"));
         positive("settings.limits.try-limit", limits.get("try-limit"));
-        ServerList.Names names = new ServerList.Names(
+        EndpointList.Names names = new EndpointList.Names(
                 words("settings.azs", settings.get("azs")), words("settings.models", settings.get("models")));
         return new EdgeConfig(
                 String.valueOf(config.get("name")),
-                List.of(ServerList.address("listen", config.get("listen"))),
+                List.of(EndpointList.address("listen", config.get("listen"))),
                 adminAddress(config.get("mgmt")),
-                ServerList.address("discovery", config.get("discovery")),
+                EndpointList.address("discovery", config.get("discovery")),
                 discoveryWaitMs(),
                 folder(environment),
                 seed(config.get("seed")),
@@ -73,7 +73,7 @@
                 (int) positive("limits.sockets", limit(config, "sockets")),
                 positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")),
                 names,
-                ServerList.of(object("known", config.get("known")), names),
+                EndpointList.of(object("known", config.get("known")), names),
                 SettingsReader.settings(settings),
                 LogSettings.USUAL,
                 null);
@@ -86,9 +86,9 @@
     private InetSocketAddress adminAddress(Object value) {
         String variable = environment.getOrDefault(ADMIN_VARIABLE, "");
         if (value != null) {
-            return ServerList.address("mgmt", value);
+            return EndpointList.address("mgmt", value);
         }
-        return variable.isBlank() ? null : ServerList.address(ADMIN_VARIABLE, variable);
+        return variable.isBlank() ? null : EndpointList.address(ADMIN_VARIABLE, variable);
     }
 
     /** Read like the key of the operators' file, whose reader is loaded only where the variable is set. */
@@ -100,7 +100,8 @@
         ValueType<Double> type = Schema.DISCOVERY_WAIT.type();
         Double waitMs = type.read().apply(new ValueType.Variable(text));
         if (waitMs == null) {
-            throw new ConfigException(List.of(new Problem(file, 0, WAIT_VARIABLE, text, "must be " + type.allowed())));
+            throw new ConfigException(
+                    List.of(new ConfigProblem(file, 0, WAIT_VARIABLE, text, "must be " + type.allowed())));
         }
         return waitMs;
     }
@@ -115,7 +116,7 @@
         try {
             return Long.parseUnsignedLong(value instanceof String text ? text : "", 16);
         } catch (NumberFormatException e) {
-            throw ServerList.bad("seed", value);
+            throw EndpointList.bad("seed", value);
         }
     }
 
@@ -123,7 +124,7 @@
         if (value instanceof Double number && number > 0) {
             return number;
         }
-        throw ServerList.bad(field, value);
+        throw EndpointList.bad(field, value);
     }
 
     @SuppressWarnings("unchecked")
@@ -131,12 +132,12 @@
         if (value instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw ServerList.bad(field, value);
+        throw EndpointList.bad(field, value);
     }
 
     private static List<String> words(String field, Object value) {
         if (!(value instanceof List<?> list)) {
-            throw ServerList.bad(field, value);
+            throw EndpointList.bad(field, value);
         }
         List<String> words = new ArrayList<>();
         for (Object word : list) {
--- a/edge/src/main/java/lemonrail/config/PlatformValues.java
+++ b/edge/src/main/java/lemonrail/config/PlatformValues.java
@@ -2,21 +2,21 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Tenant;
-import lemonrail.discovery.ServerList;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.TenantQuota;
+import lemonrail.discovery.EndpointList;
 
 /** What the platform's JSON comes to, told in the words of the operators' file. */
 final class PlatformValues {
 
     private final String json;
-    private final List<Loaded.Value> values = new ArrayList<>();
+    private final List<LoadedConfiguration.Value> values = new ArrayList<>();
 
     private PlatformValues(String json) {
         this.json = json;
     }
 
-    static List<Loaded.Value> of(PlatformFile file, EdgeConfig config) {
+    static List<LoadedConfiguration.Value> of(PlatformFile file, EdgeConfig config) {
         PlatformValues all = new PlatformValues("platform JSON " + file.file());
         all.put("name", config.name());
         all.add("state-dir", config.folder(), "environment TMPDIR", false);
@@ -36,18 +36,18 @@
         for (RequestClass kind : config.settings().classes()) {
             all.put(
                     "classes." + kind.name(),
-                    kind.effect() + ", aim " + kind.aimMs() + "ms, deadline " + kind.deadlineMs() + "ms, worth "
-                            + kind.worth());
+                    kind.idempotency() + ", aim " + kind.latencyObjectiveMs() + "ms, deadline " + kind.deadlineMs()
+                            + "ms, worth " + kind.priorityWeight());
         }
-        for (Tenant tenant : config.settings().tenants()) {
-            all.put("tenants." + tenant.name(), tenant.allowancePerSecond() + " a second");
+        for (TenantQuota tenant : config.settings().tenants()) {
+            all.put("tenants." + tenant.name(), tenant.requestsPerSecond() + " a second");
         }
-        for (ServerList.Entry entry : config.known().entries()) {
+        for (EndpointList.Entry entry : config.known().entries()) {
             all.add("endpoints." + entry.server().id(), entry.address(), all.json + " (until discovery speaks)", true);
         }
         all.put("limits.memory", (long) config.memoryMb() + "MiB");
         all.put("limits.descriptors", config.sockets());
-        all.put("limits.attempts", config.settings().limits().tries());
+        all.put("limits.attempts", config.settings().limits().maxAttempts());
         all.put("limits.connect-timeout", config.settings().limits().connectTimeoutMs() + "ms");
         all.put("limits.idle-timeout", config.idleCloseMs() + "ms");
         all.add("logging.format", "plain", "default", false);
@@ -59,6 +59,6 @@
     }
 
     private void add(String key, Object value, String origin, boolean live) {
-        values.add(new Loaded.Value(key, String.valueOf(value), origin, live));
+        values.add(new LoadedConfiguration.Value(key, String.valueOf(value), origin, live));
     }
 }
--- a/edge/src/main/java/lemonrail/config/SchemaText.java
+++ b/edge/src/main/java/lemonrail/config/SchemaPrinter.java
@@ -7,21 +7,21 @@
 import java.util.List;
 
 /** All that the operators' file may say, as a text for people and as a JSON Schema. */
-public final class SchemaText {
+public final class SchemaPrinter {
 
-    private SchemaText() {}
+    private SchemaPrinter() {}
 
     /** Each key with its default, what is allowed, and whether a reload takes it up. */
     public static String text() {
         StringBuilder text = new StringBuilder();
-        for (Table table : Schema.TABLES) {
+        for (ConfigTable table : Schema.TABLES) {
             String header = table.isRepeated() ? "[[" + table.name() + "]]" : "[" + table.name() + "]";
             text.append(table.name().isEmpty() ? "" : "\n" + header + "\n")
                     .append("# ")
                     .append(table.meaning())
                     .append(table.isRepeated() ? "; " + table.most() + " at most" : "")
                     .append('\n');
-            for (Key<?> key : table.keys()) {
+            for (ConfigKey<?> key : table.keys()) {
                 text.append(key.name())
                         .append("\n    ")
                         .append(key.meaning())
@@ -49,7 +49,7 @@
             out.writeStringField("type", "object");
             out.writeBooleanField("additionalProperties", false);
             out.writeObjectFieldStart("properties");
-            for (Table table : Schema.TABLES) {
+            for (ConfigTable table : Schema.TABLES) {
                 if (table.name().isEmpty()) {
                     writeKeys(out, table.keys());
                 } else {
@@ -66,7 +66,7 @@
         return text.append("\n").toString();
     }
 
-    private static void writeTable(JsonGenerator out, Table table) throws IOException {
+    private static void writeTable(JsonGenerator out, ConfigTable table) throws IOException {
         out.writeObjectFieldStart(table.name());
         out.writeStringField("description", table.meaning());
         if (table.isRepeated()) {
@@ -80,7 +80,7 @@
         writeKeys(out, table.keys());
         out.writeEndObject();
         out.writeArrayFieldStart("required");
-        for (Key<?> key : table.keys()) {
+        for (ConfigKey<?> key : table.keys()) {
             if (key.required()) {
                 out.writeString(key.name());
             }
@@ -92,8 +92,8 @@
         out.writeEndObject();
     }
 
-    private static void writeKeys(JsonGenerator out, List<Key<?>> keys) throws IOException {
-        for (Key<?> key : keys) {
+    private static void writeKeys(JsonGenerator out, List<ConfigKey<?>> keys) throws IOException {
+        for (ConfigKey<?> key : keys) {
             out.writeObjectFieldStart(key.name());
             out.writeStringField("type", key.type().name());
             out.writeStringField(
--- a/edge/src/main/java/lemonrail/config/SettingsDocument.java
+++ b/edge/src/main/java/lemonrail/config/SettingsDocument.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lemonrail.core.Contract.Limits;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.AttemptLimits;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.TenantQuota;
 
 /**
  * A settings document of the control nodes: in the operators' form, what may change while edges run. It is
@@ -21,9 +21,9 @@
 
     private final TomlDocument document;
     private final Map<String, Map<String, Double>> classes = new HashMap<>();
-    private final Map<String, Section> classSections = new HashMap<>();
+    private final Map<String, TableReader> classSections = new HashMap<>();
     private final Map<String, Double> rates = new HashMap<>();
-    private final Map<String, Section> tenantSections = new HashMap<>();
+    private final Map<String, TableReader> tenantSections = new HashMap<>();
     private Integer attempts;
     private Double retryAfterMs;
 
@@ -31,7 +31,7 @@
         document = TomlDocument.of(text, NAME);
         document.top(Schema.LIVE_ROOT, List.of(Schema.LIVE_CLASSES, Schema.TENANTS, Schema.LIVE_LIMITS));
         Set<String> names = new HashSet<>();
-        for (Section section : document.all(Schema.LIVE_CLASSES)) {
+        for (TableReader section : document.all(Schema.LIVE_CLASSES)) {
             String name = section.get(Schema.CLASS_NAME);
             once(section, Schema.CLASS_NAME, name, names);
             Map<String, Double> values = new HashMap<>();
@@ -40,18 +40,18 @@
             classSections.put(name, section);
         }
         names.clear();
-        for (Section section : document.all(Schema.TENANTS)) {
+        for (TableReader section : document.all(Schema.TENANTS)) {
             String name = section.get(Schema.TENANT);
             once(section, Schema.TENANT, name, names);
             rates.put(name, section.get(Schema.RATE));
             tenantSections.put(name, section);
         }
-        Section limits = document.one(Schema.LIVE_LIMITS);
+        TableReader limits = document.one(Schema.LIVE_LIMITS);
         attempts = limits.get(Schema.ANY_ATTEMPTS);
         retryAfterMs = limits.get(Schema.ANY_RETRY_AFTER);
     }
 
-    private static void once(Section section, Key<String> key, String name, Set<String> names) {
+    private static void once(TableReader section, ConfigKey<String> key, String name, Set<String> names) {
         if (name != null && !names.add(name)) {
             section.contradicts(key, "is there twice; each must be there once");
         }
@@ -63,11 +63,11 @@
     }
 
     /** An edge's settings with what a document says; a {@link ConfigException} names all that is wrong. */
-    public static Settings over(Settings own, String text) {
+    public static BalancerSettings over(BalancerSettings own, String text) {
         SettingsDocument read = new SettingsDocument(text);
         read.document.check();
         List<RequestClass> classes = own.classes().stream().map(read::changed).toList();
-        List<Tenant> tenants = own.tenants().stream().map(read::changed).toList();
+        List<TenantQuota> tenants = own.tenants().stream().map(read::changed).toList();
         unknown(
                 read.classSections,
                 Schema.CLASS_NAME,
@@ -75,7 +75,7 @@
         unknown(
                 read.tenantSections,
                 Schema.TENANT,
-                tenants.stream().map(Tenant::name).toList());
+                tenants.stream().map(TenantQuota::name).toList());
         for (RequestClass kind : classes) {
             if (own.limits().connectTimeoutMs() > kind.deadlineMs()) {
                 read.document.wrong(
@@ -85,28 +85,30 @@
             }
         }
         read.document.check();
-        Limits limits = own.limits();
-        return new Settings(
+        AttemptLimits limits = own.limits();
+        return new BalancerSettings(
                 own.balancers(),
-                own.ownNumber(),
-                own.ownZone(),
+                own.balancerIndex(),
+                own.zone(),
                 own.tier(),
-                own.asksForList(),
+                own.pollsEndpoints(),
                 own.weighted(),
-                own.overShareWorth(),
-                own.crossZonePrice(),
+                own.overQuotaWeight(),
+                own.crossZoneCost(),
                 classes,
                 tenants,
-                new Limits(
-                        read.attempts == null ? limits.tries() : read.attempts,
-                        limits.parallelTries(),
+                new AttemptLimits(
+                        read.attempts == null ? limits.maxAttempts() : read.attempts,
+                        limits.parallelAttempts(),
                         limits.cancel(),
-                        read.retryAfterMs == null ? limits.maxCoolDownMs() : read.retryAfterMs,
+                        read.retryAfterMs == null ? limits.maxRetryAfterMs() : read.retryAfterMs,
                         limits.connectTimeoutMs()),
-                own.rules());
+                own.slowStart(),
+                own.drain(),
+                own.pollIntervalMs());
     }
 
-    private static void unknown(Map<String, Section> named, Key<String> key, List<String> there) {
+    private static void unknown(Map<String, TableReader> named, ConfigKey<String> key, List<String> there) {
         List<String> names = new ArrayList<>(named.keySet());
         names.removeAll(there);
         names.forEach(name -> named.get(name).contradicts(key, "is unknown to this edge; it has " + there));
@@ -116,26 +118,26 @@
         Map<String, Double> values = classes.getOrDefault(kind.name(), Map.of());
         RequestClass changed = new RequestClass(
                 kind.name(),
-                or(values.get("aim"), kind.aimMs()),
+                or(values.get("aim"), kind.latencyObjectiveMs()),
                 or(values.get("deadline"), kind.deadlineMs()),
-                or(values.get("worth"), kind.worth()),
-                or(values.get("late-worth"), kind.lateWorth()),
-                kind.effect(),
-                kind.group(),
-                kind.windowMs(),
+                or(values.get("worth"), kind.priorityWeight()),
+                or(values.get("late-worth"), kind.lateResponseWeight()),
+                kind.idempotency(),
+                kind.deduplicationScope(),
+                kind.deduplicationWindowMs(),
                 kind.stream());
-        Section section = classSections.get(kind.name());
-        if (section != null && changed.aimMs() > changed.deadlineMs()) {
+        TableReader section = classSections.get(kind.name());
+        if (section != null && changed.latencyObjectiveMs() > changed.deadlineMs()) {
             section.contradicts(Schema.CLASS_NAME, "would have an aim above its deadline");
         }
-        if (section != null && changed.lateWorth() > changed.worth()) {
+        if (section != null && changed.lateResponseWeight() > changed.priorityWeight()) {
             section.contradicts(Schema.CLASS_NAME, "would have a late-worth above its worth");
         }
         return changed;
     }
 
-    private Tenant changed(Tenant tenant) {
-        return new Tenant(tenant.name(), or(rates.get(tenant.name()), tenant.allowancePerSecond()), tenant.share());
+    private TenantQuota changed(TenantQuota tenant) {
+        return new TenantQuota(tenant.name(), or(rates.get(tenant.name()), tenant.requestsPerSecond()), tenant.share());
     }
 
     private static double or(Double value, double own) {
--- a/edge/src/main/java/lemonrail/config/Section.java
+++ b/edge/src/main/java/lemonrail/config/TableReader.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** One table as the file has it: its values, read key by key; what is wrong goes to the report. */
-public final class Section {
+public final class TableReader {
 
     /** What reading a file has found. */
     interface Report {
@@ -23,13 +23,13 @@
         ENVIRONMENT
     }
 
-    private final Table table;
+    private final ConfigTable table;
     private final int place;
     private final JsonNode fields;
     private final Map<String, String> environment;
     private final Report report;
 
-    Section(Table table, int place, JsonNode fields, Map<String, String> environment, Report report) {
+    TableReader(ConfigTable table, int place, JsonNode fields, Map<String, String> environment, Report report) {
         this.table = table;
         this.place = place;
         this.fields = fields;
@@ -49,14 +49,16 @@
                                 + (table.name().isEmpty() ? "there may be " : "[" + table.name() + "] may have ")
                                 + String.join(
                                         ", ",
-                                        table.keys().stream().map(Key::name).toList())
+                                        table.keys().stream()
+                                                .map(ConfigKey::name)
+                                                .toList())
                                 + (subtables.isEmpty() ? "" : " and the tables " + String.join(", ", subtables)));
             }
         });
     }
 
     /** The value of a key, the usual one where the file has none, or null where there is neither. */
-    public <T> T get(Key<T> key) {
+    public <T> T get(ConfigKey<T> key) {
         String variable = variable(key);
         JsonNode node = fields.get(key.name());
         Origin origin = Origin.FILE;
@@ -89,12 +91,12 @@
     }
 
     /** Whether the file has this key here. */
-    public boolean has(Key<?> key) {
+    public boolean has(ConfigKey<?> key) {
         return fields.has(key.name());
     }
 
     /** Says that the value of a key does not go with another. */
-    public void contradicts(Key<?> key, String why) {
+    public void contradicts(ConfigKey<?> key, String why) {
         JsonNode value = fields.get(key.name());
         report.wrong(path(key.name()), value == null ? null : value.toString(), why);
     }
@@ -105,7 +107,7 @@
     }
 
     /** The environment variable that goes before the file, for tables that there is one of. */
-    private String variable(Key<?> key) {
+    private String variable(ConfigKey<?> key) {
         return ("LEMONRAIL_" + (table.name().isEmpty() ? "" : table.name() + "_") + key.name())
                 .replace('-', '_')
                 .toUpperCase(java.util.Locale.ROOT);
--- a/edge/src/main/java/lemonrail/config/TomlDocument.java
+++ b/edge/src/main/java/lemonrail/config/TomlDocument.java
@@ -45,7 +45,7 @@
         } catch (JsonProcessingException e) {
             TomlLines lines = new TomlLines(text);
             if (lines.repeated() != null) {
-                throw new ConfigException(List.of(new Problem(
+                throw new ConfigException(List.of(new ConfigProblem(
                         file,
                         lines.repeatedLine(),
                         lines.repeated(),
@@ -79,39 +79,41 @@
     }
 
     private static ConfigException whole(Path file, int line, String why) {
-        return new ConfigException(List.of(new Problem(file, line, "", null, why)));
+        return new ConfigException(List.of(new ConfigProblem(file, line, "", null, why)));
     }
 
     /** What stands above all tables; names that are neither its keys nor one of the tables are reported. */
-    public Section top(Table keys, List<Table> tables) {
-        Section top = new Section(keys, 0, root, environment, findings);
-        top.checkNames(
-                tables.stream().map(Table::name).filter(name -> !name.isEmpty()).toList());
+    public TableReader top(ConfigTable keys, List<ConfigTable> tables) {
+        TableReader top = new TableReader(keys, 0, root, environment, findings);
+        top.checkNames(tables.stream()
+                .map(ConfigTable::name)
+                .filter(name -> !name.isEmpty())
+                .toList());
         return top;
     }
 
     /** Whether the file has a table of this name. */
-    public boolean has(Table table) {
+    public boolean has(ConfigTable table) {
         return root.has(table.name());
     }
 
     /** The table of this name, empty where the file has none; unknown keys of it are reported. */
-    public Section one(Table table) {
+    public TableReader one(ConfigTable table) {
         JsonNode fields = root.get(table.name());
         if (fields != null && !fields.isObject()) {
             findings.wrong(table.name(), fields.toString(), "must be a table: [" + table.name() + "]");
             fields = null;
         }
-        Section section = new Section(
+        TableReader section = new TableReader(
                 table, 0, fields == null ? JsonNodeFactory.instance.objectNode() : fields, environment, findings);
         section.checkNames(List.of());
         return section;
     }
 
     /** All tables of this name, in the order of the file. */
-    public List<Section> all(Table table) {
+    public List<TableReader> all(ConfigTable table) {
         JsonNode elements = root.get(table.name());
-        List<Section> sections = new ArrayList<>();
+        List<TableReader> sections = new ArrayList<>();
         if (elements == null) {
             return sections;
         }
@@ -127,7 +129,7 @@
             return sections;
         }
         for (JsonNode element : elements) {
-            Section section = new Section(table, sections.size(), element, environment, findings);
+            TableReader section = new TableReader(table, sections.size(), element, environment, findings);
             section.checkNames(List.of());
             sections.add(section);
         }
@@ -147,13 +149,13 @@
     /** Ends the reading: a {@link ConfigException} names all that is wrong, in the order of the file. */
     public void check() {
         if (isWrong()) {
-            findings.problems.sort(Comparator.comparingInt(Problem::line));
+            findings.problems.sort(Comparator.comparingInt(ConfigProblem::line));
             throw new ConfigException(findings.problems);
         }
     }
 
     /** The values in force, in the order in which they were asked for. */
-    List<Loaded.Value> values() {
+    List<LoadedConfiguration.Value> values() {
         return findings.values;
     }
 
@@ -167,11 +169,11 @@
     }
 
     /** What was found in a file, in its order. */
-    private static final class Findings implements Section.Report {
+    private static final class Findings implements TableReader.Report {
         private final Path file;
         private final TomlLines lines;
-        private final List<Problem> problems = new ArrayList<>();
-        private final List<Loaded.Value> values = new ArrayList<>();
+        private final List<ConfigProblem> problems = new ArrayList<>();
+        private final List<LoadedConfiguration.Value> values = new ArrayList<>();
 
         Findings(Path file, TomlLines lines) {
             this.file = file;
@@ -180,12 +182,12 @@
 
         @Override
         public void wrong(String path, String value, String allowed) {
-            problems.add(new Problem(file, lines.of(path), path, value, allowed));
+            problems.add(new ConfigProblem(file, lines.of(path), path, value, allowed));
         }
 
         @Override
-        public void inForce(String path, String text, Section.Origin origin, boolean live) {
-            values.add(new Loaded.Value(
+        public void inForce(String path, String text, TableReader.Origin origin, boolean live) {
+            values.add(new LoadedConfiguration.Value(
                     path,
                     text,
                     switch (origin) {
--- a/edge/src/main/java/lemonrail/config/TomlFile.java
+++ b/edge/src/main/java/lemonrail/config/TomlFile.java
@@ -8,14 +8,14 @@
 public record TomlFile(Path file, Map<String, String> environment) implements ConfigSource {
 
     @Override
-    public Loaded load() throws IOException {
+    public LoadedConfiguration load() throws IOException {
         TomlDocument document = TomlDocument.read(file, environment);
         if (document.has(Schema.CONTROL)) {
             document.wrong(Schema.CONTROL.name(), null, "is for control nodes: lemonrail control runs this file");
             document.check();
         }
-        EdgeConfig config = new TomlReading(document, environment).read();
+        EdgeConfig config = new EdgeConfigReader(document, environment).read();
         document.check();
-        return new Loaded(config, document.values());
+        return new LoadedConfiguration(config, document.values());
     }
 }
--- a/edge/src/main/java/lemonrail/control/ControlCalls.java
+++ b/edge/src/main/java/lemonrail/control/ControlAdminApi.java
@@ -10,19 +10,19 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import lemonrail.admin.Answer;
-import lemonrail.admin.Calls;
+import lemonrail.admin.AdminHandlers;
+import lemonrail.admin.AdminResponse;
 import lemonrail.config.ConfigException;
-import lemonrail.config.Problem;
+import lemonrail.config.ConfigProblem;
 import lemonrail.config.SettingsDocument;
-import lemonrail.core.control.ControlState.Taken;
-import lemonrail.core.control.Item;
+import lemonrail.core.replication.ReplicatedStore.Taken;
+import lemonrail.core.replication.VersionedEntry;
 import lemonrail.json.Json;
 
 /** The operators' calls at a control node: which is which, and what each does. */
-final class ControlCalls implements Calls {
+final class ControlAdminApi implements AdminHandlers {
 
-    static final int MOST_BODY_BYTES = 4 * ItemText.MOST_DOCUMENT;
+    static final int MOST_BODY_BYTES = 4 * EntryCodec.MOST_DOCUMENT;
 
     private static final Pattern SERVICE = Pattern.compile("/v1/services/([^/]+)/endpoints");
     private static final Pattern ENDPOINT =
@@ -31,23 +31,23 @@
 
     private final ControlNode node;
 
-    ControlCalls(ControlNode node) {
+    ControlAdminApi(ControlNode node) {
         this.node = node;
     }
 
     @Override
-    public Answer answer(HttpMethod method, String uri, byte[] body) {
+    public AdminResponse answer(HttpMethod method, String uri, byte[] body) {
         QueryStringDecoder call = new QueryStringDecoder(uri);
         try {
             return route(method, call.path(), asOf(call), body);
         } catch (ConfigException e) {
-            return Answer.of(
+            return AdminResponse.of(
                     HttpResponseStatus.BAD_REQUEST,
-                    e.problems().stream().map(Problem::toString).collect(Collectors.joining("\n")));
+                    e.problems().stream().map(ConfigProblem::toString).collect(Collectors.joining("\n")));
         } catch (IllegalArgumentException e) {
-            return Answer.of(HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
+            return AdminResponse.of(HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
         } catch (IllegalStateException e) {
-            return Answer.of(HttpResponseStatus.SERVICE_UNAVAILABLE, String.valueOf(e.getMessage()));
+            return AdminResponse.of(HttpResponseStatus.SERVICE_UNAVAILABLE, String.valueOf(e.getMessage()));
         }
     }
 
@@ -56,7 +56,7 @@
         return given == null ? Long.MAX_VALUE : Long.parseLong(given.get(0));
     }
 
-    private Answer route(HttpMethod method, String path, long asOfMs, byte[] body) {
+    private AdminResponse route(HttpMethod method, String path, long asOfMs, byte[] body) {
         Matcher endpoint = ENDPOINT.matcher(path);
         if (endpoint.matches()) {
             return endpoint(method, endpoint.group(1), endpoint.group(2), endpoint.group(3), asOfMs, body);
@@ -70,9 +70,9 @@
             return only(
                     HttpMethod.GET,
                     method,
-                    () -> new Answer(
+                    () -> new AdminResponse(
                             HttpResponseStatus.OK,
-                            "{" + ItemText.lists(node.items(ItemText.word("service", service.group(1)))) + "}\n",
+                            "{" + EntryCodec.lists(node.items(EntryCodec.word("service", service.group(1)))) + "}\n",
                             null));
         }
         return switch (path) {
@@ -81,29 +81,31 @@
                         HttpMethod.GET,
                         method,
                         () -> node.isReady()
-                                ? Answer.of(HttpResponseStatus.OK, "ready")
-                                : Answer.of(
+                                ? AdminResponse.of(HttpResponseStatus.OK, "ready")
+                                : AdminResponse.of(
                                         HttpResponseStatus.SERVICE_UNAVAILABLE, "no other node has been heard yet"));
             case "/v1/control" ->
-                only(HttpMethod.GET, method, () -> Answer.of(HttpResponseStatus.OK, Json.text(node.status())));
+                only(HttpMethod.GET, method, () -> AdminResponse.of(HttpResponseStatus.OK, Json.text(node.status())));
             case "/v1/metrics" -> only(HttpMethod.GET, method, this::figures);
             case "/v1/control/begin" ->
                 only(HttpMethod.PUT, method, () -> {
                     node.begin();
-                    return Answer.of(HttpResponseStatus.OK, "begun");
+                    return AdminResponse.of(HttpResponseStatus.OK, "begun");
                 });
-            default -> Answer.of(HttpResponseStatus.NOT_FOUND, "unknown path");
+            default -> AdminResponse.of(HttpResponseStatus.NOT_FOUND, "unknown path");
         };
     }
 
-    private static Answer only(HttpMethod taken, HttpMethod method, Supplier<Answer> call) {
+    private static AdminResponse only(HttpMethod taken, HttpMethod method, Supplier<AdminResponse> call) {
         return taken.equals(method)
                 ? call.get()
-                : new Answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "this path takes " + taken + " only\n", taken);
+                : new AdminResponse(
+                        HttpResponseStatus.METHOD_NOT_ALLOWED, "this path takes " + taken + " only\n", taken);
     }
 
-    private Answer endpoint(HttpMethod method, String service, String id, String then, long asOfMs, byte[] body) {
-        Item item = node.item(service, id);
+    private AdminResponse endpoint(
+            HttpMethod method, String service, String id, String then, long asOfMs, byte[] body) {
+        VersionedEntry item = node.item(service, id);
         boolean there = item != null && !item.gone();
         if (then != null) {
             String state = then.equals("/drain") ? "terminating" : "in_service";
@@ -112,58 +114,59 @@
                     method,
                     () -> !there
                             ? unknown()
-                            : put(new Change(service, id, false, ItemText.withState(item, state), asOfMs)));
+                            : put(new ConfigurationChange(
+                                    service, id, false, EntryCodec.withState(item, state), asOfMs)));
         }
         if (method.equals(HttpMethod.GET)) {
-            return there ? Answer.of(HttpResponseStatus.OK, item.body()) : unknown();
+            return there ? AdminResponse.of(HttpResponseStatus.OK, item.body()) : unknown();
         }
         if (method.equals(HttpMethod.DELETE)) {
-            return put(Change.endpointGone(service, id).asOf(asOfMs));
+            return put(ConfigurationChange.endpointGone(service, id).asOf(asOfMs));
         }
         return only(
                 HttpMethod.PUT,
                 method,
-                () -> put(Change.endpoint(service, id, body).asOf(asOfMs)));
+                () -> put(ConfigurationChange.endpoint(service, id, body).asOf(asOfMs)));
     }
 
-    private Answer settings(HttpMethod method, String name, long asOfMs, byte[] body) {
+    private AdminResponse settings(HttpMethod method, String name, long asOfMs, byte[] body) {
         if (method.equals(HttpMethod.GET)) {
-            String text = node.get(Item.SETTINGS + name, name);
-            return text == null ? unknown() : new Answer(HttpResponseStatus.OK, text, null);
+            String text = node.get(VersionedEntry.SETTINGS + name, name);
+            return text == null ? unknown() : new AdminResponse(HttpResponseStatus.OK, text, null);
         }
         if (method.equals(HttpMethod.DELETE)) {
-            return put(Change.settingsGone(name).asOf(asOfMs));
+            return put(ConfigurationChange.settingsGone(name).asOf(asOfMs));
         }
         return only(HttpMethod.PUT, method, () -> {
             String text = new String(body, StandardCharsets.UTF_8);
             SettingsDocument.check(text);
-            return put(Change.settings(name, text).asOf(asOfMs));
+            return put(ConfigurationChange.settings(name, text).asOf(asOfMs));
         });
     }
 
-    private static Answer unknown() {
-        return Answer.of(HttpResponseStatus.NOT_FOUND, "there is no such thing");
+    private static AdminResponse unknown() {
+        return AdminResponse.of(HttpResponseStatus.NOT_FOUND, "there is no such thing");
     }
 
-    private Answer put(Change change) {
+    private AdminResponse put(ConfigurationChange change) {
         Taken taken = node.put(change);
         return switch (taken) {
             case NEWS ->
-                Answer.of(
+                AdminResponse.of(
                         HttpResponseStatus.OK,
                         "accepted "
                                 + node.item(change.topic(), change.id()).stamp().text());
-            case KNOWN -> change.gone() ? unknown() : Answer.of(HttpResponseStatus.OK, "known already");
+            case KNOWN -> change.gone() ? unknown() : AdminResponse.of(HttpResponseStatus.OK, "known already");
             case OLDER ->
-                Answer.of(
+                AdminResponse.of(
                         HttpResponseStatus.CONFLICT,
                         "a newer word is known: "
                                 + node.item(change.topic(), change.id()).stamp().text());
-            default -> Answer.of(HttpResponseStatus.INSUFFICIENT_STORAGE, "there are too many items");
+            default -> AdminResponse.of(HttpResponseStatus.INSUFFICIENT_STORAGE, "there are too many items");
         };
     }
 
-    private Answer figures() {
+    private AdminResponse figures() {
         List<Long> figures = node.figures();
         List<String> names = List.of("connections", "waiting", "answers", "answer_bytes", "slow_closed", "texts_made");
         StringBuilder text = new StringBuilder();
@@ -182,6 +185,6 @@
                     .append(status.get(name))
                     .append('\n');
         }
-        return new Answer(HttpResponseStatus.OK, text.toString(), null);
+        return new AdminResponse(HttpResponseStatus.OK, text.toString(), null);
     }
 }
--- a/edge/src/main/java/lemonrail/control/ControlNode.java
+++ b/edge/src/main/java/lemonrail/control/ControlNode.java
@@ -18,11 +18,11 @@
 import lemonrail.admin.AdminServer;
 import lemonrail.config.ControlConfig;
 import lemonrail.config.ControlConfig.Peer;
-import lemonrail.core.control.ControlState;
-import lemonrail.core.control.ControlState.Bounds;
-import lemonrail.core.control.ControlState.Taken;
-import lemonrail.core.control.InForce;
-import lemonrail.core.control.Item;
+import lemonrail.core.replication.AppliedVersions;
+import lemonrail.core.replication.ReplicatedStore;
+import lemonrail.core.replication.ReplicatedStore.Bounds;
+import lemonrail.core.replication.ReplicatedStore.Taken;
+import lemonrail.core.replication.VersionedEntry;
 import lemonrail.logging.EventLog;
 import lemonrail.logging.LogSink;
 import lemonrail.net.Sockets;
@@ -48,12 +48,12 @@
     private final EventLoop loop;
     private final Clock clock = new Clock();
     private final EventLog log;
-    private final ControlState state;
-    private final InForce inForce = new InForce();
-    private final Map<String, PeerWatch> peers = new LinkedHashMap<>();
+    private final ReplicatedStore state;
+    private final AppliedVersions inForce = new AppliedVersions();
+    private final Map<String, PeerReplicator> peers = new LinkedHashMap<>();
     private final Set<String> cut = new HashSet<>();
     private final String boot;
-    private final StateFile file;
+    private final SnapshotFile file;
     private final WatchServer server;
     private final AdminServer adminServer;
     private boolean unkept;
@@ -73,13 +73,13 @@
         log = new EventLog(clock, sink).in("control");
         long nowMs = nowMs();
         knownAt = nowMs;
-        state = new ControlState(config.name(), Bounds.USUAL, nowMs);
+        state = new ReplicatedStore(config.name(), Bounds.USUAL, nowMs);
         boot = config.name() + "-" + Long.toString(nowMs, Character.MAX_RADIX);
-        file = config.kept() == null ? null : new StateFile(config.kept());
+        file = config.kept() == null ? null : new SnapshotFile(config.kept());
         server = new WatchServer(
                 loop, clock, log, state, inForce, new Told(), boot, config.mostWatchers(), config.answerGapMs());
-        adminServer =
-                new AdminServer(loop, Sockets.BUFFERS, new ControlCalls(this), ControlCalls.MOST_BODY_BYTES, log::bug);
+        adminServer = new AdminServer(
+                loop, Sockets.BUFFERS, new ControlAdminApi(this), ControlAdminApi.MOST_BODY_BYTES, log::bug);
     }
 
     /** A node by this configuration, which listens from {@link #open} on. */
@@ -196,11 +196,11 @@
     }
 
     private void watchNow(Peer peer) {
-        PeerWatch before = peers.remove(peer.name());
+        PeerReplicator before = peers.remove(peer.name());
         if (before != null) {
             before.stop();
         }
-        PeerWatch fresh = new PeerWatch(loop, clock, log, config.name(), peer, this::heard);
+        PeerReplicator fresh = new PeerReplicator(loop, clock, log, config.name(), peer, this::heard);
         peers.put(peer.name(), fresh);
         if (!cut.contains(peer.name())) {
             fresh.start();
@@ -223,7 +223,7 @@
     }
 
     /** Takes a change, and passes it on; one that is older than what is known changes nothing. */
-    public Taken put(Change change) {
+    public Taken put(ConfigurationChange change) {
         return asked(() -> {
             Taken taken = state.acceptAsOf(
                     nowMs(), change.asOfMs(), change.topic(), change.id(), change.gone(), change.body());
@@ -239,13 +239,13 @@
         server.changed(topics);
     }
 
-    private void heard(PeerWatch from, Map<?, ?> answer) {
-        List<Item> items = ItemText.items(
+    private void heard(PeerReplicator from, Map<?, ?> answer) {
+        List<VersionedEntry> items = EntryCodec.items(
                 answer,
                 why -> log.trouble(
                         "item_unreadable", "an item of node " + from.peer().name() + " is left out", why));
-        ControlState.Batch batch = state.takeAll(
-                nowMs(), items, ItemText.heard(answer), from.peer().name());
+        ReplicatedStore.Batch batch = state.takeAll(
+                nowMs(), items, EntryCodec.heard(answer), from.peer().name());
         if (!state.isReady()) {
             if (!Boolean.TRUE.equals(answer.get("full"))) {
                 throw new IllegalArgumentException("the first answer has not everything");
@@ -287,7 +287,7 @@
     /** Lets nothing pass between this node and another any more, or again, as tests and trials do. */
     public void cut(String peer, boolean apart) {
         asked(() -> {
-            PeerWatch watch = peers.get(peer);
+            PeerReplicator watch = peers.get(peer);
             if (apart) {
                 cut.add(peer);
                 server.cut(peer);
@@ -306,14 +306,14 @@
     /** The last word on an item as JSON or a document, or null where there is none or it is gone. */
     public String get(String topic, String id) {
         return asked(() -> {
-            Item item = state.get(topic, id);
+            VersionedEntry item = state.get(topic, id);
             return item == null || item.gone() ? null : item.body();
         });
     }
 
     /** The stamp of the last word on an item as it is told, or empty where there was none. */
     public String stamp(String topic, String id) {
-        Item item = item(topic, id);
+        VersionedEntry item = item(topic, id);
         return item == null ? "" : item.stamp().text();
     }
 
@@ -322,12 +322,12 @@
         return loop;
     }
 
-    Item item(String topic, String id) {
+    VersionedEntry item(String topic, String id) {
         return asked(() -> state.get(topic, id));
     }
 
     /** The last words on all that is there in a topic. */
-    List<Item> items(String topic) {
+    List<VersionedEntry> items(String topic) {
         return asked(() -> state.live(List.of(topic)));
     }
 
@@ -367,7 +367,7 @@
             all.put("age_ms", ageMs());
             all.put("regions", regions());
             List<Object> others = new ArrayList<>();
-            for (PeerWatch watch : peers.values()) {
+            for (PeerReplicator watch : peers.values()) {
                 Map<String, Object> one = new LinkedHashMap<>();
                 one.put("name", watch.peer().name());
                 one.put("region", watch.peer().region());
@@ -380,7 +380,7 @@
             all.put("watching", watchingNow());
             List<Object> documents = new ArrayList<>();
             state.topics().stream()
-                    .filter(topic -> topic.startsWith(Item.SETTINGS))
+                    .filter(topic -> topic.startsWith(VersionedEntry.SETTINGS))
                     .forEach(topic -> state.live(List.of(topic))
                             .forEach(item -> documents.add(Map.of(
                                     "name", item.id(), "stamp", item.stamp().text()))));
@@ -403,7 +403,7 @@
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("watchers", inForce.watchers(nowMs()));
         List<Object> documents = new ArrayList<>();
-        for (InForce.Summary summary : inForce.summaries(nowMs())) {
+        for (AppliedVersions.Summary summary : inForce.summaries(nowMs())) {
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("document", summary.document());
             one.put("watchers", summary.watchers());
@@ -426,10 +426,10 @@
         if (peers.isEmpty()) {
             return 0;
         }
-        return peers.values().stream().anyMatch(PeerWatch::wasHeard)
+        return peers.values().stream().anyMatch(PeerReplicator::wasHeard)
                 ? (long) peers.values().stream()
-                        .filter(PeerWatch::wasHeard)
-                        .mapToDouble(PeerWatch::ageMs)
+                        .filter(PeerReplicator::wasHeard)
+                        .mapToDouble(PeerReplicator::ageMs)
                         .min()
                         .orElse(0)
                 : nowMs() - knownAt;
@@ -438,7 +438,7 @@
     /** For each other region, since any of its nodes was last heard. */
     private Map<String, Object> regions() {
         Map<String, Object> ages = new LinkedHashMap<>();
-        for (PeerWatch watch : peers.values()) {
+        for (PeerReplicator watch : peers.values()) {
             String region = watch.peer().region();
             if (!region.equals(config.region())) {
                 ages.merge(region, (long) watch.ageMs(), (one, other) -> Math.min((long) one, (long) other));
@@ -454,7 +454,7 @@
         }
         stopped = true;
         asked(() -> {
-            peers.values().forEach(PeerWatch::stop);
+            peers.values().forEach(PeerReplicator::stop);
             server.close();
             keep();
             return null;
@@ -466,7 +466,7 @@
     private final class Told implements WatchServer.Node {
 
         @Override
-        public Map<String, Object> head(WatchCall call) {
+        public Map<String, Object> head(WatchRequest call) {
             Map<String, Object> head = new LinkedHashMap<>();
             head.put("version", state.version(nowMs()));
             head.put("node", boot);
--- a/edge/src/main/java/lemonrail/control/ItemText.java
+++ b/edge/src/main/java/lemonrail/control/EntryCodec.java
@@ -9,13 +9,13 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
-import lemonrail.core.control.Item;
-import lemonrail.core.control.Stamp;
-import lemonrail.discovery.ServerList;
+import lemonrail.core.replication.HybridTimestamp;
+import lemonrail.core.replication.VersionedEntry;
+import lemonrail.discovery.EndpointList;
 import lemonrail.json.Json;
 
 /** Items as the watch tells them: endpoints in the platform's form, documents, and what is gone. */
-final class ItemText {
+final class EntryCodec {
 
     /** The most characters of a settings document. */
     static final int MOST_DOCUMENT = 64 * 1024;
@@ -27,14 +27,14 @@
     private static final Set<String> FIELDS =
             Set.of("id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms", "service", "stamp");
 
-    private ItemText() {}
+    private EntryCodec() {}
 
     /** A name as services, endpoints and documents have it. */
     static String word(String field, Object value) {
         if (value instanceof String text && WORD.matcher(text).matches()) {
             return text;
         }
-        throw ServerList.bad(field, value);
+        throw EndpointList.bad(field, value);
     }
 
     /** What is said of an endpoint, checked and in the platform's form; all that is amiss names the field. */
@@ -50,14 +50,14 @@
     /** The same without a word on fields that are unknown here: a later version's node may tell more. */
     private static String line(String id, Map<?, ?> fields) {
         if (fields.get("id") != null && !id.equals(fields.get("id"))) {
-            throw ServerList.bad("id", fields.get("id"));
+            throw EndpointList.bad("id", fields.get("id"));
         }
         String state = fields.get("state") == null ? "in_service" : String.valueOf(fields.get("state"));
         if (!state.equals("in_service") && !state.equals("terminating")) {
-            throw ServerList.bad("state", state);
+            throw EndpointList.bad("state", state);
         }
-        if (ServerList.address("addr", fields.get("addr")).getPort() == 0) {
-            throw ServerList.bad("addr", fields.get("addr"));
+        if (EndpointList.address("addr", fields.get("addr")).getPort() == 0) {
+            throw EndpointList.bad("addr", fields.get("addr"));
         }
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("id", word("id", id));
@@ -79,11 +79,11 @@
         if (value instanceof Double number && number >= 0 && number <= most) {
             return number;
         }
-        throw ServerList.bad(name, value);
+        throw EndpointList.bad(name, value);
     }
 
     /** The same endpoint in another state. */
-    static String withState(Item item, String state) {
+    static String withState(VersionedEntry item, String state) {
         Map<String, Object> fields = new LinkedHashMap<>();
         object(item.body().getBytes(StandardCharsets.UTF_8))
                 .forEach((name, value) -> fields.put(String.valueOf(name), value));
@@ -113,10 +113,10 @@
     }
 
     /** The fields {@code servers} and {@code settings} of an answer. */
-    static String lists(List<Item> items) {
+    static String lists(List<VersionedEntry> items) {
         StringBuilder servers = new StringBuilder("\"servers\":[");
         StringBuilder settings = new StringBuilder("],\"settings\":[");
-        for (Item item : items) {
+        for (VersionedEntry item : items) {
             StringBuilder to = item.isSettings() ? settings : servers;
             to.append(to.charAt(to.length() - 1) == '[' ? "" : ",");
             if (item.isSettings()) {
@@ -143,13 +143,13 @@
      * The items of an answer of another node, each checked like one of an operator. A bad one is left out and
      * told: it must not keep all others from coming.
      */
-    static List<Item> items(Map<?, ?> answer, Consumer<String> bad) {
-        List<Item> items = new ArrayList<>();
+    static List<VersionedEntry> items(Map<?, ?> answer, Consumer<String> bad) {
+        List<VersionedEntry> items = new ArrayList<>();
         for (Map<?, ?> line : lines(answer, "servers")) {
             try {
                 String id = word("servers[].id", line.get("id"));
                 boolean gone = "terminated".equals(line.get("state"));
-                items.add(new Item(
+                items.add(new VersionedEntry(
                         word("servers[].service", line.get("service")),
                         id,
                         stamp(line),
@@ -163,8 +163,12 @@
             try {
                 String name = word("settings[].name", line.get("name"));
                 boolean gone = Boolean.TRUE.equals(line.get("gone"));
-                items.add(new Item(
-                        Item.SETTINGS + name, name, stamp(line), gone, gone ? "" : document(line.get("text"))));
+                items.add(new VersionedEntry(
+                        VersionedEntry.SETTINGS + name,
+                        name,
+                        stamp(line),
+                        gone,
+                        gone ? "" : document(line.get("text"))));
             } catch (IllegalArgumentException e) {
                 bad.accept(e.getMessage());
             }
@@ -177,7 +181,7 @@
         if (answer.get(field) instanceof List<?> list) {
             for (Object line : list) {
                 if (!(line instanceof Map<?, ?> fields)) {
-                    throw ServerList.bad(field + "[]", line);
+                    throw EndpointList.bad(field + "[]", line);
                 }
                 lines.add(fields);
             }
@@ -185,19 +189,20 @@
         return lines;
     }
 
-    private static Stamp stamp(Map<?, ?> line) {
-        Stamp stamp = Stamp.parse(String.valueOf(line.get("stamp")));
+    private static HybridTimestamp stamp(Map<?, ?> line) {
+        HybridTimestamp stamp = HybridTimestamp.parse(String.valueOf(line.get("stamp")));
         if (!ORIGIN.matcher(stamp.origin()).matches()) {
-            throw ServerList.bad("stamp", line.get("stamp"));
+            throw EndpointList.bad("stamp", line.get("stamp"));
         }
         return stamp;
     }
 
     /** Up to where a node has heard all others. */
-    static Map<String, Stamp> heard(Map<?, ?> answer) {
-        Map<String, Stamp> heard = new LinkedHashMap<>();
+    static Map<String, HybridTimestamp> heard(Map<?, ?> answer) {
+        Map<String, HybridTimestamp> heard = new LinkedHashMap<>();
         if (answer.get("heard") instanceof Map<?, ?> stamps) {
-            stamps.forEach((node, stamp) -> heard.put(word("heard", node), Stamp.parse(String.valueOf(stamp))));
+            stamps.forEach(
+                    (node, stamp) -> heard.put(word("heard", node), HybridTimestamp.parse(String.valueOf(stamp))));
         }
         return heard;
     }
--- a/edge/src/main/java/lemonrail/control/PeerWatch.java
+++ b/edge/src/main/java/lemonrail/control/PeerReplicator.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import lemonrail.config.ControlConfig.Peer;
-import lemonrail.discovery.WatchLink;
+import lemonrail.discovery.WatchClient;
 import lemonrail.logging.EventLog;
 import lemonrail.time.Clock;
 
 /** Watches another node, call after call, by the platform's protocol. */
-final class PeerWatch {
+final class PeerReplicator {
 
     /** How long a call waits for news, and how much more is silence. */
     private static final int WAIT_MS = 1_000;
@@ -27,7 +27,7 @@
     /** Who hears of the answers. */
     interface Listener {
         /** Takes an answer in; an exception fails the watch, which then asks for everything. */
-        void heard(PeerWatch from, Map<?, ?> answer);
+        void heard(PeerReplicator from, Map<?, ?> answer);
     }
 
     private final EventLoop loop;
@@ -36,7 +36,7 @@
     private final String own;
     private final Peer peer;
     private final Listener listener;
-    private final WatchLink link;
+    private final WatchClient link;
     private Future<?> retry;
     private boolean stopped = true;
     private String boot = "";
@@ -46,7 +46,7 @@
     /** What the other node last said of its watchers, or null. */
     private Object watching;
 
-    PeerWatch(EventLoop loop, Clock clock, EventLog log, String own, Peer peer, Listener listener) {
+    PeerReplicator(EventLoop loop, Clock clock, EventLog log, String own, Peer peer, Listener listener) {
         this.loop = loop;
         this.clock = clock;
         this.log = log;
@@ -54,7 +54,7 @@
         this.peer = peer;
         this.listener = listener;
         heardAt = clock.now();
-        link = new WatchLink(loop, CONNECT_MS, MOST_BODY, new WatchLink.Listener() {
+        link = new WatchClient(loop, CONNECT_MS, MOST_BODY, new WatchClient.Listener() {
             @Override
             public void answered(int status, byte[] body) {
                 take(status, body);
@@ -126,7 +126,7 @@
             return;
         }
         try {
-            take(ItemText.object(body));
+            take(EntryCodec.object(body));
         } catch (RuntimeException e) {
             if (!(e instanceof IllegalArgumentException)) {
                 log.bug("an answer of node " + peer.name(), e);
--- a/edge/src/main/java/lemonrail/control/StateFile.java
+++ b/edge/src/main/java/lemonrail/control/SnapshotFile.java
@@ -8,43 +8,43 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import lemonrail.core.control.ControlState;
-import lemonrail.core.control.Item;
-import lemonrail.core.control.Stamp;
+import lemonrail.core.replication.HybridTimestamp;
+import lemonrail.core.replication.ReplicatedStore;
+import lemonrail.core.replication.VersionedEntry;
 import lemonrail.json.Json;
 
 /** What a node knows, kept for its next start, in the form in which nodes tell each other. */
-final class StateFile {
+final class SnapshotFile {
 
     private final Path file;
 
-    StateFile(Path file) {
+    SnapshotFile(Path file) {
         this.file = file;
     }
 
     /** Writes all that is known; a reader finds the old file or the new one. */
-    void write(ControlState state, long nowMs) throws IOException {
+    void write(ReplicatedStore state, long nowMs) throws IOException {
         Map<String, Object> heard = new LinkedHashMap<>();
-        for (Map.Entry<String, Stamp> entry : state.heard().entrySet()) {
+        for (Map.Entry<String, HybridTimestamp> entry : state.heard().entrySet()) {
             heard.put(entry.getKey(), entry.getValue().text());
         }
         String text = "{\"kept_ms\":" + nowMs + ",\"heard\":" + Json.text(heard) + ","
-                + ItemText.lists(state.everything()) + "}";
+                + EntryCodec.lists(state.everything()) + "}";
         Path next = file.resolveSibling(file.getFileName() + ".next");
         Files.write(next, text.getBytes(StandardCharsets.UTF_8));
         Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
     /** Takes in what was kept, and tells when; below 0 if there is nothing. A bad file is an exception. */
-    long read(ControlState state, long nowMs) throws IOException {
+    long read(ReplicatedStore state, long nowMs) throws IOException {
         if (!Files.exists(file)) {
             return -1;
         }
-        Map<?, ?> kept = ItemText.object(Files.readAllBytes(file));
-        List<Item> items = ItemText.items(kept, why -> {
+        Map<?, ?> kept = EntryCodec.object(Files.readAllBytes(file));
+        List<VersionedEntry> items = EntryCodec.items(kept, why -> {
             throw new IllegalArgumentException(file + ": " + why);
         });
-        state.takeAll(nowMs, items, ItemText.heard(kept), "");
+        state.takeAll(nowMs, items, EntryCodec.heard(kept), "");
         return kept.get("kept_ms") instanceof Double ms ? ms.longValue() : 0;
     }
 }
--- a/edge/src/main/java/lemonrail/control/WatchConnection.java
+++ b/edge/src/main/java/lemonrail/control/WatchConnection.java
@@ -22,8 +22,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import lemonrail.core.control.ControlState;
-import lemonrail.core.control.Item;
+import lemonrail.core.replication.ReplicatedStore;
+import lemonrail.core.replication.VersionedEntry;
 
 /**
  * One connection of a watcher or another node: one call in hand, answered at once where there is news, and
@@ -39,7 +39,7 @@
     private final WatchServer server;
     private final WatchContext shared;
     private final SocketChannel channel;
-    private WatchCall call;
+    private WatchRequest call;
     /** The version that the call in hand has all up to. */
     private long since;
     /** Its digest has been found equal, or the whole list was sent. */
@@ -86,14 +86,14 @@
             refuse(HttpResponseStatus.METHOD_NOT_ALLOWED, "this path takes GET only");
         } else {
             try {
-                take(WatchCall.of(query));
+                take(WatchRequest.of(query));
             } catch (IllegalArgumentException e) {
                 refuse(HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
             }
         }
     }
 
-    private void take(WatchCall asked) {
+    private void take(WatchRequest asked) {
         peer = asked.peer();
         if (asked.isOfPeer() && shared.node().isCut(peer)) {
             channel.close();
@@ -141,7 +141,7 @@
         }
         since = call.from().equals(shared.boot()) || settled
                 ? call.index()
-                : ControlState.back(call.index(), WatchServer.OVERLAP_MS);
+                : ReplicatedStore.back(call.index(), WatchServer.OVERLAP_MS);
         if (!settled && shared.state().digest(topics) == call.digest()) {
             settled = true;
             since = shared.state().version((long) shared.clock().now());
@@ -209,8 +209,8 @@
     private boolean isAbout(Set<String> topics) {
         return call.isOfPeer()
                 || topics.stream()
-                        .anyMatch(topic ->
-                                call.topics().contains(topic) || (call.all() && !topic.startsWith(Item.SETTINGS)));
+                        .anyMatch(topic -> call.topics().contains(topic)
+                                || (call.all() && !topic.startsWith(VersionedEntry.SETTINGS)));
     }
 
     /** There is something to tell: now, or once the gap since the last answer is over. */
@@ -240,7 +240,7 @@
         ByteBuf text;
         boolean news;
         if (call.isOfPeer()) {
-            List<Item> items = shared.state().sinceForPeer(peer, since);
+            List<VersionedEntry> items = shared.state().sinceForPeer(peer, since);
             news = !items.isEmpty();
             text = shared.answers().toPeer(items, false, head());
         } else {
--- a/edge/src/main/java/lemonrail/control/WatchContext.java
+++ b/edge/src/main/java/lemonrail/control/WatchContext.java
@@ -3,9 +3,9 @@
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
 import java.util.List;
-import lemonrail.core.control.ControlState;
-import lemonrail.core.control.InForce;
-import lemonrail.core.control.Item;
+import lemonrail.core.replication.AppliedVersions;
+import lemonrail.core.replication.ReplicatedStore;
+import lemonrail.core.replication.VersionedEntry;
 import lemonrail.logging.EventLog;
 import lemonrail.time.Clock;
 
@@ -20,22 +20,22 @@
         EventLoop loop,
         Clock clock,
         EventLog log,
-        ControlState state,
-        InForce inForce,
+        ReplicatedStore state,
+        AppliedVersions inForce,
         WatchServer.Node node,
         String boot,
         int mostWatchers,
         double gapMs,
-        Answers answers) {
+        WatchResponseCache answers) {
 
     /** The topics that a call is about. */
-    List<String> topics(WatchCall call) {
+    List<String> topics(WatchRequest call) {
         if (!call.all()) {
             return call.topics();
         }
         List<String> all = new ArrayList<>(call.topics());
         state.topics().stream()
-                .filter(topic -> !topic.startsWith(Item.SETTINGS))
+                .filter(topic -> !topic.startsWith(VersionedEntry.SETTINGS))
                 .forEach(all::add);
         return all;
     }
--- a/edge/src/main/java/lemonrail/control/WatchCall.java
+++ b/edge/src/main/java/lemonrail/control/WatchRequest.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import lemonrail.core.control.InForce;
-import lemonrail.core.control.Item;
-import lemonrail.core.control.Stamp;
+import lemonrail.core.replication.AppliedVersions;
+import lemonrail.core.replication.HybridTimestamp;
+import lemonrail.core.replication.VersionedEntry;
 
 /**
  * A call of a watch, as its query says.
@@ -21,7 +21,7 @@
  * @param peer the node that asks, or empty where a sidecar does
  * @param word who asks and what is in force there, or null where it doesn't say
  */
-record WatchCall(
+record WatchRequest(
         List<String> topics,
         boolean all,
         long index,
@@ -29,43 +29,43 @@
         String from,
         Long digest,
         String peer,
-        InForce.Word word) {
+        AppliedVersions.Word word) {
 
     private static final long MOST_WAIT_MS = 60_000;
     private static final int MOST_TOPICS = 256;
     private static final int MOST_WHY = 200;
 
     /** Reads a query; what is bad is an exception that names the parameter. */
-    static WatchCall of(QueryStringDecoder query) {
+    static WatchRequest of(QueryStringDecoder query) {
         Map<String, List<String>> given = query.parameters();
         TreeSet<String> topics = new TreeSet<>();
         for (String several : given.getOrDefault("service", List.of())) {
             for (String service : several.split(",")) {
-                topics.add(ItemText.word("service", service));
+                topics.add(EntryCodec.word("service", service));
             }
         }
         boolean all = topics.isEmpty();
         String document = first(given, "settings", "");
         if (!document.isEmpty()) {
-            topics.add(Item.SETTINGS + ItemText.word("settings", document));
+            topics.add(VersionedEntry.SETTINGS + EntryCodec.word("settings", document));
         }
         if (topics.size() > MOST_TOPICS) {
             throw new IllegalArgumentException("there may be " + MOST_TOPICS + " topics at most");
         }
         String digest = first(given, "digest", null);
         String peer = first(given, "peer", "");
-        return new WatchCall(
+        return new WatchRequest(
                 new ArrayList<>(topics),
                 all,
                 number(given, "index", -1),
                 Math.min(MOST_WAIT_MS, number(given, "wait", 0)),
                 first(given, "from", ""),
                 digest == null ? null : Long.valueOf(Long.parseUnsignedLong(digest, 16)),
-                peer.isEmpty() ? "" : ItemText.word("peer", peer),
+                peer.isEmpty() ? "" : EntryCodec.word("peer", peer),
                 word(given, document));
     }
 
-    private static InForce.Word word(Map<String, List<String>> given, String document) {
+    private static AppliedVersions.Word word(Map<String, List<String>> given, String document) {
         String name = first(given, "name", "");
         if (name.isEmpty()) {
             return null;
@@ -73,11 +73,11 @@
         String inForce = first(given, "inforce", "");
         String refused = first(given, "refused", "");
         String why = first(given, "why", "");
-        return new InForce.Word(
-                ItemText.word("name", name),
+        return new AppliedVersions.Word(
+                EntryCodec.word("name", name),
                 document,
-                inForce.isEmpty() ? Stamp.NONE : Stamp.parse(inForce),
-                refused.isEmpty() ? null : Stamp.parse(refused),
+                inForce.isEmpty() ? HybridTimestamp.NONE : HybridTimestamp.parse(inForce),
+                refused.isEmpty() ? null : HybridTimestamp.parse(refused),
                 why.substring(0, Math.min(MOST_WHY, why.length())));
     }
 
--- a/edge/src/main/java/lemonrail/control/Answers.java
+++ b/edge/src/main/java/lemonrail/control/WatchResponseCache.java
@@ -6,16 +6,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import lemonrail.core.control.ControlState;
-import lemonrail.core.control.Item;
-import lemonrail.core.control.Stamp;
+import lemonrail.core.replication.HybridTimestamp;
+import lemonrail.core.replication.ReplicatedStore;
+import lemonrail.core.replication.VersionedEntry;
 import lemonrail.json.Json;
 
 /**
  * The texts of answers. What watchers of the same topics lack alike is put into words once, and its bytes are
  * shared by all of them.
  */
-final class Answers {
+final class WatchResponseCache {
 
     /** Texts that are kept for further watchers, and their bytes at most. */
     private static final int MOST_TEXTS = 256;
@@ -25,12 +25,12 @@
     /** What makes two texts the same: the topics, what the watcher has, and what is the newest there. */
     private record Lack(List<String> topics, boolean full, long known, long newest) {}
 
-    private final ControlState state;
+    private final ReplicatedStore state;
     private final LinkedHashMap<Lack, byte[]> texts = new LinkedHashMap<>(16, 0.75f, true);
     private long bytes;
     private long made;
 
-    Answers(ControlState state) {
+    WatchResponseCache(ReplicatedStore state) {
         this.state = state;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** An answer to another node. */
-    ByteBuf toPeer(List<Item> items, boolean full, Map<String, Object> head) {
+    ByteBuf toPeer(List<VersionedEntry> items, boolean full, Map<String, Object> head) {
         head.put("full", full);
         head.put("heard", heard());
         return join(head, bytes(items));
@@ -64,15 +64,15 @@
 
     private Map<String, Object> heard() {
         Map<String, Object> heard = new LinkedHashMap<>();
-        for (Map.Entry<String, Stamp> entry : state.heard().entrySet()) {
+        for (Map.Entry<String, HybridTimestamp> entry : state.heard().entrySet()) {
             heard.put(entry.getKey(), entry.getValue().text());
         }
         return heard;
     }
 
-    private byte[] bytes(List<Item> items) {
+    private byte[] bytes(List<VersionedEntry> items) {
         made++;
-        return ("," + ItemText.lists(items) + "}").getBytes(StandardCharsets.UTF_8);
+        return ("," + EntryCodec.lists(items) + "}").getBytes(StandardCharsets.UTF_8);
     }
 
     private void keep(Lack lack, byte[] text) {
--- a/edge/src/main/java/lemonrail/control/WatchServer.java
+++ b/edge/src/main/java/lemonrail/control/WatchServer.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import lemonrail.core.control.ControlState;
-import lemonrail.core.control.InForce;
+import lemonrail.core.replication.AppliedVersions;
+import lemonrail.core.replication.ReplicatedStore;
 import lemonrail.logging.EventLog;
 import lemonrail.net.HttpListener;
 import lemonrail.net.Sockets;
@@ -46,7 +46,7 @@
     /** What the node adds to each answer, and who may not be answered. */
     interface Node {
         /** The fields that tell which node answers and how old its knowledge is. */
-        Map<String, Object> head(WatchCall call);
+        Map<String, Object> head(WatchRequest call);
 
         /** Whether other nodes may be told what was kept, though sidecars are not yet. */
         boolean tellsPeers();
@@ -73,14 +73,14 @@
             EventLoop loop,
             Clock clock,
             EventLog log,
-            ControlState state,
-            InForce inForce,
+            ReplicatedStore state,
+            AppliedVersions inForce,
             Node node,
             String boot,
             int mostWatchers,
             double gapMs) {
-        shared =
-                new WatchContext(loop, clock, log, state, inForce, node, boot, mostWatchers, gapMs, new Answers(state));
+        shared = new WatchContext(
+                loop, clock, log, state, inForce, node, boot, mostWatchers, gapMs, new WatchResponseCache(state));
     }
 
     ChannelFuture listen(InetSocketAddress address) {
--- a/edge/src/main/java/lemonrail/discovery/ControlClient.java
+++ b/edge/src/main/java/lemonrail/discovery/ControlClient.java
@@ -11,12 +11,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
-import lemonrail.core.control.Item;
-import lemonrail.core.control.Replica;
-import lemonrail.core.control.Route;
-import lemonrail.core.control.Stamp;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.replication.HybridTimestamp;
+import lemonrail.core.replication.NodeSelector;
+import lemonrail.core.replication.VersionedEntry;
+import lemonrail.core.replication.WatcherReplica;
 import lemonrail.json.Json;
 import lemonrail.logging.EventLog;
 import lemonrail.time.Clock;
@@ -61,32 +61,32 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Plan plan;
-    private final ServerList.Names names;
+    private final EndpointList.Names names;
     private final EventLog log;
-    private final Route route;
+    private final NodeSelector route;
     private final Map<String, InetSocketAddress> places = new LinkedHashMap<>();
-    private final WatchLink link;
-    private final Replica replica = new Replica();
+    private final WatchClient link;
+    private final WatcherReplica replica = new WatcherReplica();
     private DiscoveryClient.Listener listener;
     private Settings settings = text -> "this edge takes no settings while it runs";
     private long version = -1;
     private String from = "";
-    private Stamp inForce = Stamp.NONE;
-    private Stamp refused;
+    private HybridTimestamp inForce = HybridTimestamp.NONE;
+    private HybridTimestamp refused;
     private String why = "";
     private boolean heard;
     private boolean closed;
     private Future<?> retry;
 
     /** A client by this plan, which watches from the first {@link #watch} on. */
-    public ControlClient(EventLoop loop, Clock clock, Plan plan, ServerList.Names names, long seed, EventLog log) {
+    public ControlClient(EventLoop loop, Clock clock, Plan plan, EndpointList.Names names, long seed, EventLog log) {
         this.loop = loop;
         this.clock = clock;
         this.plan = plan;
         this.names = names;
         this.log = log.in("discovery");
-        route = new Route(plan.name(), texts(plan.addresses()), texts(plan.fallbacks()), seed);
-        link = new WatchLink(loop, SILENCE_MS, MOST_BODY, new WatchLink.Listener() {
+        route = new NodeSelector(plan.name(), texts(plan.addresses()), texts(plan.fallbacks()), seed);
+        link = new WatchClient(loop, SILENCE_MS, MOST_BODY, new WatchClient.Listener() {
             @Override
             public void answered(int status, byte[] body) {
                 take(status, body);
@@ -167,7 +167,7 @@
         }
         if (plan.document() != null) {
             uri.append("&settings=").append(plan.document());
-            if (!inForce.equals(Stamp.NONE)) {
+            if (!inForce.equals(HybridTimestamp.NONE)) {
                 uri.append("&inforce=").append(encoded(inForce.text()));
             }
             if (refused != null) {
@@ -202,7 +202,7 @@
             fail("status " + status);
             return;
         }
-        ServerList news;
+        EndpointList news;
         double ageMs;
         try {
             if (!(Json.value(body) instanceof Map<?, ?> answer)) {
@@ -230,37 +230,39 @@
     }
 
     /** Takes an answer in: what is news in it, as a whole list the first time and as changes from then on. */
-    private ServerList read(Map<?, ?> answer) throws IOException {
-        ServerList list = ServerList.of(answer, names);
+    private EndpointList read(Map<?, ?> answer) throws IOException {
+        EndpointList list = EndpointList.of(answer, names);
         if (!(answer.get("node") instanceof String node)) {
             throw new IOException("it is no control node");
         }
-        List<Replica.Key> keys = new ArrayList<>();
-        List<Stamp> stamps = new ArrayList<>();
+        List<WatcherReplica.Key> keys = new ArrayList<>();
+        List<HybridTimestamp> stamps = new ArrayList<>();
         for (Object line : (List<?>) answer.get("servers")) {
             Map<?, ?> fields = (Map<?, ?>) line;
-            keys.add(new Replica.Key(text(fields, "service"), text(fields, "id")));
-            stamps.add(Stamp.parse(text(fields, "stamp")));
+            keys.add(new WatcherReplica.Key(text(fields, "service"), text(fields, "id")));
+            stamps.add(HybridTimestamp.parse(text(fields, "stamp")));
         }
-        Map<String, Stamp> upTo = new LinkedHashMap<>();
+        Map<String, HybridTimestamp> upTo = new LinkedHashMap<>();
         if (answer.get("heard") instanceof Map<?, ?> told) {
-            told.forEach((origin, stamp) -> upTo.put(String.valueOf(origin), Stamp.parse(String.valueOf(stamp))));
+            told.forEach(
+                    (origin, stamp) -> upTo.put(String.valueOf(origin), HybridTimestamp.parse(String.valueOf(stamp))));
         }
         // All that could be amiss has been read: from here on the answer is taken in as a whole.
-        List<ServerList.Entry> news = new ArrayList<>();
+        List<EndpointList.Entry> news = new ArrayList<>();
         for (int i = 0; i < keys.size(); i++) {
-            ServerList.Entry entry = list.entries().get(i);
-            if (replica.take(keys.get(i), stamps.get(i), entry.server().state() == State.GONE)) {
+            EndpointList.Entry entry = list.entries().get(i);
+            if (replica.take(keys.get(i), stamps.get(i), entry.server().state() == EndpointState.GONE)) {
                 news.add(entry);
             }
         }
         settings(answer, keys);
         if (list.full()) {
-            for (Replica.Key gone : replica.keepOnly(keys, upTo)) {
-                if (gone.topic().startsWith(Item.SETTINGS)) {
-                    settle(null, Stamp.NONE);
+            for (WatcherReplica.Key gone : replica.keepOnly(keys, upTo)) {
+                if (gone.topic().startsWith(VersionedEntry.SETTINGS)) {
+                    settle(null, HybridTimestamp.NONE);
                 } else {
-                    news.add(new ServerList.Entry(new Server(gone.id(), -1, -1, 0, 0, State.GONE, 1), null));
+                    news.add(
+                            new EndpointList.Entry(new Endpoint(gone.id(), -1, -1, 0, 0, EndpointState.GONE, 1), null));
                 }
             }
         }
@@ -268,7 +270,7 @@
         heard = true;
         from = node;
         version = list.version();
-        return new ServerList(version, first, news);
+        return new EndpointList(version, first, news);
     }
 
     private static String text(Map<?, ?> fields, String name) throws IOException {
@@ -278,7 +280,7 @@
         throw new IOException("field servers[]." + name + " is missing");
     }
 
-    private void settings(Map<?, ?> answer, List<Replica.Key> keys) {
+    private void settings(Map<?, ?> answer, List<WatcherReplica.Key> keys) {
         if (!(answer.get("settings") instanceof List<?> documents)) {
             return;
         }
@@ -286,8 +288,9 @@
             if (each instanceof Map<?, ?> line
                     && plan.document() != null
                     && plan.document().equals(line.get("name"))) {
-                Replica.Key key = new Replica.Key(Item.SETTINGS + plan.document(), plan.document());
-                Stamp stamp = Stamp.parse(String.valueOf(line.get("stamp")));
+                WatcherReplica.Key key =
+                        new WatcherReplica.Key(VersionedEntry.SETTINGS + plan.document(), plan.document());
+                HybridTimestamp stamp = HybridTimestamp.parse(String.valueOf(line.get("stamp")));
                 boolean gone = Boolean.TRUE.equals(line.get("gone"));
                 if (replica.take(key, stamp, gone)) {
                     settle(gone ? null : String.valueOf(line.get("text")), stamp);
@@ -297,10 +300,10 @@
         }
     }
 
-    private void settle(String text, Stamp stamp) {
+    private void settle(String text, HybridTimestamp stamp) {
         String problem = settings.told(text);
         if (problem == null) {
-            inForce = text == null ? Stamp.NONE : stamp;
+            inForce = text == null ? HybridTimestamp.NONE : stamp;
             refused = null;
             why = "";
             log.info(
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -27,7 +27,7 @@
 import java.net.InetSocketAddress;
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
-import lemonrail.core.WatchPace;
+import lemonrail.core.WatchSchedule;
 import lemonrail.logging.EventLog;
 import lemonrail.net.Sockets;
 
@@ -45,12 +45,12 @@
     /** What comes of the watch. */
     public interface Listener {
         /** Called on the event loop with each list or change that has arrived. */
-        void listed(ServerList list);
+        void listed(EndpointList list);
     }
 
     private final EventLoop loop;
-    private final ServerList.Names names;
-    private final WatchPace pace;
+    private final EndpointList.Names names;
+    private final WatchSchedule pace;
     private final EventLog log;
     private final Bootstrap bootstrap;
     private Listener listener;
@@ -74,9 +74,9 @@
     public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
-            ServerList.Names names,
+            EndpointList.Names names,
             long known,
-            WatchPace pace,
+            WatchSchedule pace,
             EventLog log) {
         this.loop = loop;
         this.address = address;
@@ -139,7 +139,7 @@
             ask();
             return;
         }
-        limit("no connection in time", WatchPace.silenceMs());
+        limit("no connection in time", WatchSchedule.silenceMs());
         ChannelFuture connecting = bootstrap.connect(address);
         channel = connecting.channel();
         connecting.addListener(connected -> {
@@ -169,7 +169,7 @@
         int waitMs = version.isPresent() ? pace.waitMs() : 0;
         wholeByNs = 0;
         // Counted from here: at the start the loop may be busy for long between a call's connection and it.
-        limit("no answer in time", waitMs + WatchPace.silenceMs());
+        limit("no answer in time", waitMs + WatchSchedule.silenceMs());
         FullHttpRequest call = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.GET,
@@ -227,10 +227,10 @@
             if (ctx.channel() == channel && limit != null) {
                 long now = System.nanoTime();
                 if (wholeByNs == 0) {
-                    wholeByNs = now + TimeUnit.MILLISECONDS.toNanos(WatchPace.answerMs());
+                    wholeByNs = now + TimeUnit.MILLISECONDS.toNanos(WatchSchedule.answerMs());
                 }
                 limit("no whole answer in time", (int)
-                        Math.min(WatchPace.silenceMs(), TimeUnit.NANOSECONDS.toMillis(wholeByNs - now)));
+                        Math.min(WatchSchedule.silenceMs(), TimeUnit.NANOSECONDS.toMillis(wholeByNs - now)));
             }
             ctx.fireChannelRead(piece);
         }
@@ -252,9 +252,9 @@
                 fail("status " + answer.status().code());
                 return;
             }
-            ServerList list;
+            EndpointList list;
             try {
-                list = ServerList.parse(ByteBufUtil.getBytes(answer.content()), names);
+                list = EndpointList.parse(ByteBufUtil.getBytes(answer.content()), names);
             } catch (IOException | IllegalArgumentException e) {
                 fail(e.getMessage());
                 return;
--- a/edge/src/main/java/lemonrail/discovery/ServerList.java
+++ b/edge/src/main/java/lemonrail/discovery/EndpointList.java
@@ -8,26 +8,26 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
 import lemonrail.json.Json;
 
 /** A list of endpoints, or changes to one, in discovery's form. */
-public record ServerList(long version, boolean full, List<Entry> entries) {
+public record EndpointList(long version, boolean full, List<Entry> entries) {
 
     /** An endpoint and where it listens, as this sidecar sees it. */
-    public record Entry(Server server, InetSocketAddress address) {}
+    public record Entry(Endpoint server, InetSocketAddress address) {}
 
     /** The names of the zones and kinds, whose places in the settings stand for them. */
     public record Names(List<String> zones, List<String> kinds) {}
 
     /** The endpoints alone. */
-    public List<Server> servers() {
+    public List<Endpoint> servers() {
         return entries.stream().map(Entry::server).toList();
     }
 
     /** A list in discovery's form; what is bad is an exception that names the field. */
-    public static ServerList parse(byte[] json, Names names) throws IOException {
+    public static EndpointList parse(byte[] json, Names names) throws IOException {
         if (!(Json.value(json) instanceof Map<?, ?> list)) {
             throw new IOException("the list of endpoints is no object");
         }
@@ -35,7 +35,7 @@
     }
 
     /** A list from its values. */
-    public static ServerList of(Map<?, ?> list, Names names) {
+    public static EndpointList of(Map<?, ?> list, Names names) {
         if (!(list.get("version") instanceof Double version)) {
             throw bad("version", list.get("version"));
         }
@@ -52,23 +52,23 @@
             }
             entries.add(entry(fields, names));
         }
-        return new ServerList(version.longValue(), full, entries);
+        return new EndpointList(version.longValue(), full, entries);
     }
 
     private static Entry entry(Map<?, ?> fields, Names names) {
         if (!(fields.get("id") instanceof String id)) {
             throw bad("servers[].id", fields.get("id"));
         }
-        State state = switch (String.valueOf(fields.get("state"))) {
-            case "in_service" -> State.READY;
-            case "terminating" -> State.DRAINING;
-            case "terminated" -> State.GONE;
+        EndpointState state = switch (String.valueOf(fields.get("state"))) {
+            case "in_service" -> EndpointState.READY;
+            case "terminating" -> EndpointState.DRAINING;
+            case "terminated" -> EndpointState.GONE;
             default -> throw bad("servers[].state", fields.get("state"));
         };
         // Of an endpoint that is gone nothing but its id need be told.
-        InetSocketAddress address = state == State.GONE ? null : address("servers[].addr", fields.get("addr"));
+        InetSocketAddress address = state == EndpointState.GONE ? null : address("servers[].addr", fields.get("addr"));
         return new Entry(
-                new Server(
+                new Endpoint(
                         id,
                         place(names.zones(), fields.get("zone")),
                         place(names.kinds(), fields.get("kind")),
--- a/edge/src/main/java/lemonrail/discovery/WatchLink.java
+++ b/edge/src/main/java/lemonrail/discovery/WatchClient.java
@@ -27,7 +27,7 @@
 import lemonrail.net.Sockets;
 
 /** The calls of one watch, one at a time, each with a time limit, on one connection as long as it lasts. */
-public final class WatchLink {
+public final class WatchClient {
 
     /** What becomes of a call: one of the two, once. */
     public interface Listener {
@@ -47,7 +47,7 @@
     private Future<?> limit;
 
     /** A link on this loop; a connection must be up in time, and an answer may have so many bytes. */
-    public WatchLink(EventLoop loop, int connectMs, int mostBytes, Listener listener) {
+    public WatchClient(EventLoop loop, int connectMs, int mostBytes, Listener listener) {
         this.loop = loop;
         this.listener = listener;
         bootstrap = new Bootstrap()
--- a/edge/src/main/java/lemonrail/exchange/Front.java
+++ b/edge/src/main/java/lemonrail/exchange/Downstream.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 
 /** A protocol's listener for clients and the connections it has taken in. */
-public interface Front {
+public interface Downstream {
 
     /** Opens the listener. */
     ChannelFuture listen(InetSocketAddress address);
--- a/edge/src/main/java/lemonrail/exchange/Shard.java
+++ b/edge/src/main/java/lemonrail/exchange/EventLoopContext.java
@@ -1,11 +1,11 @@
 package lemonrail.exchange;
 
 import io.netty.channel.EventLoop;
-import lemonrail.core.Contract.Settings;
+import lemonrail.core.balancer.BalancerSettings;
 import lemonrail.lifecycle.Lifecycle;
 import lemonrail.logging.EventLog;
 import lemonrail.metrics.Metrics;
-import lemonrail.streaming.Budget;
+import lemonrail.streaming.BufferBudget;
 import lemonrail.time.Clock;
 
 /**
@@ -13,12 +13,12 @@
  *
  * @param idleCloseMs after how long at most an endpoint closes an idle connection
  */
-public record Shard(
+public record EventLoopContext(
         EventLoop loop,
         Clock clock,
         EventLog log,
         Metrics metrics,
-        Budget budget,
+        BufferBudget budget,
         Lifecycle lifecycle,
-        Settings settings,
+        BalancerSettings settings,
         double idleCloseMs) {}
--- a/edge/src/main/java/lemonrail/exchange/PendingRequest.java
+++ b/edge/src/main/java/lemonrail/exchange/PendingRequest.java
@@ -3,7 +3,7 @@
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
-import lemonrail.core.Contract.Request;
+import lemonrail.core.balancer.Request;
 
 /**
  * A request that the exchange has taken and whose final answer, or one of whose attempts, is still to end.
@@ -11,10 +11,10 @@
  * @param <M> the protocol's requests
  * @param <A> the protocol's answers
  */
-final class PendingRequest<M extends Message, A> {
+final class PendingRequest<M extends ProtocolRequest, A> {
     final Request request;
     final M message;
-    final Client<A> client;
+    final ResponseSink<A> client;
     final List<PendingAttempt> attempts = new ArrayList<>(2);
     /** What the client waits, from when its request is read. */
     final double waitMs;
@@ -34,7 +34,7 @@
     /** Attempts whose end the module has not been told yet. */
     int out;
 
-    PendingRequest(double now, double unreadMs, Request request, M message, Client<A> client) {
+    PendingRequest(double now, double unreadMs, Request request, M message, ResponseSink<A> client) {
         this.unreadMs = unreadMs;
         waitMs = request.deadlineMs() - now;
         deadline = request.deadlineMs();
--- a/edge/src/main/java/lemonrail/exchange/Protocol.java
+++ b/edge/src/main/java/lemonrail/exchange/Protocol.java
@@ -4,18 +4,18 @@
 import java.nio.file.Path;
 
 /**
- * A protocol as the assembly sees it: what makes the two sides between which an {@link Exchange} stands.
+ * A protocol as the assembly sees it: what makes the two sides between which an {@link RequestDispatcher} stands.
  *
  * @param <M> its requests
  * @param <A> its answers
  */
-public interface Protocol<M extends Message, A> {
+public interface Protocol<M extends ProtocolRequest, A> {
 
     /** Connections to endpoints, so many at most. */
-    Upstream<M, A> upstream(Shard shard, int mostConnections);
+    Upstream<M, A> upstream(EventLoopContext shard, int mostConnections);
 
     /** The side of the clients, with so many connections at most. */
-    Front front(Shard shard, Exchange<M, A> exchange, int mostConnections);
+    Downstream front(EventLoopContext shard, RequestDispatcher<M, A> exchange, int mostConnections);
 
     /**
      * Runs made-up requests through parts of its own, so that the code is loaded and compiled before clients
@@ -24,7 +24,7 @@
      * @param at the host's address on which it may listen meanwhile
      * @param scratch a file name that it may use
      */
-    void warmUp(Shard shard, InetAddress at, Path scratch, Runnable done);
+    void warmUp(EventLoopContext shard, InetAddress at, Path scratch, Runnable done);
 
     /** Connections beyond the most of a front that it takes in all the same, to refuse them in good order. */
     int overflow();
--- a/edge/src/main/java/lemonrail/exchange/Exchange.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -11,26 +11,26 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import lemonrail.core.Contract.Actions;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Events;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Load;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Request;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.State;
-import lemonrail.core.Decider;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.LoadBalancer;
+import lemonrail.core.balancer.LoadBalancerFactory;
+import lemonrail.core.balancer.LoadBalancerHost;
+import lemonrail.core.balancer.LoadReport;
+import lemonrail.core.balancer.Request;
+import lemonrail.core.balancer.RequestClass;
 import lemonrail.discovery.DiscoveryClient;
-import lemonrail.discovery.ServerList;
+import lemonrail.discovery.EndpointList;
 import lemonrail.logging.EventLog;
 import lemonrail.metrics.Metrics;
-import lemonrail.streaming.Budget;
-import lemonrail.streaming.Pipe;
-import lemonrail.suspension.Suspensions;
+import lemonrail.streaming.BodyPipe;
+import lemonrail.streaming.BufferBudget;
+import lemonrail.suspension.SuspendedEndpoints;
 import lemonrail.time.Clock;
 
 /**
@@ -41,7 +41,8 @@
  * @param <M> the protocol's requests
  * @param <A> the protocol's answers
  */
-public final class Exchange<M extends Message, A> implements Actions, DiscoveryClient.Listener {
+public final class RequestDispatcher<M extends ProtocolRequest, A>
+        implements LoadBalancerHost, DiscoveryClient.Listener {
 
     /** So long after its deadline a request that nothing has concluded fails. */
     private static final double OVERDUE_MS = 5;
@@ -59,20 +60,20 @@
         void tell(double now);
     }
 
-    private record Queued<M extends Message, A>(PendingRequest<M, A> open, Event event) {}
+    private record Queued<M extends ProtocolRequest, A>(PendingRequest<M, A> open, Event event) {}
 
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
     private final Upstream<M, A> endpoints;
     private final Metrics metrics;
-    private final Budget budget;
+    private final BufferBudget budget;
     /** Begins a watch on discovery. */
     private final Runnable watch;
 
-    private Settings settings;
-    private final Events module;
-    private final Suspensions suspensions;
+    private BalancerSettings settings;
+    private final LoadBalancer module;
+    private final SuspendedEndpoints suspensions;
     private final Map<String, PendingRequest<M, A>> table = new HashMap<>();
     /** Events wait here while the module is at work: it is never called from within its own call. */
     private final Deque<Queued<M, A>> events = new ArrayDeque<>();
@@ -88,13 +89,13 @@
      * @param known the list as it was last known, which may be old
      * @param watch begins a watch on discovery
      */
-    public Exchange(
-            Shard shard,
+    public RequestDispatcher(
+            EventLoopContext shard,
             Upstream<M, A> endpoints,
-            Suspensions suspensions,
-            Decider decider,
+            SuspendedEndpoints suspensions,
+            LoadBalancerFactory decider,
             long seed,
-            ServerList known,
+            EndpointList known,
             Runnable watch) {
         this.loop = shard.loop();
         this.clock = shard.clock();
@@ -106,7 +107,7 @@
         this.suspensions = suspensions;
         settings = shard.settings();
         module = decider.create(settings, seed, this);
-        tellList(ListKind.CACHED, known);
+        tellList(EndpointUpdateKind.CACHED, known);
         watch.run();
     }
 
@@ -116,17 +117,17 @@
     }
 
     /** The settings in force. */
-    public Settings settings() {
+    public BalancerSettings settings() {
         return settings;
     }
 
     /** Takes up settings that differ in what may change while requests are open; false if they can't be. */
-    public boolean settings(Settings changed) {
-        if (module.takesSettings()) {
+    public boolean settings(BalancerSettings changed) {
+        if (module.supportsSettingsUpdate()) {
             settings = changed;
             raise(null, now -> module.onSettings(now, changed));
         }
-        return module.takesSettings();
+        return module.supportsSettingsUpdate();
     }
 
     /** How many requests are open. */
@@ -142,15 +143,15 @@
     // ---- what happens ----
 
     /** A client has sent a request; it hears of the one final answer. */
-    public void request(Request request, M message, Client<A> client) {
+    public void request(Request request, M message, ResponseSink<A> client) {
         PendingRequest<M, A> open = new PendingRequest<>(clock.now(), clock.waitedMs(), request, message, client);
         table.put(request.id(), open);
         budget.take(message.heldBytes());
         if (!message.isComing()) {
             scheduleOverdue(open);
         }
-        Request told =
-                new Request(request.id(), request.requestClass(), request.tenant(), answerBy(open), request.resent());
+        Request told = new Request(
+                request.id(), request.requestClass(), request.tenant(), answerBy(open), request.retriedByClient());
         raise(open, now -> module.onRequest(now, told));
     }
 
@@ -164,7 +165,7 @@
     }
 
     private double allowanceMs(PendingRequest<M, A> open) {
-        return ReplyAllowance.ms(open.waitMs, clock.lag().recentMs());
+        return ResponseTimeReserve.ms(open.waitMs, clock.lag().recentMs());
     }
 
     /** The rest of a large body has come: the request's time counts from here. */
@@ -184,10 +185,10 @@
     public void clientGone(String id) {
         PendingRequest<M, A> open = table.get(id);
         if (open != null && open.stream != null) {
-            giveUp(open, open.stream, Outcome.CANCELED);
+            giveUp(open, open.stream, AttemptOutcome.CANCELED);
         } else if (open != null && !open.concluded) {
             conclude(open, "client_gone");
-            raise(open, now -> module.onClientGone(now, id));
+            raise(open, now -> module.onRequestCancelled(now, id));
             cancelUnwrittenAttempts(open);
         }
     }
@@ -196,7 +197,7 @@
     private void cancelUnwrittenAttempts(PendingRequest<M, A> open) {
         for (PendingAttempt made : List.copyOf(open.attempts)) {
             if (!made.ended && !made.attempt.mayHaveRun()) {
-                giveUp(open, made, Outcome.CANCELED);
+                giveUp(open, made, AttemptOutcome.CANCELED);
             }
         }
     }
@@ -213,7 +214,7 @@
     private void abandon(PendingRequest<M, A> open) {
         conclude(open, "abandoned");
         open.client.failed();
-        raise(open, now -> module.onClientGone(now, open.request.id()));
+        raise(open, now -> module.onRequestCancelled(now, open.request.id()));
         cancelUnwrittenAttempts(open);
     }
 
@@ -224,7 +225,7 @@
     public void end() {
         for (PendingRequest<M, A> open : List.copyOf(table.values())) {
             if (open.stream != null) {
-                giveUp(open, open.stream, Outcome.CANCELED);
+                giveUp(open, open.stream, AttemptOutcome.CANCELED);
             } else if (!open.concluded) {
                 abandon(open);
             }
@@ -232,27 +233,28 @@
     }
 
     @Override
-    public void listed(ServerList list) {
-        tellList(list.full() ? ListKind.FULL : ListKind.DELTA, list);
+    public void listed(EndpointList list) {
+        tellList(list.full() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list);
     }
 
-    private void tellList(ListKind kind, ServerList list) {
+    private void tellList(EndpointUpdateKind kind, EndpointList list) {
         listed |= !list.entries().isEmpty();
         endpoints.update(list);
-        List<Server> shown = suspensions.show(kind, list.servers());
+        List<Endpoint> shown = suspensions.show(kind, list.servers());
         limitAttemptsAtLeavingEndpoints(kind, shown);
-        raise(null, now -> module.onServers(now, kind, shown));
+        raise(null, now -> module.onEndpointUpdate(now, kind, shown));
     }
 
     /** Attempts that still wait for a connection to an endpoint that leaves have only so long to begin. */
-    private void limitAttemptsAtLeavingEndpoints(ListKind kind, List<Server> shown) {
-        Map<String, State> told = new HashMap<>();
+    private void limitAttemptsAtLeavingEndpoints(EndpointUpdateKind kind, List<Endpoint> shown) {
+        Map<String, EndpointState> told = new HashMap<>();
         shown.forEach(server -> told.put(server.id(), server.state()));
-        double before = clock.now() + DRAIN_SHARE * settings.rules().drainGraceMs();
+        double before = clock.now() + DRAIN_SHARE * settings.drain().graceMs();
         for (PendingRequest<M, A> open : table.values()) {
             for (PendingAttempt made : open.attempts) {
-                State state = told.getOrDefault(made.server, kind == ListKind.DELTA ? null : State.GONE);
-                if (state == State.READY) {
+                EndpointState state =
+                        told.getOrDefault(made.server, kind == EndpointUpdateKind.DELTA ? null : EndpointState.GONE);
+                if (state == EndpointState.READY) {
                     made.beginsBefore = Double.POSITIVE_INFINITY;
                 } else if (state != null) {
                     made.beginsBefore = Math.min(made.beginsBefore, before);
@@ -263,16 +265,16 @@
 
     /** Operators see these endpoints otherwise now: the module hears of them as of any news. */
     public void retell(Collection<String> ids) {
-        List<Server> shown = suspensions.shown(ids);
+        List<Endpoint> shown = suspensions.shown(ids);
         if (!shown.isEmpty()) {
-            limitAttemptsAtLeavingEndpoints(ListKind.DELTA, shown);
-            raise(null, now -> module.onServers(now, ListKind.DELTA, shown));
+            limitAttemptsAtLeavingEndpoints(EndpointUpdateKind.DELTA, shown);
+            raise(null, now -> module.onEndpointUpdate(now, EndpointUpdateKind.DELTA, shown));
         }
     }
 
     /** How many endpoints the module leaves out by its own choice. */
-    public int avoided() {
-        return module.avoided(clock.now());
+    public int ejectedEndpoints() {
+        return module.ejectedEndpoints(clock.now());
     }
 
     private void raise(PendingRequest<M, A> open, Event event) {
@@ -312,7 +314,7 @@
     // ---- what the module has done ----
 
     @Override
-    public void send(String id, String server, double timeoutMs) {
+    public void startAttempt(String id, String server, double timeoutMs) {
         PendingRequest<M, A> open = table.get(id);
         if (open == null) {
             log.trouble("attempt_unknown", "an attempt for a request that is not open", id, "request_id", id);
@@ -326,13 +328,13 @@
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
         if (open.concluded
                 || left <= 0
-                || open.attempts.size() > settings.limits().tries()) {
-            end(open, made, Outcome.IGNORED);
+                || open.attempts.size() > settings.limits().maxAttempts()) {
+            end(open, made, AttemptOutcome.IGNORED);
         } else if (wait <= 0) {
-            end(open, made, Outcome.TIMED_OUT);
+            end(open, made, AttemptOutcome.TIMED_OUT);
         } else {
             if (open.message.rest() == null) {
-                made.timeout = after(wait, () -> giveUp(open, made, Outcome.TIMED_OUT));
+                made.timeout = after(wait, () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
             } else {
                 made.timeout = after(UPLOAD_STALL_MS, () -> checkUploadProgress(open, made, 0));
             }
@@ -341,7 +343,7 @@
             } catch (RuntimeException e) {
                 // How far it came is not known, so it may have run; the module must hear of its end.
                 log.bug("sending failed", e);
-                end(open, made, Outcome.RESET);
+                end(open, made, AttemptOutcome.RESET);
             }
         }
     }
@@ -349,19 +351,19 @@
     /** Until when a repeat of a keyed request may be begun; the window counts from the first attempt. */
     private double repeatWindowEnds(PendingRequest<M, A> open, double now) {
         RequestClass kind = settings.classes().get(open.request.requestClass());
-        if (kind.effect() == Effect.BY_KEY && open.attempts.isEmpty()) {
-            open.windowEnds = now + kind.windowMs() * WINDOW_SHARE;
+        if (kind.idempotency() == Idempotency.KEYED && open.attempts.isEmpty()) {
+            open.windowEnds = now + kind.deduplicationWindowMs() * WINDOW_SHARE;
             return Double.POSITIVE_INFINITY;
         }
         return open.windowEnds;
     }
 
     /** Passes an answer on where it is the last word on its request. */
-    private void pass(PendingRequest<M, A> open, Outcome outcome, A answer) {
-        if (outcome == Outcome.OK) {
+    private void pass(PendingRequest<M, A> open, AttemptOutcome outcome, A answer) {
+        if (outcome == AttemptOutcome.OK) {
             conclude(open, "served");
             open.client.served(answer);
-        } else if (outcome == Outcome.IGNORED) {
+        } else if (outcome == AttemptOutcome.IGNORED) {
             conclude(open, "turned_away");
             open.client.turnedAway(answer);
         }
@@ -391,29 +393,29 @@
                 made.sentAt = clock.now();
                 made.connectMs = 0;
                 made.timeout.cancel(false);
-                made.timeout = after(waitMs, () -> giveUp(open, made, Outcome.TIMED_OUT));
+                made.timeout = after(waitMs, () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
             }
         }
 
         @Override
-        public void streaming(A beginning, Pipe body) {
+        public void streaming(A beginning, BodyPipe body) {
             made.timeout.cancel(false);
             made.firstBytesMs = clock.now() - made.sentAt;
             if (open.concluded) {
                 // Nobody waits for it any more, and more of it would only be thrown away.
                 body.close();
-                loop.execute(() -> giveUp(open, made, Outcome.CANCELED));
+                loop.execute(() -> giveUp(open, made, AttemptOutcome.CANCELED));
                 return;
             }
             conclude(open, "streaming");
             open.stream = made;
             made.timeout = after(ANSWER_STALL_MS, () -> checkAnswerProgress(open, made, body, 0));
-            raise(open, now -> module.onStreamStarted(now, open.request.id(), made.number));
+            raise(open, now -> module.onResponseStreamStarted(now, open.request.id(), made.number));
             open.client.streaming(beginning, body);
         }
 
         @Override
-        public void ended(Outcome outcome, A answer) {
+        public void ended(AttemptOutcome outcome, A answer) {
             try {
                 if (answer != null && !open.concluded) {
                     pass(open, outcome, answer);
@@ -426,9 +428,9 @@
 
     /** Gives up an endpoint that takes nothing of a large body, though there is more of it to take. */
     private void checkUploadProgress(PendingRequest<M, A> open, PendingAttempt made, long passedBefore) {
-        Pipe rest = open.message.rest();
+        BodyPipe rest = open.message.rest();
         if (rest.passed() == passedBefore && !rest.isDrained()) {
-            giveUp(open, made, Outcome.TIMED_OUT);
+            giveUp(open, made, AttemptOutcome.TIMED_OUT);
         } else {
             long passed = rest.passed();
             made.timeout = after(UPLOAD_STALL_MS, () -> checkUploadProgress(open, made, passed));
@@ -436,9 +438,9 @@
     }
 
     /** Gives up a large answer of which nothing moves: it is the endpoint's fault, or the client's. */
-    private void checkAnswerProgress(PendingRequest<M, A> open, PendingAttempt made, Pipe body, long passedBefore) {
+    private void checkAnswerProgress(PendingRequest<M, A> open, PendingAttempt made, BodyPipe body, long passedBefore) {
         if (body.passed() == passedBefore) {
-            giveUp(open, made, body.isDrained() ? Outcome.TIMED_OUT : Outcome.CANCELED);
+            giveUp(open, made, body.isDrained() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELED);
         } else {
             long passed = body.passed();
             made.timeout = after(ANSWER_STALL_MS, () -> checkAnswerProgress(open, made, body, passed));
@@ -446,16 +448,16 @@
     }
 
     /** Stops waiting for an attempt. One that was not written whole is known not to have run. */
-    private void giveUp(PendingRequest<M, A> open, PendingAttempt made, Outcome outcome) {
+    private void giveUp(PendingRequest<M, A> open, PendingAttempt made, AttemptOutcome outcome) {
         if (!made.ended) {
             // What this cuts of an answer leads back here by way of its client.
             open.stream = open.stream == made ? null : open.stream;
             boolean mayHaveRun = made.attempt.giveUp();
-            end(open, made, mayHaveRun || outcome == Outcome.CANCELED ? outcome : Outcome.CONNECT_ERROR);
+            end(open, made, mayHaveRun || outcome == AttemptOutcome.CANCELED ? outcome : AttemptOutcome.CONNECT_ERROR);
         }
     }
 
-    private void end(PendingRequest<M, A> open, PendingAttempt made, Outcome outcome) {
+    private void end(PendingRequest<M, A> open, PendingAttempt made, AttemptOutcome outcome) {
         if (made.ended) {
             return;
         }
@@ -485,9 +487,9 @@
         }
         raise(open, now -> {
             open.out--;
-            module.onFinished(
+            module.onAttemptFinished(
                     now,
-                    new Finished(
+                    new AttemptResult(
                             open.request.id(),
                             made.number,
                             made.server,
@@ -496,7 +498,7 @@
                             connect,
                             open.concluded,
                             open.message.isReplayable(),
-                            Load.NONE));
+                            LoadReport.NONE));
         });
     }
 
@@ -573,7 +575,7 @@
     }
 
     @Override
-    public void refuse(String id, double coolDownMs) {
+    public void reject(String id, double coolDownMs) {
         PendingRequest<M, A> open = table.get(id);
         if (open != null && !open.concluded) {
             conclude(open, "refused");
@@ -591,25 +593,25 @@
     }
 
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         PendingRequest<M, A> open = table.get(id);
         if (open != null && attempt < open.attempts.size()) {
-            giveUp(open, open.attempts.get(attempt), Outcome.CANCELED);
+            giveUp(open, open.attempts.get(attempt), AttemptOutcome.CANCELED);
         }
     }
 
     @Override
-    public void timer(double inMs, long name) {
+    public void startTimer(double inMs, long name) {
         after(inMs, () -> raise(null, now -> module.onTimer(now, name)));
     }
 
     @Override
-    public void disconnect(String server) {
+    public void closeIdleConnections(String server) {
         endpoints.disconnect(server);
     }
 
     @Override
-    public void subscribe() {
+    public void pollEndpoints() {
         watch.run();
     }
 
--- a/edge/src/main/java/lemonrail/exchange/Client.java
+++ b/edge/src/main/java/lemonrail/exchange/ResponseSink.java
@@ -1,19 +1,19 @@
 package lemonrail.exchange;
 
-import lemonrail.streaming.Pipe;
+import lemonrail.streaming.BodyPipe;
 
 /**
  * Where the final answer to a request goes; exactly one of these is called, once.
  *
  * @param <A> the protocol's answers
  */
-public interface Client<A> {
+public interface ResponseSink<A> {
 
     /** An endpoint has served the request. */
     void served(A answer);
 
     /** A large answer has begun, and its body comes through the pipe; no other answer follows. */
-    void streaming(A beginning, Pipe body);
+    void streaming(A beginning, BodyPipe body);
 
     /** An endpoint has turned the request away for what it is; no other would take it. */
     void turnedAway(A answer);
--- a/edge/src/main/java/lemonrail/exchange/ReplyAllowance.java
+++ b/edge/src/main/java/lemonrail/exchange/ResponseTimeReserve.java
@@ -4,7 +4,7 @@
  * How much of a client's time is kept for the final answer's way back: for the network, and for how late the
  * event loop may be when it gives an attempt up.
  */
-final class ReplyAllowance {
+final class ResponseTimeReserve {
 
     /** The part of a client's time that the network may take, and the least that is kept for it. */
     private static final double NETWORK_SHARE = 0.01;
@@ -13,7 +13,7 @@
     /** The part of a client's time that is kept at most. */
     private static final double MOST_SHARE = 0.25;
 
-    private ReplyAllowance() {}
+    private ResponseTimeReserve() {}
 
     /** The allowance, in milliseconds, of who waits so long, while the loop has been so late. */
     static double ms(double waitMs, double loopLateMs) {
--- a/edge/src/main/java/lemonrail/exchange/Upstream.java
+++ b/edge/src/main/java/lemonrail/exchange/Upstream.java
@@ -1,8 +1,8 @@
 package lemonrail.exchange;
 
-import lemonrail.core.Contract.Outcome;
-import lemonrail.discovery.ServerList;
-import lemonrail.streaming.Pipe;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.discovery.EndpointList;
+import lemonrail.streaming.BodyPipe;
 
 /**
  * A protocol's connections to endpoints: connects, writes attempts, and tells what comes of them. It decides
@@ -11,7 +11,7 @@
  * @param <M> the protocol's requests
  * @param <A> the protocol's answers
  */
-public interface Upstream<M extends Message, A> {
+public interface Upstream<M extends ProtocolRequest, A> {
 
     /** One request on its way to an endpoint. */
     interface Attempt {
@@ -38,17 +38,17 @@
         void written();
 
         /** A large answer has begun, and its body comes through the pipe; {@link #ended} is still to come. */
-        void streaming(A beginning, Pipe body);
+        void streaming(A beginning, BodyPipe body);
 
         /**
-         * It is over; told once. The answer is null where none came whole; with {@link Outcome#IGNORED} it is
+         * It is over; told once. The answer is null where none came whole; with {@link AttemptOutcome#IGNORED} it is
          * the word by which an endpoint turned the request away for what it is.
          */
-        void ended(Outcome outcome, A answer);
+        void ended(AttemptOutcome outcome, A answer);
     }
 
     /** Takes in where endpoints listen. */
-    void update(ServerList list);
+    void update(EndpointList list);
 
     /** Sends a request once, to be waited for so long in milliseconds. It may end before this returns. */
     Attempt send(String server, M message, double waitMs, Ending<A> ending);
--- a/edge/src/main/java/lemonrail/http1/ClientConnection.java
+++ b/edge/src/main/java/lemonrail/http1/ClientConnection.java
@@ -33,12 +33,12 @@
     private static final Refusal TWICE =
             new Refusal(HttpResponseStatus.CONFLICT, "X-Request-Id is that of a request in hand");
 
-    private final Frontend frontend;
+    private final HttpServer frontend;
     private final AcceptedSocket channel;
-    private final ClientGuard guard;
+    private final ClientTimeoutHandler guard;
     private final RequestReader reader;
     /** In the order of the requests, which is the order that HTTP asks answers to be in. */
-    private final Deque<ClientReply> replies = new ArrayDeque<>();
+    private final Deque<PendingResponse> replies = new ArrayDeque<>();
     /** There was no room for it: it is told to come back later, unless there is when it asks. */
     private boolean surplus;
 
@@ -57,16 +57,16 @@
     /** The answer whose body is being passed on, and by what. */
     private PipeWriter writer;
     /** The request whose body is still coming, if that has been taken up already. */
-    private ClientReply uploading;
+    private PendingResponse uploading;
     /** The far side of that body takes no more for now. */
     private boolean farFull;
 
     private boolean continueOwed;
 
-    ClientConnection(Frontend frontend, AcceptedSocket channel) {
+    ClientConnection(HttpServer frontend, AcceptedSocket channel) {
         this.frontend = frontend;
         this.channel = channel;
-        guard = new ClientGuard(channel, frontend.clock());
+        guard = new ClientTimeoutHandler(channel, frontend.clock());
         reader = new RequestReader(frontend.budget(), this::readBody);
         quietSince = frontend.clock().now();
     }
@@ -173,7 +173,7 @@
             bodyWhole();
         } else if (uploading != null && message instanceof Refusal refusal) {
             // What has come of its body is no use any more, to the module and to endpoints either.
-            ClientReply cut = uploading;
+            PendingResponse cut = uploading;
             frontend.refused(refusal);
             if (cut.openId() != null) {
                 frontend.exchange().clientGone(cut.openId());
@@ -185,7 +185,7 @@
     }
 
     private void begin(Object message) {
-        ClientReply reply = new ClientReply(this, frontend.metrics());
+        PendingResponse reply = new PendingResponse(this, frontend.metrics());
         replies.add(reply);
         continueOwed = false;
         frontend.connections().asked(this);
@@ -206,7 +206,7 @@
     }
 
     private void bodyWhole() {
-        ClientReply whole = uploading;
+        PendingResponse whole = uploading;
         uploading = null;
         farFull = false;
         guard.requestTaken();
@@ -224,7 +224,7 @@
         updateAutoRead();
     }
 
-    private void take(ClientReply reply, Incoming request) {
+    private void take(PendingResponse reply, Incoming request) {
         HttpRequest head = request.head();
         reply.keepAlive(HttpUtil.isKeepAlive(head));
         int query = head.uri().indexOf('?');
@@ -238,8 +238,8 @@
         }
     }
 
-    private void api(ClientReply reply, Incoming request) {
-        RequestHeads heads = frontend.heads();
+    private void api(PendingResponse reply, Incoming request) {
+        RequestHeadMapper heads = frontend.heads();
         reply.ofClass(heads.requestClass(request.head()));
         if (request.rest() == null) {
             reply.taken();
@@ -249,7 +249,7 @@
             reply.giveUp(refusal);
             return;
         }
-        RequestHeads.Told told = heads.told(request.head());
+        RequestHeadMapper.Told told = heads.told(request.head());
         if (frontend.exchange().has(told.id())) {
             reply.giveUp(TWICE);
         } else if (surplus && frontend.connections().excess() > 0) {
@@ -264,7 +264,7 @@
 
     private static RequestMessage message(Incoming request) {
         HttpRequest head = request.head();
-        HttpHeaders headers = RequestHeads.endToEnd(head);
+        HttpHeaders headers = RequestHeadMapper.endToEnd(head);
         if (request.rest() == null && request.body().length > 0) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
         } else if (request.rest() != null && !HttpUtil.isContentLengthSet(head)) {
@@ -316,7 +316,7 @@
         updateAutoRead();
     }
 
-    private void write(ClientReply reply) {
+    private void write(PendingResponse reply) {
         boolean last = reply.isLast() || (frontend.letsGo(this) && replies.size() == 1);
         if (uploading == reply) {
             // Its client still sends what nobody needs any more, and would go on with it.
@@ -347,7 +347,7 @@
     }
 
     /** An answer has been handed to the connection whole. */
-    private void written(ClientReply reply, boolean last, ChannelFuture written) {
+    private void written(PendingResponse reply, boolean last, ChannelFuture written) {
         replies.poll();
         unwritten++;
         written.addListener(done -> {
@@ -371,10 +371,10 @@
 
     /** What becomes of an answer that is passed on as it comes. */
     private final class Streamed implements PipeWriter.Ending {
-        private final ClientReply reply;
+        private final PendingResponse reply;
         private final boolean last;
 
-        Streamed(ClientReply reply, boolean last) {
+        Streamed(PendingResponse reply, boolean last) {
             this.reply = reply;
             this.last = last;
         }
@@ -399,10 +399,10 @@
 
     /** The connection says no more: what else was asked on it has nobody to answer to. */
     private void drop() {
-        List<ClientReply> left = List.copyOf(replies);
+        List<PendingResponse> left = List.copyOf(replies);
         replies.clear();
         frontend.connections().dropped(this);
-        for (ClientReply reply : left) {
+        for (PendingResponse reply : left) {
             reply.ended(false);
             String open = reply.openId();
             if (reply.body() != null) {
--- a/edge/src/main/java/lemonrail/http1/ConnectionTable.java
+++ b/edge/src/main/java/lemonrail/http1/ClientConnectionTable.java
@@ -14,12 +14,12 @@
  * to a fixed share of them is reserved for returning clients, first come, first served: however many others
  * connect and ask, they compete for the rest only, and there each gets one request at a time.
  */
-final class ConnectionTable {
+final class ClientConnectionTable {
 
     /** One of so many connections may be reserved. */
     private static final int RESERVED_PART = 2;
     /** What has been still for so long is not about to ask. */
-    private static final int SETTLED_MS = Frontend.QUIET_MS;
+    private static final int SETTLED_MS = HttpServer.QUIET_MS;
 
     private final Clock clock;
     private final Set<ClientConnection> open = new LinkedHashSet<>();
@@ -32,7 +32,7 @@
 
     private int most;
 
-    ConnectionTable(Clock clock, int most) {
+    ClientConnectionTable(Clock clock, int most) {
         this.clock = clock;
         this.most = most;
     }
--- a/edge/src/main/java/lemonrail/http1/ClientGuard.java
+++ b/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
@@ -15,7 +15,7 @@
  * request, and what is read of it once it has nothing more to say. A body may take as long as it needs at a
  * slow line's pace; time in which the sidecar itself does not read counts for nothing.
  */
-final class ClientGuard extends ChannelInboundHandlerAdapter {
+final class ClientTimeoutHandler extends ChannelInboundHandlerAdapter {
 
     /** Fired when a request has begun and has not become whole in time. */
     static final Object LATE = new Object();
@@ -74,7 +74,7 @@
     /** When something last came. */
     private double lastReadAt;
 
-    ClientGuard(AcceptedSocket channel, Clock clock) {
+    ClientTimeoutHandler(AcceptedSocket channel, Clock clock) {
         this.channel = channel;
         this.clock = clock;
         lastReadAt = clock.now();
@@ -296,7 +296,7 @@
 
     /** The rest of a body that its request no longer needs may still come before the connection is cut. */
     void allowRestOfBody() {
-        mostDiscardedBytes = AnswerReader.MOST_BODY_BYTES;
+        mostDiscardedBytes = ResponseReader.MOST_BODY_BYTES;
         mostLingerMs = MOST_LINGER_MS;
     }
 
