--- a/edge/src/main/java/lemonrail/http1/Frontend.java
+++ b/edge/src/main/java/lemonrail/http1/HttpServer.java
@@ -10,21 +10,21 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import lemonrail.core.Contract.Request;
-import lemonrail.exchange.Exchange;
-import lemonrail.exchange.Front;
-import lemonrail.exchange.Shard;
+import lemonrail.core.balancer.Request;
+import lemonrail.exchange.Downstream;
+import lemonrail.exchange.EventLoopContext;
+import lemonrail.exchange.RequestDispatcher;
 import lemonrail.lifecycle.Lifecycle;
 import lemonrail.logging.EventLog;
 import lemonrail.metrics.Metrics;
 import lemonrail.net.Sockets;
-import lemonrail.streaming.Budget;
+import lemonrail.streaming.BufferBudget;
 import lemonrail.time.Clock;
 import lemonrail.upgrade.AcceptedSocket;
 import lemonrail.upgrade.SharedListener;
 
 /** The listener for clients: which connections there are, which make room, and when they are let go. */
-final class Frontend implements Front {
+final class HttpServer implements Downstream {
 
     private static final int BACKLOG = 1024;
     /** So long after a drain's start the front has surely noticed. */
@@ -39,12 +39,12 @@
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
-    private final Exchange<RequestMessage, Answer> exchange;
+    private final RequestDispatcher<RequestMessage, UpstreamResponse> exchange;
     private final Lifecycle lifecycle;
     private final Metrics metrics;
-    private final Budget budget;
-    private final RequestHeads heads;
-    private final ConnectionTable connections;
+    private final BufferBudget budget;
+    private final RequestHeadMapper heads;
+    private final ClientConnectionTable connections;
     private SharedListener listener;
     /** Each answer is the last on its connection. */
     private boolean leaving;
@@ -52,7 +52,7 @@
     private Future<?> sweeping;
     private double endsAt = Double.POSITIVE_INFINITY;
 
-    Frontend(Shard shard, Exchange<RequestMessage, Answer> exchange, int most) {
+    HttpServer(EventLoopContext shard, RequestDispatcher<RequestMessage, UpstreamResponse> exchange, int most) {
         loop = shard.loop();
         clock = shard.clock();
         log = shard.log().in("http1");
@@ -60,8 +60,8 @@
         metrics = shard.metrics();
         budget = shard.budget();
         this.exchange = exchange;
-        connections = new ConnectionTable(clock, most);
-        heads = new RequestHeads(shard.settings(), exchange::settings);
+        connections = new ClientConnectionTable(clock, most);
+        heads = new RequestHeadMapper(shard.settings(), exchange::settings);
     }
 
     @Override
@@ -79,7 +79,7 @@
                 .childHandler(new ChannelInitializer<AcceptedSocket>() {
                     @Override
                     protected void initChannel(AcceptedSocket accepted) {
-                        new ClientConnection(Frontend.this, accepted).addTo(accepted.pipeline());
+                        new ClientConnection(HttpServer.this, accepted).addTo(accepted.pipeline());
                     }
                 })
                 .bind(address);
@@ -194,15 +194,15 @@
         return metrics;
     }
 
-    Budget budget() {
+    BufferBudget budget() {
         return budget;
     }
 
-    Exchange<RequestMessage, Answer> exchange() {
+    RequestDispatcher<RequestMessage, UpstreamResponse> exchange() {
         return exchange;
     }
 
-    RequestHeads heads() {
+    RequestHeadMapper heads() {
         return heads;
     }
 
@@ -212,7 +212,7 @@
     }
 
     /** What a request asks for that came no earlier than this: its client waits from when it was sent. */
-    Request request(RequestHeads.Told told, double arrivedAt) {
+    Request request(RequestHeadMapper.Told told, double arrivedAt) {
         return new Request(
                 told.id(),
                 told.requestClass(),
@@ -234,7 +234,7 @@
     }
 
     /** Which connections there are, and which of them make room for others. */
-    ConnectionTable connections() {
+    ClientConnectionTable connections() {
         return connections;
     }
 
--- a/edge/src/main/java/lemonrail/http1/ClientReply.java
+++ b/edge/src/main/java/lemonrail/http1/PendingResponse.java
@@ -12,12 +12,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
-import lemonrail.exchange.Client;
+import lemonrail.exchange.ResponseSink;
 import lemonrail.metrics.Metrics;
-import lemonrail.streaming.Pipe;
+import lemonrail.streaming.BodyPipe;
 
 /** The answer that one request on a client's connection will get, and its place in the figures. */
-final class ClientReply implements Client<Answer> {
+final class PendingResponse implements ResponseSink<UpstreamResponse> {
 
     /** Seconds are told to the millisecond. */
     private static final int MS_DIGITS = 3;
@@ -28,13 +28,13 @@
     private boolean keepAlive;
     private HttpResponse response;
     /** The body of an answer that is passed on as it comes, else null. */
-    private Pipe body;
+    private BodyPipe body;
 
     private boolean ended;
     private boolean counted;
-    private int requestClass = RequestHeads.NO_CLASS;
+    private int requestClass = RequestHeadMapper.NO_CLASS;
 
-    ClientReply(ClientConnection connection, Metrics metrics) {
+    PendingResponse(ClientConnection connection, Metrics metrics) {
         this.connection = connection;
         this.metrics = metrics;
     }
@@ -46,7 +46,7 @@
 
     /** The request has come whole: from here on it is in hand. */
     void taken() {
-        if (requestClass != RequestHeads.NO_CLASS && !ended && !counted) {
+        if (requestClass != RequestHeadMapper.NO_CLASS && !ended && !counted) {
             counted = true;
             metrics.taken();
         }
@@ -70,7 +70,7 @@
         if (counted) {
             metrics.ended();
         }
-        if (as != null && requestClass != RequestHeads.NO_CLASS) {
+        if (as != null && requestClass != RequestHeadMapper.NO_CLASS) {
             metrics.replied(requestClass, as);
         }
     }
@@ -108,12 +108,12 @@
     }
 
     /** The body that follows the answer's head, or null where the answer is whole. */
-    Pipe body() {
+    BodyPipe body() {
         return body;
     }
 
     @Override
-    public void served(Answer answer) {
+    public void served(UpstreamResponse answer) {
         FullHttpResponse served = response(HttpResponseStatus.OK, Unpooled.wrappedBuffer(answer.body()));
         if (answer.contentType() != null) {
             served.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public void streaming(Answer beginning, Pipe rest) {
+    public void streaming(UpstreamResponse beginning, BodyPipe rest) {
         HttpResponse begun = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (beginning.length() >= 0) {
             begun.headers().set(HttpHeaderNames.CONTENT_LENGTH, beginning.length());
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void turnedAway(Answer answer) {
+    public void turnedAway(UpstreamResponse answer) {
         giveUp(new RequestReader.Refusal(HttpResponseStatus.valueOf(answer.status()), "turned away"));
     }
 
--- a/edge/src/main/java/lemonrail/http1/PipeWriter.java
+++ b/edge/src/main/java/lemonrail/http1/PipeWriter.java
@@ -5,10 +5,10 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.LastHttpContent;
-import lemonrail.streaming.Pipe;
+import lemonrail.streaming.BodyPipe;
 
 /** Writes a body to a connection as fast as its far end takes it; the message's head has been written. */
-public final class PipeWriter implements Pipe.Far {
+public final class PipeWriter implements BodyPipe.Far {
 
     /** What becomes of the body; exactly one is called, once, unless the writer is stopped before. */
     public interface Ending {
@@ -20,7 +20,7 @@
     }
 
     private final Channel channel;
-    private final Pipe pipe;
+    private final BodyPipe pipe;
     private final Ending ending;
     private boolean over;
     /** It is writing, and was called upon meanwhile. */
@@ -28,8 +28,8 @@
 
     private boolean again;
 
-    /** A writer to this channel; {@link Pipe#to} starts it. */
-    public PipeWriter(Channel channel, Pipe pipe, Ending ending) {
+    /** A writer to this channel; {@link BodyPipe#to} starts it. */
+    public PipeWriter(Channel channel, BodyPipe pipe, Ending ending) {
         this.channel = channel;
         this.pipe = pipe;
         this.ending = ending;
--- a/edge/src/main/java/lemonrail/http1/RequestHeads.java
+++ b/edge/src/main/java/lemonrail/http1/RequestHeadMapper.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Settings;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.RequestClass;
 import lemonrail.http1.RequestReader.Refusal;
 
 /** What the head of a request says to the decision module, or why it says nothing that can be served. */
-final class RequestHeads {
+final class RequestHeadMapper {
 
     static final String DEADLINE = "X-Deadline-Ms";
     /** What stands for a class that the settings don't have. */
@@ -41,10 +41,10 @@
 
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Integer> tenants = new HashMap<>();
-    private final Supplier<Settings> inForce;
+    private final Supplier<BalancerSettings> inForce;
 
     /** Reads heads by the names of these settings, and by the times of those that are in force. */
-    RequestHeads(Settings settings, Supplier<Settings> inForce) {
+    RequestHeadMapper(BalancerSettings settings, Supplier<BalancerSettings> inForce) {
         this.inForce = inForce;
         List<RequestClass> kinds = settings.classes();
         for (int i = 0; i < kinds.size(); i++) {
--- a/edge/src/main/java/lemonrail/http1/RequestMessage.java
+++ b/edge/src/main/java/lemonrail/http1/RequestMessage.java
@@ -9,8 +9,8 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
-import lemonrail.exchange.Message;
-import lemonrail.streaming.Pipe;
+import lemonrail.exchange.ProtocolRequest;
+import lemonrail.streaming.BodyPipe;
 
 /**
  * A request as it is passed on.
@@ -19,8 +19,8 @@
  * @param body all of it, or the first part where the rest follows
  * @param rest what follows, or null
  */
-public record RequestMessage(HttpMethod method, String uri, HttpHeaders headers, byte[] body, Pipe rest)
-        implements Message {
+public record RequestMessage(HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyPipe rest)
+        implements ProtocolRequest {
 
     @Override
     public int heldBytes() {
@@ -44,6 +44,6 @@
     }
 
     private HttpHeaders told(double waitMs) {
-        return headers.copy().set(RequestHeads.DEADLINE, (long) Math.ceil(waitMs));
+        return headers.copy().set(RequestHeadMapper.DEADLINE, (long) Math.ceil(waitMs));
     }
 }
--- a/edge/src/main/java/lemonrail/http1/RequestReader.java
+++ b/edge/src/main/java/lemonrail/http1/RequestReader.java
@@ -18,8 +18,8 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 import io.netty.util.ReferenceCountUtil;
 import java.util.List;
-import lemonrail.streaming.Budget;
-import lemonrail.streaming.Pipe;
+import lemonrail.streaming.BodyPipe;
+import lemonrail.streaming.BufferBudget;
 
 /**
  * Makes requests of what the decoder has read: whole ones, or such as have outgrown what is held and whose
@@ -44,17 +44,17 @@
     record Refusal(HttpResponseStatus status, String why) {}
 
     /** A request: the first part of its body, and the rest where it is large, else null. */
-    record Incoming(HttpRequest head, byte[] body, Pipe rest) {}
+    record Incoming(HttpRequest head, byte[] body, BodyPipe rest) {}
 
-    private final Budget budget;
-    private final Pipe.Near near;
+    private final BufferBudget budget;
+    private final BodyPipe.Near near;
     private HttpRequest head;
     private ByteBuf body;
-    private Pipe rest;
+    private BodyPipe rest;
     private long received;
     private boolean over;
 
-    RequestReader(Budget budget, Pipe.Near near) {
+    RequestReader(BufferBudget budget, BodyPipe.Near near) {
         this.budget = budget;
         this.near = near;
     }
@@ -94,13 +94,13 @@
                         || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0)))) {
             // Where it is not plain where a body ends, another request may hide in it.
             refuse(ctx, new Refusal(HttpResponseStatus.BAD_REQUEST, "ambiguous framing"));
-        } else if (HttpUtil.getContentLength(begun, 0L) > AnswerReader.MOST_BODY_BYTES) {
+        } else if (HttpUtil.getContentLength(begun, 0L) > ResponseReader.MOST_BODY_BYTES) {
             refuse(ctx, tooLarge());
         } else if (expected != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
             refuse(ctx, new Refusal(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation"));
         } else {
             head = begun;
-            body = Unpooled.buffer(0, AnswerReader.MOST_HELD_BYTES);
+            body = Unpooled.buffer(0, ResponseReader.MOST_HELD_BYTES);
             received = 0;
             ctx.fireUserEventTriggered(expected == null ? HEAD_WHOLE : EXPECTS);
         }
@@ -113,7 +113,7 @@
     private void take(ChannelHandlerContext ctx, HttpContent content) {
         int bytes = content.content().readableBytes();
         received += bytes;
-        if (received > AnswerReader.MOST_BODY_BYTES) {
+        if (received > ResponseReader.MOST_BODY_BYTES) {
             refuse(ctx, tooLarge());
             return;
         }
@@ -140,7 +140,7 @@
 
     /** The body is larger than what is held of one: the request goes its way, and the rest follows. */
     private void outgrow(ChannelHandlerContext ctx) {
-        rest = new Pipe(budget, near);
+        rest = new BodyPipe(budget, near);
         ctx.fireChannelRead(new Incoming(head, takeBody(), rest));
     }
 
@@ -162,7 +162,7 @@
         // No more is taken after a request that says it is the last.
         over = !HttpUtil.isKeepAlive(head);
         HttpRequest done = head;
-        Pipe passed = rest;
+        BodyPipe passed = rest;
         head = null;
         rest = null;
         if (passed == null) {
@@ -187,7 +187,7 @@
         dropBody();
         head = null;
         if (rest != null) {
-            Pipe cut = rest;
+            BodyPipe cut = rest;
             rest = null;
             cut.fail();
         }
@@ -202,12 +202,12 @@
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event != ClientGuard.LATE && event != ClientGuard.FLOOD) {
+        if (event != ClientTimeoutHandler.LATE && event != ClientTimeoutHandler.FLOOD) {
             ctx.fireUserEventTriggered(event);
         } else if (!over) {
             refuse(
                     ctx,
-                    event == ClientGuard.FLOOD
+                    event == ClientTimeoutHandler.FLOOD
                             ? TOO_MANY
                             : new Refusal(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time"));
         }
--- a/edge/src/main/java/lemonrail/http1/AnswerReader.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseReader.java
@@ -18,14 +18,14 @@
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import lemonrail.streaming.Pipe;
+import lemonrail.streaming.BodyPipe;
 
 /**
  * Reads the one answer that a connection to an endpoint waits for. A small one is told once all that has come
  * with it is read, so that bytes that don't belong to it are never taken for the next one; until then it can
  * be thrown away without a trace. A large one is passed on as it comes.
  */
-final class AnswerReader extends ChannelInboundHandlerAdapter {
+final class ResponseReader extends ChannelInboundHandlerAdapter {
 
     /** The largest body, either way, that is held whole. */
     static final int MOST_HELD_BYTES = 64 * 1024;
@@ -39,10 +39,10 @@
     /** What comes of it. */
     interface Listener {
         /** The answer is whole; {@code clean} if nothing came with it, so that the connection may go on. */
-        void answered(Answer answer, boolean clean);
+        void answered(UpstreamResponse answer, boolean clean);
 
         /** A large answer has begun; returns where its body goes. */
-        Pipe streaming(Answer beginning);
+        BodyPipe streaming(UpstreamResponse beginning);
 
         /** The large answer is whole; {@code clean} if the connection may go on. */
         void streamed(boolean clean);
@@ -102,9 +102,9 @@
     private HttpResponse head;
     private ByteBuf body;
     private int interim;
-    private Answer whole;
+    private UpstreamResponse whole;
     /** Where a large answer goes, how much of it has, and whether that was all. */
-    private Pipe pipe;
+    private BodyPipe pipe;
 
     private long passed;
     private boolean passedWhole;
@@ -112,7 +112,7 @@
     /** More has come with the answer than belongs to it. */
     private boolean more;
 
-    AnswerReader(Listener listener) {
+    ResponseReader(Listener listener) {
         this.listener = listener;
     }
 
@@ -275,8 +275,8 @@
         }
     }
 
-    private Answer answer(byte[] content) {
-        return new Answer(
+    private UpstreamResponse answer(byte[] content) {
+        return new UpstreamResponse(
                 head.status().code(),
                 "1".equals(head.headers().get("X-Not-Run")),
                 HttpUtil.isKeepAlive(head),
@@ -305,7 +305,7 @@
         if (!isWhole()) {
             return;
         }
-        Answer answer = whole;
+        UpstreamResponse answer = whole;
         boolean clean = !more && !decoder.holdsBytes();
         whole = null;
         pipe = null;
--- a/edge/src/main/java/lemonrail/http1/EndpointPool.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
@@ -21,20 +21,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.State;
-import lemonrail.discovery.ServerList;
-import lemonrail.exchange.Shard;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.discovery.EndpointList;
+import lemonrail.exchange.EventLoopContext;
 import lemonrail.exchange.Upstream;
 import lemonrail.logging.EventLog;
 import lemonrail.metrics.Metrics;
 import lemonrail.net.Sockets;
-import lemonrail.streaming.Budget;
-import lemonrail.streaming.Pipe;
+import lemonrail.streaming.BodyPipe;
+import lemonrail.streaming.BufferBudget;
 import lemonrail.time.Clock;
 
 /** The connections to each endpoint: one request at a time on each, kept alive, bounded in all. */
-final class EndpointPool implements Upstream<RequestMessage, Answer> {
+final class UpstreamConnectionPool implements Upstream<RequestMessage, UpstreamResponse> {
 
     /** An idle connection is closed at this part of the time after which the endpoint may close it. */
     private static final double IDLE_SHARE = 0.5;
@@ -55,12 +55,12 @@
         /** When it stops being waited for, unless its body takes longer to send. */
         private final double endsAt;
 
-        private Upstream.Ending<Answer> ending;
+        private Upstream.Ending<UpstreamResponse> ending;
         private Connection connection;
         /** Tells when the last byte has been handed to the network: from then on the request may have run. */
         private Future<?> lastByte;
 
-        private OneAttempt(RequestMessage request, double waitMs, Upstream.Ending<Answer> ending) {
+        private OneAttempt(RequestMessage request, double waitMs, Upstream.Ending<UpstreamResponse> ending) {
             this.request = request;
             this.waitMs = waitMs;
             endsAt = clock.now() + waitMs;
@@ -84,8 +84,8 @@
             return mayHaveRun();
         }
 
-        private void end(Outcome outcome, Answer answer) {
-            Upstream.Ending<Answer> told = ending;
+        private void end(AttemptOutcome outcome, UpstreamResponse answer) {
+            Upstream.Ending<UpstreamResponse> told = ending;
             ending = null;
             if (told != null) {
                 told.ended(outcome, answer);
@@ -109,7 +109,7 @@
     private final Bootstrap bootstrap;
     private final double idleMs;
     private final Metrics metrics;
-    private final Budget budget;
+    private final BufferBudget budget;
     private int most;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     /** Whose an address is. */
@@ -120,7 +120,7 @@
     private final Future<?> sweeping;
     private int open;
 
-    EndpointPool(Shard shard, int most) {
+    UpstreamConnectionPool(EventLoopContext shard, int most) {
         clock = shard.clock();
         log = shard.log().in("http1");
         metrics = shard.metrics();
@@ -142,7 +142,7 @@
 
     /** Takes in where endpoints listen; connections to a process or address that is no more are dropped. */
     @Override
-    public void update(ServerList list) {
+    public void update(EndpointList list) {
         if (list.full()) {
             Set<String> named = new HashSet<>();
             list.entries().forEach(entry -> named.add(entry.server().id()));
@@ -152,9 +152,9 @@
                 }
             }
         }
-        for (ServerList.Entry entry : list.entries()) {
+        for (EndpointList.Entry entry : list.entries()) {
             String id = entry.server().id();
-            if (entry.server().state() == State.GONE) {
+            if (entry.server().state() == EndpointState.GONE) {
                 forget(id);
                 continue;
             }
@@ -226,7 +226,8 @@
     }
 
     @Override
-    public Upstream.Attempt send(String id, RequestMessage request, double waitMs, Upstream.Ending<Answer> ending) {
+    public Upstream.Attempt send(
+            String id, RequestMessage request, double waitMs, Upstream.Ending<UpstreamResponse> ending) {
         OneAttempt attempt = new OneAttempt(request, waitMs, ending);
         Endpoint endpoint = endpoints.get(id);
         closeStale();
@@ -264,7 +265,7 @@
 
     private void refuse(OneAttempt attempt, String id, String why) {
         log.trouble("no_connection", "no connection", why, "endpoint", id);
-        attempt.end(Outcome.CONNECT_ERROR, null);
+        attempt.end(AttemptOutcome.CONNECT_ERROR, null);
     }
 
     private boolean hasRoom() {
@@ -294,19 +295,19 @@
     @Override
     public void close() {
         sweeping.cancel(false);
-        endpoints.values().forEach(EndpointPool::closeAll);
+        endpoints.values().forEach(UpstreamConnectionPool::closeAll);
     }
 
-    private final class Connection implements AnswerReader.Listener {
+    private final class Connection implements ResponseReader.Listener {
         private final Endpoint endpoint;
         private final int generation;
-        private final AnswerReader reader = new AnswerReader(this);
+        private final ResponseReader reader = new ResponseReader(this);
         private EndpointSocket channel;
         private OneAttempt attempt;
         /** What writes the rest of a large request, and where a large answer goes; else null. */
         private PipeWriter writer;
 
-        private Pipe answer;
+        private BodyPipe answer;
         private double idleSince;
 
         Connection(Endpoint endpoint) {
@@ -410,10 +411,10 @@
             OneAttempt ended = attempt;
             attempt = null;
             stopWriting();
-            Pipe cut = answer;
+            BodyPipe cut = answer;
             answer = null;
             if (ended != null) {
-                ended.end(ended.mayHaveRun() ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
+                ended.end(ended.mayHaveRun() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
             }
             if (cut != null) {
                 cut.fail();
@@ -428,18 +429,18 @@
         }
 
         @Override
-        public void answered(Answer whole, boolean clean) {
+        public void answered(UpstreamResponse whole, boolean clean) {
             OneAttempt ended = release(clean && whole.keepAlive());
             if (ended != null) {
-                Outcome outcome = outcome(whole);
+                AttemptOutcome outcome = outcome(whole);
                 // Served, though its request was never whole: whatever that is, it is no answer.
-                ended.end(outcome == Outcome.OK && !ended.mayHaveRun() ? Outcome.RESET : outcome, whole);
+                ended.end(outcome == AttemptOutcome.OK && !ended.mayHaveRun() ? AttemptOutcome.RESET : outcome, whole);
             }
         }
 
         @Override
-        public Pipe streaming(Answer beginning) {
-            answer = new Pipe(budget, on -> channel.config().setAutoRead(on));
+        public BodyPipe streaming(UpstreamResponse beginning) {
+            answer = new BodyPipe(budget, on -> channel.config().setAutoRead(on));
             if (attempt != null && attempt.ending != null && attempt.mayHaveRun()) {
                 attempt.ending.streaming(beginning, answer);
             } else {
@@ -454,7 +455,7 @@
             answer = null;
             OneAttempt ended = release(clean);
             if (ended != null) {
-                ended.end(Outcome.OK, null);
+                ended.end(AttemptOutcome.OK, null);
             }
         }
 
@@ -502,15 +503,15 @@
         }
     }
 
-    private static Outcome outcome(Answer answer) {
+    private static AttemptOutcome outcome(UpstreamResponse answer) {
         int status = answer.status();
         if (status == 200) {
-            return Outcome.OK;
+            return AttemptOutcome.OK;
         }
         if ((status == 503 || status == 504) && answer.notRun()) {
-            return Outcome.QUEUE_FULL;
+            return AttemptOutcome.QUEUE_FULL;
         }
         // The request was turned away for what it is, which says nothing of the endpoint.
-        return status >= 400 && status < 500 ? Outcome.IGNORED : Outcome.FAILED;
+        return status >= 400 && status < 500 ? AttemptOutcome.IGNORED : AttemptOutcome.FAILED;
     }
 }
--- a/edge/src/main/java/lemonrail/http1/Answer.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamResponse.java
@@ -9,4 +9,5 @@
  * @param length of the body, -1 where that is not told ahead
  * @param body the body, empty where it is passed on as it comes
  */
-public record Answer(int status, boolean notRun, boolean keepAlive, String contentType, long length, byte[] body) {}
+public record UpstreamResponse(
+        int status, boolean notRun, boolean keepAlive, String contentType, long length, byte[] body) {}
--- a/edge/src/main/java/lemonrail/http1/WarmupRound.java
+++ b/edge/src/main/java/lemonrail/http1/WarmUpRequest.java
@@ -11,7 +11,7 @@
  * What becomes of a made-up request of the {@link Warmup}: the ways on which requests, attempts and answers
  * go in service. Its name is in the request's query, by which the endpoint of the warm-up knows it.
  */
-enum WarmupRound {
+enum WarmUpRequest {
 
     /** Answered at once, with its length told. */
     PLAIN,
@@ -40,7 +40,7 @@
     static final byte LAST = '~';
 
     private static final String BODY = "warm-up".repeat(16) + (char) LAST;
-    private static final int TOO_MANY = AnswerReader.MOST_HELD_BYTES + 1;
+    private static final int TOO_MANY = ResponseReader.MOST_HELD_BYTES + 1;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
     private static final String NOT_RUN =
             "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
--- a/edge/src/main/java/lemonrail/http1/Warmup.java
+++ b/edge/src/main/java/lemonrail/http1/Warmup.java
@@ -25,22 +25,22 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
-import lemonrail.core.policy.Decide;
-import lemonrail.discovery.ServerList;
-import lemonrail.exchange.Exchange;
-import lemonrail.exchange.Shard;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.policy.BoxcarLoadBalancer;
+import lemonrail.discovery.EndpointList;
+import lemonrail.exchange.EventLoopContext;
+import lemonrail.exchange.RequestDispatcher;
 import lemonrail.lifecycle.Lifecycle;
 import lemonrail.logging.EventLog;
 import lemonrail.logging.TextSink;
 import lemonrail.metrics.Metrics;
 import lemonrail.net.Sockets;
-import lemonrail.streaming.Budget;
-import lemonrail.suspension.Suspensions;
+import lemonrail.streaming.BufferBudget;
+import lemonrail.suspension.SuspendedEndpoints;
 import lemonrail.time.Clock;
 
 /**
@@ -55,23 +55,23 @@
      * The rounds: what is common in service comes more often than what is rare, and what takes its endpoint
      * out of use comes last, as with none left the rest would only be refused.
      */
-    private static final List<WarmupRound> ROUNDS = List.of(
-            WarmupRound.PLAIN,
-            WarmupRound.CHUNKS,
-            WarmupRound.PLAIN,
-            WarmupRound.CUT,
-            WarmupRound.PIECES,
-            WarmupRound.RESET,
-            WarmupRound.PLAIN,
-            WarmupRound.MALFORMED,
-            WarmupRound.PLAIN,
-            WarmupRound.FULL,
-            WarmupRound.PLAIN,
-            WarmupRound.LEFT,
-            WarmupRound.PLAIN,
-            WarmupRound.TO_THE_END,
-            WarmupRound.FAILED,
-            WarmupRound.SILENT);
+    private static final List<WarmUpRequest> ROUNDS = List.of(
+            WarmUpRequest.PLAIN,
+            WarmUpRequest.CHUNKS,
+            WarmUpRequest.PLAIN,
+            WarmUpRequest.CUT,
+            WarmUpRequest.PIECES,
+            WarmUpRequest.RESET,
+            WarmUpRequest.PLAIN,
+            WarmUpRequest.MALFORMED,
+            WarmUpRequest.PLAIN,
+            WarmUpRequest.FULL,
+            WarmUpRequest.PLAIN,
+            WarmUpRequest.LEFT,
+            WarmUpRequest.PLAIN,
+            WarmUpRequest.TO_THE_END,
+            WarmUpRequest.FAILED,
+            WarmUpRequest.SILENT);
     /** A busy machine must not keep a sidecar from starting. */
     private static final int MOST_MS = 3000;
 
@@ -94,7 +94,7 @@
     private static final String STATUS = "HTTP/1.1 ";
 
     private final EventLoop loop;
-    private final Shard shard;
+    private final EventLoopContext shard;
     private final InetAddress host;
     private final Path scratch;
     private final Runnable done;
@@ -102,9 +102,9 @@
     /** The rounds of which an attempt has come to an endpoint. */
     private final Set<String> attempted = new HashSet<>();
 
-    private EndpointPool pool;
-    private Frontend frontend;
-    private Exchange<RequestMessage, Answer> exchange;
+    private UpstreamConnectionPool pool;
+    private HttpServer frontend;
+    private RequestDispatcher<RequestMessage, UpstreamResponse> exchange;
     private InetSocketAddress sidecar;
     /** The client's connection, on which a round may be asked. */
     private Channel client;
@@ -115,7 +115,7 @@
 
     private boolean over;
 
-    Warmup(Shard shard, InetAddress host, Path scratch, Runnable done) {
+    Warmup(EventLoopContext shard, InetAddress host, Path scratch, Runnable done) {
         loop = shard.loop();
         this.shard = shard;
         this.host = host;
@@ -134,7 +134,7 @@
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(handling(Endpoint::new))
+                .childHandler(handling(StubEndpoint::new))
                 .bind(ephemeral());
         endpoints.add(bound.channel());
         bound.addListener(up -> {
@@ -157,25 +157,25 @@
         EventLog silent = new EventLog(clock, new TextSink(new PrintStream(OutputStream.nullOutputStream())));
         Metrics metrics = new Metrics(
                 shard.settings().classes().stream().map(RequestClass::name).toList());
-        Shard own = new Shard(
+        EventLoopContext own = new EventLoopContext(
                 loop,
                 clock,
                 silent,
                 metrics,
-                new Budget(Long.MAX_VALUE),
+                new BufferBudget(Long.MAX_VALUE),
                 new Lifecycle(() -> true),
                 shard.settings(),
                 shard.idleCloseMs());
-        pool = new EndpointPool(own, MOST_CONNECTIONS);
-        exchange = new Exchange<>(
+        pool = new UpstreamConnectionPool(own, MOST_CONNECTIONS);
+        exchange = new RequestDispatcher<>(
                 own,
                 pool,
-                new Suspensions(scratch, silent),
-                Decide::new,
+                new SuspendedEndpoints(scratch, silent),
+                BoxcarLoadBalancer::new,
                 0,
-                list(ListKind.FULL, State.READY),
+                list(EndpointUpdateKind.SNAPSHOT, EndpointState.READY),
                 () -> {});
-        frontend = new Frontend(own, exchange, MOST_CONNECTIONS);
+        frontend = new HttpServer(own, exchange, MOST_CONNECTIONS);
         ChannelFuture bound = frontend.listen(ephemeral());
         bound.addListener(up -> {
             sidecar = (InetSocketAddress) bound.channel().localAddress();
@@ -188,18 +188,18 @@
     }
 
     /** All endpoints, the last one in this state. */
-    private ServerList list(ListKind kind, State last) {
-        List<ServerList.Entry> entries = new ArrayList<>();
+    private EndpointList list(EndpointUpdateKind kind, EndpointState last) {
+        List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < endpoints.size(); i++) {
-            State state = i == endpoints.size() - 1 ? last : State.READY;
-            entries.add(new ServerList.Entry(
-                    new Server("warm-up-" + i, shard.settings().ownZone(), 0, 0, 0, state, 1),
+            EndpointState state = i == endpoints.size() - 1 ? last : EndpointState.READY;
+            entries.add(new EndpointList.Entry(
+                    new Endpoint("warm-up-" + i, shard.settings().zone(), 0, 0, 0, state, 1),
                     (InetSocketAddress) endpoints.get(i).localAddress()));
         }
-        return new ServerList(0, kind == ListKind.FULL, entries);
+        return new EndpointList(0, kind == EndpointUpdateKind.SNAPSHOT, entries);
     }
 
-    private WarmupRound round() {
+    private WarmUpRequest round() {
         return ROUNDS.get(rounds);
     }
 
@@ -212,8 +212,8 @@
             return;
         }
         if (rounds == CHANGE_BEFORE) {
-            exchange.listed(list(ListKind.DELTA, State.DRAINING));
-            exchange.listed(list(ListKind.DELTA, State.READY));
+            exchange.listed(list(EndpointUpdateKind.DELTA, EndpointState.DRAINING));
+            exchange.listed(list(EndpointUpdateKind.DELTA, EndpointState.READY));
         }
         if (client == null || !client.isActive()) {
             connect();
@@ -247,27 +247,27 @@
         switch (round()) {
             case PIECES -> {
                 int half = request.length() / 2;
-                WarmupRound.write(connection, request.substring(0, half));
-                loop.execute(() -> WarmupRound.write(connection, request.substring(half)));
+                WarmUpRequest.write(connection, request.substring(0, half));
+                loop.execute(() -> WarmUpRequest.write(connection, request.substring(half)));
             }
-            case MALFORMED -> WarmupRound.write(connection, "warm-up\r\n\r\n");
-            default -> WarmupRound.write(connection, request);
+            case MALFORMED -> WarmUpRequest.write(connection, "warm-up\r\n\r\n");
+            default -> WarmUpRequest.write(connection, request);
         }
     }
 
     private String request() {
         List<RequestClass> classes = shard.settings().classes();
         RequestClass kind = classes.get(rounds % classes.size());
-        boolean safe = kind.effect() == Effect.REPEATABLE;
-        int deadlineMs = round() == WarmupRound.SILENT ? SHORT_DEADLINE_MS : DEADLINE_MS;
+        boolean safe = kind.idempotency() == Idempotency.IDEMPOTENT;
+        int deadlineMs = round() == WarmUpRequest.SILENT ? SHORT_DEADLINE_MS : DEADLINE_MS;
         String head = (safe ? "GET" : "POST") + " " + PATH + rounds + IS + round() + " HTTP/1.1\r\n"
                 + "Host: warm-up\r\nX-Request-Id: warm-up-" + rounds + "\r\n"
                 + "X-Class: " + bytes(kind.name()) + "\r\n"
-                + RequestHeads.DEADLINE + ": " + deadlineMs + "\r\n"
+                + RequestHeadMapper.DEADLINE + ": " + deadlineMs + "\r\n"
                 + (shard.settings().tenants().isEmpty()
                         ? ""
                         : "X-Tenant: " + bytes(shard.settings().tenants().get(0).name()) + "\r\n")
-                + (kind.effect() == Effect.BY_KEY ? "Idempotency-Key: warm-up-" + rounds + "\r\n" : "");
+                + (kind.idempotency() == Idempotency.KEYED ? "Idempotency-Key: warm-up-" + rounds + "\r\n" : "");
         return safe ? head + "\r\n" : head + "Content-Length: " + BODY_BYTES + "\r\n\r\n" + "-".repeat(BODY_BYTES);
     }
 
@@ -315,7 +315,7 @@
     }
 
     /** Answers each request as its round wants it; made-up requests come whole, as they are small. */
-    private final class Endpoint extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class StubEndpoint extends SimpleChannelInboundHandler<ByteBuf> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf request) {
@@ -326,9 +326,9 @@
                 ctx.close();
                 return;
             }
-            WarmupRound round = WarmupRound.valueOf(text.substring(name, text.indexOf(' ', name)));
+            WarmUpRequest round = WarmUpRequest.valueOf(text.substring(name, text.indexOf(' ', name)));
             round.answer(ctx.channel(), attempted.add(text.substring(number, name)));
-            if (round == WarmupRound.LEFT) {
+            if (round == WarmUpRequest.LEFT) {
                 client.close();
             }
         }
@@ -346,7 +346,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf part) {
             String text = part.toString(StandardCharsets.ISO_8859_1);
             boolean failed = text.startsWith(STATUS) && !text.startsWith(SERVED);
-            if (ctx.channel() == client && (failed || text.indexOf(WarmupRound.LAST) >= 0)) {
+            if (ctx.channel() == client && (failed || text.indexOf(WarmUpRequest.LAST) >= 0)) {
                 answered();
             }
         }
--- a/edge/src/main/java/lemonrail/benchlink/BenchLink.java
+++ b/edge/src/main/java/lemonrail/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package lemonrail.benchlink;
+package lemonrail.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -15,26 +15,28 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lemonrail.core.Contract.Actions;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Load;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Request;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
 import lemonrail.core.SettingsReader;
-import lemonrail.core.policy.Decide;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.LoadBalancerHost;
+import lemonrail.core.balancer.LoadReport;
+import lemonrail.core.balancer.Request;
+import lemonrail.core.policy.BoxcarLoadBalancer;
 import lemonrail.json.Json;
 
 /**
  * Speaks the simulator's wire: reads batches of events, hands each to the balancer of its instance, and
  * writes one reply a batch. Every decision is the balancers' own.
  */
-public final class BenchLink {
+public final class SimulatorAdapter {
 
-    private static final ListKind[] LIST_KINDS = {ListKind.CACHED, ListKind.FULL, ListKind.DELTA, ListKind.FAILED};
-    private static final State[] STATES = {State.GONE, State.READY, State.DRAINING};
+    private static final EndpointUpdateKind[] LIST_KINDS = {
+        EndpointUpdateKind.CACHED, EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.DELTA, EndpointUpdateKind.FAILED
+    };
+    private static final EndpointState[] STATES = {EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING};
     private static final int LISTS = 16;
 
     private final JsonParser in;
@@ -45,13 +47,13 @@
     private final JsonGenerator out;
     private final PrintStream complaints;
     private final Map<String, Instance> instances = new HashMap<>();
-    private final List<List<Server>> lists = new ArrayList<>();
+    private final List<List<Endpoint>> lists = new ArrayList<>();
     private final Set<String> unknownKinds = new HashSet<>();
     private long batch = -1;
     private String current = null;
 
     /** An adapter that reads {@code input} and writes {@code output}; warnings go to {@code errors}. */
-    public BenchLink(InputStream input, OutputStream output, PrintStream errors) throws IOException {
+    public SimulatorAdapter(InputStream input, OutputStream output, PrintStream errors) throws IOException {
         JsonFactory factory = JsonFactory.builder()
                 .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
                 .build();
@@ -71,10 +73,10 @@
                 answer();
             }
         } catch (IOException | RuntimeException e) {
-            if (e instanceof WireException) {
+            if (e instanceof SimulatorProtocolException) {
                 throw e;
             }
-            throw new WireException(
+            throw new SimulatorProtocolException(
                     "batch " + (batch < 0 ? "(number unread)" : String.valueOf(batch))
                             + (current == null ? "" : ", instance " + current) + ": " + plain(e),
                     e);
@@ -107,13 +109,13 @@
         boolean resent;
         boolean done;
         double outstanding = -1;
-        List<Server> entries = List.of();
+        List<Endpoint> entries = List.of();
         Map<String, Object> params = Map.of();
     }
 
     /** An instance: its balancer, and where its actions go while its part is answered. */
-    private final class Instance implements Actions {
-        Decide balancer;
+    private final class Instance implements LoadBalancerHost {
+        BoxcarLoadBalancer balancer;
 
         private void begin(String kind) {
             try {
@@ -154,7 +156,7 @@
         }
 
         @Override
-        public void send(String request, String server, double timeoutMs) {
+        public void startAttempt(String request, String server, double timeoutMs) {
             begin("HandOff");
             field("msg-id", request);
             field("endpoint", server);
@@ -163,7 +165,7 @@
         }
 
         @Override
-        public void refuse(String request, double coolDownMs) {
+        public void reject(String request, double coolDownMs) {
             begin("NotNow");
             field("msg-id", request);
             field("cool-down-ms", coolDownMs);
@@ -178,7 +180,7 @@
         }
 
         @Override
-        public void cancel(String request, int attempt) {
+        public void cancelAttempt(String request, int attempt) {
             begin("DropAttempt");
             field("msg-id", request);
             field("hop", attempt);
@@ -186,7 +188,7 @@
         }
 
         @Override
-        public void timer(double inMs, long name) {
+        public void startTimer(double inMs, long name) {
             begin("NotifyMe");
             field("in-ms", inMs);
             field("name", (double) name);
@@ -194,14 +196,14 @@
         }
 
         @Override
-        public void disconnect(String server) {
+        public void closeIdleConnections(String server) {
             begin("Disconnect");
             field("endpoint", server);
             end();
         }
 
         @Override
-        public void subscribe() {
+        public void pollEndpoints() {
             begin("Observe");
             try {
                 out.writeBooleanField("enable", true);
@@ -351,9 +353,9 @@
         }
     }
 
-    private List<Server> readEntries() throws IOException {
+    private List<Endpoint> readEntries() throws IOException {
         expect(in.currentToken(), JsonToken.START_ARRAY, "entries");
-        List<Server> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         while (next() != JsonToken.END_ARRAY) {
             expect(in.currentToken(), JsonToken.START_OBJECT, "an entry");
             String id = null;
@@ -379,7 +381,7 @@
                     default -> in.skipChildren();
                 }
             }
-            entries.add(new Server(id, zone, kind, cell, started, pick(STATES, state, "state"), weight));
+            entries.add(new Endpoint(id, zone, kind, cell, started, pick(STATES, state, "state"), weight));
         }
         return entries;
     }
@@ -390,7 +392,7 @@
             case "Inventory" -> lists.set(checkRef(e.ref), e.entries);
             case "Spawn" -> {
                 Instance fresh = new Instance();
-                fresh.balancer = new Decide(SettingsReader.settings(e.params), e.number, fresh);
+                fresh.balancer = new BoxcarLoadBalancer(SettingsReader.settings(e.params), e.number, fresh);
                 instances.put(current, fresh);
             }
             case "Stop" -> {
@@ -398,16 +400,19 @@
                 instances.remove(current);
             }
             case "Endpoints" -> {
-                ListKind kind = pick(LIST_KINDS, e.mode, "mode");
-                running().onServers(now, kind, kind == ListKind.FAILED ? List.of() : lists.get(checkRef(e.ref)));
+                EndpointUpdateKind kind = pick(LIST_KINDS, e.mode, "mode");
+                running()
+                        .onEndpointUpdate(
+                                now, kind, kind == EndpointUpdateKind.FAILED ? List.of() : lists.get(checkRef(e.ref)));
             }
             case "Query" -> running().onRequest(now, new Request(e.id, e.type, e.tenant, e.deadline, e.resent));
-            case "Accepted" -> running().onStreamStarted(now, e.id, e.hop);
+            case "Accepted" -> running().onResponseStreamStarted(now, e.id, e.hop);
             case "Finished" ->
                 running()
-                        .onFinished(
-                                now, new Finished(e.id, e.hop, e.endpoint, outcome(e.reason), e.took, e.done, load(e)));
-            case "CancelledByClient" -> running().onClientGone(now, e.id);
+                        .onAttemptFinished(
+                                now,
+                                new AttemptResult(e.id, e.hop, e.endpoint, outcome(e.reason), e.took, e.done, load(e)));
+            case "CancelledByClient" -> running().onRequestCancelled(now, e.id);
             case "Fired" -> running().onTimer(now, e.number);
             case "PingResult", "NeighbourSays" -> running();
             default -> {
@@ -419,11 +424,11 @@
         }
     }
 
-    private static Load load(Event e) {
-        return e.outstanding < 0 ? Load.NONE : new Load(e.outstanding);
+    private static LoadReport load(Event e) {
+        return e.outstanding < 0 ? LoadReport.NONE : new LoadReport(e.outstanding);
     }
 
-    private Decide running() throws IOException {
+    private BoxcarLoadBalancer running() throws IOException {
         Instance instance = instances.get(current);
         if (instance == null) {
             throw new IOException("an event for an instance that was never started");
@@ -445,16 +450,16 @@
         return from[number];
     }
 
-    private static Outcome outcome(String word) throws IOException {
+    private static AttemptOutcome outcome(String word) throws IOException {
         return switch (word) {
-            case "Ok" -> Outcome.OK;
-            case "Failed" -> Outcome.FAILED;
-            case "QueueFull" -> Outcome.QUEUE_FULL;
-            case "TimedOut" -> Outcome.TIMED_OUT;
-            case "ConnectError" -> Outcome.CONNECT_ERROR;
-            case "ResetByPeer" -> Outcome.RESET;
-            case "Canceled" -> Outcome.CANCELED;
-            case "Ignored" -> Outcome.IGNORED;
+            case "Ok" -> AttemptOutcome.OK;
+            case "Failed" -> AttemptOutcome.FAILED;
+            case "QueueFull" -> AttemptOutcome.QUEUE_FULL;
+            case "TimedOut" -> AttemptOutcome.TIMED_OUT;
+            case "ConnectError" -> AttemptOutcome.CONNECT_ERROR;
+            case "ResetByPeer" -> AttemptOutcome.RESET;
+            case "Canceled" -> AttemptOutcome.CANCELED;
+            case "Ignored" -> AttemptOutcome.IGNORED;
             default -> throw new IOException("unknown outcome '" + word + "'");
         };
     }
--- a/edge/src/main/java/lemonrail/benchlink/WireException.java
+++ b/edge/src/main/java/lemonrail/simulator/SimulatorProtocolException.java
@@ -1,11 +1,11 @@
-package lemonrail.benchlink;
+package lemonrail.simulator;
 
 /** Input that the adapter cannot act on; the message names the batch and, where known, the instance. */
-public final class WireException extends RuntimeException {
+public final class SimulatorProtocolException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    WireException(String message, Throwable cause) {
+    SimulatorProtocolException(String message, Throwable cause) {
         super(message, cause);
     }
 }
--- a/edge/src/main/java/lemonrail/benchlink/package-info.java
+++ b/edge/src/main/java/lemonrail/simulator/package-info.java
@@ -1,2 +1,2 @@
 /** The adapter that runs the load balancer on the simulator's wire. */
-package lemonrail.benchlink;
+package lemonrail.simulator;
--- a/edge/src/main/java/lemonrail/streaming/Pipe.java
+++ b/edge/src/main/java/lemonrail/streaming/BodyPipe.java
@@ -8,7 +8,7 @@
  * not take them, the near side is not read any further. Its bytes count in the budget until they are written
  * on, so what waits in a connection's own buffers counts as well.
  */
-public final class Pipe {
+public final class BodyPipe {
 
     /** Bytes that may wait before the near side stops being read. */
     public static final int WINDOW_BYTES = 32 * 1024;
@@ -27,7 +27,7 @@
         void more();
     }
 
-    private final Budget budget;
+    private final BufferBudget budget;
     private final Near near;
     private final Runnable wake = this::mindReading;
     private ByteBuf waiting = Unpooled.buffer();
@@ -40,7 +40,7 @@
     private boolean closed;
 
     /** A pipe from this connection. */
-    public Pipe(Budget budget, Near near) {
+    public BodyPipe(BufferBudget budget, Near near) {
         this.budget = budget;
         this.near = near;
     }
--- a/edge/src/main/java/lemonrail/streaming/Budget.java
+++ b/edge/src/main/java/lemonrail/streaming/BufferBudget.java
@@ -8,14 +8,14 @@
  * The bytes of bodies that all connections together may hold. What comes is always taken, as it has been read
  * already; where the budget is used up, nobody reads on who still has something waiting to be written.
  */
-public final class Budget {
+public final class BufferBudget {
 
     private final long most;
     private final Set<Runnable> waiting = new LinkedHashSet<>();
     private long held;
 
     /** A budget of so many bytes. */
-    public Budget(long most) {
+    public BufferBudget(long most) {
         this.most = most;
     }
 
--- a/edge/src/main/java/lemonrail/suspension/Suspensions.java
+++ b/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.EndpointUpdateKind;
 import lemonrail.logging.EventLog;
 
 /**
@@ -21,7 +21,7 @@
  * one, the decision module is shown it as draining, so that nothing the module keeps can bring it back. Every
  * change is on disk before it is confirmed, where the sidecar's next process, or its other one, finds it.
  */
-public final class Suspensions {
+public final class SuspendedEndpoints {
 
     /** Ids remembered as listed once; as endpoints are replaced all day the oldest of them go. */
     private static final int MOST_REMEMBERED = 4096;
@@ -30,27 +30,27 @@
 
     private final SuspensionFile file;
     private final EventLog log;
-    private final Map<String, Server> listed = new LinkedHashMap<>();
+    private final Map<String, Endpoint> listed = new LinkedHashMap<>();
     private final Set<String> everListed = new LinkedHashSet<>();
     private Set<String> suspended = new LinkedHashSet<>();
     private String complaint = "";
     private SuspensionFile.Stamp read = SuspensionFile.Stamp.ABSENT;
 
     /** The suspensions that this file keeps, which need not be there; a damaged one counts as empty. */
-    public Suspensions(Path kept, EventLog log) {
+    public SuspendedEndpoints(Path kept, EventLog log) {
         file = new SuspensionFile(kept);
         this.log = log.in("suspension");
         refresh();
     }
 
     /** Takes in what discovery says; returns how the module is to see it. */
-    public List<Server> show(ListKind kind, List<Server> entries) {
-        if (kind != ListKind.DELTA) {
+    public List<Endpoint> show(EndpointUpdateKind kind, List<Endpoint> entries) {
+        if (kind != EndpointUpdateKind.DELTA) {
             listed.clear();
         }
-        List<Server> shown = new ArrayList<>(entries.size());
-        for (Server entry : entries) {
-            if (entry.state() == State.GONE) {
+        List<Endpoint> shown = new ArrayList<>(entries.size());
+        for (Endpoint entry : entries) {
+            if (entry.state() == EndpointState.GONE) {
                 listed.remove(entry.id());
             } else {
                 listed.put(entry.id(), entry);
@@ -71,12 +71,14 @@
         }
     }
 
-    private Server shown(Server entry) {
-        return entry.state() != State.READY || !suspended.contains(entry.id()) ? entry : entry.with(State.DRAINING);
+    private Endpoint shown(Endpoint entry) {
+        return entry.state() != EndpointState.READY || !suspended.contains(entry.id())
+                ? entry
+                : entry.withState(EndpointState.DRAINING);
     }
 
     /** The listed ones among these, as the module is to see them now. */
-    public List<Server> shown(Collection<String> ids) {
+    public List<Endpoint> shown(Collection<String> ids) {
         return ids.stream()
                 .map(listed::get)
                 .filter(entry -> entry != null)
--- a/edge/src/main/java/lemonrail/time/Clock.java
+++ b/edge/src/main/java/lemonrail/time/Clock.java
@@ -8,15 +8,15 @@
 
     private final double startMs = System.currentTimeMillis();
     private final long startNanos = System.nanoTime();
-    private final LoopLag lag;
+    private final EventLoopLag lag;
 
     /** A clock for a loop whose lateness nobody measures: it counts as prompt. */
     public Clock() {
-        this(new LoopLag());
+        this(new EventLoopLag());
     }
 
     /** The clock of the event loop that this measures. */
-    public Clock(LoopLag lag) {
+    public Clock(EventLoopLag lag) {
         this.lag = lag;
     }
 
@@ -31,7 +31,7 @@
     }
 
     /** How late the event loop is. */
-    public LoopLag lag() {
+    public EventLoopLag lag() {
         return lag;
     }
 }
--- a/edge/src/main/java/lemonrail/time/LoopLag.java
+++ b/edge/src/main/java/lemonrail/time/EventLoopLag.java
@@ -5,7 +5,7 @@
  * may have been ready since the poll before it, and a timer that falls due while the loop is busy, or while
  * something else has its processor, runs late. Belongs to the loop; times come in from outside.
  */
-public final class LoopLag {
+public final class EventLoopLag {
 
     /** A poll that took longer than this has slept: what it returned with was not ready when it began. */
     static final long SLEPT_NANOS = 1_000_000;
--- a/edge/src/main/java/lemonrail/time/MeasuredIo.java
+++ b/edge/src/main/java/lemonrail/time/LagMeasuringIoHandler.java
@@ -8,17 +8,17 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
 /**
- * I/O of one event loop whose polls are told to a {@link LoopLag}. A handler asks its context whether to
+ * I/O of one event loop whose polls are told to a {@link EventLoopLag}. A handler asks its context whether to
  * report the time of I/O right after the poll, and before it handles what is ready: that is where the end of
  * a poll shows.
  */
-public final class MeasuredIo implements IoHandlerFactory {
+public final class LagMeasuringIoHandler implements IoHandlerFactory {
 
     private final IoHandlerFactory measured;
-    private final LoopLag lag;
+    private final EventLoopLag lag;
 
     /** Measures the handlers of this factory, which must serve one loop only. */
-    public MeasuredIo(IoHandlerFactory measured, LoopLag lag) {
+    public LagMeasuringIoHandler(IoHandlerFactory measured, EventLoopLag lag) {
         this.measured = measured;
         this.lag = lag;
     }
@@ -32,7 +32,7 @@
         private final IoHandler handler;
         private final Context context;
 
-        Handler(IoHandler handler, LoopLag lag) {
+        Handler(IoHandler handler, EventLoopLag lag) {
             this.handler = handler;
             context = new Context(lag);
         }
@@ -76,10 +76,10 @@
 
     /** One for the life of the handler: an iteration must not cost an allocation. */
     private static final class Context implements IoHandlerContext {
-        private final LoopLag lag;
+        private final EventLoopLag lag;
         private IoHandlerContext loop;
 
-        Context(LoopLag lag) {
+        Context(EventLoopLag lag) {
             this.lag = lag;
         }
 
--- a/edge/src/main/java/lemonrail/upgrade/Presence.java
+++ b/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
@@ -14,7 +14,7 @@
  * lock on a byte of one file. The system gives a lock back when its process ends in whatever way, so nothing
  * stale is ever believed, which a file with a process id in it could not promise.
  */
-public final class Presence implements Closeable {
+public final class SiblingProcessLock implements Closeable {
 
     /** Processes that can be told apart; an upgrade has two. */
     private static final int MOST_PROCESSES = 8;
@@ -24,7 +24,7 @@
     private int own = -1;
 
     /** Takes this process's place in the file; where that fails, the process counts as alone. */
-    public Presence(Path places, EventLog log) {
+    public SiblingProcessLock(Path places, EventLog log) {
         this.log = log.in("upgrade");
         try {
             channel = FileChannel.open(places, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
--- a/edge/src/test/java/lemonrail/JoinedStringsTest.java
+++ b/edge/src/test/java/lemonrail/JoinedStringsTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import lemonrail.cli.Main;
-import lemonrail.core.Contract;
+import lemonrail.core.balancer.LoadBalancer;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -26,7 +26,7 @@
 
     @Test
     void noJoinOfStringsIsLinkedWhileTheProgramRuns() throws Exception {
-        for (Class<?> one : List.of(Main.class, Contract.class)) {
+        for (Class<?> one : List.of(Main.class, LoadBalancer.class)) {
             Path place = Path.of(
                     one.getProtectionDomain().getCodeSource().getLocation().toURI());
             if (Files.isDirectory(place)) {
--- a/edge/src/test/java/lemonrail/LayersTest.java
+++ b/edge/src/test/java/lemonrail/LayersTest.java
@@ -18,14 +18,15 @@
 
     /** From the lowest to the highest; those of one row know nothing of each other. */
     private static final List<Set<String>> LAYERS = List.of(
+            Set.of("core.balancer"),
             Set.of("core"),
-            Set.of("core.policy", "core.control"),
+            Set.of("core.policy", "core.replication"),
             Set.of("time", "net", "json", "streaming", "lifecycle", "metrics"),
             Set.of("logging"),
             Set.of("upgrade", "suspension", "discovery", "admin"),
             Set.of("config", "exchange"),
             Set.of("http1"),
-            Set.of("assembly", "benchlink", "control"),
+            Set.of("assembly", "simulator", "control"),
             Set.of("cli"));
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
--- a/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lemonrail.core.Contract.Events;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Decider;
-import lemonrail.core.policy.Decide;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.LoadBalancer;
+import lemonrail.core.balancer.LoadBalancerFactory;
+import lemonrail.core.policy.BoxcarLoadBalancer;
 import org.junit.jupiter.api.Test;
 
 /** The decisions are told which part of an attempt's time passed before its request was written whole. */
@@ -22,23 +22,24 @@
     private static final int HELD_MS = 40;
     private static final long HELD_NS = TimeUnit.MILLISECONDS.toNanos(HELD_MS);
 
-    private final List<Finished> ends = new CopyOnWriteArrayList<>();
+    private final List<AttemptResult> ends = new CopyOnWriteArrayList<>();
 
     /** The project's own decider, with the ends of attempts noted on their way to it. */
-    private Decider noting() {
+    private LoadBalancerFactory noting() {
         return (settings, seed, host) -> {
-            Events decide = new Decide(settings, seed, host);
-            Class<?>[] kinds = {Events.class};
-            return (Events) Proxy.newProxyInstance(Events.class.getClassLoader(), kinds, (proxy, method, arguments) -> {
-                if (method.getName().equals("onFinished")) {
-                    ends.add((Finished) arguments[1]);
-                }
-                return method.invoke(decide, arguments);
-            });
+            LoadBalancer decide = new BoxcarLoadBalancer(settings, seed, host);
+            Class<?>[] kinds = {LoadBalancer.class};
+            return (LoadBalancer) Proxy.newProxyInstance(
+                    LoadBalancer.class.getClassLoader(), kinds, (proxy, method, arguments) -> {
+                        if (method.getName().equals("onFinished")) {
+                            ends.add((AttemptResult) arguments[1]);
+                        }
+                        return method.invoke(decide, arguments);
+                    });
         };
     }
 
-    private Finished end(int number) throws InterruptedException {
+    private AttemptResult end(int number) throws InterruptedException {
         Rig.await("attempt " + number + " has ended", () -> ends.size() > number);
         return ends.get(number);
     }
@@ -58,9 +59,9 @@
                 late.release();
                 assertEquals("late", client.read().body());
             }
-            assertEquals(Outcome.OK, end(0).outcome());
+            assertEquals(AttemptOutcome.OK, end(0).outcome());
             assertTrue(end(0).connectMs() >= HELD_MS, end(0).toString());
-            assertTrue(end(0).connectMs() <= end(0).tookMs(), end(0).toString());
+            assertTrue(end(0).connectMs() <= end(0).durationMs(), end(0).toString());
         }
     }
 
@@ -86,7 +87,7 @@
             release.countDown();
             client.read();
             assertEquals(1, slow.connections.get(), "one connection serves both");
-            assertTrue(end(1).servedMs() >= HELD_MS, end(1).toString());
+            assertTrue(end(1).endpointTimeMs() >= HELD_MS, end(1).toString());
         }
     }
 
@@ -98,8 +99,8 @@
                     "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
             rig.start(noting());
             assertEquals(503, rig.ask("order", HELD_MS).status());
-            assertEquals(Outcome.CONNECT_ERROR, end(0).outcome());
-            assertEquals(end(0).tookMs(), end(0).connectMs());
+            assertEquals(AttemptOutcome.CONNECT_ERROR, end(0).outcome());
+            assertEquals(end(0).durationMs(), end(0).connectMs());
         }
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
@@ -16,9 +16,9 @@
 import java.util.stream.Collectors;
 import lemonrail.config.ControlConfig;
 import lemonrail.config.TomlFile;
-import lemonrail.control.Change;
+import lemonrail.control.ConfigurationChange;
 import lemonrail.control.ControlNode;
-import lemonrail.http1.Http1;
+import lemonrail.http1.Http1Protocol;
 import lemonrail.json.Json;
 import lemonrail.logging.LogSettings;
 import lemonrail.logging.TextSink;
@@ -99,7 +99,7 @@
                                 .collect(Collectors.joining(", ")),
                         kind));
         TomlFile source = new TomlFile(file, Map.of());
-        Sidecar edge = Sidecar.create(new Http1(), source, source.load(), sink);
+        Sidecar edge = Sidecar.create(new Http1Protocol(), source, source.load(), sink);
         edges.add(edge);
         edge.open();
         return edge;
@@ -207,7 +207,7 @@
             Fake.answer(wire, 200, "", "first");
         };
         nodes.get(0)
-                .put(Change.endpoint(
+                .put(ConfigurationChange.endpoint(
                         "quote", "s1", ("{\"addr\":\"" + first.address() + "\"}").getBytes(StandardCharsets.UTF_8)));
         Sidecar taker = edge("taker", "read");
         edge("refuser", "write");
--- a/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lemonrail.core.Contract.Actions;
-import lemonrail.core.Contract.Events;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Request;
-import lemonrail.core.Contract.Server;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.LoadBalancer;
+import lemonrail.core.balancer.LoadBalancerHost;
+import lemonrail.core.balancer.Request;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -280,25 +280,25 @@
     }
 
     /** Fails after it has sent a request, and knows nothing of it from then on. */
-    private record Failing(Actions host) implements Events {
+    private record Failing(LoadBalancerHost host) implements LoadBalancer {
 
         @Override
-        public void onServers(double now, ListKind kind, List<Server> entries) {}
+        public void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> entries) {}
 
         @Override
         public void onRequest(double now, Request request) {
-            host.send(request.id(), "s0", 0);
+            host.startAttempt(request.id(), "s0", 0);
             throw new IllegalStateException("for the test");
         }
 
         @Override
-        public void onStreamStarted(double now, String request, int attempt) {}
+        public void onResponseStreamStarted(double now, String request, int attempt) {}
 
         @Override
-        public void onFinished(double now, Finished finished) {}
+        public void onAttemptFinished(double now, AttemptResult finished) {}
 
         @Override
-        public void onClientGone(double now, String request) {}
+        public void onRequestCancelled(double now, String request) {}
 
         @Override
         public void onTimer(double now, long name) {}
--- a/edge/src/test/java/lemonrail/assembly/ListPathCost.java
+++ b/edge/src/test/java/lemonrail/assembly/ListPathCost.java
@@ -15,27 +15,28 @@
 import java.util.Locale;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Group;
-import lemonrail.core.Contract.Limits;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Rules;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.policy.Decide;
-import lemonrail.discovery.ServerList;
-import lemonrail.exchange.Exchange;
-import lemonrail.exchange.Shard;
+import lemonrail.core.balancer.AttemptLimits;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.DeduplicationScope;
+import lemonrail.core.balancer.DrainSettings;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.SlowStartSettings;
+import lemonrail.core.policy.BoxcarLoadBalancer;
+import lemonrail.discovery.EndpointList;
+import lemonrail.exchange.EventLoopContext;
+import lemonrail.exchange.RequestDispatcher;
 import lemonrail.exchange.Upstream;
-import lemonrail.http1.Answer;
-import lemonrail.http1.Http1;
+import lemonrail.http1.Http1Protocol;
 import lemonrail.http1.RequestMessage;
+import lemonrail.http1.UpstreamResponse;
 import lemonrail.lifecycle.Lifecycle;
 import lemonrail.logging.EventLog;
 import lemonrail.logging.TextSink;
 import lemonrail.metrics.Metrics;
-import lemonrail.streaming.Budget;
-import lemonrail.suspension.Suspensions;
+import lemonrail.streaming.BufferBudget;
+import lemonrail.suspension.SuspendedEndpoints;
 import lemonrail.time.Clock;
 
 /**
@@ -49,14 +50,14 @@
     private static final int[] LISTED = {10, 100, 1000, 5000};
     private static final int STEADY = 100;
     private static final int STORM = 1000;
-    private static final ServerList.Names NAMES =
-            new ServerList.Names(List.of("a", "b", "c", "d", "e", "f", "g"), List.of("m"));
+    private static final EndpointList.Names NAMES =
+            new EndpointList.Names(List.of("a", "b", "c", "d", "e", "f", "g"), List.of("m"));
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final int listed;
-    private final Upstream<RequestMessage, Answer> upstream;
-    private final Suspensions suspensions;
-    private final Exchange<RequestMessage, Answer> exchange;
+    private final Upstream<RequestMessage, UpstreamResponse> upstream;
+    private final SuspendedEndpoints suspensions;
+    private final RequestDispatcher<RequestMessage, UpstreamResponse> exchange;
     private final String[] states;
     private final Random random = new Random(5);
     private int version = 1;
@@ -70,18 +71,19 @@
         Arrays.fill(states, "in_service");
         Clock clock = new Clock();
         EventLog silent = new EventLog(clock, new TextSink(new PrintStream(OutputStream.nullOutputStream())));
-        Shard shard = new Shard(
+        EventLoopContext shard = new EventLoopContext(
                 group.next(),
                 clock,
                 silent,
                 new Metrics(List.of("read")),
-                new Budget(Long.MAX_VALUE),
+                new BufferBudget(Long.MAX_VALUE),
                 new Lifecycle(() -> true),
                 settings(listed),
                 15_000);
-        upstream = new Http1().upstream(shard, 64);
-        suspensions = new Suspensions(kept, silent);
-        exchange = new Exchange<>(shard, upstream, suspensions, Decide::new, 1, parse(all()), () -> {});
+        upstream = new Http1Protocol().upstream(shard, 64);
+        suspensions = new SuspendedEndpoints(kept, silent);
+        exchange = new RequestDispatcher<>(
+                shard, upstream, suspensions, BoxcarLoadBalancer::new, 1, parse(all()), () -> {});
     }
 
     /** Prints the table of one run. */
@@ -118,8 +120,8 @@
         return upstream.size();
     }
 
-    private static Settings settings(int balancers) {
-        return new Settings(
+    private static BalancerSettings settings(int balancers) {
+        return new BalancerSettings(
                 balancers,
                 3,
                 0,
@@ -128,10 +130,13 @@
                 true,
                 0.1,
                 0,
-                List.of(new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false)),
+                List.of(new RequestClass(
+                        "read", 1000, 3000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false)),
                 List.of(),
-                new Limits(3, true, true, 2000, 200),
-                new Rules(0.3, 8000, 3, 1000, 1000, 10_000));
+                new AttemptLimits(3, true, true, 2000, 200),
+                new SlowStartSettings(0.3, 8000, 3, 1000),
+                new DrainSettings(1000),
+                10_000);
     }
 
     private String line(int which) {
@@ -155,8 +160,8 @@
         return list(true, lines);
     }
 
-    private static ServerList parse(byte[] json) throws IOException {
-        return ServerList.parse(json, NAMES);
+    private static EndpointList parse(byte[] json) throws IOException {
+        return EndpointList.parse(json, NAMES);
     }
 
     /** Microseconds for each change, the parts of the way left in the fields. */
@@ -171,14 +176,14 @@
             states[which] = states[which].equals("in_service") ? "terminating" : "in_service";
             byte[] json = list(false, List.of(line(which)));
             long began = CPU.getCurrentThreadCpuTime();
-            ServerList change = parse(json);
+            EndpointList change = parse(json);
             long read = CPU.getCurrentThreadCpuTime();
             exchange.listed(change);
             long told = CPU.getCurrentThreadCpuTime();
             // Once more apart, which changes nothing.
             upstream.update(change);
             long updated = CPU.getCurrentThreadCpuTime();
-            suspensions.show(ListKind.DELTA, change.servers());
+            suspensions.show(EndpointUpdateKind.DELTA, change.servers());
             long shown = CPU.getCurrentThreadCpuTime();
             spentNs += told - began;
             readNs += (read - began) / (double) count;
--- a/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import lemonrail.config.TomlFile;
-import lemonrail.http1.Http1;
+import lemonrail.http1.Http1Protocol;
 import lemonrail.logging.BoundedSink;
 import lemonrail.logging.LogSink;
 import lemonrail.logging.Severity;
@@ -81,7 +81,7 @@
 
     private void start(String text, LogSink sink) throws IOException {
         TomlFile source = new TomlFile(write(text), Map.of());
-        edge = Sidecar.create(new Http1(), source, source.load(), sink);
+        edge = Sidecar.create(new Http1Protocol(), source, source.load(), sink);
         edge.open();
     }
 
--- a/edge/src/test/java/lemonrail/assembly/Rig.java
+++ b/edge/src/test/java/lemonrail/assembly/Rig.java
@@ -16,11 +16,11 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.UnaryOperator;
 import lemonrail.config.PlatformFile;
-import lemonrail.core.Decider;
-import lemonrail.core.WatchPace;
-import lemonrail.core.policy.Decide;
+import lemonrail.core.WatchSchedule;
+import lemonrail.core.balancer.LoadBalancerFactory;
+import lemonrail.core.policy.BoxcarLoadBalancer;
 import lemonrail.exchange.Protocol;
-import lemonrail.http1.Http1;
+import lemonrail.http1.Http1Protocol;
 import lemonrail.logging.TextSink;
 
 /** A sidecar before fake endpoints, with a fake discovery; all on loopback. */
@@ -43,14 +43,14 @@
     int sockets = 1024;
     int aimMs = 9000;
     /** How long a call to discovery waits for news; 0 leaves it to the fleet's size. */
-    int discoveryWaitMs = WatchPace.LONGEST_WAIT_MS;
+    int discoveryWaitMs = WatchSchedule.LONGEST_WAIT_MS;
 
     boolean cancel = true;
     /** What a test changes of the configuration beyond the fields here. */
     UnaryOperator<String> change = config -> config;
 
     int graceMs = 500;
-    Protocol<?, ?> protocol = new Http1();
+    Protocol<?, ?> protocol = new Http1Protocol();
     private int requests;
 
     Rig(Fake... endpoints) throws IOException {
@@ -97,11 +97,11 @@
     }
 
     Rig start() throws IOException {
-        return start(Decide::new);
+        return start(BoxcarLoadBalancer::new);
     }
 
     /** The same with another decider. */
-    Rig start(Decider decider) throws IOException {
+    Rig start(LoadBalancerFactory decider) throws IOException {
         configFile = Files.writeString(Files.createTempFile("config", ".json"), change.apply(config()));
         folder = folder == null ? Files.createTempDirectory("sidecar") : folder;
         Map<String, String> environment = new HashMap<>(Map.of("TMPDIR", folder.toString(), "GW_MGMT", "127.0.0.1:0"));
--- a/edge/src/test/java/lemonrail/assembly/StartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StartTest.java
@@ -9,13 +9,13 @@
 import java.net.Socket;
 import java.nio.file.Path;
 import java.util.concurrent.atomic.AtomicBoolean;
-import lemonrail.exchange.Exchange;
-import lemonrail.exchange.Front;
-import lemonrail.exchange.Message;
+import lemonrail.exchange.Downstream;
+import lemonrail.exchange.EventLoopContext;
 import lemonrail.exchange.Protocol;
-import lemonrail.exchange.Shard;
+import lemonrail.exchange.ProtocolRequest;
+import lemonrail.exchange.RequestDispatcher;
 import lemonrail.exchange.Upstream;
-import lemonrail.http1.Http1;
+import lemonrail.http1.Http1Protocol;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -24,21 +24,21 @@
 class StartTest {
 
     /** A protocol that tells whether a client is let in while it warms up. */
-    private record Watched<M extends Message, A>(Protocol<M, A> protocol, int port, AtomicBoolean letIn)
+    private record Watched<M extends ProtocolRequest, A>(Protocol<M, A> protocol, int port, AtomicBoolean letIn)
             implements Protocol<M, A> {
 
         @Override
-        public Upstream<M, A> upstream(Shard shard, int mostConnections) {
+        public Upstream<M, A> upstream(EventLoopContext shard, int mostConnections) {
             return protocol.upstream(shard, mostConnections);
         }
 
         @Override
-        public Front front(Shard shard, Exchange<M, A> exchange, int mostConnections) {
+        public Downstream front(EventLoopContext shard, RequestDispatcher<M, A> exchange, int mostConnections) {
             return protocol.front(shard, exchange, mostConnections);
         }
 
         @Override
-        public void warmUp(Shard shard, InetAddress at, Path scratch, Runnable done) {
+        public void warmUp(EventLoopContext shard, InetAddress at, Path scratch, Runnable done) {
             letIn.set(lets(port));
             protocol.warmUp(shard, at, scratch, done);
         }
@@ -71,7 +71,7 @@
         try (Rig rig = new Rig(Fake.answering(200, "", "ok"))) {
             rig.change =
                     config -> config.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
-            rig.protocol = new Watched<>(new Http1(), port, letIn);
+            rig.protocol = new Watched<>(new Http1Protocol(), port, letIn);
             rig.start();
             assertFalse(letIn.get(), "a client was let in during the warm-up");
             assertTrue(lets(port), "a client is let in once the sidecar serves");
--- a/edge/src/test/java/lemonrail/assembly/Talk.java
+++ b/edge/src/test/java/lemonrail/assembly/Talk.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.CountDownLatch;
 import lemonrail.exchange.Protocol;
 import lemonrail.frames.Frames;
-import lemonrail.http1.Http1;
+import lemonrail.http1.Http1Protocol;
 
 /** The protocols that the same tests are played in: how clients and endpoints speak them. */
 enum Talk {
     HTTP1 {
         @Override
         Protocol<?, ?> protocol() {
-            return new Http1();
+            return new Http1Protocol();
         }
 
         @Override
--- a/edge/src/test/java/lemonrail/assembly/WatchTest.java
+++ b/edge/src/test/java/lemonrail/assembly/WatchTest.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.UnaryOperator;
-import lemonrail.core.Contract.Events;
-import lemonrail.core.Decider;
-import lemonrail.core.policy.Decide;
+import lemonrail.core.balancer.LoadBalancer;
+import lemonrail.core.balancer.LoadBalancerFactory;
+import lemonrail.core.policy.BoxcarLoadBalancer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -333,17 +333,18 @@
     // ---- while the loop is busy, as at a start ----
 
     /** A decider that keeps the loop busy over its first request, as the warm-up does: while it reads. */
-    private static Decider busyUntil(CountDownLatch busy, CountDownLatch release) {
+    private static LoadBalancerFactory busyUntil(CountDownLatch busy, CountDownLatch release) {
         return (settings, seed, host) -> {
-            Events decide = new Decide(settings, seed, host);
-            Class<?>[] kinds = {Events.class};
-            return (Events) Proxy.newProxyInstance(Events.class.getClassLoader(), kinds, (proxy, method, arguments) -> {
-                if (method.getName().equals("onRequest")) {
-                    busy.countDown();
-                    release.await();
-                }
-                return method.invoke(decide, arguments);
-            });
+            LoadBalancer decide = new BoxcarLoadBalancer(settings, seed, host);
+            Class<?>[] kinds = {LoadBalancer.class};
+            return (LoadBalancer)
+                    Proxy.newProxyInstance(LoadBalancer.class.getClassLoader(), kinds, (proxy, method, arguments) -> {
+                        if (method.getName().equals("onRequest")) {
+                            busy.countDown();
+                            release.await();
+                        }
+                        return method.invoke(decide, arguments);
+                    });
         };
     }
 
--- a/edge/src/test/java/lemonrail/cli/BadFilesTest.java
+++ b/edge/src/test/java/lemonrail/cli/BadFilesTest.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import lemonrail.config.ConfigException;
+import lemonrail.config.ConfigProblem;
 import lemonrail.config.EdgeConfig;
-import lemonrail.config.Loaded;
-import lemonrail.config.Problem;
+import lemonrail.config.LoadedConfiguration;
 import lemonrail.config.TomlFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -76,7 +76,7 @@
         return Files.writeString(folder.resolve("edge.toml"), text);
     }
 
-    private List<Problem> problems(String text) throws IOException {
+    private List<ConfigProblem> problems(String text) throws IOException {
         Path file = file(text);
         return assertThrows(ConfigException.class, () -> new TomlFile(file, Map.of()).load())
                 .problems();
@@ -85,7 +85,7 @@
     @Test
     void theFileThatTheRowsSpoilIsGood() throws IOException {
         EdgeConfig config = new TomlFile(file(GOOD), Map.of()).load().config();
-        assertEquals(1, config.settings().ownZone());
+        assertEquals(1, config.settings().zone());
         assertEquals(2500, config.settings().classes().get(0).deadlineMs());
         assertEquals(64, config.memoryMb());
         assertEquals(2, config.known().entries().size());
@@ -151,7 +151,7 @@
             })
     void aBadFileIsNamed(String part, String instead, int line, String key, String rest) throws IOException {
         assertTrue(GOOD.contains(part), part);
-        Problem first = problems(GOOD.replaceFirst(
+        ConfigProblem first = problems(GOOD.replaceFirst(
                         java.util.regex.Pattern.quote(part), java.util.regex.Matcher.quoteReplacement(instead)))
                 .get(0);
         assertEquals(line, first.line(), first.toString());
@@ -170,22 +170,24 @@
 
     @Test
     void allThatIsWrongIsNamedAtOnce() throws IOException {
-        List<Problem> all = problems(GOOD.replace("seed = 7", "seed = -7")
+        List<ConfigProblem> all = problems(GOOD.replace("seed = 7", "seed = -7")
                 .replace("\"1s\"", "\"9s\"")
                 .replace("worth = 3", "wort = 3")
                 .replace("[limits]", "[limit]")
                 .replace("rate = 5.5", ""));
         assertEquals(
                 List.of("seed", "classes[0].aim", "classes[1].wort", "tenants[0].rate", "limit"),
-                all.stream().map(Problem::key).toList());
-        assertEquals(List.of(2, 21, 29, 30, 33), all.stream().map(Problem::line).toList());
+                all.stream().map(ConfigProblem::key).toList());
+        assertEquals(
+                List.of(2, 21, 29, 30, 33),
+                all.stream().map(ConfigProblem::line).toList());
     }
 
     @Test
     void whatMustBeThereIsAskedFor() throws IOException {
         assertEquals(
                 List.of("listeners", "endpoints", "classes"),
-                problems("name = \"edge\"").stream().map(Problem::key).toList());
+                problems("name = \"edge\"").stream().map(ConfigProblem::key).toList());
     }
 
     @Test
@@ -213,13 +215,15 @@
     void theEnvironmentGoesBeforeTheFile() throws IOException {
         TomlFile file =
                 new TomlFile(file(GOOD), Map.of("LEMONRAIL_LIMITS_ATTEMPTS", "4", "LEMONRAIL_LOGGING_FORMAT", "json"));
-        Loaded loaded = file.load();
-        assertEquals(4, loaded.config().settings().limits().tries());
+        LoadedConfiguration loaded = file.load();
+        assertEquals(4, loaded.config().settings().limits().maxAttempts());
         assertTrue(
-                loaded.values().contains(new Loaded.Value("logging.format", "\"json\"", "environment", false)),
+                loaded.values()
+                        .contains(new LoadedConfiguration.Value("logging.format", "\"json\"", "environment", false)),
                 "" + loaded.values());
-        assertTrue(loaded.values().contains(new Loaded.Value("limits.descriptors", "256", file.file() + ":35", false)));
-        assertTrue(loaded.values().contains(new Loaded.Value("drain.grace", "\"1s\"", "default", false)));
+        assertTrue(loaded.values()
+                .contains(new LoadedConfiguration.Value("limits.descriptors", "256", file.file() + ":35", false)));
+        assertTrue(loaded.values().contains(new LoadedConfiguration.Value("drain.grace", "\"1s\"", "default", false)));
         TomlFile bad = new TomlFile(file.file(), Map.of("LEMONRAIL_LIMITS_ATTEMPTS", "many"));
         assertTrue(assertThrows(ConfigException.class, bad::load)
                 .getMessage()
--- a/edge/src/test/java/lemonrail/cli/MainTest.java
+++ b/edge/src/test/java/lemonrail/cli/MainTest.java
@@ -83,11 +83,11 @@
         try (BufferedReader log = process.inputReader()) {
             String loaded = String.join("\n", linesUntil(log, "warm after"));
             for (String needed : List.of(
-                    "lemonrail.streaming.Pipe ",
+                    "lemonrail.streaming.BodyPipe ",
                     "lemonrail.http1.PipeWriter ",
                     "lemonrail.http1.RequestReader$Refusal ",
                     "lemonrail.http1.ClientConnection$Streamed ",
-                    "lemonrail.core.Contract$Finished ")) {
+                    "lemonrail.core.balancer.AttemptResult ")) {
                 assertTrue(loaded.contains(needed), needed + "is met");
             }
         } finally {
--- a/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
+++ b/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
@@ -5,13 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Group;
-import lemonrail.core.Contract.Limits;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Rules;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.AttemptLimits;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.DeduplicationScope;
+import lemonrail.core.balancer.DrainSettings;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.SlowStartSettings;
+import lemonrail.core.balancer.TenantQuota;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -19,7 +20,7 @@
 /** What a settings document may say, and what an edge takes of it. */
 class SettingsDocumentTest {
 
-    private static final Settings OWN = new Settings(
+    private static final BalancerSettings OWN = new BalancerSettings(
             1,
             0,
             0,
@@ -29,15 +30,19 @@
             0.2,
             0,
             List.of(
-                    new RequestClass("read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false),
-                    new RequestClass("order", 1000, 3000, 5, 0.5, Effect.ONCE, Group.ALL, 0, false)),
-            List.of(new Tenant("acme", 10, 0)),
-            new Limits(3, false, true, 2000, 200),
-            new Rules(0.3, 8000, 3, 1000, 1000, 1e12));
+                    new RequestClass(
+                            "read", 1000, 3000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
+                    new RequestClass(
+                            "order", 1000, 3000, 5, 0.5, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false)),
+            List.of(new TenantQuota("acme", 10, 0)),
+            new AttemptLimits(3, false, true, 2000, 200),
+            new SlowStartSettings(0.3, 8000, 3, 1000),
+            new DrainSettings(1000),
+            1e12);
 
     @Test
     void whatItNamesChangesAndAllElseStays() {
-        Settings now = SettingsDocument.over(OWN, """
+        BalancerSettings now = SettingsDocument.over(OWN, """
             [[classes]]
             name = "order"
             aim = "500ms"
@@ -51,11 +56,14 @@
             """);
         assertEquals(OWN.classes().get(0), now.classes().get(0));
         assertEquals(
-                new RequestClass("order", 500, 3000, 7, 0.5, Effect.ONCE, Group.ALL, 0, false),
+                new RequestClass(
+                        "order", 500, 3000, 7, 0.5, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 now.classes().get(1));
-        assertEquals(List.of(new Tenant("acme", 20, 0)), now.tenants());
-        assertEquals(new Limits(2, false, true, 4000, 200), now.limits());
-        assertEquals(OWN.rules(), now.rules());
+        assertEquals(List.of(new TenantQuota("acme", 20, 0)), now.tenants());
+        assertEquals(new AttemptLimits(2, false, true, 4000, 200), now.limits());
+        assertEquals(OWN.slowStart(), now.slowStart());
+        assertEquals(OWN.drain(), now.drain());
+        assertEquals(OWN.pollIntervalMs(), now.pollIntervalMs());
         assertEquals(OWN, SettingsDocument.over(OWN, ""));
     }
 
--- a/edge/src/test/java/lemonrail/control/ControlClientTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlClientTest.java
@@ -18,9 +18,9 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.EndpointState;
 import lemonrail.discovery.ControlClient;
-import lemonrail.discovery.ServerList;
+import lemonrail.discovery.EndpointList;
 import lemonrail.logging.EventLog;
 import lemonrail.logging.TextSink;
 import lemonrail.time.Clock;
@@ -32,13 +32,13 @@
 @Timeout(60)
 class ControlClientTest {
 
-    private static final ServerList.Names NAMES = new ServerList.Names(List.of("a"), List.of("m2"));
+    private static final EndpointList.Names NAMES = new EndpointList.Names(List.of("a"), List.of("m2"));
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final Clock clock = new Clock();
-    private final List<ServerList> lists = new CopyOnWriteArrayList<>();
-    private final Map<String, State> states = new ConcurrentHashMap<>();
+    private final List<EndpointList> lists = new CopyOnWriteArrayList<>();
+    private final Map<String, EndpointState> states = new ConcurrentHashMap<>();
     private final List<String> documents = new CopyOnWriteArrayList<>();
     private Nodes nodes;
     private ControlClient client;
@@ -68,7 +68,7 @@
                 states.clear();
             }
             list.servers().forEach(server -> {
-                if (server.state() == State.GONE) {
+                if (server.state() == EndpointState.GONE) {
                     states.remove(server.id());
                 } else {
                     states.put(server.id(), server.state());
@@ -86,7 +86,7 @@
         start(List.of(names).stream().map(name -> at(nodes.node(name))).toList(), List.of());
     }
 
-    private void awaitState(String id, State state) throws InterruptedException {
+    private void awaitState(String id, EndpointState state) throws InterruptedException {
         Nodes.await(id + " is " + state, () -> states.get(id) == state);
     }
 
@@ -114,18 +114,18 @@
         nodes.put("w1", "price", "p1", "in_service");
         nodes.awaitEqual("w1", "w2");
         start("w1", "w2");
-        awaitState("s99", State.READY);
+        awaitState("s99", EndpointState.READY);
         assertTrue(lists.get(0).full());
         assertEquals(100, lists.get(0).entries().size());
         nodes.put("w2", "quote", "s7", "terminating");
-        awaitState("s7", State.DRAINING);
-        nodes.node("w1").put(Change.endpointGone("quote", "s8"));
+        awaitState("s7", EndpointState.DRAINING);
+        nodes.node("w1").put(ConfigurationChange.endpointGone("quote", "s8"));
         Nodes.await("it is gone", () -> !states.containsKey("s8"));
         assertEquals(3, lists.size());
         assertEquals(
                 List.of(1, 1),
                 lists.subList(1, 3).stream().map(list -> list.entries().size()).toList());
-        assertTrue(lists.subList(1, 3).stream().noneMatch(ServerList::full));
+        assertTrue(lists.subList(1, 3).stream().noneMatch(EndpointList::full));
         // An answer without news, whose wait is 2 s, is passed on to nobody.
         long answers =
                 nodes.node("w1").figures().get(2) + nodes.node("w2").figures().get(2);
@@ -146,7 +146,7 @@
         }
         nodes.awaitEqual("w1", "w2", "w3");
         start("w1", "w2", "w3");
-        awaitState("s49", State.READY);
+        awaitState("s49", EndpointState.READY);
         ControlNode own = own();
         List<String> others = nodes.all.stream()
                 .filter(node -> node != own)
@@ -158,7 +158,7 @@
         nodes.awaitState(others.get(1), "quote", "s7", "terminating");
         own.stop();
         long began = System.nanoTime();
-        awaitState("s7", State.DRAINING);
+        awaitState("s7", EndpointState.DRAINING);
         assertTrue((System.nanoTime() - began) / 1e6 < 3000);
         assertEquals(2, lists.size(), "one list, and one change");
         assertEquals(1, lists.get(1).entries().size());
@@ -174,7 +174,7 @@
             InetSocketAddress gone = new InetSocketAddress(InetAddress.getLoopbackAddress(), silent.getLocalPort());
             long began = System.nanoTime();
             start(List.of(gone), List.of(at(nodes.node("w1"))));
-            awaitState("s1", State.READY);
+            awaitState("s1", EndpointState.READY);
             assertTrue((System.nanoTime() - began) / 1e6 < 3000);
         }
     }
@@ -185,7 +185,7 @@
         nodes.put("w1", "quote", "s1", "in_service");
         nodes.awaitEqual("w1", "w2", "w3");
         start("w1", "w2", "w3");
-        awaitState("s1", State.READY);
+        awaitState("s1", EndpointState.READY);
         ControlNode own = own();
         List<ControlNode> others =
                 nodes.all.stream().filter(node -> node != own).toList();
@@ -194,7 +194,7 @@
             other.cut(own.name(), true);
         }
         nodes.put(others.get(0).name(), "quote", "s1", "terminating");
-        awaitState("s1", State.DRAINING);
+        awaitState("s1", EndpointState.DRAINING);
         assertEquals(2, lists.size());
     }
 
@@ -205,7 +205,7 @@
         nodes.put("w1", "quote", "s1", "in_service");
         nodes.awaitEqual("w1", "w2");
         start("w1", "w2");
-        awaitState("s1", State.READY);
+        awaitState("s1", EndpointState.READY);
         ControlNode own = own();
         ControlNode other =
                 nodes.all.stream().filter(node -> node != own).findFirst().get();
@@ -213,12 +213,13 @@
         other.cut(own.name(), true);
         nodes.put(own.name(), "quote", "s1", "terminating");
         nodes.put(own.name(), "quote", "s2", "in_service");
-        awaitState("s2", State.READY);
+        awaitState("s2", EndpointState.READY);
         own.stop();
         Nodes.await("it is at the other", () -> watchers(other) > 0);
         nodes.put(other.name(), "quote", "s3", "in_service");
-        awaitState("s3", State.READY);
-        assertEquals(Map.of("s1", State.DRAINING, "s2", State.READY, "s3", State.READY), states);
+        awaitState("s3", EndpointState.READY);
+        assertEquals(
+                Map.of("s1", EndpointState.DRAINING, "s2", EndpointState.READY, "s3", EndpointState.READY), states);
     }
 
     @Test
@@ -227,7 +228,7 @@
         nodes.put("w1", "quote", "s1", "in_service");
         ControlNode empty = nodes.start("w2", "west");
         start(List.of(at(empty)), List.of(at(nodes.node("w1"))));
-        awaitState("s1", State.READY);
+        awaitState("s1", EndpointState.READY);
         assertEquals(1, lists.size());
     }
 
@@ -235,11 +236,11 @@
     @Test
     void badSettingsAreRefusedAndTheLastGoodOnesStay() throws Exception {
         nodes = Nodes.of("w1");
-        nodes.node("w1").put(Change.settings("base", "good 1"));
+        nodes.node("w1").put(ConfigurationChange.settings("base", "good 1"));
         Watcher taker = new Watcher("quote").to(nodes.node("w1").address());
         start("w1");
         Nodes.await("it is in force", () -> documents.equals(List.of("good 1")));
-        nodes.node("w1").put(Change.settings("base", "bad 2"));
+        nodes.node("w1").put(ConfigurationChange.settings("base", "bad 2"));
         Nodes.await("it is refused", () -> documents.equals(List.of("good 1", "bad 2")));
         String stamp = nodes.node("w1").item("settings:base", "base").stamp().text();
         taker.call(0, "&settings=base&inforce=" + stamp).take();
@@ -252,13 +253,13 @@
                     && !status.contains("\"oldest\":\"" + stamp)
                     && status.contains("\"oldest_at\":[\"edge-1\"]");
         });
-        nodes.node("w1").put(Change.settings("base", "good 3"));
+        nodes.node("w1").put(ConfigurationChange.settings("base", "good 3"));
         Nodes.await("the next one is taken", () -> documents.size() == 3);
         Nodes.await(
                 "and no refusal stands",
                 () -> lemonrail.json.Json.text(nodes.node("w1").status().get("watching"))
                         .contains("\"refusals\":0"));
-        nodes.node("w1").put(Change.settingsGone("base"));
+        nodes.node("w1").put(ConfigurationChange.settingsGone("base"));
         Nodes.await("its own file's are back", () -> documents.size() == 4);
         assertEquals("null", documents.get(3));
         assertNull(states.get("base"));
--- a/edge/src/test/java/lemonrail/control/ControlNodeTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeTest.java
@@ -12,8 +12,9 @@
 import java.util.List;
 import java.util.Map;
 import lemonrail.config.ControlConfig;
-import lemonrail.core.control.ControlState.Taken;
-import lemonrail.discovery.ServerList;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.replication.ReplicatedStore.Taken;
+import lemonrail.discovery.EndpointList;
 import lemonrail.logging.LogSettings;
 import lemonrail.logging.TextSink;
 import org.junit.jupiter.api.AfterEach;
@@ -25,7 +26,7 @@
 @Timeout(60)
 class ControlNodeTest {
 
-    private static final ServerList.Names NAMES = new ServerList.Names(List.of("a"), List.of("m2"));
+    private static final EndpointList.Names NAMES = new EndpointList.Names(List.of("a"), List.of("m2"));
 
     private Nodes nodes = new Nodes();
     private final List<Watcher> watchers = new ArrayList<>();
@@ -53,33 +54,33 @@
         nodes = Nodes.of("w1");
         nodes.put("w1", "quote", "s1", "in_service");
         Watcher plain = watcher("", "w1");
-        ServerList list =
-                ServerList.parse(plain.get("/registry/instances").read().text.getBytes(StandardCharsets.UTF_8), NAMES);
+        EndpointList list = EndpointList.parse(
+                plain.get("/registry/instances").read().text.getBytes(StandardCharsets.UTF_8), NAMES);
         assertTrue(list.full());
         assertEquals("s1", list.servers().get(0).id());
         assertEquals(0, list.servers().get(0).zone());
         plain.get("/registry/instances?index=" + list.version() + "&wait=20000");
         Nodes.await("it waits", () -> nodes.node("w1").figures().get(1) == 1);
         nodes.put("w1", "quote", "s1", "terminating");
-        ServerList change = ServerList.parse(plain.read().text.getBytes(StandardCharsets.UTF_8), NAMES);
+        EndpointList change = EndpointList.parse(plain.read().text.getBytes(StandardCharsets.UTF_8), NAMES);
         assertFalse(change.full());
         assertEquals(
-                List.of(lemonrail.core.Contract.State.DRAINING),
+                List.of(EndpointState.DRAINING),
                 change.servers().stream().map(server -> server.state()).toList());
         assertTrue(change.version() > list.version());
-        nodes.node("w1").put(Change.endpointGone("quote", "s1"));
-        change = ServerList.parse(
+        nodes.node("w1").put(ConfigurationChange.endpointGone("quote", "s1"));
+        change = EndpointList.parse(
                 plain.get("/registry/instances?index=" + change.version() + "&wait=20000")
                         .read()
                         .text
                         .getBytes(StandardCharsets.UTF_8),
                 NAMES);
         assertEquals(
-                List.of(lemonrail.core.Contract.State.GONE),
+                List.of(EndpointState.GONE),
                 change.servers().stream().map(server -> server.state()).toList());
         Watcher other = watcher("", "w1");
         assertTrue(
-                ServerList.parse(
+                EndpointList.parse(
                                 other.get("/registry/instances?index=" + change.version() + "&wait=20000")
                                         .read()
                                         .text
@@ -224,8 +225,8 @@
         Watcher watcher = watcher("quote", "w1").watch(0);
         // As if ten seconds and more had passed since.
         watcher.replica.take(
-                new lemonrail.core.control.Replica.Key("quote", "s9"),
-                new lemonrail.core.control.Stamp(1, 0, "w1"),
+                new lemonrail.core.replication.WatcherReplica.Key("quote", "s9"),
+                new lemonrail.core.replication.HybridTimestamp(1, 0, "w1"),
                 false);
         watcher.states.put("s9", "in_service");
         watcher.version += 60_000L << 10;
@@ -260,7 +261,7 @@
         assertEquals(
                 Taken.OLDER,
                 nodes.node("w1")
-                        .put(Change.endpoint(
+                        .put(ConfigurationChange.endpoint(
                                         "quote", "s1", "{\"addr\":\"10.0.0.1:9000\"}".getBytes(StandardCharsets.UTF_8))
                                 .asOf(1_000_000)));
     }
@@ -279,7 +280,7 @@
         nodes.put("w1", "quote", "s1", "terminating");
         nodes.put("e1", "quote", "s2", "terminating");
         nodes.put("e1", "quote", "new", "in_service");
-        nodes.node("w1").put(Change.endpointGone("quote", "s3"));
+        nodes.node("w1").put(ConfigurationChange.endpointGone("quote", "s3"));
         west.watchUntil("s1", "terminating");
         east.watchUntil("s2", "terminating");
         west.watchUntil("s3", null);
@@ -337,7 +338,7 @@
     void aSlowWatcherIsClosedAndHoldsUpNobody() throws Exception {
         nodes = Nodes.of("w1");
         for (int i = 0; i < 150; i++) {
-            assertEquals(Taken.NEWS, nodes.node("w1").put(Change.settings("d" + i, "x".repeat(60_000))));
+            assertEquals(Taken.NEWS, nodes.node("w1").put(ConfigurationChange.settings("d" + i, "x".repeat(60_000))));
         }
         nodes.put("w1", "quote", "s1", "in_service");
         List<Watcher> slow = new ArrayList<>();
@@ -431,7 +432,7 @@
         ControlNode first = nodes.start("w1", "west", Nodes.anyPort(), folder);
         first.begin();
         nodes.put("w1", "quote", "s1", "terminating");
-        first.put(Change.settings("base", "# nothing"));
+        first.put(ConfigurationChange.settings("base", "# nothing"));
         long digest = first.digest();
         first.stop();
         ControlNode again = nodes.start("w1", "west", Nodes.anyPort(), folder);
@@ -562,7 +563,7 @@
     @Test
     void whatIsInForceAndWhatWasRefusedIsTold() throws Exception {
         nodes = Nodes.of("w1", "w2");
-        nodes.node("w1").put(Change.settings("base", "one"));
+        nodes.node("w1").put(ConfigurationChange.settings("base", "one"));
         nodes.awaitEqual("w1", "w2");
         Watcher watcher = watcher("quote", "w2");
         watcher.call(0, "&settings=base").take();
--- a/edge/src/test/java/lemonrail/control/Nodes.java
+++ b/edge/src/test/java/lemonrail/control/Nodes.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import lemonrail.config.ControlConfig;
-import lemonrail.core.control.ControlState.Taken;
+import lemonrail.core.replication.ReplicatedStore.Taken;
 import lemonrail.logging.LogSettings;
 import lemonrail.logging.TextSink;
 
@@ -87,7 +87,7 @@
         assertEquals(
                 Taken.NEWS,
                 node(node)
-                        .put(Change.endpoint(
+                        .put(ConfigurationChange.endpoint(
                                 service,
                                 id,
                                 ("{\"addr\":\"10.0.0.1:9000\","
--- a/edge/src/test/java/lemonrail/control/Watcher.java
+++ b/edge/src/test/java/lemonrail/control/Watcher.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lemonrail.core.control.Replica;
-import lemonrail.core.control.Stamp;
+import lemonrail.core.replication.HybridTimestamp;
+import lemonrail.core.replication.WatcherReplica;
 import lemonrail.json.Json;
 
 /** A watcher that speaks call by call, and holds what it was told. */
@@ -23,7 +23,7 @@
     private static final int PATIENCE_MS = 20_000;
 
     private final String services;
-    final Replica replica = new Replica();
+    final WatcherReplica replica = new WatcherReplica();
     final Map<String, String> states = new TreeMap<>();
     private Socket socket;
     private InputStream in;
@@ -119,12 +119,12 @@
         version = ((Double) answer.get("version")).longValue();
         from = (String) answer.get("node");
         full = (Boolean) answer.get("full");
-        List<Replica.Key> named = new ArrayList<>();
+        List<WatcherReplica.Key> named = new ArrayList<>();
         for (Object each : (List<?>) answer.get("servers")) {
             Map<?, ?> line = (Map<?, ?>) each;
             boolean gone = "terminated".equals(line.get("state"));
-            Replica.Key key = new Replica.Key((String) line.get("service"), (String) line.get("id"));
-            if (replica.take(key, Stamp.parse((String) line.get("stamp")), gone)) {
+            WatcherReplica.Key key = new WatcherReplica.Key((String) line.get("service"), (String) line.get("id"));
+            if (replica.take(key, HybridTimestamp.parse((String) line.get("stamp")), gone)) {
                 states.put(key.id(), (String) line.get("state"));
                 states.values().removeIf("terminated"::equals);
             }
@@ -132,12 +132,12 @@
         }
         for (Object each : (List<?>) answer.get("settings")) {
             Map<?, ?> line = (Map<?, ?>) each;
-            Replica.Key key = new Replica.Key("settings:" + line.get("name"), (String) line.get("name"));
-            replica.take(key, Stamp.parse((String) line.get("stamp")), (Boolean) line.get("gone"));
+            WatcherReplica.Key key = new WatcherReplica.Key("settings:" + line.get("name"), (String) line.get("name"));
+            replica.take(key, HybridTimestamp.parse((String) line.get("stamp")), (Boolean) line.get("gone"));
             named.add(key);
         }
         if (full) {
-            replica.keepOnly(named, ItemText.heard(answer)).forEach(key -> states.remove(key.id()));
+            replica.keepOnly(named, EntryCodec.heard(answer)).forEach(key -> states.remove(key.id()));
         }
         return this;
     }
--- a/edge/src/test/java/lemonrail/frames/FrameFront.java
+++ b/edge/src/test/java/lemonrail/frames/FrameFront.java
@@ -13,33 +13,33 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import lemonrail.core.Contract.Request;
-import lemonrail.exchange.Client;
-import lemonrail.exchange.Exchange;
-import lemonrail.exchange.Front;
-import lemonrail.exchange.Shard;
-import lemonrail.streaming.Pipe;
+import lemonrail.core.balancer.Request;
+import lemonrail.exchange.Downstream;
+import lemonrail.exchange.EventLoopContext;
+import lemonrail.exchange.RequestDispatcher;
+import lemonrail.exchange.ResponseSink;
+import lemonrail.streaming.BodyPipe;
 
 /**
  * Clients of the test's protocol: one request at a time on a connection, as {@code id|class|deadline|text}.
  */
-final class FrameFront implements Front {
+final class FrameFront implements Downstream {
 
-    private final Shard shard;
-    private final Exchange<FrameMessage, Frame> exchange;
+    private final EventLoopContext shard;
+    private final RequestDispatcher<FrameMessage, Frame> exchange;
     private final Set<Connection> connections = new LinkedHashSet<>();
     private int most;
     private Channel listener;
     private boolean leaving;
     private double endsAt = Double.POSITIVE_INFINITY;
 
-    FrameFront(Shard shard, Exchange<FrameMessage, Frame> exchange, int most) {
+    FrameFront(EventLoopContext shard, RequestDispatcher<FrameMessage, Frame> exchange, int most) {
         this.shard = shard;
         this.exchange = exchange;
         this.most = most;
     }
 
-    private final class Connection extends SimpleChannelInboundHandler<Frame> implements Client<Frame> {
+    private final class Connection extends SimpleChannelInboundHandler<Frame> implements ResponseSink<Frame> {
         private Channel channel;
         private String open;
 
@@ -85,7 +85,7 @@
         }
 
         @Override
-        public void streaming(Frame beginning, Pipe body) {
+        public void streaming(Frame beginning, BodyPipe body) {
             throw new IllegalStateException("this protocol has no large answers");
         }
 
--- a/edge/src/test/java/lemonrail/frames/FrameMessage.java
+++ b/edge/src/test/java/lemonrail/frames/FrameMessage.java
@@ -1,10 +1,10 @@
 package lemonrail.frames;
 
-import lemonrail.exchange.Message;
-import lemonrail.streaming.Pipe;
+import lemonrail.exchange.ProtocolRequest;
+import lemonrail.streaming.BodyPipe;
 
 /** A request of the test's protocol: its id and a text. */
-record FrameMessage(String id, String text) implements Message {
+record FrameMessage(String id, String text) implements ProtocolRequest {
 
     @Override
     public int heldBytes() {
@@ -12,7 +12,7 @@
     }
 
     @Override
-    public Pipe rest() {
+    public BodyPipe rest() {
         return null;
     }
 }
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -12,21 +12,21 @@
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.Map;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.State;
-import lemonrail.discovery.ServerList;
-import lemonrail.exchange.Shard;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.discovery.EndpointList;
+import lemonrail.exchange.EventLoopContext;
 import lemonrail.exchange.Upstream;
 
 /** A connection for each attempt, which is closed with it. */
 final class FrameUpstream implements Upstream<FrameMessage, Frame> {
 
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final Shard shard;
+    private final EventLoopContext shard;
     private int most;
     private int open;
 
-    FrameUpstream(Shard shard, int most) {
+    FrameUpstream(EventLoopContext shard, int most) {
         this.shard = shard;
         this.most = most;
     }
@@ -62,11 +62,11 @@
             channel = connecting.channel();
             channel.closeFuture().addListener(closed -> {
                 open--;
-                end(written ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
+                end(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
             });
             connecting.addListener(up -> {
                 if (!up.isSuccess()) {
-                    end(Outcome.CONNECT_ERROR, null);
+                    end(AttemptOutcome.CONNECT_ERROR, null);
                 } else if (ending != null && !ending.mayBegin()) {
                     channel.close();
                 } else if (ending != null) {
@@ -94,7 +94,7 @@
             return written;
         }
 
-        private void end(Outcome outcome, Frame answer) {
+        private void end(AttemptOutcome outcome, Frame answer) {
             Ending<Frame> told = ending;
             ending = null;
             if (told != null) {
@@ -104,11 +104,11 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Frame answer) {
-            Outcome outcome = switch (answer.kind()) {
-                case 'S' -> Outcome.OK;
-                case 'N' -> Outcome.QUEUE_FULL;
-                case 'B' -> Outcome.IGNORED;
-                default -> Outcome.FAILED;
+            AttemptOutcome outcome = switch (answer.kind()) {
+                case 'S' -> AttemptOutcome.OK;
+                case 'N' -> AttemptOutcome.QUEUE_FULL;
+                case 'B' -> AttemptOutcome.IGNORED;
+                default -> AttemptOutcome.FAILED;
             };
             end(outcome, answer);
             ctx.close();
@@ -121,12 +121,12 @@
     }
 
     @Override
-    public void update(ServerList list) {
+    public void update(EndpointList list) {
         if (list.full()) {
             addresses.clear();
         }
-        for (ServerList.Entry entry : list.entries()) {
-            if (entry.server().state() == State.GONE) {
+        for (EndpointList.Entry entry : list.entries()) {
+            if (entry.server().state() == EndpointState.GONE) {
                 addresses.remove(entry.server().id());
             } else {
                 addresses.put(entry.server().id(), entry.address());
@@ -139,7 +139,7 @@
         Attempt attempt = new Attempt(message, waitMs, ending);
         InetSocketAddress address = addresses.get(server);
         if (address == null || open >= most) {
-            attempt.end(Outcome.CONNECT_ERROR, null);
+            attempt.end(AttemptOutcome.CONNECT_ERROR, null);
         } else {
             attempt.open(address);
         }
--- a/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
+++ b/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
@@ -24,8 +24,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import lemonrail.net.Sockets;
-import lemonrail.streaming.Budget;
-import lemonrail.streaming.Pipe;
+import lemonrail.streaming.BodyPipe;
+import lemonrail.streaming.BufferBudget;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -120,7 +120,7 @@
                     answer
                             ? new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK)
                             : new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api")));
-            Pipe pipe = new Pipe(new Budget(BUDGET_BYTES), on -> {});
+            BodyPipe pipe = new BodyPipe(new BufferBudget(BUDGET_BYTES), on -> {});
             pipe.write(Unpooled.wrappedBuffer(new byte[bytes]));
             if (whole) {
                 pipe.end();
--- a/edge/src/test/java/lemonrail/benchlink/BenchLinkTest.java
+++ b/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package lemonrail.benchlink;
+package lemonrail.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The adapter on literal lines of the wire. */
-class BenchLinkTest {
+class SimulatorAdapterTest {
 
     private static final String PARAMS = """
         {"azs":["a"],"classes":[
--- a/edge/src/test/java/lemonrail/time/LoopLagTest.java
+++ b/edge/src/test/java/lemonrail/time/EventLoopLagTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 
 /** How late a loop counts as, by the times of its polls. */
-class LoopLagTest {
+class EventLoopLagTest {
 
     private static final long FAR_MS = 1000;
 
-    private final LoopLag lag = new LoopLag();
+    private final EventLoopLag lag = new EventLoopLag();
     private long nowMs = 100;
 
     /** One iteration: a poll that takes so long, and the work that follows. */
@@ -71,7 +71,7 @@
 
     @Test
     void latenessIsRememberedForASpanAndForgottenAfterTwo() {
-        long spanMs = TimeUnit.NANOSECONDS.toMillis(LoopLag.SPAN_NANOS);
+        long spanMs = TimeUnit.NANOSECONDS.toMillis(EventLoopLag.SPAN_NANOS);
         iteration(50, FAR_MS, 80);
         iteration(spanMs, spanMs + FAR_MS, 0);
         assertEquals(80, lag.recentMs());
@@ -85,7 +85,7 @@
         iteration(0, FAR_MS, 0);
         assertEquals(
                 List.of(1, 1, 1, 0, 0),
-                IntStream.range(0, LoopLag.boundsMs().length)
+                IntStream.range(0, EventLoopLag.boundsMs().length)
                         .mapToObj(lag::timesOver)
                         .toList());
     }
--- a/lab/src/main/java/lemonrail/lab/Demo.java
+++ b/lab/src/main/java/lemonrail/lab/Demo.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import lemonrail.config.ConfigSource;
-import lemonrail.core.Contract.Settings;
+import lemonrail.core.balancer.BalancerSettings;
 import lemonrail.lab.cli.Scratch;
 import lemonrail.lab.decider.Deciders;
 import lemonrail.lab.host.AttemptRecorder;
-import lemonrail.lab.host.Played;
+import lemonrail.lab.host.RunResult;
 import lemonrail.lab.host.Testbed;
 import lemonrail.lab.model.Arrivals;
-import lemonrail.lab.model.Ask;
+import lemonrail.lab.model.ClientRequest;
 import lemonrail.lab.model.Clients.Retrying;
 import lemonrail.lab.model.EndpointShape.ColdStart;
 import lemonrail.lab.model.EndpointShape.Crowding;
@@ -59,7 +59,8 @@
     }
 
     private static Scenario scenario(Path file, int rate, int count, boolean calm, double lengthMs) throws IOException {
-        Settings settings = ConfigSource.of(file, Map.of()).load().config().settings();
+        BalancerSettings settings =
+                ConfigSource.of(file, Map.of()).load().config().settings();
         List<Scenario.Requests> requests = settings.classes().stream()
                 .map(kind -> new Scenario.Requests(kind.name(), 1, WORK_MS))
                 .toList();
@@ -126,24 +127,24 @@
         finish(testbed.play(this::show));
     }
 
-    private static long count(List<Ask> asks, Ask.End end) {
+    private static long count(List<ClientRequest> asks, ClientRequest.End end) {
         return asks.stream()
                 .filter(ask -> !ask.tries().isEmpty() && ask.last().end() == end)
                 .count();
     }
 
     /** The table: drawn anew on a terminal, a line a second elsewhere. */
-    private void show(Supplier<List<Ask>> asked) {
+    private void show(Supplier<List<ClientRequest>> asked) {
         if (System.nanoTime() - shownNanos < SECOND_NANOS) {
             return;
         }
         shownNanos += SECOND_NANOS;
-        List<Ask> asks = asked.get();
+        List<ClientRequest> asks = asked.get();
         List<Testbed.Standing> standings = testbed.standings();
         long seconds = Math.round((System.nanoTime() - beganNanos) / 1e9);
-        long served = count(asks, Ask.End.SERVED);
-        long refused = count(asks, Ask.End.REFUSED);
-        long failed = count(asks, Ask.End.FAILED);
+        long served = count(asks, ClientRequest.End.SERVED);
+        long refused = count(asks, ClientRequest.End.REFUSED);
+        long failed = count(asks, ClientRequest.End.FAILED);
         int attempts = standings.stream().mapToInt(Testbed.Standing::attempts).sum();
         if (!terminal) {
             StringBuilder each = new StringBuilder();
@@ -185,11 +186,11 @@
         return of.trouble().isEmpty() ? "" : " (" + of.trouble() + ")";
     }
 
-    private void finish(Played played) {
-        List<Ask> asks = played.asks();
-        long served = count(asks, Ask.End.SERVED);
-        long refused = count(asks, Ask.End.REFUSED);
-        long failed = count(asks, Ask.End.FAILED);
+    private void finish(RunResult played) {
+        List<ClientRequest> asks = played.asks();
+        long served = count(asks, ClientRequest.End.SERVED);
+        long refused = count(asks, ClientRequest.End.REFUSED);
+        long failed = count(asks, ClientRequest.End.FAILED);
         long none = asks.size() - served - refused - failed;
         long retried = played.recorder().attempts().size()
                 - played.recorder().attempts().stream()
--- a/lab/src/main/java/lemonrail/lab/DemoCall.java
+++ b/lab/src/main/java/lemonrail/lab/DemoCommand.java
@@ -18,7 +18,7 @@
             "Run an edge before stand-in endpoints on this machine and show what it does.",
             "Now and then one endpoint fails or falls silent: watch the edge send its requests elsewhere."
         })
-final class DemoCall implements Callable<Integer> {
+final class DemoCommand implements Callable<Integer> {
 
     private static final int MOST_RATE = 2000;
 
--- a/lab/src/main/java/lemonrail/lab/Main.java
+++ b/lab/src/main/java/lemonrail/lab/Main.java
@@ -2,14 +2,14 @@
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
-import lemonrail.lab.cli.CompareCall;
-import lemonrail.lab.cli.HistoryCall;
-import lemonrail.lab.cli.LoadCall;
-import lemonrail.lab.cli.RelayCall;
-import lemonrail.lab.cli.ReportCall;
-import lemonrail.lab.cli.RunCall;
-import lemonrail.lab.cli.ScaleCall;
-import lemonrail.lab.cli.SweepCall;
+import lemonrail.lab.cli.CompareCommand;
+import lemonrail.lab.cli.HistoryCommand;
+import lemonrail.lab.cli.LoadCommand;
+import lemonrail.lab.cli.RelayCommand;
+import lemonrail.lab.cli.ReportCommand;
+import lemonrail.lab.cli.RunCommand;
+import lemonrail.lab.cli.ScaleCommand;
+import lemonrail.lab.cli.SweepCommand;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ScopeType;
@@ -21,15 +21,15 @@
         scope = ScopeType.INHERIT,
         mixinStandardHelpOptions = true,
         subcommands = {
-            DemoCall.class,
-            RunCall.class,
-            CompareCall.class,
-            SweepCall.class,
-            LoadCall.class,
-            ReportCall.class,
-            HistoryCall.class,
-            RelayCall.class,
-            ScaleCall.class
+            DemoCommand.class,
+            RunCommand.class,
+            CompareCommand.class,
+            SweepCommand.class,
+            LoadCommand.class,
+            ReportCommand.class,
+            HistoryCommand.class,
+            RelayCommand.class,
+            ScaleCommand.class
         })
 public final class Main {
 
--- a/lab/src/main/java/lemonrail/lab/cli/CompareCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/CompareCommand.java
@@ -20,7 +20,7 @@
         name = "compare",
         description = "Play variants in turn on the same seeds and say, with a 95 %% "
                 + "interval by bootstrap, whether they differ from the first.")
-public final class CompareCall implements Callable<Integer> {
+public final class CompareCommand implements Callable<Integer> {
 
     @Parameters(arity = "2..*", paramLabel = "VARIANT", description = "variants that the scenarios have")
     private List<String> variants;
--- a/lab/src/main/java/lemonrail/lab/cli/HistoryCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/HistoryCommand.java
@@ -22,7 +22,7 @@
 
 /** {@code history}: what each scenario and variant came to, commit by commit. */
 @Command(name = "history", description = "List the figures of all kept runs, commit by commit.")
-public final class HistoryCall implements Callable<Integer> {
+public final class HistoryCommand implements Callable<Integer> {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/lab/src/main/java/lemonrail/lab/cli/LoadCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/LoadCommand.java
@@ -25,7 +25,7 @@
         name = "load",
         description = "Send requests when they are due, answered or not, and time them from "
                 + "then on. Ends with 1 where the run is void: the generator itself was late.")
-public final class LoadCall implements Callable<Integer> {
+public final class LoadCommand implements Callable<Integer> {
 
     private static final int MOST_RATE = 1_000_000;
     private static final Map<String, Double> PERCENTILES = new LinkedHashMap<>();
--- a/lab/src/main/java/lemonrail/lab/cli/ReportCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ReportCommand.java
@@ -14,7 +14,7 @@
 
 /** {@code report}: a run's report and charts, made anew from its raw data. */
 @Command(name = "report", description = "Make the report and the charts of runs anew from their raw data.")
-public final class ReportCall implements Callable<Integer> {
+public final class ReportCommand implements Callable<Integer> {
 
     @Parameters(arity = "1..*", paramLabel = "DIR", description = "folders of runs")
     private List<Path> folders;
--- a/lab/src/main/java/lemonrail/lab/cli/RunCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/RunCommand.java
@@ -15,7 +15,7 @@
 
 /** {@code run}: plays scenarios, keeps what came of them and says so in a line each. */
 @Command(name = "run", description = "Play scenarios; keep raw data, a report and charts of each run.")
-public final class RunCall implements Callable<Integer> {
+public final class RunCommand implements Callable<Integer> {
 
     @Parameters(arity = "1..*", paramLabel = "SCENARIO", description = "a scenario's file")
     private List<Path> files;
@@ -37,7 +37,7 @@
             List<Scenario.Variant> chosen = variants.isEmpty()
                     ? scenario.variants()
                     : variants.stream()
-                            .map(name -> CompareCall.variant(scenario, name))
+                            .map(name -> CompareCommand.variant(scenario, name))
                             .toList();
             for (int seed = 1; seed <= options.seeds(scenario); seed++) {
                 for (Scenario.Variant variant : chosen) {
--- a/lab/src/main/java/lemonrail/lab/cli/Runner.java
+++ b/lab/src/main/java/lemonrail/lab/cli/Runner.java
@@ -15,9 +15,9 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import java.util.stream.Stream;
-import lemonrail.lab.host.Played;
+import lemonrail.lab.host.RunResult;
 import lemonrail.lab.host.Testbed;
-import lemonrail.lab.model.Ask;
+import lemonrail.lab.model.ClientRequest;
 import lemonrail.lab.report.Report;
 import lemonrail.lab.report.RunFolder;
 import lemonrail.lab.report.Scorer;
@@ -95,7 +95,7 @@
                 Scratch scratch = new Scratch();
                 Testbed testbed = new Testbed(scenario, variant, seed, new Testbed.Builds(jar), scratch.path())) {
             shownNanos = System.nanoTime();
-            Played played = testbed.play(asked -> show(scenario, variant, seed, asked));
+            RunResult played = testbed.play(asked -> show(scenario, variant, seed, asked));
             Verdict verdict = Scorer.score(played);
             RunFolder kept = new RunFolder(folder);
             kept.keep(played, verdict, version());
@@ -128,13 +128,13 @@
         return System.getProperty("lemonrail.commit", version == null ? "of a checkout" : version);
     }
 
-    private void show(Scenario scenario, Scenario.Variant variant, long seed, Supplier<List<Ask>> asked) {
+    private void show(Scenario scenario, Scenario.Variant variant, long seed, Supplier<List<ClientRequest>> asked) {
         long now = System.nanoTime();
         if (now - shownNanos < (terminal ? SHOW_NANOS : PLAIN_NANOS)) {
             return;
         }
         shownNanos = now;
-        List<Ask> asks = asked.get();
+        List<ClientRequest> asks = asked.get();
         long served = asks.stream().filter(ask -> !Double.isNaN(ask.servedMs())).count();
         words.printf(
                 Locale.ROOT,
@@ -147,7 +147,7 @@
         words.flush();
     }
 
-    private void tell(Scenario scenario, Scenario.Variant variant, long seed, Verdict verdict, Played played) {
+    private void tell(Scenario scenario, Scenario.Variant variant, long seed, Verdict verdict, RunResult played) {
         words.printf(
                 Locale.ROOT,
                 "%s%-20s %-18s seed %-3d service %.3f  whole %.3f  worst 10 s %.3f  "
--- a/lab/src/main/java/lemonrail/lab/cli/ScaleCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ScaleCommand.java
@@ -9,8 +9,8 @@
 @Command(
         name = "scale",
         description = "Measure what control and the data path cost at size.",
-        subcommands = {ScaleControlCall.class, ScalePathCall.class})
-public final class ScaleCall implements Callable<Integer> {
+        subcommands = {ScaleControlCommand.class, ScalePathCommand.class})
+public final class ScaleCommand implements Callable<Integer> {
 
     @Spec
     private CommandSpec spec;
--- a/lab/src/main/java/lemonrail/lab/cli/ScaleControlCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ScaleControlCommand.java
@@ -28,7 +28,7 @@
             "1:a target is missed, something is not carried, void or cut short",
             "2:the call or the file is no good"
         })
-public final class ScaleControlCall implements Callable<Integer> {
+public final class ScaleControlCommand implements Callable<Integer> {
 
     @Parameters(
             arity = "0..1",
--- a/lab/src/main/java/lemonrail/lab/cli/ScalePathCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ScalePathCommand.java
@@ -18,7 +18,7 @@
         name = "path",
         description = "Measure what a sidecar adds to a call, beside a direct call "
                 + "and a bare relay; 1 where the target is missed.")
-public final class ScalePathCall implements Callable<Integer> {
+public final class ScalePathCommand implements Callable<Integer> {
 
     @Option(
             names = "--out",
--- a/lab/src/main/java/lemonrail/lab/cli/SweepCall.java
+++ b/lab/src/main/java/lemonrail/lab/cli/SweepCommand.java
@@ -22,7 +22,7 @@
 
 /** {@code sweep}: one setting over several values, and where service bends. */
 @Command(name = "sweep", description = "Play a scenario with one setting at several values; find the knee.")
-public final class SweepCall implements Callable<Integer> {
+public final class SweepCommand implements Callable<Integer> {
 
     private static final List<String> OWN = List.of("load.rate", "clients.retries", "tiers.count", "sidecars.front");
 
@@ -53,7 +53,8 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         Scenario scenario = ScenarioFile.read(file);
-        Scenario.Variant base = variant == null ? scenario.variants().get(0) : CompareCall.variant(scenario, variant);
+        Scenario.Variant base =
+                variant == null ? scenario.variants().get(0) : CompareCommand.variant(scenario, variant);
         List<Runner.Job> jobs = new ArrayList<>();
         Map<String, Double> valueOf = new HashMap<>();
         for (int seed = 1; seed <= options.seeds(scenario); seed++) {
--- a/lab/src/main/java/lemonrail/lab/decider/Textbook.java
+++ b/lab/src/main/java/lemonrail/lab/decider/BaselineLoadBalancer.java
@@ -6,23 +6,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import lemonrail.core.Contract.Actions;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Events;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Request;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.State;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.LoadBalancer;
+import lemonrail.core.balancer.LoadBalancerHost;
+import lemonrail.core.balancer.Request;
+import lemonrail.core.balancer.RequestClass;
 
 /**
  * A balancer of the textbook, to compare with: each attempt goes to a server that a plain rule picks among
  * those in service, a failed one is repeated elsewhere as its class allows, and nothing is learnt from it.
  */
-public final class Textbook implements Events {
+public final class BaselineLoadBalancer implements LoadBalancer {
 
     /** The rules to pick by. */
     public enum Rule {
@@ -35,10 +35,10 @@
     private static final double MOST_COOL_DOWN_MS = 1000;
 
     private final Rule rule;
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final SplittableRandom random;
-    private final Actions host;
-    private final Map<String, Server> servers = new LinkedHashMap<>();
+    private final LoadBalancerHost host;
+    private final Map<String, Endpoint> servers = new LinkedHashMap<>();
     private final List<String> ready = new ArrayList<>();
     private final Map<String, Integer> outstanding = new HashMap<>();
     private final Map<String, Call> calls = new HashMap<>();
@@ -56,7 +56,7 @@
     }
 
     /** A balancer that picks by this rule. */
-    public Textbook(Rule rule, Settings settings, long seed, Actions host) {
+    public BaselineLoadBalancer(Rule rule, BalancerSettings settings, long seed, LoadBalancerHost host) {
         this.rule = rule;
         this.settings = settings;
         this.host = host;
@@ -65,15 +65,15 @@
     }
 
     @Override
-    public void onServers(double now, ListKind kind, List<Server> entries) {
-        if (kind == ListKind.FAILED) {
+    public void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> entries) {
+        if (kind == EndpointUpdateKind.FAILED) {
             return;
         }
-        if (kind != ListKind.DELTA) {
+        if (kind != EndpointUpdateKind.DELTA) {
             servers.clear();
         }
-        for (Server entry : entries) {
-            if (entry.state() == State.GONE) {
+        for (Endpoint entry : entries) {
+            if (entry.state() == EndpointState.GONE) {
                 servers.remove(entry.id());
             } else {
                 servers.put(entry.id(), entry);
@@ -81,8 +81,8 @@
         }
         ready.clear();
         servers.values().stream()
-                .filter(server -> server.state() == State.READY)
-                .map(Server::id)
+                .filter(server -> server.state() == EndpointState.READY)
+                .map(Endpoint::id)
                 .forEach(ready::add);
     }
 
@@ -103,7 +103,7 @@
         call.attempts++;
         call.last = server;
         outstanding.merge(server, 1, Integer::sum);
-        host.send(call.request.id(), server, call.request.deadlineMs() - now);
+        host.startAttempt(call.request.id(), server, call.request.deadlineMs() - now);
     }
 
     private String pick(String not) {
@@ -135,18 +135,18 @@
     private void end(Call call) {
         calls.remove(call.request.id());
         RequestClass kind = settings.classes().get(call.request.requestClass());
-        if (!call.mayHaveRun || kind.refusableAfterRun()) {
-            host.refuse(
+        if (!call.mayHaveRun || kind.mayRejectAfterExecution()) {
+            host.reject(
                     call.request.id(),
-                    Math.min(MOST_COOL_DOWN_MS, settings.limits().maxCoolDownMs()));
+                    Math.min(MOST_COOL_DOWN_MS, settings.limits().maxRetryAfterMs()));
         } else {
             host.fail(call.request.id());
         }
     }
 
     @Override
-    public void onFinished(double now, Finished finished) {
-        outstanding.merge(finished.server(), -1, (had, less) -> had + less > 0 ? had + less : null);
+    public void onAttemptFinished(double now, AttemptResult finished) {
+        outstanding.merge(finished.endpoint(), -1, (had, less) -> had + less > 0 ? had + less : null);
         Call call = calls.get(finished.request());
         if (call == null) {
             return;
@@ -155,14 +155,14 @@
             calls.remove(finished.request());
             return;
         }
-        boolean ran = !finished.outcome().neverRan();
+        boolean ran = !finished.outcome().provesNotExecuted();
         call.mayHaveRun |= ran;
         RequestClass kind = settings.classes().get(call.request.requestClass());
         boolean again = finished.replayable()
-                && call.attempts < settings.limits().tries()
-                && finished.outcome() != Outcome.TIMED_OUT
+                && call.attempts < settings.limits().maxAttempts()
+                && finished.outcome() != AttemptOutcome.TIMED_OUT
                 && now < call.request.deadlineMs()
-                && (!ran || kind.effect() == Effect.REPEATABLE);
+                && (!ran || kind.idempotency() == Idempotency.IDEMPOTENT);
         if (again) {
             send(now, call);
         } else {
@@ -171,15 +171,15 @@
     }
 
     @Override
-    public void onStreamStarted(double now, String request, int attempt) {
+    public void onResponseStreamStarted(double now, String request, int attempt) {
         calls.remove(request);
     }
 
     @Override
-    public void onClientGone(double now, String request) {
+    public void onRequestCancelled(double now, String request) {
         Call call = calls.remove(request);
         if (call != null && call.attempts > 0) {
-            host.cancel(request, call.attempts - 1);
+            host.cancelAttempt(request, call.attempts - 1);
         }
     }
 
--- a/lab/src/main/java/lemonrail/lab/decider/Deciders.java
+++ b/lab/src/main/java/lemonrail/lab/decider/Deciders.java
@@ -1,8 +1,8 @@
 package lemonrail.lab.decider;
 
 import java.util.Locale;
-import lemonrail.core.Decider;
-import lemonrail.core.policy.Decide;
+import lemonrail.core.balancer.LoadBalancerFactory;
+import lemonrail.core.policy.BoxcarLoadBalancer;
 
 /** The deciders that a variant may name. */
 public enum Deciders {
@@ -18,10 +18,11 @@
     TWO_CHOICES;
 
     /** Makes balancers of this kind. */
-    public Decider decider() {
+    public LoadBalancerFactory decider() {
         return this == BOXCAR
-                ? Decide::new
-                : (settings, seed, host) -> new Textbook(Textbook.Rule.valueOf(name()), settings, seed, host);
+                ? BoxcarLoadBalancer::new
+                : (settings, seed, host) ->
+                        new BaselineLoadBalancer(BaselineLoadBalancer.Rule.valueOf(name()), settings, seed, host);
     }
 
     /** As a scenario names it. */
--- a/lab/src/main/java/lemonrail/lab/host/AnswerRules.java
+++ b/lab/src/main/java/lemonrail/lab/host/AnswerRules.java
@@ -3,14 +3,14 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.lab.model.Agenda;
-import lemonrail.lab.model.Ask;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.lab.model.ClientRequest;
+import lemonrail.lab.model.Scheduler;
 
 /** Checks what a client got against the rules for answers, by the attempts that endpoints saw. */
 final class AnswerRules {
 
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final AttemptRecorder recorder;
     private final int mostAttempts;
     private final boolean linkIsPlain;
@@ -21,7 +21,7 @@
      * @param mostAttempts of one request
      * @param linkIsPlain whether nothing between clients and sidecars may break a connection
      */
-    AnswerRules(Agenda agenda, AttemptRecorder recorder, int mostAttempts, boolean linkIsPlain) {
+    AnswerRules(Scheduler agenda, AttemptRecorder recorder, int mostAttempts, boolean linkIsPlain) {
         this.agenda = agenda;
         this.recorder = recorder;
         this.mostAttempts = mostAttempts;
@@ -29,18 +29,24 @@
     }
 
     /** One final answer, made by an endpoint where it serves, and no refusal of what may have run. */
-    void check(String id, RequestClass kind, Ask.End end, FullHttpResponse answer, double sentMs, double waitMs) {
+    void check(
+            String id,
+            RequestClass kind,
+            ClientRequest.End end,
+            FullHttpResponse answer,
+            double sentMs,
+            double waitMs) {
         List<AttemptRecorder.Attempt> attempts = recorder.of(id);
-        if (end == Ask.End.GIVEN_UP) {
+        if (end == ClientRequest.End.GIVEN_UP) {
             recorder.broken("no answer within " + Math.round(agenda.nowMs() - sentMs) + " of " + Math.round(waitMs)
                     + " ms: " + id);
-        } else if (end == Ask.End.LOST && linkIsPlain) {
+        } else if (end == ClientRequest.End.LOST && linkIsPlain) {
             recorder.broken("the connection ended without a whole answer: " + id);
-        } else if (end == Ask.End.SERVED) {
+        } else if (end == ClientRequest.End.SERVED) {
             checkServed(id, answer, attempts);
         }
-        if (end == Ask.End.REFUSED
-                && !kind.refusableAfterRun()
+        if (end == ClientRequest.End.REFUSED
+                && !kind.mayRejectAfterExecution()
                 && attempts.stream().anyMatch(attempt -> !Double.isNaN(attempt.ranMs()))) {
             recorder.broken("refused after it may have run: " + id);
         }
--- a/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
+++ b/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemonrail.lab.model.Agenda;
+import lemonrail.lab.model.Scheduler;
 
 /** Records every attempt at every endpoint and what sidecars were told, and checks the rules by both. */
 public final class AttemptRecorder {
@@ -98,7 +98,7 @@
 
     private record Route(String sidecar, Attempt onBehalfOf) {}
 
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final double graceMs;
     private final double overlapMs;
     private final Map<String, Route> routes = new HashMap<>();
@@ -114,7 +114,7 @@
      * @param graceMs for how long sidecars may send to what they know to drain
      * @param linkMs by how much one link to an endpoint may be slower than another
      */
-    public AttemptRecorder(Agenda agenda, double graceMs, double linkMs) {
+    public AttemptRecorder(Scheduler agenda, double graceMs, double linkMs) {
         overlapMs = SLACK_MS + linkMs;
         this.agenda = agenda;
         this.graceMs = graceMs;
--- a/lab/src/main/java/lemonrail/lab/host/ClientPool.java
+++ b/lab/src/main/java/lemonrail/lab/host/ClientPool.java
@@ -21,7 +21,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
-import lemonrail.lab.model.Ask;
+import lemonrail.lab.model.ClientRequest;
 
 /**
  * Connections of clients to one address: one request at a time on each; they are kept, and more are opened
@@ -35,7 +35,7 @@
     /** Hears what came of one request. */
     public interface Reply {
         /** The request has ended; {@code answer} is null where no whole answer came. */
-        void ended(Ask.End end, FullHttpResponse answer);
+        void ended(ClientRequest.End end, FullHttpResponse answer);
     }
 
     /** A request that has been sent, or waits to be. */
@@ -77,7 +77,7 @@
             }
         }
 
-        private void end(Ask.End end, FullHttpResponse answer) {
+        private void end(ClientRequest.End end, FullHttpResponse answer) {
             if (!over) {
                 finish();
                 reply.ended(end, answer);
@@ -132,7 +132,7 @@
                     }
                     call.finish();
                     call.release();
-                    call.reply.ended(Ask.End.GIVEN_UP, null);
+                    call.reply.ended(ClientRequest.End.GIVEN_UP, null);
                 },
                 nanos,
                 TimeUnit.NANOSECONDS);
@@ -217,7 +217,7 @@
                     Call failed = call;
                     call = null;
                     if (failed != null) {
-                        failed.end(Ask.End.UNREACHED, null);
+                        failed.end(ClientRequest.End.UNREACHED, null);
                     }
                 }
             });
@@ -247,7 +247,7 @@
             call = null;
             if (answer.decoderResult().isFailure()) {
                 ctx.close();
-                answered.end(Ask.End.LOST, null);
+                answered.end(ClientRequest.End.LOST, null);
                 return;
             }
             if (HttpUtil.isKeepAlive(answer) && !closed) {
@@ -257,7 +257,9 @@
             }
             int status = answer.status().code();
             answered.end(
-                    status == 200 ? Ask.End.SERVED : status == 429 || status == 503 ? Ask.End.REFUSED : Ask.End.FAILED,
+                    status == 200
+                            ? ClientRequest.End.SERVED
+                            : status == 429 || status == 503 ? ClientRequest.End.REFUSED : ClientRequest.End.FAILED,
                     answer);
             serveWaiting();
         }
@@ -274,7 +276,7 @@
                     open++;
                     new Connection(broken);
                 } else {
-                    broken.end(Ask.End.LOST, null);
+                    broken.end(ClientRequest.End.LOST, null);
                 }
             }
             serveWaiting();
--- a/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
@@ -27,8 +27,8 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.Consumer;
-import lemonrail.lab.model.Agenda;
-import lemonrail.lab.model.Endpoint;
+import lemonrail.lab.model.EndpointModel;
+import lemonrail.lab.model.Scheduler;
 import lemonrail.lab.model.Work;
 
 /** An endpoint's model on a loopback socket: it speaks the platform's protocol. Belongs to its event loop. */
@@ -42,8 +42,8 @@
         Runnable call(FullHttpRequest of, AttemptRecorder.Attempt onBehalfOf, double leftMs, Consumer<Boolean> done);
     }
 
-    private final Agenda agenda;
-    private final Endpoint model;
+    private final Scheduler agenda;
+    private final EndpointModel model;
     private final int tier;
     private final double workShare;
     private final CallCount calls;
@@ -61,8 +61,8 @@
     /** Listens at a free port. */
     public EndpointHost(
             EventLoop loop,
-            Agenda agenda,
-            Endpoint model,
+            Scheduler agenda,
+            EndpointModel model,
             int tier,
             double workShare,
             CallCount calls,
@@ -103,7 +103,7 @@
     }
 
     /** What it plays. */
-    public Endpoint model() {
+    public EndpointModel model() {
         return model;
     }
 
--- a/lab/src/main/java/lemonrail/lab/host/EndpointTier.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointTier.java
@@ -6,11 +6,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemonrail.lab.model.Agenda;
-import lemonrail.lab.model.Endpoint;
+import lemonrail.lab.model.EndpointModel;
 import lemonrail.lab.model.EndpointShape;
 import lemonrail.lab.model.Rack;
 import lemonrail.lab.model.Registry;
+import lemonrail.lab.model.Scheduler;
 import lemonrail.lab.scenario.Scenario;
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -20,7 +20,7 @@
     private final Scenario.Tier tier;
     private final int number;
     private final EventLoop loop;
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final Registry registry;
     private final AttemptRecorder recorder;
     private final List<EndpointHost> hosts = new ArrayList<>();
@@ -31,7 +31,7 @@
             Scenario.Tier tier,
             int number,
             EventLoop loop,
-            Agenda agenda,
+            Scheduler agenda,
             Registry registry,
             AttemptRecorder recorder) {
         this.tier = tier;
@@ -49,7 +49,7 @@
             racks.add(new Rack(agenda, tier.rackWindowMs()));
         }
         for (int i = 0; i < tier.count(); i++) {
-            Endpoint model = model(i, racks.get(i % tier.racks()), random);
+            EndpointModel model = model(i, racks.get(i % tier.racks()), random);
             EndpointHost host = host(model, random);
             hosts.add(host);
             byId.put(host.id(), host);
@@ -60,9 +60,9 @@
         }
     }
 
-    private Endpoint model(int place, Rack rack, UniformRandomProvider random) {
+    private EndpointModel model(int place, Rack rack, UniformRandomProvider random) {
         double speed = tier.leastSpeed() + (tier.mostSpeed() - tier.leastSpeed()) * random.nextDouble();
-        Endpoint model = new Endpoint(
+        EndpointModel model = new EndpointModel(
                 agenda,
                 new EndpointShape(
                         tier.name() + "-" + (place + 1),
@@ -82,7 +82,7 @@
         return model;
     }
 
-    private EndpointHost host(Endpoint model, UniformRandomProvider random) {
+    private EndpointHost host(EndpointModel model, UniformRandomProvider random) {
         double calls = tier.calls();
         return new EndpointHost(
                 loop,
--- a/lab/src/main/java/lemonrail/lab/host/LoopAgenda.java
+++ b/lab/src/main/java/lemonrail/lab/host/EventLoopScheduler.java
@@ -3,11 +3,11 @@
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import lemonrail.lab.model.Agenda;
+import lemonrail.lab.model.Scheduler;
 import org.HdrHistogram.Histogram;
 
 /** Real time on an event loop, by the system's monotonic clock; it keeps how late it was. */
-public final class LoopAgenda implements Agenda {
+public final class EventLoopScheduler implements Scheduler {
 
     private static final long MOST_MICROS = TimeUnit.HOURS.toMicros(1);
 
@@ -17,7 +17,7 @@
     private final Histogram lateMicros = new Histogram(MOST_MICROS, 2);
 
     /** Time that stands at 0 until it begins. */
-    public LoopAgenda(EventLoop loop) {
+    public EventLoopScheduler(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
+++ b/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import lemonrail.lab.model.Agenda;
 import lemonrail.lab.model.Fault;
 import lemonrail.lab.model.Registry;
+import lemonrail.lab.model.Scheduler;
 import lemonrail.lab.scenario.Scenario.Link;
 import org.apache.commons.rng.UniformRandomProvider;
 
@@ -19,7 +19,7 @@
 
     private static final double DRAIN_PART = 0.5;
 
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final List<Tier> tiers;
     private final UniformRandomProvider random;
     /** Of several that befall an endpoint at once the worst is in force. */
@@ -27,7 +27,7 @@
 
     private record Slowed(EndpointHost host, Fault fault) {}
 
-    FaultPlayer(Agenda agenda, List<Tier> tiers, UniformRandomProvider random) {
+    FaultPlayer(Scheduler agenda, List<Tier> tiers, UniformRandomProvider random) {
         this.agenda = agenda;
         this.tiers = tiers;
         this.random = random;
--- a/lab/src/main/java/lemonrail/lab/host/RequestMessages.java
+++ b/lab/src/main/java/lemonrail/lab/host/RequestMessages.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
 import java.util.Locale;
-import lemonrail.lab.model.Ask;
+import lemonrail.lab.model.ClientRequest;
 
 /** The requests that clients and endpoints send to sidecars, as HTTP messages. */
 final class RequestMessages {
@@ -23,7 +23,7 @@
     private RequestMessages() {}
 
     /** What a client asks; {@code tenant} is null where there are none. */
-    static FullHttpRequest of(Ask ask, String id, String className, String tenant, double patienceMs) {
+    static FullHttpRequest of(ClientRequest ask, String id, String className, String tenant, double patienceMs) {
         FullHttpRequest request = message(
                 ask.key() == null ? HttpMethod.GET : HttpMethod.POST,
                 String.format(Locale.ROOT, "/api?work=%.3f", ask.workMs()),
--- a/lab/src/main/java/lemonrail/lab/host/Played.java
+++ b/lab/src/main/java/lemonrail/lab/host/RunResult.java
@@ -1,8 +1,8 @@
 package lemonrail.lab.host;
 
 import java.util.List;
-import lemonrail.core.Contract.Settings;
-import lemonrail.lab.model.Ask;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.lab.model.ClientRequest;
 import lemonrail.lab.scenario.Scenario;
 
 /**
@@ -13,13 +13,13 @@
  * @param mostOpen connections of clients that were open at once
  * @param cpuMs of the sidecars, or NaN where they share the lab's process
  */
-public record Played(
+public record RunResult(
         Scenario scenario,
         Scenario.Variant variant,
         long seed,
-        Settings settings,
+        BalancerSettings settings,
         boolean whole,
-        List<Ask> asks,
+        List<ClientRequest> asks,
         AttemptRecorder recorder,
         List<Node> nodes,
         List<String> broken,
--- a/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 import lemonrail.assembly.Sidecar;
 import lemonrail.config.ConfigSource;
-import lemonrail.core.Decider;
-import lemonrail.http1.Http1;
+import lemonrail.core.balancer.LoadBalancerFactory;
+import lemonrail.http1.Http1Protocol;
 import lemonrail.logging.TextSink;
 
 /** One sidecar: in this process, or a process of its own. */
@@ -45,11 +45,11 @@
     void close();
 
     /** A sidecar of this process; it is ready when this returns. */
-    static SidecarHost inside(Path file, Map<String, String> environment, Decider decider, Path log)
+    static SidecarHost inside(Path file, Map<String, String> environment, LoadBalancerFactory decider, Path log)
             throws IOException {
         ConfigSource source = ConfigSource.of(file, environment);
         PrintStream out = new PrintStream(Files.newOutputStream(log));
-        Sidecar sidecar = Sidecar.create(new Http1(), source, source.load(), new TextSink(out), decider);
+        Sidecar sidecar = Sidecar.create(new Http1Protocol(), source, source.load(), new TextSink(out), decider);
         sidecar.open();
         return new SidecarHost() {
             @Override
--- a/lab/src/main/java/lemonrail/lab/host/Testbed.java
+++ b/lab/src/main/java/lemonrail/lab/host/Testbed.java
@@ -21,11 +21,11 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Settings;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.RequestClass;
 import lemonrail.lab.model.Arrivals;
-import lemonrail.lab.model.Ask;
+import lemonrail.lab.model.ClientRequest;
 import lemonrail.lab.model.Clients;
 import lemonrail.lab.model.Fault;
 import lemonrail.lab.model.Registry;
@@ -57,11 +57,11 @@
     private final long seed;
     private final Builds builds;
     private final Path folder;
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("testbed", true), NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final LoopAgenda agenda = new LoopAgenda(loop);
+    private final EventLoopScheduler agenda = new EventLoopScheduler(loop);
     private final AttemptRecorder recorder;
     private final AnswerRules answers;
     private final List<EndpointTier> tiers = new ArrayList<>();
@@ -83,11 +83,11 @@
         this.builds = builds;
         this.folder = Files.createDirectories(folder);
         settings = EdgeSettings.load(scenario.edge(), variant.set());
-        recorder = new AttemptRecorder(agenda, settings.rules().drainGraceMs(), linkMs());
+        recorder = new AttemptRecorder(agenda, settings.drain().graceMs(), linkMs());
         answers = new AnswerRules(
                 agenda,
                 recorder,
-                settings.limits().tries(),
+                settings.limits().maxAttempts(),
                 scenario.clientLink().isPlain());
         try {
             start();
@@ -226,7 +226,7 @@
                 settings.classes().get(classNames().indexOf(of.headers().get("X-Class")));
         return pool.send(request, leftMs + ANSWER_SLACK_MS, (end, answer) -> {
             answers.check(id, kind, end, answer, sentMs, leftMs);
-            done.accept(end == Ask.End.SERVED);
+            done.accept(end == ClientRequest.End.SERVED);
         })::abandon;
     }
 
@@ -243,7 +243,10 @@
             RequestClass kind = classes.get(place);
             places.add(place);
             kinds.add(new Clients.Kind(
-                    kind.deadlineMs(), kind.effect() != Effect.REPEATABLE, requests.share(), requests.workMs()));
+                    kind.deadlineMs(),
+                    kind.idempotency() != Idempotency.IDEMPOTENT,
+                    requests.share(),
+                    requests.workMs()));
         }
         List<Double> shares = scenario.tenants().isEmpty()
                 ? List.of(1.0)
@@ -280,7 +283,7 @@
     }
 
     /** The tenant's name, or null where the scenario has no tenants. */
-    private String tenantName(Ask ask) {
+    private String tenantName(ClientRequest ask) {
         return scenario.tenants().isEmpty()
                 ? null
                 : scenario.tenants().get(ask.tenant()).name();
@@ -295,7 +298,7 @@
     }
 
     /** Plays to the end, or until this thread is interrupted; {@code each} may look at what was asked. */
-    public Played play(Consumer<Supplier<List<Ask>>> each) {
+    public RunResult play(Consumer<Supplier<List<ClientRequest>>> each) {
         cpuBeganMs = cpu();
         loop.submit(() -> {
                     agenda.begin();
@@ -365,12 +368,12 @@
         return sidecars.values().stream().mapToDouble(SidecarHost::cpuMs).sum();
     }
 
-    private Played played(boolean whole) {
+    private RunResult played(boolean whole) {
         List<String> broken = new ArrayList<>(recorder.broken());
         ranTwice(broken);
         pushedOver(broken);
         crashed(broken);
-        return new Played(
+        return new RunResult(
                 scenario,
                 variant,
                 seed,
@@ -380,7 +383,7 @@
                 recorder,
                 nodes(),
                 broken,
-                new Played.Lateness(
+                new RunResult.Lateness(
                         agenda.lateMicros().getValueAtPercentile(99) / 1e3,
                         agenda.lateMicros().getMaxValue() / 1e3,
                         clients.meanLateMs(),
@@ -393,14 +396,14 @@
     /** Adds the requests with a key that endpoints ran more than once. */
     private void ranTwice(List<String> broken) {
         Map<String, Integer> ran = new HashMap<>();
-        Map<String, Ask> byTry = new HashMap<>();
+        Map<String, ClientRequest> byTry = new HashMap<>();
         clients.asks().forEach(ask -> ask.tries().forEach(each -> byTry.put(each.id(), ask)));
         for (AttemptRecorder.Attempt attempt : recorder.attempts()) {
             AttemptRecorder.Attempt root = attempt;
             while (root.parent() != null) {
                 root = root.parent();
             }
-            Ask ask = byTry.get(root.request());
+            ClientRequest ask = byTry.get(root.request());
             if (ask != null
                     && ask.key() != null
                     && !Double.isNaN(attempt.ranMs())
@@ -425,11 +428,11 @@
         });
     }
 
-    private List<Played.Node> nodes() {
-        List<Played.Node> nodes = new ArrayList<>();
+    private List<RunResult.Node> nodes() {
+        List<RunResult.Node> nodes = new ArrayList<>();
         for (int tier = 0; tier < tiers.size(); tier++) {
             for (EndpointHost host : tiers.get(tier).hosts()) {
-                nodes.add(new Played.Node(
+                nodes.add(new RunResult.Node(
                         tier,
                         host.id(),
                         host.model().shape().speed(),
--- a/lab/src/main/java/lemonrail/lab/load/Plain.java
+++ b/lab/src/main/java/lemonrail/lab/load/BaselineServers.java
@@ -27,12 +27,12 @@
 import java.net.InetSocketAddress;
 
 /** What the sidecar's own cost is measured against: an endpoint that answers at once, and a bare relay. */
-public final class Plain {
+public final class BaselineServers {
 
     private static final int MOST_BODY_BYTES = 64 * 1024;
     private static final byte[] BODY = new byte[64];
 
-    private Plain() {}
+    private BaselineServers() {}
 
     private static InetSocketAddress bind(EventLoopGroup group, ChannelInitializer<SocketChannel> each, boolean reads) {
         return (InetSocketAddress) new ServerBootstrap()
--- a/lab/src/main/java/lemonrail/lab/load/OpenLoop.java
+++ b/lab/src/main/java/lemonrail/lab/load/OpenLoop.java
@@ -7,7 +7,7 @@
 import java.util.function.IntFunction;
 import lemonrail.lab.host.ClientPool;
 import lemonrail.lab.model.Arrivals;
-import lemonrail.lab.model.Ask;
+import lemonrail.lab.model.ClientRequest;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -162,7 +162,7 @@
         });
     }
 
-    private void count(Ask.End end, double due) {
+    private void count(ClientRequest.End end, double due) {
         switch (end) {
             case SERVED -> {
                 served++;
--- a/lab/src/main/java/lemonrail/lab/model/Ask.java
+++ b/lab/src/main/java/lemonrail/lab/model/ClientRequest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** What one client wants, over all of its tries. */
-public final class Ask {
+public final class ClientRequest {
 
     /** How a try ended, as its client saw it. */
     public enum End {
@@ -34,7 +34,7 @@
     private final List<Try> tries = new ArrayList<>(1);
 
     /** What a client wants from {@code arrivedMs} on; {@code key} is null where the class carries none. */
-    public Ask(int number, double arrivedMs, int requestClass, int tenant, double workMs, String key) {
+    public ClientRequest(int number, double arrivedMs, int requestClass, int tenant, double workMs, String key) {
         this.number = number;
         this.arrivedMs = arrivedMs;
         this.requestClass = requestClass;
--- a/lab/src/main/java/lemonrail/lab/model/Clients.java
+++ b/lab/src/main/java/lemonrail/lab/model/Clients.java
@@ -41,16 +41,16 @@
     /** What comes back for one try. */
     public interface Reply {
         /** The try has ended; {@code retryAfterMs} is NaN where none was named. */
-        void ended(Ask.End end, int status, double retryAfterMs);
+        void ended(ClientRequest.End end, int status, double retryAfterMs);
     }
 
     /** Carries one try to the edge; it must reply once, by {@code patienceMs} with GIVEN_UP at the latest. */
     public interface Sender {
         /** Sends it. */
-        void send(Ask ask, String id, double patienceMs, Reply reply);
+        void send(ClientRequest ask, String id, double patienceMs, Reply reply);
     }
 
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final Shape shape;
     private final double[] kindShares;
     private final double[] tenantShares;
@@ -58,7 +58,7 @@
     private final UniformRandomProvider random;
     private final Sender sender;
     private final double lengthMs;
-    private final List<Ask> asks = new ArrayList<>();
+    private final List<ClientRequest> asks = new ArrayList<>();
     private int open;
     private boolean stopped;
     private double mostLateMs;
@@ -66,7 +66,7 @@
 
     /** Clients whose requests come for {@code lengthMs}. */
     public Clients(
-            Agenda agenda,
+            Scheduler agenda,
             Shape shape,
             Arrivals arrivals,
             double lengthMs,
@@ -111,7 +111,8 @@
         int tenant = draw(tenantShares);
         Kind of = shape.kinds.get(kind);
         double work = of.workMs * (shape.exponentialWork ? -Math.log1p(-random.nextDouble()) : 1);
-        Ask ask = new Ask(asks.size(), atMs, kind, tenant, work, of.keyed ? Long.toHexString(random.nextLong()) : null);
+        ClientRequest ask = new ClientRequest(
+                asks.size(), atMs, kind, tenant, work, of.keyed ? Long.toHexString(random.nextLong()) : null);
         asks.add(ask);
         open++;
         attempt(ask, 0);
@@ -132,18 +133,20 @@
         return Math.max(0, shares.length - 1);
     }
 
-    private void attempt(Ask ask, int number) {
+    private void attempt(ClientRequest ask, int number) {
         String id = Long.toHexString(random.nextLong());
         double patience = shape.kinds.get(ask.requestClass()).deadlineMs
                 * (shape.leastPatience + (shape.mostPatience - shape.leastPatience) * random.nextDouble());
         // A first try counts from when it was due, whenever the generator came to send it.
         double sentMs = number == 0 ? ask.arrivedMs() : agenda.nowMs();
         sender.send(ask, id, patience, (end, status, retryAfterMs) -> {
-            ask.tries().add(new Ask.Try(id, sentMs, agenda.nowMs(), end, status));
-            boolean again =
-                    (end == Ask.End.REFUSED || end == Ask.End.FAILED || end == Ask.End.LOST || end == Ask.End.UNREACHED)
-                            && number < shape.retrying.most
-                            && !stopped;
+            ask.tries().add(new ClientRequest.Try(id, sentMs, agenda.nowMs(), end, status));
+            boolean again = (end == ClientRequest.End.REFUSED
+                            || end == ClientRequest.End.FAILED
+                            || end == ClientRequest.End.LOST
+                            || end == ClientRequest.End.UNREACHED)
+                    && number < shape.retrying.most
+                    && !stopped;
             if (!again) {
                 open--;
                 return;
@@ -155,7 +158,7 @@
     }
 
     /** All that was asked for so far, in the order of arrival. */
-    public List<Ask> asks() {
+    public List<ClientRequest> asks() {
         return asks;
     }
 
--- a/lab/src/main/java/lemonrail/lab/model/Endpoint.java
+++ b/lab/src/main/java/lemonrail/lab/model/EndpointModel.java
@@ -10,20 +10,20 @@
  * An endpoint: requests take slots, those in work share its cores evenly, others wait. With as many slots as
  * cores it serves first come, first served (M/M/c, given such work); with more it shares the processor.
  */
-public final class Endpoint {
+public final class EndpointModel {
 
     /** While its speed changes by itself, it is looked at anew after so long. */
     private static final double STEP_MS = 20;
     /** Held requests a core up to which an endpoint counts as mostly idle. */
     private static final double IDLE_PER_CORE = 0.5;
 
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final EndpointShape shape;
     private final Rack rack;
     private final PriorityQueue<Work> running = new PriorityQueue<>(
             Comparator.comparingDouble((Work work) -> work.target).thenComparingLong(work -> work.number));
     private final Deque<Work> waiting = new ArrayDeque<>();
-    private Agenda.Due next;
+    private Scheduler.Due next;
     /** Whose part of work is done when {@link #next} comes, or null. */
     private Work ends;
 
@@ -53,7 +53,7 @@
     private double sentColdMs;
 
     /** An endpoint that has run for long and is warm. */
-    public Endpoint(Agenda agenda, EndpointShape shape, Rack rack) {
+    public EndpointModel(Scheduler agenda, EndpointShape shape, Rack rack) {
         this.agenda = agenda;
         this.shape = shape;
         this.rack = rack;
--- a/lab/src/main/java/lemonrail/lab/model/Rack.java
+++ b/lab/src/main/java/lemonrail/lab/model/Rack.java
@@ -10,13 +10,13 @@
 
     private record Begun(String key, double atMs) {}
 
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final double windowMs;
     private final Set<String> keys = new HashSet<>();
     private final Deque<Begun> inOrder = new ArrayDeque<>();
 
     /** A rack that drops repeats for so long. */
-    public Rack(Agenda agenda, double windowMs) {
+    public Rack(Scheduler agenda, double windowMs) {
         this.agenda = agenda;
         this.windowMs = windowMs;
     }
--- a/lab/src/main/java/lemonrail/lab/model/Registry.java
+++ b/lab/src/main/java/lemonrail/lab/model/Registry.java
@@ -35,7 +35,7 @@
 
     private record Change(long version, Line line) {}
 
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final UniformRandomProvider random;
     private final boolean pushes;
     private final double pollMs;
@@ -51,7 +51,7 @@
      * whole list by its agents once in {@code pollMs}.
      */
     public Registry(
-            Agenda agenda,
+            Scheduler agenda,
             UniformRandomProvider random,
             boolean pushes,
             double pollMs,
@@ -130,7 +130,7 @@
         private long version = 1;
         private long watched;
         private Consumer<Answer> watcher;
-        private Agenda.Due end;
+        private Scheduler.Due end;
 
         private Agent(Told told) {
             this.told = told;
--- a/lab/src/main/java/lemonrail/lab/model/Agenda.java
+++ b/lab/src/main/java/lemonrail/lab/model/Scheduler.java
@@ -4,7 +4,7 @@
  * The time of a run and what is still to happen in it. A model takes its time from here and from nowhere
  * else, so that the same model lives on sockets and under a virtual clock. Used from one thread.
  */
-public interface Agenda {
+public interface Scheduler {
 
     /** Something that is to happen. */
     interface Due {
--- a/lab/src/main/java/lemonrail/lab/model/VirtualAgenda.java
+++ b/lab/src/main/java/lemonrail/lab/model/VirtualScheduler.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /** A run without waiting: the clock stands still while something happens and then leaps to what is next. */
-public final class VirtualAgenda implements Agenda {
+public final class VirtualScheduler implements Scheduler {
 
     private static final class Entry implements Due, Comparable<Entry> {
         private final double atMs;
--- a/lab/src/main/java/lemonrail/lab/report/RunFolder.java
+++ b/lab/src/main/java/lemonrail/lab/report/RunFolder.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Locale;
 import lemonrail.lab.host.AttemptRecorder;
-import lemonrail.lab.host.Played;
-import lemonrail.lab.model.Ask;
+import lemonrail.lab.host.RunResult;
+import lemonrail.lab.model.ClientRequest;
 import lemonrail.lab.model.Fault;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
@@ -49,7 +49,7 @@
     }
 
     /** Keeps a run. */
-    public void keep(Played played, Verdict verdict, String version) throws IOException {
+    public void keep(RunResult played, Verdict verdict, String version) throws IOException {
         Files.createDirectories(folder);
         Files.copy(played.scenario().file(), folder.resolve("scenario.toml"), StandardCopyOption.REPLACE_EXISTING);
         Files.copy(played.scenario().edge(), folder.resolve("edge.toml"), StandardCopyOption.REPLACE_EXISTING);
@@ -97,12 +97,12 @@
                         .build());
     }
 
-    private void asks(Played played) throws IOException {
+    private void asks(RunResult played) throws IOException {
         try (CSVPrinter asks = table(
                         "asks.csv", "ask", "arrived_ms", "class", "tenant", "work_ms", "tries", "end", "served_ms");
                 CSVPrinter tries =
                         table("tries.csv", "ask", "request", "sidecar", "sent_ms", "ended_ms", "end", "status")) {
-            for (Ask ask : played.asks()) {
+            for (ClientRequest ask : played.asks()) {
                 asks.printRecord(
                         ask.number(),
                         ms(ask.arrivedMs()),
@@ -114,7 +114,7 @@
                         ask.tries().size(),
                         ask.tries().isEmpty() ? "open" : word(ask.last().end()),
                         ms(ask.servedMs()));
-                for (Ask.Try each : ask.tries()) {
+                for (ClientRequest.Try each : ask.tries()) {
                     tries.printRecord(
                             ask.number(),
                             each.id(),
@@ -132,7 +132,7 @@
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    private void attempts(Played played) throws IOException {
+    private void attempts(RunResult played) throws IOException {
         try (CSVPrinter out = table(
                 "attempts.csv",
                 "request",
@@ -161,9 +161,9 @@
         }
     }
 
-    private void nodes(Played played) throws IOException {
+    private void nodes(RunResult played) throws IOException {
         try (CSVPrinter out = table("endpoints.csv", "tier", "endpoint", "speed", "done_ms", "most_held")) {
-            for (Played.Node node : played.nodes()) {
+            for (RunResult.Node node : played.nodes()) {
                 out.printRecord(node.tier() + 1, node.id(), ms(node.speed()), ms(node.doneMs()), node.mostHeld());
             }
         }
--- a/lab/src/main/java/lemonrail/lab/report/Scorer.java
+++ b/lab/src/main/java/lemonrail/lab/report/Scorer.java
@@ -6,11 +6,11 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToIntFunction;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.TenantQuota;
 import lemonrail.lab.host.AttemptRecorder;
-import lemonrail.lab.host.Played;
-import lemonrail.lab.model.Ask;
+import lemonrail.lab.host.RunResult;
+import lemonrail.lab.model.ClientRequest;
 import org.HdrHistogram.Histogram;
 
 /** Scores the service of a run as the site's brief does; the rules themselves are checked while it plays. */
@@ -33,11 +33,11 @@
     private static final long MOST_MICROS = 3_600_000_000L;
     private static final int MOST_RULES = 20;
 
-    private final Played played;
+    private final RunResult played;
     private final List<RequestClass> classes;
-    private final Set<Ask> surplus = new HashSet<>();
+    private final Set<ClientRequest> surplus = new HashSet<>();
 
-    private Scorer(Played played) {
+    private Scorer(RunResult played) {
         this.played = played;
         classes = played.scenario().requests().stream()
                 .map(requests -> played.settings().classes().stream()
@@ -48,26 +48,26 @@
     }
 
     /** Scores a run; what was due before the warm-up ended does not count. */
-    public static Verdict score(Played played) {
+    public static Verdict score(RunResult played) {
         return new Scorer(played).verdict();
     }
 
-    private double worth(Ask ask) {
-        double full = classes.get(ask.requestClass()).worth();
-        return surplus.contains(ask) ? full * played.settings().overShareWorth() : full;
+    private double worth(ClientRequest ask) {
+        double full = classes.get(ask.requestClass()).priorityWeight();
+        return surplus.contains(ask) ? full * played.settings().overQuotaWeight() : full;
     }
 
-    private double got(Ask ask) {
+    private double got(ClientRequest ask) {
         double tookMs = ask.servedMs() - ask.arrivedMs();
-        return tookMs <= classes.get(ask.requestClass()).aimMs() ? worth(ask) : -penalty(ask);
+        return tookMs <= classes.get(ask.requestClass()).latencyObjectiveMs() ? worth(ask) : -penalty(ask);
     }
 
-    private double penalty(Ask ask) {
+    private double penalty(ClientRequest ask) {
         if (ask.tries().isEmpty() || !Double.isNaN(ask.servedMs())) {
             return 0;
         }
-        Ask.Try last = ask.last();
-        boolean late = last.end() == Ask.End.GIVEN_UP
+        ClientRequest.Try last = ask.last();
+        boolean late = last.end() == ClientRequest.End.GIVEN_UP
                 || last.endedMs() - last.sentMs()
                         > classes.get(ask.requestClass()).deadlineMs()
                                 * played.scenario().patience().least()
@@ -77,22 +77,22 @@
         return late && !tried ? UNTRIED_PRICE * worth(ask) : 0;
     }
 
-    private double share(List<Ask> asks) {
+    private double share(List<ClientRequest> asks) {
         double wanted = sum(asks, this::worth);
         return wanted == 0 ? 1 : sum(asks, this::got) / wanted;
     }
 
-    private static double sum(List<Ask> asks, ToDoubleFunction<Ask> of) {
+    private static double sum(List<ClientRequest> asks, ToDoubleFunction<ClientRequest> of) {
         return asks.stream().mapToDouble(of).sum();
     }
 
     /** Marks what goes beyond its tenant's rate, second by second. */
-    private void findSurplus(List<Ask> asks) {
+    private void findSurplus(List<ClientRequest> asks) {
         for (int place = 0; place < played.scenario().tenants().size(); place++) {
             String name = played.scenario().tenants().get(place).name();
             double rate = played.settings().tenants().stream()
                     .filter(each -> each.name().equals(name))
-                    .mapToDouble(Tenant::allowancePerSecond)
+                    .mapToDouble(TenantQuota::requestsPerSecond)
                     .findFirst()
                     .orElse(0);
             if (rate <= 0) {
@@ -100,7 +100,7 @@
             }
             double tokens = rate;
             double lastMs = 0;
-            for (Ask ask : asks) {
+            for (ClientRequest ask : asks) {
                 if (ask.tenant() == place) {
                     tokens = Math.min(rate, tokens + (ask.arrivedMs() - lastMs) / 1000 * rate);
                     lastMs = ask.arrivedMs();
@@ -117,15 +117,16 @@
     private Verdict verdict() {
         findSurplus(played.asks());
         double warmMs = played.scenario().load().warmUpMs();
-        List<Ask> asks = played.asks().stream()
+        List<ClientRequest> asks = played.asks().stream()
                 .filter(ask -> ask.arrivedMs() >= warmMs && !ask.tries().isEmpty())
                 .toList();
         double whole = share(asks);
         double worst = worstWindow(asks, warmMs, whole);
-        double worstClass = worstOf(asks, classes.size(), Ask::requestClass);
-        List<Ask> within = asks.stream().filter(ask -> !surplus.contains(ask)).toList();
-        double worstTenant = worstOf(within, played.scenario().tenants().size(), Ask::tenant);
-        double asked = sum(asks, Ask::workMs);
+        double worstClass = worstOf(asks, classes.size(), ClientRequest::requestClass);
+        List<ClientRequest> within =
+                asks.stream().filter(ask -> !surplus.contains(ask)).toList();
+        double worstTenant = worstOf(within, played.scenario().tenants().size(), ClientRequest::tenant);
+        double asked = sum(asks, ClientRequest::workMs);
         double waste = asked == 0 ? 0 : wasted(warmMs) / asked;
         double late = sum(asks, ask -> !Double.isNaN(ask.servedMs()) && got(ask) <= 0 ? worth(ask) : 0)
                 / Math.max(1e-9, sum(asks, this::worth));
@@ -152,10 +153,10 @@
                 waste,
                 late,
                 asks.size(),
-                count(asks, end -> end == Ask.End.SERVED),
-                count(asks, end -> end == Ask.End.REFUSED),
-                count(asks, end -> end == Ask.End.FAILED || end == Ask.End.UNREACHED),
-                count(asks, end -> end == Ask.End.LOST || end == Ask.End.GIVEN_UP),
+                count(asks, end -> end == ClientRequest.End.SERVED),
+                count(asks, end -> end == ClientRequest.End.REFUSED),
+                count(asks, end -> end == ClientRequest.End.FAILED || end == ClientRequest.End.UNREACHED),
+                count(asks, end -> end == ClientRequest.End.LOST || end == ClientRequest.End.GIVEN_UP),
                 attempts / (double) Math.max(1, asks.size()),
                 micros.getValueAtPercentile(50) / 1e3,
                 micros.getValueAtPercentile(99) / 1e3,
@@ -164,17 +165,17 @@
                 played.broken().stream().limit(MOST_RULES).toList());
     }
 
-    private static int count(List<Ask> asks, Predicate<Ask.End> end) {
+    private static int count(List<ClientRequest> asks, Predicate<ClientRequest.End> end) {
         return (int) asks.stream().filter(ask -> end.test(ask.last().end())).count();
     }
 
-    private double worstWindow(List<Ask> asks, double warmMs, double whole) {
+    private double worstWindow(List<ClientRequest> asks, double warmMs, double whole) {
         double lastMs = asks.isEmpty() ? warmMs : asks.get(asks.size() - 1).arrivedMs();
         double mean = sum(asks, this::worth) * WINDOW_MS / Math.max(WINDOW_MS, lastMs - warmMs);
         double worst = whole;
         for (double from = warmMs; from + WINDOW_MS <= lastMs; from += STEP_MS) {
             double begin = from;
-            List<Ask> in = asks.stream()
+            List<ClientRequest> in = asks.stream()
                     .filter(ask -> ask.arrivedMs() >= begin && ask.arrivedMs() < begin + WINDOW_MS)
                     .toList();
             if (sum(in, this::worth) >= mean * THIN) {
@@ -184,7 +185,7 @@
         return worst;
     }
 
-    private double worstOf(List<Ask> asks, int groups, ToIntFunction<Ask> group) {
+    private double worstOf(List<ClientRequest> asks, int groups, ToIntFunction<ClientRequest> group) {
         double worst = 1;
         for (int i = 0; i < groups; i++) {
             int place = i;
@@ -202,7 +203,7 @@
         Set<String> served = new HashSet<>();
         played.asks()
                 .forEach(ask -> ask.tries().stream()
-                        .filter(each -> each.end() == Ask.End.SERVED)
+                        .filter(each -> each.end() == ClientRequest.End.SERVED)
                         .forEach(each -> served.add(each.id())));
         double wasted = 0;
         for (AttemptRecorder.Attempt attempt : played.recorder().attempts()) {
--- a/lab/src/main/java/lemonrail/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ControlPlane.java
@@ -94,10 +94,10 @@
     record Place(Path folder, String name, InetSocketAddress listen, int balancers, List<String> zones) {}
 
     /** Takes a list as a whole, from nothing. */
-    void list(String list, List<Line> lines);
+    void list(String list, List<EndpointEntry> lines);
 
     /** Takes changes to several lists at once, at a node; those of one list get one version. */
-    Applied apply(int node, Map<String, List<Line>> changes);
+    Applied apply(int node, Map<String, List<EndpointEntry>> changes);
 
     /**
      * Changes settings at a node; how long it took until they were in force at each sidecar, in ms, NaN where
--- a/lab/src/main/java/lemonrail/lab/scale/Line.java
+++ b/lab/src/main/java/lemonrail/lab/scale/EndpointEntry.java
@@ -8,7 +8,8 @@
  * @param rack what the platform calls its cell
  * @param startedMs Unix time, 0 for long ago
  */
-public record Line(String id, String address, String zone, int rack, State state, long startedMs, double weight) {
+public record EndpointEntry(
+        String id, String address, String zone, int rack, State state, long startedMs, double weight) {
 
     /** What is said of an endpoint, in discovery's words. */
     public enum State {
@@ -18,18 +19,18 @@
     }
 
     /** The same endpoint in another state. */
-    public Line with(State other) {
-        return new Line(id, address, zone, rack, other, startedMs, weight);
+    public EndpointEntry with(State other) {
+        return new EndpointEntry(id, address, zone, rack, other, startedMs, weight);
     }
 
     /** The same endpoint, of another weight. */
-    public Line weighing(double other) {
-        return new Line(id, address, zone, rack, state, startedMs, other);
+    public EndpointEntry weighing(double other) {
+        return new EndpointEntry(id, address, zone, rack, state, startedMs, other);
     }
 
     /** The endpoint after a restart. */
-    public Line started(long atMs) {
-        return new Line(id, address, zone, rack, State.IN_SERVICE, atMs, weight);
+    public EndpointEntry started(long atMs) {
+        return new EndpointEntry(id, address, zone, rack, State.IN_SERVICE, atMs, weight);
     }
 
     /** As discovery writes it. */
--- a/lab/src/main/java/lemonrail/lab/scale/Fleet.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Fleet.java
@@ -31,7 +31,7 @@
      * @param region in which it was made, or below 0 where that is all the same
      * @param farNanos from when it could be known in the other regions
      */
-    record Change(ControlPlane.Applied applied, Map<String, List<Line>> lines, int region, long farNanos) {
+    record Change(ControlPlane.Applied applied, Map<String, List<EndpointEntry>> lines, int region, long farNanos) {
         long sinceNanos(int in) {
             return region < 0 || in == region ? applied.atNanos() : farNanos;
         }
@@ -72,7 +72,7 @@
     /** When real sidecars were heard to ask on. */
     private final Map<Integer, List<ControlPlane.Heard>> heard = new HashMap<>();
     /** The last word on each endpoint, by its number. */
-    private final Map<Integer, Line> lines = new TreeMap<>();
+    private final Map<Integer, EndpointEntry> lines = new TreeMap<>();
 
     private long words;
 
@@ -158,8 +158,8 @@
     }
 
     /** What all must come to have, by list and endpoint. */
-    private Map<String, Map<String, Line>> expected() {
-        Map<String, Map<String, Line>> lists = new HashMap<>();
+    private Map<String, Map<String, EndpointEntry>> expected() {
+        Map<String, Map<String, EndpointEntry>> lists = new HashMap<>();
         lines.forEach((number, line) ->
                 lists.computeIfAbsent(home(number), k -> new LinkedHashMap<>()).put(line.id(), line));
         return lists;
@@ -168,27 +168,27 @@
     // ---- what happens ----
 
     /** The last word on an endpoint. */
-    Line line(int number) {
+    EndpointEntry line(int number) {
         return lines.get(number);
     }
 
-    private Line said(Line line) {
+    private EndpointEntry said(EndpointEntry line) {
         return line.weighing(1 + ++words / WORDS);
     }
 
     /** A further word on an endpoint, by its number, of no other meaning. */
-    Map<String, List<Line>> again(Collection<Integer> numbers) {
-        Map<Integer, Line> news = new TreeMap<>();
+    Map<String, List<EndpointEntry>> again(Collection<Integer> numbers) {
+        Map<Integer, EndpointEntry> news = new TreeMap<>();
         numbers.forEach(number -> news.put(number, lines.get(number)));
         return now(news);
     }
 
     /** What is said of endpoints from now on. */
-    Map<String, List<Line>> now(Map<Integer, Line> news) {
-        Map<String, List<Line>> lists = new LinkedHashMap<>();
+    Map<String, List<EndpointEntry>> now(Map<Integer, EndpointEntry> news) {
+        Map<String, List<EndpointEntry>> lists = new LinkedHashMap<>();
         news.forEach((number, line) -> {
-            Line word = said(line);
-            if (line.state() == Line.State.TERMINATED) {
+            EndpointEntry word = said(line);
+            if (line.state() == EndpointEntry.State.TERMINATED) {
                 lines.remove(number);
             } else {
                 lines.put(number, word);
@@ -199,15 +199,15 @@
     }
 
     /** An endpoint's place is taken by another. */
-    Map<String, List<Line>> replaced(int number, Line successor) {
-        Line before = said(lines.get(number).with(Line.State.TERMINATED));
-        Map<String, List<Line>> lists = now(Map.of(number, successor));
+    Map<String, List<EndpointEntry>> replaced(int number, EndpointEntry successor) {
+        EndpointEntry before = said(lines.get(number).with(EndpointEntry.State.TERMINATED));
+        Map<String, List<EndpointEntry>> lists = now(Map.of(number, successor));
         lists.get(home(number)).add(before);
         return lists;
     }
 
     /** Makes a change, at a node. */
-    Change apply(int node, Map<String, List<Line>> change) {
+    Change apply(int node, Map<String, List<EndpointEntry>> change) {
         ControlPlane.Applied applied = plane.apply(node, change);
         return new Change(applied, change, -1, applied.atNanos());
     }
@@ -215,15 +215,15 @@
     /** Endpoints and their sidecars are lost at once. */
     Change lose(List<Integer> numbers) {
         hollow.stop(numbers);
-        Map<Integer, Line> gone = new TreeMap<>();
-        numbers.forEach(number -> gone.put(number, lines.get(number).with(Line.State.TERMINATED)));
+        Map<Integer, EndpointEntry> gone = new TreeMap<>();
+        numbers.forEach(number -> gone.put(number, lines.get(number).with(EndpointEntry.State.TERMINATED)));
         return apply(0, now(gone));
     }
 
     /** They are back, with new processes: the sidecars start just before, so they must have it as well. */
     Change back(List<Integer> numbers) {
         long startedMs = 1_000_000 + words;
-        Map<Integer, Line> fresh = new TreeMap<>();
+        Map<Integer, EndpointEntry> fresh = new TreeMap<>();
         numbers.forEach(number -> fresh.put(number, site.line(number).started(startedMs)));
         startHollow(numbers);
         return apply(0, now(fresh));
@@ -252,12 +252,12 @@
     List<Double> hollowMs(Change change) {
         List<Double> taken = new ArrayList<>();
         for (HollowSidecar sidecar : hollow.sidecars()) {
-            List<Line> told = change.lines.get(sidecar.list());
+            List<EndpointEntry> told = change.lines.get(sidecar.list());
             if (told == null || sidecar.bornNanos() > change.applied.atNanos()) {
                 continue;
             }
             long had = Long.MIN_VALUE;
-            for (Line line : told) {
+            for (EndpointEntry line : told) {
                 long one = sidecar.hadNanos(line, change.applied.atNanos());
                 had = one < 0 || had == Long.MAX_VALUE ? Long.MAX_VALUE : Math.max(had, one);
             }
--- a/lab/src/main/java/lemonrail/lab/scale/HollowFleet.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowFleet.java
@@ -92,7 +92,7 @@
     }
 
     /** How many of them have, in their deciders, what control says now. */
-    int knowing(Map<String, Map<String, Line>> lists) {
+    int knowing(Map<String, Map<String, EndpointEntry>> lists) {
         List<Future<Boolean>> asked = new ArrayList<>();
         sidecars.values()
                 .forEach(sidecar -> asked.add(sidecar.loop().submit(() -> sidecar.knows(lists.get(sidecar.list())))));
