--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -8,24 +8,24 @@
 import java.util.Map;
 import java.util.Set;
 import lemonrail.config.EdgeConfig;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.State;
-import lemonrail.core.policy.Decide;
-import lemonrail.discovery.ServerList;
-import lemonrail.exchange.Exchange;
-import lemonrail.exchange.Shard;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.policy.BoxcarLoadBalancer;
+import lemonrail.discovery.EndpointList;
+import lemonrail.exchange.EventLoopContext;
+import lemonrail.exchange.RequestDispatcher;
 import lemonrail.exchange.Upstream;
-import lemonrail.http1.Answer;
-import lemonrail.http1.Http1;
+import lemonrail.http1.Http1Protocol;
 import lemonrail.http1.RequestMessage;
+import lemonrail.http1.UpstreamResponse;
 import lemonrail.lifecycle.Lifecycle;
 import lemonrail.logging.EventLog;
 import lemonrail.logging.LogEvent;
 import lemonrail.logging.LogSink;
 import lemonrail.logging.Severity;
 import lemonrail.metrics.Metrics;
-import lemonrail.streaming.Budget;
-import lemonrail.suspension.Suspensions;
+import lemonrail.streaming.BufferBudget;
+import lemonrail.suspension.SuspendedEndpoints;
 import lemonrail.time.Clock;
 
 /**
@@ -42,8 +42,10 @@
     /** What was told of an endpoint: when the decider had it, its weight, or that it is gone. */
     record Told(long atNanos, double weight, boolean gone) {
         /** Whether this is the word that is looked for, or a later one. */
-        boolean has(Line line) {
-            return gone || (line.state() != Line.State.TERMINATED && weight >= line.weight()) || weight > line.weight();
+        boolean has(EndpointEntry line) {
+            return gone
+                    || (line.state() != EndpointEntry.State.TERMINATED && weight >= line.weight())
+                    || weight > line.weight();
         }
     }
 
@@ -52,9 +54,9 @@
     private final int number;
     private final String list;
     private final ControlPlane.Watch watch;
-    private final Upstream<RequestMessage, Answer> endpoints;
-    private final Suspensions suspensions;
-    private final Exchange<RequestMessage, Answer> exchange;
+    private final Upstream<RequestMessage, UpstreamResponse> endpoints;
+    private final SuspendedEndpoints suspensions;
+    private final RequestDispatcher<RequestMessage, UpstreamResponse> exchange;
     /** By endpoint, in the order of time. Guarded by itself: the run reads it from its own thread. */
     private final Map<String, List<Told>> told = new HashMap<>();
 
@@ -67,24 +69,25 @@
         this.list = list;
         Clock clock = new Clock();
         EventLog log = new EventLog(clock, new Silence());
-        Shard shard = new Shard(
+        EventLoopContext shard = new EventLoopContext(
                 loop,
                 clock,
                 log,
                 new Metrics(config.classNames()),
-                new Budget(BODIES_BYTES),
+                new BufferBudget(BODIES_BYTES),
                 new Lifecycle(() -> true),
                 config.settings(),
                 config.idleCloseMs());
-        suspensions = new Suspensions(config.kept("hollow"), log);
+        suspensions = new SuspendedEndpoints(config.kept("hollow"), log);
         watch = plane.watch(loop, config, log, seed, list, node);
-        endpoints = new Http1().upstream(shard, CONNECTIONS);
+        endpoints = new Http1Protocol().upstream(shard, CONNECTIONS);
         // Set before the exchange begins the watch.
         watch.listen(this::take);
-        exchange = new Exchange<>(shard, endpoints, suspensions, Decide::new, seed, config.known(), watch::watch);
+        exchange = new RequestDispatcher<>(
+                shard, endpoints, suspensions, BoxcarLoadBalancer::new, seed, config.known(), watch::watch);
     }
 
-    private void take(ServerList news) {
+    private void take(EndpointList news) {
         exchange.listed(news);
         long now = System.nanoTime();
         synchronized (told) {
@@ -98,10 +101,10 @@
                     }
                 });
             }
-            for (ServerList.Entry entry : news.entries()) {
-                Server server = entry.server();
+            for (EndpointList.Entry entry : news.entries()) {
+                Endpoint server = entry.server();
                 told.computeIfAbsent(server.id(), id -> new ArrayList<>(2))
-                        .add(new Told(now, server.weight(), server.state() == State.GONE));
+                        .add(new Told(now, server.weight(), server.state() == EndpointState.GONE));
             }
         }
     }
@@ -126,7 +129,7 @@
     }
 
     /** When, since a time, it had this word on an endpoint or a later one; below 0 if it has not. */
-    long hadNanos(Line line, long sinceNanos) {
+    long hadNanos(EndpointEntry line, long sinceNanos) {
         synchronized (told) {
             for (Told word : told.getOrDefault(line.id(), List.of())) {
                 if (word.atNanos >= sinceNanos && word.has(line)) {
@@ -152,14 +155,17 @@
     }
 
     /** Whether the decider's list is this one; to be asked on its loop. */
-    boolean knows(Map<String, Line> lines) {
-        List<Server> shown = suspensions.shown(lines.keySet());
+    boolean knows(Map<String, EndpointEntry> lines) {
+        List<Endpoint> shown = suspensions.shown(lines.keySet());
         return suspensions.listed() == lines.size()
                 && endpoints.size() == lines.size()
                 && shown.size() == lines.size()
                 && shown.stream().allMatch(server -> {
-                    Line line = lines.get(server.id());
-                    return server.state() == (line.state() == Line.State.IN_SERVICE ? State.READY : State.DRAINING)
+                    EndpointEntry line = lines.get(server.id());
+                    return server.state()
+                                    == (line.state() == EndpointEntry.State.IN_SERVICE
+                                            ? EndpointState.READY
+                                            : EndpointState.DRAINING)
                             && server.startedMs() == line.startedMs()
                             && server.weight() == line.weight();
                 });
--- a/lab/src/main/java/lemonrail/lab/scale/Point.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Measurement.java
@@ -14,7 +14,7 @@
  * @param proportionalMb the same, with what is shared among processes shared out
  * @param isVoid the lab was the bottleneck, so the figure is none of this
  */
-public record Point(
+public record Measurement(
         What what,
         int listed,
         int watchers,
--- a/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
@@ -20,9 +20,9 @@
 import lemonrail.config.ControlConfig;
 import lemonrail.config.EdgeConfig;
 import lemonrail.config.SettingsDocument;
-import lemonrail.control.Change;
+import lemonrail.control.ConfigurationChange;
 import lemonrail.control.ControlNode;
-import lemonrail.core.control.ControlState.Taken;
+import lemonrail.core.replication.ReplicatedStore.Taken;
 import lemonrail.discovery.ControlClient;
 import lemonrail.discovery.DiscoveryClient;
 import lemonrail.lab.host.SidecarHost;
@@ -65,7 +65,7 @@
     /** The sequence of words on each list, by the digest that holds once they are in. */
     private final Map<String, Map<Long, Long>> sequences = new HashMap<>();
     /** What was to be said at a node that was down. */
-    private final List<Change> unsaid = new ArrayList<>();
+    private final List<ConfigurationChange> unsaid = new ArrayList<>();
 
     private final List<Long> settingsTold = new ArrayList<>();
     private long sequence;
@@ -291,7 +291,7 @@
     }
 
     @Override
-    public void list(String list, List<Line> lines) {
+    public void list(String list, List<EndpointEntry> lines) {
         apply(0, Map.of(list, lines));
         await("all nodes have the list", this::agree);
     }
@@ -301,7 +301,7 @@
     }
 
     @Override
-    public Applied apply(int node, Map<String, List<Line>> changes) {
+    public Applied apply(int node, Map<String, List<EndpointEntry>> changes) {
         long at = System.nanoTime();
         long next = ++sequence;
         Map<String, Long> versions = new HashMap<>();
@@ -313,13 +313,13 @@
         return new Applied(at, versions);
     }
 
-    private static Change change(String list, Line line) {
-        return line.state() == Line.State.TERMINATED
-                ? Change.endpointGone(list, line.id())
-                : Change.endpoint(list, line.id(), line.json().getBytes(StandardCharsets.UTF_8));
+    private static ConfigurationChange change(String list, EndpointEntry line) {
+        return line.state() == EndpointEntry.State.TERMINATED
+                ? ConfigurationChange.endpointGone(list, line.id())
+                : ConfigurationChange.endpoint(list, line.id(), line.json().getBytes(StandardCharsets.UTF_8));
     }
 
-    private void say(int node, Change change) {
+    private void say(int node, ConfigurationChange change) {
         if (!up.get(node)) {
             unsaid.add(change);
             return;
@@ -343,7 +343,7 @@
             settingsTold.clear();
         }
         long began = System.nanoTime();
-        nodes.get(node).put(Change.settings(DOCUMENT, "[[classes]]\nname = \"read\"\naim = \"450ms\"\n"));
+        nodes.get(node).put(ConfigurationChange.settings(DOCUMENT, "[[classes]]\nname = \"read\"\naim = \"450ms\"\n"));
         String stamp = nodes.get(node).stamp("settings:" + DOCUMENT, DOCUMENT);
         List<Double> tookMs = new ArrayList<>();
         while (!inForce(stamp) && System.nanoTime() - began < mostMs * 1e6) {
@@ -387,7 +387,7 @@
         }
         if (!up.contains(false)) {
             await("all nodes are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
-            List<Change> late = List.copyOf(unsaid);
+            List<ConfigurationChange> late = List.copyOf(unsaid);
             unsaid.clear();
             late.forEach(change -> say(0, change));
             sequences.keySet().forEach(list -> learn(list, nodes.get(0), sequence));
--- a/lab/src/main/java/lemonrail/lab/scale/InForce.java
+++ b/lab/src/main/java/lemonrail/lab/scale/PropagationTimes.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** How long changes took until they were in force, over all sidecars that were to have them. */
-final class InForce {
+final class PropagationTimes {
 
     private final List<Double> takenMs = new ArrayList<>();
     private final List<Double> lastMs = new ArrayList<>();
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 import lemonrail.config.EdgeConfig;
-import lemonrail.core.WatchPace;
+import lemonrail.core.WatchSchedule;
 import lemonrail.discovery.DiscoveryClient;
 import lemonrail.logging.EventLog;
 
@@ -55,9 +55,9 @@
                         places.get(list),
                         config.names(),
                         config.known().version(),
-                        WatchPace.ofFleet(
+                        WatchSchedule.ofFleet(
                                 config.settings().balancers(),
-                                config.settings().rules().drainGraceMs(),
+                                config.settings().drain().graceMs(),
                                 seed),
                         log),
                 elsewhere.get(list));
@@ -98,19 +98,19 @@
     }
 
     @Override
-    public void list(String list, List<Line> lines) {
+    public void list(String list, List<EndpointEntry> lines) {
         node.list(list, lines);
         places.put(list, node.address(list, "hollow"));
         elsewhere.put(list, node.address(list, "elsewhere"));
     }
 
     @Override
-    public Applied apply(int at, Map<String, List<Line>> changes) {
+    public Applied apply(int at, Map<String, List<EndpointEntry>> changes) {
         return node.apply(changes);
     }
 
     /** What a list has now. */
-    Map<String, Line> lines(String list) {
+    Map<String, EndpointEntry> lines(String list) {
         return node.lines(list);
     }
 
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryNode.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryNode.java
@@ -59,9 +59,9 @@
 
     /** One list and who waits for changes to it. */
     private final class Listing {
-        private final Map<String, Line> lines = new LinkedHashMap<>();
+        private final Map<String, EndpointEntry> lines = new LinkedHashMap<>();
         /** Endpoints as they were last told, gone ones among them. */
-        private final Map<String, Line> told = new HashMap<>();
+        private final Map<String, EndpointEntry> told = new HashMap<>();
 
         private final Deque<Change> changes = new ArrayDeque<>();
         private final Map<Channel, Watch> waiting = new LinkedHashMap<>();
@@ -72,7 +72,7 @@
         /** The version up to which changes are not known one by one. */
         private long forgotten;
 
-        void replace(List<Line> all) {
+        void replace(List<EndpointEntry> all) {
             lines.clear();
             changes.clear();
             all.forEach(line -> lines.put(line.id(), line));
@@ -81,10 +81,10 @@
             changed();
         }
 
-        long apply(Collection<Line> news) {
+        long apply(Collection<EndpointEntry> news) {
             version++;
-            for (Line line : news) {
-                if (line.state() == Line.State.TERMINATED) {
+            for (EndpointEntry line : news) {
+                if (line.state() == EndpointEntry.State.TERMINATED) {
                     lines.remove(line.id());
                 } else {
                     lines.put(line.id(), line);
@@ -145,7 +145,7 @@
         }
 
         private ByteBuf answer(long index) {
-            Collection<Line> answered = lines.values();
+            Collection<EndpointEntry> answered = lines.values();
             if (index >= 0) {
                 Set<String> ids = new LinkedHashSet<>();
                 for (var newest = changes.descendingIterator(); newest.hasNext(); ) {
@@ -252,14 +252,14 @@
         return listener.address;
     }
 
-    void list(String list, List<Line> lines) {
+    void list(String list, List<EndpointEntry> lines) {
         on(() -> {
             listing(list).replace(lines);
             return null;
         });
     }
 
-    ControlPlane.Applied apply(Map<String, List<Line>> changes) {
+    ControlPlane.Applied apply(Map<String, List<EndpointEntry>> changes) {
         return on(() -> {
             long at = System.nanoTime();
             Map<String, Long> versions = new HashMap<>();
@@ -268,7 +268,7 @@
         });
     }
 
-    Map<String, Line> lines(String list) {
+    Map<String, EndpointEntry> lines(String list) {
         return on(() -> Map.copyOf(listing(list).lines));
     }
 
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleResults.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleResults.java
@@ -27,7 +27,7 @@
         ScaleScenario scenario,
         String version,
         double tookMs,
-        List<Point> points,
+        List<Measurement> points,
         List<StormRow> rows,
         List<String> changes,
         String cutShort) {
@@ -36,7 +36,7 @@
     public boolean passes() {
         return cutShort.isEmpty()
                 && rows.stream().allMatch(row -> row.verdict() == StormRow.Verdict.MET)
-                && points.stream().noneMatch(Point::isVoid)
+                && points.stream().noneMatch(Measurement::isVoid)
                 && missed().isEmpty();
     }
 
@@ -44,9 +44,9 @@
     public List<String> missed() {
         List<String> missed = new ArrayList<>();
         ScaleScenario.Targets targets = scenario.targets();
-        for (Point point : points) {
+        for (Measurement point : points) {
             // The day's rate of changes is next to none: what stands still must be within the target.
-            if (point.what() == Point.What.SIDECAR
+            if (point.what() == Measurement.What.SIDECAR
                     && point.changesPerS() == 0
                     && !point.isVoid()
                     && point.listed() <= scenario.site().endpoints()) {
@@ -93,8 +93,8 @@
         List<Slope> slopes = Slope.of(points);
         lines(
                 folder.resolve("points.csv"),
-                Point.HEADER,
-                points.stream().map(Point::csv).toList());
+                Measurement.HEADER,
+                points.stream().map(Measurement::csv).toList());
         lines(
                 folder.resolve("slopes.csv"),
                 Slope.HEADER,
@@ -235,30 +235,30 @@
                     "Processor time of a real sidecar",
                     "changes a second",
                     "percent of a core",
-                    point -> point.what() == Point.What.SIDECAR,
+                    point -> point.what() == Measurement.What.SIDECAR,
                     point -> point.listed() + " listed",
-                    Point::changesPerS,
-                    Point::corePercent);
+                    Measurement::changesPerS,
+                    Measurement::corePercent);
             chart(
                     charts,
                     "sidecar-memory",
                     "Resident memory of a real sidecar",
                     "endpoints listed",
                     "MB",
-                    point -> point.what() == Point.What.SIDECAR,
+                    point -> point.what() == Measurement.What.SIDECAR,
                     point -> String.format(Locale.ROOT, "%.0f changes a second", point.changesPerS()),
-                    Point::listed,
-                    Point::residentMb);
+                    Measurement::listed,
+                    Measurement::residentMb);
             chart(
                     charts,
                     "control-processor",
                     "Processor time of a control node",
                     "changes a second",
                     "percent of a core",
-                    point -> point.what() == Point.What.CONTROL,
+                    point -> point.what() == Measurement.What.CONTROL,
                     point -> point.watchers() + " watchers",
-                    Point::changesPerS,
-                    Point::corePercent);
+                    Measurement::changesPerS,
+                    Measurement::corePercent);
         }
         if (!rows.isEmpty()) {
             DefaultCategoryDataset bars = new DefaultCategoryDataset();
@@ -278,10 +278,10 @@
             String title,
             String x,
             String y,
-            Predicate<Point> which,
-            Function<Point, String> line,
-            ToDoubleFunction<Point> at,
-            ToDoubleFunction<Point> figure)
+            Predicate<Measurement> which,
+            Function<Measurement, String> line,
+            ToDoubleFunction<Measurement> at,
+            ToDoubleFunction<Measurement> figure)
             throws IOException {
         Map<String, XYSeries> series = new LinkedHashMap<>();
         points.stream()
--- a/lab/src/main/java/lemonrail/lab/scale/Site.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Site.java
@@ -63,26 +63,26 @@
     }
 
     /** What control says of an endpoint in the beginning; no address is ever called. */
-    public Line line(int endpoint) {
-        return new Line(
+    public EndpointEntry line(int endpoint) {
+        return new EndpointEntry(
                 String.format(Locale.ROOT, "s-%08x", endpoint * 2654435761L & 0xffffffffL),
                 address(endpoint, 0),
                 "zone-" + zone(endpoint),
                 endpoint / rack,
-                Line.State.IN_SERVICE,
+                EndpointEntry.State.IN_SERVICE,
                 0,
                 1);
     }
 
     /** The process that takes an endpoint's place in a release. */
-    public Line successor(int endpoint, long startedMs) {
-        Line line = line(endpoint);
-        return new Line(
+    public EndpointEntry successor(int endpoint, long startedMs) {
+        EndpointEntry line = line(endpoint);
+        return new EndpointEntry(
                 line.id() + "-" + startedMs % 100_000,
                 address(endpoint, 1),
                 line.zone(),
                 line.rack(),
-                Line.State.IN_SERVICE,
+                EndpointEntry.State.IN_SERVICE,
                 startedMs,
                 1);
     }
@@ -92,8 +92,8 @@
     }
 
     /** All endpoints as they are in the beginning. */
-    public List<Line> lines() {
-        List<Line> lines = new ArrayList<>();
+    public List<EndpointEntry> lines() {
+        List<EndpointEntry> lines = new ArrayList<>();
         for (int i = 0; i < endpoints; i++) {
             lines.add(line(i));
         }
--- a/lab/src/main/java/lemonrail/lab/scale/Slope.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Slope.java
@@ -36,12 +36,12 @@
     }
 
     /** All that these points have three values or more for; void points are left out. */
-    public static List<Slope> of(List<Point> points) {
+    public static List<Slope> of(List<Measurement> points) {
         List<Slope> slopes = new ArrayList<>();
         List<LinearFit.Point> perChange = new ArrayList<>();
         List<Integer> sizes = points.stream()
-                .filter(point -> point.what() == Point.What.SIDECAR)
-                .map(Point::listed)
+                .filter(point -> point.what() == Measurement.What.SIDECAR)
+                .map(Measurement::listed)
                 .distinct()
                 .sorted()
                 .toList();
@@ -52,8 +52,8 @@
                     "sidecar processor time at " + listed + " listed",
                     "changes a second",
                     "ms a change; intercept ms a second",
-                    point -> point.what() == Point.What.SIDECAR && point.listed() == listed,
-                    Point::changesPerS,
+                    point -> point.what() == Measurement.What.SIDECAR && point.listed() == listed,
+                    Measurement::changesPerS,
                     point -> point.corePercent() * MS_A_PERCENT);
             if (slope != null) {
                 perChange.add(new LinearFit.Point(listed, slope.fit.slope()));
@@ -66,7 +66,7 @@
                     "ms an endpoint listed; intercept ms",
                     LinearFit.of(perChange)));
         }
-        Predicate<Point> idle = point -> point.what() == Point.What.SIDECAR && point.changesPerS() == 0;
+        Predicate<Measurement> idle = point -> point.what() == Measurement.What.SIDECAR && point.changesPerS() == 0;
         add(
                 slopes,
                 points,
@@ -74,10 +74,11 @@
                 "endpoints listed",
                 "percent of a core an endpoint",
                 idle,
-                Point::listed,
-                Point::corePercent);
-        double most = points.stream().mapToDouble(Point::changesPerS).max().orElse(0);
-        Predicate<Point> busy = point -> point.what() == Point.What.SIDECAR && point.changesPerS() == most;
+                Measurement::listed,
+                Measurement::corePercent);
+        double most =
+                points.stream().mapToDouble(Measurement::changesPerS).max().orElse(0);
+        Predicate<Measurement> busy = point -> point.what() == Measurement.What.SIDECAR && point.changesPerS() == most;
         add(
                 slopes,
                 points,
@@ -85,8 +86,8 @@
                 "endpoints listed",
                 "MB an endpoint; intercept MB",
                 busy,
-                Point::listed,
-                Point::residentMb);
+                Measurement::listed,
+                Measurement::residentMb);
         int largest = sizes.isEmpty() ? 0 : sizes.get(sizes.size() - 1);
         add(
                 slopes,
@@ -94,9 +95,9 @@
                 "sidecar bytes at " + largest + " listed",
                 "changes a second",
                 "bytes a change; intercept bytes a second",
-                point -> point.what() == Point.What.SIDECAR && point.listed() == largest,
-                Point::changesPerS,
-                Point::bytesPerS);
+                point -> point.what() == Measurement.What.SIDECAR && point.listed() == largest,
+                Measurement::changesPerS,
+                Measurement::bytesPerS);
         add(
                 slopes,
                 points,
@@ -104,9 +105,9 @@
                 "endpoints listed",
                 "bytes a second an endpoint",
                 idle,
-                Point::listed,
-                Point::bytesPerS);
-        Predicate<Point> control = point -> point.what() == Point.What.CONTROL;
+                Measurement::listed,
+                Measurement::bytesPerS);
+        Predicate<Measurement> control = point -> point.what() == Measurement.What.CONTROL;
         add(
                 slopes,
                 points,
@@ -123,8 +124,8 @@
                 "watchers",
                 "percent of a core a watcher",
                 control.and(point -> point.changesPerS() == 0),
-                Point::watchers,
-                Point::corePercent);
+                Measurement::watchers,
+                Measurement::corePercent);
         add(
                 slopes,
                 points,
@@ -133,19 +134,19 @@
                 "bytes a change and watcher; intercept bytes a second",
                 control,
                 point -> point.changesPerS() * point.watchers(),
-                Point::bytesPerS);
+                Measurement::bytesPerS);
         return slopes;
     }
 
     private static Slope add(
             List<Slope> slopes,
-            List<Point> points,
+            List<Measurement> points,
             String name,
             String against,
             String unit,
-            Predicate<Point> which,
-            ToDoubleFunction<Point> x,
-            ToDoubleFunction<Point> y) {
+            Predicate<Measurement> which,
+            ToDoubleFunction<Measurement> x,
+            ToDoubleFunction<Measurement> y) {
         List<LinearFit.Point> fitted = points.stream()
                 .filter(which.and(point -> !point.isVoid()))
                 .map(point -> new LinearFit.Point(x.applyAsDouble(point), y.applyAsDouble(point)))
--- a/lab/src/main/java/lemonrail/lab/scale/SlopeRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/SlopeRun.java
@@ -29,7 +29,7 @@
     private final EdgeConfig config;
     private final PrintWriter words;
     private final Supplier<ControlPlane> planes;
-    private final List<Point> points = new ArrayList<>();
+    private final List<Measurement> points = new ArrayList<>();
 
     SlopeRun(
             ScaleScenario scenario,
@@ -47,7 +47,7 @@
     }
 
     /** What has been measured so far. */
-    List<Point> points() {
+    List<Measurement> points() {
         return points;
     }
 
@@ -57,18 +57,22 @@
     }
 
     /** A change of an endpoint: it leaves, and at the next change comes back as a new process. */
-    private static Map<String, List<Line>> change(Map<String, List<Line>> lists, long number) {
-        Map<String, List<Line>> changes = new LinkedHashMap<>();
+    private static Map<String, List<EndpointEntry>> change(Map<String, List<EndpointEntry>> lists, long number) {
+        Map<String, List<EndpointEntry>> changes = new LinkedHashMap<>();
         lists.forEach((list, lines) -> {
-            Line line = lines.get((int) (number / 2 % lines.size()));
+            EndpointEntry line = lines.get((int) (number / 2 % lines.size()));
             changes.put(
                     list,
-                    List.of(number % 2 == 0 ? line.with(Line.State.TERMINATING) : line.started(1_000_000 + number)));
+                    List.of(
+                            number % 2 == 0
+                                    ? line.with(EndpointEntry.State.TERMINATING)
+                                    : line.started(1_000_000 + number)));
         });
         return changes;
     }
 
-    private static void pour(ControlPlane plane, Map<String, List<Line>> lists, double perSecond, double lengthMs)
+    private static void pour(
+            ControlPlane plane, Map<String, List<EndpointEntry>> lists, double perSecond, double lengthMs)
             throws InterruptedException {
         Churn.run(perSecond, lengthMs, number -> plane.apply(0, change(lists, number)));
     }
@@ -76,7 +80,7 @@
     private void sidecars() throws IOException, InterruptedException {
         ScaleScenario.Slopes slopes = scenario.slopes();
         Map<Integer, List<RealSidecar>> real = new TreeMap<>();
-        Map<String, List<Line>> lists = new LinkedHashMap<>();
+        Map<String, List<EndpointEntry>> lists = new LinkedHashMap<>();
         try (ControlPlane plane = planes.get()) {
             try {
                 for (int listed : slopes.listed()) {
@@ -129,7 +133,10 @@
     private record Before(double cpuMs, long atNanos) {}
 
     private void point(
-            ControlPlane plane, Map<Integer, List<RealSidecar>> real, Map<String, List<Line>> lists, double rate)
+            ControlPlane plane,
+            Map<Integer, List<RealSidecar>> real,
+            Map<String, List<EndpointEntry>> lists,
+            double rate)
             throws IOException, InterruptedException {
         pour(plane, lists, rate, scenario.slopes().warmUpMs());
         Map<RealSidecar, Before> before = new LinkedHashMap<>();
@@ -159,8 +166,8 @@
                 resident += sidecar.residentMb() / count;
                 proportional += sidecar.proportionalMb() / count;
             }
-            add(new Point(
-                    Point.What.SIDECAR,
+            add(new Measurement(
+                    Measurement.What.SIDECAR,
                     group.getKey(),
                     0,
                     rate,
@@ -175,7 +182,7 @@
     }
 
     private void control() throws InterruptedException {
-        Map<String, List<Line>> lists = Map.of(SHORT, new Site(SHORT_LIST, 1, 1, 1, 1).lines());
+        Map<String, List<EndpointEntry>> lists = Map.of(SHORT, new Site(SHORT_LIST, 1, 1, 1, 1).lines());
         try (ControlPlane plane = planes.get();
                 HollowFleet fleet = new HollowFleet(
                         scenario.sidecars().loops(), config, scenario.sidecars().seed())) {
@@ -200,8 +207,8 @@
                                     load.mostCpuMs(),
                                     scenario.targets().inForceMs())
                             .isEmpty();
-                    add(new Point(
-                            Point.What.CONTROL,
+                    add(new Measurement(
+                            Measurement.What.CONTROL,
                             SHORT_LIST,
                             watchers,
                             rate,
@@ -212,8 +219,8 @@
                             cost.lagP99Ms(),
                             load.lagP99Ms(),
                             isVoid));
-                    add(new Point(
-                            Point.What.HOLLOW,
+                    add(new Measurement(
+                            Measurement.What.HOLLOW,
                             SHORT_LIST,
                             watchers,
                             rate,
@@ -229,7 +236,7 @@
         }
     }
 
-    private void add(Point point) {
+    private void add(Measurement point) {
         points.add(point);
         words.println("slopes: " + point.csv());
         words.flush();
--- a/lab/src/main/java/lemonrail/lab/scale/StormRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/StormRun.java
@@ -198,11 +198,11 @@
         int steps = 2 * members.size();
         Churn.run(steps * S_MS / storm.lengthMs(), storm.lengthMs(), number -> {
             int member = members.get((int) (number / 2 % members.size()));
-            Line line = fleet.line(member);
+            EndpointEntry line = fleet.line(member);
             changes.add(fleet.apply(
                     0,
                     number % 2 == 0
-                            ? fleet.now(Map.of(member, line.with(Line.State.TERMINATING)))
+                            ? fleet.now(Map.of(member, line.with(EndpointEntry.State.TERMINATING)))
                             : fleet.replaced(member, site.successor(member, 1 + rows.size()))));
         });
     }
@@ -336,8 +336,8 @@
 
     private StormRow row(Storm storm, Fleet.Spent spent, long wholeLists, String notCarried) throws IOException {
         fleet.hear();
-        InForce all = new InForce();
-        InForce reals = new InForce();
+        PropagationTimes all = new PropagationTimes();
+        PropagationTimes reals = new PropagationTimes();
         all.add(settingsMs);
         for (Fleet.Change change : changes) {
             all.add(fleet.hollowMs(change));
@@ -405,7 +405,7 @@
                 note);
     }
 
-    private String missed(InForce all, InForce reals, boolean unknowing, Fleet.Spent spent) {
+    private String missed(PropagationTimes all, PropagationTimes reals, boolean unknowing, Fleet.Spent spent) {
         ScaleScenario.Targets targets = scenario.targets();
         List<String> missed = new ArrayList<>();
         if (all.never() + reals.never() > 0) {
@@ -429,7 +429,7 @@
 
     private void changeLines(Storm storm, long began) {
         for (int i = 0; i < changes.size(); i++) {
-            InForce one = new InForce();
+            PropagationTimes one = new PropagationTimes();
             one.add(fleet.hollowMs(changes.get(i)));
             changeLines.add(String.format(
                     Locale.ROOT,
--- a/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
@@ -26,7 +26,7 @@
 import java.util.function.IntFunction;
 import lemonrail.lab.host.ClientPool;
 import lemonrail.lab.load.Loads;
-import lemonrail.lab.model.Ask;
+import lemonrail.lab.model.ClientRequest;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -126,11 +126,15 @@
             long sent = System.nanoTime();
             next.send(further, ServedProcess.DEADLINE_MS, (end, answer) -> {
                 Long inner = tookNanos.remove(furtherId);
-                if (end == Ask.End.SERVED && inner != null) {
+                if (end == ClientRequest.End.SERVED && inner != null) {
                     long nanos = System.nanoTime() - sent - inner;
                     addedMicros.recordValue(Math.max(0, Math.min(MOST_MICROS, nanos / 1000)));
                 }
-                answer(ctx, id, began, end == Ask.End.SERVED ? HttpResponseStatus.OK : HttpResponseStatus.BAD_GATEWAY);
+                answer(
+                        ctx,
+                        id,
+                        began,
+                        end == ClientRequest.End.SERVED ? HttpResponseStatus.OK : HttpResponseStatus.BAD_GATEWAY);
             });
         }
 
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
@@ -13,9 +13,9 @@
 import java.util.function.Consumer;
 import lemonrail.lab.host.ProcessUsage;
 import lemonrail.lab.host.ProcessUsage.Kind;
+import lemonrail.lab.load.BaselineServers;
 import lemonrail.lab.load.Loads;
 import lemonrail.lab.load.OpenLoop;
-import lemonrail.lab.load.Plain;
 import lemonrail.lab.model.Arrivals;
 import lemonrail.lab.scale.ServeCommand;
 import lemonrail.lab.scale.path.PathRow.Part;
@@ -92,7 +92,7 @@
         int most = Math.max(LEAST_ENDPOINTS, Collections.max(plan.endpoints()));
         List<InetSocketAddress> plain = new ArrayList<>();
         for (int i = 0; i < most; i++) {
-            plain.add(Plain.endpoint(standIns.group()));
+            plain.add(BaselineServers.endpoint(standIns.group()));
         }
         ServedProcess sidecar = sidecar(plain.subList(0, LEAST_ENDPOINTS));
         ServedProcess relay = ServedProcess.relay(command, plain.get(0));
--- a/lab/src/main/java/lemonrail/lab/scenario/EdgeSettings.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/EdgeSettings.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 import java.util.Map;
 import lemonrail.config.ConfigSource;
-import lemonrail.config.Loaded;
-import lemonrail.core.Contract.Settings;
+import lemonrail.config.LoadedConfiguration;
+import lemonrail.core.balancer.BalancerSettings;
 
 /** Keys of the operators' file that a variant gives another value, by the environment that goes before it. */
 public final class EdgeSettings {
@@ -24,11 +24,11 @@
     }
 
     /** What an edge is told then; a key that the file cannot have is an {@link IllegalArgumentException}. */
-    public static Settings load(Path edge, Map<String, String> set) throws IOException {
-        Loaded loaded = ConfigSource.of(edge, environment(set)).load();
+    public static BalancerSettings load(Path edge, Map<String, String> set) throws IOException {
+        LoadedConfiguration loaded = ConfigSource.of(edge, environment(set)).load();
         List<String> taken = loaded.values().stream()
                 .filter(value -> value.origin().equals("environment"))
-                .map(Loaded.Value::key)
+                .map(LoadedConfiguration.Value::key)
                 .toList();
         for (String key : set.keySet()) {
             if (!taken.contains(key)) {
--- a/lab/src/main/java/lemonrail/lab/scenario/Scenario.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/Scenario.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import lemonrail.core.Decider;
+import lemonrail.core.balancer.LoadBalancerFactory;
 import lemonrail.lab.model.Arrivals;
 import lemonrail.lab.model.Clients.Retrying;
 import lemonrail.lab.model.EndpointShape.ColdStart;
@@ -220,5 +220,5 @@
      * @param set keys of the edge's file that have another value, as in {@code limits.attempts = 2}
      * @param jar another build of the edge, or null
      */
-    public record Variant(String name, Decider decider, Map<String, String> set, Path jar) {}
+    public record Variant(String name, LoadBalancerFactory decider, Map<String, String> set, Path jar) {}
 }
--- a/lab/src/main/java/lemonrail/lab/scenario/ScenarioFile.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/ScenarioFile.java
@@ -11,14 +11,14 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import lemonrail.config.Key;
-import lemonrail.config.Section;
-import lemonrail.config.Table;
+import lemonrail.config.ConfigKey;
+import lemonrail.config.ConfigTable;
+import lemonrail.config.TableReader;
 import lemonrail.config.TomlDocument;
 import lemonrail.config.ValueType;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.Tenant;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.TenantQuota;
 import lemonrail.lab.decider.Deciders;
 import lemonrail.lab.model.Arrivals;
 import lemonrail.lab.model.Clients.Retrying;
@@ -35,118 +35,120 @@
     private static final int MANY = 1_000_000;
     private static final String SETTINGS = "[a-z][a-z.-]*=[^ ]+( [a-z][a-z.-]*=[^ ]+)*";
 
-    private static final Key<String> ABOUT =
-            Key.required("about", ValueType.text(".{1,400}", "a sentence"), "what is played, for reports");
-    private static final Key<String> EDGE = Key.optional(
+    private static final ConfigKey<String> ABOUT =
+            ConfigKey.required("about", ValueType.text(".{1,400}", "a sentence"), "what is played, for reports");
+    private static final ConfigKey<String> EDGE = ConfigKey.optional(
             "edge",
             ValueType.text(".{1,4096}", "the path of a file, from the scenario's folder"),
             "\"edge.toml\"",
             "the operators' file that every sidecar starts from");
-    private static final Key<Integer> SEEDS =
-            Key.optional("seeds", ValueType.whole(1, 1000), "1", "how many seeds each variant plays");
-    private static final Table ROOT = new Table("", 0, "", List.of(ABOUT, EDGE, SEEDS));
+    private static final ConfigKey<Integer> SEEDS =
+            ConfigKey.optional("seeds", ValueType.whole(1, 1000), "1", "how many seeds each variant plays");
+    private static final ConfigTable ROOT = new ConfigTable("", 0, "", List.of(ABOUT, EDGE, SEEDS));
 
-    private static final Key<Double> RATE =
-            Key.required("rate", ValueType.number(0.01, 1e6), "first tries a second, over all clients");
-    private static final Key<Double> LENGTH =
-            Key.required("length", ValueType.duration(100, HOUR_MS), "for how long requests come");
-    private static final Key<Double> WARM_UP =
-            Key.optional("warm-up", ValueType.duration(0, HOUR_MS), "\"2s\"", "before anything counts");
-    private static final Key<Arrivals.Spacing> SPACING = Key.optional(
+    private static final ConfigKey<Double> RATE =
+            ConfigKey.required("rate", ValueType.number(0.01, 1e6), "first tries a second, over all clients");
+    private static final ConfigKey<Double> LENGTH =
+            ConfigKey.required("length", ValueType.duration(100, HOUR_MS), "for how long requests come");
+    private static final ConfigKey<Double> WARM_UP =
+            ConfigKey.optional("warm-up", ValueType.duration(0, HOUR_MS), "\"2s\"", "before anything counts");
+    private static final ConfigKey<Arrivals.Spacing> SPACING = ConfigKey.optional(
             "arrivals",
             ValueType.choice(Arrivals.Spacing.class, "poisson", "even"),
             "\"poisson\"",
             "how requests follow");
-    private static final Key<Boolean> EXPONENTIAL = Key.optional(
+    private static final ConfigKey<Boolean> EXPONENTIAL = ConfigKey.optional(
             "exponential-work",
             ValueType.flag(),
             "true",
             "whether work is drawn from an exponential distribution, or is always the mean");
-    private static final Key<Integer> CLIENT_CONNECTIONS =
-            Key.optional("connections", ValueType.whole(1, 20_000), "1000", "that clients may have open at once");
-    private static final Table LOAD =
-            new Table("load", 0, "", List.of(RATE, LENGTH, WARM_UP, SPACING, EXPONENTIAL, CLIENT_CONNECTIONS));
+    private static final ConfigKey<Integer> CLIENT_CONNECTIONS =
+            ConfigKey.optional("connections", ValueType.whole(1, 20_000), "1000", "that clients may have open at once");
+    private static final ConfigTable LOAD =
+            new ConfigTable("load", 0, "", List.of(RATE, LENGTH, WARM_UP, SPACING, EXPONENTIAL, CLIENT_CONNECTIONS));
 
-    private static final Key<Integer> RETRIES =
-            Key.optional("retries", ValueType.whole(0, 100), "1", "tries beyond the first");
-    private static final Key<Double> WAIT =
-            Key.optional("wait", ValueType.duration(0, HOUR_MS), "\"300ms\"", "before the first repeat");
-    private static final Key<Double> GROWTH =
-            Key.optional("growth", ValueType.number(1, 100), "1.0", "each later wait is so many times the one before");
-    private static final Key<Boolean> HEEDS = Key.optional(
+    private static final ConfigKey<Integer> RETRIES =
+            ConfigKey.optional("retries", ValueType.whole(0, 100), "1", "tries beyond the first");
+    private static final ConfigKey<Double> WAIT =
+            ConfigKey.optional("wait", ValueType.duration(0, HOUR_MS), "\"300ms\"", "before the first repeat");
+    private static final ConfigKey<Double> GROWTH = ConfigKey.optional(
+            "growth", ValueType.number(1, 100), "1.0", "each later wait is so many times the one before");
+    private static final ConfigKey<Boolean> HEEDS = ConfigKey.optional(
             "heeds-retry-after", ValueType.flag(), "true", "whether Retry-After goes before the client's own wait");
-    private static final Key<Double> LEAST_PATIENCE = Key.optional(
+    private static final ConfigKey<Double> LEAST_PATIENCE = ConfigKey.optional(
             "least-patience", ValueType.number(0.01, 1), "0.7", "part of its deadline that a client waits at least");
-    private static final Key<Double> MOST_PATIENCE = Key.optional(
+    private static final ConfigKey<Double> MOST_PATIENCE = ConfigKey.optional(
             "most-patience", ValueType.number(0.01, 1), "1.0", "part of its deadline that a client waits at most");
-    private static final Table CLIENTS =
-            new Table("clients", 0, "", List.of(RETRIES, WAIT, GROWTH, HEEDS, LEAST_PATIENCE, MOST_PATIENCE));
+    private static final ConfigTable CLIENTS =
+            new ConfigTable("clients", 0, "", List.of(RETRIES, WAIT, GROWTH, HEEDS, LEAST_PATIENCE, MOST_PATIENCE));
 
-    private static final Key<String> CLASS = Key.required("class", ValueType.word(), "a class of the edge");
-    private static final Key<Double> SHARE =
-            Key.required("share", ValueType.number(0, 1e6), "its part of all, against the other shares");
-    private static final Key<Double> WORK =
-            Key.required("work", ValueType.duration(0, HOUR_MS), "mean work over all tiers, on a core of speed 1");
-    private static final Table REQUESTS = new Table("requests", 64, "", List.of(CLASS, SHARE, WORK));
+    private static final ConfigKey<String> CLASS = ConfigKey.required("class", ValueType.word(), "a class of the edge");
+    private static final ConfigKey<Double> SHARE =
+            ConfigKey.required("share", ValueType.number(0, 1e6), "its part of all, against the other shares");
+    private static final ConfigKey<Double> WORK = ConfigKey.required(
+            "work", ValueType.duration(0, HOUR_MS), "mean work over all tiers, on a core of speed 1");
+    private static final ConfigTable REQUESTS = new ConfigTable("requests", 64, "", List.of(CLASS, SHARE, WORK));
 
-    private static final Key<String> TENANT = Key.required("name", ValueType.word(), "a tenant of the edge");
-    private static final Table TENANTS = new Table("tenants", 1000, "", List.of(TENANT, SHARE));
+    private static final ConfigKey<String> TENANT =
+            ConfigKey.required("name", ValueType.word(), "a tenant of the edge");
+    private static final ConfigTable TENANTS = new ConfigTable("tenants", 1000, "", List.of(TENANT, SHARE));
 
-    private static final Key<String> TIER = Key.required("name", ValueType.word(), "its name");
-    private static final Key<Integer> COUNT = Key.required("count", ValueType.whole(1, 5000), "endpoints");
-    private static final Key<Integer> CORES = Key.optional("cores", ValueType.whole(1, 1024), "1", "of each endpoint");
-    private static final Key<Double> LEAST_SPEED =
-            Key.optional("least-speed", ValueType.number(0.001, 1e6), "1.0", "of the slowest endpoint's cores");
-    private static final Key<Double> MOST_SPEED =
-            Key.optional("most-speed", ValueType.number(0.001, 1e6), "1.0", "of the fastest endpoint's cores");
-    private static final Key<Integer> SLOTS =
-            Key.optional("slots", ValueType.whole(1, MANY), "8", "requests in work at once");
-    private static final Key<Integer> ROOM =
-            Key.optional("waiting-room", ValueType.whole(0, MANY), "16", "requests that may wait for a slot");
-    private static final Key<Integer> CONNECTIONS =
-            Key.optional("connections", ValueType.whole(1, MANY), "64", "open at once at an endpoint");
-    private static final Key<Double> HANDSHAKE =
-            Key.optional("handshake", ValueType.duration(0, 10_000), "\"2ms\"", "work that a new connection costs");
-    private static final Key<Integer> RACKS =
-            Key.optional("racks", ValueType.whole(1, 1000), "2", "among which the endpoints are dealt out");
-    private static final Key<Double> RACK_WINDOW =
-            Key.optional("rack-window", ValueType.duration(0, HOUR_MS), "\"10s\"", "for how long a rack drops repeats");
-    private static final Key<Double> WORK_SHARE = Key.optional(
+    private static final ConfigKey<String> TIER = ConfigKey.required("name", ValueType.word(), "its name");
+    private static final ConfigKey<Integer> COUNT = ConfigKey.required("count", ValueType.whole(1, 5000), "endpoints");
+    private static final ConfigKey<Integer> CORES =
+            ConfigKey.optional("cores", ValueType.whole(1, 1024), "1", "of each endpoint");
+    private static final ConfigKey<Double> LEAST_SPEED =
+            ConfigKey.optional("least-speed", ValueType.number(0.001, 1e6), "1.0", "of the slowest endpoint's cores");
+    private static final ConfigKey<Double> MOST_SPEED =
+            ConfigKey.optional("most-speed", ValueType.number(0.001, 1e6), "1.0", "of the fastest endpoint's cores");
+    private static final ConfigKey<Integer> SLOTS =
+            ConfigKey.optional("slots", ValueType.whole(1, MANY), "8", "requests in work at once");
+    private static final ConfigKey<Integer> ROOM =
+            ConfigKey.optional("waiting-room", ValueType.whole(0, MANY), "16", "requests that may wait for a slot");
+    private static final ConfigKey<Integer> CONNECTIONS =
+            ConfigKey.optional("connections", ValueType.whole(1, MANY), "64", "open at once at an endpoint");
+    private static final ConfigKey<Double> HANDSHAKE = ConfigKey.optional(
+            "handshake", ValueType.duration(0, 10_000), "\"2ms\"", "work that a new connection costs");
+    private static final ConfigKey<Integer> RACKS =
+            ConfigKey.optional("racks", ValueType.whole(1, 1000), "2", "among which the endpoints are dealt out");
+    private static final ConfigKey<Double> RACK_WINDOW = ConfigKey.optional(
+            "rack-window", ValueType.duration(0, HOUR_MS), "\"10s\"", "for how long a rack drops repeats");
+    private static final ConfigKey<Double> WORK_SHARE = ConfigKey.optional(
             "work-share", ValueType.number(0, 1), "1.0", "part of a request's work that a call costs here");
-    private static final Key<Double> CALLS =
-            Key.optional("calls", ValueType.number(0, 16), "0.0", "to the next tier for each request, in the mean");
-    private static final Key<Double> COLD_SHARE = Key.optional(
+    private static final ConfigKey<Double> CALLS = ConfigKey.optional(
+            "calls", ValueType.number(0, 16), "0.0", "to the next tier for each request, in the mean");
+    private static final ConfigKey<Double> COLD_SHARE = ConfigKey.optional(
             "cold-share",
             ValueType.number(0.01, 1),
             "1.0",
             "of its capacity that an endpoint has just after its start");
-    private static final Key<Double> COLD_TIME =
-            Key.optional("cold-time", ValueType.duration(0, HOUR_MS), "\"0s\"", "until it has all");
-    private static final Key<Warming> WARMS_BY =
-            Key.optional("warms-by", ValueType.choice(Warming.class, "time", "work"), "\"time\"", "with what it warms");
-    private static final Key<Double> TIP = Key.optional(
+    private static final ConfigKey<Double> COLD_TIME =
+            ConfigKey.optional("cold-time", ValueType.duration(0, HOUR_MS), "\"0s\"", "until it has all");
+    private static final ConfigKey<Warming> WARMS_BY = ConfigKey.optional(
+            "warms-by", ValueType.choice(Warming.class, "time", "work"), "\"time\"", "with what it warms");
+    private static final ConfigKey<Double> TIP = ConfigKey.optional(
             "tip-multiple",
             ValueType.number(1, 1e6),
             null,
             "times its capacity that a cold endpoint bears; it never falls over if not given");
-    private static final Key<Double> TIP_WINDOW =
-            Key.optional("tip-window", ValueType.duration(1, HOUR_MS), "\"3s\"", "over which that is counted");
-    private static final Key<Double> CROWD = Key.optional(
+    private static final ConfigKey<Double> TIP_WINDOW =
+            ConfigKey.optional("tip-window", ValueType.duration(1, HOUR_MS), "\"3s\"", "over which that is counted");
+    private static final ConfigKey<Double> CROWD = ConfigKey.optional(
             "crowded-at",
             ValueType.number(1, MANY),
             null,
             "requests held a core, beyond which an endpoint turns slow; never if not given");
-    private static final Key<Double> CROWD_AFTER =
-            Key.optional("crowded-after", ValueType.duration(0, HOUR_MS), "\"2s\"", "for how long it must be so");
-    private static final Key<Double> CROWD_FACTOR =
-            Key.optional("crowded-factor", ValueType.number(1, 1000), "2.5", "so many times slower");
-    private static final Key<Double> CROWD_CALM = Key.optional(
+    private static final ConfigKey<Double> CROWD_AFTER =
+            ConfigKey.optional("crowded-after", ValueType.duration(0, HOUR_MS), "\"2s\"", "for how long it must be so");
+    private static final ConfigKey<Double> CROWD_FACTOR =
+            ConfigKey.optional("crowded-factor", ValueType.number(1, 1000), "2.5", "so many times slower");
+    private static final ConfigKey<Double> CROWD_CALM = ConfigKey.optional(
             "crowded-calm", ValueType.duration(0, HOUR_MS), "\"3.5s\"", "of being mostly idle, after which it is over");
-    private static final Key<Double> CROWD_MOST = Key.optional(
+    private static final ConfigKey<Double> CROWD_MOST = ConfigKey.optional(
             "crowded-most", ValueType.duration(0, HOUR_MS), "\"25s\"", "after which it is over in any case");
-    private static final Key<Boolean> STARTS_COLD =
-            Key.optional("starts-cold", ValueType.flag(), "false", "whether all have just started when the run begins");
-    private static final Table TIERS = new Table(
+    private static final ConfigKey<Boolean> STARTS_COLD = ConfigKey.optional(
+            "starts-cold", ValueType.flag(), "false", "whether all have just started when the run begins");
+    private static final ConfigTable TIERS = new ConfigTable(
             "tiers",
             MOST_TIERS,
             "",
@@ -181,84 +183,87 @@
         POLL
     }
 
-    private static final Key<Telling> TELLING = Key.optional(
+    private static final ConfigKey<Telling> TELLING = ConfigKey.optional(
             "kind", ValueType.choice(Telling.class, "push", "poll"), "\"push\"", "how agents learn of changes");
-    private static final Key<Double> POLL =
-            Key.optional("poll-every", ValueType.duration(10, HOUR_MS), "\"5s\"", "where they poll");
-    private static final Key<Double> LEAST_LAG =
-            Key.optional("least-lag", ValueType.duration(0, HOUR_MS), "\"1s\"", "of a push, at least");
-    private static final Key<Double> MOST_LAG =
-            Key.optional("most-lag", ValueType.duration(0, HOUR_MS), "\"3s\"", "of a push, at most");
-    private static final Table DISCOVERY = new Table("discovery", 0, "", List.of(TELLING, POLL, LEAST_LAG, MOST_LAG));
+    private static final ConfigKey<Double> POLL =
+            ConfigKey.optional("poll-every", ValueType.duration(10, HOUR_MS), "\"5s\"", "where they poll");
+    private static final ConfigKey<Double> LEAST_LAG =
+            ConfigKey.optional("least-lag", ValueType.duration(0, HOUR_MS), "\"1s\"", "of a push, at least");
+    private static final ConfigKey<Double> MOST_LAG =
+            ConfigKey.optional("most-lag", ValueType.duration(0, HOUR_MS), "\"3s\"", "of a push, at most");
+    private static final ConfigTable DISCOVERY =
+            new ConfigTable("discovery", 0, "", List.of(TELLING, POLL, LEAST_LAG, MOST_LAG));
 
     private enum Place {
         INSIDE,
         PROCESS
     }
 
-    private static final Key<Integer> FRONT =
-            Key.optional("front", ValueType.whole(1, 32), "1", "sidecars among which clients are dealt out");
-    private static final Key<Place> PLACE = Key.optional(
+    private static final ConfigKey<Integer> FRONT =
+            ConfigKey.optional("front", ValueType.whole(1, 32), "1", "sidecars among which clients are dealt out");
+    private static final ConfigKey<Place> PLACE = ConfigKey.optional(
             "run",
             ValueType.choice(Place.class, "inside", "process"),
             "\"inside\"",
             "each in the lab's process, or in one of its own");
-    private static final Table SIDECARS = new Table("sidecars", 0, "", List.of(FRONT, PLACE));
+    private static final ConfigTable SIDECARS = new ConfigTable("sidecars", 0, "", List.of(FRONT, PLACE));
 
-    private static final Key<Double> LINK_DELAY =
-            Key.optional("delay", ValueType.duration(0, 60_000), "\"0ms\"", "each way");
-    private static final Key<Double> JITTER =
-            Key.optional("jitter", ValueType.duration(0, 60_000), "\"0ms\"", "added at random, up to this");
-    private static final Key<Double> BANDWIDTH =
-            Key.optional("kilobytes-per-second", ValueType.number(0.1, 1e7), null, "each way; unbounded if not given");
-    private static final Key<Integer> PIECES = Key.optional(
+    private static final ConfigKey<Double> LINK_DELAY =
+            ConfigKey.optional("delay", ValueType.duration(0, 60_000), "\"0ms\"", "each way");
+    private static final ConfigKey<Double> JITTER =
+            ConfigKey.optional("jitter", ValueType.duration(0, 60_000), "\"0ms\"", "added at random, up to this");
+    private static final ConfigKey<Double> BANDWIDTH = ConfigKey.optional(
+            "kilobytes-per-second", ValueType.number(0.1, 1e7), null, "each way; unbounded if not given");
+    private static final ConfigKey<Integer> PIECES = ConfigKey.optional(
             "pieces",
             ValueType.whole(1, 1 << 20),
             null,
             "bytes into which all that is sent is cut; as it comes if not given");
-    private static final Table CLIENT_LINK =
-            new Table("client-links", 0, "", List.of(LINK_DELAY, JITTER, BANDWIDTH, PIECES));
-    private static final Table ENDPOINT_LINK = new Table("endpoint-links", 0, "", CLIENT_LINK.keys());
+    private static final ConfigTable CLIENT_LINK =
+            new ConfigTable("client-links", 0, "", List.of(LINK_DELAY, JITTER, BANDWIDTH, PIECES));
+    private static final ConfigTable ENDPOINT_LINK = new ConfigTable("endpoint-links", 0, "", CLIENT_LINK.keys());
 
-    private static final Key<Fault.Kind> KIND = Key.required(
+    private static final ConfigKey<Fault.Kind> KIND = ConfigKey.required(
             "kind",
             ValueType.choice(
                     Fault.Kind.class,
                     Arrays.stream(Fault.Kind.values()).map(ScenarioFile::word).toArray(String[]::new)),
             "what goes wrong");
-    private static final Key<Integer> FAULT_TIER = Key.optional(
+    private static final ConfigKey<Integer> FAULT_TIER = ConfigKey.optional(
             "tier", ValueType.whole(1, MOST_TIERS), "1", "whose endpoints or links it befalls, counted from 1");
-    private static final Key<Double> BEGIN =
-            Key.required("begin", ValueType.duration(0, HOUR_MS), "from the beginning of the load");
-    private static final Key<Double> FAULT_LENGTH =
-            Key.required("length", ValueType.duration(0, HOUR_MS), "for how long; it may outlast the run");
-    private static final Key<Double> PART = Key.optional(
+    private static final ConfigKey<Double> BEGIN =
+            ConfigKey.required("begin", ValueType.duration(0, HOUR_MS), "from the beginning of the load");
+    private static final ConfigKey<Double> FAULT_LENGTH =
+            ConfigKey.required("length", ValueType.duration(0, HOUR_MS), "for how long; it may outlast the run");
+    private static final ConfigKey<Double> PART = ConfigKey.optional(
             "share", ValueType.number(0, 1), "0.1", "of the tier's endpoints, at least one; 0 for all of one rack");
-    private static final Key<Double> SIZE = Key.optional("size", ValueType.number(0, 1e6), "1.0", "as the kind has it");
-    private static final Table FAULTS =
-            new Table("faults", 100, "", List.of(KIND, FAULT_TIER, BEGIN, FAULT_LENGTH, PART, SIZE));
+    private static final ConfigKey<Double> SIZE =
+            ConfigKey.optional("size", ValueType.number(0, 1e6), "1.0", "as the kind has it");
+    private static final ConfigTable FAULTS =
+            new ConfigTable("faults", 100, "", List.of(KIND, FAULT_TIER, BEGIN, FAULT_LENGTH, PART, SIZE));
 
-    private static final Key<String> VARIANT = Key.required("name", ValueType.word(), "its name");
-    private static final Key<Deciders> DECIDER = Key.optional(
+    private static final ConfigKey<String> VARIANT = ConfigKey.required("name", ValueType.word(), "its name");
+    private static final ConfigKey<Deciders> DECIDER = ConfigKey.optional(
             "decider",
             ValueType.choice(
                     Deciders.class,
                     Arrays.stream(Deciders.values()).map(Deciders::word).toArray(String[]::new)),
             "\"boxcar\"",
             "who chooses; others than boxcar only where sidecars run inside");
-    private static final Key<String> SET = Key.optional(
+    private static final ConfigKey<String> SET = ConfigKey.optional(
             "set",
             ValueType.text(SETTINGS, "settings of the edge, as in \"limits.attempts=2 drain.grace=1s\""),
             null,
             "keys of the edge's file that have another value");
-    private static final Key<String> JAR = Key.optional(
+    private static final ConfigKey<String> JAR = ConfigKey.optional(
             "jar",
             ValueType.text(".{1,4096}", "the path of a file, from the scenario's folder"),
             null,
             "another build of the edge; only where sidecars are processes");
-    private static final Table VARIANTS = new Table("variants", 32, "", List.of(VARIANT, DECIDER, SET, JAR));
+    private static final ConfigTable VARIANTS =
+            new ConfigTable("variants", 32, "", List.of(VARIANT, DECIDER, SET, JAR));
 
-    private static final List<Table> TABLES = List.of(
+    private static final List<ConfigTable> TABLES = List.of(
             LOAD, CLIENTS, REQUESTS, TENANTS, TIERS, DISCOVERY, SIDECARS, CLIENT_LINK, ENDPOINT_LINK, FAULTS, VARIANTS);
 
     private ScenarioFile() {}
@@ -270,19 +275,19 @@
     /** Reads a scenario; a {@link lemonrail.config.ConfigException} names all that is wrong. */
     public static Scenario read(Path file) throws IOException {
         TomlDocument document = TomlDocument.read(file, Map.of());
-        Section top = document.top(ROOT, TABLES);
+        TableReader top = document.top(ROOT, TABLES);
         String about = top.get(ABOUT);
         Path folder = file.toAbsolutePath().getParent();
         String edgeName = top.get(EDGE);
         Path edge = edgeName == null ? null : folder.resolve(edgeName).normalize();
-        Settings known = null;
+        BalancerSettings known = null;
         if (edge != null && !Files.isRegularFile(edge)) {
             document.wrong("edge", '"' + edgeName + '"', "there is no such file");
         } else if (edge != null) {
             known = EdgeSettings.load(edge, Map.of());
         }
         Integer seeds = top.get(SEEDS);
-        Section load = document.one(LOAD);
+        TableReader load = document.one(LOAD);
         Double rate = load.get(RATE);
         Double length = load.get(LENGTH);
         Double warmUp = load.get(WARM_UP);
@@ -292,7 +297,7 @@
         if (length != null && warmUp != null && warmUp >= length) {
             load.contradicts(WARM_UP, "must be below load.length");
         }
-        Section clients = document.one(CLIENTS);
+        TableReader clients = document.one(CLIENTS);
         Integer retries = clients.get(RETRIES);
         Double wait = clients.get(WAIT);
         Double growth = clients.get(GROWTH);
@@ -303,13 +308,13 @@
         List<Scenario.Requests> requests = requests(document, known);
         List<Scenario.Tenant> tenants = tenants(document, known);
         List<Scenario.Tier> tiers = tiers(document);
-        Section discovery = document.one(DISCOVERY);
+        TableReader discovery = document.one(DISCOVERY);
         Telling telling = discovery.get(TELLING);
         Double poll = discovery.get(POLL);
         Double leastLag = discovery.get(LEAST_LAG);
         Double mostLag = discovery.get(MOST_LAG);
         ordered(discovery, LEAST_LAG, leastLag, mostLag);
-        Section sidecars = document.one(SIDECARS);
+        TableReader sidecars = document.one(SIDECARS);
         Integer front = sidecars.get(FRONT);
         Place place = sidecars.get(PLACE);
         Scenario.Link clientLink = link(document.one(CLIENT_LINK));
@@ -339,25 +344,25 @@
                 variants);
     }
 
-    private static void ordered(Section section, Key<Double> key, Double least, Double most) {
+    private static void ordered(TableReader section, ConfigKey<Double> key, Double least, Double most) {
         if (least != null && most != null && least > most) {
             section.contradicts(key, "is above the most that is allowed beside it, which is " + most);
         }
     }
 
     /** Says so where a name is none of those that the edge's file has. */
-    private static void among(Section section, Key<String> key, String name, List<String> names) {
+    private static void among(TableReader section, ConfigKey<String> key, String name, List<String> names) {
         if (name != null && names != null && !names.contains(name)) {
             section.contradicts(key, "must be of those that the edge's file has, which are " + names);
         }
     }
 
-    private static List<Scenario.Requests> requests(TomlDocument document, Settings known) {
+    private static List<Scenario.Requests> requests(TomlDocument document, BalancerSettings known) {
         List<String> names = known == null
                 ? null
                 : known.classes().stream().map(RequestClass::name).toList();
         List<Scenario.Requests> requests = new ArrayList<>();
-        for (Section section : document.all(REQUESTS)) {
+        for (TableReader section : document.all(REQUESTS)) {
             String name = section.get(CLASS);
             among(section, CLASS, name, names);
             requests.add(new Scenario.Requests(name, or(section.get(SHARE)), or(section.get(WORK))));
@@ -372,12 +377,12 @@
         return given == null ? 0 : given;
     }
 
-    private static List<Scenario.Tenant> tenants(TomlDocument document, Settings known) {
+    private static List<Scenario.Tenant> tenants(TomlDocument document, BalancerSettings known) {
         List<String> names = known == null
                 ? null
-                : known.tenants().stream().map(Tenant::name).toList();
+                : known.tenants().stream().map(TenantQuota::name).toList();
         List<Scenario.Tenant> tenants = new ArrayList<>();
-        for (Section section : document.all(TENANTS)) {
+        for (TableReader section : document.all(TENANTS)) {
             String name = section.get(TENANT);
             among(section, TENANT, name, names);
             tenants.add(new Scenario.Tenant(name, or(section.get(SHARE))));
@@ -390,8 +395,8 @@
 
     private static List<Scenario.Tier> tiers(TomlDocument document) {
         List<Scenario.Tier> tiers = new ArrayList<>();
-        List<Section> sections = document.all(TIERS);
-        for (Section section : sections) {
+        List<TableReader> sections = document.all(TIERS);
+        for (TableReader section : sections) {
             String name = section.get(TIER);
             Integer count = section.get(COUNT);
             Integer cores = section.get(CORES);
@@ -449,7 +454,7 @@
         return tiers;
     }
 
-    private static Scenario.Link link(Section section) {
+    private static Scenario.Link link(TableReader section) {
         Double perSecond = section.get(BANDWIDTH);
         Integer pieces = section.get(PIECES);
         return new Scenario.Link(
@@ -458,7 +463,7 @@
 
     private static List<Fault> faults(TomlDocument document, int tiers) {
         List<Fault> faults = new ArrayList<>();
-        for (Section section : document.all(FAULTS)) {
+        for (TableReader section : document.all(FAULTS)) {
             Fault.Kind kind = section.get(KIND);
             Integer tier = section.get(FAULT_TIER);
             if (tier != null && tiers > 0 && tier > tiers) {
@@ -483,7 +488,7 @@
             throws IOException {
         List<Scenario.Variant> variants = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Section section : document.all(VARIANTS)) {
+        for (TableReader section : document.all(VARIANTS)) {
             String name = section.get(VARIANT);
             if (name != null && !names.add(name)) {
                 section.contradicts(VARIANT, "is there twice; each must be there once");
--- a/lab/src/test/java/lemonrail/lab/DemoTest.java
+++ b/lab/src/test/java/lemonrail/lab/DemoTest.java
@@ -49,7 +49,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"--for soon", "--for 0s", "--rate 0", "--rate x", "--endpoints 99", "--config none.toml"})
     void aBadCallEndsWithTwo(String args) {
-        CommandLine line = new CommandLine(new DemoCall())
+        CommandLine line = new CommandLine(new DemoCommand())
                 .setErr(new PrintWriter(out))
                 .setExecutionExceptionHandler((e, parsed, result) -> e instanceof IllegalArgumentException ? 2 : 1);
         assertEquals(2, line.execute(args.split(" ")), out.toString());
--- a/lab/src/test/java/lemonrail/lab/cli/CallsTest.java
+++ b/lab/src/test/java/lemonrail/lab/cli/CommandsTest.java
@@ -18,7 +18,7 @@
 
 /** The lab's calls, as a user makes them. */
 @Timeout(120)
-class CallsTest {
+class CommandsTest {
 
     private static final Path CALM = Path.of("scenarios", "calm.toml");
 
@@ -51,7 +51,7 @@
     @Test
     void runThenReportThenHistory() throws Exception {
         String runs = folder.resolve("runs").toString();
-        int status = execute(new RunCall(), brief(), "--variant", "boxcar", "--seeds", "1", "--out", runs);
+        int status = execute(new RunCommand(), brief(), "--variant", "boxcar", "--seeds", "1", "--out", runs);
         // A busy machine may make the run void, which is then said.
         assertEquals(out.toString().contains("VOID") ? 1 : 0, status, out.toString());
         assertTrue(out.toString().contains("rules broken 0"), out.toString());
@@ -63,9 +63,9 @@
                     .getParent();
         }
         Files.delete(run.resolve("latency.png"));
-        assertEquals(0, execute(new ReportCall(), run.toString()), out.toString());
+        assertEquals(0, execute(new ReportCommand(), run.toString()), out.toString());
         assertTrue(Files.exists(run.resolve("latency.png")));
-        assertEquals(0, execute(new HistoryCall(), "--out", runs));
+        assertEquals(0, execute(new HistoryCommand(), "--out", runs));
         assertTrue(out.toString().contains("brief boxcar"), out.toString());
         assertTrue(out.toString().contains(status == 0 ? "runs 1" : "1 void"), out.toString());
     }
@@ -77,7 +77,7 @@
         assertEquals(
                 0,
                 execute(
-                        new CompareCall(),
+                        new CompareCommand(),
                         "boxcar",
                         "random",
                         "--in",
@@ -96,7 +96,7 @@
         assertEquals(
                 0,
                 execute(
-                        new SweepCall(),
+                        new SweepCommand(),
                         scenario,
                         "--set",
                         "limits.attempts",
@@ -126,17 +126,17 @@
                 "--rate 5 --for 1s --warm-up 2s http://127.0.0.1:1/"
             })
     void aBadLoadEndsWithTwo(String args) {
-        assertEquals(2, execute(new LoadCall(), args.split(" ")), out.toString());
+        assertEquals(2, execute(new LoadCommand(), args.split(" ")), out.toString());
     }
 
     @Test
     void unknownVariantsAndFoldersAreNamed() {
-        assertEquals(2, execute(new RunCall(), CALM.toString(), "--variant", "best"));
+        assertEquals(2, execute(new RunCommand(), CALM.toString(), "--variant", "best"));
         assertTrue(out.toString().contains("it has [boxcar, random"), out.toString());
         assertEquals(
                 2,
                 execute(
-                        new SweepCall(),
+                        new SweepCommand(),
                         CALM.toString(),
                         "--set",
                         "limits.atempts",
@@ -145,8 +145,8 @@
                         "--out",
                         folder.toString()));
         assertTrue(out.toString().contains("limits.atempts is no key"), out.toString());
-        assertEquals(2, execute(new ReportCall(), folder.toString()));
+        assertEquals(2, execute(new ReportCommand(), folder.toString()));
         assertEquals(
-                2, execute(new HistoryCall(), "--out", folder.resolve("none").toString()));
+                2, execute(new HistoryCommand(), "--out", folder.resolve("none").toString()));
     }
 }
--- a/lab/src/test/java/lemonrail/lab/cli/ScaleCallTest.java
+++ b/lab/src/test/java/lemonrail/lab/cli/ScaleCommandTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-class ScaleCallTest {
+class ScaleCommandTest {
 
     @TempDir
     private Path folder;
@@ -19,7 +19,7 @@
     private final StringWriter out = new StringWriter();
 
     private int execute(String... args) {
-        return new CommandLine(new ScaleCall())
+        return new CommandLine(new ScaleCommand())
                 .setOut(new PrintWriter(out, true))
                 .setErr(new PrintWriter(out, true))
                 .setExecutionExceptionHandler((e, line, parsed) -> {
--- a/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
@@ -10,28 +10,29 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import lemonrail.core.Contract.Actions;
-import lemonrail.core.Contract.Effect;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.Group;
-import lemonrail.core.Contract.Limits;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Load;
-import lemonrail.core.Contract.Outcome;
-import lemonrail.core.Contract.Request;
-import lemonrail.core.Contract.RequestClass;
-import lemonrail.core.Contract.Rules;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Contract.State;
-import lemonrail.core.WatchPace;
-import lemonrail.core.policy.Decide;
-import lemonrail.lab.model.Agenda;
-import lemonrail.lab.model.Endpoint;
+import lemonrail.core.WatchSchedule;
+import lemonrail.core.balancer.AttemptLimits;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.DeduplicationScope;
+import lemonrail.core.balancer.DrainSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.Idempotency;
+import lemonrail.core.balancer.LoadBalancerHost;
+import lemonrail.core.balancer.LoadReport;
+import lemonrail.core.balancer.Request;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.core.balancer.SlowStartSettings;
+import lemonrail.core.policy.BoxcarLoadBalancer;
+import lemonrail.lab.model.EndpointModel;
 import lemonrail.lab.model.EndpointShape;
 import lemonrail.lab.model.Rack;
 import lemonrail.lab.model.Registry;
-import lemonrail.lab.model.VirtualAgenda;
+import lemonrail.lab.model.Scheduler;
+import lemonrail.lab.model.VirtualScheduler;
 import lemonrail.lab.model.Work;
 import org.apache.commons.rng.simple.RandomSource;
 
@@ -65,8 +66,8 @@
 
     private static final int RACK_SIZE = 8;
 
-    final VirtualAgenda agenda = new VirtualAgenda();
-    final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
+    final VirtualScheduler agenda = new VirtualScheduler();
+    final Map<String, EndpointModel> endpoints = new LinkedHashMap<>();
     final List<Member> members = new ArrayList<>();
     final Registry registry;
     private final SplittableRandom random;
@@ -117,7 +118,7 @@
         if (named % RACK_SIZE == 1) {
             racks.add(new Rack(agenda, KEY_WINDOW_MS));
         }
-        Endpoint endpoint = new Endpoint(
+        EndpointModel endpoint = new EndpointModel(
                 agenda,
                 new EndpointShape(
                         id,
@@ -254,13 +255,13 @@
     }
 
     /** One decider with its connections, its watch and its open requests. */
-    final class Member implements Actions {
-        private final Settings settings;
-        private final Decide decide;
-        private final WatchPace pace;
+    final class Member implements LoadBalancerHost {
+        private final BalancerSettings settings;
+        private final BoxcarLoadBalancer decide;
+        private final WatchSchedule pace;
         private final Registry.Agent agent;
         private final Map<String, Open> requests = new HashMap<>();
-        private final Map<String, List<Agenda.Due>> idle = new HashMap<>();
+        private final Map<String, List<Scheduler.Due>> idle = new HashMap<>();
         private final Map<String, Double> leftAt = new HashMap<>();
         private final Set<String> listed = new HashSet<>();
         /** The starts that it has been told of. */
@@ -277,7 +278,7 @@
         double lateConnectionMs;
 
         Member(int number, int of, long seed) {
-            settings = new Settings(
+            settings = new BalancerSettings(
                     of,
                     number,
                     0,
@@ -287,15 +288,43 @@
                     0.2,
                     0,
                     List.of(
-                            new RequestClass("read", AIM_MS, DEADLINE_MS, 5, 0, Effect.REPEATABLE, Group.ALL, 0, false),
                             new RequestClass(
-                                    "save", AIM_MS, DEADLINE_MS, 8, 0, Effect.BY_KEY, Group.CELL, KEY_WINDOW_MS, false),
-                            new RequestClass("order", AIM_MS, DEADLINE_MS, 5, 0, Effect.ONCE, Group.ALL, 0, false)),
+                                    "read",
+                                    AIM_MS,
+                                    DEADLINE_MS,
+                                    5,
+                                    0,
+                                    Idempotency.IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0,
+                                    false),
+                            new RequestClass(
+                                    "save",
+                                    AIM_MS,
+                                    DEADLINE_MS,
+                                    8,
+                                    0,
+                                    Idempotency.KEYED,
+                                    DeduplicationScope.CELL,
+                                    KEY_WINDOW_MS,
+                                    false),
+                            new RequestClass(
+                                    "order",
+                                    AIM_MS,
+                                    DEADLINE_MS,
+                                    5,
+                                    0,
+                                    Idempotency.NON_IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0,
+                                    false)),
                     List.of(),
-                    new Limits(4, false, true, 2000, CONNECT_TIMEOUT_MS),
-                    new Rules(COLD_SHARE, COLD_MS, tipMultiple, TIP_MS, GRACE_MS, 10_000));
-            decide = new Decide(settings, seed, this);
-            pace = WatchPace.ofFleet(of, GRACE_MS, seed);
+                    new AttemptLimits(4, false, true, 2000, CONNECT_TIMEOUT_MS),
+                    new SlowStartSettings(COLD_SHARE, COLD_MS, tipMultiple, TIP_MS),
+                    new DrainSettings(GRACE_MS),
+                    10_000);
+            decide = new BoxcarLoadBalancer(settings, seed, this);
+            pace = WatchSchedule.ofFleet(of, GRACE_MS, seed);
             agent = registry.agent(line -> {});
             agent.whole(this::listed);
         }
@@ -305,36 +334,37 @@
         private void listed(Registry.Answer answer) {
             version = answer.version();
             pace.answered();
-            List<Server> servers = answer.lines().stream().map(this::server).toList();
+            List<Endpoint> servers = answer.lines().stream().map(this::server).toList();
             Set<String> gone = new HashSet<>(listed);
             servers.forEach(server -> gone.remove(server.id()));
             if (answer.full()) {
                 gone.forEach(id -> leftAt.putIfAbsent(id, agenda.nowMs()));
             }
-            for (Server server : servers) {
+            for (Endpoint server : servers) {
                 listed.add(server.id());
-                if (server.state() == State.READY) {
+                if (server.state() == EndpointState.READY) {
                     leftAt.remove(server.id());
                 } else {
                     leftAt.putIfAbsent(server.id(), agenda.nowMs());
                 }
             }
             answer.lines().forEach(line -> told.put(line.id(), line.startedMs()));
-            decide.onServers(now(), answer.full() ? ListKind.FULL : ListKind.DELTA, servers);
+            decide.onEndpointUpdate(
+                    now(), answer.full() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, servers);
             watch();
         }
 
-        private Server server(Registry.Line line) {
-            return new Server(
+        private Endpoint server(Registry.Line line) {
+            return new Endpoint(
                     line.id(),
                     0,
                     0,
                     endpoints.get(line.id()).shape().rack(),
                     line.startedMs() == Double.NEGATIVE_INFINITY ? 0 : EPOCH_MS + line.startedMs(),
                     switch (line.state()) {
-                        case IN_SERVICE -> State.READY;
-                        case TERMINATING -> State.DRAINING;
-                        case TERMINATED -> State.GONE;
+                        case IN_SERVICE -> EndpointState.READY;
+                        case TERMINATING -> EndpointState.DRAINING;
+                        case TERMINATED -> EndpointState.GONE;
                     },
                     1);
         }
@@ -342,7 +372,7 @@
         private void watch() {
             long call = ++watch;
             listCalls.merge((long) (agenda.nowMs() / 1000), 1, Integer::sum);
-            agenda.after(pace.waitMs() + WatchPace.silenceMs() + lateMs, () -> {
+            agenda.after(pace.waitMs() + WatchSchedule.silenceMs() + lateMs, () -> {
                 if (call == watch) {
                     deaf = false;
                     agenda.after(pace.failed(), this::watch);
@@ -376,7 +406,7 @@
 
         void request() {
             int kind = random.nextInt(10);
-            Open made = new Open(settings.ownNumber() + "-" + numbered++, kind < 6 ? 0 : kind < 9 ? 1 : 2);
+            Open made = new Open(settings.balancerIndex() + "-" + numbered++, kind < 6 ? 0 : kind < 9 ? 1 : 2);
             requests.put(made.id, made);
             firstTries++;
             decide.onRequest(now(), new Request(made.id, made.kind, 0, now() + DEADLINE_MS, false));
@@ -398,7 +428,7 @@
         }
 
         @Override
-        public void send(String id, String server, double timeoutMs) {
+        public void startAttempt(String id, String server, double timeoutMs) {
             Open request = requests.get(id);
             attempts++;
             mind(request, server);
@@ -413,12 +443,12 @@
         private void mind(Open request, String server) {
             int rack = endpoints.get(server).shape().rack();
             for (Try before : request.tries) {
-                boolean mayHaveRun = before.outcome != null && !before.outcome.neverRan();
-                Effect effect = settings.classes().get(request.kind).effect();
+                boolean mayHaveRun = before.outcome != null && !before.outcome.provesNotExecuted();
+                Idempotency effect = settings.classes().get(request.kind).idempotency();
                 if (before.outcome == null
                         || (mayHaveRun
-                                && (effect == Effect.ONCE
-                                        || (effect == Effect.BY_KEY
+                                && (effect == Idempotency.NON_IDEMPOTENT
+                                        || (effect == Idempotency.KEYED
                                                 && (endpoints
                                                                         .get(before.server)
                                                                         .shape()
@@ -437,16 +467,16 @@
         }
 
         private void connect(Try made) {
-            List<Agenda.Due> standing = idle.computeIfAbsent(made.server, server -> new ArrayList<>());
-            Endpoint endpoint = endpoints.get(made.server);
+            List<Scheduler.Due> standing = idle.computeIfAbsent(made.server, server -> new ArrayList<>());
+            EndpointModel endpoint = endpoints.get(made.server);
             if (!standing.isEmpty()) {
                 standing.remove(standing.size() - 1).cancel();
                 made.connected = true;
                 agenda.after(NET_MS, made::arrive);
             } else if (endpoint.isSilent()) {
-                agenda.after(CONNECT_TIMEOUT_MS, () -> made.end(Outcome.CONNECT_ERROR));
+                agenda.after(CONNECT_TIMEOUT_MS, () -> made.end(AttemptOutcome.CONNECT_ERROR));
             } else if (!endpoint.connect()) {
-                agenda.after(NET_MS, () -> made.end(Outcome.CONNECT_ERROR));
+                agenda.after(NET_MS, () -> made.end(AttemptOutcome.CONNECT_ERROR));
             } else {
                 handshakes++;
                 made.connected = true;
@@ -458,8 +488,8 @@
         }
 
         private void keep(Try made) {
-            List<Agenda.Due> standing = idle.get(made.server);
-            Agenda.Due[] closing = new Agenda.Due[1];
+            List<Scheduler.Due> standing = idle.get(made.server);
+            Scheduler.Due[] closing = new Scheduler.Due[1];
             closing[0] = agenda.after(IDLE_MS, () -> {
                 standing.remove(closing[0]);
                 closed(made.server);
@@ -473,19 +503,20 @@
         }
 
         @Override
-        public void disconnect(String server) {
-            List<Agenda.Due> standing = idle.getOrDefault(server, new ArrayList<>());
-            standing.forEach(Agenda.Due::cancel);
+        public void closeIdleConnections(String server) {
+            List<Scheduler.Due> standing = idle.getOrDefault(server, new ArrayList<>());
+            standing.forEach(Scheduler.Due::cancel);
             standing.forEach(due -> closed(server));
             standing.clear();
         }
 
         @Override
-        public void refuse(String id, double coolDownMs) {
+        public void reject(String id, double coolDownMs) {
             Open request = requests.get(id);
             RequestClass kind = settings.classes().get(request.kind);
-            if (!kind.refusableAfterRun()
-                    && request.tries.stream().anyMatch(made -> made.outcome == null || !made.outcome.neverRan())) {
+            if (!kind.mayRejectAfterExecution()
+                    && request.tries.stream()
+                            .anyMatch(made -> made.outcome == null || !made.outcome.provesNotExecuted())) {
                 breaks.add(id + " was refused though it may have run");
             }
             refused++;
@@ -499,17 +530,17 @@
         }
 
         @Override
-        public void cancel(String id, int attempt) {
+        public void cancelAttempt(String id, int attempt) {
             throw new IllegalStateException("no client goes away here");
         }
 
         @Override
-        public void timer(double inMs, long name) {
+        public void startTimer(double inMs, long name) {
             agenda.after(inMs, () -> decide.onTimer(now(), name));
         }
 
         @Override
-        public void subscribe() {
+        public void pollEndpoints() {
             throw new IllegalStateException("the list is pushed here");
         }
 
@@ -537,10 +568,10 @@
             private final int number;
             private final String server;
             private final double sentMs = agenda.nowMs();
-            private Agenda.Due timeout;
+            private Scheduler.Due timeout;
             private boolean connected;
             private boolean arrived;
-            private Outcome outcome;
+            private AttemptOutcome outcome;
 
             Try(Open request, int number, String server) {
                 super(request.kind == 1 ? request.id : null, request.workMs, 1);
@@ -552,7 +583,7 @@
             private void arrive() {
                 if (outcome == null) {
                     arrived = true;
-                    Endpoint endpoint = endpoints.get(server);
+                    EndpointModel endpoint = endpoints.get(server);
                     if (endpoint.warmth() < 1 && knowsOfStart(server)) {
                         coldSends
                                 .computeIfAbsent(server, id -> new ArrayList<>())
@@ -566,36 +597,36 @@
                 if (arrived) {
                     endpoints.get(server).cancel(this);
                 }
-                end(arrived ? Outcome.TIMED_OUT : Outcome.CONNECT_ERROR);
+                end(arrived ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_ERROR);
             }
 
-            private void end(Outcome how) {
+            private void end(AttemptOutcome how) {
                 if (outcome != null) {
                     return;
                 }
                 outcome = how;
                 timeout.cancel();
-                if (connected && how != Outcome.TIMED_OUT && how != Outcome.CONNECT_ERROR) {
+                if (connected && how != AttemptOutcome.TIMED_OUT && how != AttemptOutcome.CONNECT_ERROR) {
                     keep(this);
                 } else if (connected) {
                     closed(server);
                 }
-                boolean first = how == Outcome.OK && request.answers == 0;
+                boolean first = how == AttemptOutcome.OK && request.answers == 0;
                 if (first) {
                     conclude(request);
                     served.merge(server, 1, Integer::sum);
                     servedInTime += agenda.nowMs() - request.arrivedMs <= AIM_MS ? 1 : 0;
                 }
-                decide.onFinished(
+                decide.onAttemptFinished(
                         now(),
-                        new Finished(
+                        new AttemptResult(
                                 request.id,
                                 number,
                                 server,
                                 how,
                                 agenda.nowMs() - sentMs,
                                 first || request.answers > 0,
-                                Load.NONE));
+                                LoadReport.NONE));
             }
 
             @Override
@@ -614,9 +645,9 @@
                         NET_MS,
                         () -> end(
                                 switch (answer) {
-                                    case SERVED -> Outcome.OK;
-                                    case ERROR -> Outcome.FAILED;
-                                    case TURNED_AWAY -> Outcome.QUEUE_FULL;
+                                    case SERVED -> AttemptOutcome.OK;
+                                    case ERROR -> AttemptOutcome.FAILED;
+                                    case TURNED_AWAY -> AttemptOutcome.QUEUE_FULL;
                                 }));
             }
         }
--- a/lab/src/test/java/lemonrail/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/FleetTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import lemonrail.lab.model.Endpoint;
+import lemonrail.lab.model.EndpointModel;
 import lemonrail.lab.model.Registry;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -55,7 +55,7 @@
             fleet.agenda.after(
                     at,
                     () -> crowded[0] += (int) fleet.endpoints.values().stream()
-                            .filter(Endpoint::isCrowded)
+                            .filter(EndpointModel::isCrowded)
                             .count());
         }
         fleet.play(LENGTH_MS);
--- a/lab/src/test/java/lemonrail/lab/host/PlayTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/PlayTest.java
@@ -11,16 +11,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemonrail.core.Contract.Actions;
-import lemonrail.core.Contract.Events;
-import lemonrail.core.Contract.Finished;
-import lemonrail.core.Contract.ListKind;
-import lemonrail.core.Contract.Request;
-import lemonrail.core.Contract.Server;
-import lemonrail.core.Contract.Settings;
-import lemonrail.core.Decider;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.LoadBalancer;
+import lemonrail.core.balancer.LoadBalancerFactory;
+import lemonrail.core.balancer.LoadBalancerHost;
+import lemonrail.core.balancer.Request;
 import lemonrail.lab.decider.Deciders;
-import lemonrail.lab.model.Ask;
+import lemonrail.lab.model.ClientRequest;
 import lemonrail.lab.model.Fault;
 import lemonrail.lab.report.Report;
 import lemonrail.lab.report.RunFolder;
@@ -80,35 +80,35 @@
         return ScenarioFile.read(Files.writeString(folder.resolve("short.toml"), text));
     }
 
-    private Played play(Scenario scenario, Deciders decider) throws IOException, InterruptedException {
+    private RunResult play(Scenario scenario, Deciders decider) throws IOException, InterruptedException {
         return play(scenario, decider.decider());
     }
 
-    private Played play(Scenario scenario, Decider decider) throws IOException, InterruptedException {
+    private RunResult play(Scenario scenario, LoadBalancerFactory decider) throws IOException, InterruptedException {
         Scenario.Variant variant = new Scenario.Variant("it", decider, Map.of(), null);
         try (Testbed testbed = new Testbed(scenario, variant, 7, new Testbed.Builds(null), folder.resolve("run"))) {
             return testbed.play(asks -> {});
         }
     }
 
-    private static long count(Played played, Ask.End end) {
+    private static long count(RunResult played, ClientRequest.End end) {
         return played.asks().stream().filter(ask -> ask.last().end() == end).count();
     }
 
     @ParameterizedTest
     @EnumSource(Deciders.class)
     void calmWithAnyDeciderAllIsServedOnceAndNoRuleIsBroken(Deciders decider) throws Exception {
-        Played played = play(scenario("", ""), decider);
+        RunResult played = play(scenario("", ""), decider);
         assertEquals(List.of(), played.broken());
         assertTrue(played.asks().size() > 80);
         assertAllAnswered(played);
-        assertTrue(played.recorder().attempts().size() >= count(played, Ask.End.SERVED));
+        assertTrue(played.recorder().attempts().size() >= count(played, ClientRequest.End.SERVED));
     }
 
     /** Served, but for a few that an edge which has just started may refuse. */
-    private static void assertAllAnswered(Played played) {
-        long served = count(played, Ask.End.SERVED);
-        assertEquals(played.asks().size(), served + count(played, Ask.End.REFUSED));
+    private static void assertAllAnswered(RunResult played) {
+        long served = count(played, ClientRequest.End.SERVED);
+        assertEquals(played.asks().size(), served + count(played, ClientRequest.End.REFUSED));
         assertTrue(
                 served >= played.asks().size() * 0.8,
                 served + " of " + played.asks().size());
@@ -136,7 +136,7 @@
         Fault.Kind of =
                 Fault.Kind.valueOf(kind.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
         String size = of == Fault.Kind.LOSS ? "0.2" : of == Fault.Kind.DELAY ? "50" : "3";
-        Played played = play(
+        RunResult played = play(
                 scenario(
                         "[[faults]]\nkind = \"" + kind + "\"\nbegin = \"500ms\"\n"
                                 + "length = \"800ms\"\nshare = 0.25\nsize = " + size + "\n",
@@ -145,14 +145,16 @@
         assertEquals(List.of(), played.broken());
         assertEquals(
                 played.asks().size(),
-                count(played, Ask.End.SERVED) + count(played, Ask.End.REFUSED) + count(played, Ask.End.FAILED),
+                count(played, ClientRequest.End.SERVED)
+                        + count(played, ClientRequest.End.REFUSED)
+                        + count(played, ClientRequest.End.FAILED),
                 "each has one final answer");
-        assertTrue(count(played, Ask.End.SERVED) > played.asks().size() / 2);
+        assertTrue(count(played, ClientRequest.End.SERVED) > played.asks().size() / 2);
     }
 
     @Test
     void threeTiersCallOneAnotherThroughSidecarsOfTheirOwn() throws Exception {
-        Played played = play(scenario("", """
+        RunResult played = play(scenario("", """
             [[tiers]]
             name = "front"
             count = 2
@@ -170,13 +172,13 @@
             """), Deciders.BOXCAR);
         assertEquals(List.of(), played.broken());
         long asked = played.asks().size();
-        assertTrue(count(played, Ask.End.SERVED) >= asked * 0.7);
+        assertTrue(count(played, ClientRequest.End.SERVED) >= asked * 0.7);
         for (int tier = 0; tier < 3; tier++) {
             int place = tier;
             List<AttemptRecorder.Attempt> attempts = played.recorder().attempts().stream()
                     .filter(attempt -> attempt.tier() == place)
                     .toList();
-            assertTrue(attempts.size() >= count(played, Ask.End.SERVED) * (tier == 0 ? 1 : 2));
+            assertTrue(attempts.size() >= count(played, ClientRequest.End.SERVED) * (tier == 0 ? 1 : 2));
             assertTrue(attempts.stream().allMatch(attempt -> attempt.parent() == null == (place == 0)));
         }
         assertTrue(played.recorder().attempts().stream()
@@ -186,30 +188,30 @@
     }
 
     /** Breaks rules on purpose: it heeds neither what drains nor what may have run. */
-    private static Events reckless(Settings settings, long seed, Actions host) {
-        return reckless(settings.limits().tries() + 1, host);
+    private static LoadBalancer reckless(BalancerSettings settings, long seed, LoadBalancerHost host) {
+        return reckless(settings.limits().maxAttempts() + 1, host);
     }
 
     /** The same, which refuses after so many attempts. */
-    private static Events reckless(int most, Actions host) {
-        return new Events() {
+    private static LoadBalancer reckless(int most, LoadBalancerHost host) {
+        return new LoadBalancer() {
             private final Map<String, Integer> places = new HashMap<>();
             private final List<String> servers = new ArrayList<>();
 
             private void send(String request) {
                 int place = places.merge(request, 1, Integer::sum);
                 if (place > most) {
-                    host.refuse(request, 100);
+                    host.reject(request, 100);
                 } else {
                     int at = (place + request.hashCode() & 0xffff) % servers.size();
-                    host.send(request, servers.get(at), 150);
+                    host.startAttempt(request, servers.get(at), 150);
                 }
             }
 
             @Override
-            public void onServers(double now, ListKind kind, List<Server> entries) {
+            public void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> entries) {
                 entries.stream()
-                        .map(Server::id)
+                        .map(Endpoint::id)
                         .filter(id -> !servers.contains(id))
                         .forEach(servers::add);
             }
@@ -220,19 +222,19 @@
             }
 
             @Override
-            public void onFinished(double now, Finished finished) {
+            public void onAttemptFinished(double now, AttemptResult finished) {
                 if (!finished.concluded()) {
                     send(finished.request());
                 }
             }
 
             @Override
-            public void onStreamStarted(double now, String request, int attempt) {
+            public void onResponseStreamStarted(double now, String request, int attempt) {
                 // Nothing is streamed here.
             }
 
             @Override
-            public void onClientGone(double now, String request) {
+            public void onRequestCancelled(double now, String request) {
                 // What is out stays out.
             }
 
@@ -243,7 +245,7 @@
         };
     }
 
-    private static void assertBroken(Played played, String rule) {
+    private static void assertBroken(RunResult played, String rule) {
         assertTrue(
                 played.broken().stream().anyMatch(broken -> broken.startsWith(rule)),
                 rule + " is not among " + played.broken());
@@ -251,7 +253,7 @@
 
     @Test
     void aDeciderThatHeedsNothingIsFoundOut() throws Exception {
-        Played played = play(scenario("""
+        RunResult played = play(scenario("""
             [[faults]]
             kind = "drain"
             begin = "100ms"
@@ -269,7 +271,7 @@
 
     @Test
     void aRefusalOfWhatMayHaveRunIsFoundOut() throws Exception {
-        Played played = play(
+        RunResult played = play(
                 scenario("[[faults]]\nkind = \"fail\"\nbegin = \"100ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
                 (settings, seed, host) -> reckless(1, host));
         assertBroken(played, "refused after it may have run: ");
@@ -277,7 +279,7 @@
 
     @Test
     void noDeciderCanHaveMoreAttemptsMadeThanAllowed() throws Exception {
-        Played played = play(
+        RunResult played = play(
                 scenario("[[faults]]\nkind = \"hang\"\nbegin = \"600ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
                 PlayTest::reckless);
         Map<String, Integer> attempts = new HashMap<>();
@@ -288,7 +290,7 @@
 
     @Test
     void aColdEndpointThatIsPushedOverIsFoundOut() throws Exception {
-        Played played = play(scenario("", """
+        RunResult played = play(scenario("", """
             [[tiers]]
             name = "front"
             count = 1
@@ -304,17 +306,17 @@
 
     @Test
     void aFaultThatOutlastsTheRunStillEndsIt() throws Exception {
-        Played played = play(
+        RunResult played = play(
                 scenario("[[faults]]\nkind = \"hang\"\nbegin = \"700ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
                 Deciders.BOXCAR);
         assertEquals(List.of(), played.broken());
-        assertTrue(count(played, Ask.End.SERVED) < played.asks().size());
-        assertEquals(0, count(played, Ask.End.GIVEN_UP) + count(played, Ask.End.LOST));
+        assertTrue(count(played, ClientRequest.End.SERVED) < played.asks().size());
+        assertEquals(0, count(played, ClientRequest.End.GIVEN_UP) + count(played, ClientRequest.End.LOST));
     }
 
     @Test
     void poorLinksOnBothSidesKeepTheRules() throws Exception {
-        Played played = play(scenario("", """
+        RunResult played = play(scenario("", """
             [client-links]
             delay = "10ms"
             jitter = "15ms"
@@ -334,20 +336,22 @@
         Scenario.Variant variant = scenario.variants().get(0);
         Thread player = Thread.currentThread();
         try (Testbed testbed = new Testbed(scenario, variant, 1, new Testbed.Builds(null), folder.resolve("run"))) {
-            Played played = testbed.play(asks -> {
+            RunResult played = testbed.play(asks -> {
                 if (asks.get().size() > 30) {
                     player.interrupt();
                 }
             });
             assertFalse(played.whole());
             assertTrue(played.asks().size() < 100);
-            assertEquals(played.asks().size(), count(played, Ask.End.SERVED) + count(played, Ask.End.REFUSED));
+            assertEquals(
+                    played.asks().size(),
+                    count(played, ClientRequest.End.SERVED) + count(played, ClientRequest.End.REFUSED));
         }
     }
 
     @Test
     void aRunIsKeptAndItsReportIsMadeFromTheRawData() throws Exception {
-        Played played = play(scenario("", ""), Deciders.BOXCAR);
+        RunResult played = play(scenario("", ""), Deciders.BOXCAR);
         Verdict verdict = Scorer.score(played);
         assertTrue(verdict.whole() > 0.8 && verdict.whole() <= 1);
         assertEquals(0, verdict.waste(), 1e-9);
--- a/lab/src/test/java/lemonrail/lab/model/EndpointTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/EndpointModelTest.java
@@ -12,14 +12,14 @@
 import lemonrail.lab.model.EndpointShape.Warming;
 import org.junit.jupiter.api.Test;
 
-class EndpointTest {
+class EndpointModelTest {
 
-    private final VirtualAgenda agenda = new VirtualAgenda();
+    private final VirtualScheduler agenda = new VirtualScheduler();
     private final Rack rack = new Rack(agenda, 10_000);
     private final List<String> seen = new ArrayList<>();
 
-    private Endpoint endpoint(int slots, int room, ColdStart cold, Crowding crowding) {
-        return new Endpoint(agenda, new EndpointShape("e", 0, 1, 1, slots, room, 3, 50, cold, crowding), rack);
+    private EndpointModel endpoint(int slots, int room, ColdStart cold, Crowding crowding) {
+        return new EndpointModel(agenda, new EndpointShape("e", 0, 1, 1, slots, room, 3, 50, cold, crowding), rack);
     }
 
     private Work work(String name, String key, double ms, int calls) {
@@ -44,7 +44,7 @@
 
     @Test
     void slotsThenTheWaitingRoomThenTurnedAway() {
-        Endpoint endpoint = endpoint(1, 1, ColdStart.NONE, Crowding.NONE);
+        EndpointModel endpoint = endpoint(1, 1, ColdStart.NONE, Crowding.NONE);
         endpoint.offer(work("a", null, 100, 0));
         endpoint.offer(work("b", null, 100, 0));
         endpoint.offer(work("c", null, 100, 0));
@@ -55,7 +55,7 @@
 
     @Test
     void aCallHoldsTheSlotAndAFailedOneEndsTheRequest() {
-        Endpoint endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
+        EndpointModel endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
         endpoint.offer(work("a", null, 100, 2));
         endpoint.offer(work("unlucky", null, 100, 2));
         agenda.runUntil(1000);
@@ -73,7 +73,7 @@
 
     @Test
     void whatIsCancelledStopsAndFreesItsSlot() {
-        Endpoint endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
+        EndpointModel endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
         Work given = work("a", null, 100, 0);
         endpoint.offer(given);
         endpoint.offer(work("b", null, 100, 0));
@@ -85,9 +85,9 @@
 
     @Test
     void aRackDropsRepeatsForAWhileAndAnotherDoesNot() {
-        Endpoint one = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
-        Endpoint other = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
-        Endpoint far = new Endpoint(agenda, one.shape(), new Rack(agenda, 10_000));
+        EndpointModel one = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
+        EndpointModel other = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
+        EndpointModel far = new EndpointModel(agenda, one.shape(), new Rack(agenda, 10_000));
         one.offer(work("a", "k", 100, 0));
         agenda.after(50, () -> other.offer(work("repeat", "k", 100, 0)));
         agenda.after(60, () -> far.offer(work("far", "k", 100, 0)));
@@ -107,7 +107,7 @@
 
     @Test
     void aHangingEndpointAnswersNoRepeatsEither() {
-        Endpoint endpoint = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
+        EndpointModel endpoint = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
         endpoint.offer(work("a", "k", 100, 1));
         endpoint.hang(true);
         endpoint.offer(work("repeat", "k", 100, 1));
@@ -120,7 +120,7 @@
 
     @Test
     void coldByTimeItDoesAsMuchAsItsWarmthSays() {
-        Endpoint endpoint = endpoint(1, 5, new ColdStart(0.2, 1000, Warming.TIME, 99, 3000), Crowding.NONE);
+        EndpointModel endpoint = endpoint(1, 5, new ColdStart(0.2, 1000, Warming.TIME, 99, 3000), Crowding.NONE);
         endpoint.start();
         assertEquals(0.2, endpoint.warmth(), 1e-9);
         endpoint.offer(work("a", null, 600, 0));
@@ -135,8 +135,8 @@
     @Test
     void coldByWorkItWarmsFasterWhenItWorks() {
         ColdStart cold = new ColdStart(0.5, 1000, Warming.WORK, 99, 3000);
-        Endpoint busy = endpoint(1, 5, cold, Crowding.NONE);
-        Endpoint idle = endpoint(1, 5, cold, Crowding.NONE);
+        EndpointModel busy = endpoint(1, 5, cold, Crowding.NONE);
+        EndpointModel idle = endpoint(1, 5, cold, Crowding.NONE);
         agenda.after(0, busy::start);
         agenda.after(0, idle::start);
         agenda.after(0, () -> busy.offer(work("a", null, 5000, 0)));
@@ -151,7 +151,7 @@
     @Test
     void sentTooMuchWhileColdItFallsOverAndStaysDown() {
         ColdStart cold = new ColdStart(0.1, 10_000, Warming.TIME, 3, 3000);
-        Endpoint endpoint = endpoint(50, 50, cold, Crowding.NONE);
+        EndpointModel endpoint = endpoint(50, 50, cold, Crowding.NONE);
         endpoint.start();
         // It bears 3 x 0.1 x 3000 ms of work.
         for (int i = 0; i < 8; i++) {
@@ -168,7 +168,7 @@
 
     @Test
     void crowdedForLongItSlowsUntilItHasBeenIdle() {
-        Endpoint endpoint = endpoint(50, 50, ColdStart.NONE, new Crowding(4, 1000, 2, 500, 60_000));
+        EndpointModel endpoint = endpoint(50, 50, ColdStart.NONE, new Crowding(4, 1000, 2, 500, 60_000));
         for (int i = 0; i < 6; i++) {
             endpoint.offer(work("w" + i, null, 400, 0));
         }
@@ -188,7 +188,7 @@
 
     @Test
     void aBurstThatIsOverInTimeDoesNotSlowIt() {
-        Endpoint endpoint = endpoint(50, 50, ColdStart.NONE, new Crowding(4, 1000, 2, 500, 60_000));
+        EndpointModel endpoint = endpoint(50, 50, ColdStart.NONE, new Crowding(4, 1000, 2, 500, 60_000));
         for (int i = 0; i < 6; i++) {
             endpoint.offer(work("w" + i, null, 150, 0));
         }
@@ -199,7 +199,7 @@
 
     @Test
     void connectionsAreCappedAndCostAHandshake() {
-        Endpoint endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
+        EndpointModel endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
         for (int i = 0; i < 3; i++) {
             assertTrue(endpoint.connect());
         }
@@ -214,7 +214,7 @@
 
     @Test
     void drainingItFinishesWhatItHas() {
-        Endpoint endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
+        EndpointModel endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
         endpoint.offer(work("a", null, 100, 0));
         endpoint.drain(true);
         endpoint.offer(work("b", null, 100, 0));
@@ -224,7 +224,7 @@
 
     @Test
     void vanishedItSaysNothingAndComesBackColdAndEmpty() {
-        Endpoint endpoint = endpoint(1, 5, new ColdStart(0.2, 1000, Warming.TIME, 99, 3000), Crowding.NONE);
+        EndpointModel endpoint = endpoint(1, 5, new ColdStart(0.2, 1000, Warming.TIME, 99, 3000), Crowding.NONE);
         endpoint.offer(work("a", null, 100, 0));
         agenda.after(50, endpoint::vanish);
         agenda.after(60, () -> endpoint.offer(work("b", null, 100, 0)));
--- a/lab/src/test/java/lemonrail/lab/model/ModelsTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/ModelsTest.java
@@ -18,7 +18,7 @@
 /** Clients, arrivals and discovery. */
 class ModelsTest {
 
-    private final VirtualAgenda agenda = new VirtualAgenda();
+    private final VirtualScheduler agenda = new VirtualScheduler();
     private final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(5L);
 
     private long arrivals(Arrivals arrivals, double fromMs, double toMs) {
@@ -39,7 +39,7 @@
         assertEquals(10_000, (float) arrivals(poisson, 10_000, 60_000), 300);
     }
 
-    private Clients clients(Retrying retrying, List<Double> sent, Ask.End... ends) {
+    private Clients clients(Retrying retrying, List<Double> sent, ClientRequest.End... ends) {
         Clients.Shape shape =
                 new Clients.Shape(List.of(new Kind(1000, true, 1, 10)), List.of(1.0), retrying, 0.5, 1, false);
         int[] tries = new int[1];
@@ -52,8 +52,8 @@
                 (ask, id, patience, reply) -> {
                     assertTrue(patience >= 500 && patience <= 1000);
                     sent.add(agenda.nowMs());
-                    Ask.End end = ends[tries[0]++];
-                    agenda.after(10, () -> reply.ended(end, 503, end == Ask.End.REFUSED ? 700 : Double.NaN));
+                    ClientRequest.End end = ends[tries[0]++];
+                    agenda.after(10, () -> reply.ended(end, 503, end == ClientRequest.End.REFUSED ? 700 : Double.NaN));
                 });
     }
 
@@ -61,7 +61,12 @@
     void triesWaitLongerEachTimeAndBelongToTheirFirst() {
         List<Double> sent = new ArrayList<>();
         Clients clients = clients(
-                new Retrying(3, 100, 2, false), sent, Ask.End.FAILED, Ask.End.REFUSED, Ask.End.LOST, Ask.End.SERVED);
+                new Retrying(3, 100, 2, false),
+                sent,
+                ClientRequest.End.FAILED,
+                ClientRequest.End.REFUSED,
+                ClientRequest.End.LOST,
+                ClientRequest.End.SERVED);
         clients.start();
         agenda.runUntil(10_000);
         assertEquals(List.of(100.0, 210.0, 420.0, 830.0), sent);
@@ -74,7 +79,8 @@
     @Test
     void retryAfterIsHeededWhereClientsDo() {
         List<Double> sent = new ArrayList<>();
-        Clients clients = clients(new Retrying(1, 100, 1, true), sent, Ask.End.REFUSED, Ask.End.REFUSED);
+        Clients clients =
+                clients(new Retrying(1, 100, 1, true), sent, ClientRequest.End.REFUSED, ClientRequest.End.REFUSED);
         clients.start();
         agenda.runUntil(10_000);
         assertEquals(List.of(100.0, 810.0), sent);
@@ -84,7 +90,7 @@
     @Test
     void whoHasGivenUpDoesNotComeBack() {
         List<Double> sent = new ArrayList<>();
-        clients(new Retrying(3, 100, 1, true), sent, Ask.End.GIVEN_UP).start();
+        clients(new Retrying(3, 100, 1, true), sent, ClientRequest.End.GIVEN_UP).start();
         agenda.runUntil(10_000);
         assertEquals(1, sent.size());
     }
--- a/lab/src/test/java/lemonrail/lab/model/QueueingTheoryTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/QueueingTheoryTest.java
@@ -17,15 +17,15 @@
     private static final double MEAN_MS = 100;
     private static final int MANY = 1_000_000;
 
-    private final VirtualAgenda agenda = new VirtualAgenda();
+    private final VirtualScheduler agenda = new VirtualScheduler();
     private final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(11L);
 
     private double exponential(double mean) {
         return -mean * Math.log1p(-random.nextDouble());
     }
 
-    private Endpoint endpoint(int cores, int slots) {
-        return new Endpoint(
+    private EndpointModel endpoint(int cores, int slots) {
+        return new EndpointModel(
                 agenda,
                 new EndpointShape(
                         "e",
@@ -83,7 +83,7 @@
     @CsvSource({"1,0.5,1", "1,0.8,1", "2,0.7,2", "4,0.8,4", "8,0.9,8", "1,0.7,1000"})
     void anOpenEndpointTakesAsLongAsErlangSays(int cores, double used, int slots) {
         // With one core, sharing the processor takes the same mean time as waiting in line.
-        Endpoint endpoint = endpoint(cores, slots);
+        EndpointModel endpoint = endpoint(cores, slots);
         Arrivals arrivals = new Arrivals(1000 * used * cores / MEAN_MS, Arrivals.Spacing.POISSON, random);
         double[] sum = new double[2];
         int count = 400_000;
@@ -125,7 +125,7 @@
     @CsvSource({"1,0", "5,0", "20,300", "50,1000"})
     void aClosedChainCarriesAsMuchAsMeanValueAnalysisSays(int customers, double thinkMs) {
         double[] demands = {40, 60, 25};
-        List<Endpoint> chain = new ArrayList<>();
+        List<EndpointModel> chain = new ArrayList<>();
         for (int i = 0; i < demands.length; i++) {
             chain.add(endpoint(1, 1));
         }
@@ -140,12 +140,12 @@
     }
 
     private final class Customer {
-        private final List<Endpoint> chain;
+        private final List<EndpointModel> chain;
         private final double[] demands;
         private final double thinkMs;
         private final long[] done;
 
-        Customer(List<Endpoint> chain, double[] demands, double thinkMs, long[] done) {
+        Customer(List<EndpointModel> chain, double[] demands, double thinkMs, long[] done) {
             this.chain = chain;
             this.demands = demands;
             this.thinkMs = thinkMs;
@@ -164,7 +164,7 @@
 
     @Test
     void workIsNeitherLostNorMadeByChangesOfSpeed() {
-        Endpoint endpoint = endpoint(2, 4);
+        EndpointModel endpoint = endpoint(2, 4);
         double[] took = new double[1];
         endpoint.offer(new Timed(1000, ms -> took[0] = ms));
         agenda.after(100, () -> endpoint.slow(4));
--- a/lab/src/test/java/lemonrail/lab/scale/BottleneckTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/BottleneckTest.java
@@ -91,7 +91,7 @@
     @Test
     void aPointBeyondItsTargetIsMissed() {
         ScaleScenario scenario = scenario();
-        Point point = new Point(Point.What.SIDECAR, 1000, 0, 0, 2.3, 100, 60, 40, 0, 0, false);
+        Measurement point = new Measurement(Measurement.What.SIDECAR, 1000, 0, 0, 2.3, 100, 60, 40, 0, 0, false);
         ScaleResults results = new ScaleResults(scenario, "1", 1, List.of(point), List.of(), List.of(), "");
         assertEquals(1, results.missed().size());
         assertFalse(results.passes());
@@ -137,7 +137,7 @@
                 1,
                 verdict,
                 verdict == StormRow.Verdict.MET ? "" : "late");
-        Point point = new Point(Point.What.SIDECAR, 10, 0, 5, 1, 1, 60, 40, 0, 0, voidPoint);
+        Measurement point = new Measurement(Measurement.What.SIDECAR, 10, 0, 5, 1, 1, 60, 40, 0, 0, voidPoint);
         return new ScaleResults(scenario(), "1", 1, List.of(point), List.of(row), List.of(), "");
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/HollowFleetTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/HollowFleetTest.java
@@ -75,8 +75,8 @@
                 Map.of(
                         Site.ALL,
                         List.of(
-                                SITE.line(4).with(Line.State.TERMINATING),
-                                SITE.line(5).with(Line.State.TERMINATED),
+                                SITE.line(4).with(EndpointEntry.State.TERMINATING),
+                                SITE.line(5).with(EndpointEntry.State.TERMINATED),
                                 SITE.line(6).started(77))));
         await(() -> knowing() == COUNT);
         assertEquals(COUNT, fleet.wholeLists(), "the whole list comes once to each, then changes");
@@ -84,7 +84,7 @@
 
     @Test
     void whoHasAnotherListThanControlIsSeen() {
-        Map<String, Line> lines = new HashMap<>(plane.lines(Site.ALL));
+        Map<String, EndpointEntry> lines = new HashMap<>(plane.lines(Site.ALL));
         lines.put(SITE.line(1).id(), SITE.line(1).weighing(9));
         assertEquals(0, fleet.knowing(Map.of(Site.ALL, lines)));
         lines.remove(SITE.line(1).id());
@@ -119,7 +119,7 @@
 
     @Test
     void whenAWordCameIsKnown() {
-        Line word = SITE.line(3).weighing(2);
+        EndpointEntry word = SITE.line(3).weighing(2);
         long before = System.nanoTime();
         plane.apply(0, Map.of(Site.ALL, List.of(word)));
         await(() -> knowing() == COUNT);
@@ -129,7 +129,7 @@
             assertEquals(-1, sidecar.hadNanos(SITE.line(3).weighing(3), before), "a later word has not come");
             assertEquals(had, sidecar.hadNanos(SITE.line(3).weighing(1.5), before), "it has an older one");
         }
-        plane.apply(0, Map.of(Site.ALL, List.of(word.with(Line.State.TERMINATED))));
+        plane.apply(0, Map.of(Site.ALL, List.of(word.with(EndpointEntry.State.TERMINATED))));
         await(() -> knowing() == COUNT);
         fleet.forget();
         for (HollowSidecar sidecar : fleet.sidecars()) {
--- a/lab/src/test/java/lemonrail/lab/scale/LinearFitTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/LinearFitTest.java
@@ -66,7 +66,7 @@
 
     @Test
     void voidPointsAreInNoSlope() {
-        List<Point> points = new ArrayList<>();
+        List<Measurement> points = new ArrayList<>();
         for (int rate : new int[] {0, 1, 5, 20}) {
             points.add(point(rate, 1 + rate, rate == 20));
         }
@@ -80,7 +80,7 @@
         assertTrue(Slope.of(points).stream().noneMatch(each -> each.name().contains("processor time at")));
     }
 
-    private static Point point(double rate, double percent, boolean isVoid) {
-        return new Point(Point.What.SIDECAR, 10, 0, rate, percent, 0, 60, 40, 0, 0, isVoid);
+    private static Measurement point(double rate, double percent, boolean isVoid) {
+        return new Measurement(Measurement.What.SIDECAR, 10, 0, rate, percent, 0, 60, 40, 0, 0, isVoid);
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/InForceTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/PropagationTimesTest.java
@@ -9,13 +9,13 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class InForceTest {
+class PropagationTimesTest {
 
     private static final double EXACT = 1e-9;
 
     @Test
     void percentilesAreOverAllPairsAndOverTheLastOfEachChange() {
-        InForce all = new InForce();
+        PropagationTimes all = new PropagationTimes();
         all.add(List.of(10.0, 30.0));
         all.add(List.of(20.0, 40.0));
         assertEquals(4, all.pairs());
@@ -26,7 +26,7 @@
 
     @Test
     void aPercentileOfAHundredIsThatOne() {
-        InForce all = new InForce();
+        PropagationTimes all = new PropagationTimes();
         all.add(IntStream.rangeClosed(1, 100).mapToObj(i -> (double) i).toList());
         assertEquals(99, all.percentileMs(0.99), EXACT);
         assertEquals(50, all.percentileMs(0.5), EXACT);
@@ -34,7 +34,7 @@
 
     @Test
     void whoNeverHasItIsCountedAndNoLastOfAll() {
-        InForce all = new InForce();
+        PropagationTimes all = new PropagationTimes();
         all.add(List.of(10.0, Double.NaN));
         assertEquals(2, all.pairs());
         assertEquals(1, all.never());
@@ -44,7 +44,7 @@
 
     @Test
     void nothingIsNoTime() {
-        InForce none = new InForce();
+        PropagationTimes none = new PropagationTimes();
         none.add(List.of());
         assertEquals(0, none.pairs());
         assertTrue(Double.isNaN(none.percentileMs(1)));
--- a/lab/src/test/java/lemonrail/lab/scale/RegistryNodeTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/RegistryNodeTest.java
@@ -61,7 +61,7 @@
         });
     }
 
-    private static Map<String, List<Line>> weigh(int endpoint, double weight) {
+    private static Map<String, List<EndpointEntry>> weigh(int endpoint, double weight) {
         return Map.of(Site.ALL, List.of(SITE.line(endpoint).weighing(weight)));
     }
 
@@ -105,7 +105,7 @@
     @Test
     void whatIsGoneIsToldAmongChangesAlone() {
         long version = ask(all, "").join().get("version").longValue();
-        node.apply(Map.of(Site.ALL, List.of(SITE.line(2).with(Line.State.TERMINATED))));
+        node.apply(Map.of(Site.ALL, List.of(SITE.line(2).with(EndpointEntry.State.TERMINATED))));
         assertTrue(ask(all, "?index=" + version + "&wait=0").join().toString().contains("terminated"));
         assertEquals(11, ask(all, "").join().get("servers").size());
     }
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleFileTest.java
@@ -12,7 +12,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import lemonrail.config.ConfigException;
-import lemonrail.config.Problem;
+import lemonrail.config.ConfigProblem;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -73,7 +73,7 @@
         Path file = Files.writeString(
                 folder.resolve("spoilt.toml"),
                 text.replaceFirst(Pattern.quote(right), wrong == null ? "" : Matcher.quoteReplacement(wrong)));
-        List<Problem> problems =
+        List<ConfigProblem> problems =
                 assertThrows(ConfigException.class, () -> ScaleFile.read(file)).problems();
         assertTrue(
                 problems.stream()
@@ -95,7 +95,7 @@
             zones = 2
             rack = 2
             """);
-        List<Problem> problems =
+        List<ConfigProblem> problems =
                 assertThrows(ConfigException.class, () -> ScaleFile.read(file)).problems();
         assertEquals("storms", problems.get(0).key());
     }
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
@@ -96,13 +96,13 @@
         }
 
         @Override
-        public void list(String list, List<Line> lines) {
+        public void list(String list, List<EndpointEntry> lines) {
             registry.list(list, lines);
         }
 
         @Override
-        public Applied apply(int node, Map<String, List<Line>> changes) {
-            Map<String, List<Line>> told = new HashMap<>();
+        public Applied apply(int node, Map<String, List<EndpointEntry>> changes) {
+            Map<String, List<EndpointEntry>> told = new HashMap<>();
             changes.forEach((list, lines) -> told.put(
                     list,
                     lines.stream().filter(line -> !line.id().equals(forgotten)).toList()));
--- a/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import lemonrail.config.ConfigException;
-import lemonrail.config.Problem;
+import lemonrail.config.ConfigProblem;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -84,7 +84,7 @@
                 folder.resolve("spoilt.toml"),
                 text.replaceFirst(
                         java.util.regex.Pattern.quote(right), wrong == null ? "" : wrong.replace("\\", "\\\\")));
-        List<Problem> problems = assertThrows(ConfigException.class, () -> ScenarioFile.read(file))
+        List<ConfigProblem> problems = assertThrows(ConfigException.class, () -> ScenarioFile.read(file))
                 .problems();
         assertTrue(
                 problems.stream()
