--- a/edge/src/main/java/lemonrail/admin/AdminHandlers.java
+++ b/edge/src/main/java/lemonrail/admin/AdminHandlers.java
@@ -2,9 +2,13 @@
 
 import io.netty.handler.codec.http.HttpMethod;
 
-/** What the calls of an admin API do. */
+/** Handles the requests of an admin API. */
 public interface AdminHandlers {
 
-    /** Carries a call out. */
-    AdminResponse answer(HttpMethod method, String uri, byte[] body);
+    /**
+     * Handles one request, on the event loop.
+     *
+     * @param uri path and query as the client sent them
+     */
+    AdminResponse handle(HttpMethod method, String uri, byte[] body);
 }
--- a/edge/src/main/java/lemonrail/admin/AdminOperations.java
+++ b/edge/src/main/java/lemonrail/admin/AdminOperations.java
@@ -2,38 +2,40 @@
 
 import lemonrail.logging.Severity;
 
-/** What the admin API can have done, on the event loop; whoever owns the state carries it out. */
+/**
+ * The operations of a sidecar's admin API. Called on the event loop; implemented by the parts that own the state.
+ */
 public interface AdminOperations {
 
-    /** What came of a call. */
-    enum Verdict {
+    /** The result of an operation on an endpoint. */
+    enum Result {
         DONE,
         UNKNOWN_ENDPOINT,
         FAILED
     }
 
-    /** Whether this process is ready to serve. */
-    boolean ready();
+    /** Returns whether this process is ready to serve. */
+    boolean isReady();
 
-    /** The phase that the process is in, as a word for people. */
+    /** Returns the phase of the process as a word for people. */
     String phase();
 
-    /** The figures, one a line. */
-    String figures();
+    /** Returns all metrics, one a line. */
+    String renderMetrics();
 
-    /** Leaves an endpoint out; a second call changes nothing. */
-    Verdict suspend(String endpoint);
+    /** Suspends an endpoint, so that it gets no requests; suspending it twice changes nothing. */
+    Result suspend(String endpoint);
 
-    /** Lets an endpoint serve again, however often it was suspended. */
-    Verdict resume(String endpoint);
+    /** Resumes an endpoint, however often it was suspended. */
+    Result resume(String endpoint);
 
-    /** The loggers that have a level of their own and which, one a line. */
-    String levels();
+    /** Returns the loggers that have a level of their own and their levels, one a line. */
+    String renderLevels();
 
-    /** From which severity on events of this logger are written; false if there are too many such already. */
-    boolean level(String logger, Severity severity);
+    /** Sets the lowest severity that a logger writes; returns false if too many loggers have a level of their own. */
+    boolean setLevel(String logger, Severity severity);
 
-    /** Empties the sidecar. */
+    /** Starts to drain the sidecar of its connections. */
     void drain();
 
     /** Ends the drain. */
--- a/edge/src/main/java/lemonrail/admin/AdminRouter.java
+++ b/edge/src/main/java/lemonrail/admin/AdminRouter.java
@@ -11,102 +11,108 @@
 import java.util.regex.Pattern;
 import lemonrail.logging.Severity;
 
-/** Which call is which: from method and path to what is answered. It keeps no state of its own. */
-final class AdminRouter {
+/** Maps method and path of a request to an operation and its result to a response. Stateless. */
+final class AdminRouter implements AdminHandlers {
 
     private static final String ENDPOINTS = "/v1/endpoints/";
-    private static final Pattern LOGGER =
+    private static final Pattern LOGGER_LEVEL =
             Pattern.compile("/v1/loggers/(lemonrail(?:\\.[a-z0-9]{1,32})?)/(debug|info|warn|error)");
 
-    private record Route(HttpMethod method, Supplier<AdminResponse> call) {}
+    private record Route(HttpMethod method, Supplier<AdminResponse> handler) {}
 
     private final AdminOperations operations;
-    private final Map<String, Route> fixed;
-    private final Map<String, Function<String, AdminResponse>> ofEndpoint;
+    private final Map<String, Route> fixedRoutes;
+    /** By the last segment of the path; the argument is the endpoint's id. */
+    private final Map<String, Function<String, AdminResponse>> endpointActions;
 
     AdminRouter(AdminOperations operations) {
         this.operations = operations;
-        fixed = Map.of(
-                "/v1/readyz", new Route(HttpMethod.GET, this::ready),
-                "/v1/metrics",
-                        new Route(
-                                HttpMethod.GET,
-                                () -> new AdminResponse(HttpResponseStatus.OK, operations.figures(), null)),
-                "/v1/loggers",
-                        new Route(
-                                HttpMethod.GET,
-                                () -> new AdminResponse(HttpResponseStatus.OK, operations.levels(), null)),
-                "/v1/sidecar/drain", new Route(HttpMethod.PUT, () -> done("draining", operations::drain)),
-                "/v1/sidecar/activate", new Route(HttpMethod.PUT, () -> done("active", operations::activate)));
-        ofEndpoint = Map.of(
-                "/suspend", id -> answer("suspended", operations.suspend(id)),
-                "/resume", id -> answer("resumed", operations.resume(id)));
+        fixedRoutes = Map.of(
+                "/v1/readyz", get(this::readiness),
+                "/v1/metrics", get(() -> AdminResponse.ofText(HttpResponseStatus.OK, operations.renderMetrics())),
+                "/v1/loggers", get(() -> AdminResponse.ofText(HttpResponseStatus.OK, operations.renderLevels())),
+                "/v1/sidecar/drain", put(() -> run("draining", operations::drain)),
+                "/v1/sidecar/activate", put(() -> run("active", operations::activate)));
+        endpointActions = Map.of(
+                "/suspend", id -> response("suspended", operations.suspend(id)),
+                "/resume", id -> response("resumed", operations.resume(id)));
     }
 
-    /** Carries a call out. */
-    AdminResponse route(HttpMethod method, String uri) {
+    private static Route get(Supplier<AdminResponse> handler) {
+        return new Route(HttpMethod.GET, handler);
+    }
+
+    private static Route put(Supplier<AdminResponse> handler) {
+        return new Route(HttpMethod.PUT, handler);
+    }
+
+    @Override
+    public AdminResponse handle(HttpMethod method, String uri, byte[] body) {
         int query = uri.indexOf('?');
-        String path = query < 0 ? uri : uri.substring(0, query);
-        Matcher logger = LOGGER.matcher(path);
-        Route route = path.startsWith(ENDPOINTS)
-                ? endpointRoute(path)
-                : logger.matches() ? levelRoute(logger.group(1), logger.group(2)) : fixed.get(path);
+        Route route = findRoute(query < 0 ? uri : uri.substring(0, query));
         if (route == null) {
             return AdminResponse.of(HttpResponseStatus.NOT_FOUND, "unknown path");
         }
         if (!route.method().equals(method)) {
-            return new AdminResponse(
-                    HttpResponseStatus.METHOD_NOT_ALLOWED,
-                    "this path takes " + route.method() + " only\n",
-                    route.method());
+            return AdminResponse.methodNotAllowed(route.method());
+        }
+        return route.handler().get();
+    }
+
+    /** Returns the route of a path, or null if there is none. */
+    private Route findRoute(String path) {
+        if (path.startsWith(ENDPOINTS)) {
+            return endpointRoute(path);
         }
-        return route.call().get();
+        Matcher loggerLevel = LOGGER_LEVEL.matcher(path);
+        return loggerLevel.matches() ? levelRoute(loggerLevel.group(1), loggerLevel.group(2)) : fixedRoutes.get(path);
     }
 
     private Route endpointRoute(String path) {
-        int slash = path.lastIndexOf('/');
-        Function<String, AdminResponse> call = ofEndpoint.get(path.substring(slash));
-        if (call == null || slash <= ENDPOINTS.length() || path.indexOf('/', ENDPOINTS.length()) < slash) {
+        int lastSlash = path.lastIndexOf('/');
+        Function<String, AdminResponse> action = endpointActions.get(path.substring(lastSlash));
+        boolean oneIdSegment = lastSlash > ENDPOINTS.length() && path.indexOf('/', ENDPOINTS.length()) == lastSlash;
+        if (action == null || !oneIdSegment) {
             return null;
         }
-        String encoded = path.substring(ENDPOINTS.length(), slash);
-        return new Route(HttpMethod.PUT, () -> {
-            String id;
-            try {
-                id = QueryStringDecoder.decodeComponent(encoded.replace("+", "%2B"));
-            } catch (IllegalArgumentException e) {
-                return AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "the endpoint's id is not readable");
-            }
-            return call.apply(id);
-        });
+        String encodedId = path.substring(ENDPOINTS.length(), lastSlash);
+        return put(() -> handleEndpoint(encodedId, action));
+    }
+
+    private static AdminResponse handleEndpoint(String encodedId, Function<String, AdminResponse> action) {
+        String id;
+        try {
+            id = QueryStringDecoder.decodeComponent(encodedId.replace("+", "%2B"));
+        } catch (IllegalArgumentException e) {
+            return AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "the endpoint's id is not readable");
+        }
+        return action.apply(id);
     }
 
     private Route levelRoute(String logger, String level) {
         Severity severity = Severity.valueOf(level.toUpperCase(Locale.ROOT));
-        return new Route(
-                HttpMethod.PUT,
-                () -> operations.level(logger, severity)
-                        ? AdminResponse.of(HttpResponseStatus.OK, logger + "=" + level)
-                        : AdminResponse.of(HttpResponseStatus.CONFLICT, "too many loggers have a level of their own"));
+        return put(() -> operations.setLevel(logger, severity)
+                ? AdminResponse.of(HttpResponseStatus.OK, logger + "=" + level)
+                : AdminResponse.of(HttpResponseStatus.CONFLICT, "too many loggers have a level of their own"));
     }
 
-    private AdminResponse ready() {
-        return AdminResponse.of(
-                operations.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                operations.phase());
+    private AdminResponse readiness() {
+        HttpResponseStatus status =
+                operations.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+        return AdminResponse.of(status, operations.phase());
     }
 
-    private static AdminResponse done(String line, Runnable call) {
-        call.run();
+    private static AdminResponse run(String line, Runnable operation) {
+        operation.run();
         return AdminResponse.of(HttpResponseStatus.OK, line);
     }
 
-    private static AdminResponse answer(String word, AdminOperations.Verdict verdict) {
-        return switch (verdict) {
-            case DONE -> AdminResponse.of(HttpResponseStatus.OK, word);
+    private static AdminResponse response(String done, AdminOperations.Result result) {
+        return switch (result) {
+            case DONE -> AdminResponse.of(HttpResponseStatus.OK, done);
             case UNKNOWN_ENDPOINT ->
                 AdminResponse.of(HttpResponseStatus.NOT_FOUND, "no endpoint of that id was ever listed");
-            case FAILED -> AdminResponse.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "not " + word + ": see the log");
+            case FAILED -> AdminResponse.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "not " + done + ": see the log");
         };
     }
 }
--- a/edge/src/main/java/lemonrail/admin/AdminServer.java
+++ b/edge/src/main/java/lemonrail/admin/AdminServer.java
@@ -27,87 +27,96 @@
 import lemonrail.net.HttpListener;
 
 /**
- * Serves the admin API: one call a connection. Its connections are few and each has little time, so
- * that callers who say nothing take no room from those who do.
+ * Serves the admin API: one request a connection. Connections are few and have short timeouts, so that waiting
+ * clients do not keep others out. Belongs to the event loop.
  */
 public final class AdminServer {
 
-    /** Connections open at once; beyond them the oldest without a whole call goes. */
-    public static final int MOST_CONNECTIONS = 16;
+    /** The most open connections; beyond it the oldest without a complete request is closed. */
+    public static final int MAX_CONNECTIONS = 16;
 
     private static final int BACKLOG = 128;
-    private static final int MOST_LINE_BYTES = 2048;
-    private static final int MOST_HEAD_BYTES = 8192;
-    private static final int MOST_CHUNK_BYTES = 4096;
-    /** What a call's body may have, where the calls need none. */
-    private static final int MOST_BODY_BYTES = 4096;
-    /** A call must be whole so long after the connect. */
-    private static final int CALL_MS = 2500;
-    /** So long the other side may take over its answer. */
-    private static final int LINGER_MS = 1000;
+    private static final int MAX_LINE_BYTES = 2048;
+    private static final int MAX_HEAD_BYTES = 8192;
+    private static final int MAX_CHUNK_BYTES = 4096;
+    /** The limit on the body of a request to an API whose requests need none. */
+    private static final int MAX_BODY_BYTES = 4096;
+    /** From the connect to the last byte of the request. */
+    private static final int REQUEST_TIMEOUT_MS = 2500;
+    /** From the response to the close of the connection, if the client does not close it before. */
+    private static final int RESPONSE_TIMEOUT_MS = 1000;
 
     private final EventLoop loop;
     private final ByteBufAllocator buffers;
-    private final AdminHandlers calls;
-    private final int mostBodyBytes;
-    private final BiConsumer<String, Throwable> bugs;
-    /** Those without a whole call, the oldest first, and those that take their answer. */
-    private final Set<Connection> silent = new LinkedHashSet<>();
-
+    private final AdminHandlers handlers;
+    private final int maxBodyBytes;
+    private final BiConsumer<String, Throwable> onFault;
+    /** Connections without a complete request, oldest first. */
+    private final Set<Connection> waiting = new LinkedHashSet<>();
+    /** Connections whose response is written or being written, oldest first. */
     private final Set<Connection> answered = new LinkedHashSet<>();
+
     private Channel listener;
 
-    /** A server of an edge on this loop; what goes wrong in it is told to {@code bugs}. */
+    /**
+     * Creates the server of a sidecar.
+     *
+     * @param onFault receives exceptions that a handler or a connection has thrown
+     */
     public AdminServer(
-            EventLoop loop, ByteBufAllocator buffers, AdminOperations operations, BiConsumer<String, Throwable> bugs) {
-        this(loop, buffers, calls(new AdminRouter(operations)), MOST_BODY_BYTES, bugs);
+            EventLoop loop,
+            ByteBufAllocator buffers,
+            AdminOperations operations,
+            BiConsumer<String, Throwable> onFault) {
+        this(loop, buffers, new AdminRouter(operations), MAX_BODY_BYTES, onFault);
     }
 
-    /** A server of other calls, whose bodies may have so many bytes. */
+    /**
+     * Creates a server of another API.
+     *
+     * @param maxBodyBytes the limit on the body of a request
+     * @param onFault receives exceptions that a handler or a connection has thrown
+     */
     public AdminServer(
             EventLoop loop,
             ByteBufAllocator buffers,
-            AdminHandlers calls,
-            int mostBodyBytes,
-            BiConsumer<String, Throwable> bugs) {
+            AdminHandlers handlers,
+            int maxBodyBytes,
+            BiConsumer<String, Throwable> onFault) {
         this.loop = loop;
         this.buffers = buffers;
-        this.calls = calls;
-        this.mostBodyBytes = mostBodyBytes;
-        this.bugs = bugs;
-    }
-
-    private static AdminHandlers calls(AdminRouter router) {
-        return (method, uri, body) -> router.route(method, uri);
+        this.handlers = handlers;
+        this.maxBodyBytes = maxBodyBytes;
+        this.onFault = onFault;
     }
 
-    /** Listens. */
+    /** Starts to listen at an address; port 0 takes a free one. */
     public ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new HttpListener(
-                        BACKLOG, MOST_LINE_BYTES, MOST_HEAD_BYTES, MOST_CHUNK_BYTES, mostBodyBytes)
+        ChannelFuture bound = new HttpListener(BACKLOG, MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES, maxBodyBytes)
                 .bind(loop, buffers, address, Connection::new);
         listener = bound.channel();
         return bound;
     }
 
-    /** Where operators call. */
+    /** Returns the address that the server listens at. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    private void makeRoom() {
-        while (silent.size() + answered.size() > MOST_CONNECTIONS) {
-            Set<Connection> first = silent.isEmpty() ? answered : silent;
-            Connection oldest = first.iterator().next();
-            first.remove(oldest);
+    private void closeOldestBeyondLimit() {
+        while (waiting.size() + answered.size() > MAX_CONNECTIONS) {
+            Set<Connection> candidates = waiting.isEmpty() ? answered : waiting;
+            Connection oldest = candidates.iterator().next();
+            candidates.remove(oldest);
             oldest.channel.close();
         }
     }
 
+    /** A connection that carries one request. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final SocketChannel channel;
-        private Future<?> limit;
-        private boolean done;
+        private Future<?> timeout;
+        private boolean responded;
 
         Connection(SocketChannel channel) {
             this.channel = channel;
@@ -115,69 +124,75 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            silent.add(this);
-            makeRoom();
-            limit = loop.schedule(
-                    () -> answer(AdminResponse.of(HttpResponseStatus.REQUEST_TIMEOUT, "no whole call in time")),
-                    CALL_MS,
+            waiting.add(this);
+            closeOldestBeyondLimit();
+            timeout = loop.schedule(
+                    () -> respond(AdminResponse.of(HttpResponseStatus.REQUEST_TIMEOUT, "no whole call in time")),
+                    REQUEST_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
-            if (done) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+            if (responded) {
                 return;
             }
-            if (call.decoderResult().isFailure()) {
-                answer(AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "malformed call"));
+            if (request.decoderResult().isFailure()) {
+                respond(AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "malformed call"));
                 return;
             }
-            AdminResponse answer;
+            respond(handle(request));
+        }
+
+        private AdminResponse handle(FullHttpRequest request) {
             try {
-                answer = calls.answer(call.method(), call.uri(), ByteBufUtil.getBytes(call.content()));
+                return handlers.handle(request.method(), request.uri(), ByteBufUtil.getBytes(request.content()));
             } catch (RuntimeException e) {
-                bugs.accept("a call of the operators failed", e);
-                answer = AdminResponse.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed: see the log");
+                onFault.accept("a call of the operators failed", e);
+                return AdminResponse.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed: see the log");
             }
-            answer(answer);
         }
 
-        private void answer(AdminResponse answer) {
-            if (done) {
+        private void respond(AdminResponse response) {
+            if (responded) {
                 return;
             }
-            done = true;
-            silent.remove(this);
+            responded = true;
+            waiting.remove(this);
             answered.add(this);
-            limit.cancel(false);
-            limit = loop.schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
-            ByteBuf text = Unpooled.wrappedBuffer(answer.text().getBytes(StandardCharsets.UTF_8));
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, answer.status(), text);
-            response.headers()
+            timeout.cancel(false);
+            timeout = loop.schedule(() -> channel.close(), RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            // Half-close: a full close with unread bytes would reset the connection and could lose the response.
+            channel.writeAndFlush(encode(response)).addListener(written -> channel.shutdownOutput());
+        }
+
+        private FullHttpResponse encode(AdminResponse response) {
+            ByteBuf text = Unpooled.wrappedBuffer(response.text().getBytes(StandardCharsets.UTF_8));
+            FullHttpResponse encoded = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, response.status(), text);
+            encoded.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes())
                     .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            if (answer.allowed() != null) {
-                response.headers().set(HttpHeaderNames.ALLOW, answer.allowed());
+            if (response.allowed() != null) {
+                encoded.headers().set(HttpHeaderNames.ALLOW, response.allowed());
             }
-            // Its own side ends first: a close outright, with bytes unread, could destroy the answer.
-            channel.writeAndFlush(response).addListener(written -> channel.shutdownOutput());
+            return encoded;
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            done = true;
-            silent.remove(this);
+            responded = true;
+            waiting.remove(this);
             answered.remove(this);
-            if (limit != null) {
-                limit.cancel(false);
+            if (timeout != null) {
+                timeout.cancel(false);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
-                bugs.accept("connection of an operator", cause);
+                onFault.accept("connection of an operator", cause);
             }
             ctx.close();
         }
--- /dev/null
+++ b/edge/src/main/java/lemonrail/assembly/ActiveSettings.java
@@ -0,0 +1,49 @@
+package lemonrail.assembly;
+
+import lemonrail.config.SettingsDocument;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.exchange.RequestDispatcher;
+
+/**
+ * The balancer settings in force: those of the configuration, overridden by the settings document that the
+ * control nodes serve. Documents are applied on the event loop; the deadline may be read from any thread.
+ */
+final class ActiveSettings {
+
+    private final BalancerSettings configured;
+    private final RequestDispatcher<?, ?> dispatcher;
+    private volatile BalancerSettings active;
+
+    ActiveSettings(BalancerSettings configured, RequestDispatcher<?, ?> dispatcher) {
+        this.configured = configured;
+        this.dispatcher = dispatcher;
+        active = configured;
+    }
+
+    /**
+     * Applies a settings document as a whole or not at all.
+     *
+     * @param document in the operators' form, or null to return to the configured settings
+     * @return null, or why the document was not applied
+     */
+    String apply(String document) {
+        try {
+            BalancerSettings next = document == null ? configured : SettingsDocument.over(configured, document);
+            if (!dispatcher.settings(next)) {
+                return "the load balancer of this edge does not accept settings at run time";
+            }
+            active = next;
+            return null;
+        } catch (IllegalArgumentException e) {
+            return e.getMessage();
+        }
+    }
+
+    /** Returns the longest deadline of any request class, in milliseconds. */
+    long longestDeadlineMs() {
+        return active.classes().stream()
+                .mapToLong(requestClass -> (long) requestClass.deadlineMs())
+                .max()
+                .orElse(0);
+    }
+}
--- a/edge/src/main/java/lemonrail/assembly/Listeners.java
+++ b/edge/src/main/java/lemonrail/assembly/Listeners.java
@@ -15,110 +15,112 @@
 import lemonrail.exchange.Downstream;
 
 /**
- * The listeners that are open, one front each, which share the connections that clients may have, and those
- * on their way out. Belongs to the event loop.
+ * The open listeners, which share the limit on client connections, and the closed ones that still have
+ * connections. Belongs to the event loop.
  */
 final class Listeners {
 
-    private static final int LEAST_CONNECTIONS = 8;
+    private static final int MIN_CONNECTIONS_EACH = 8;
 
-    /** What comes of a change. */
-    interface Changed {
-        /** All that was asked for stands, and what was not is on its way out. */
-        void done();
+    /** Receives the result of a change. */
+    interface ChangeResult {
+        /** All wanted listeners are open; the others are closing. */
+        void onChanged();
 
-        /** Nothing has changed, as this address could not be taken. */
-        void failed(InetSocketAddress address, Throwable why);
+        /** Nothing has changed, as this address could not be opened. */
+        void onFailed(InetSocketAddress address, Throwable cause);
     }
 
-    /** Makes a front of so many connections. */
-    private final IntFunction<Downstream> maker;
+    /** Creates the downstream of a listener with this limit on connections. */
+    private final IntFunction<Downstream> downstreamFactory;
 
     private final Map<InetSocketAddress, Downstream> open = new LinkedHashMap<>();
     private final List<Downstream> leaving = new ArrayList<>();
-    private int most;
+    private int maxConnections;
 
-    Listeners(IntFunction<Downstream> maker, int most) {
-        this.maker = maker;
-        this.most = most;
+    Listeners(IntFunction<Downstream> downstreamFactory, int maxConnections) {
+        this.downstreamFactory = downstreamFactory;
+        this.maxConnections = maxConnections;
     }
 
-    /** Opens a listener; where that fails it is as if it had not been tried. */
+    /** Opens a listener; if that fails, nothing has changed. */
     ChannelFuture open(InetSocketAddress address) {
-        Downstream front = maker.apply(Math.max(LEAST_CONNECTIONS, most));
-        open.put(address, front);
-        share();
-        ChannelFuture bound = front.listen(address);
-        bound.addListener(up -> {
-            if (!up.isSuccess()) {
-                open.remove(address, front);
-                share();
+        Downstream downstream = downstreamFactory.apply(Math.max(MIN_CONNECTIONS_EACH, maxConnections));
+        open.put(address, downstream);
+        distributeConnections();
+        ChannelFuture bound = downstream.listen(address);
+        bound.addListener(result -> {
+            if (!result.isSuccess()) {
+                open.remove(address, downstream);
+                distributeConnections();
             }
         });
         return bound;
     }
 
-    /** Opens and closes listeners until these are open; either all of it or nothing. */
-    void change(Collection<InetSocketAddress> wanted, Changed changed) {
+    /** Opens and closes listeners until exactly the wanted ones are open, as a whole or not at all. */
+    void change(Collection<InetSocketAddress> wanted, ChangeResult result) {
         Set<InetSocketAddress> added = new HashSet<>(wanted);
         added.removeAll(open.keySet());
-        List<InetSocketAddress> removed =
-                open.keySet().stream().filter(at -> !wanted.contains(at)).toList();
-        openNext(
-                new ArrayList<>(added),
-                new ArrayList<>(),
-                () -> {
-                    removed.forEach(this::leave);
-                    changed.done();
-                },
-                changed);
+        List<InetSocketAddress> removed = open.keySet().stream()
+                .filter(address -> !wanted.contains(address))
+                .toList();
+        Runnable onAllOpen = () -> {
+            removed.forEach(this::leave);
+            result.onChanged();
+        };
+        openNext(new ArrayList<>(added), new ArrayList<>(), onAllOpen, result);
     }
 
     private void openNext(
-            List<InetSocketAddress> left, List<InetSocketAddress> opened, Runnable done, Changed changed) {
-        if (left.isEmpty()) {
-            done.run();
+            List<InetSocketAddress> remaining,
+            List<InetSocketAddress> opened,
+            Runnable onAllOpen,
+            ChangeResult result) {
+        if (remaining.isEmpty()) {
+            onAllOpen.run();
             return;
         }
-        InetSocketAddress next = left.remove(0);
-        open(next).addListener(up -> {
-            if (up.isSuccess()) {
+        InetSocketAddress next = remaining.remove(0);
+        open(next).addListener(bound -> {
+            if (bound.isSuccess()) {
                 opened.add(next);
-                openNext(left, opened, done, changed);
+                openNext(remaining, opened, onAllOpen, result);
             } else {
                 opened.forEach(this::leave);
-                changed.failed(next, up.cause());
+                result.onFailed(next, bound.cause());
             }
         });
     }
 
     private void leave(InetSocketAddress address) {
-        Downstream front = open.remove(address);
-        front.leave();
-        front.finish();
-        leaving.add(front);
-        share();
+        Downstream downstream = open.remove(address);
+        downstream.leave();
+        downstream.finish();
+        leaving.add(downstream);
+        distributeConnections();
     }
 
-    /** Sets how many connections all of them may have. */
-    void bound(int connections) {
-        most = connections;
-        share();
+    /** Sets the limit on connections over all listeners. */
+    void setMaxConnections(int maxConnections) {
+        this.maxConnections = maxConnections;
+        distributeConnections();
     }
 
-    private void share() {
-        int each = Math.max(LEAST_CONNECTIONS, most / Math.max(1, open.size()));
-        open.values().forEach(front -> front.bound(each));
+    private void distributeConnections() {
+        int each = Math.max(MIN_CONNECTIONS_EACH, maxConnections / Math.max(1, open.size()));
+        open.values().forEach(downstream -> downstream.bound(each));
     }
 
-    /** Has each front do this, those that leave as well. */
-    void each(Consumer<Downstream> action) {
+    /** Performs an action on each downstream, including those that still have connections to finish. */
+    void forEach(Consumer<Downstream> action) {
         leaving.removeIf(Downstream::isEmpty);
         List.copyOf(leaving).forEach(action);
         List.copyOf(open.values()).forEach(action);
     }
 
-    boolean all(Predicate<Downstream> condition) {
+    /** Returns whether each downstream meets a condition, including those with connections to finish. */
+    boolean allMatch(Predicate<Downstream> condition) {
         return leaving.stream().allMatch(condition) && open.values().stream().allMatch(condition);
     }
 }
--- /dev/null
+++ b/edge/src/main/java/lemonrail/assembly/SidecarAdminOperations.java
@@ -0,0 +1,130 @@
+package lemonrail.assembly;
+
+import java.io.IOException;
+import java.util.Map;
+import java.util.Set;
+import lemonrail.admin.AdminOperations;
+import lemonrail.exchange.Downstream;
+import lemonrail.exchange.EventLoopContext;
+import lemonrail.exchange.RequestDispatcher;
+import lemonrail.lifecycle.Lifecycle;
+import lemonrail.logging.EventLog;
+import lemonrail.logging.LogSink;
+import lemonrail.logging.Severity;
+import lemonrail.metrics.Metrics;
+import lemonrail.suspension.SuspendedEndpoints;
+
+/** The admin API's operations on a sidecar, carried out on the event loop by the parts that own the state. */
+final class SidecarAdminOperations implements AdminOperations {
+
+    /** Loggers that may have a level of their own. */
+    private static final int MAX_LOGGER_LEVELS = 64;
+
+    /** A change of the suspensions; returns the ids of the endpoints whose visible state changed. */
+    private interface SuspensionChange {
+        Set<String> apply() throws IOException;
+    }
+
+    private final Lifecycle lifecycle;
+    private final Metrics metrics;
+    private final EventLog log;
+    private final LogSink sink;
+    private final SuspendedEndpoints suspensions;
+    private final RequestDispatcher<?, ?> dispatcher;
+    private final Listeners listeners;
+
+    SidecarAdminOperations(
+            EventLoopContext context,
+            LogSink sink,
+            SuspendedEndpoints suspensions,
+            RequestDispatcher<?, ?> dispatcher,
+            Listeners listeners) {
+        lifecycle = context.lifecycle();
+        metrics = context.metrics();
+        log = context.log();
+        this.sink = sink;
+        this.suspensions = suspensions;
+        this.dispatcher = dispatcher;
+        this.listeners = listeners;
+    }
+
+    @Override
+    public boolean isReady() {
+        return lifecycle.isReady();
+    }
+
+    @Override
+    public String phase() {
+        return lifecycle.word();
+    }
+
+    @Override
+    public String renderMetrics() {
+        return metrics.render();
+    }
+
+    @Override
+    public Result suspend(String endpoint) {
+        return changeSuspension("suspended", endpoint, () -> suspensions.suspend(endpoint));
+    }
+
+    @Override
+    public Result resume(String endpoint) {
+        return changeSuspension("resumed", endpoint, () -> suspensions.resume(endpoint));
+    }
+
+    private Result changeSuspension(String event, String endpoint, SuspensionChange change) {
+        if (!suspensions.knows(endpoint)) {
+            return Result.UNKNOWN_ENDPOINT;
+        }
+        try {
+            Set<String> changed = change.apply();
+            if (!changed.isEmpty()) {
+                log.info(event, event + " by hand: " + endpoint, "by", "hand", "endpoint", endpoint);
+            }
+            dispatcher.retell(changed);
+            return Result.DONE;
+        } catch (IOException e) {
+            String message = endpoint + " is not " + event + ": " + e.getMessage();
+            log.warn("suspension_failed", message, "endpoint", endpoint);
+            return Result.FAILED;
+        }
+    }
+
+    @Override
+    public String renderLevels() {
+        StringBuilder text = new StringBuilder();
+        sink.levels()
+                .forEach((logger, level) ->
+                        text.append(logger).append('=').append(level).append('\n'));
+        return text.toString();
+    }
+
+    @Override
+    public boolean setLevel(String logger, Severity severity) {
+        Map<String, String> levels = sink.levels();
+        if (levels.size() >= MAX_LOGGER_LEVELS && !levels.containsKey(logger)) {
+            return false;
+        }
+        sink.setLevel(logger, severity);
+        String message = "level by hand: " + logger + " from " + severity + " on";
+        log.info("level_changed", message, "of", logger, "to", severity);
+        return true;
+    }
+
+    @Override
+    public void drain() {
+        if (lifecycle.drain()) {
+            log.info("drain_started", "drain by hand: connections are emptied until the sidecar is activated");
+            listeners.forEach(Downstream::drain);
+        }
+    }
+
+    @Override
+    public void activate() {
+        if (lifecycle.activate()) {
+            log.info("drain_ended", "activated by hand: the drain is over");
+            listeners.forEach(Downstream::activate);
+        }
+    }
+}
--- /dev/null
+++ b/edge/src/main/java/lemonrail/cli/ConfigCommand.java
@@ -0,0 +1,22 @@
+package lemonrail.cli;
+
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Spec;
+
+/** Groups the commands that show configurations. */
+@Command(
+        name = "config",
+        description = "Show configurations.",
+        subcommands = {ConfigShowCommand.class, ConfigSchemaCommand.class})
+final class ConfigCommand implements Callable<Integer> {
+
+    @Spec
+    private CommandSpec spec;
+
+    @Override
+    public Integer call() {
+        return LemonrailCommand.usage(spec);
+    }
+}
--- a/edge/src/main/java/lemonrail/cli/ControlNodeProcess.java
+++ b/edge/src/main/java/lemonrail/cli/ControlNodeProcess.java
@@ -12,7 +12,7 @@
 import lemonrail.logging.LogSinks;
 import sun.misc.Signal;
 
-/** One control node as a process. */
+/** A control node as a process: its configuration, its log and its signals. */
 final class ControlNodeProcess {
 
     private final ControlFile source;
@@ -23,11 +23,11 @@
         this.errors = errors;
     }
 
-    /** Starts it, to run until SIGTERM; returns the exit status, which is above 0 if the start has failed. */
+    /** Starts the node, to run until SIGTERM; returns the exit status, above 0 if the start has failed. */
     int start() {
-        // Before all else: until there is a handler, SIGHUP ends the program.
-        CompletableFuture<LogSink> running = new CompletableFuture<>();
-        Signal.handle(new Signal("HUP"), signal -> running.thenAccept(this::reload));
+        // First of all: a process without a handler ends on SIGHUP.
+        CompletableFuture<LogSink> started = new CompletableFuture<>();
+        Signal.handle(new Signal("HUP"), signal -> started.thenAccept(this::reload));
         try {
             ControlConfig config = source.load().config();
             LogSink log = LogSinks.open(config.logging(), errors);
@@ -36,39 +36,31 @@
                 node.open();
             } catch (IOException e) {
                 log.close();
-                return fail(e, Main.FAILURE);
+                return StartupErrors.print(errors, e, Main.FAILURE);
             }
-            Runtime.getRuntime()
-                    .addShutdownHook(new Thread(
-                            () -> {
-                                node.stop();
-                                log.close();
-                                Runtime.getRuntime().halt(Main.OK);
-                            },
-                            "stop"));
-            running.complete(log);
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, log), "stop"));
+            started.complete(log);
             return Main.OK;
         } catch (IllegalArgumentException e) {
-            return fail(e, Main.BAD_INPUT);
+            return StartupErrors.print(errors, e, Main.BAD_INPUT);
         } catch (IOException | RuntimeException e) {
-            return fail(e, Main.FAILURE);
+            return StartupErrors.print(errors, e, Main.FAILURE);
         }
     }
 
-    /** Levels of the log are taken up at once; all else holds from the next start on. */
+    /** Halting from the hook makes a stop by SIGTERM a clean exit. */
+    private static void stop(ControlNode node, LogSink log) {
+        node.stop();
+        log.close();
+        Runtime.getRuntime().halt(Main.OK);
+    }
+
+    /** Applies the log levels; other changes take effect at the next start. */
     private void reload(LogSink log) {
         try {
-            source.load().config().logging().levels().forEach(log::level);
+            source.load().config().logging().levels().forEach(log::setLevel);
         } catch (IOException | RuntimeException e) {
-            fail(e, Main.BAD_INPUT);
+            StartupErrors.print(errors, e, Main.BAD_INPUT);
         }
     }
-
-    private int fail(Exception e, int status) {
-        errors.println("lemonrail: "
-                + (e.getMessage() == null
-                        ? e.toString()
-                        : e.getMessage().lines().findFirst().orElse("")));
-        return status;
-    }
 }
--- a/edge/src/main/java/lemonrail/cli/Main.java
+++ b/edge/src/main/java/lemonrail/cli/Main.java
@@ -14,64 +14,78 @@
 import lemonrail.simulator.SimulatorProtocolException;
 
 /**
- * The program's entry. The two calls that a platform makes, {@code serve} and {@code benchlink} without
- * options, go straight on; all others are parsed by a library that these two need not load.
+ * The program's entry point. The two calls that a platform makes, {@code serve} and {@code simulator} (or its alias
+ * {@code benchlink}) without options, are handled here; all others are parsed by picocli, which these two need
+ * not load.
  */
 public final class Main {
 
-    /** Exit statuses: all is well; it has failed; the call or the configuration is no good. */
+    /** The exit status of a call that has succeeded. */
     static final int OK = 0;
 
+    /** The exit status of a call that has failed. */
     static final int FAILURE = 1;
+
+    /** The exit status of a call whose arguments or configuration cannot be used. */
     static final int BAD_INPUT = 2;
 
-    /** The variable that names the configuration where no option does. */
+    /** The environment variable that names the configuration where no option does. */
     static final String CONFIG_VARIABLE = "GW_CONFIG";
 
+    /** The command that runs the load balancer for the simulator. */
+    static final String SIMULATOR = "simulator";
+
+    /** The alias of {@link #SIMULATOR} that the platform calls. */
+    static final String BENCHLINK = "benchlink";
+
+    private static final String SERVE = "serve";
     /** Netty's property for its events in Java's flight recorder. */
-    private static final String NETTY_RECORDER = "io.netty.jfr.enabled";
+    private static final String NETTY_RECORDER_PROPERTY = "io.netty.jfr.enabled";
 
     private Main() {}
 
-    /** Runs the program until it is done; a failure is one plain line and a status above 0. */
+    /** Runs the program until it is done; a failure is one line on standard error and a status above 0. */
     public static void main(String[] args) throws IOException {
-        int status;
-        String only = args.length == 1 ? args[0] : "";
-        if (only.equals("serve") && System.getenv(CONFIG_VARIABLE) != null) {
-            status = serve(Path.of(System.getenv(CONFIG_VARIABLE)), System.err);
-        } else if (only.equals("benchlink")) {
-            status = benchlink(System.err);
-        } else {
-            leanNetty();
-            status = CommandLineCalls.run(args);
-        }
+        int status = run(args);
         if (status != OK) {
             System.exit(status);
         }
     }
 
+    private static int run(String[] args) throws IOException {
+        String command = args.length == 1 ? args[0] : "";
+        String configuration = System.getenv(CONFIG_VARIABLE);
+        if (command.equals(SERVE) && configuration != null) {
+            return serve(Path.of(configuration), System.err);
+        }
+        if (command.equals(SIMULATOR) || command.equals(BENCHLINK)) {
+            return simulator(System.err);
+        }
+        configureNetty();
+        return LemonrailCommand.run(args);
+    }
+
     /**
-     * Has Netty leave out what few need and each start would pay for: SLF4J, which it takes where it finds
-     * it, and events of its buffers for Java's flight recorder, which load and generate that recorder's
-     * classes. Whoever sets the recorder's property keeps its events.
+     * Turns off what Netty would load at each start and few need: SLF4J, which it uses if it is there, and the
+     * events of its buffers for Java's flight recorder, unless the recorder's property is set.
      */
-    private static void leanNetty() {
-        if (System.getProperty(NETTY_RECORDER) == null) {
-            System.setProperty(NETTY_RECORDER, "false");
+    private static void configureNetty() {
+        if (System.getProperty(NETTY_RECORDER_PROPERTY) == null) {
+            System.setProperty(NETTY_RECORDER_PROPERTY, "false");
         }
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
-    /** The adapter on the process's own streams. */
-    static int benchlink(PrintStream errors) throws IOException {
+    /** Runs the load balancer for the simulator on the process's own streams; returns the exit status. */
+    static int simulator(PrintStream errors) throws IOException {
         try (FileInputStream in = new FileInputStream(FileDescriptor.in);
                 FileOutputStream out = new FileOutputStream(FileDescriptor.out)) {
-            return benchlink(in, out, errors);
+            return simulator(in, out, errors);
         }
     }
 
-    /** The adapter on streams of the caller's; returns the exit status. */
-    public static int benchlink(InputStream in, OutputStream out, PrintStream errors) throws IOException {
+    /** Runs the load balancer for the simulator on these streams; returns the exit status. */
+    public static int simulator(InputStream in, OutputStream out, PrintStream errors) throws IOException {
         try {
             new SimulatorAdapter(in, out, errors).run();
             return OK;
@@ -81,9 +95,9 @@
         }
     }
 
-    /** Starts an edge, to run until SIGTERM; returns the exit status of a start that failed. */
+    /** Starts an edge, to run until SIGTERM; returns the exit status, above 0 if the start has failed. */
     static int serve(Path file, PrintStream errors) {
-        leanNetty();
+        configureNetty();
         return new SidecarProcess(file, System.getenv(), errors).start();
     }
 }
--- a/edge/src/main/java/lemonrail/cli/SidecarProcess.java
+++ b/edge/src/main/java/lemonrail/cli/SidecarProcess.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import lemonrail.assembly.Sidecar;
+import lemonrail.assembly.SidecarBuilder;
 import lemonrail.config.ConfigSource;
 import lemonrail.config.LoadedConfiguration;
 import lemonrail.http1.Http1Protocol;
@@ -13,7 +14,7 @@
 import lemonrail.logging.LogSinks;
 import sun.misc.Signal;
 
-/** One edge as a process: its configuration and log, and what signals do. */
+/** A sidecar as a process: its configuration, its log and its signals. */
 final class SidecarProcess {
 
     private final ConfigSource source;
@@ -24,48 +25,40 @@
         this.errors = errors;
     }
 
-    /** Starts it, to run until SIGTERM; returns the exit status, which is above 0 if the start has failed. */
+    /** Starts the sidecar, to run until SIGTERM; returns the exit status, above 0 if the start has failed. */
     int start() {
-        // Before all else: until there is a handler, SIGHUP ends the program.
-        CompletableFuture<Sidecar> running = new CompletableFuture<>();
-        Signal.handle(new Signal("HUP"), signal -> running.thenAccept(Sidecar::reload));
+        // First of all: a process without a handler ends on SIGHUP.
+        CompletableFuture<Sidecar> started = new CompletableFuture<>();
+        Signal.handle(new Signal("HUP"), signal -> started.thenAccept(Sidecar::reload));
         try {
             LoadedConfiguration loaded = source.load();
             LogSink log = LogSinks.open(loaded.config().logging(), errors);
-            Sidecar sidecar = Sidecar.create(new Http1Protocol(), source, loaded, log);
-            // Halting from the hook, once empty, makes a stop by SIGTERM a clean exit.
-            Thread stop = new Thread(
-                    () -> {
-                        sidecar.terminate();
-                        log.close();
-                        Runtime.getRuntime().halt(Main.OK);
-                    },
-                    "stop");
-            Runtime.getRuntime().addShutdownHook(stop);
+            Sidecar sidecar = new SidecarBuilder(new Http1Protocol(), source, loaded, log).build();
+            Thread shutdownHook = new Thread(() -> shutDown(sidecar, log), "stop");
+            Runtime.getRuntime().addShutdownHook(shutdownHook);
             try {
-                sidecar.open();
+                sidecar.start();
             } catch (IOException e) {
-                Runtime.getRuntime().removeShutdownHook(stop);
+                Runtime.getRuntime().removeShutdownHook(shutdownHook);
                 log.close();
-                return fail(e, Main.FAILURE);
+                return StartupErrors.print(errors, e, Main.FAILURE);
             }
-            running.complete(sidecar);
+            started.complete(sidecar);
             if (SignalMask.ignores(SignalMask.HUP)) {
-                sidecar.reloadsAreOff("SIGHUP is ignored, as in all that nohup starts");
+                sidecar.reloadSignalIgnored("SIGHUP is ignored, as in all that nohup starts");
             }
             return Main.OK;
         } catch (IllegalArgumentException e) {
-            return fail(e, Main.BAD_INPUT);
+            return StartupErrors.print(errors, e, Main.BAD_INPUT);
         } catch (IOException | RuntimeException e) {
-            return fail(e, Main.FAILURE);
+            return StartupErrors.print(errors, e, Main.FAILURE);
         }
     }
 
-    private int fail(Exception e, int status) {
-        errors.println("lemonrail: "
-                + (e.getMessage() == null
-                        ? e.toString()
-                        : e.getMessage().lines().findFirst().orElse("")));
-        return status;
+    /** Halting from the hook, once all connections are empty, makes a stop by SIGTERM a clean exit. */
+    private static void shutDown(Sidecar sidecar, LogSink log) {
+        sidecar.shutdownGracefully();
+        log.close();
+        Runtime.getRuntime().halt(Main.OK);
     }
 }
--- a/edge/src/main/java/lemonrail/config/ControlConfig.java
+++ b/edge/src/main/java/lemonrail/config/ControlConfig.java
@@ -6,16 +6,16 @@
 import lemonrail.logging.LogSettings;
 
 /**
- * What a control node is told at its start.
+ * The configuration of a control node.
  *
- * @param name the node's, one of a kind among all nodes of both regions
- * @param region the one that it is in
+ * @param name unique among all nodes of all regions
+ * @param region the one that the node is in
  * @param address where sidecars and other nodes watch
- * @param admin where operators call, or null where there is no admin API
+ * @param admin the address of the admin API, or null for none
  * @param peers the other nodes
- * @param mostWatchers sidecars that may watch at once
- * @param answerGapMs one watcher gets at most one answer in this time while changes pour
- * @param folder where what is known is kept for the next start, or null where it is not
+ * @param maxWatchers the most sidecars that watch at once
+ * @param responseIntervalMs the least time between two responses to one watcher
+ * @param folder of the snapshot, which outlives the process, or null for none
  */
 public record ControlConfig(
         String name,
@@ -23,27 +23,36 @@
         InetSocketAddress address,
         InetSocketAddress admin,
         List<Peer> peers,
-        int mostWatchers,
-        double answerGapMs,
+        int maxWatchers,
+        double responseIntervalMs,
         Path folder,
         LogSettings logging) {
 
-    /** The usual bound on watchers, and the usual gap between answers to one. */
-    public static final int MOST_WATCHERS = 4096;
+    /** The default of {@link #maxWatchers}. */
+    public static final int DEFAULT_MAX_WATCHERS = 4096;
 
-    public static final double ANSWER_GAP_MS = 150;
+    /** The default of {@link #responseIntervalMs}. */
+    public static final double DEFAULT_RESPONSE_INTERVAL_MS = 150;
 
-    /** Another node. */
+    /** Another control node. */
     public record Peer(String name, InetSocketAddress address, String region) {}
 
-    /** A node without peers, an admin API or a file, as tests and trials have it; others can be added. */
+    /** Returns the configuration of a node without peers, admin API and snapshot, as tests need it. */
     public static ControlConfig of(String name, String region, InetSocketAddress address) {
         return new ControlConfig(
-                name, region, address, null, List.of(), MOST_WATCHERS, ANSWER_GAP_MS, null, LogSettings.USUAL);
+                name,
+                region,
+                address,
+                null,
+                List.of(),
+                DEFAULT_MAX_WATCHERS,
+                DEFAULT_RESPONSE_INTERVAL_MS,
+                null,
+                LogSettings.DEFAULT);
     }
 
-    /** The file in which it keeps what it knows, or null. */
-    public Path kept() {
+    /** Returns the path of the snapshot, or null for none. */
+    public Path snapshotFile() {
         return folder == null ? null : folder.resolve(name + ".control");
     }
 }
--- a/edge/src/main/java/lemonrail/config/ControlFile.java
+++ b/edge/src/main/java/lemonrail/config/ControlFile.java
@@ -9,77 +9,89 @@
 import java.util.Map;
 import java.util.Set;
 import lemonrail.config.ControlConfig.Peer;
-import lemonrail.logging.LogSettings;
 
-/** The operators' file of a control node: a TOML file with a table [control]. */
+/** The operators' file of a control node: a TOML file with a table {@code [control]}. */
 public record ControlFile(Path file, Map<String, String> environment) {
 
+    private static final String NAME_VARIABLE = "LEMONRAIL_NAME";
     private static final List<ConfigTable> TABLES =
-            List.of(Schema.CONTROL, Schema.PEERS, Schema.ADMIN_TABLE, Schema.LOGGING);
+            List.of(ControlSchema.CONTROL, ControlSchema.PEERS, Schema.ADMIN, Schema.LOGGING);
 
-    /** A control node's configuration, and each value with its origin. */
-    public record Read(ControlConfig config, List<LoadedConfiguration.Value> values) {}
+    /** A control node's configuration, and each value in force with its origin. */
+    public record Loaded(ControlConfig config, List<LoadedConfiguration.Value> values) {}
 
-    /** Whether this is a control node's file; one that can't be read is none. */
-    public static boolean isOne(Path file, Map<String, String> environment) {
+    /** Returns whether a file is a control node's; false for one that cannot be read. */
+    public static boolean isControlFile(Path file, Map<String, String> environment) {
         try {
             return file.toString().endsWith(".toml")
-                    && TomlDocument.read(file, environment).has(Schema.CONTROL);
+                    && TomlDocument.read(file, environment).has(ControlSchema.CONTROL);
         } catch (IOException | ConfigException e) {
             return false;
         }
     }
 
-    /** Reads it; a {@link ConfigException} names all that is wrong. */
-    public Read load() throws IOException {
+    /**
+     * Reads the file.
+     *
+     * @throws ConfigException if it cannot be used; names all problems
+     */
+    public Loaded load() throws IOException {
         TomlDocument document = TomlDocument.read(file, environment);
-        TableReader top = document.top(Schema.ROOT, TABLES);
-        String name = top.get(Schema.NAME);
-        if (!top.has(Schema.NAME) && !environment.containsKey("LEMONRAIL_NAME")) {
-            document.wrong("name", null, "is missing; each control node must have a name of its own");
+        TableReader root = document.root(Schema.ROOT, TABLES);
+        String name = readName(document, root);
+        String stateDir = root.get(Schema.STATE_DIR);
+        if (!document.has(ControlSchema.CONTROL)) {
+            document.addProblem("control", null, "is missing; a control node's file must have [control]");
         }
-        String folder = top.get(Schema.STATE_DIR);
-        if (!document.has(Schema.CONTROL)) {
-            document.wrong("control", null, "is missing; a control node's file must have [control]");
+        TableReader control = document.table(ControlSchema.CONTROL);
+        InetSocketAddress address = control.get(ControlSchema.ADDRESS);
+        String region = control.get(ControlSchema.REGION);
+        Integer maxWatchers = control.get(ControlSchema.MAX_WATCHERS);
+        Double responseIntervalMs = control.get(ControlSchema.RESPONSE_INTERVAL);
+        List<Peer> peers = readPeers(document, name);
+        InetSocketAddress admin = readAdmin(document, address);
+        LoggingTable logging = LoggingTable.read(document);
+        document.throwIfInvalid();
+        ControlConfig config = new ControlConfig(
+                name,
+                region,
+                address,
+                admin,
+                peers,
+                maxWatchers,
+                responseIntervalMs,
+                stateDir == null ? PlatformFile.stateFolder(environment) : Path.of(stateDir),
+                logging.toSettings());
+        return new Loaded(config, document.values());
+    }
+
+    /** The default name of edges would not tell control nodes apart, so the file must have one. */
+    private String readName(TomlDocument document, TableReader root) {
+        String name = root.get(Schema.NAME);
+        if (!root.has(Schema.NAME) && !environment.containsKey(NAME_VARIABLE)) {
+            document.addProblem("name", null, "is missing; each control node must have a name of its own");
         }
-        TableReader control = document.one(Schema.CONTROL);
-        InetSocketAddress address = control.get(Schema.CONTROL_ADDRESS);
-        String region = control.get(Schema.REGION);
-        Integer watchers = control.get(Schema.WATCHERS);
-        Double gapMs = control.get(Schema.ANSWER_GAP);
-        List<Peer> peers = peers(document, name);
-        TableReader adminSection = document.one(Schema.ADMIN_TABLE);
-        InetSocketAddress admin = adminSection.get(Schema.ADMIN);
-        if (admin != null && admin.equals(address) && admin.getPort() != 0) {
-            adminSection.contradicts(Schema.ADMIN, "is taken by control.address");
+        return name;
+    }
+
+    private static InetSocketAddress readAdmin(TomlDocument document, InetSocketAddress controlAddress) {
+        TableReader table = document.table(Schema.ADMIN);
+        InetSocketAddress admin = table.get(Schema.ADMIN_ADDRESS);
+        if (admin != null && admin.equals(controlAddress) && admin.getPort() != 0) {
+            table.addProblem(Schema.ADMIN_ADDRESS, "is taken by control.address");
         }
-        LogSettings logging = EdgeConfigReader.logging(document);
-        document.check();
-        return new Read(
-                new ControlConfig(
-                        name,
-                        region,
-                        address,
-                        admin,
-                        peers,
-                        watchers,
-                        gapMs,
-                        folder == null ? PlatformFile.folder(environment) : Path.of(folder),
-                        logging),
-                document.values());
+        return admin;
     }
 
-    private static List<Peer> peers(TomlDocument document, String own) {
+    /** Returns all peers but the node itself, which the table may list as well. */
+    private static List<Peer> readPeers(TomlDocument document, String ownName) {
         List<Peer> peers = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (TableReader section : document.all(Schema.PEERS)) {
-            String name = section.get(Schema.PEER_NAME);
-            InetSocketAddress address = section.get(Schema.PEER_ADDRESS);
-            String region = section.get(Schema.PEER_REGION);
-            if (name != null && !names.add(name)) {
-                section.contradicts(Schema.PEER_NAME, "is there twice; each must be there once");
-            }
-            if (name != null && !name.equals(own)) {
+        for (TableReader table : document.tables(ControlSchema.PEERS)) {
+            String name = table.getUnique(ControlSchema.PEER_NAME, names);
+            InetSocketAddress address = table.get(ControlSchema.PEER_ADDRESS);
+            String region = table.get(ControlSchema.PEER_REGION);
+            if (name != null && !name.equals(ownName)) {
                 peers.add(new Peer(name, address, region));
             }
         }
--- a/edge/src/main/java/lemonrail/config/EdgeConfig.java
+++ b/edge/src/main/java/lemonrail/config/EdgeConfig.java
@@ -10,21 +10,21 @@
 import lemonrail.logging.LogSettings;
 
 /**
- * What an edge is told at its start, from whichever form of configuration.
+ * The configuration of an edge, from either format of file.
  *
  * @param name the edge's name, the same after a restart
  * @param listeners where clients connect
- * @param admin where operators call, or null where there is no admin API
- * @param discovery where the list of endpoints is watched, or null where it is fixed
- * @param discoveryWaitMs how long a call there waits for news, or null where the fleet's size says so
- * @param folder where what outlives the process is kept
+ * @param admin the address of the admin API, or null for none
+ * @param discovery the address of the discovery service, or null for none
+ * @param discoveryWaitMs how long a poll there waits for changes, or null to derive it from the size of the fleet
+ * @param folder of the files that outlive the process
  * @param seed for random numbers
  * @param memoryMb the memory that the edge's processes may take together, in MiB
- * @param sockets the descriptors that the process may hold
+ * @param sockets the most descriptors of the process
  * @param idleCloseMs after how long at most an endpoint closes an idle connection
- * @param names of zones and kinds, whose places stand for them
- * @param known the list of endpoints: the fixed one, or as it was last known
- * @param control the control nodes to watch at in place of discovery, or null
+ * @param names of zones and kinds; elsewhere their indexes stand for them
+ * @param known the fixed list of endpoints, or the one to start with
+ * @param control the control nodes to watch in place of discovery, or null for none
  */
 public record EdgeConfig(
         String name,
@@ -43,12 +43,12 @@
         LogSettings logging,
         ControlClient.Plan control) {
 
-    /** A file of this edge's own, which its next process finds as well. */
-    public Path kept(String what) {
-        return folder.resolve(name.replaceAll("[^A-Za-z0-9._-]", "_") + "." + what);
+    /** Returns the path of a state file of this edge, which outlives the process. */
+    public Path stateFile(String kind) {
+        return folder.resolve(name.replaceAll("[^A-Za-z0-9._-]", "_") + "." + kind);
     }
 
-    /** The names of the classes, in the order of the settings. */
+    /** Returns the names of the request classes, in the order of the settings. */
     public List<String> classNames() {
         return settings.classes().stream().map(RequestClass::name).toList();
     }
--- a/edge/src/main/java/lemonrail/config/LoadedConfiguration.java
+++ b/edge/src/main/java/lemonrail/config/LoadedConfiguration.java
@@ -5,7 +5,7 @@
 /**
  * A configuration that has been read.
  *
- * @param values each value and where it came from, in the words of the operators' file
+ * @param values each value in force and its origin, by the keys of the operators' file
  */
 public record LoadedConfiguration(EdgeConfig config, List<Value> values) {
 
@@ -14,7 +14,7 @@
      *
      * @param origin {@code default}, the file with its line, the name of an environment variable, or the
      *     platform's JSON
-     * @param live whether a reload takes a change of it up
+     * @param reloadable whether a reload applies a change of this value
      */
-    public record Value(String key, String text, String origin, boolean live) {}
+    public record Value(String key, String text, String origin, boolean reloadable) {}
 }
--- /dev/null
+++ b/edge/src/main/java/lemonrail/config/LoggingTable.java
@@ -0,0 +1,28 @@
+package lemonrail.config;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import lemonrail.logging.EventLog;
+import lemonrail.logging.LogSettings;
+import lemonrail.logging.Severity;
+
+/** The table {@code [logging]}, the same for edges and control nodes; values with problems are null. */
+record LoggingTable(LogSettings.Format format, Severity level, Map<String, Severity> levels, Integer queue) {
+
+    static LoggingTable read(TomlDocument document) {
+        TableReader table = document.table(Schema.LOGGING);
+        return new LoggingTable(
+                table.get(Schema.LOG_FORMAT),
+                table.get(Schema.LOG_LEVEL),
+                table.get(Schema.LOG_LEVELS),
+                table.get(Schema.LOG_QUEUE));
+    }
+
+    /** Returns the settings; to be called for a document without problems. */
+    LogSettings toSettings() {
+        Map<String, Severity> all = new LinkedHashMap<>();
+        all.put(EventLog.ROOT, level);
+        all.putAll(levels);
+        return new LogSettings(format, all, queue);
+    }
+}
--- a/edge/src/main/java/lemonrail/config/PlatformFile.java
+++ b/edge/src/main/java/lemonrail/config/PlatformFile.java
@@ -14,11 +14,14 @@
 import lemonrail.json.Json;
 import lemonrail.logging.LogSettings;
 
-/** The platform's JSON, as GW_CONFIG names it; the variables GW_MGMT and TMPDIR add to it. */
+/**
+ * The platform's JSON file, which {@code GW_CONFIG} names; {@code GW_MGMT} and {@code TMPDIR} of the environment
+ * add to it. This class maps the platform's field names to the terms of the code.
+ */
 public record PlatformFile(Path file, Map<String, String> environment) implements ConfigSource {
 
     private static final String ADMIN_VARIABLE = "GW_MGMT";
-    private static final String FOLDER_VARIABLE = "TMPDIR";
+    private static final String STATE_FOLDER_VARIABLE = "TMPDIR";
     private static final String WAIT_VARIABLE = "LEMONRAIL_DISCOVERY_WAIT";
 
     @Override
@@ -27,60 +30,76 @@
         return new LoadedConfiguration(config, PlatformValues.of(this, config));
     }
 
+    /** The platform moves discovery while the process runs, and changes nothing else. */
+    @Override
+    public boolean reloadsDiscoveryOnly() {
+        return true;
+    }
+
     private EdgeConfig read() throws IOException {
         byte[] bytes;
         try {
             bytes = Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
-            throw whole(0, "GW_CONFIG names a file that is not there");
+            throw problem(0, "GW_CONFIG names a file that is not there");
         }
         try {
-            if (!(Json.value(bytes) instanceof Map<?, ?> config)) {
-                throw whole(1, "it holds no JSON object");
+            if (!(Json.value(bytes) instanceof Map<?, ?> json)) {
+                throw problem(1, "it holds no JSON object");
             }
-            return of(config);
+            return edgeConfig(json);
         } catch (JsonProcessingException e) {
-            throw whole(e.getLocation().getLineNr(), "it is not JSON: " + e.getOriginalMessage());
+            throw problem(e.getLocation().getLineNr(), "it is not JSON: " + e.getOriginalMessage());
         } catch (EndpointList.BadField e) {
-            throw new ConfigException(List.of(
-                    new ConfigProblem(file, JsonLines.line(bytes, e.field()), e.field(), e.value(), e.getMessage())));
+            int line = JsonLines.lineOf(bytes, e.field());
+            throw new ConfigException(new ConfigProblem(file, line, e.field(), e.value(), e.getMessage()));
         } catch (IllegalArgumentException e) {
-            throw e instanceof ConfigException ? e : whole(0, e.getMessage());
+            throw e instanceof ConfigException ? e : problem(0, e.getMessage());
         }
     }
 
-    private ConfigException whole(int line, String why) {
-        return new ConfigException(List.of(new ConfigProblem(file, line, "", null, why)));
+    private ConfigException problem(int line, String message) {
+        return new ConfigException(ConfigProblem.ofFile(file, line, message));
     }
 
-    private EdgeConfig of(Map<?, ?> config) {
-        Map<String, Object> settings = object("settings", config.get("settings"));
-        Map<String, Object> limits = object("settings.limits", settings.get("limits"));
-        object("settings.rules", settings.get("rules"));
-        positive("settings.limits.dial-timeout-ms", limits.get("dial-timeout-ms"));
-        positive("settings.limits.try-limit", limits.get("try-limit"));
+    private EdgeConfig edgeConfig(Map<?, ?> json) {
+        Map<String, Object> settings = object("settings", json.get("settings"));
+        Map<String, Object> attemptLimits = object("settings.limits", settings.get("limits"));
+        positive("settings.limits.dial-timeout-ms", attemptLimits.get("dial-timeout-ms"));
+        positive("settings.limits.try-limit", attemptLimits.get("try-limit"));
+        checkRules(object("settings.rules", settings.get("rules")));
         EndpointList.Names names = new EndpointList.Names(
                 words("settings.azs", settings.get("azs")), words("settings.models", settings.get("models")));
         return new EdgeConfig(
-                String.valueOf(config.get("name")),
-                List.of(EndpointList.address("listen", config.get("listen"))),
-                adminAddress(config.get("mgmt")),
-                EndpointList.address("discovery", config.get("discovery")),
+                String.valueOf(json.get("name")),
+                List.of(EndpointList.address("listen", json.get("listen"))),
+                adminAddress(json.get("mgmt")),
+                EndpointList.address("discovery", json.get("discovery")),
                 discoveryWaitMs(),
-                folder(environment),
-                seed(config.get("seed")),
-                positive("limits.memory_mb", limit(config, "memory_mb")),
-                (int) positive("limits.sockets", limit(config, "sockets")),
-                positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")),
+                stateFolder(environment),
+                seed(json.get("seed")),
+                positive("limits.memory_mb", limit(json, "memory_mb")),
+                (int) positive("limits.sockets", limit(json, "sockets")),
+                positive("settings.limits.idle-close-ms", attemptLimits.get("idle-close-ms")),
                 names,
-                EndpointList.of(object("known", config.get("known")), names),
+                EndpointList.of(object("known", json.get("known")), names),
                 SettingsReader.settings(settings),
-                LogSettings.USUAL,
+                LogSettings.DEFAULT,
                 null);
     }
 
-    private static Object limit(Map<?, ?> config, String name) {
-        return object("limits", config.get("limits")).get(name);
+    /** Rules may be left out; the problem of one that is given names the platform's key. */
+    private static void checkRules(Map<String, Object> rules) {
+        if (rules.get("fall-ms") instanceof Double windowMs && windowMs <= 0) {
+            throw EndpointList.bad("settings.rules.fall-ms", windowMs);
+        }
+        if (rules.get("drain-grace-ms") instanceof Double graceMs && graceMs < 0) {
+            throw EndpointList.bad("settings.rules.drain-grace-ms", graceMs);
+        }
+    }
+
+    private static Object limit(Map<?, ?> json, String name) {
+        return object("limits", json.get("limits")).get(name);
     }
 
     private InetSocketAddress adminAddress(Object value) {
@@ -91,25 +110,22 @@
         return variable.isBlank() ? null : EndpointList.address(ADMIN_VARIABLE, variable);
     }
 
-    /** Read like the key of the operators' file, whose reader is loaded only where the variable is set. */
+    /** Parsed like the key of the operators' file; its schema is loaded only if the variable is set. */
     private Double discoveryWaitMs() {
         String text = environment.get(WAIT_VARIABLE);
         if (text == null) {
             return null;
         }
         ValueType<Double> type = Schema.DISCOVERY_WAIT.type();
-        Double waitMs = type.read().apply(new ValueType.Variable(text));
-        if (waitMs == null) {
-            throw new ConfigException(
-                    List.of(new ConfigProblem(file, 0, WAIT_VARIABLE, text, "must be " + type.allowed())));
-        }
-        return waitMs;
+        return type.parse(new ValueType.Variable(text))
+                .orElseThrow(() -> new ConfigException(
+                        new ConfigProblem(file, 0, WAIT_VARIABLE, text, "must be " + type.allowed())));
     }
 
-    /** Where what outlives the process is kept, unless a file says otherwise. */
-    static Path folder(Map<String, String> environment) {
-        String named = environment.getOrDefault(FOLDER_VARIABLE, "");
-        return Path.of(named.isBlank() ? System.getProperty("java.io.tmpdir") : named);
+    /** Returns the folder of files that outlive the process, unless the configuration names another. */
+    static Path stateFolder(Map<String, String> environment) {
+        String folder = environment.getOrDefault(STATE_FOLDER_VARIABLE, "");
+        return Path.of(folder.isBlank() ? System.getProperty("java.io.tmpdir") : folder);
     }
 
     private static long seed(Object value) {
--- a/edge/src/main/java/lemonrail/config/PlatformValues.java
+++ b/edge/src/main/java/lemonrail/config/PlatformValues.java
@@ -6,7 +6,7 @@
 import lemonrail.core.balancer.TenantQuota;
 import lemonrail.discovery.EndpointList;
 
-/** What the platform's JSON comes to, told in the words of the operators' file. */
+/** Lists the values of the platform's JSON by the keys of the operators' file. */
 final class PlatformValues {
 
     private final String json;
@@ -16,49 +16,62 @@
         this.json = json;
     }
 
+    /** Returns the values of a configuration that was read from a file. */
     static List<LoadedConfiguration.Value> of(PlatformFile file, EdgeConfig config) {
-        PlatformValues all = new PlatformValues("platform JSON " + file.file());
-        all.put("name", config.name());
-        all.add("state-dir", config.folder(), "environment TMPDIR", false);
-        all.put("seed", Long.toHexString(config.seed()));
-        all.put("listeners[0].address", config.listeners().get(0));
+        PlatformValues values = new PlatformValues("platform JSON " + file.file());
+        values.addEdge(file, config);
+        values.addRequests(config);
+        values.addLimits(config);
+        return values.values;
+    }
+
+    private void addEdge(PlatformFile file, EdgeConfig config) {
+        put("name", config.name());
+        add("state-dir", config.folder(), "environment TMPDIR", false);
+        put("seed", Long.toHexString(config.seed()));
+        put("listeners[0].address", config.listeners().get(0));
         if (config.admin() != null) {
-            all.add(
+            add(
                     "admin.address",
                     config.admin(),
-                    file.environment().containsKey("GW_MGMT") ? "environment GW_MGMT, or " + all.json : all.json,
+                    file.environment().containsKey("GW_MGMT") ? "environment GW_MGMT, or " + json : json,
                     false);
         }
-        all.add("discovery.address", config.discovery(), all.json, true);
+        add("discovery.address", config.discovery(), json, true);
         if (config.discoveryWaitMs() != null) {
-            all.add("discovery.wait", config.discoveryWaitMs() + "ms", "environment LEMONRAIL_DISCOVERY_WAIT", false);
+            add("discovery.wait", config.discoveryWaitMs() + "ms", "environment LEMONRAIL_DISCOVERY_WAIT", false);
         }
-        for (RequestClass kind : config.settings().classes()) {
-            all.put(
-                    "classes." + kind.name(),
-                    kind.idempotency() + ", aim " + kind.latencyObjectiveMs() + "ms, deadline " + kind.deadlineMs()
-                            + "ms, worth " + kind.priorityWeight());
+    }
+
+    private void addRequests(EdgeConfig config) {
+        for (RequestClass requestClass : config.settings().classes()) {
+            put(
+                    "classes." + requestClass.name(),
+                    requestClass.idempotency() + ", aim " + requestClass.latencyObjectiveMs() + "ms, deadline "
+                            + requestClass.deadlineMs() + "ms, worth " + requestClass.priorityWeight());
         }
         for (TenantQuota tenant : config.settings().tenants()) {
-            all.put("tenants." + tenant.name(), tenant.requestsPerSecond() + " a second");
+            put("tenants." + tenant.name(), tenant.requestsPerSecond() + " a second");
         }
         for (EndpointList.Entry entry : config.known().entries()) {
-            all.add("endpoints." + entry.server().id(), entry.address(), all.json + " (until discovery speaks)", true);
+            add("endpoints." + entry.server().id(), entry.address(), json + " (until discovery speaks)", true);
         }
-        all.put("limits.memory", (long) config.memoryMb() + "MiB");
-        all.put("limits.descriptors", config.sockets());
-        all.put("limits.attempts", config.settings().limits().maxAttempts());
-        all.put("limits.connect-timeout", config.settings().limits().connectTimeoutMs() + "ms");
-        all.put("limits.idle-timeout", config.idleCloseMs() + "ms");
-        all.add("logging.format", "plain", "default", false);
-        return all.values;
+    }
+
+    private void addLimits(EdgeConfig config) {
+        put("limits.memory", (long) config.memoryMb() + "MiB");
+        put("limits.descriptors", config.sockets());
+        put("limits.attempts", config.settings().limits().maxAttempts());
+        put("limits.connect-timeout", config.settings().limits().connectTimeoutMs() + "ms");
+        put("limits.idle-timeout", config.idleCloseMs() + "ms");
+        add("logging.format", "plain", "default", false);
     }
 
     private void put(String key, Object value) {
         add(key, value, json, false);
     }
 
-    private void add(String key, Object value, String origin, boolean live) {
-        values.add(new LoadedConfiguration.Value(key, String.valueOf(value), origin, live));
+    private void add(String key, Object value, String origin, boolean reloadable) {
+        values.add(new LoadedConfiguration.Value(key, String.valueOf(value), origin, reloadable));
     }
 }
--- a/edge/src/main/java/lemonrail/config/SchemaPrinter.java
+++ b/edge/src/main/java/lemonrail/config/SchemaPrinter.java
@@ -6,40 +6,48 @@
 import java.io.StringWriter;
 import java.util.List;
 
-/** All that the operators' file may say, as a text for people and as a JSON Schema. */
+/** Prints the schema of the operators' file, as text for people and as a JSON Schema. */
 public final class SchemaPrinter {
 
     private SchemaPrinter() {}
 
-    /** Each key with its default, what is allowed, and whether a reload takes it up. */
+    /** Returns a text with each key, its default, what is allowed, and whether a reload applies a change. */
     public static String text() {
         StringBuilder text = new StringBuilder();
         for (ConfigTable table : Schema.TABLES) {
-            String header = table.isRepeated() ? "[[" + table.name() + "]]" : "[" + table.name() + "]";
-            text.append(table.name().isEmpty() ? "" : "\n" + header + "\n")
-                    .append("# ")
-                    .append(table.meaning())
-                    .append(table.isRepeated() ? "; " + table.most() + " at most" : "")
-                    .append('\n');
-            for (ConfigKey<?> key : table.keys()) {
-                text.append(key.name())
-                        .append("\n    ")
-                        .append(key.meaning())
-                        .append("\n    must be ")
-                        .append(key.type().allowed())
-                        .append("\n    ")
-                        .append(
-                                key.required()
-                                        ? "required"
-                                        : key.usual() == null ? "no default" : "default " + key.usual())
-                        .append(key.live() ? "; a reload takes it up" : "; needs a restart")
-                        .append('\n');
-            }
+            appendTable(text, table);
         }
         return text.toString();
     }
 
-    /** A JSON Schema (2020-12), which editors of TOML read as well. */
+    private static void appendTable(StringBuilder text, ConfigTable table) {
+        if (!table.isRoot()) {
+            text.append('\n').append(table.header()).append('\n');
+        }
+        text.append("# ").append(table.meaning());
+        if (table.isRepeated()) {
+            text.append("; ").append(table.maxCount()).append(" at most");
+        }
+        text.append('\n');
+        table.keys().forEach(key -> appendKey(text, key));
+    }
+
+    private static void appendKey(StringBuilder text, ConfigKey<?> key) {
+        text.append(key.name()).append('\n');
+        text.append("    ").append(key.meaning()).append('\n');
+        text.append("    must be ").append(key.type().allowed()).append('\n');
+        text.append("    ").append(defaultOf(key));
+        text.append(key.reloadable() ? "; a reload takes it up\n" : "; needs a restart\n");
+    }
+
+    private static String defaultOf(ConfigKey<?> key) {
+        if (key.required()) {
+            return "required";
+        }
+        return key.defaultText() == null ? "no default" : "default " + key.defaultText();
+    }
+
+    /** Returns a JSON Schema (2020-12), which editors of TOML files use as well. */
     public static String json() throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
@@ -50,7 +58,7 @@
             out.writeBooleanField("additionalProperties", false);
             out.writeObjectFieldStart("properties");
             for (ConfigTable table : Schema.TABLES) {
-                if (table.name().isEmpty()) {
+                if (table.isRoot()) {
                     writeKeys(out, table.keys());
                 } else {
                     writeTable(out, table);
@@ -71,7 +79,7 @@
         out.writeStringField("description", table.meaning());
         if (table.isRepeated()) {
             out.writeStringField("type", "array");
-            out.writeNumberField("maxItems", table.most());
+            out.writeNumberField("maxItems", table.maxCount());
             out.writeObjectFieldStart("items");
         }
         out.writeStringField("type", "object");
@@ -98,9 +106,9 @@
             out.writeStringField("type", key.type().name());
             out.writeStringField(
                     "description", key.meaning() + "; must be " + key.type().allowed());
-            if (key.usual() != null) {
+            if (key.defaultText() != null) {
                 out.writeFieldName("default");
-                out.writeRawValue(TomlDocument.value(key.usual()).toString());
+                out.writeRawValue(TomlDocument.parseValue(key.defaultText()).toString());
             }
             out.writeEndObject();
         }
--- a/edge/src/main/java/lemonrail/config/SettingsDocument.java
+++ b/edge/src/main/java/lemonrail/config/SettingsDocument.java
@@ -1,6 +1,5 @@
 package lemonrail.config;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -12,80 +11,90 @@
 import lemonrail.core.balancer.TenantQuota;
 
 /**
- * A settings document of the control nodes: in the operators' form, what may change while edges run. It is
- * laid over the settings of an edge's own file, as a whole or not at all.
+ * A settings document of the control nodes: in the operators' format, the settings that may change while edges
+ * run. It overrides the settings of an edge's own file, as a whole or not at all.
  */
 public final class SettingsDocument {
 
+    /** Stands for the file in the messages of problems. */
     private static final String NAME = "settings";
 
+    /** What the document says of a class; values that it does not change are null. */
+    private record ClassOverride(
+            TableReader table,
+            Double latencyObjectiveMs,
+            Double deadlineMs,
+            Double priorityWeight,
+            Double lateResponseWeight) {}
+
+    /** What the document says of a tenant. */
+    private record TenantOverride(TableReader table, Double requestsPerSecond) {}
+
     private final TomlDocument document;
-    private final Map<String, Map<String, Double>> classes = new HashMap<>();
-    private final Map<String, TableReader> classSections = new HashMap<>();
-    private final Map<String, Double> rates = new HashMap<>();
-    private final Map<String, TableReader> tenantSections = new HashMap<>();
-    private Integer attempts;
-    private Double retryAfterMs;
+    private final Map<String, ClassOverride> classes = new HashMap<>();
+    private final Map<String, TenantOverride> tenants = new HashMap<>();
+    private final Integer maxAttempts;
+    private final Double maxRetryAfterMs;
 
     private SettingsDocument(String text) {
         document = TomlDocument.of(text, NAME);
-        document.top(Schema.LIVE_ROOT, List.of(Schema.LIVE_CLASSES, Schema.TENANTS, Schema.LIVE_LIMITS));
+        document.root(SettingsSchema.ROOT, List.of(SettingsSchema.CLASSES, Schema.TENANTS, SettingsSchema.LIMITS));
+        readClasses();
+        readTenants();
+        TableReader limits = document.table(SettingsSchema.LIMITS);
+        maxAttempts = limits.get(SettingsSchema.ATTEMPTS);
+        maxRetryAfterMs = limits.get(SettingsSchema.MAX_RETRY_AFTER);
+    }
+
+    private void readClasses() {
         Set<String> names = new HashSet<>();
-        for (TableReader section : document.all(Schema.LIVE_CLASSES)) {
-            String name = section.get(Schema.CLASS_NAME);
-            once(section, Schema.CLASS_NAME, name, names);
-            Map<String, Double> values = new HashMap<>();
-            Schema.OF_CLASS.forEach((key, type) -> values.put(key, section.get(type)));
-            classes.put(name, values);
-            classSections.put(name, section);
+        for (TableReader table : document.tables(SettingsSchema.CLASSES)) {
+            ClassOverride override = new ClassOverride(
+                    table,
+                    table.get(SettingsSchema.LATENCY_OBJECTIVE),
+                    table.get(SettingsSchema.DEADLINE),
+                    table.get(SettingsSchema.PRIORITY_WEIGHT),
+                    table.get(SettingsSchema.LATE_RESPONSE_WEIGHT));
+            classes.put(table.getUnique(Schema.CLASS_NAME, names), override);
         }
-        names.clear();
-        for (TableReader section : document.all(Schema.TENANTS)) {
-            String name = section.get(Schema.TENANT);
-            once(section, Schema.TENANT, name, names);
-            rates.put(name, section.get(Schema.RATE));
-            tenantSections.put(name, section);
-        }
-        TableReader limits = document.one(Schema.LIVE_LIMITS);
-        attempts = limits.get(Schema.ANY_ATTEMPTS);
-        retryAfterMs = limits.get(Schema.ANY_RETRY_AFTER);
     }
 
-    private static void once(TableReader section, ConfigKey<String> key, String name, Set<String> names) {
-        if (name != null && !names.add(name)) {
-            section.contradicts(key, "is there twice; each must be there once");
+    private void readTenants() {
+        Set<String> names = new HashSet<>();
+        for (TableReader table : document.tables(Schema.TENANTS)) {
+            TenantOverride override = new TenantOverride(table, table.get(Schema.TENANT_RATE));
+            tenants.put(table.getUnique(Schema.TENANT_NAME, names), override);
         }
     }
 
-    /** Checks what can be checked without an edge; a {@link ConfigException} names all that is wrong. */
+    /**
+     * Checks what can be checked without the settings of an edge.
+     *
+     * @throws ConfigException if the document cannot be used; names all problems
+     */
     public static void check(String text) {
-        new SettingsDocument(text).document.check();
+        new SettingsDocument(text).document.throwIfInvalid();
     }
 
-    /** An edge's settings with what a document says; a {@link ConfigException} names all that is wrong. */
+    /**
+     * Returns the settings of an edge as the document changes them.
+     *
+     * @param own the settings of the edge's own file
+     * @throws ConfigException if the document cannot be used for this edge; names all problems
+     */
     public static BalancerSettings over(BalancerSettings own, String text) {
-        SettingsDocument read = new SettingsDocument(text);
-        read.document.check();
-        List<RequestClass> classes = own.classes().stream().map(read::changed).toList();
-        List<TenantQuota> tenants = own.tenants().stream().map(read::changed).toList();
-        unknown(
-                read.classSections,
-                Schema.CLASS_NAME,
-                classes.stream().map(RequestClass::name).toList());
-        unknown(
-                read.tenantSections,
-                Schema.TENANT,
-                tenants.stream().map(TenantQuota::name).toList());
-        for (RequestClass kind : classes) {
-            if (own.limits().connectTimeoutMs() > kind.deadlineMs()) {
-                read.document.wrong(
-                        "classes",
-                        kind.name(),
-                        "this edge's limits.connect-timeout is longer than the deadline of this class");
-            }
-        }
-        read.document.check();
-        AttemptLimits limits = own.limits();
+        SettingsDocument overrides = new SettingsDocument(text);
+        overrides.document.throwIfInvalid();
+        return overrides.applyTo(own);
+    }
+
+    private BalancerSettings applyTo(BalancerSettings own) {
+        List<RequestClass> newClasses = own.classes().stream().map(this::apply).toList();
+        List<TenantQuota> newTenants = own.tenants().stream().map(this::apply).toList();
+        reportUnknownClasses(newClasses.stream().map(RequestClass::name).toList());
+        reportUnknownTenants(newTenants.stream().map(TenantQuota::name).toList());
+        checkConnectTimeout(own.limits(), newClasses);
+        document.throwIfInvalid();
         return new BalancerSettings(
                 own.balancers(),
                 own.balancerIndex(),
@@ -95,52 +104,78 @@
                 own.weighted(),
                 own.overQuotaWeight(),
                 own.crossZoneCost(),
-                classes,
-                tenants,
-                new AttemptLimits(
-                        read.attempts == null ? limits.maxAttempts() : read.attempts,
-                        limits.parallelAttempts(),
-                        limits.cancel(),
-                        read.retryAfterMs == null ? limits.maxRetryAfterMs() : read.retryAfterMs,
-                        limits.connectTimeoutMs()),
+                newClasses,
+                newTenants,
+                apply(own.limits()),
                 own.slowStart(),
                 own.drain(),
                 own.pollIntervalMs());
     }
 
-    private static void unknown(Map<String, TableReader> named, ConfigKey<String> key, List<String> there) {
-        List<String> names = new ArrayList<>(named.keySet());
-        names.removeAll(there);
-        names.forEach(name -> named.get(name).contradicts(key, "is unknown to this edge; it has " + there));
-    }
-
-    private RequestClass changed(RequestClass kind) {
-        Map<String, Double> values = classes.getOrDefault(kind.name(), Map.of());
+    private RequestClass apply(RequestClass own) {
+        ClassOverride override = classes.get(own.name());
+        if (override == null) {
+            return own;
+        }
         RequestClass changed = new RequestClass(
-                kind.name(),
-                or(values.get("aim"), kind.latencyObjectiveMs()),
-                or(values.get("deadline"), kind.deadlineMs()),
-                or(values.get("worth"), kind.priorityWeight()),
-                or(values.get("late-worth"), kind.lateResponseWeight()),
-                kind.idempotency(),
-                kind.deduplicationScope(),
-                kind.deduplicationWindowMs(),
-                kind.stream());
-        TableReader section = classSections.get(kind.name());
-        if (section != null && changed.latencyObjectiveMs() > changed.deadlineMs()) {
-            section.contradicts(Schema.CLASS_NAME, "would have an aim above its deadline");
+                own.name(),
+                valueOr(override.latencyObjectiveMs(), own.latencyObjectiveMs()),
+                valueOr(override.deadlineMs(), own.deadlineMs()),
+                valueOr(override.priorityWeight(), own.priorityWeight()),
+                valueOr(override.lateResponseWeight(), own.lateResponseWeight()),
+                own.idempotency(),
+                own.deduplicationScope(),
+                own.deduplicationWindowMs(),
+                own.stream());
+        if (changed.latencyObjectiveMs() > changed.deadlineMs()) {
+            override.table().addProblem(Schema.CLASS_NAME, "would have an aim above its deadline");
         }
-        if (section != null && changed.lateResponseWeight() > changed.priorityWeight()) {
-            section.contradicts(Schema.CLASS_NAME, "would have a late-worth above its worth");
+        if (changed.lateResponseWeight() > changed.priorityWeight()) {
+            override.table().addProblem(Schema.CLASS_NAME, "would have a late-worth above its worth");
         }
         return changed;
     }
 
-    private TenantQuota changed(TenantQuota tenant) {
-        return new TenantQuota(tenant.name(), or(rates.get(tenant.name()), tenant.requestsPerSecond()), tenant.share());
+    private TenantQuota apply(TenantQuota own) {
+        TenantOverride override = tenants.get(own.name());
+        return override == null ? own : new TenantQuota(own.name(), override.requestsPerSecond(), own.share());
     }
 
-    private static double or(Double value, double own) {
+    private AttemptLimits apply(AttemptLimits own) {
+        return new AttemptLimits(
+                maxAttempts == null ? own.maxAttempts() : maxAttempts,
+                own.parallelAttempts(),
+                own.cancel(),
+                valueOr(maxRetryAfterMs, own.maxRetryAfterMs()),
+                own.connectTimeoutMs());
+    }
+
+    private static double valueOr(Double value, double own) {
         return value == null ? own : value;
     }
+
+    private void reportUnknownClasses(List<String> known) {
+        classes.forEach((name, override) -> reportUnknown(override.table(), Schema.CLASS_NAME, name, known));
+    }
+
+    private void reportUnknownTenants(List<String> known) {
+        tenants.forEach((name, override) -> reportUnknown(override.table(), Schema.TENANT_NAME, name, known));
+    }
+
+    private static void reportUnknown(TableReader table, ConfigKey<String> key, String name, List<String> known) {
+        if (!known.contains(name)) {
+            table.addProblem(key, "is unknown to this edge; it has " + known);
+        }
+    }
+
+    private void checkConnectTimeout(AttemptLimits limits, List<RequestClass> newClasses) {
+        for (RequestClass requestClass : newClasses) {
+            if (limits.connectTimeoutMs() > requestClass.deadlineMs()) {
+                document.addProblem(
+                        "classes",
+                        requestClass.name(),
+                        "this edge's limits.connect-timeout is longer than the deadline of this class");
+            }
+        }
+    }
 }
--- a/edge/src/main/java/lemonrail/config/TableReader.java
+++ b/edge/src/main/java/lemonrail/config/TableReader.java
@@ -2,18 +2,24 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Collectors;
 
-/** One table as the file has it: its values, read key by key; what is wrong goes to the report. */
+/** Reads one table of a file key by key; problems are collected, not thrown. */
 public final class TableReader {
 
-    /** What reading a file has found. */
+    private static final String VARIABLE_PREFIX = "LEMONRAIL_";
+
+    /** Collects the results of reading a file. */
     interface Report {
-        /** This value is wrong, or missing where it is null. */
-        void wrong(String path, String value, String allowed);
+        /** Adds a problem; {@code value} is null if it is missing. */
+        void addProblem(String path, String value, String message);
 
-        /** This value is in force. */
-        void inForce(String path, String text, Origin origin, boolean live);
+        /** Adds a value in force. */
+        void addValue(String path, String text, Origin origin, boolean reloadable);
     }
 
     /** Where a value comes from. */
@@ -24,92 +30,103 @@
     }
 
     private final ConfigTable table;
-    private final int place;
+    private final int index;
     private final JsonNode fields;
     private final Map<String, String> environment;
     private final Report report;
 
-    TableReader(ConfigTable table, int place, JsonNode fields, Map<String, String> environment, Report report) {
+    TableReader(ConfigTable table, int index, JsonNode fields, Map<String, String> environment, Report report) {
         this.table = table;
-        this.place = place;
+        this.index = index;
         this.fields = fields;
         this.environment = environment;
         this.report = report;
     }
 
-    /** Names the keys that the table must not have. */
+    /** Reports the names that are neither a key of this table nor one of its subtables. */
     void checkNames(List<String> subtables) {
+        Set<String> keys = table.keys().stream().map(ConfigKey::name).collect(Collectors.toSet());
         fields.fieldNames().forEachRemaining(name -> {
-            if (!subtables.contains(name)
-                    && table.keys().stream().noneMatch(key -> key.name().equals(name))) {
-                report.wrong(
-                        path(name),
-                        fields.get(name).toString(),
-                        "unknown key; "
-                                + (table.name().isEmpty() ? "there may be " : "[" + table.name() + "] may have ")
-                                + String.join(
-                                        ", ",
-                                        table.keys().stream()
-                                                .map(ConfigKey::name)
-                                                .toList())
-                                + (subtables.isEmpty() ? "" : " and the tables " + String.join(", ", subtables)));
+            if (!subtables.contains(name) && !keys.contains(name)) {
+                report.addProblem(path(name), fields.get(name).toString(), "unknown key; " + allowedNames(subtables));
             }
         });
     }
 
-    /** The value of a key, the usual one where the file has none, or null where there is neither. */
+    private String allowedNames(List<String> subtables) {
+        String keys = table.keys().stream().map(ConfigKey::name).collect(Collectors.joining(", "));
+        return (table.isRoot() ? "there may be " : "[" + table.name() + "] may have ")
+                + keys
+                + (subtables.isEmpty() ? "" : " and the tables " + String.join(", ", subtables));
+    }
+
+    /**
+     * Returns the value of a key, or its default; null if there is neither or the value is not allowed, which is
+     * then reported.
+     */
     public <T> T get(ConfigKey<T> key) {
         String variable = variable(key);
-        JsonNode node = fields.get(key.name());
-        Origin origin = Origin.FILE;
         if (!table.isRepeated() && environment.containsKey(variable)) {
-            node = new ValueType.Variable(environment.get(variable));
-            origin = Origin.ENVIRONMENT;
+            JsonNode node = new ValueType.Variable(environment.get(variable));
+            return parse(key, node, Origin.ENVIRONMENT, variable);
         }
-        if (node == null) {
-            if (key.required()) {
-                report.wrong(
-                        path(key.name()),
-                        null,
-                        "is missing; it must be " + key.type().allowed());
-            } else if (key.usual() != null) {
-                report.inForce(path(key.name()), key.usual(), Origin.DEFAULT, key.live());
-                return key.type().read().apply(TomlDocument.value(key.usual()));
-            }
+        JsonNode node = fields.get(key.name());
+        return node == null ? defaultValue(key) : parse(key, node, Origin.FILE, path(key.name()));
+    }
+
+    private <T> T parse(ConfigKey<T> key, JsonNode node, Origin origin, String problemPath) {
+        Optional<T> value = key.type().parse(node);
+        if (value.isEmpty()) {
+            report.addProblem(
+                    problemPath, node.toString(), "must be " + key.type().allowed());
             return null;
         }
-        T value = key.type().read().apply(node);
-        if (value == null) {
-            report.wrong(
-                    origin == Origin.FILE ? path(key.name()) : variable,
-                    node.toString(),
-                    "must be " + key.type().allowed());
-        } else {
-            report.inForce(path(key.name()), node.toString(), origin, key.live());
+        report.addValue(path(key.name()), node.toString(), origin, key.reloadable());
+        return value.get();
+    }
+
+    private <T> T defaultValue(ConfigKey<T> key) {
+        String path = path(key.name());
+        if (key.required()) {
+            String message = "is missing; it must be " + key.type().allowed();
+            report.addProblem(path, null, message);
+            return null;
+        }
+        if (key.defaultText() == null) {
+            return null;
+        }
+        report.addValue(path, key.defaultText(), Origin.DEFAULT, key.reloadable());
+        return key.type().parse(TomlDocument.parseValue(key.defaultText())).orElse(null);
+    }
+
+    /** Returns the value of a key that must differ in all tables of this name; reports a repeated one. */
+    public String getUnique(ConfigKey<String> key, Set<String> seen) {
+        String value = get(key);
+        if (value != null && !seen.add(value)) {
+            addProblem(key, "is there twice; each must be there once");
         }
         return value;
     }
 
-    /** Whether the file has this key here. */
+    /** Returns whether the file has this key in this table. */
     public boolean has(ConfigKey<?> key) {
         return fields.has(key.name());
     }
 
-    /** Says that the value of a key does not go with another. */
-    public void contradicts(ConfigKey<?> key, String why) {
+    /** Reports a problem of a key, as where its value conflicts with another one. */
+    public void addProblem(ConfigKey<?> key, String message) {
         JsonNode value = fields.get(key.name());
-        report.wrong(path(key.name()), value == null ? null : value.toString(), why);
+        report.addProblem(path(key.name()), value == null ? null : value.toString(), message);
     }
 
-    /** The whole path of a key of this table. */
+    /** Returns the whole path of a key of this table. */
     public String path(String key) {
-        return table.path(place, key);
+        return table.path(index, key);
     }
 
-    /** The environment variable that goes before the file, for tables that there is one of. */
+    /** Returns the environment variable that overrides a key; repeated tables have none. */
     private String variable(ConfigKey<?> key) {
-        return ("LEMONRAIL_" + (table.name().isEmpty() ? "" : table.name() + "_") + key.name())
-                .replace('-', '_')
-                .toUpperCase(java.util.Locale.ROOT);
+        String tablePart = table.isRoot() ? "" : table.name() + "_";
+        return (VARIABLE_PREFIX + tablePart + key.name()).replace('-', '_').toUpperCase(Locale.ROOT);
     }
 }
--- a/edge/src/main/java/lemonrail/config/TomlDocument.java
+++ b/edge/src/main/java/lemonrail/config/TomlDocument.java
@@ -1,5 +1,6 @@
 package lemonrail.config;
 
+import com.fasterxml.jackson.core.JsonLocation;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -16,12 +17,12 @@
 import java.util.Map;
 
 /**
- * A file in TOML, read by tables of the keys that it may have. A variable LEMONRAIL_TABLE_KEY of the
- * environment goes before the file, for tables that there is one of. All that is wrong is named at once.
+ * A file in TOML, read table by table. An environment variable {@code LEMONRAIL_TABLE_KEY} overrides a key of a
+ * single table. Problems are collected until {@link #throwIfInvalid}, which names all of them.
  */
 public final class TomlDocument {
 
-    private static final long MOST_BYTES = 4L << 20;
+    private static final long MAX_BYTES = 4L << 20;
     private static final TomlMapper TOML = new TomlMapper();
 
     private final JsonNode root;
@@ -34,133 +35,144 @@
         this.findings = findings;
     }
 
-    /** Reads a file as a whole; one that is not TOML is a {@link ConfigException}. */
+    /**
+     * Reads a file as a whole.
+     *
+     * @throws ConfigException if it is not valid TOML
+     */
     public static TomlDocument read(Path file, Map<String, String> environment) throws IOException {
-        return read(file, text(file), environment);
+        return parse(file, readText(file), environment);
     }
 
-    private static TomlDocument read(Path file, String text, Map<String, String> environment) {
+    /** Parses a text that stands in no file, under this name; environment variables are ignored. */
+    static TomlDocument of(String text, String name) {
+        return parse(Path.of(name), text, Map.of());
+    }
+
+    private static TomlDocument parse(Path file, String text, Map<String, String> environment) {
+        TomlLines lines = new TomlLines(text);
         try {
-            return new TomlDocument(TOML.readTree(text), environment, new Findings(file, new TomlLines(text)));
+            return new TomlDocument(TOML.readTree(text), environment, new Findings(file, lines));
         } catch (JsonProcessingException e) {
-            TomlLines lines = new TomlLines(text);
-            if (lines.repeated() != null) {
-                throw new ConfigException(List.of(new ConfigProblem(
-                        file,
-                        lines.repeatedLine(),
-                        lines.repeated(),
-                        null,
-                        "is there twice; each key must be there once")));
-            }
-            throw whole(
-                    file,
-                    e.getLocation() == null ? 0 : e.getLocation().getLineNr(),
-                    "it is not TOML: "
-                            + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new ConfigException(syntaxProblem(file, lines, e));
         }
     }
 
-    /** Reads a text that stands in no file, by a name that stands for it; the environment has no say. */
-    static TomlDocument of(String text, String name) {
-        return read(Path.of(name), text, Map.of());
+    private static ConfigProblem syntaxProblem(Path file, TomlLines lines, JsonProcessingException e) {
+        if (lines.repeatedKey() != null) {
+            return new ConfigProblem(
+                    file,
+                    lines.repeatedKeyLine(),
+                    lines.repeatedKey(),
+                    null,
+                    "is there twice; each key must be there once");
+        }
+        JsonLocation location = e.getLocation();
+        String reason = e.getOriginalMessage().lines().findFirst().orElse("");
+        return ConfigProblem.ofFile(file, location == null ? 0 : location.getLineNr(), "it is not TOML: " + reason);
     }
 
-    private static String text(Path file) throws IOException {
+    private static String readText(Path file) throws IOException {
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw whole(file, 0, "it is larger than 4MiB");
+            if (Files.size(file) > MAX_BYTES) {
+                throw new ConfigException(ConfigProblem.ofFile(file, 0, "it is larger than 4MiB"));
             }
             return Files.readString(file);
         } catch (NoSuchFileException e) {
-            throw whole(file, 0, "there is no such file");
+            throw new ConfigException(ConfigProblem.ofFile(file, 0, "there is no such file"));
         } catch (CharacterCodingException e) {
-            throw whole(file, 0, "it is not UTF-8");
+            throw new ConfigException(ConfigProblem.ofFile(file, 0, "it is not UTF-8"));
         }
     }
 
-    private static ConfigException whole(Path file, int line, String why) {
-        return new ConfigException(List.of(new ConfigProblem(file, line, "", null, why)));
-    }
-
-    /** What stands above all tables; names that are neither its keys nor one of the tables are reported. */
-    public TableReader top(ConfigTable keys, List<ConfigTable> tables) {
-        TableReader top = new TableReader(keys, 0, root, environment, findings);
-        top.checkNames(tables.stream()
+    /** Returns the keys above all tables; reports names that are neither such a key nor one of the tables. */
+    public TableReader root(ConfigTable keys, List<ConfigTable> tables) {
+        TableReader reader = new TableReader(keys, 0, root, environment, findings);
+        reader.checkNames(tables.stream()
+                .filter(table -> !table.isRoot())
                 .map(ConfigTable::name)
-                .filter(name -> !name.isEmpty())
                 .toList());
-        return top;
+        return reader;
     }
 
-    /** Whether the file has a table of this name. */
+    /** Returns whether the file has a table of this name. */
     public boolean has(ConfigTable table) {
         return root.has(table.name());
     }
 
-    /** The table of this name, empty where the file has none; unknown keys of it are reported. */
-    public TableReader one(ConfigTable table) {
+    /** Returns a single table, empty where the file has none; reports unknown keys. */
+    public TableReader table(ConfigTable table) {
         JsonNode fields = root.get(table.name());
         if (fields != null && !fields.isObject()) {
-            findings.wrong(table.name(), fields.toString(), "must be a table: [" + table.name() + "]");
+            addProblem(table.name(), fields.toString(), "must be a table: " + table.header());
             fields = null;
         }
-        TableReader section = new TableReader(
-                table, 0, fields == null ? JsonNodeFactory.instance.objectNode() : fields, environment, findings);
-        section.checkNames(List.of());
-        return section;
+        return reader(table, 0, fields == null ? JsonNodeFactory.instance.objectNode() : fields);
     }
 
-    /** All tables of this name, in the order of the file. */
-    public List<TableReader> all(ConfigTable table) {
+    /** Returns all repeated tables of this name, in the order of the file; reports unknown keys. */
+    public List<TableReader> tables(ConfigTable table) {
         JsonNode elements = root.get(table.name());
-        List<TableReader> sections = new ArrayList<>();
         if (elements == null) {
-            return sections;
+            return List.of();
         }
-        boolean tables = elements.isArray();
-        for (JsonNode element : elements) {
-            tables &= element.isObject();
+        boolean allTables = isArrayOfTables(elements);
+        if (!allTables || elements.size() > table.maxCount()) {
+            String found = allTables ? elements.size() + " tables" : elements.toString();
+            String allowed = "must be 1 to " + table.maxCount() + " tables: " + table.header();
+            addProblem(table.name(), found, allowed);
+            return List.of();
         }
-        if (!tables || elements.size() > table.most()) {
-            findings.wrong(
-                    table.name(),
-                    tables ? elements.size() + " tables" : elements.toString(),
-                    "must be 1 to " + table.most() + " tables: [[" + table.name() + "]]");
-            return sections;
+        List<TableReader> readers = new ArrayList<>();
+        for (JsonNode element : elements) {
+            readers.add(reader(table, readers.size(), element));
         }
+        return readers;
+    }
+
+    private static boolean isArrayOfTables(JsonNode elements) {
+        boolean allTables = elements.isArray();
         for (JsonNode element : elements) {
-            TableReader section = new TableReader(table, sections.size(), element, environment, findings);
-            section.checkNames(List.of());
-            sections.add(section);
+            allTables &= element.isObject();
         }
-        return sections;
+        return allTables;
+    }
+
+    private TableReader reader(ConfigTable table, int index, JsonNode fields) {
+        TableReader reader = new TableReader(table, index, fields, environment, findings);
+        reader.checkNames(List.of());
+        return reader;
     }
 
-    /** Says that something is wrong, or missing where the value is null. */
-    public void wrong(String path, String value, String allowed) {
-        findings.wrong(path, value, allowed);
+    /** Reports a problem; {@code value} is null if it is missing. */
+    public void addProblem(String path, String value, String message) {
+        findings.addProblem(path, value, message);
     }
 
-    /** Whether anything is wrong so far. */
-    public boolean isWrong() {
+    /** Returns whether any problem has been reported so far. */
+    public boolean hasProblems() {
         return !findings.problems.isEmpty();
     }
 
-    /** Ends the reading: a {@link ConfigException} names all that is wrong, in the order of the file. */
-    public void check() {
-        if (isWrong()) {
+    /**
+     * Ends the reading.
+     *
+     * @throws ConfigException if problems have been reported; names all, in the order of the file
+     */
+    public void throwIfInvalid() {
+        if (hasProblems()) {
             findings.problems.sort(Comparator.comparingInt(ConfigProblem::line));
             throw new ConfigException(findings.problems);
         }
     }
 
-    /** The values in force, in the order in which they were asked for. */
+    /** Returns the values in force, in the order in which they were read. */
     List<LoadedConfiguration.Value> values() {
         return findings.values;
     }
 
-    /** A value as it would be written in a file. */
-    static JsonNode value(String text) {
+    /** Parses one value as it would be written in a file. */
+    static JsonNode parseValue(String text) {
         try {
             return TOML.readTree("v = " + text).get("v");
         } catch (JsonProcessingException e) {
@@ -168,7 +180,7 @@
         }
     }
 
-    /** What was found in a file, in its order. */
+    /** The values and problems of a file. */
     private static final class Findings implements TableReader.Report {
         private final Path file;
         private final TomlLines lines;
@@ -181,21 +193,18 @@
         }
 
         @Override
-        public void wrong(String path, String value, String allowed) {
-            problems.add(new ConfigProblem(file, lines.of(path), path, value, allowed));
+        public void addProblem(String path, String value, String message) {
+            problems.add(new ConfigProblem(file, lines.lineOf(path), path, value, message));
         }
 
         @Override
-        public void inForce(String path, String text, TableReader.Origin origin, boolean live) {
-            values.add(new LoadedConfiguration.Value(
-                    path,
-                    text,
-                    switch (origin) {
-                        case DEFAULT -> "default";
-                        case ENVIRONMENT -> "environment";
-                        case FILE -> file + ":" + lines.of(path);
-                    },
-                    live));
+        public void addValue(String path, String text, TableReader.Origin origin, boolean reloadable) {
+            String originText = switch (origin) {
+                case DEFAULT -> "default";
+                case ENVIRONMENT -> "environment";
+                case FILE -> file + ":" + lines.lineOf(path);
+            };
+            values.add(new LoadedConfiguration.Value(path, text, originText, reloadable));
         }
     }
 }
--- a/edge/src/main/java/lemonrail/config/ValueType.java
+++ b/edge/src/main/java/lemonrail/config/ValueType.java
@@ -1,6 +1,8 @@
 package lemonrail.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.DoubleNode;
+import com.fasterxml.jackson.databind.node.IntNode;
 import com.fasterxml.jackson.databind.node.TextNode;
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
@@ -12,6 +14,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Function;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -19,214 +22,222 @@
 import lemonrail.logging.Severity;
 
 /**
- * A kind of value: how it is read and what is allowed.
+ * The type of a configuration value: how it is parsed and what is allowed.
  *
- * @param name in JSON Schema's words: string, integer, number, boolean, array or object
- * @param allowed what is allowed, to end the sentence "it must be"
- * @param read gives the value, or null for what is not allowed
- * @param <T> what it is read as
+ * @param name as in JSON Schema: string, integer, number, boolean, array or object
+ * @param allowed what is allowed, to complete the sentence "it must be"
+ * @param parser returns the value, or empty for what is not allowed
+ * @param <T> the type of the parsed value
  */
-public record ValueType<T>(String name, String allowed, Function<JsonNode, T> read) {
+public record ValueType<T>(String name, String allowed, Function<JsonNode, Optional<T>> parser) {
 
+    private static final String STRING = "string";
+    private static final String ARRAY = "array";
+    private static final int MAX_PORT = 65_535;
+    private static final Pattern PORT = Pattern.compile("\\d{1,5}");
+    private static final Pattern BOOLEAN = Pattern.compile("true|false");
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(ms|s|m|h)");
-    private static final Map<String, Double> MS = Map.of("ms", 1.0, "s", 1000.0, "m", 60_000.0, "h", 3_600_000.0);
+    private static final double MS_PER_SECOND = 1000;
+    private static final double MS_PER_HOUR = 3_600_000;
+    private static final Map<String, Double> MS_BY_UNIT =
+            Map.of("ms", 1.0, "s", MS_PER_SECOND, "m", 60_000.0, "h", MS_PER_HOUR);
     private static final Pattern SIZE = Pattern.compile("(\\d{1,9})(B|KiB|MiB|GiB)");
-    private static final Map<String, Long> BYTES = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
+    private static final int MIB_SHIFT = 20;
+    private static final int GIB_SHIFT = 30;
+    private static final Map<String, Long> BYTES_BY_UNIT =
+            Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << MIB_SHIFT, "GiB", 1L << GIB_SHIFT);
 
-    /** Text of this pattern. */
+    /** Parses a value; empty for one that is not allowed. */
+    public Optional<T> parse(JsonNode node) {
+        return parser.apply(node);
+    }
+
+    /** Returns the type of strings that match a pattern as a whole. */
     public static ValueType<String> text(String pattern, String allowed) {
         Pattern whole = Pattern.compile(pattern);
         return new ValueType<>(
-                "string",
+                STRING,
                 allowed,
-                node -> node.isTextual() && whole.matcher(node.textValue()).matches() ? node.textValue() : null);
+                node -> string(node).filter(text -> whole.matcher(text).matches()));
     }
 
-    /** A short name. */
+    /** Returns the type of short names. */
     public static ValueType<String> word() {
         return text("[A-Za-z0-9._-]{1,64}", "1 to 64 letters, digits, '.', '_' or '-'");
     }
 
-    /** True or false. */
+    /** Returns the type of booleans. */
     public static ValueType<Boolean> flag() {
-        return new ValueType<>(
-                "boolean",
-                "true or false",
-                node -> node.isBoolean()
-                        ? (Boolean) node.booleanValue()
-                        : (node.isTextual() && node.textValue().matches("true|false"))
-                                ? Boolean.valueOf(node.textValue())
-                                : null);
-    }
-
-    /** A whole number. */
-    public static ValueType<Integer> whole(int least, int most) {
-        return new ValueType<>("integer", "a whole number from " + least + " to " + most, node -> {
-            JsonNode number = number(node);
-            return number != null
-                            && number.isIntegralNumber()
-                            && number.canConvertToInt()
-                            && number.intValue() >= least
-                            && number.intValue() <= most
-                    ? number.intValue()
-                    : null;
+        return new ValueType<>("boolean", "true or false", node -> {
+            if (node.isBoolean()) {
+                return Optional.of(node.booleanValue());
+            }
+            return string(node).filter(text -> BOOLEAN.matcher(text).matches()).map(Boolean::valueOf);
         });
     }
 
-    /** A number. */
-    public static ValueType<Double> number(double least, double most) {
-        return new ValueType<>("number", "a number from " + plain(least) + " to " + plain(most), node -> {
-            JsonNode number = number(node);
-            return number != null && number.doubleValue() >= least && number.doubleValue() <= most
-                    ? number.doubleValue()
-                    : null;
-        });
+    /** Returns the type of whole numbers from {@code min} to {@code max}. */
+    public static ValueType<Integer> whole(int min, int max) {
+        return new ValueType<>(
+                "integer",
+                "a whole number from " + min + " to " + max,
+                node -> numeric(node)
+                        .filter(number -> number.isIntegralNumber() && number.canConvertToInt())
+                        .map(JsonNode::intValue)
+                        .filter(value -> value >= min && value <= max));
     }
 
-    /** A number as such, or as the text that an environment variable is. */
-    private static JsonNode number(JsonNode node) {
-        if (node instanceof Variable variable) {
-            try {
-                return variable.textValue().contains(".")
-                        ? com.fasterxml.jackson.databind.node.DoubleNode.valueOf(
-                                Double.parseDouble(variable.textValue()))
-                        : com.fasterxml.jackson.databind.node.IntNode.valueOf(Integer.parseInt(variable.textValue()));
-            } catch (NumberFormatException e) {
-                return null;
-            }
-        }
-        return node.isNumber() ? node : null;
+    /** Returns the type of numbers from {@code min} to {@code max}. */
+    public static ValueType<Double> number(double min, double max) {
+        return new ValueType<>(
+                "number",
+                "a number from " + plain(min) + " to " + plain(max),
+                node -> numeric(node).map(JsonNode::doubleValue).filter(value -> value >= min && value <= max));
     }
 
-    /** Milliseconds. */
-    public static ValueType<Double> duration(double leastMs, double mostMs) {
+    /** Returns the type of durations, parsed to milliseconds. */
+    public static ValueType<Double> duration(double minMs, double maxMs) {
+        String allowed =
+                "a time with its unit (ms, s, m or h), as in \"2.5s\", from " + time(minMs) + " to " + time(maxMs);
         return new ValueType<>(
-                "string",
-                "a time with its unit (ms, s, m or h), as in \"2.5s\", from " + time(leastMs) + " to " + time(mostMs),
-                node -> {
-                    Matcher parts = DURATION.matcher(node.isTextual() ? node.textValue() : "");
-                    if (!parts.matches()) {
-                        return null;
-                    }
-                    double ms = Double.parseDouble(parts.group(1)) * MS.get(parts.group(2));
-                    return ms >= leastMs && ms <= mostMs ? ms : null;
-                });
-    }
-
-    /** Bytes. */
-    static ValueType<Long> size(long least, long most) {
+                STRING,
+                allowed,
+                node -> string(node)
+                        .map(DURATION::matcher)
+                        .filter(Matcher::matches)
+                        .map(parts -> Double.parseDouble(parts.group(1)) * MS_BY_UNIT.get(parts.group(2)))
+                        .filter(ms -> ms >= minMs && ms <= maxMs));
+    }
+
+    /** Returns the type of sizes, parsed to bytes. */
+    static ValueType<Long> size(long minBytes, long maxBytes) {
+        String allowed = "a size with its unit (B, KiB, MiB or GiB), as in \"64KiB\", from " + (minBytes >> MIB_SHIFT)
+                + "MiB to " + (maxBytes >> GIB_SHIFT) + "GiB";
         return new ValueType<>(
-                "string",
-                "a size with its unit (B, KiB, MiB or GiB), as in \"64KiB\", from " + (least >> 20) + "MiB to "
-                        + (most >> 30) + "GiB",
-                node -> {
-                    Matcher parts = SIZE.matcher(node.isTextual() ? node.textValue() : "");
-                    if (!parts.matches()) {
-                        return null;
-                    }
-                    long bytes = Long.parseLong(parts.group(1)) * BYTES.get(parts.group(2));
-                    return bytes >= least && bytes <= most ? bytes : null;
-                });
-    }
-
-    /** An address of IP and port. */
-    static ValueType<InetSocketAddress> address(int leastPort) {
+                STRING,
+                allowed,
+                node -> string(node)
+                        .map(SIZE::matcher)
+                        .filter(Matcher::matches)
+                        .map(parts -> Long.parseLong(parts.group(1)) * BYTES_BY_UNIT.get(parts.group(2)))
+                        .filter(bytes -> bytes >= minBytes && bytes <= maxBytes));
+    }
+
+    /** Returns the type of addresses of IP and port. */
+    static ValueType<InetSocketAddress> address(int minPort) {
+        String allowed = "an IP address and a port from " + minPort + " to " + MAX_PORT + ", as in \"127.0.0.1:9000\"";
+        return new ValueType<>(STRING, allowed, node -> string(node).flatMap(text -> parseAddress(text, minPort)));
+    }
+
+    private static Optional<InetSocketAddress> parseAddress(String text, int minPort) {
+        int colon = text.lastIndexOf(':');
+        byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+        String digits = text.substring(colon + 1);
+        if (ip == null || !PORT.matcher(digits).matches()) {
+            return Optional.empty();
+        }
+        int port = Integer.parseInt(digits);
+        if (port < minPort || port > MAX_PORT) {
+            return Optional.empty();
+        }
+        try {
+            return Optional.of(new InetSocketAddress(InetAddress.getByAddress(ip), port));
+        } catch (UnknownHostException e) {
+            return Optional.empty();
+        }
+    }
+
+    /** Returns the type of lists of 1 to {@code max} different addresses. */
+    static ValueType<List<InetSocketAddress>> addresses(int max) {
         return new ValueType<>(
-                "string",
-                "an IP address and a port from " + leastPort + " to 65535, as in \"127.0.0.1:9000\"",
-                node -> {
-                    String text = node.isTextual() ? node.textValue() : "";
-                    int colon = text.lastIndexOf(':');
-                    byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
-                    if (ip == null || !text.substring(colon + 1).matches("\\d{1,5}")) {
-                        return null;
-                    }
-                    int port = Integer.parseInt(text.substring(colon + 1));
-                    try {
-                        return port < leastPort || port > 65_535
-                                ? null
-                                : new InetSocketAddress(InetAddress.getByAddress(ip), port);
-                    } catch (UnknownHostException e) {
-                        return null;
-                    }
-                });
-    }
-
-    /** A list of different addresses. */
-    static ValueType<List<InetSocketAddress>> addresses(int most) {
-        ValueType<InetSocketAddress> one = address(1);
+                ARRAY,
+                "a list of 1 to " + max + " different addresses, as in [\"127.0.0.1:9000\"]",
+                node -> distinct(node, address(1), max));
+    }
+
+    /** Returns the type of lists of 1 to {@code max} different short names. */
+    static ValueType<List<String>> words(int max) {
         return new ValueType<>(
-                "array", "a list of 1 to " + most + " different addresses, as in [\"127.0.0.1:9000\"]", node -> {
-                    List<InetSocketAddress> all = new ArrayList<>();
-                    for (JsonNode element : node) {
-                        InetSocketAddress read = one.read().apply(element);
-                        if (read == null || all.contains(read)) {
-                            return null;
-                        }
-                        all.add(read);
-                    }
-                    return !node.isArray() || all.isEmpty() || all.size() > most ? null : all;
-                });
-    }
-
-    /** One of these words, in the order of the constants. */
-    public static <E extends Enum<E>> ValueType<E> choice(Class<E> type, String... words) {
-        List<String> all = Arrays.asList(words);
-        E[] values = type.getEnumConstants();
-        return new ValueType<>("string", "one of \"" + String.join("\", \"", all) + "\"", node -> {
-            int place = node.isTextual() ? all.indexOf(node.textValue()) : -1;
-            return place < 0 ? null : values[place];
-        });
+                ARRAY,
+                "a list of 1 to " + max + " different words, as in [\"a\", \"b\"]",
+                node -> distinct(node, word(), max));
     }
 
-    /** A list of short names. */
-    static ValueType<List<String>> words(int most) {
-        return new ValueType<>("array", "a list of 1 to " + most + " different words, as in [\"a\", \"b\"]", node -> {
-            List<String> words = new ArrayList<>();
-            for (JsonNode element : node) {
-                String read = word().read().apply(element);
-                if (read == null || words.contains(read)) {
-                    return null;
-                }
-                words.add(read);
+    private static <E> Optional<List<E>> distinct(JsonNode node, ValueType<E> elementType, int max) {
+        if (!node.isArray() || node.isEmpty() || node.size() > max) {
+            return Optional.empty();
+        }
+        List<E> elements = new ArrayList<>();
+        for (JsonNode child : node) {
+            Optional<E> element = elementType.parse(child);
+            if (element.isEmpty() || elements.contains(element.get())) {
+                return Optional.empty();
             }
-            return !node.isArray() || words.isEmpty() || words.size() > most ? null : words;
-        });
+            elements.add(element.get());
+        }
+        return Optional.of(elements);
     }
 
-    static ValueType<Map<String, Severity>> levels() {
+    /** Returns the type of the constants of an enum, written as these words in the order of the constants. */
+    public static <E extends Enum<E>> ValueType<E> choice(Class<E> type, String... words) {
+        List<String> all = Arrays.asList(words);
+        E[] constants = type.getEnumConstants();
         return new ValueType<>(
-                "object",
-                "loggers and their levels, as in {\"lemonrail.http1\" = \"debug\"}; " + "a level is one of "
-                        + levelNames(),
-                node -> {
-                    Map<String, Severity> levels = new LinkedHashMap<>();
-                    for (Map.Entry<String, JsonNode> entry : node.properties()) {
-                        Severity level = level(entry.getValue().asText());
-                        if (level == null || !isLogger(entry.getKey())) {
-                            return null;
-                        }
-                        levels.put(entry.getKey(), level);
-                    }
-                    return node.isObject() ? levels : null;
-                });
+                STRING,
+                "one of \"" + String.join("\", \"", all) + "\"",
+                node -> string(node).filter(all::contains).map(word -> constants[all.indexOf(word)]));
     }
 
-    private static boolean isLogger(String name) {
-        return name.equals(EventLog.ROOT) || name.startsWith(EventLog.ROOT + ".");
+    /** Returns the type of tables of loggers and their levels. */
+    static ValueType<Map<String, Severity>> levels() {
+        String allowed = "loggers and their levels, as in {\"lemonrail.http1\" = \"debug\"}; a level is one of "
+                + Arrays.toString(Severity.values()).toLowerCase(Locale.ROOT);
+        return new ValueType<>("object", allowed, ValueType::parseLevels);
     }
 
-    private static Severity level(String text) {
-        for (Severity severity : Severity.values()) {
-            if (severity.name().toLowerCase(Locale.ROOT).equals(text)) {
-                return severity;
+    private static Optional<Map<String, Severity>> parseLevels(JsonNode node) {
+        if (!node.isObject()) {
+            return Optional.empty();
+        }
+        Map<String, Severity> levels = new LinkedHashMap<>();
+        for (Map.Entry<String, JsonNode> entry : node.properties()) {
+            Optional<Severity> level = parseLevel(entry.getValue().asText());
+            if (level.isEmpty() || !isLogger(entry.getKey())) {
+                return Optional.empty();
             }
+            levels.put(entry.getKey(), level.get());
         }
-        return null;
+        return Optional.of(levels);
+    }
+
+    private static boolean isLogger(String name) {
+        return name.equals(EventLog.ROOT) || name.startsWith(EventLog.ROOT + ".");
+    }
+
+    private static Optional<Severity> parseLevel(String text) {
+        return Arrays.stream(Severity.values())
+                .filter(severity -> severity.name().toLowerCase(Locale.ROOT).equals(text))
+                .findFirst();
+    }
+
+    private static Optional<String> string(JsonNode node) {
+        return node.isTextual() ? Optional.of(node.textValue()) : Optional.empty();
     }
 
-    private static String levelNames() {
-        return Arrays.toString(Severity.values()).toLowerCase(Locale.ROOT);
+    /** Returns a number as such; the text of an environment variable is parsed. */
+    private static Optional<JsonNode> numeric(JsonNode node) {
+        if (!(node instanceof Variable variable)) {
+            return node.isNumber() ? Optional.of(node) : Optional.empty();
+        }
+        String text = variable.textValue();
+        try {
+            return Optional.of(
+                    text.contains(".")
+                            ? DoubleNode.valueOf(Double.parseDouble(text))
+                            : IntNode.valueOf(Integer.parseInt(text)));
+        } catch (NumberFormatException e) {
+            return Optional.empty();
+        }
     }
 
     private static String plain(double number) {
@@ -234,10 +245,13 @@
     }
 
     private static String time(double ms) {
-        return ms >= 3_600_000 ? plain(ms / 3_600_000) + "h" : ms >= 1000 ? plain(ms / 1000) + "s" : plain(ms) + "ms";
+        if (ms >= MS_PER_HOUR) {
+            return plain(ms / MS_PER_HOUR) + "h";
+        }
+        return ms >= MS_PER_SECOND ? plain(ms / MS_PER_SECOND) + "s" : plain(ms) + "ms";
     }
 
-    /** The text of an environment variable, in which numbers are text as well. */
+    /** The text of an environment variable, which may stand for a number as well. */
     static final class Variable extends TextNode {
         private static final long serialVersionUID = 1;
 
--- a/edge/src/main/java/lemonrail/control/ControlAdminApi.java
+++ b/edge/src/main/java/lemonrail/control/ControlAdminApi.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public AdminResponse answer(HttpMethod method, String uri, byte[] body) {
+    public AdminResponse handle(HttpMethod method, String uri, byte[] body) {
         QueryStringDecoder call = new QueryStringDecoder(uri);
         try {
             return route(method, call.path(), asOf(call), body);
--- a/edge/src/main/java/lemonrail/control/ControlNode.java
+++ b/edge/src/main/java/lemonrail/control/ControlNode.java
@@ -75,11 +75,11 @@
         knownAt = nowMs;
         state = new ReplicatedStore(config.name(), Bounds.USUAL, nowMs);
         boot = config.name() + "-" + Long.toString(nowMs, Character.MAX_RADIX);
-        file = config.kept() == null ? null : new SnapshotFile(config.kept());
+        file = config.snapshotFile() == null ? null : new SnapshotFile(config.snapshotFile());
         server = new WatchServer(
-                loop, clock, log, state, inForce, new Told(), boot, config.mostWatchers(), config.answerGapMs());
+                loop, clock, log, state, inForce, new Told(), boot, config.maxWatchers(), config.responseIntervalMs());
         adminServer = new AdminServer(
-                loop, Sockets.BUFFERS, new ControlAdminApi(this), ControlAdminApi.MOST_BODY_BYTES, log::bug);
+                loop, Sockets.BUFFERS, new ControlAdminApi(this), ControlAdminApi.MOST_BODY_BYTES, log::error);
     }
 
     /** A node by this configuration, which listens from {@link #open} on. */
@@ -242,7 +242,7 @@
     private void heard(PeerReplicator from, Map<?, ?> answer) {
         List<VersionedEntry> items = EntryCodec.items(
                 answer,
-                why -> log.trouble(
+                why -> log.warnRateLimited(
                         "item_unreadable", "an item of node " + from.peer().name() + " is left out", why));
         ReplicatedStore.Batch batch = state.takeAll(
                 nowMs(), items, EntryCodec.heard(answer), from.peer().name());
@@ -257,7 +257,7 @@
                             + from.peer().name());
         }
         if (batch.refused() > 0) {
-            log.trouble(
+            log.warnRateLimited(
                     "items_refused",
                     "items of node " + from.peer().name() + " were refused",
                     batch.refused(),
@@ -278,9 +278,9 @@
                 keptAt = nowMs();
             }
         } catch (IOException e) {
-            log.trouble("not_kept", "what is known is not kept", e.getMessage());
+            log.warnRateLimited("not_kept", "what is known is not kept", e.getMessage());
         } catch (RuntimeException e) {
-            log.bug("keeping failed", e);
+            log.error("keeping failed", e);
         }
     }
 
--- a/edge/src/main/java/lemonrail/control/PeerReplicator.java
+++ b/edge/src/main/java/lemonrail/control/PeerReplicator.java
@@ -110,7 +110,7 @@
 
     private void fail(Object why) {
         link.end();
-        log.trouble("peer_failed", "node " + peer.name() + " is not heard", why, "node", peer.name());
+        log.warnRateLimited("peer_failed", "node " + peer.name() + " is not heard", why, "node", peer.name());
         retry = loop.schedule(
                 () -> {
                     retry = null;
@@ -129,7 +129,7 @@
             take(EntryCodec.object(body));
         } catch (RuntimeException e) {
             if (!(e instanceof IllegalArgumentException)) {
-                log.bug("an answer of node " + peer.name(), e);
+                log.error("an answer of node " + peer.name(), e);
             }
             // What was skipped must come again: the next call asks for everything.
             version = -1;
--- a/edge/src/main/java/lemonrail/control/WatchConnection.java
+++ b/edge/src/main/java/lemonrail/control/WatchConnection.java
@@ -323,7 +323,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            shared.log().bug("a watcher's connection", cause);
+            shared.log().error("a watcher's connection", cause);
         }
         ctx.close();
     }
--- a/edge/src/main/java/lemonrail/control/WatchServer.java
+++ b/edge/src/main/java/lemonrail/control/WatchServer.java
@@ -145,7 +145,9 @@
     /** Closes a connection that holds things up. */
     void closeSlow(WatchConnection connection, String why) {
         slowClosed++;
-        shared.log().trouble("watcher_closed", "a watcher's connection was closed", why, "watcher", connection.name());
+        shared.log()
+                .warnRateLimited(
+                        "watcher_closed", "a watcher's connection was closed", why, "watcher", connection.name());
         connection.reset();
     }
 
@@ -154,7 +156,7 @@
     void opened(WatchConnection connection) {
         connections.add(connection);
         if (connections.size() > shared.mostWatchers() + SPARE_CONNECTIONS) {
-            shared.log().trouble("watchers_full", "a connection was turned away", "there are too many");
+            shared.log().warnRateLimited("watchers_full", "a connection was turned away", "there are too many");
             connection.close();
         }
     }
--- a/edge/src/main/java/lemonrail/discovery/ControlClient.java
+++ b/edge/src/main/java/lemonrail/discovery/ControlClient.java
@@ -186,7 +186,7 @@
 
     private void fail(Object reason) {
         link.end();
-        log.trouble("discovery_failed", "discovery failed", reason, "address", route.current());
+        log.warnRateLimited("discovery_failed", "discovery failed", reason, "address", route.current());
         double pauseMs = route.failed(clock.now());
         retry = loop.schedule(
                 () -> {
@@ -215,7 +215,7 @@
             return;
         } catch (RuntimeException e) {
             // Whatever it is, the watch must go on.
-            log.bug("an answer of a control node", e);
+            log.error("an answer of a control node", e);
             fail(e);
             return;
         }
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -195,7 +195,7 @@
     private void fail(Object why) {
         dropConnection();
         if (callEnded()) {
-            log.trouble("discovery_failed", "discovery failed", why, "address", address);
+            log.warnRateLimited("discovery_failed", "discovery failed", why, "address", address);
             retry = loop.schedule(this::watch, (long) (pace.failed() * 1e6), TimeUnit.NANOSECONDS);
         }
     }
--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -204,7 +204,7 @@
 
     private void overdue(PendingRequest<M, A> open) {
         if (!open.concluded) {
-            log.trouble(
+            log.warnRateLimited(
                     "no_decision", "no decision by the deadline", open.request.id(), "request_id", open.request.id());
             abandon(open);
         }
@@ -296,7 +296,7 @@
         try {
             event.tell(clock.now());
         } catch (RuntimeException e) {
-            log.bug("the decision module failed", e);
+            log.error("the decision module failed", e);
             if (open != null) {
                 open.moduleFailed = true;
             }
@@ -317,7 +317,7 @@
     public void startAttempt(String id, String server, double timeoutMs) {
         PendingRequest<M, A> open = table.get(id);
         if (open == null) {
-            log.trouble("attempt_unknown", "an attempt for a request that is not open", id, "request_id", id);
+            log.warnRateLimited("attempt_unknown", "an attempt for a request that is not open", id, "request_id", id);
             return;
         }
         double now = clock.now();
@@ -342,7 +342,7 @@
                 made.attempt = endpoints.send(server, open.message, wait, new AttemptEnding(open, made, wait));
             } catch (RuntimeException e) {
                 // How far it came is not known, so it may have run; the module must hear of its end.
-                log.bug("sending failed", e);
+                log.error("sending failed", e);
                 end(open, made, AttemptOutcome.RESET);
             }
         }
@@ -467,7 +467,7 @@
         }
         double took = made.firstBytesMs >= 0 ? made.firstBytesMs : clock.now() - made.sentAt;
         double connect = made.connectMs >= 0 ? Math.min(made.connectMs, took) : took;
-        if (log.tellsAll()) {
+        if (log.isDebugEnabled()) {
             tell(
                     "attempt_ended",
                     open,
@@ -519,7 +519,7 @@
 
     private void conclude(PendingRequest<M, A> open, String how) {
         open.concluded = true;
-        if (log.tellsAll()) {
+        if (log.isDebugEnabled()) {
             tell(
                     "request_concluded",
                     open,
@@ -545,10 +545,10 @@
 
     /** Tells operators where the time went of a request that is answered too late. */
     private void reportLateAnswer(PendingRequest<M, A> open, String how) {
-        metrics.answeredLate();
+        metrics.onLateResponse();
         double lateMs = clock.now() - open.deadline;
         PendingAttempt last = open.attempts.isEmpty() ? null : open.attempts.get(open.attempts.size() - 1);
-        log.trouble(
+        log.warnRateLimited(
                 "late_answer",
                 "an answer came after its client's time",
                 open.request.id(),
--- a/edge/src/main/java/lemonrail/http1/HttpServer.java
+++ b/edge/src/main/java/lemonrail/http1/HttpServer.java
@@ -170,7 +170,7 @@
     private void updateAccepting() {
         boolean room = connections.excess() < OVERFLOW;
         if (!room) {
-            log.trouble(
+            log.warnRateLimited(
                     "accept_paused",
                     "no more connections are taken in",
                     connections.size() + " are open",
@@ -240,7 +240,7 @@
 
     /** A client has sent what is no request, or not in time. */
     void refused(RequestReader.Refusal refusal) {
-        log.trouble(
+        log.warnRateLimited(
                 "client_refused",
                 "a client is refused",
                 refusal.status().code() + " " + refusal.why(),
@@ -251,7 +251,7 @@
     /** Clients come and go; only what is not the network's doing is worth a line. */
     void troubled(Throwable cause) {
         if (!(cause instanceof IOException)) {
-            log.bug("connection of a client", cause);
+            log.error("connection of a client", cause);
         }
     }
 }
--- a/edge/src/main/java/lemonrail/http1/PendingResponse.java
+++ b/edge/src/main/java/lemonrail/http1/PendingResponse.java
@@ -48,7 +48,7 @@
     void taken() {
         if (requestClass != RequestHeadMapper.NO_CLASS && !ended && !counted) {
             counted = true;
-            metrics.taken();
+            metrics.onRequestStarted();
         }
     }
 
@@ -59,29 +59,29 @@
 
     /** The answer could not be written to its end. */
     void cut() {
-        end(Metrics.Ending.ERROR);
+        end(Metrics.Outcome.ERROR);
     }
 
-    private void end(Metrics.Ending as) {
+    private void end(Metrics.Outcome as) {
         if (ended) {
             return;
         }
         ended = true;
         if (counted) {
-            metrics.ended();
+            metrics.onRequestEnded();
         }
         if (as != null && requestClass != RequestHeadMapper.NO_CLASS) {
-            metrics.replied(requestClass, as);
+            metrics.onResponse(requestClass, as);
         }
     }
 
-    private static Metrics.Ending ending(HttpResponseStatus status) {
+    private static Metrics.Outcome ending(HttpResponseStatus status) {
         return status.equals(HttpResponseStatus.OK)
-                ? Metrics.Ending.SUCCESS
+                ? Metrics.Outcome.SUCCESS
                 : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                                 || status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
-                        ? Metrics.Ending.OVERLOAD
-                        : Metrics.Ending.ERROR;
+                        ? Metrics.Outcome.OVERLOAD
+                        : Metrics.Outcome.ERROR;
     }
 
     /** The request is in the module's hands under this id. */
--- a/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
@@ -264,7 +264,7 @@
     }
 
     private void refuse(OneAttempt attempt, String id, String why) {
-        log.trouble("no_connection", "no connection", why, "endpoint", id);
+        log.warnRateLimited("no_connection", "no connection", why, "endpoint", id);
         attempt.end(AttemptOutcome.CONNECT_ERROR, null);
     }
 
@@ -391,7 +391,7 @@
                 channel.close();
                 return;
             }
-            metrics.dispatched();
+            metrics.onDispatch();
             reader.expect();
             if (sent.ending != null) {
                 sent.ending.written();
@@ -496,7 +496,7 @@
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                 // A reset is an everyday end of an attempt and told as such; the rest operators should see.
                 if (!(cause instanceof java.io.IOException)) {
-                    log.bug("connection to an endpoint", cause);
+                    log.error("connection to an endpoint", cause);
                 }
                 close();
             }
--- a/edge/src/main/java/lemonrail/logging/BoundedSink.java
+++ b/edge/src/main/java/lemonrail/logging/BoundedSink.java
@@ -8,48 +8,48 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Keeps a slow reader of the log from holding up the event loop: events wait in a bounded queue for a thread
- * that writes them. Where the queue is full they are dropped and counted, and once there is room again a line
- * says how many are missing.
+ * Writes events to another sink from a thread of its own, so that a slow reader does not block the event loop. Events
+ * wait in a bounded queue; those beyond it are dropped and counted, and the next line written tells how many.
  */
 public final class BoundedSink implements LogSink {
 
-    /** Events that may wait where nothing else is said. */
-    public static final int USUAL_WAITING = 1024;
-    /** How long a close waits for room in the queue, and then for what is still in it. */
-    private static final long CLOSE_MS = 250;
+    /** The default number of events that may wait. */
+    public static final int DEFAULT_CAPACITY = 1024;
+    /** The limit on the wait of a close for room in the queue, and again for the events in it. */
+    private static final long CLOSE_TIMEOUT_MS = 250;
 
     private static final LogEvent END = new LogEvent(0, Severity.INFO, "", "", "", List.of());
 
     private final LogSink target;
-    private final BlockingQueue<LogEvent> waiting;
+    private final BlockingQueue<LogEvent> queue;
     private final AtomicInteger dropped = new AtomicInteger();
     private final Thread writer = new Thread(this::writeAll, "log");
-    private int told;
+    /** The dropped events that have been reported; belongs to the writing thread. */
+    private int reportedDropped;
 
-    /** Writes to {@code target} from a thread of its own; so many events may wait. */
-    public BoundedSink(LogSink target, int mostWaiting) {
+    /** Creates a sink before {@code target} and starts its thread. */
+    public BoundedSink(LogSink target, int capacity) {
         this.target = target;
-        waiting = new ArrayBlockingQueue<>(mostWaiting);
+        queue = new ArrayBlockingQueue<>(capacity);
         writer.setDaemon(true);
         writer.start();
     }
 
     @Override
-    public boolean takes(Severity severity, String logger) {
-        return target.takes(severity, logger);
+    public boolean isEnabled(Severity severity, String logger) {
+        return target.isEnabled(severity, logger);
     }
 
     @Override
     public void write(LogEvent event) {
-        if (!waiting.offer(event)) {
+        if (!queue.offer(event)) {
             dropped.incrementAndGet();
         }
     }
 
     @Override
-    public void level(String logger, Severity severity) {
-        target.level(logger, severity);
+    public void setLevel(String logger, Severity severity) {
+        target.setLevel(logger, severity);
     }
 
     @Override
@@ -62,16 +62,16 @@
         return dropped.get();
     }
 
-    // END is a marker, which no event equals.
+    // END is a marker, compared by identity.
     @SuppressWarnings("ReferenceEquality")
     private void writeAll() {
         try {
             while (true) {
-                LogEvent next = waiting.take();
+                LogEvent next = queue.take();
                 if (next == END) {
                     return;
                 }
-                tellDropped(next);
+                reportDropped(next);
                 target.write(next);
             }
         } catch (InterruptedException e) {
@@ -79,11 +79,11 @@
         }
     }
 
-    private void tellDropped(LogEvent next) {
+    private void reportDropped(LogEvent next) {
         int now = dropped.get();
-        if (now != told) {
-            int missing = now - told;
-            told = now;
+        if (now != reportedDropped) {
+            int missing = now - reportedDropped;
+            reportedDropped = now;
             target.write(new LogEvent(
                     next.atMs(),
                     Severity.WARN,
@@ -97,8 +97,8 @@
     @Override
     public void close() {
         try {
-            if (waiting.offer(END, CLOSE_MS, TimeUnit.MILLISECONDS)) {
-                writer.join(CLOSE_MS);
+            if (queue.offer(END, CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+                writer.join(CLOSE_TIMEOUT_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/edge/src/main/java/lemonrail/logging/EventLog.java
+++ b/edge/src/main/java/lemonrail/logging/EventLog.java
@@ -7,41 +7,49 @@
 import lemonrail.time.Clock;
 
 /**
- * What a part of the program has to tell. What goes wrong by the thousand is damped: an event a second of
- * each kind at most, the next one saying how many there were meanwhile. What is damped belongs to the event
- * loop, all else may be told from any thread.
+ * The log of one part of the program. Events that may come in large numbers are rate limited: one a second of each
+ * kind, and the next one tells how many were suppressed. The rate-limited methods belong to the event loop, all
+ * others may be called from any thread. Fields are alternating names and values.
  */
 public final class EventLog {
 
-    /** The logger above all of them. */
+    /** The logger above all others. */
     public static final String ROOT = "lemonrail";
 
-    private static final double PAUSE_MS = 1000;
-    /** Kinds that are damped apart; they are named in the program, so this is never reached. */
-    private static final int MOST_KINDS = 256;
+    private static final double RATE_LIMIT_INTERVAL_MS = 1000;
+    /** Kinds of events that are limited apart; a bound on memory above the number of kinds in the program. */
+    private static final int MAX_KINDS = 256;
 
-    private static final class Kind {
-        double nextAt = Double.NEGATIVE_INFINITY;
+    /** The state of the rate limit of one kind of event. */
+    private static final class RateLimit {
+        double nextAtMs = Double.NEGATIVE_INFINITY;
         int suppressed;
     }
 
-    /** What the logs of all parts have in common. */
+    /** The state that the logs of all parts have in common. */
     private static final class Shared {
         final Clock clock;
         final LogSink sink;
-        final Map<String, Kind> kinds = new HashMap<>();
+        final Map<String, RateLimit> rateLimits = new HashMap<>();
         int suppressed;
 
         Shared(Clock clock, LogSink sink) {
             this.clock = clock;
             this.sink = sink;
         }
+
+        RateLimit rateLimit(String kind) {
+            if (rateLimits.size() >= MAX_KINDS) {
+                rateLimits.clear();
+            }
+            return rateLimits.computeIfAbsent(kind, key -> new RateLimit());
+        }
     }
 
     private final Shared shared;
     private final String logger;
 
-    /** A log to this sink. */
+    /** Creates the root logger, which writes to this sink. */
     public EventLog(Clock clock, LogSink sink) {
         this(new Shared(clock, sink), ROOT);
     }
@@ -51,84 +59,82 @@
         this.logger = logger;
     }
 
-    /** The same log for a part of the program. */
+    /** Returns the logger of a part of the program. */
     public EventLog in(String part) {
         return new EventLog(shared, ROOT + "." + part);
     }
 
-    /** Events that damping has swallowed so far, in all parts. */
+    /** Returns how many events the rate limits of all loggers have suppressed. */
     public int suppressed() {
         return shared.suppressed;
     }
 
-    /** Whether {@link #debug} leads to anything: what is costly to tell need not be put together else. */
-    public boolean tellsAll() {
-        return shared.sink.takes(Severity.DEBUG, logger);
+    /** Returns whether {@link #debug} writes anything; for callers whose events are costly to create. */
+    public boolean isDebugEnabled() {
+        return shared.sink.isEnabled(Severity.DEBUG, logger);
     }
 
-    /** One request or attempt; fields are names and values in turn. */
+    /** Logs an event of one request or attempt. */
     public void debug(String name, String message, Object... fields) {
         write(Severity.DEBUG, name, message, fields);
     }
 
-    /** What operators did, or what the process is at. */
+    /** Logs an action of an operator, or a phase of the process. */
     public void info(String name, String message, Object... fields) {
         write(Severity.INFO, name, message, fields);
     }
 
-    /** Something rare is amiss. */
+    /** Logs a rare fault outside of the program. */
     public void warn(String name, String message, Object... fields) {
         write(Severity.WARN, name, message, fields);
     }
 
-    /** Something is amiss that may be so again and again; {@code detail} ends the line for people. */
-    public void trouble(String name, String message, Object detail, Object... fields) {
-        damped(Severity.WARN, name, message, detail, fields);
+    /** Logs a fault that may repeat, rate limited; {@code detail} ends the line for people. */
+    public void warnRateLimited(String name, String message, Object detail, Object... fields) {
+        writeRateLimited(Severity.WARN, name, message, detail, fields);
     }
 
-    /** An exception of our own making: the place it came from is what helps. */
-    public void bug(String message, Throwable e) {
-        StackTraceElement[] trace = e.getStackTrace();
-        String at = (trace.length == 0 ? "" : " at " + trace[0]) + (trace.length < 2 ? "" : ", " + trace[1]);
-        damped(
+    /** Logs an unexpected exception with the place that it was thrown at, rate limited. */
+    public void error(String message, Throwable e) {
+        writeRateLimited(
                 Severity.ERROR,
                 "fault",
                 message,
-                e + at,
+                e + place(e.getStackTrace()),
                 "exception",
                 e.getClass().getName());
     }
 
-    private void damped(Severity severity, String name, String message, Object detail, Object... fields) {
-        if (!shared.sink.takes(severity, logger)) {
-            return;
-        }
-        if (shared.kinds.size() >= MOST_KINDS) {
-            shared.kinds.clear();
-        }
-        Kind kind = shared.kinds.computeIfAbsent(name + message, k -> new Kind());
-        double now = shared.clock.now();
-        if (now < kind.nextAt) {
-            kind.suppressed++;
-            shared.suppressed++;
-            return;
+    private static String place(StackTraceElement[] trace) {
+        if (trace.length == 0) {
+            return "";
         }
-        kind.nextAt = now + PAUSE_MS;
-        List<Object> all = new ArrayList<>(List.of(fields));
-        all.addAll(List.of("detail", String.valueOf(detail), "suppressed", kind.suppressed));
-        shared.sink.write(new LogEvent(
-                now,
-                severity,
-                logger,
-                name,
-                message + ": " + detail + (kind.suppressed == 0 ? "" : " (and " + kind.suppressed + " more before)"),
-                all));
-        kind.suppressed = 0;
+        return " at " + trace[0] + (trace.length == 1 ? "" : ", " + trace[1]);
     }
 
     private void write(Severity severity, String name, String message, Object... fields) {
-        if (shared.sink.takes(severity, logger)) {
+        if (shared.sink.isEnabled(severity, logger)) {
             shared.sink.write(new LogEvent(shared.clock.now(), severity, logger, name, message, List.of(fields)));
         }
     }
+
+    private void writeRateLimited(Severity severity, String name, String message, Object detail, Object... fields) {
+        if (!shared.sink.isEnabled(severity, logger)) {
+            return;
+        }
+        RateLimit limit = shared.rateLimit(name + message);
+        double now = shared.clock.now();
+        if (now < limit.nextAtMs) {
+            limit.suppressed++;
+            shared.suppressed++;
+            return;
+        }
+        limit.nextAtMs = now + RATE_LIMIT_INTERVAL_MS;
+        List<Object> allFields = new ArrayList<>(List.of(fields));
+        allFields.addAll(List.of("detail", String.valueOf(detail), "suppressed", limit.suppressed));
+        String suppressed = limit.suppressed == 0 ? "" : " (and " + limit.suppressed + " more before)";
+        String text = message + ": " + detail + suppressed;
+        shared.sink.write(new LogEvent(now, severity, logger, name, text, allFields));
+        limit.suppressed = 0;
+    }
 }
--- a/edge/src/main/java/lemonrail/logging/JsonEncoder.java
+++ b/edge/src/main/java/lemonrail/logging/JsonEncoder.java
@@ -11,8 +11,8 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * One flat JSON object a line: {@code ts}, {@code level}, {@code logger}, the event's fields, {@code
- * message}.
+ * Encodes an event as one flat JSON object a line: {@code ts}, {@code level}, {@code logger}, the event's fields,
+ * {@code message}.
  */
 final class JsonEncoder extends EncoderBase<ILoggingEvent> {
 
--- a/edge/src/main/java/lemonrail/logging/LogEvent.java
+++ b/edge/src/main/java/lemonrail/logging/LogEvent.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * One thing that happened.
+ * One event of the log.
  *
  * @param atMs Unix time in milliseconds
- * @param logger the package of the part that tells
- * @param name the event's name, which stays the same from version to version
- * @param message the same for people, one line
- * @param fields names and values in turn
+ * @param logger the name of the logger: the package of the code that logs
+ * @param name identifies the kind of event, the same from version to version
+ * @param message one line for people
+ * @param fields alternating names and values
  */
 public record LogEvent(
         double atMs, Severity severity, String logger, String name, String message, List<Object> fields) {}
--- a/edge/src/main/java/lemonrail/logging/LogSettings.java
+++ b/edge/src/main/java/lemonrail/logging/LogSettings.java
@@ -3,20 +3,20 @@
 import java.util.Map;
 
 /**
- * How the log is written.
+ * The settings of the log.
  *
- * @param levels by logger, from which severity on events are written
- * @param waiting events that may wait for a slow reader before more are dropped
+ * @param levels the lowest severity that is written, by logger
+ * @param queueCapacity events that may wait for a slow reader before further ones are dropped
  */
-public record LogSettings(Format format, Map<String, Severity> levels, int waiting) {
+public record LogSettings(Format format, Map<String, Severity> levels, int queueCapacity) {
 
-    /** The forms of a line: for people without a library, for people with time and level, and JSON. */
+    /** The formats of a line: the message alone, text with time and level, and JSON. */
     public enum Format {
         PLAIN,
         TEXT,
         JSON
     }
 
-    /** The log of an edge that is told nothing of it. */
-    public static final LogSettings USUAL = new LogSettings(Format.PLAIN, Map.of(), BoundedSink.USUAL_WAITING);
+    /** The settings of an edge whose configuration has none. */
+    public static final LogSettings DEFAULT = new LogSettings(Format.PLAIN, Map.of(), BoundedSink.DEFAULT_CAPACITY);
 }
--- a/edge/src/main/java/lemonrail/logging/LogSink.java
+++ b/edge/src/main/java/lemonrail/logging/LogSink.java
@@ -2,27 +2,27 @@
 
 import java.util.Map;
 
-/** Where events go. Levels may be changed at any time, from any thread. */
+/** Writes log events. Levels may be changed at any time, from any thread. */
 public interface LogSink extends AutoCloseable {
 
-    /** Whether events of this logger and severity are wanted. Never blocks. */
-    boolean takes(Severity severity, String logger);
+    /** Returns whether events of this severity are written for a logger. Never blocks. */
+    boolean isEnabled(Severity severity, String logger);
 
-    /** Takes an event that is wanted. */
+    /** Writes an event, whatever its severity; {@link #isEnabled} is asked before. */
     void write(LogEvent event);
 
-    /** From which severity on events of this logger, and of those below it, are wanted. */
-    void level(String logger, Severity severity);
+    /** Sets the lowest severity that is written for a logger and for those below it. */
+    void setLevel(String logger, Severity severity);
 
-    /** The loggers that have a level of their own, and which. */
+    /** Returns the loggers that have a level of their own, and their levels in lower case. */
     Map<String, String> levels();
 
-    /** How many events were dropped so far, as nobody read them in time. */
+    /** Returns how many events have been dropped because the reader was too slow. */
     default int dropped() {
         return 0;
     }
 
-    /** Lets go of what it holds; what it has taken is written before, as far as that does not take long. */
+    /** Releases resources; writes the waiting events before, for a limited time. */
     @Override
     default void close() {}
 }
--- a/edge/src/main/java/lemonrail/logging/Severity.java
+++ b/edge/src/main/java/lemonrail/logging/Severity.java
@@ -1,12 +1,12 @@
 package lemonrail.logging;
 
-/** How much an event matters. */
+/** The severity of an event, in rising order. */
 public enum Severity {
-    /** Every request and attempt; for a search, and off as a rule. */
+    /** Each request and attempt; off by default. */
     DEBUG,
-    /** What operators did and what the process is at. */
+    /** Actions of operators and phases of the process. */
     INFO,
-    /** Something is amiss outside, or a client or endpoint misbehaves. */
+    /** A fault outside of the program, as of a client or an endpoint. */
     WARN,
     /** A fault of the program itself. */
     ERROR
--- a/edge/src/main/java/lemonrail/logging/StructuredSink.java
+++ b/edge/src/main/java/lemonrail/logging/StructuredSink.java
@@ -17,18 +17,17 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.KeyValuePair;
 
-/**
- * The log through Logback: readable text with time and level, or one JSON object a line.
- */
+/** Writes through Logback: text with time and level, or one JSON object a line. */
 final class StructuredSink implements LogSink {
 
     private static final String PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSX,UTC} %-5level %logger{0}: %msg%n";
+    /** By the ordinal of {@link Severity}. */
     private static final Level[] LEVELS = {Level.DEBUG, Level.INFO, Level.WARN, Level.ERROR};
 
     private final LoggerContext context;
     private final Logger root;
 
-    /** A log to this stream, at these levels by logger; {@link EventLog#ROOT} is the one above all. */
+    /** Creates a sink that writes to a stream; {@code levels} are by logger. */
     StructuredSink(OutputStream out, LogSettings.Format format, Map<String, Severity> levels) {
         context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
@@ -36,8 +35,8 @@
         root = context.getLogger(EventLog.ROOT);
         root.setAdditive(false);
         root.setLevel(Level.INFO);
-        levels.forEach(this::level);
-        Encoder<ILoggingEvent> encoder = format == LogSettings.Format.JSON ? new JsonEncoder() : text();
+        levels.forEach(this::setLevel);
+        Encoder<ILoggingEvent> encoder = format == LogSettings.Format.JSON ? new JsonEncoder() : textEncoder();
         encoder.setContext(context);
         encoder.start();
         OutputStreamAppender<ILoggingEvent> appender = new OutputStreamAppender<>();
@@ -49,50 +48,50 @@
         context.getLogger(Logger.ROOT_LOGGER_NAME).addAppender(appender);
     }
 
-    private static Encoder<ILoggingEvent> text() {
+    private static Encoder<ILoggingEvent> textEncoder() {
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
         encoder.setPattern(PATTERN);
         return encoder;
     }
 
     @Override
-    public boolean takes(Severity severity, String logger) {
+    public boolean isEnabled(Severity severity, String logger) {
         return context.getLogger(logger).isEnabledFor(LEVELS[severity.ordinal()]);
     }
 
     @Override
     public void write(LogEvent event) {
         Logger logger = context.getLogger(event.logger());
-        LoggingEvent made = new LoggingEvent(
+        LoggingEvent loggingEvent = new LoggingEvent(
                 StructuredSink.class.getName(),
                 logger,
                 LEVELS[event.severity().ordinal()],
                 event.message(),
                 null,
                 null);
-        made.setInstant(Instant.ofEpochMilli((long) event.atMs()));
-        made.addKeyValuePair(new KeyValuePair("event", event.name()));
+        loggingEvent.setInstant(Instant.ofEpochMilli((long) event.atMs()));
+        loggingEvent.addKeyValuePair(new KeyValuePair("event", event.name()));
         List<Object> fields = event.fields();
         for (int i = 0; i + 1 < fields.size(); i += 2) {
-            made.addKeyValuePair(new KeyValuePair(String.valueOf(fields.get(i)), fields.get(i + 1)));
+            loggingEvent.addKeyValuePair(new KeyValuePair(String.valueOf(fields.get(i)), fields.get(i + 1)));
         }
-        logger.callAppenders(made);
+        logger.callAppenders(loggingEvent);
     }
 
     @Override
-    public void level(String logger, Severity severity) {
+    public void setLevel(String logger, Severity severity) {
         context.getLogger(logger).setLevel(LEVELS[severity.ordinal()]);
     }
 
     @Override
     public Map<String, String> levels() {
-        Map<String, String> set = new TreeMap<>();
+        Map<String, String> levels = new TreeMap<>();
         for (Logger logger : context.getLoggerList()) {
             if (logger.getLevel() != null && logger.getName().startsWith(EventLog.ROOT)) {
-                set.put(logger.getName(), logger.getLevel().toString().toLowerCase(Locale.ROOT));
+                levels.put(logger.getName(), logger.getLevel().toString().toLowerCase(Locale.ROOT));
             }
         }
-        return set;
+        return levels;
     }
 
     @Override
--- a/edge/src/main/java/lemonrail/logging/TextSink.java
+++ b/edge/src/main/java/lemonrail/logging/TextSink.java
@@ -6,19 +6,24 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The plain log: the message alone, a line for people. It needs no library. */
+/** Writes the message alone, one line an event. Needs no library. */
 public final class TextSink implements LogSink {
 
     private final PrintStream out;
     private final Map<String, Severity> levels = new ConcurrentHashMap<>(Map.of(EventLog.ROOT, Severity.INFO));
 
-    /** A log to this stream. */
+    /** Creates a sink that writes to a stream. */
     public TextSink(PrintStream out) {
         this.out = out;
     }
 
     @Override
-    public boolean takes(Severity severity, String logger) {
+    public boolean isEnabled(Severity severity, String logger) {
+        return severity.compareTo(levelOf(logger)) >= 0;
+    }
+
+    /** Returns the level of a logger: its own, or that of the nearest logger above it. */
+    private Severity levelOf(String logger) {
         String name = logger;
         Severity level = levels.get(name);
         while (level == null) {
@@ -26,7 +31,7 @@
             name = dot < 0 ? EventLog.ROOT : name.substring(0, dot);
             level = levels.get(name);
         }
-        return severity.compareTo(level) >= 0;
+        return level;
     }
 
     @Override
@@ -35,14 +40,14 @@
     }
 
     @Override
-    public void level(String logger, Severity severity) {
+    public void setLevel(String logger, Severity severity) {
         levels.put(logger, severity);
     }
 
     @Override
     public Map<String, String> levels() {
-        Map<String, String> set = new TreeMap<>();
-        levels.forEach((logger, level) -> set.put(logger, level.name().toLowerCase(Locale.ROOT)));
-        return set;
+        Map<String, String> names = new TreeMap<>();
+        levels.forEach((logger, level) -> names.put(logger, level.name().toLowerCase(Locale.ROOT)));
+        return names;
     }
 }
--- a/edge/src/main/java/lemonrail/metrics/Metrics.java
+++ b/edge/src/main/java/lemonrail/metrics/Metrics.java
@@ -7,96 +7,101 @@
 import java.util.function.IntSupplier;
 
 /**
- * The figures that operators read. A counter is raised where the thing itself happens and by nobody else, so
- * no figure is ever worked out again from others; a gauge is asked for its value when the figures are read.
- * Counts run from the process's start. Belongs to the event loop.
+ * The metrics that operators read. Counters count from the start of the process, and are incremented by the code
+ * that causes the event; gauges are evaluated when the metrics are read. Belongs to the event loop.
  */
 public final class Metrics {
 
     private static final String PREFIX = "edge_gw.";
 
-    /** How a request ended, in the words of the figures. */
-    public enum Ending {
+    /** The outcome of a request, as the name of a metric has it in lower case. */
+    public enum Outcome {
         SUCCESS,
         OVERLOAD,
         ERROR
     }
 
-    private final List<String> classes;
-    private final long[][] replies;
+    private final List<String> classNames;
+    /** By class and outcome. */
+    private final long[][] responses;
+    /** By name, in the order in which they were registered. */
     private final Map<String, IntSupplier> gauges = new LinkedHashMap<>();
+
     private long dispatches;
-    private long lateAnswers;
-    private long reloads;
-    private long reloadsFailed;
-    private int concurrent;
-
-    /** All counters of these classes are there from the start, at 0. */
-    public Metrics(List<String> classes) {
-        this.classes = List.copyOf(classes);
-        replies = new long[this.classes.size()][Ending.values().length];
+    private long lateResponses;
+    private long successfulReloads;
+    private long failedReloads;
+    private int concurrentRequests;
+
+    /** Creates the metrics of these request classes, all counters at 0. */
+    public Metrics(List<String> classNames) {
+        this.classNames = List.copyOf(classNames);
+        responses = new long[this.classNames.size()][Outcome.values().length];
     }
 
-    /** A request has come whole and is owed an answer. */
-    public void taken() {
-        concurrent++;
+    /** Counts a complete request that is owed a response. */
+    public void onRequestStarted() {
+        concurrentRequests++;
     }
 
-    /** A request that was taken is over: its answer is written, or nobody waits for one any more. */
-    public void ended() {
-        concurrent--;
+    /** Counts a request as over: its response is written, or its client has gone. */
+    public void onRequestEnded() {
+        concurrentRequests--;
     }
 
-    /** The last byte of an answer to a request of this class has been written. */
-    public void replied(int requestClass, Ending ending) {
-        replies[requestClass][ending.ordinal()]++;
+    /** Counts a response to a request of this class, once its last byte is written. */
+    public void onResponse(int requestClass, Outcome outcome) {
+        responses[requestClass][outcome.ordinal()]++;
     }
 
-    /** The last byte of an attempt has been written to an endpoint. */
-    public void dispatched() {
+    /** Counts an attempt, once its last byte is written to the endpoint. */
+    public void onDispatch() {
         dispatches++;
     }
 
-    /** A final answer was given after its client's time. */
-    public void answeredLate() {
-        lateAnswers++;
+    /** Counts a final response after the deadline of its request. */
+    public void onLateResponse() {
+        lateResponses++;
     }
 
-    /** The configuration was read again, with or without success. */
-    public void reloaded(boolean success) {
+    /** Counts a reload of the configuration. */
+    public void onReload(boolean success) {
         if (success) {
-            reloads++;
+            successfulReloads++;
         } else {
-            reloadsFailed++;
+            failedReloads++;
         }
     }
 
-    /** Adds a figure that is read off where it is kept. */
+    /** Registers a gauge; its value is read on the event loop. */
     public void gauge(String name, IntSupplier value) {
         gauges.put(name, value);
     }
 
-    /** All figures, one a line. */
+    /** Returns all metrics, one a line. */
     public String render() {
         StringBuilder text = new StringBuilder();
-        for (int i = 0; i < replies.length; i++) {
-            for (Ending ending : Ending.values()) {
-                line(
-                        text,
-                        "replies." + classes.get(i) + "." + ending.name().toLowerCase(Locale.ROOT),
-                        replies[i][ending.ordinal()]);
+        appendResponses(text);
+        appendLine(text, "dispatches", dispatches);
+        appendLine(text, "answers_late", lateResponses);
+        appendLine(text, "concurrent", concurrentRequests);
+        gauges.forEach((name, value) -> appendLine(text, name, value.getAsInt()));
+        appendLine(text, "reload_success", successfulReloads);
+        appendLine(text, "reload_failure", failedReloads);
+        return text.toString();
+    }
+
+    private void appendResponses(StringBuilder text) {
+        for (int i = 0; i < responses.length; i++) {
+            for (Outcome outcome : Outcome.values()) {
+                String name =
+                        "replies." + classNames.get(i) + "." + outcome.name().toLowerCase(Locale.ROOT);
+                appendLine(text, name, responses[i][outcome.ordinal()]);
             }
         }
-        line(text, "dispatches", dispatches);
-        line(text, "answers_late", lateAnswers);
-        line(text, "concurrent", concurrent);
-        gauges.forEach((name, value) -> line(text, name, value.getAsInt()));
-        line(text, "reload_success", reloads);
-        line(text, "reload_failure", reloadsFailed);
-        return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendLine(StringBuilder text, String name, long value) {
         text.append(PREFIX).append(name).append('=').append(value).append('\n');
     }
 }
--- a/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
+++ b/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
@@ -32,7 +32,7 @@
                 own = lock(i) == null ? -1 : i;
             }
         } catch (IOException e) {
-            log.trouble("presence_unknown", "cannot tell of other processes of this sidecar", e);
+            log.warnRateLimited("presence_unknown", "cannot tell of other processes of this sidecar", e);
         }
     }
 
@@ -61,7 +61,7 @@
                 }
             }
         } catch (IOException e) {
-            log.trouble("presence_unknown", "cannot tell of other processes of this sidecar", e);
+            log.warnRateLimited("presence_unknown", "cannot tell of other processes of this sidecar", e);
         }
         return false;
     }
--- a/edge/src/test/java/lemonrail/assembly/AdminServerTest.java
+++ b/edge/src/test/java/lemonrail/assembly/AdminServerTest.java
@@ -113,7 +113,7 @@
     void silentCallersDoNotStandInTheWay() throws Exception {
         start(Fake.answering(200, "", "served"));
         List<Wire> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * AdminServer.MOST_CONNECTIONS; i++) {
+        for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
             silent.add(rig.operator().send(i % 2 == 0 ? "" : "GET /v1/readyz HTTP/1.1\r\nX: "));
             assertEquals(200, rig.operate("GET", "/v1/readyz").status());
         }
--- a/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
@@ -252,7 +252,7 @@
                 Wire behind = rig.client()) {
             behind.send(rig.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
             assertNotEquals(0, behind.read().status());
-            Thread drain = new Thread(rig.sidecar::terminate);
+            Thread drain = new Thread(rig.sidecar::shutdownGracefully);
             drain.start();
             half.awaitEnd();
             behind.awaitEnd();
--- a/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
@@ -59,10 +59,10 @@
                         any,
                         any,
                         List.of(),
-                        ControlConfig.MOST_WATCHERS,
-                        ControlConfig.ANSWER_GAP_MS,
+                        ControlConfig.DEFAULT_MAX_WATCHERS,
+                        ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                         null,
-                        LogSettings.USUAL),
+                        LogSettings.DEFAULT),
                 sink);
         node.open();
         return node;
@@ -99,9 +99,9 @@
                                 .collect(Collectors.joining(", ")),
                         kind));
         TomlFile source = new TomlFile(file, Map.of());
-        Sidecar edge = Sidecar.create(new Http1Protocol(), source, source.load(), sink);
+        Sidecar edge = new SidecarBuilder(new Http1Protocol(), source, source.load(), sink).build();
         edges.add(edge);
-        edge.open();
+        edge.start();
         return edge;
     }
 
--- a/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
@@ -252,7 +252,7 @@
         String request = rig.request("order", DEADLINE_MS);
         half.send(request.substring(0, request.length() / 2));
         CountDownLatch release = hold();
-        Thread stop = new Thread(rig.sidecar::terminate);
+        Thread stop = new Thread(rig.sidecar::shutdownGracefully);
         stop.start();
         Wire unread = client().send(rig.request("order", DEADLINE_MS));
         Wire waiting = client();
--- a/edge/src/test/java/lemonrail/assembly/OtherSettingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/OtherSettingsTest.java
@@ -196,7 +196,7 @@
                 Wire kept = rig.client()) {
             client.send(rig.request("order", deadlineMs));
             Rig.await("it is out", () -> rig.attempts() == 1);
-            Thread drain = new Thread(rig.sidecar::terminate);
+            Thread drain = new Thread(rig.sidecar::shutdownGracefully);
             drain.start();
             Rig.await("it stops", () -> rig.logged().contains("stopping"));
             kept.send(rig.request("order", deadlineMs));
@@ -218,8 +218,8 @@
                 "\"hard-limit-ms\":9000|\"hard-limit-ms\":0|deadline|0",
                 "\"slo-ms\":9000|\"slo-ms\":\"soon\"|slo-ms|soon",
                 "\"effect\":\"once\"|\"effect\":\"twice\"|effect|twice",
-                "\"fall-ms\":1000|\"fall-ms\":0|fallMs|0",
-                "\"drain-grace-ms\":500|\"drain-grace-ms\":-5|drainGrace|-5",
+                "\"fall-ms\":1000|\"fall-ms\":0|fall-ms|0",
+                "\"drain-grace-ms\":500|\"drain-grace-ms\":-5|drain-grace-ms|-5",
                 "\"replicas-of-me\":1|\"replicas-of-me\":0|balancers|0"
             })
     void whatIsNoDeploymentDoesNotStart(String part, String instead, String key, String value) throws IOException {
--- a/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
@@ -81,8 +81,8 @@
 
     private void start(String text, LogSink sink) throws IOException {
         TomlFile source = new TomlFile(write(text), Map.of());
-        edge = Sidecar.create(new Http1Protocol(), source, source.load(), sink);
-        edge.open();
+        edge = new SidecarBuilder(new Http1Protocol(), source, source.load(), sink).build();
+        edge.start();
     }
 
     private void start(String text) throws IOException {
@@ -249,7 +249,7 @@
             }
         };
         BoundedSink sink = new BoundedSink(new TextSink(new PrintStream(stuck, true)), 16);
-        sink.level("lemonrail", Severity.DEBUG);
+        sink.setLevel("lemonrail", Severity.DEBUG);
         start(text("127.0.0.1:0", first, ""), sink);
         for (int i = 0; i < 40; i++) {
             assertEquals("first", ask(edge.address()).body());
--- a/edge/src/test/java/lemonrail/assembly/Rig.java
+++ b/edge/src/test/java/lemonrail/assembly/Rig.java
@@ -109,13 +109,14 @@
             environment.put("LEMONRAIL_DISCOVERY_WAIT", discoveryWaitMs + "ms");
         }
         PlatformFile source = new PlatformFile(configFile, environment);
-        sidecar = Sidecar.create(
-                protocol,
-                source,
-                source.load(),
-                new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)),
-                decider);
-        sidecar.open();
+        sidecar = new SidecarBuilder(
+                        protocol,
+                        source,
+                        source.load(),
+                        new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)))
+                .loadBalancer(decider)
+                .build();
+        sidecar.start();
         return this;
     }
 
--- a/edge/src/test/java/lemonrail/assembly/SeamTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SeamTest.java
@@ -113,12 +113,13 @@
     private void start(Talk spoken) throws IOException {
         write();
         TomlFile source = new TomlFile(folder.resolve("edge.toml"), Map.of());
-        edge = Sidecar.create(
-                spoken.protocol(),
-                source,
-                source.load(),
-                new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)));
-        edge.open();
+        edge = new SidecarBuilder(
+                        spoken.protocol(),
+                        source,
+                        source.load(),
+                        new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)))
+                .build();
+        edge.start();
     }
 
     private Caller caller() throws IOException {
@@ -345,7 +346,7 @@
         start(spoken);
         Caller held = send("order", LONG_MS);
         awaitAttempts(1);
-        Thread stopping = new Thread(edge::terminate);
+        Thread stopping = new Thread(edge::shutdownGracefully);
         stopping.start();
         Rig.await("it is stopping", () -> log.toString(StandardCharsets.UTF_8).contains("stopping"));
         assertTrue(stopping.isAlive(), "it waits for what it has");
--- a/edge/src/test/java/lemonrail/assembly/SidecarTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarTest.java
@@ -457,7 +457,7 @@
         Wire kept = rig.client();
         assertEquals(200, idle.send(rig.request("order", DEADLINE_MS)).read().status());
         assertEquals(200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
-        Thread drain = new Thread(rig.sidecar::terminate);
+        Thread drain = new Thread(rig.sidecar::shutdownGracefully);
         drain.start();
         int served = 0;
         try {
--- a/edge/src/test/java/lemonrail/assembly/SlowClientsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SlowClientsTest.java
@@ -133,7 +133,7 @@
         int answers = fill(slow);
         Wire idle = client();
         assertEquals(200, idle.send(rig.request("read", DEADLINE_MS)).read().status());
-        Thread stop = new Thread(rig.sidecar::terminate);
+        Thread stop = new Thread(rig.sidecar::shutdownGracefully);
         if (stops) {
             stop.start();
         } else {
@@ -192,7 +192,7 @@
         Wire client = slowClient();
         client.send(rig.request("read", DEADLINE_MS));
         assertEquals("chunked", client.readHead().headers().get("transfer-encoding"));
-        Thread stop = new Thread(rig.sidecar::terminate);
+        Thread stop = new Thread(rig.sidecar::shutdownGracefully);
         stop.start();
         Rig.await("it is given up", () -> rig.endpoints.get(0).open.get() == 0);
         assertCutBetweenChunks(client);
--- a/edge/src/test/java/lemonrail/cli/CommandLineTest.java
+++ b/edge/src/test/java/lemonrail/cli/CommandLineTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /** The command line as users see it: what it prints where, and its exit status. */
 @Timeout(60)
@@ -21,6 +22,9 @@
 
     private static final Path EXAMPLE = Path.of("..", "deploy", "lemonrail.toml");
 
+    /** Standard input of each call; only the simulator's adapter reads it. */
+    private static final String NO_BATCH = "{]";
+
     @TempDir
     Path folder;
 
@@ -36,8 +40,11 @@
         command.addAll(List.of(args));
         Path out = folder.resolve("out");
         Path err = folder.resolve("err");
-        ProcessBuilder builder =
-                new ProcessBuilder(command).redirectOutput(out.toFile()).redirectError(err.toFile());
+        Path in = Files.writeString(folder.resolve("in"), NO_BATCH);
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectInput(in.toFile())
+                .redirectOutput(out.toFile())
+                .redirectError(err.toFile());
         builder.environment().remove(Main.CONFIG_VARIABLE);
         int status = builder.start().waitFor();
         return new Result(status, Files.readString(out), Files.readString(err));
@@ -50,6 +57,7 @@
                 "|2|Usage: lemonrail",
                 "nonsense|2|Unmatched argument",
                 "benchlink more|2|Unmatched argument",
+                "simulator more|2|Unmatched argument",
                 "check|2|Missing required parameter",
                 "config|2|Usage: lemonrail config",
                 "serve|2|no configuration: give --config FILE or set GW_CONFIG",
@@ -71,6 +79,8 @@
             value = {
                 "--help|check",
                 "serve --help|--config",
+                "simulator --help|Usage: lemonrail simulator",
+                "benchlink --help|Usage: lemonrail simulator",
                 "config schema --help|--format",
                 "version|lemonrail ",
                 "--version|lemonrail ",
@@ -85,6 +95,16 @@
         assertEquals("", result.err());
     }
 
+    /** Input that is no batch ends the adapter at once, which shows that the command has reached it. */
+    @ParameterizedTest
+    @ValueSource(strings = {"simulator", "benchlink"})
+    void theSimulatorCommandAndItsAliasRunTheAdapter(String command) throws Exception {
+        Result result = call(command);
+        assertEquals(1, result.status(), result.err());
+        assertTrue(result.err().startsWith("lemonrail: batch (number unread)"), result.err());
+        assertEquals("", result.out());
+    }
+
     @Test
     void theExampleIsGoodAndItsValuesAreTold() throws Exception {
         Result checked = call("check", EXAMPLE.toString());
--- a/edge/src/test/java/lemonrail/control/ControlNodeTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeTest.java
@@ -459,10 +459,10 @@
                         Nodes.anyPort(),
                         null,
                         List.of(nodes.node("w1").asPeer()),
-                        ControlConfig.MOST_WATCHERS,
-                        ControlConfig.ANSWER_GAP_MS,
+                        ControlConfig.DEFAULT_MAX_WATCHERS,
+                        ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                         folder,
-                        LogSettings.USUAL),
+                        LogSettings.DEFAULT),
                 new TextSink(System.err));
         nodes.all.add(again);
         again.open();
@@ -479,10 +479,10 @@
                         Nodes.anyPort(),
                         null,
                         List.of(nodes.node("w1").asPeer()),
-                        ControlConfig.MOST_WATCHERS,
-                        ControlConfig.ANSWER_GAP_MS,
+                        ControlConfig.DEFAULT_MAX_WATCHERS,
+                        ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                         folder,
-                        LogSettings.USUAL),
+                        LogSettings.DEFAULT),
                 new TextSink(System.err));
         nodes.all.add(alone);
         long began = System.nanoTime();
@@ -519,10 +519,10 @@
                                     .filter(other -> other != node)
                                     .map(ControlNode::asPeer)
                                     .toList(),
-                            ControlConfig.MOST_WATCHERS,
-                            ControlConfig.ANSWER_GAP_MS,
+                            ControlConfig.DEFAULT_MAX_WATCHERS,
+                            ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                             folder,
-                            LogSettings.USUAL),
+                            LogSettings.DEFAULT),
                     new TextSink(System.err));
             nodes.all.add(fresh);
             again.add(fresh);
--- a/edge/src/test/java/lemonrail/control/Nodes.java
+++ b/edge/src/test/java/lemonrail/control/Nodes.java
@@ -44,10 +44,10 @@
                         at,
                         anyPort(),
                         List.of(),
-                        ControlConfig.MOST_WATCHERS,
-                        ControlConfig.ANSWER_GAP_MS,
+                        ControlConfig.DEFAULT_MAX_WATCHERS,
+                        ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                         folder,
-                        LogSettings.USUAL),
+                        LogSettings.DEFAULT),
                 new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)));
         node.open();
         all.add(node);
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -74,7 +74,7 @@
                     channel.writeAndFlush(request).addListener(done -> {
                         written = done.isSuccess();
                         if (written && ending != null) {
-                            shard.metrics().dispatched();
+                            shard.metrics().onDispatch();
                             ending.written();
                         }
                     });
