--- a/edge/src/test/java/lemonrail/logging/LogTest.java
+++ b/edge/src/test/java/lemonrail/logging/LogTest.java
@@ -45,7 +45,7 @@
                         "outcome",
                         Severity.INFO);
         log.in("http1").debug("unseen", "not at this level");
-        log.in("http1").trouble("client_refused", "a client is refused", "400 no", "status", 400);
+        log.in("http1").warnRateLimited("client_refused", "a client is refused", "400 no", "status", 400);
         assertEquals(2, lines().size());
         Map<?, ?> first = (Map<?, ?>) Json.value(lines().get(0).getBytes(StandardCharsets.UTF_8));
         assertEquals(
@@ -63,12 +63,12 @@
     @Test
     void levelsCanBeChangedAndAreInherited() {
         for (LogSink sink : List.of(new TextSink(out), new StructuredSink(out, LogSettings.Format.TEXT, Map.of()))) {
-            assertFalse(sink.takes(Severity.DEBUG, "lemonrail.http1"));
-            sink.level("lemonrail", Severity.DEBUG);
-            assertTrue(sink.takes(Severity.DEBUG, "lemonrail.http1"));
-            sink.level("lemonrail.http1", Severity.ERROR);
-            assertFalse(sink.takes(Severity.WARN, "lemonrail.http1"));
-            assertTrue(sink.takes(Severity.DEBUG, "lemonrail.exchange"));
+            assertFalse(sink.isEnabled(Severity.DEBUG, "lemonrail.http1"));
+            sink.setLevel("lemonrail", Severity.DEBUG);
+            assertTrue(sink.isEnabled(Severity.DEBUG, "lemonrail.http1"));
+            sink.setLevel("lemonrail.http1", Severity.ERROR);
+            assertFalse(sink.isEnabled(Severity.WARN, "lemonrail.http1"));
+            assertTrue(sink.isEnabled(Severity.DEBUG, "lemonrail.exchange"));
             assertEquals(Map.of("lemonrail", "debug", "lemonrail.http1", "error"), sink.levels());
         }
     }
@@ -77,9 +77,9 @@
     void repeatedTroubleIsDampedByKindAndCounted() {
         EventLog log = new EventLog(new Clock(), new TextSink(out));
         for (int i = 0; i < 50; i++) {
-            log.in("http1").trouble("no_connection", "no connection", "number " + i);
+            log.in("http1").warnRateLimited("no_connection", "no connection", "number " + i);
         }
-        log.in("discovery").trouble("discovery_failed", "discovery failed", "once");
+        log.in("discovery").warnRateLimited("discovery_failed", "discovery failed", "once");
         assertEquals(List.of("lemonrail: no connection: number 0", "lemonrail: discovery failed: once"), lines());
         assertEquals(49, log.suppressed());
     }
--- a/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
+++ b/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
@@ -53,7 +53,7 @@
     }
 
     private int run(String... lines) throws IOException {
-        return Main.benchlink(
+        return Main.simulator(
                 new ByteArrayInputStream(String.join("", lines).getBytes(StandardCharsets.UTF_8)),
                 out,
                 new PrintStream(errors, true, StandardCharsets.UTF_8));
--- a/lab/src/main/java/lemonrail/lab/cli/Times.java
+++ b/lab/src/main/java/lemonrail/lab/cli/Times.java
@@ -13,10 +13,7 @@
 
     @Override
     public Double convert(String text) {
-        Double ms = TIME.read().apply(TextNode.valueOf(text));
-        if (ms == null) {
-            throw new TypeConversionException("'" + text + "' must be " + TIME.allowed());
-        }
-        return ms;
+        return TIME.parse(TextNode.valueOf(text))
+                .orElseThrow(() -> new TypeConversionException("'" + text + "' must be " + TIME.allowed()));
     }
 }
--- a/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
@@ -15,6 +15,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import lemonrail.assembly.Sidecar;
+import lemonrail.assembly.SidecarBuilder;
 import lemonrail.config.ConfigSource;
 import lemonrail.core.balancer.LoadBalancerFactory;
 import lemonrail.http1.Http1Protocol;
@@ -49,8 +50,10 @@
             throws IOException {
         ConfigSource source = ConfigSource.of(file, environment);
         PrintStream out = new PrintStream(Files.newOutputStream(log));
-        Sidecar sidecar = Sidecar.create(new Http1Protocol(), source, source.load(), new TextSink(out), decider);
-        sidecar.open();
+        Sidecar sidecar = new SidecarBuilder(new Http1Protocol(), source, source.load(), new TextSink(out))
+                .loadBalancer(decider)
+                .build();
+        sidecar.start();
         return new SidecarHost() {
             @Override
             public InetSocketAddress address() {
--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -78,7 +78,7 @@
                 new Lifecycle(() -> true),
                 config.settings(),
                 config.idleCloseMs());
-        suspensions = new SuspendedEndpoints(config.kept("hollow"), log);
+        suspensions = new SuspendedEndpoints(config.stateFile("hollow"), log);
         watch = plane.watch(loop, config, log, seed, list, node);
         endpoints = new Http1Protocol().upstream(shard, CONNECTIONS);
         // Set before the exchange begins the watch.
@@ -185,7 +185,7 @@
     /** Nobody reads what a thousand of them would say. */
     private static final class Silence implements LogSink {
         @Override
-        public boolean takes(Severity severity, String logger) {
+        public boolean isEnabled(Severity severity, String logger) {
             return false;
         }
 
@@ -195,7 +195,7 @@
         }
 
         @Override
-        public void level(String logger, Severity severity) {
+        public void setLevel(String logger, Severity severity) {
             throw new IllegalStateException("nothing is wanted here");
         }
 
--- a/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
@@ -123,10 +123,10 @@
                         at(i),
                         null,
                         others,
-                        ControlConfig.MOST_WATCHERS,
-                        ControlConfig.ANSWER_GAP_MS,
+                        ControlConfig.DEFAULT_MAX_WATCHERS,
+                        ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                         folder,
-                        LogSettings.USUAL),
+                        LogSettings.DEFAULT),
                 sink);
         node.open();
         Traffic own = nodeTraffic.get(i);
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleFile.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleFile.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Function;
 import lemonrail.config.ConfigKey;
 import lemonrail.config.ConfigTable;
@@ -135,21 +136,23 @@
                                         && number
                                                 <= numbers.get(numbers.size() - 1)
                                                         .doubleValue())) {
-                            return null;
+                            return Optional.empty();
                         }
                         numbers.add(read.apply(element));
                     }
-                    return !node.isArray() || numbers.size() < LinearFit.LEAST_POINTS ? null : numbers;
+                    return !node.isArray() || numbers.size() < LinearFit.LEAST_POINTS
+                            ? Optional.empty()
+                            : Optional.of(numbers);
                 });
     }
 
     /** Reads a file; a {@link lemonrail.config.ConfigException} names what is wrong. */
     public static ScaleScenario read(Path file) throws IOException {
         TomlDocument document = TomlDocument.read(file, Map.of());
-        TableReader root = document.top(ROOT, TABLES);
+        TableReader root = document.root(ROOT, TABLES);
         String about = root.get(ABOUT);
         Integer seed = root.get(SEED);
-        TableReader place = document.one(SITE);
+        TableReader place = document.table(SITE);
         Integer endpoints = place.get(ENDPOINTS);
         Integer services = place.get(SERVICES);
         Integer regions = place.get(REGIONS);
@@ -158,28 +161,28 @@
         for (ConfigKey<Integer> key : List.of(SERVICES, REGIONS, ZONES, RACK)) {
             Integer value = place.has(key) ? place.get(key) : null;
             if (endpoints != null && value != null && value > endpoints) {
-                place.contradicts(key, "is above site.endpoints, which is " + endpoints);
+                place.addProblem(key, "is above site.endpoints, which is " + endpoints);
             }
         }
-        TableReader many = document.one(SIDECARS);
+        TableReader many = document.table(SIDECARS);
         Integer real = many.get(REAL);
         Integer loops = many.get(LOOPS);
         Double heatMs = many.get(HEAT_BEFORE);
         Double idleMs = many.get(IDLE);
         if (endpoints != null && real != null && real >= endpoints) {
-            many.contradicts(REAL, "must leave some of the " + endpoints + " sidecars hollow");
+            many.addProblem(REAL, "must leave some of the " + endpoints + " sidecars hollow");
         }
-        TableReader goals = document.one(TARGETS);
+        TableReader goals = document.table(TARGETS);
         Double inForce = goals.get(IN_FORCE);
         Double core = goals.get(CORE);
         Double memory = goals.get(MEMORY);
         Double kilobytes = goals.get(KILOBYTES);
         ScaleScenario.Slopes slopes = document.has(SLOPES) ? slopes(document) : null;
         List<ScaleScenario.Storm> storms = storms(document);
-        if (slopes == null && storms.isEmpty() && !document.isWrong()) {
-            document.wrong("storms", null, "is missing; there must be [slopes] or at least one [[storms]]");
+        if (slopes == null && storms.isEmpty() && !document.hasProblems()) {
+            document.addProblem("storms", null, "is missing; there must be [slopes] or at least one [[storms]]");
         }
-        document.check();
+        document.throwIfInvalid();
         return new ScaleScenario(
                 file.getFileName().toString().replaceFirst("\\.toml$", ""),
                 file,
@@ -192,7 +195,7 @@
     }
 
     private static ScaleScenario.Slopes slopes(TomlDocument document) {
-        TableReader section = document.one(SLOPES);
+        TableReader section = document.table(SLOPES);
         List<Integer> listed = section.get(LISTED_COUNTS);
         List<Double> changes = section.get(CHANGES_PER_S);
         List<Integer> watchers = section.get(WATCHERS);
@@ -200,19 +203,19 @@
         Double heat = section.get(HEAT);
         Double warmUp = section.get(WARM_UP);
         Double window = section.get(WINDOW);
-        return document.isWrong()
+        return document.hasProblems()
                 ? null
                 : new ScaleScenario.Slopes(listed, changes, watchers, perSize, heat, warmUp, window);
     }
 
     private static List<ScaleScenario.Storm> storms(TomlDocument document) {
         List<ScaleScenario.Storm> storms = new ArrayList<>();
-        for (TableReader section : document.all(STORMS)) {
+        for (TableReader section : document.tables(STORMS)) {
             ScaleScenario.Kind kind = section.get(KIND);
             ScaleScenario.Listed listed = section.get(LISTED);
             Integer changes = section.get(CHANGES);
             Double length = section.get(LENGTH);
-            if (!document.isWrong()) {
+            if (!document.hasProblems()) {
                 storms.add(new ScaleScenario.Storm(kind, listed, changes, length));
             }
         }
--- a/lab/src/main/java/lemonrail/lab/scenario/ScenarioFile.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/ScenarioFile.java
@@ -275,19 +275,19 @@
     /** Reads a scenario; a {@link lemonrail.config.ConfigException} names all that is wrong. */
     public static Scenario read(Path file) throws IOException {
         TomlDocument document = TomlDocument.read(file, Map.of());
-        TableReader top = document.top(ROOT, TABLES);
+        TableReader top = document.root(ROOT, TABLES);
         String about = top.get(ABOUT);
         Path folder = file.toAbsolutePath().getParent();
         String edgeName = top.get(EDGE);
         Path edge = edgeName == null ? null : folder.resolve(edgeName).normalize();
         BalancerSettings known = null;
         if (edge != null && !Files.isRegularFile(edge)) {
-            document.wrong("edge", '"' + edgeName + '"', "there is no such file");
+            document.addProblem("edge", '"' + edgeName + '"', "there is no such file");
         } else if (edge != null) {
             known = EdgeSettings.load(edge, Map.of());
         }
         Integer seeds = top.get(SEEDS);
-        TableReader load = document.one(LOAD);
+        TableReader load = document.table(LOAD);
         Double rate = load.get(RATE);
         Double length = load.get(LENGTH);
         Double warmUp = load.get(WARM_UP);
@@ -295,9 +295,9 @@
         Boolean exponential = load.get(EXPONENTIAL);
         Integer connections = load.get(CLIENT_CONNECTIONS);
         if (length != null && warmUp != null && warmUp >= length) {
-            load.contradicts(WARM_UP, "must be below load.length");
+            load.addProblem(WARM_UP, "must be below load.length");
         }
-        TableReader clients = document.one(CLIENTS);
+        TableReader clients = document.table(CLIENTS);
         Integer retries = clients.get(RETRIES);
         Double wait = clients.get(WAIT);
         Double growth = clients.get(GROWTH);
@@ -308,21 +308,21 @@
         List<Scenario.Requests> requests = requests(document, known);
         List<Scenario.Tenant> tenants = tenants(document, known);
         List<Scenario.Tier> tiers = tiers(document);
-        TableReader discovery = document.one(DISCOVERY);
+        TableReader discovery = document.table(DISCOVERY);
         Telling telling = discovery.get(TELLING);
         Double poll = discovery.get(POLL);
         Double leastLag = discovery.get(LEAST_LAG);
         Double mostLag = discovery.get(MOST_LAG);
         ordered(discovery, LEAST_LAG, leastLag, mostLag);
-        TableReader sidecars = document.one(SIDECARS);
+        TableReader sidecars = document.table(SIDECARS);
         Integer front = sidecars.get(FRONT);
         Place place = sidecars.get(PLACE);
-        Scenario.Link clientLink = link(document.one(CLIENT_LINK));
-        Scenario.Link endpointLink = link(document.one(ENDPOINT_LINK));
+        Scenario.Link clientLink = link(document.table(CLIENT_LINK));
+        Scenario.Link endpointLink = link(document.table(ENDPOINT_LINK));
         List<Fault> faults = faults(document, tiers.size());
         List<Scenario.Variant> variants =
                 variants(document, folder, place == Place.PROCESS, known == null ? null : edge);
-        document.check();
+        document.throwIfInvalid();
         String name = file.getFileName().toString().replaceFirst("\\.toml$", "");
         return new Scenario(
                 name,
@@ -346,14 +346,14 @@
 
     private static void ordered(TableReader section, ConfigKey<Double> key, Double least, Double most) {
         if (least != null && most != null && least > most) {
-            section.contradicts(key, "is above the most that is allowed beside it, which is " + most);
+            section.addProblem(key, "is above the most that is allowed beside it, which is " + most);
         }
     }
 
     /** Says so where a name is none of those that the edge's file has. */
     private static void among(TableReader section, ConfigKey<String> key, String name, List<String> names) {
         if (name != null && names != null && !names.contains(name)) {
-            section.contradicts(key, "must be of those that the edge's file has, which are " + names);
+            section.addProblem(key, "must be of those that the edge's file has, which are " + names);
         }
     }
 
@@ -362,13 +362,13 @@
                 ? null
                 : known.classes().stream().map(RequestClass::name).toList();
         List<Scenario.Requests> requests = new ArrayList<>();
-        for (TableReader section : document.all(REQUESTS)) {
+        for (TableReader section : document.tables(REQUESTS)) {
             String name = section.get(CLASS);
             among(section, CLASS, name, names);
             requests.add(new Scenario.Requests(name, or(section.get(SHARE)), or(section.get(WORK))));
         }
         if (requests.isEmpty()) {
-            document.wrong("requests", null, "is missing; there must be at least one [[requests]]");
+            document.addProblem("requests", null, "is missing; there must be at least one [[requests]]");
         }
         return requests;
     }
@@ -382,20 +382,20 @@
                 ? null
                 : known.tenants().stream().map(TenantQuota::name).toList();
         List<Scenario.Tenant> tenants = new ArrayList<>();
-        for (TableReader section : document.all(TENANTS)) {
+        for (TableReader section : document.tables(TENANTS)) {
             String name = section.get(TENANT);
             among(section, TENANT, name, names);
             tenants.add(new Scenario.Tenant(name, or(section.get(SHARE))));
         }
         if (tenants.isEmpty() && names != null && !names.isEmpty()) {
-            document.wrong("tenants", null, "is missing; the edge's file has " + names);
+            document.addProblem("tenants", null, "is missing; the edge's file has " + names);
         }
         return tenants;
     }
 
     private static List<Scenario.Tier> tiers(TomlDocument document) {
         List<Scenario.Tier> tiers = new ArrayList<>();
-        List<TableReader> sections = document.all(TIERS);
+        List<TableReader> sections = document.tables(TIERS);
         for (TableReader section : sections) {
             String name = section.get(TIER);
             Integer count = section.get(COUNT);
@@ -412,7 +412,7 @@
             Double share = section.get(WORK_SHARE);
             Double calls = section.get(CALLS);
             if (calls != null && calls > 0 && tiers.size() == sections.size() - 1) {
-                section.contradicts(CALLS, "must be 0 in the last tier, which has none to call");
+                section.addProblem(CALLS, "must be 0 in the last tier, which has none to call");
             }
             Double coldShare = section.get(COLD_SHARE);
             Double coldTime = section.get(COLD_TIME);
@@ -425,7 +425,7 @@
             Double calm = section.get(CROWD_CALM);
             Double longest = section.get(CROWD_MOST);
             Boolean startsCold = section.get(STARTS_COLD);
-            if (document.isWrong()) {
+            if (document.hasProblems()) {
                 tiers.add(null);
                 continue;
             }
@@ -449,7 +449,7 @@
                     startsCold));
         }
         if (tiers.isEmpty()) {
-            document.wrong("tiers", null, "is missing; there must be at least one [[tiers]]");
+            document.addProblem("tiers", null, "is missing; there must be at least one [[tiers]]");
         }
         return tiers;
     }
@@ -463,15 +463,15 @@
 
     private static List<Fault> faults(TomlDocument document, int tiers) {
         List<Fault> faults = new ArrayList<>();
-        for (TableReader section : document.all(FAULTS)) {
+        for (TableReader section : document.tables(FAULTS)) {
             Fault.Kind kind = section.get(KIND);
             Integer tier = section.get(FAULT_TIER);
             if (tier != null && tiers > 0 && tier > tiers) {
-                section.contradicts(FAULT_TIER, "there are only " + tiers + " tiers");
+                section.addProblem(FAULT_TIER, "there are only " + tiers + " tiers");
             }
             Double size = section.get(SIZE);
             if (size != null && size <= 0 && (kind == Fault.Kind.SLOW || kind == Fault.Kind.BURST)) {
-                section.contradicts(SIZE, "must be above 0 for this kind");
+                section.addProblem(SIZE, "must be above 0 for this kind");
             }
             faults.add(new Fault(
                     kind,
@@ -488,27 +488,27 @@
             throws IOException {
         List<Scenario.Variant> variants = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (TableReader section : document.all(VARIANTS)) {
+        for (TableReader section : document.tables(VARIANTS)) {
             String name = section.get(VARIANT);
             if (name != null && !names.add(name)) {
-                section.contradicts(VARIANT, "is there twice; each must be there once");
+                section.addProblem(VARIANT, "is there twice; each must be there once");
             }
             Deciders decider = section.get(DECIDER);
             if (processes && decider != null && decider != Deciders.BOXCAR) {
-                section.contradicts(DECIDER, "must be \"boxcar\" where sidecars.run is \"process\"");
+                section.addProblem(DECIDER, "must be \"boxcar\" where sidecars.run is \"process\"");
             }
             String jar = section.get(JAR);
             if (jar != null && !processes) {
-                section.contradicts(JAR, "may be there only where sidecars.run is \"process\"");
+                section.addProblem(JAR, "may be there only where sidecars.run is \"process\"");
             } else if (jar != null && !Files.isRegularFile(folder.resolve(jar))) {
-                section.contradicts(JAR, "there is no such file");
+                section.addProblem(JAR, "there is no such file");
             }
             Map<String, String> set = settings(section.get(SET));
             if (edge != null && jar == null) {
                 try {
                     EdgeSettings.load(edge, set);
                 } catch (IllegalArgumentException e) {
-                    section.contradicts(SET, e.getMessage());
+                    section.addProblem(SET, e.getMessage());
                 }
             }
             variants.add(new Scenario.Variant(
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleFileTest.java
@@ -78,7 +78,7 @@
         assertTrue(
                 problems.stream()
                         .anyMatch(problem ->
-                                problem.key().equals(key) && problem.allowed().contains(why)),
+                                problem.key().equals(key) && problem.message().contains(why)),
                 problems.toString());
         assertTrue(
                 problems.stream().allMatch(problem -> problem.line() > 0 || problem.value() == null),
--- a/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
@@ -89,7 +89,7 @@
         assertTrue(
                 problems.stream()
                         .anyMatch(problem ->
-                                problem.key().equals(key) && problem.allowed().contains(why)),
+                                problem.key().equals(key) && problem.message().contains(why)),
                 problems.toString());
         assertTrue(
                 problems.stream().allMatch(problem -> problem.line() > 0 || problem.value() == null),
