--- a/lab/src/main/java/lemonrail/lab/Demo.java
+++ b/lab/src/main/java/lemonrail/lab/Demo.java
@@ -127,9 +127,10 @@
         finish(testbed.play(this::show));
     }
 
-    private static long count(List<ClientRequest> asks, ClientRequest.End end) {
-        return asks.stream()
-                .filter(ask -> !ask.tries().isEmpty() && ask.last().end() == end)
+    private static long count(List<ClientRequest> clientRequests, ClientRequest.End end) {
+        return clientRequests.stream()
+                .filter(clientRequest ->
+                        !clientRequest.tries().isEmpty() && clientRequest.last().end() == end)
                 .count();
     }
 
@@ -139,12 +140,12 @@
             return;
         }
         shownNanos += SECOND_NANOS;
-        List<ClientRequest> asks = asked.get();
+        List<ClientRequest> clientRequests = asked.get();
         List<Testbed.Standing> standings = testbed.standings();
         long seconds = Math.round((System.nanoTime() - beganNanos) / 1e9);
-        long served = count(asks, ClientRequest.End.SERVED);
-        long refused = count(asks, ClientRequest.End.REFUSED);
-        long failed = count(asks, ClientRequest.End.FAILED);
+        long served = count(clientRequests, ClientRequest.End.SERVED);
+        long refused = count(clientRequests, ClientRequest.End.REFUSED);
+        long failed = count(clientRequests, ClientRequest.End.FAILED);
         int attempts = standings.stream().mapToInt(Testbed.Standing::attempts).sum();
         if (!terminal) {
             StringBuilder each = new StringBuilder();
@@ -186,27 +187,27 @@
         return of.trouble().isEmpty() ? "" : " (" + of.trouble() + ")";
     }
 
-    private void finish(RunResult played) {
-        List<ClientRequest> asks = played.asks();
-        long served = count(asks, ClientRequest.End.SERVED);
-        long refused = count(asks, ClientRequest.End.REFUSED);
-        long failed = count(asks, ClientRequest.End.FAILED);
-        long none = asks.size() - served - refused - failed;
-        long retried = played.recorder().attempts().size()
-                - played.recorder().attempts().stream()
+    private void finish(RunResult run) {
+        List<ClientRequest> clientRequests = run.requests();
+        long served = count(clientRequests, ClientRequest.End.SERVED);
+        long refused = count(clientRequests, ClientRequest.End.REFUSED);
+        long failed = count(clientRequests, ClientRequest.End.FAILED);
+        long none = clientRequests.size() - served - refused - failed;
+        long retried = run.recorder().attempts().size()
+                - run.recorder().attempts().stream()
                         .map(AttemptRecorder.Attempt::request)
                         .distinct()
                         .count();
         Histogram micros = new Histogram(MOST_MICROS, 3);
-        asks.stream()
-                .filter(ask -> !Double.isNaN(ask.servedMs()))
-                .forEach(ask -> micros.recordValue(
-                        Math.min(MOST_MICROS, Math.round((ask.servedMs() - ask.arrivedMs()) * 1000))));
-        sound = none == 0 && served > 0 && played.broken().isEmpty();
+        clientRequests.stream()
+                .filter(clientRequest -> !Double.isNaN(clientRequest.servedMs()))
+                .forEach(clientRequest -> micros.recordValue(Math.min(
+                        MOST_MICROS, Math.round((clientRequest.servedMs() - clientRequest.arrivedMs()) * 1000))));
+        sound = none == 0 && served > 0 && run.broken().isEmpty();
         out.printf(
                 Locale.ROOT,
                 "%n%d requests: %d served, %d refused, %d failed, %d without an answer; " + "%d retried%n",
-                asks.size(),
+                clientRequests.size(),
                 served,
                 refused,
                 failed,
@@ -218,7 +219,7 @@
                 micros.getValueAtPercentile(50) / 1e3,
                 micros.getValueAtPercentile(99) / 1e3,
                 micros.getMaxValue() / 1e3);
-        played.broken().forEach(rule -> out.println("rule broken: " + rule));
+        run.broken().forEach(rule -> out.println("rule broken: " + rule));
         out.flush();
     }
 
--- a/lab/src/main/java/lemonrail/lab/cli/Runner.java
+++ b/lab/src/main/java/lemonrail/lab/cli/Runner.java
@@ -57,10 +57,10 @@
     /** Plays all, so many at once; {@code each} hears of one at a time. */
     void all(List<Job> jobs, BiConsumer<Job, Kept> each) throws IOException, InterruptedException {
         ExecutorService players = Executors.newFixedThreadPool(parallel);
-        CompletionService<Void> played = new ExecutorCompletionService<>(players);
+        CompletionService<Void> finishedRuns = new ExecutorCompletionService<>(players);
         try {
             for (Job job : jobs) {
-                played.submit(() -> {
+                finishedRuns.submit(() -> {
                     Kept kept = run(job.scenario, job.variant, job.seed);
                     synchronized (each) {
                         each.accept(job, kept);
@@ -69,7 +69,7 @@
                 });
             }
             for (int i = 0; i < jobs.size(); i++) {
-                played.take().get();
+                finishedRuns.take().get();
             }
         } catch (ExecutionException e) {
             if (e.getCause() instanceof IOException cause) {
@@ -95,17 +95,17 @@
                 Scratch scratch = new Scratch();
                 Testbed testbed = new Testbed(scenario, variant, seed, new Testbed.Builds(jar), scratch.path())) {
             shownNanos = System.nanoTime();
-            RunResult played = testbed.play(asked -> show(scenario, variant, seed, asked));
-            Verdict verdict = Scorer.score(played);
+            RunResult finishedRuns = testbed.play(asked -> show(scenario, variant, seed, asked));
+            Verdict verdict = Scorer.score(finishedRuns);
             RunFolder kept = new RunFolder(folder);
-            kept.keep(played, verdict, version());
+            kept.keep(finishedRuns, verdict, version());
             Report.render(kept);
-            tell(scenario, variant, seed, verdict, played);
+            tell(scenario, variant, seed, verdict, finishedRuns);
             keepLogs(scratch.path(), folder);
-            if (!played.whole()) {
+            if (!finishedRuns.whole()) {
                 throw new InterruptedException("interrupted; the results so far are in " + folder);
             }
-            return new Kept(folder, verdict, played.lateness().isVoid(), true);
+            return new Kept(folder, verdict, finishedRuns.lateness().isVoid(), true);
         }
     }
 
@@ -134,20 +134,22 @@
             return;
         }
         shownNanos = now;
-        List<ClientRequest> asks = asked.get();
-        long served = asks.stream().filter(ask -> !Double.isNaN(ask.servedMs())).count();
+        List<ClientRequest> requests = asked.get();
+        long served = requests.stream()
+                .filter(request -> !Double.isNaN(request.servedMs()))
+                .count();
         words.printf(
                 Locale.ROOT,
                 terminal ? "\r%s %s seed %d: asked %d, served %d " : "%s %s seed %d: asked " + "%d, served %d%n",
                 scenario.name(),
                 variant.name(),
                 seed,
-                asks.size(),
+                requests.size(),
                 served);
         words.flush();
     }
 
-    private void tell(Scenario scenario, Scenario.Variant variant, long seed, Verdict verdict, RunResult played) {
+    private void tell(Scenario scenario, Scenario.Variant variant, long seed, Verdict verdict, RunResult finishedRuns) {
         words.printf(
                 Locale.ROOT,
                 "%s%-20s %-18s seed %-3d service %.3f  whole %.3f  worst 10 s %.3f  "
@@ -163,8 +165,8 @@
                 verdict.p50Ms(),
                 verdict.p99Ms(),
                 verdict.broken(),
-                played.lateness().isVoid() ? "  VOID " + played.lateness() : "",
-                played.whole() ? "" : "  interrupted");
+                finishedRuns.lateness().isVoid() ? "  VOID " + finishedRuns.lateness() : "",
+                finishedRuns.whole() ? "" : "  interrupted");
         words.flush();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/host/AnswerRules.java
+++ b/lab/src/main/java/lemonrail/lab/host/AnswerRules.java
@@ -10,7 +10,7 @@
 /** Checks what a client got against the rules for answers, by the attempts that endpoints saw. */
 final class AnswerRules {
 
-    private final Scheduler agenda;
+    private final Scheduler scheduler;
     private final AttemptRecorder recorder;
     private final int mostAttempts;
     private final boolean linkIsPlain;
@@ -21,8 +21,8 @@
      * @param mostAttempts of one request
      * @param linkIsPlain whether nothing between clients and sidecars may break a connection
      */
-    AnswerRules(Scheduler agenda, AttemptRecorder recorder, int mostAttempts, boolean linkIsPlain) {
-        this.agenda = agenda;
+    AnswerRules(Scheduler scheduler, AttemptRecorder recorder, int mostAttempts, boolean linkIsPlain) {
+        this.scheduler = scheduler;
         this.recorder = recorder;
         this.mostAttempts = mostAttempts;
         this.linkIsPlain = linkIsPlain;
@@ -38,7 +38,7 @@
             double waitMs) {
         List<AttemptRecorder.Attempt> attempts = recorder.of(id);
         if (end == ClientRequest.End.GIVEN_UP) {
-            recorder.broken("no answer within " + Math.round(agenda.nowMs() - sentMs) + " of " + Math.round(waitMs)
+            recorder.broken("no answer within " + Math.round(scheduler.nowMs() - sentMs) + " of " + Math.round(waitMs)
                     + " ms: " + id);
         } else if (end == ClientRequest.End.LOST && linkIsPlain) {
             recorder.broken("the connection ended without a whole answer: " + id);
--- a/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
+++ b/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
@@ -98,7 +98,7 @@
 
     private record Route(String sidecar, Attempt onBehalfOf) {}
 
-    private final Scheduler agenda;
+    private final Scheduler scheduler;
     private final double graceMs;
     private final double overlapMs;
     private final Map<String, Route> routes = new HashMap<>();
@@ -114,9 +114,9 @@
      * @param graceMs for how long sidecars may send to what they know to drain
      * @param linkMs by how much one link to an endpoint may be slower than another
      */
-    public AttemptRecorder(Scheduler agenda, double graceMs, double linkMs) {
+    public AttemptRecorder(Scheduler scheduler, double graceMs, double linkMs) {
         overlapMs = SLACK_MS + linkMs;
-        this.agenda = agenda;
+        this.scheduler = scheduler;
         this.graceMs = graceMs;
     }
 
@@ -131,7 +131,7 @@
         if (route == null) {
             broken.add("a request that nobody sent: " + request);
         }
-        double now = agenda.nowMs();
+        double now = scheduler.nowMs();
         Attempt made = new Attempt(request, tier, endpoint, now, workMs, route == null ? null : route.onBehalfOf);
         attempts.add(made);
         List<Attempt> before = byRequest.computeIfAbsent(request, id -> new ArrayList<>(1));
@@ -145,7 +145,7 @@
 
     /** The end of an attempt may be on its way while the next one has come by another. */
     private void awaitEnd(Attempt earlier) {
-        agenda.after(overlapMs, () -> {
+        scheduler.after(overlapMs, () -> {
             if (Double.isNaN(earlier.endedMs)) {
                 broken.add("two attempts at once: " + earlier.request);
             }
@@ -157,7 +157,7 @@
         if (wanted) {
             unwanted.remove(sidecar + " " + endpoint);
         } else {
-            unwanted.putIfAbsent(sidecar + " " + endpoint, agenda.nowMs());
+            unwanted.putIfAbsent(sidecar + " " + endpoint, scheduler.nowMs());
         }
     }
 
--- a/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
@@ -42,7 +42,7 @@
         Runnable call(FullHttpRequest of, AttemptRecorder.Attempt onBehalfOf, double leftMs, Consumer<Boolean> done);
     }
 
-    private final Scheduler agenda;
+    private final Scheduler scheduler;
     private final EndpointModel model;
     private final int tier;
     private final double workShare;
@@ -61,13 +61,13 @@
     /** Listens at a free port. */
     public EndpointHost(
             EventLoop loop,
-            Scheduler agenda,
+            Scheduler scheduler,
             EndpointModel model,
             int tier,
             double workShare,
             CallCount calls,
             AttemptRecorder recorder) {
-        this.agenda = agenda;
+        this.scheduler = scheduler;
         this.model = model;
         this.tier = tier;
         this.workShare = workShare;
@@ -216,17 +216,17 @@
                 this.request = request;
                 this.id = id;
                 this.seen = seen;
-                untilMs = agenda.nowMs() + leftMs;
+                untilMs = scheduler.nowMs() + leftMs;
             }
 
             @Override
             protected void began() {
-                seen.ran(agenda.nowMs());
+                seen.ran(scheduler.nowMs());
             }
 
             @Override
             protected void call(Consumer<Boolean> done) {
-                dropCall = next.call(request, seen, untilMs - agenda.nowMs(), served -> {
+                dropCall = next.call(request, seen, untilMs - scheduler.nowMs(), served -> {
                     dropCall = null;
                     done.accept(served);
                 });
@@ -235,7 +235,7 @@
             @Override
             protected void answered(Answer answer) {
                 work = null;
-                seen.ended(agenda.nowMs(), answer.name().toLowerCase(Locale.ROOT));
+                seen.ended(scheduler.nowMs(), answer.name().toLowerCase(Locale.ROOT));
                 request.release();
                 if (!ctx.channel().isActive() || model.isSilent()) {
                     return;
@@ -250,7 +250,7 @@
 
             private void drop() {
                 work = null;
-                seen.ended(agenda.nowMs(), "closed");
+                seen.ended(scheduler.nowMs(), "closed");
                 model.cancel(this);
                 if (dropCall != null) {
                     dropCall.run();
--- a/lab/src/main/java/lemonrail/lab/host/EndpointTier.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointTier.java
@@ -20,7 +20,7 @@
     private final Scenario.Tier tier;
     private final int number;
     private final EventLoop loop;
-    private final Scheduler agenda;
+    private final Scheduler scheduler;
     private final Registry registry;
     private final AttemptRecorder recorder;
     private final List<EndpointHost> hosts = new ArrayList<>();
@@ -31,13 +31,13 @@
             Scenario.Tier tier,
             int number,
             EventLoop loop,
-            Scheduler agenda,
+            Scheduler scheduler,
             Registry registry,
             AttemptRecorder recorder) {
         this.tier = tier;
         this.number = number;
         this.loop = loop;
-        this.agenda = agenda;
+        this.scheduler = scheduler;
         this.registry = registry;
         this.recorder = recorder;
     }
@@ -46,7 +46,7 @@
     void open(UniformRandomProvider random, Scenario.Link link) {
         List<Rack> racks = new ArrayList<>();
         for (int i = 0; i < tier.racks(); i++) {
-            racks.add(new Rack(agenda, tier.rackWindowMs()));
+            racks.add(new Rack(scheduler, tier.rackWindowMs()));
         }
         for (int i = 0; i < tier.count(); i++) {
             EndpointModel model = model(i, racks.get(i % tier.racks()), random);
@@ -63,7 +63,7 @@
     private EndpointModel model(int place, Rack rack, UniformRandomProvider random) {
         double speed = tier.leastSpeed() + (tier.mostSpeed() - tier.leastSpeed()) * random.nextDouble();
         EndpointModel model = new EndpointModel(
-                agenda,
+                scheduler,
                 new EndpointShape(
                         tier.name() + "-" + (place + 1),
                         place % tier.racks(),
@@ -86,7 +86,7 @@
         double calls = tier.calls();
         return new EndpointHost(
                 loop,
-                agenda,
+                scheduler,
                 model,
                 number,
                 tier.workShare(),
--- a/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
+++ b/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
@@ -19,7 +19,7 @@
 
     private static final double DRAIN_PART = 0.5;
 
-    private final Scheduler agenda;
+    private final Scheduler scheduler;
     private final List<Tier> tiers;
     private final UniformRandomProvider random;
     /** Of several that befall an endpoint at once the worst is in force. */
@@ -27,8 +27,8 @@
 
     private record Slowed(EndpointHost host, Fault fault) {}
 
-    FaultPlayer(Scheduler agenda, List<Tier> tiers, UniformRandomProvider random) {
-        this.agenda = agenda;
+    FaultPlayer(Scheduler scheduler, List<Tier> tiers, UniformRandomProvider random) {
+        this.scheduler = scheduler;
         this.tiers = tiers;
         this.random = random;
     }
@@ -43,7 +43,7 @@
         for (Fault fault : faults) {
             Tier tier = tiers.get(fault.tier());
             List<EndpointHost> whom = draw(tier, fault.share());
-            agenda.after(fault.beginMs(), () -> begin(fault, tier, whom));
+            scheduler.after(fault.beginMs(), () -> begin(fault, tier, whom));
         }
     }
 
@@ -85,7 +85,7 @@
                 double each = fault.lengthMs() / whom.size();
                 for (int i = 0; i < whom.size(); i++) {
                     EndpointHost host = whom.get(i);
-                    agenda.after(i * each, () -> restart(tier, host, each));
+                    scheduler.after(i * each, () -> restart(tier, host, each));
                 }
             }
             case DRAIN ->
@@ -129,12 +129,12 @@
                         host -> tier.links.apply(host).lose(0));
             case LIST_DOWN -> {
                 tiers.forEach(each -> each.registry.reachable(false));
-                agenda.after(fault.lengthMs(), () -> tiers.forEach(each -> each.registry.reachable(true)));
+                scheduler.after(fault.lengthMs(), () -> tiers.forEach(each -> each.registry.reachable(true)));
             }
             case LIST_SHRINKS -> {
                 List<String> ids = whom.stream().map(EndpointHost::id).toList();
                 tier.registry.hide(ids, true);
-                agenda.after(fault.lengthMs(), () -> tier.registry.hide(ids, false));
+                scheduler.after(fault.lengthMs(), () -> tier.registry.hide(ids, false));
             }
             case LIST_RESTARTS -> tiers.forEach(each -> each.registry.restart());
             case BURST -> {
@@ -147,7 +147,7 @@
     private void during(
             Fault fault, List<EndpointHost> whom, Consumer<EndpointHost> begin, Consumer<EndpointHost> end) {
         whom.forEach(begin);
-        agenda.after(fault.lengthMs(), () -> whom.forEach(end));
+        scheduler.after(fault.lengthMs(), () -> whom.forEach(end));
     }
 
     private void slow(EndpointHost host, Fault fault, boolean on) {
@@ -168,7 +168,7 @@
     private void restart(Tier tier, EndpointHost host, double lengthMs) {
         host.model().drain(true);
         say(tier, host, Registry.State.TERMINATING);
-        agenda.after(lengthMs * DRAIN_PART, () -> {
+        scheduler.after(lengthMs * DRAIN_PART, () -> {
             host.model().vanish();
             host.reset();
             start(tier, host);
--- a/lab/src/main/java/lemonrail/lab/host/RequestMessages.java
+++ b/lab/src/main/java/lemonrail/lab/host/RequestMessages.java
@@ -23,15 +23,16 @@
     private RequestMessages() {}
 
     /** What a client asks; {@code tenant} is null where there are none. */
-    static FullHttpRequest of(ClientRequest ask, String id, String className, String tenant, double patienceMs) {
+    static FullHttpRequest of(
+            ClientRequest clientRequest, String id, String className, String tenant, double patienceMs) {
         FullHttpRequest request = message(
-                ask.key() == null ? HttpMethod.GET : HttpMethod.POST,
-                String.format(Locale.ROOT, "/api?work=%.3f", ask.workMs()),
+                clientRequest.key() == null ? HttpMethod.GET : HttpMethod.POST,
+                String.format(Locale.ROOT, "/api?work=%.3f", clientRequest.workMs()),
                 id,
                 patienceMs);
         request.headers().set(CLASS, className);
-        if (ask.key() != null) {
-            request.headers().set(KEY, ask.key());
+        if (clientRequest.key() != null) {
+            request.headers().set(KEY, clientRequest.key());
         }
         if (tenant != null) {
             request.headers().set(TENANT, tenant);
--- a/lab/src/main/java/lemonrail/lab/host/RunResult.java
+++ b/lab/src/main/java/lemonrail/lab/host/RunResult.java
@@ -19,7 +19,7 @@
         long seed,
         BalancerSettings settings,
         boolean whole,
-        List<ClientRequest> asks,
+        List<ClientRequest> requests,
         AttemptRecorder recorder,
         List<Node> nodes,
         List<String> broken,
--- a/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
@@ -121,11 +121,11 @@
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
         URI ready = URI.create("http://" + address().getAddress().getHostAddress() + ":"
                 + address().getPort() + "/health/ready");
-        HttpRequest ask =
+        HttpRequest request =
                 HttpRequest.newBuilder(ready).timeout(Duration.ofSeconds(1)).build();
         while (true) {
             try {
-                if (CLIENT.send(ask, HttpResponse.BodyHandlers.discarding()).statusCode() == 200) {
+                if (CLIENT.send(request, HttpResponse.BodyHandlers.discarding()).statusCode() == 200) {
                     return;
                 }
             } catch (IOException e) {
--- a/lab/src/main/java/lemonrail/lab/host/Testbed.java
+++ b/lab/src/main/java/lemonrail/lab/host/Testbed.java
@@ -61,7 +61,7 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("testbed", true), NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final EventLoopScheduler agenda = new EventLoopScheduler(loop);
+    private final EventLoopScheduler scheduler = new EventLoopScheduler(loop);
     private final AttemptRecorder recorder;
     private final AnswerRules answers;
     private final List<EndpointTier> tiers = new ArrayList<>();
@@ -83,9 +83,9 @@
         this.builds = builds;
         this.folder = Files.createDirectories(folder);
         settings = EdgeSettings.load(scenario.edge(), variant.set());
-        recorder = new AttemptRecorder(agenda, settings.drain().graceMs(), linkMs());
+        recorder = new AttemptRecorder(scheduler, settings.drain().graceMs(), linkMs());
         answers = new AnswerRules(
-                agenda,
+                scheduler,
                 recorder,
                 settings.limits().maxAttempts(),
                 scenario.clientLink().isPlain());
@@ -148,14 +148,14 @@
         for (int i = 0; i < scenario.tiers().size(); i++) {
             Scenario.Discovery how = scenario.discovery();
             Registry registry = new Registry(
-                    agenda, random("registry " + i), how.pushes(), how.pollMs(), how.leastLagMs(), how.mostLagMs());
-            EndpointTier tier = new EndpointTier(scenario.tiers().get(i), i, loop, agenda, registry, recorder);
+                    scheduler, random("registry " + i), how.pushes(), how.pollMs(), how.leastLagMs(), how.mostLagMs());
+            EndpointTier tier = new EndpointTier(scenario.tiers().get(i), i, loop, scheduler, registry, recorder);
             parts.add(tier);
             tiers.add(tier);
             tier.open(random("tier " + i), relays ? scenario.endpointLink() : null);
         }
         faults = new FaultPlayer(
-                agenda, tiers.stream().map(EndpointTier::forFaults).toList(), random("faults"));
+                scheduler, tiers.stream().map(EndpointTier::forFaults).toList(), random("faults"));
     }
 
     private InetSocketAddress sidecar(int tier, int number, int count) throws IOException {
@@ -215,13 +215,13 @@
             double leftMs,
             Consumer<Boolean> done) {
         if (leftMs < 1) {
-            agenda.after(0, () -> done.accept(false));
+            scheduler.after(0, () -> done.accept(false));
             return () -> {};
         }
         String id = Long.toHexString(random.nextLong());
         FullHttpRequest request = RequestMessages.onBehalfOf(of, id, onBehalfOf.nextCall(), leftMs);
         recorder.sent(id, sidecar, onBehalfOf);
-        double sentMs = agenda.nowMs();
+        double sentMs = scheduler.nowMs();
         RequestClass kind =
                 settings.classes().get(classNames().indexOf(of.headers().get("X-Class")));
         return pool.send(request, leftMs + ANSWER_SLACK_MS, (end, answer) -> {
@@ -257,7 +257,7 @@
                 .forEach(fault -> arrivals.burst(fault.beginMs(), fault.lengthMs(), fault.size()));
         UniformRandomProvider dealt = random("front");
         clients = new Clients(
-                agenda,
+                scheduler,
                 new Clients.Shape(
                         kinds,
                         shares,
@@ -268,12 +268,13 @@
                 arrivals,
                 scenario.load().lengthMs(),
                 random("clients"),
-                (ask, id, patienceMs, reply) -> {
+                (clientRequest, id, patienceMs, reply) -> {
                     int to = dealt.nextInt(pools.size());
                     recorder.sent(id, names.get(to), null);
-                    double sentMs = agenda.nowMs();
-                    RequestClass kind = classes.get(places.get(ask.requestClass()));
-                    FullHttpRequest request = RequestMessages.of(ask, id, kind.name(), tenantName(ask), patienceMs);
+                    double sentMs = scheduler.nowMs();
+                    RequestClass kind = classes.get(places.get(clientRequest.requestClass()));
+                    FullHttpRequest request =
+                            RequestMessages.of(clientRequest, id, kind.name(), tenantName(clientRequest), patienceMs);
                     pools.get(to).send(request, patienceMs + slackMs(), (end, answer) -> {
                         answers.check(id, kind, end, answer, sentMs, patienceMs);
                         reply.ended(
@@ -283,10 +284,10 @@
     }
 
     /** The tenant's name, or null where the scenario has no tenants. */
-    private String tenantName(ClientRequest ask) {
+    private String tenantName(ClientRequest clientRequest) {
         return scenario.tenants().isEmpty()
                 ? null
-                : scenario.tenants().get(ask.tenant()).name();
+                : scenario.tenants().get(clientRequest.tenant()).name();
     }
 
     /** A sidecar counts from when a request has come: the way there and back is not its own doing. */
@@ -301,7 +302,7 @@
     public RunResult play(Consumer<Supplier<List<ClientRequest>>> each) {
         cpuBeganMs = cpu();
         loop.submit(() -> {
-                    agenda.begin();
+                    scheduler.begin();
                     faults.play(scenario.faults());
                     clients.start();
                 })
@@ -311,9 +312,9 @@
                 + (1 + scenario.retrying().most()) * longestMs();
         boolean whole = true;
         try {
-            while (!on(clients::isOver) && agenda.nowMs() < mostMs) {
+            while (!on(clients::isOver) && scheduler.nowMs() < mostMs) {
                 TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-                each.accept(() -> on(() -> List.copyOf(clients.asks())));
+                each.accept(() -> on(() -> List.copyOf(clients.requests())));
             }
         } catch (InterruptedException e) {
             whole = false;
@@ -321,14 +322,14 @@
         }
         cpuMs = cpu() - cpuBeganMs;
         boolean ended = whole;
-        return on(() -> played(ended));
+        return on(() -> run(ended));
     }
 
     /** What is under way still has its answers. */
     private void endEarly() {
         loop.submit(clients::stop).syncUninterruptibly();
-        double untilMs = agenda.nowMs() + END_SLACK_MS + longestMs();
-        while (!on(clients::isOver) && agenda.nowMs() < untilMs) {
+        double untilMs = scheduler.nowMs() + END_SLACK_MS + longestMs();
+        while (!on(clients::isOver) && scheduler.nowMs() < untilMs) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LOOK_MS));
         }
     }
@@ -368,7 +369,7 @@
         return sidecars.values().stream().mapToDouble(SidecarHost::cpuMs).sum();
     }
 
-    private RunResult played(boolean whole) {
+    private RunResult run(boolean whole) {
         List<String> broken = new ArrayList<>(recorder.broken());
         ranTwice(broken);
         pushedOver(broken);
@@ -379,13 +380,13 @@
                 seed,
                 settings,
                 whole,
-                clients.asks(),
+                clients.requests(),
                 recorder,
                 nodes(),
                 broken,
                 new RunResult.Lateness(
-                        agenda.lateMicros().getValueAtPercentile(99) / 1e3,
-                        agenda.lateMicros().getMaxValue() / 1e3,
+                        scheduler.lateMicros().getValueAtPercentile(99) / 1e3,
+                        scheduler.lateMicros().getMaxValue() / 1e3,
                         clients.meanLateMs(),
                         clients.mostLateMs(),
                         pools.stream().mapToLong(ClientPool::waited).sum()),
@@ -397,15 +398,16 @@
     private void ranTwice(List<String> broken) {
         Map<String, Integer> ran = new HashMap<>();
         Map<String, ClientRequest> byTry = new HashMap<>();
-        clients.asks().forEach(ask -> ask.tries().forEach(each -> byTry.put(each.id(), ask)));
+        clients.requests()
+                .forEach(clientRequest -> clientRequest.tries().forEach(each -> byTry.put(each.id(), clientRequest)));
         for (AttemptRecorder.Attempt attempt : recorder.attempts()) {
             AttemptRecorder.Attempt root = attempt;
             while (root.parent() != null) {
                 root = root.parent();
             }
-            ClientRequest ask = byTry.get(root.request());
-            if (ask != null
-                    && ask.key() != null
+            ClientRequest clientRequest = byTry.get(root.request());
+            if (clientRequest != null
+                    && clientRequest.key() != null
                     && !Double.isNaN(attempt.ranMs())
                     && ran.merge(attempt.request(), 1, Integer::sum) == 2) {
                 broken.add("ran twice: " + attempt.request());
--- a/lab/src/main/java/lemonrail/lab/model/Clients.java
+++ b/lab/src/main/java/lemonrail/lab/model/Clients.java
@@ -47,10 +47,10 @@
     /** Carries one try to the edge; it must reply once, by {@code patienceMs} with GIVEN_UP at the latest. */
     public interface Sender {
         /** Sends it. */
-        void send(ClientRequest ask, String id, double patienceMs, Reply reply);
+        void send(ClientRequest request, String id, double patienceMs, Reply reply);
     }
 
-    private final Scheduler agenda;
+    private final Scheduler scheduler;
     private final Shape shape;
     private final double[] kindShares;
     private final double[] tenantShares;
@@ -58,7 +58,7 @@
     private final UniformRandomProvider random;
     private final Sender sender;
     private final double lengthMs;
-    private final List<ClientRequest> asks = new ArrayList<>();
+    private final List<ClientRequest> requests = new ArrayList<>();
     private int open;
     private boolean stopped;
     private double mostLateMs;
@@ -66,13 +66,13 @@
 
     /** Clients whose requests come for {@code lengthMs}. */
     public Clients(
-            Scheduler agenda,
+            Scheduler scheduler,
             Shape shape,
             Arrivals arrivals,
             double lengthMs,
             UniformRandomProvider random,
             Sender sender) {
-        this.agenda = agenda;
+        this.scheduler = scheduler;
         this.shape = shape;
         kindShares = shape.kinds.stream().mapToDouble(Kind::share).toArray();
         tenantShares = shape.tenantShares.stream().mapToDouble(share -> share).toArray();
@@ -89,15 +89,15 @@
 
     private void await(double atMs) {
         if (atMs < lengthMs && !stopped) {
-            agenda.after(atMs - agenda.nowMs(), () -> arrive(atMs));
+            scheduler.after(atMs - scheduler.nowMs(), () -> arrive(atMs));
         }
     }
 
     private void arrive(double dueMs) {
         double at = dueMs;
         // All that is due is sent now: a late clock must not thin the load out.
-        while (!stopped && at < lengthMs && at <= agenda.nowMs()) {
-            double late = agenda.nowMs() - at;
+        while (!stopped && at < lengthMs && at <= scheduler.nowMs()) {
+            double late = scheduler.nowMs() - at;
             mostLateMs = Math.max(mostLateMs, late);
             sumLateMs += late;
             begin(at);
@@ -111,11 +111,11 @@
         int tenant = draw(tenantShares);
         Kind of = shape.kinds.get(kind);
         double work = of.workMs * (shape.exponentialWork ? -Math.log1p(-random.nextDouble()) : 1);
-        ClientRequest ask = new ClientRequest(
-                asks.size(), atMs, kind, tenant, work, of.keyed ? Long.toHexString(random.nextLong()) : null);
-        asks.add(ask);
+        ClientRequest request = new ClientRequest(
+                requests.size(), atMs, kind, tenant, work, of.keyed ? Long.toHexString(random.nextLong()) : null);
+        requests.add(request);
         open++;
-        attempt(ask, 0);
+        attempt(request, 0);
     }
 
     private int draw(double[] shares) {
@@ -133,14 +133,14 @@
         return Math.max(0, shares.length - 1);
     }
 
-    private void attempt(ClientRequest ask, int number) {
+    private void attempt(ClientRequest request, int number) {
         String id = Long.toHexString(random.nextLong());
-        double patience = shape.kinds.get(ask.requestClass()).deadlineMs
+        double patience = shape.kinds.get(request.requestClass()).deadlineMs
                 * (shape.leastPatience + (shape.mostPatience - shape.leastPatience) * random.nextDouble());
         // A first try counts from when it was due, whenever the generator came to send it.
-        double sentMs = number == 0 ? ask.arrivedMs() : agenda.nowMs();
-        sender.send(ask, id, patience, (end, status, retryAfterMs) -> {
-            ask.tries().add(new ClientRequest.Try(id, sentMs, agenda.nowMs(), end, status));
+        double sentMs = number == 0 ? request.arrivedMs() : scheduler.nowMs();
+        sender.send(request, id, patience, (end, status, retryAfterMs) -> {
+            request.tries().add(new ClientRequest.Try(id, sentMs, scheduler.nowMs(), end, status));
             boolean again = (end == ClientRequest.End.REFUSED
                             || end == ClientRequest.End.FAILED
                             || end == ClientRequest.End.LOST
@@ -153,13 +153,13 @@
             }
             double own = shape.retrying.waitMs * Math.pow(shape.retrying.growth, number);
             double wait = shape.retrying.heedsRetryAfter && !Double.isNaN(retryAfterMs) ? retryAfterMs : own;
-            agenda.after(wait, () -> attempt(ask, number + 1));
+            scheduler.after(wait, () -> attempt(request, number + 1));
         });
     }
 
     /** All that was asked for so far, in the order of arrival. */
-    public List<ClientRequest> asks() {
-        return asks;
+    public List<ClientRequest> requests() {
+        return requests;
     }
 
     /** No more requests come; those that are there still end. */
@@ -169,7 +169,7 @@
 
     /** Whether all requests have come and ended. */
     public boolean isOver() {
-        return open == 0 && (stopped || agenda.nowMs() >= lengthMs);
+        return open == 0 && (stopped || scheduler.nowMs() >= lengthMs);
     }
 
     /** How much later than due a request was sent, at most. */
@@ -179,6 +179,6 @@
 
     /** The same in the mean. */
     public double meanLateMs() {
-        return asks.isEmpty() ? 0 : sumLateMs / asks.size();
+        return requests.isEmpty() ? 0 : sumLateMs / requests.size();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/model/EndpointModel.java
+++ b/lab/src/main/java/lemonrail/lab/model/EndpointModel.java
@@ -17,7 +17,7 @@
     /** Held requests a core up to which an endpoint counts as mostly idle. */
     private static final double IDLE_PER_CORE = 0.5;
 
-    private final Scheduler agenda;
+    private final Scheduler scheduler;
     private final EndpointShape shape;
     private final Rack rack;
     private final PriorityQueue<Work> running = new PriorityQueue<>(
@@ -53,11 +53,11 @@
     private double sentColdMs;
 
     /** An endpoint that has run for long and is warm. */
-    public EndpointModel(Scheduler agenda, EndpointShape shape, Rack rack) {
-        this.agenda = agenda;
+    public EndpointModel(Scheduler scheduler, EndpointShape shape, Rack rack) {
+        this.scheduler = scheduler;
         this.shape = shape;
         this.rack = rack;
-        lastMs = agenda.nowMs();
+        lastMs = scheduler.nowMs();
     }
 
     /** What it is. */
@@ -214,7 +214,7 @@
 
     /** Brings what has been done up to now. */
     private void settle() {
-        double now = agenda.nowMs();
+        double now = scheduler.nowMs();
         // Capacity that grows evenly is in the mean what it was halfway.
         double had = rate((lastMs + now) / 2) * (now - lastMs);
         attained += had;
@@ -238,7 +238,7 @@
 
     /** The share of its full capacity that it has now. */
     public double warmth() {
-        return warmth(agenda.nowMs());
+        return warmth(scheduler.nowMs());
     }
 
     private double warmth(double atMs) {
@@ -258,7 +258,7 @@
         if (fallen || warmth() >= 1) {
             return;
         }
-        double now = agenda.nowMs();
+        double now = scheduler.nowMs();
         sentCold.add(new double[] {now, workMs});
         sentColdMs += workMs;
         while (now - sentCold.peek()[0] > cold.windowMs()) {
@@ -300,7 +300,7 @@
             next.cancel();
             next = null;
         }
-        double rate = rate(agenda.nowMs());
+        double rate = rate(scheduler.nowMs());
         boolean changes = warmth() < 1
                 || !Double.isNaN(slowedAt)
                 || !Double.isNaN(crowdedSince)
@@ -312,7 +312,7 @@
             ends = null;
         }
         if (inMs < Double.POSITIVE_INFINITY) {
-            next = agenda.after(inMs, this::tick);
+            next = scheduler.after(inMs, this::tick);
         }
     }
 
@@ -371,7 +371,7 @@
         fallen = false;
         hangs = false;
         fails = false;
-        startedMs = agenda.nowMs();
+        startedMs = scheduler.nowMs();
         warmedBy = 0;
         sentCold.clear();
         sentColdMs = 0;
--- a/lab/src/main/java/lemonrail/lab/model/Rack.java
+++ b/lab/src/main/java/lemonrail/lab/model/Rack.java
@@ -10,20 +10,20 @@
 
     private record Begun(String key, double atMs) {}
 
-    private final Scheduler agenda;
+    private final Scheduler scheduler;
     private final double windowMs;
     private final Set<String> keys = new HashSet<>();
     private final Deque<Begun> inOrder = new ArrayDeque<>();
 
     /** A rack that drops repeats for so long. */
-    public Rack(Scheduler agenda, double windowMs) {
-        this.agenda = agenda;
+    public Rack(Scheduler scheduler, double windowMs) {
+        this.scheduler = scheduler;
         this.windowMs = windowMs;
     }
 
     /** Whether a key is new to the rack, which knows it from now on. */
     boolean begin(String key) {
-        double now = agenda.nowMs();
+        double now = scheduler.nowMs();
         while (!inOrder.isEmpty() && now - inOrder.peek().atMs >= windowMs) {
             keys.remove(inOrder.poll().key);
         }
--- a/lab/src/main/java/lemonrail/lab/model/Registry.java
+++ b/lab/src/main/java/lemonrail/lab/model/Registry.java
@@ -35,7 +35,7 @@
 
     private record Change(long version, Line line) {}
 
-    private final Scheduler agenda;
+    private final Scheduler scheduler;
     private final UniformRandomProvider random;
     private final boolean pushes;
     private final double pollMs;
@@ -51,13 +51,13 @@
      * whole list by its agents once in {@code pollMs}.
      */
     public Registry(
-            Scheduler agenda,
+            Scheduler scheduler,
             UniformRandomProvider random,
             boolean pushes,
             double pollMs,
             double leastLagMs,
             double mostLagMs) {
-        this.agenda = agenda;
+        this.scheduler = scheduler;
         this.random = random;
         this.pushes = pushes;
         this.pollMs = pollMs;
@@ -73,7 +73,7 @@
         }
         if (pushes) {
             for (Agent agent : agents) {
-                agenda.after(lag(), () -> agent.hear(line));
+                scheduler.after(lag(), () -> agent.hear(line));
             }
         }
     }
@@ -88,7 +88,7 @@
         agents.add(agent);
         truth.values().forEach(agent::take);
         if (!pushes) {
-            agenda.after(pollMs, agent::poll);
+            scheduler.after(pollMs, agent::poll);
         }
         return agent;
     }
@@ -137,7 +137,7 @@
         }
 
         private void poll() {
-            agenda.after(pollMs, this::poll);
+            scheduler.after(pollMs, this::poll);
             if (reachable) {
                 truth.values().stream()
                         .filter(line -> !hidden.containsKey(line.id()))
@@ -196,7 +196,7 @@
             }
             watched = since;
             watcher = asker;
-            end = agenda.after(waitMs, () -> {
+            end = scheduler.after(waitMs, () -> {
                 end = null;
                 give();
             });
--- a/lab/src/main/java/lemonrail/lab/report/Report.java
+++ b/lab/src/main/java/lemonrail/lab/report/Report.java
@@ -25,26 +25,26 @@
         JsonNode run = folder.run();
         double untilS = run.get("length_ms").asDouble() / 1000;
         Charts charts = new Charts(folder.path());
-        List<RunFolder.AskRow> asks = folder.askRows();
-        latency(charts, folder, asks, untilS);
-        percentiles(charts, asks, run.get("warm_up_ms").asDouble());
-        outcomes(charts, folder, asks, untilS);
+        List<RunFolder.AskRow> requests = folder.askRows();
+        latency(charts, folder, requests, untilS);
+        percentiles(charts, requests, run.get("warm_up_ms").asDouble());
+        outcomes(charts, folder, requests, untilS);
         attempts(charts, folder);
         Files.writeString(folder.path().resolve("report.md"), text(run, folder.verdict()));
     }
 
-    private static long micros(RunFolder.AskRow ask) {
-        return Math.min(MOST_MICROS, Math.max(0, Math.round((ask.servedMs() - ask.arrivedMs()) * 1000)));
+    private static long micros(RunFolder.AskRow request) {
+        return Math.min(MOST_MICROS, Math.max(0, Math.round((request.servedMs() - request.arrivedMs()) * 1000)));
     }
 
-    private static void latency(Charts charts, RunFolder folder, List<RunFolder.AskRow> asks, double untilS)
+    private static void latency(Charts charts, RunFolder folder, List<RunFolder.AskRow> requests, double untilS)
             throws IOException {
         Map<Integer, Histogram> seconds = new TreeMap<>();
-        asks.stream()
-                .filter(ask -> !Double.isNaN(ask.servedMs()))
-                .forEach(ask -> seconds.computeIfAbsent(
-                                (int) (ask.arrivedMs() / 1000), second -> new Histogram(MOST_MICROS, 3))
-                        .recordValue(micros(ask)));
+        requests.stream()
+                .filter(request -> !Double.isNaN(request.servedMs()))
+                .forEach(request -> seconds.computeIfAbsent(
+                                (int) (request.arrivedMs() / 1000), second -> new Histogram(MOST_MICROS, 3))
+                        .recordValue(micros(request)));
         XYSeriesCollection lines = new XYSeriesCollection();
         for (double percentile : new double[] {50, 90, 99}) {
             XYSeries line = new XYSeries(String.format(Locale.ROOT, "p%.0f", percentile));
@@ -54,12 +54,13 @@
         charts.overTime("latency", "Time to a served answer, by when it was due", "ms", lines, folder.faults(), untilS);
     }
 
-    private static void percentiles(Charts charts, List<RunFolder.AskRow> asks, double warmMs) throws IOException {
+    private static void percentiles(Charts charts, List<RunFolder.AskRow> requests, double warmMs) throws IOException {
         Map<String, Histogram> classes = new TreeMap<>();
-        asks.stream()
-                .filter(ask -> !Double.isNaN(ask.servedMs()) && ask.arrivedMs() >= warmMs)
-                .forEach(ask -> classes.computeIfAbsent(ask.requestClass(), name -> new Histogram(MOST_MICROS, 3))
-                        .recordValue(micros(ask)));
+        requests.stream()
+                .filter(request -> !Double.isNaN(request.servedMs()) && request.arrivedMs() >= warmMs)
+                .forEach(request -> classes.computeIfAbsent(
+                                request.requestClass(), name -> new Histogram(MOST_MICROS, 3))
+                        .recordValue(micros(request)));
         XYSeriesCollection lines = new XYSeriesCollection();
         classes.forEach((name, of) -> {
             XYSeries line = new XYSeries(name);
@@ -73,16 +74,16 @@
         charts.lines("percentiles", "Slowest of so many answers", "one in", "ms", lines, true, false);
     }
 
-    private static void outcomes(Charts charts, RunFolder folder, List<RunFolder.AskRow> asks, double untilS)
+    private static void outcomes(Charts charts, RunFolder folder, List<RunFolder.AskRow> requests, double untilS)
             throws IOException {
         XYSeries served = new XYSeries("served");
         XYSeries refused = new XYSeries("refused");
         XYSeries failed = new XYSeries("failed");
         int length = (int) Math.ceil(untilS);
         int[][] counts = new int[3][length];
-        for (RunFolder.AskRow ask : asks) {
-            int second = Math.min(length - 1, (int) (ask.arrivedMs() / 1000));
-            counts[ask.end().equals("served") ? 0 : ask.end().equals("refused") ? 1 : 2][second]++;
+        for (RunFolder.AskRow request : requests) {
+            int second = Math.min(length - 1, (int) (request.arrivedMs() / 1000));
+            counts[request.end().equals("served") ? 0 : request.end().equals("refused") ? 1 : 2][second]++;
         }
         for (int second = 0; second < length; second++) {
             served.add(second + 0.5, counts[0][second]);
--- a/lab/src/main/java/lemonrail/lab/report/RunFolder.java
+++ b/lab/src/main/java/lemonrail/lab/report/RunFolder.java
@@ -49,34 +49,34 @@
     }
 
     /** Keeps a run. */
-    public void keep(RunResult played, Verdict verdict, String version) throws IOException {
+    public void keep(RunResult result, Verdict verdict, String version) throws IOException {
         Files.createDirectories(folder);
-        Files.copy(played.scenario().file(), folder.resolve("scenario.toml"), StandardCopyOption.REPLACE_EXISTING);
-        Files.copy(played.scenario().edge(), folder.resolve("edge.toml"), StandardCopyOption.REPLACE_EXISTING);
+        Files.copy(result.scenario().file(), folder.resolve("scenario.toml"), StandardCopyOption.REPLACE_EXISTING);
+        Files.copy(result.scenario().edge(), folder.resolve("edge.toml"), StandardCopyOption.REPLACE_EXISTING);
         ObjectNode run = JSON.createObjectNode()
-                .put("scenario", played.scenario().name())
-                .put("about", played.scenario().about())
-                .put("variant", played.variant().name())
-                .put("seed", played.seed())
+                .put("scenario", result.scenario().name())
+                .put("about", result.scenario().about())
+                .put("variant", result.variant().name())
+                .put("seed", result.seed())
                 .put("version", version)
-                .put("whole", played.whole())
-                .put("void", played.lateness().isVoid())
-                .put("cpu_ms", rounded(played.cpuMs()))
-                .put("client_connections", played.mostOpen())
+                .put("whole", result.whole())
+                .put("void", result.lateness().isVoid())
+                .put("cpu_ms", rounded(result.cpuMs()))
+                .put("client_connections", result.mostOpen())
                 .put(
                         "machine",
                         System.getProperty("os.arch") + ", "
                                 + Runtime.getRuntime().availableProcessors() + " cores, Java "
                                 + System.getProperty("java.version"))
-                .put("length_ms", played.scenario().load().lengthMs())
-                .put("warm_up_ms", played.scenario().load().warmUpMs());
-        run.set("lateness", JSON.valueToTree(played.lateness()));
+                .put("length_ms", result.scenario().load().lengthMs())
+                .put("warm_up_ms", result.scenario().load().warmUpMs());
+        run.set("lateness", JSON.valueToTree(result.lateness()));
         run.set("verdict", JSON.valueToTree(verdict));
-        run.set("faults", JSON.valueToTree(played.scenario().faults()));
+        run.set("faults", JSON.valueToTree(result.scenario().faults()));
         JSON.writeValue(folder.resolve("run.json").toFile(), run);
-        asks(played);
-        attempts(played);
-        nodes(played);
+        requests(result);
+        attempts(result);
+        nodes(result);
     }
 
     private static Double rounded(double value) {
@@ -97,28 +97,31 @@
                         .build());
     }
 
-    private void asks(RunResult played) throws IOException {
-        try (CSVPrinter asks = table(
+    private void requests(RunResult result) throws IOException {
+        try (CSVPrinter requests = table(
                         "asks.csv", "ask", "arrived_ms", "class", "tenant", "work_ms", "tries", "end", "served_ms");
                 CSVPrinter tries =
                         table("tries.csv", "ask", "request", "sidecar", "sent_ms", "ended_ms", "end", "status")) {
-            for (ClientRequest ask : played.asks()) {
-                asks.printRecord(
-                        ask.number(),
-                        ms(ask.arrivedMs()),
-                        played.scenario().requests().get(ask.requestClass()).className(),
-                        played.scenario().tenants().isEmpty()
+            for (ClientRequest request : result.requests()) {
+                requests.printRecord(
+                        request.number(),
+                        ms(request.arrivedMs()),
+                        result.scenario().requests().get(request.requestClass()).className(),
+                        result.scenario().tenants().isEmpty()
                                 ? ""
-                                : played.scenario().tenants().get(ask.tenant()).name(),
-                        ms(ask.workMs()),
-                        ask.tries().size(),
-                        ask.tries().isEmpty() ? "open" : word(ask.last().end()),
-                        ms(ask.servedMs()));
-                for (ClientRequest.Try each : ask.tries()) {
+                                : result.scenario()
+                                        .tenants()
+                                        .get(request.tenant())
+                                        .name(),
+                        ms(request.workMs()),
+                        request.tries().size(),
+                        request.tries().isEmpty() ? "open" : word(request.last().end()),
+                        ms(request.servedMs()));
+                for (ClientRequest.Try each : request.tries()) {
                     tries.printRecord(
-                            ask.number(),
+                            request.number(),
                             each.id(),
-                            played.recorder().sidecar(each.id()),
+                            result.recorder().sidecar(each.id()),
                             ms(each.sentMs()),
                             ms(each.endedMs()),
                             word(each.end()),
@@ -132,7 +135,7 @@
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    private void attempts(RunResult played) throws IOException {
+    private void attempts(RunResult result) throws IOException {
         try (CSVPrinter out = table(
                 "attempts.csv",
                 "request",
@@ -145,10 +148,10 @@
                 "end",
                 "work_ms",
                 "for")) {
-            for (AttemptRecorder.Attempt attempt : played.recorder().attempts()) {
+            for (AttemptRecorder.Attempt attempt : result.recorder().attempts()) {
                 out.printRecord(
                         attempt.request(),
-                        played.recorder().sidecar(attempt.request()),
+                        result.recorder().sidecar(attempt.request()),
                         attempt.tier() + 1,
                         attempt.endpoint(),
                         ms(attempt.beganMs()),
@@ -161,9 +164,9 @@
         }
     }
 
-    private void nodes(RunResult played) throws IOException {
+    private void nodes(RunResult result) throws IOException {
         try (CSVPrinter out = table("endpoints.csv", "tier", "endpoint", "speed", "done_ms", "most_held")) {
-            for (RunResult.Node node : played.nodes()) {
+            for (RunResult.Node node : result.nodes()) {
                 out.printRecord(node.tier() + 1, node.id(), ms(node.speed()), ms(node.doneMs()), node.mostHeld());
             }
         }
--- a/lab/src/main/java/lemonrail/lab/report/Scorer.java
+++ b/lab/src/main/java/lemonrail/lab/report/Scorer.java
@@ -33,14 +33,14 @@
     private static final long MOST_MICROS = 3_600_000_000L;
     private static final int MOST_RULES = 20;
 
-    private final RunResult played;
+    private final RunResult run;
     private final List<RequestClass> classes;
     private final Set<ClientRequest> surplus = new HashSet<>();
 
-    private Scorer(RunResult played) {
-        this.played = played;
-        classes = played.scenario().requests().stream()
-                .map(requests -> played.settings().classes().stream()
+    private Scorer(RunResult run) {
+        this.run = run;
+        classes = run.scenario().requests().stream()
+                .map(requests -> run.settings().classes().stream()
                         .filter(kind -> kind.name().equals(requests.className()))
                         .findFirst()
                         .orElseThrow())
@@ -48,49 +48,51 @@
     }
 
     /** Scores a run; what was due before the warm-up ended does not count. */
-    public static Verdict score(RunResult played) {
-        return new Scorer(played).verdict();
+    public static Verdict score(RunResult run) {
+        return new Scorer(run).verdict();
     }
 
-    private double worth(ClientRequest ask) {
-        double full = classes.get(ask.requestClass()).priorityWeight();
-        return surplus.contains(ask) ? full * played.settings().overQuotaWeight() : full;
+    private double worth(ClientRequest clientRequest) {
+        double full = classes.get(clientRequest.requestClass()).priorityWeight();
+        return surplus.contains(clientRequest) ? full * run.settings().overQuotaWeight() : full;
     }
 
-    private double got(ClientRequest ask) {
-        double tookMs = ask.servedMs() - ask.arrivedMs();
-        return tookMs <= classes.get(ask.requestClass()).latencyObjectiveMs() ? worth(ask) : -penalty(ask);
+    private double got(ClientRequest clientRequest) {
+        double tookMs = clientRequest.servedMs() - clientRequest.arrivedMs();
+        return tookMs <= classes.get(clientRequest.requestClass()).latencyObjectiveMs()
+                ? worth(clientRequest)
+                : -penalty(clientRequest);
     }
 
-    private double penalty(ClientRequest ask) {
-        if (ask.tries().isEmpty() || !Double.isNaN(ask.servedMs())) {
+    private double penalty(ClientRequest clientRequest) {
+        if (clientRequest.tries().isEmpty() || !Double.isNaN(clientRequest.servedMs())) {
             return 0;
         }
-        ClientRequest.Try last = ask.last();
+        ClientRequest.Try last = clientRequest.last();
         boolean late = last.end() == ClientRequest.End.GIVEN_UP
                 || last.endedMs() - last.sentMs()
-                        > classes.get(ask.requestClass()).deadlineMs()
-                                * played.scenario().patience().least()
+                        > classes.get(clientRequest.requestClass()).deadlineMs()
+                                * run.scenario().patience().least()
                                 / 2;
-        boolean tried = ask.tries().stream()
-                .anyMatch(each -> !played.recorder().of(each.id()).isEmpty());
-        return late && !tried ? UNTRIED_PRICE * worth(ask) : 0;
+        boolean tried = clientRequest.tries().stream()
+                .anyMatch(each -> !run.recorder().of(each.id()).isEmpty());
+        return late && !tried ? UNTRIED_PRICE * worth(clientRequest) : 0;
     }
 
-    private double share(List<ClientRequest> asks) {
-        double wanted = sum(asks, this::worth);
-        return wanted == 0 ? 1 : sum(asks, this::got) / wanted;
+    private double share(List<ClientRequest> clientRequests) {
+        double wanted = sum(clientRequests, this::worth);
+        return wanted == 0 ? 1 : sum(clientRequests, this::got) / wanted;
     }
 
-    private static double sum(List<ClientRequest> asks, ToDoubleFunction<ClientRequest> of) {
-        return asks.stream().mapToDouble(of).sum();
+    private static double sum(List<ClientRequest> clientRequests, ToDoubleFunction<ClientRequest> of) {
+        return clientRequests.stream().mapToDouble(of).sum();
     }
 
     /** Marks what goes beyond its tenant's rate, second by second. */
-    private void findSurplus(List<ClientRequest> asks) {
-        for (int place = 0; place < played.scenario().tenants().size(); place++) {
-            String name = played.scenario().tenants().get(place).name();
-            double rate = played.settings().tenants().stream()
+    private void findSurplus(List<ClientRequest> clientRequests) {
+        for (int place = 0; place < run.scenario().tenants().size(); place++) {
+            String name = run.scenario().tenants().get(place).name();
+            double rate = run.settings().tenants().stream()
                     .filter(each -> each.name().equals(name))
                     .mapToDouble(TenantQuota::requestsPerSecond)
                     .findFirst()
@@ -100,12 +102,12 @@
             }
             double tokens = rate;
             double lastMs = 0;
-            for (ClientRequest ask : asks) {
-                if (ask.tenant() == place) {
-                    tokens = Math.min(rate, tokens + (ask.arrivedMs() - lastMs) / 1000 * rate);
-                    lastMs = ask.arrivedMs();
+            for (ClientRequest clientRequest : clientRequests) {
+                if (clientRequest.tenant() == place) {
+                    tokens = Math.min(rate, tokens + (clientRequest.arrivedMs() - lastMs) / 1000 * rate);
+                    lastMs = clientRequest.arrivedMs();
                     if (tokens < 1) {
-                        surplus.add(ask);
+                        surplus.add(clientRequest);
                     } else {
                         tokens--;
                     }
@@ -115,21 +117,27 @@
     }
 
     private Verdict verdict() {
-        findSurplus(played.asks());
-        double warmMs = played.scenario().load().warmUpMs();
-        List<ClientRequest> asks = played.asks().stream()
-                .filter(ask -> ask.arrivedMs() >= warmMs && !ask.tries().isEmpty())
+        findSurplus(run.requests());
+        double warmMs = run.scenario().load().warmUpMs();
+        List<ClientRequest> clientRequests = run.requests().stream()
+                .filter(clientRequest -> clientRequest.arrivedMs() >= warmMs
+                        && !clientRequest.tries().isEmpty())
                 .toList();
-        double whole = share(asks);
-        double worst = worstWindow(asks, warmMs, whole);
-        double worstClass = worstOf(asks, classes.size(), ClientRequest::requestClass);
-        List<ClientRequest> within =
-                asks.stream().filter(ask -> !surplus.contains(ask)).toList();
-        double worstTenant = worstOf(within, played.scenario().tenants().size(), ClientRequest::tenant);
-        double asked = sum(asks, ClientRequest::workMs);
+        double whole = share(clientRequests);
+        double worst = worstWindow(clientRequests, warmMs, whole);
+        double worstClass = worstOf(clientRequests, classes.size(), ClientRequest::requestClass);
+        List<ClientRequest> within = clientRequests.stream()
+                .filter(clientRequest -> !surplus.contains(clientRequest))
+                .toList();
+        double worstTenant = worstOf(within, run.scenario().tenants().size(), ClientRequest::tenant);
+        double asked = sum(clientRequests, ClientRequest::workMs);
         double waste = asked == 0 ? 0 : wasted(warmMs) / asked;
-        double late = sum(asks, ask -> !Double.isNaN(ask.servedMs()) && got(ask) <= 0 ? worth(ask) : 0)
-                / Math.max(1e-9, sum(asks, this::worth));
+        double late = sum(
+                        clientRequests,
+                        clientRequest -> !Double.isNaN(clientRequest.servedMs()) && got(clientRequest) <= 0
+                                ? worth(clientRequest)
+                                : 0)
+                / Math.max(1e-9, sum(clientRequests, this::worth));
         double service = WHOLE_WEIGHT * whole
                 + WORST_WINDOW_WEIGHT * worst
                 + WORST_CLASS_WEIGHT * worstClass
@@ -137,11 +145,11 @@
                 - WASTE_PRICE * Math.min(1, waste)
                 - LATE_PRICE * late;
         Histogram micros = new Histogram(MOST_MICROS, 3);
-        asks.stream()
-                .filter(ask -> !Double.isNaN(ask.servedMs()))
-                .forEach(ask ->
-                        micros.recordValue(Math.min(MOST_MICROS, (long) ((ask.servedMs() - ask.arrivedMs()) * 1000))));
-        long attempts = played.recorder().attempts().stream()
+        clientRequests.stream()
+                .filter(clientRequest -> !Double.isNaN(clientRequest.servedMs()))
+                .forEach(clientRequest -> micros.recordValue(
+                        Math.min(MOST_MICROS, (long) ((clientRequest.servedMs() - clientRequest.arrivedMs()) * 1000))));
+        long attempts = run.recorder().attempts().stream()
                 .filter(attempt -> attempt.tier() == 0 && attempt.beganMs() >= warmMs)
                 .count();
         return new Verdict(
@@ -152,31 +160,36 @@
                 worstTenant,
                 waste,
                 late,
-                asks.size(),
-                count(asks, end -> end == ClientRequest.End.SERVED),
-                count(asks, end -> end == ClientRequest.End.REFUSED),
-                count(asks, end -> end == ClientRequest.End.FAILED || end == ClientRequest.End.UNREACHED),
-                count(asks, end -> end == ClientRequest.End.LOST || end == ClientRequest.End.GIVEN_UP),
-                attempts / (double) Math.max(1, asks.size()),
+                clientRequests.size(),
+                count(clientRequests, end -> end == ClientRequest.End.SERVED),
+                count(clientRequests, end -> end == ClientRequest.End.REFUSED),
+                count(clientRequests, end -> end == ClientRequest.End.FAILED || end == ClientRequest.End.UNREACHED),
+                count(clientRequests, end -> end == ClientRequest.End.LOST || end == ClientRequest.End.GIVEN_UP),
+                attempts / (double) Math.max(1, clientRequests.size()),
                 micros.getValueAtPercentile(50) / 1e3,
                 micros.getValueAtPercentile(99) / 1e3,
                 micros.getValueAtPercentile(99.9) / 1e3,
-                played.broken().size(),
-                played.broken().stream().limit(MOST_RULES).toList());
+                run.broken().size(),
+                run.broken().stream().limit(MOST_RULES).toList());
     }
 
-    private static int count(List<ClientRequest> asks, Predicate<ClientRequest.End> end) {
-        return (int) asks.stream().filter(ask -> end.test(ask.last().end())).count();
+    private static int count(List<ClientRequest> clientRequests, Predicate<ClientRequest.End> end) {
+        return (int) clientRequests.stream()
+                .filter(clientRequest -> end.test(clientRequest.last().end()))
+                .count();
     }
 
-    private double worstWindow(List<ClientRequest> asks, double warmMs, double whole) {
-        double lastMs = asks.isEmpty() ? warmMs : asks.get(asks.size() - 1).arrivedMs();
-        double mean = sum(asks, this::worth) * WINDOW_MS / Math.max(WINDOW_MS, lastMs - warmMs);
+    private double worstWindow(List<ClientRequest> clientRequests, double warmMs, double whole) {
+        double lastMs = clientRequests.isEmpty()
+                ? warmMs
+                : clientRequests.get(clientRequests.size() - 1).arrivedMs();
+        double mean = sum(clientRequests, this::worth) * WINDOW_MS / Math.max(WINDOW_MS, lastMs - warmMs);
         double worst = whole;
         for (double from = warmMs; from + WINDOW_MS <= lastMs; from += STEP_MS) {
             double begin = from;
-            List<ClientRequest> in = asks.stream()
-                    .filter(ask -> ask.arrivedMs() >= begin && ask.arrivedMs() < begin + WINDOW_MS)
+            List<ClientRequest> in = clientRequests.stream()
+                    .filter(clientRequest ->
+                            clientRequest.arrivedMs() >= begin && clientRequest.arrivedMs() < begin + WINDOW_MS)
                     .toList();
             if (sum(in, this::worth) >= mean * THIN) {
                 worst = Math.min(worst, share(in));
@@ -185,28 +198,28 @@
         return worst;
     }
 
-    private double worstOf(List<ClientRequest> asks, int groups, ToIntFunction<ClientRequest> group) {
+    private double worstOf(List<ClientRequest> clientRequests, int groups, ToIntFunction<ClientRequest> group) {
         double worst = 1;
         for (int i = 0; i < groups; i++) {
             int place = i;
             worst = Math.min(
                     worst,
-                    share(asks.stream()
-                            .filter(ask -> group.applyAsInt(ask) == place)
+                    share(clientRequests.stream()
+                            .filter(clientRequest -> group.applyAsInt(clientRequest) == place)
                             .toList()));
         }
-        return groups == 0 ? share(asks) : worst;
+        return groups == 0 ? share(clientRequests) : worst;
     }
 
     /** Work of attempts that were begun and of which no client had anything. */
     private double wasted(double warmMs) {
         Set<String> served = new HashSet<>();
-        played.asks()
-                .forEach(ask -> ask.tries().stream()
+        run.requests()
+                .forEach(clientRequest -> clientRequest.tries().stream()
                         .filter(each -> each.end() == ClientRequest.End.SERVED)
                         .forEach(each -> served.add(each.id())));
         double wasted = 0;
-        for (AttemptRecorder.Attempt attempt : played.recorder().attempts()) {
+        for (AttemptRecorder.Attempt attempt : run.recorder().attempts()) {
             if (!Double.isNaN(attempt.ranMs()) && attempt.beganMs() >= warmMs && !useful(attempt, served)) {
                 wasted += attempt.workMs();
             }
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryNode.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryNode.java
@@ -115,7 +115,7 @@
             });
         }
 
-        void ask(ChannelHandlerContext ctx, long index, double waitMs) {
+        void poll(ChannelHandlerContext ctx, long index, double waitMs) {
             if (index != version) {
                 write(ctx, index);
                 return;
@@ -390,7 +390,7 @@
             if (known.size() < MOST_HEARD) {
                 known.add(new ControlPlane.Heard(System.nanoTime(), from));
             }
-            listing.ask(
+            listing.poll(
                     ctx,
                     from,
                     Double.parseDouble(query.parameters()
--- a/lab/src/main/java/lemonrail/lab/scale/path/ServedProcess.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/ServedProcess.java
@@ -93,13 +93,14 @@
     /** Waits until a sidecar says that it is ready. */
     void awaitReady() throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SidecarHost.READY_MS);
-        HttpRequest ask = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + address.getPort() + "/health/ready"))
+        HttpRequest request = HttpRequest.newBuilder(
+                        URI.create("http://127.0.0.1:" + address.getPort() + "/health/ready"))
                 .timeout(Duration.ofSeconds(1))
                 .build();
         while (true) {
             try {
                 if (SidecarHost.CLIENT
-                                .send(ask, HttpResponse.BodyHandlers.discarding())
+                                .send(request, HttpResponse.BodyHandlers.discarding())
                                 .statusCode()
                         == 200) {
                     return;
--- a/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
@@ -66,7 +66,7 @@
 
     private static final int RACK_SIZE = 8;
 
-    final VirtualScheduler agenda = new VirtualScheduler();
+    final VirtualScheduler scheduler = new VirtualScheduler();
     final Map<String, EndpointModel> endpoints = new LinkedHashMap<>();
     final List<Member> members = new ArrayList<>();
     final Registry registry;
@@ -102,7 +102,7 @@
         this.meanWorkMs = meanWorkMs;
         this.tipMultiple = tipMultiple;
         random = new SplittableRandom(seed);
-        registry = new Registry(agenda, RandomSource.XO_SHI_RO_256_PP.create(seed), true, 0, 200, 1500);
+        registry = new Registry(scheduler, RandomSource.XO_SHI_RO_256_PP.create(seed), true, 0, 200, 1500);
         perSecond = load * servers * 1000 / meanWorkMs;
         for (int i = 0; i < servers; i++) {
             add(false);
@@ -116,10 +116,10 @@
     String add(boolean cold) {
         String id = "e" + Long.toHexString(random.nextLong() >>> 32) + named++;
         if (named % RACK_SIZE == 1) {
-            racks.add(new Rack(agenda, KEY_WINDOW_MS));
+            racks.add(new Rack(scheduler, KEY_WINDOW_MS));
         }
         EndpointModel endpoint = new EndpointModel(
-                agenda,
+                scheduler,
                 new EndpointShape(
                         id,
                         racks.size() - 1,
@@ -149,17 +149,17 @@
     void replace(String id) {
         endpoints.get(id).drain(true);
         tell(id, Registry.State.TERMINATING);
-        agenda.after(6000, () -> {
+        scheduler.after(6000, () -> {
             endpoints.get(id).vanish();
             tell(id, Registry.State.TERMINATED);
         });
-        agenda.after(REPLACED_AFTER_MS, () -> add(true));
+        scheduler.after(REPLACED_AFTER_MS, () -> add(true));
     }
 
     /** Has requests come to all deciders for so long, then waits until all are answered. */
     void play(double untilMs) {
         arrive(untilMs);
-        agenda.runUntil(untilMs + DEADLINE_MS + 2 * TIP_MS);
+        scheduler.runUntil(untilMs + DEADLINE_MS + 2 * TIP_MS);
         members.forEach(Member::end);
         endpoints.forEach((id, endpoint) -> {
             if (endpoint.hasFallen()) {
@@ -169,8 +169,8 @@
     }
 
     private void arrive(double untilMs) {
-        agenda.after(-Math.log1p(-random.nextDouble()) * 1000 / perSecond, () -> {
-            if (agenda.nowMs() < untilMs) {
+        scheduler.after(-Math.log1p(-random.nextDouble()) * 1000 / perSecond, () -> {
+            if (scheduler.nowMs() < untilMs) {
                 members.get(random.nextInt(members.size())).request();
                 arrive(untilMs);
             }
@@ -338,14 +338,14 @@
             Set<String> gone = new HashSet<>(listed);
             servers.forEach(server -> gone.remove(server.id()));
             if (answer.full()) {
-                gone.forEach(id -> leftAt.putIfAbsent(id, agenda.nowMs()));
+                gone.forEach(id -> leftAt.putIfAbsent(id, scheduler.nowMs()));
             }
             for (Endpoint server : servers) {
                 listed.add(server.id());
                 if (server.state() == EndpointState.READY) {
                     leftAt.remove(server.id());
                 } else {
-                    leftAt.putIfAbsent(server.id(), agenda.nowMs());
+                    leftAt.putIfAbsent(server.id(), scheduler.nowMs());
                 }
             }
             answer.lines().forEach(line -> told.put(line.id(), line.startedMs()));
@@ -371,17 +371,17 @@
 
         private void watch() {
             long call = ++watch;
-            listCalls.merge((long) (agenda.nowMs() / 1000), 1, Integer::sum);
-            agenda.after(pace.waitMs() + WatchSchedule.silenceMs() + lateMs, () -> {
+            listCalls.merge((long) (scheduler.nowMs() / 1000), 1, Integer::sum);
+            scheduler.after(pace.waitMs() + WatchSchedule.silenceMs() + lateMs, () -> {
                 if (call == watch) {
                     deaf = false;
-                    agenda.after(pace.failed(), this::watch);
+                    scheduler.after(pace.failed(), this::watch);
                 }
             });
             agent.watch(
                     version,
                     pace.waitMs(),
-                    answer -> agenda.after(lateMs, () -> {
+                    answer -> scheduler.after(lateMs, () -> {
                         if (call == watch && !deaf) {
                             listed(answer);
                         }
@@ -401,7 +401,7 @@
         // ---- requests ----
 
         private double now() {
-            return EPOCH_MS + agenda.nowMs();
+            return EPOCH_MS + scheduler.nowMs();
         }
 
         void request() {
@@ -416,7 +416,7 @@
             if (request.answers++ > 0) {
                 breaks.add(request.id + " was answered twice");
             }
-            if (agenda.nowMs() > request.arrivedMs + DEADLINE_MS + SLACK_MS) {
+            if (scheduler.nowMs() > request.arrivedMs + DEADLINE_MS + SLACK_MS) {
                 breaks.add(request.id + " was answered late");
             }
         }
@@ -434,8 +434,8 @@
             mind(request, server);
             Try made = new Try(request, request.tries.size(), server);
             request.tries.add(made);
-            double left = request.arrivedMs + DEADLINE_MS - agenda.nowMs();
-            made.timeout = agenda.after(timeoutMs <= 0 ? left : Math.min(timeoutMs, left), made::giveUp);
+            double left = request.arrivedMs + DEADLINE_MS - scheduler.nowMs();
+            made.timeout = scheduler.after(timeoutMs <= 0 ? left : Math.min(timeoutMs, left), made::giveUp);
             connect(made);
         }
 
@@ -454,14 +454,14 @@
                                                                         .shape()
                                                                         .rack()
                                                                 != rack
-                                                        || agenda.nowMs() - before.sentMs > KEY_WINDOW_MS))))) {
+                                                        || scheduler.nowMs() - before.sentMs > KEY_WINDOW_MS))))) {
                     breaks.add(request.id + " was repeated though " + before.outcome);
                 }
             }
             if (request.answers > 0) {
                 breaks.add(request.id + " was sent after its answer");
             }
-            if (leftAt.containsKey(server) && agenda.nowMs() > leftAt.get(server) + GRACE_MS) {
+            if (leftAt.containsKey(server) && scheduler.nowMs() > leftAt.get(server) + GRACE_MS) {
                 breaks.add(request.id + " was sent to " + server + " which leaves");
             }
         }
@@ -472,25 +472,25 @@
             if (!standing.isEmpty()) {
                 standing.remove(standing.size() - 1).cancel();
                 made.connected = true;
-                agenda.after(NET_MS, made::arrive);
+                scheduler.after(NET_MS, made::arrive);
             } else if (endpoint.isSilent()) {
-                agenda.after(CONNECT_TIMEOUT_MS, () -> made.end(AttemptOutcome.CONNECT_ERROR));
+                scheduler.after(CONNECT_TIMEOUT_MS, () -> made.end(AttemptOutcome.CONNECT_ERROR));
             } else if (!endpoint.connect()) {
-                agenda.after(NET_MS, () -> made.end(AttemptOutcome.CONNECT_ERROR));
+                scheduler.after(NET_MS, () -> made.end(AttemptOutcome.CONNECT_ERROR));
             } else {
                 handshakes++;
                 made.connected = true;
                 int now = open.merge(made.server, 1, Integer::sum);
                 mostOpen.merge(made.server, now, Math::max);
                 double lateMs = lateConnectionMs > 0 ? random.nextDouble() * lateConnectionMs : 0;
-                agenda.after(2 * NET_MS + lateMs, () -> endpoint.handshake(made::arrive));
+                scheduler.after(2 * NET_MS + lateMs, () -> endpoint.handshake(made::arrive));
             }
         }
 
         private void keep(Try made) {
             List<Scheduler.Due> standing = idle.get(made.server);
             Scheduler.Due[] closing = new Scheduler.Due[1];
-            closing[0] = agenda.after(IDLE_MS, () -> {
+            closing[0] = scheduler.after(IDLE_MS, () -> {
                 standing.remove(closing[0]);
                 closed(made.server);
             });
@@ -536,7 +536,7 @@
 
         @Override
         public void startTimer(double inMs, long name) {
-            agenda.after(inMs, () -> decide.onTimer(now(), name));
+            scheduler.after(inMs, () -> decide.onTimer(now(), name));
         }
 
         @Override
@@ -552,7 +552,7 @@
         private final class Open {
             private final String id;
             private final int kind;
-            private final double arrivedMs = agenda.nowMs();
+            private final double arrivedMs = scheduler.nowMs();
             private final double workMs = -Math.log1p(-random.nextDouble()) * meanWorkMs;
             private final List<Try> tries = new ArrayList<>();
             private int answers;
@@ -567,7 +567,7 @@
             private final Open request;
             private final int number;
             private final String server;
-            private final double sentMs = agenda.nowMs();
+            private final double sentMs = scheduler.nowMs();
             private Scheduler.Due timeout;
             private boolean connected;
             private boolean arrived;
@@ -587,7 +587,7 @@
                     if (endpoint.warmth() < 1 && knowsOfStart(server)) {
                         coldSends
                                 .computeIfAbsent(server, id -> new ArrayList<>())
-                                .add(new ColdSend(agenda.nowMs(), request.workMs));
+                                .add(new ColdSend(scheduler.nowMs(), request.workMs));
                     }
                     endpoint.offer(this);
                 }
@@ -615,7 +615,7 @@
                 if (first) {
                     conclude(request);
                     served.merge(server, 1, Integer::sum);
-                    servedInTime += agenda.nowMs() - request.arrivedMs <= AIM_MS ? 1 : 0;
+                    servedInTime += scheduler.nowMs() - request.arrivedMs <= AIM_MS ? 1 : 0;
                 }
                 decide.onAttemptFinished(
                         now(),
@@ -624,7 +624,7 @@
                                 number,
                                 server,
                                 how,
-                                agenda.nowMs() - sentMs,
+                                scheduler.nowMs() - sentMs,
                                 first || request.answers > 0,
                                 LoadReport.NONE));
             }
@@ -636,12 +636,12 @@
 
             @Override
             protected void call(Consumer<Boolean> done) {
-                agenda.after(DOWNSTREAM_MS, () -> done.accept(true));
+                scheduler.after(DOWNSTREAM_MS, () -> done.accept(true));
             }
 
             @Override
             protected void answered(Answer answer) {
-                agenda.after(
+                scheduler.after(
                         NET_MS,
                         () -> end(
                                 switch (answer) {
--- a/lab/src/test/java/lemonrail/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/FleetTest.java
@@ -48,11 +48,11 @@
         List<String> leaving = List.copyOf(fleet.endpoints.keySet()).subList(0, servers * 6 / 10);
         for (int i = 0; i < leaving.size(); i++) {
             String id = leaving.get(i);
-            fleet.agenda.after(10_000 + 7000.0 * i / leaving.size(), () -> fleet.replace(id));
+            fleet.scheduler.after(10_000 + 7000.0 * i / leaving.size(), () -> fleet.replace(id));
         }
         int[] crowded = new int[1];
         for (int at = 10_000; at < LENGTH_MS; at += 500) {
-            fleet.agenda.after(
+            fleet.scheduler.after(
                     at,
                     () -> crowded[0] += (int) fleet.endpoints.values().stream()
                             .filter(EndpointModel::isCrowded)
@@ -71,10 +71,10 @@
     void aLostZoneAndItsColdReturnAreBorne(int deciders, int servers, long seed) {
         Fleet fleet = new Fleet(deciders, servers, 0.4, seed);
         List<String> lost = List.copyOf(fleet.endpoints.keySet()).subList(0, servers / 3);
-        fleet.agenda.after(
+        fleet.scheduler.after(
                 10_000, () -> lost.forEach(id -> fleet.endpoints.get(id).vanish()));
-        fleet.agenda.after(18_000, () -> lost.forEach(id -> fleet.tell(id, Registry.State.TERMINATED)));
-        fleet.agenda.after(
+        fleet.scheduler.after(18_000, () -> lost.forEach(id -> fleet.tell(id, Registry.State.TERMINATED)));
+        fleet.scheduler.after(
                 22_000,
                 () -> lost.forEach(id -> {
                     fleet.endpoints.get(id).start();
@@ -92,10 +92,10 @@
     void whatSilentWatchesMissedIsSoonLearned(int deciders, int servers, long seed) {
         Fleet fleet = new Fleet(deciders, servers, 0.3, seed);
         String leaving = fleet.endpoints.keySet().iterator().next();
-        fleet.agenda.after(9000, () -> fleet.members.forEach(member -> member.deaf = true));
-        fleet.agenda.after(10_500, () -> fleet.tell(leaving, Registry.State.TERMINATING));
+        fleet.scheduler.after(9000, () -> fleet.members.forEach(member -> member.deaf = true));
+        fleet.scheduler.after(10_500, () -> fleet.tell(leaving, Registry.State.TERMINATING));
         long[] know = new long[1];
-        fleet.agenda.after(
+        fleet.scheduler.after(
                 15_000,
                 () -> know[0] = fleet.members.stream()
                         .filter(member -> member.knowsOfLeaving(leaving))
@@ -209,7 +209,7 @@
         double startedMs = afterSeconds * 1000;
         String replaced = fleet.endpoints.keySet().iterator().next();
         Set<String> before = Set.copyOf(fleet.endpoints.keySet());
-        fleet.agenda.after(startedMs, () -> fleet.replace(replaced));
+        fleet.scheduler.after(startedMs, () -> fleet.replace(replaced));
         fleet.play(startedMs + Fleet.REPLACED_AFTER_MS + Fleet.COLD_MS);
         keepsTheRules(fleet);
         String cold = fleet.endpoints.keySet().stream()
@@ -231,10 +231,10 @@
         int replaced = Math.max(1, servers / 3);
         for (int i = 0; i < replaced; i++) {
             String id = all.get(i);
-            fleet.agenda.after(10_000 + 7000.0 * i / replaced, () -> fleet.replace(id));
+            fleet.scheduler.after(10_000 + 7000.0 * i / replaced, () -> fleet.replace(id));
         }
         if (othersHang) {
-            fleet.agenda.after(
+            fleet.scheduler.after(
                     12_000,
                     () -> all.subList(servers / 2, servers)
                             .forEach(id -> fleet.endpoints.get(id).hang(true)));
--- a/lab/src/test/java/lemonrail/lab/host/PlayTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/PlayTest.java
@@ -87,31 +87,33 @@
     private RunResult play(Scenario scenario, LoadBalancerFactory decider) throws IOException, InterruptedException {
         Scenario.Variant variant = new Scenario.Variant("it", decider, Map.of(), null);
         try (Testbed testbed = new Testbed(scenario, variant, 7, new Testbed.Builds(null), folder.resolve("run"))) {
-            return testbed.play(asks -> {});
+            return testbed.play(clientRequests -> {});
         }
     }
 
-    private static long count(RunResult played, ClientRequest.End end) {
-        return played.asks().stream().filter(ask -> ask.last().end() == end).count();
+    private static long count(RunResult run, ClientRequest.End end) {
+        return run.requests().stream()
+                .filter(clientRequest -> clientRequest.last().end() == end)
+                .count();
     }
 
     @ParameterizedTest
     @EnumSource(Deciders.class)
     void calmWithAnyDeciderAllIsServedOnceAndNoRuleIsBroken(Deciders decider) throws Exception {
-        RunResult played = play(scenario("", ""), decider);
-        assertEquals(List.of(), played.broken());
-        assertTrue(played.asks().size() > 80);
-        assertAllAnswered(played);
-        assertTrue(played.recorder().attempts().size() >= count(played, ClientRequest.End.SERVED));
+        RunResult run = play(scenario("", ""), decider);
+        assertEquals(List.of(), run.broken());
+        assertTrue(run.requests().size() > 80);
+        assertAllAnswered(run);
+        assertTrue(run.recorder().attempts().size() >= count(run, ClientRequest.End.SERVED));
     }
 
     /** Served, but for a few that an edge which has just started may refuse. */
-    private static void assertAllAnswered(RunResult played) {
-        long served = count(played, ClientRequest.End.SERVED);
-        assertEquals(played.asks().size(), served + count(played, ClientRequest.End.REFUSED));
+    private static void assertAllAnswered(RunResult run) {
+        long served = count(run, ClientRequest.End.SERVED);
+        assertEquals(run.requests().size(), served + count(run, ClientRequest.End.REFUSED));
         assertTrue(
-                served >= played.asks().size() * 0.8,
-                served + " of " + played.asks().size());
+                served >= run.requests().size() * 0.8,
+                served + " of " + run.requests().size());
     }
 
     @ParameterizedTest
@@ -136,25 +138,25 @@
         Fault.Kind of =
                 Fault.Kind.valueOf(kind.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
         String size = of == Fault.Kind.LOSS ? "0.2" : of == Fault.Kind.DELAY ? "50" : "3";
-        RunResult played = play(
+        RunResult run = play(
                 scenario(
                         "[[faults]]\nkind = \"" + kind + "\"\nbegin = \"500ms\"\n"
                                 + "length = \"800ms\"\nshare = 0.25\nsize = " + size + "\n",
                         ""),
                 Deciders.BOXCAR);
-        assertEquals(List.of(), played.broken());
+        assertEquals(List.of(), run.broken());
         assertEquals(
-                played.asks().size(),
-                count(played, ClientRequest.End.SERVED)
-                        + count(played, ClientRequest.End.REFUSED)
-                        + count(played, ClientRequest.End.FAILED),
+                run.requests().size(),
+                count(run, ClientRequest.End.SERVED)
+                        + count(run, ClientRequest.End.REFUSED)
+                        + count(run, ClientRequest.End.FAILED),
                 "each has one final answer");
-        assertTrue(count(played, ClientRequest.End.SERVED) > played.asks().size() / 2);
+        assertTrue(count(run, ClientRequest.End.SERVED) > run.requests().size() / 2);
     }
 
     @Test
     void threeTiersCallOneAnotherThroughSidecarsOfTheirOwn() throws Exception {
-        RunResult played = play(scenario("", """
+        RunResult run = play(scenario("", """
             [[tiers]]
             name = "front"
             count = 2
@@ -170,20 +172,20 @@
             count = 3
             work-share = 0.3
             """), Deciders.BOXCAR);
-        assertEquals(List.of(), played.broken());
-        long asked = played.asks().size();
-        assertTrue(count(played, ClientRequest.End.SERVED) >= asked * 0.7);
+        assertEquals(List.of(), run.broken());
+        long asked = run.requests().size();
+        assertTrue(count(run, ClientRequest.End.SERVED) >= asked * 0.7);
         for (int tier = 0; tier < 3; tier++) {
             int place = tier;
-            List<AttemptRecorder.Attempt> attempts = played.recorder().attempts().stream()
+            List<AttemptRecorder.Attempt> attempts = run.recorder().attempts().stream()
                     .filter(attempt -> attempt.tier() == place)
                     .toList();
-            assertTrue(attempts.size() >= count(played, ClientRequest.End.SERVED) * (tier == 0 ? 1 : 2));
+            assertTrue(attempts.size() >= count(run, ClientRequest.End.SERVED) * (tier == 0 ? 1 : 2));
             assertTrue(attempts.stream().allMatch(attempt -> attempt.parent() == null == (place == 0)));
         }
-        assertTrue(played.recorder().attempts().stream()
+        assertTrue(run.recorder().attempts().stream()
                 .filter(attempt -> attempt.tier() == 2)
-                .map(attempt -> played.recorder().sidecar(attempt.request()))
+                .map(attempt -> run.recorder().sidecar(attempt.request()))
                 .allMatch(sidecar -> sidecar.startsWith("sidecar-3-")));
     }
 
@@ -245,15 +247,15 @@
         };
     }
 
-    private static void assertBroken(RunResult played, String rule) {
+    private static void assertBroken(RunResult run, String rule) {
         assertTrue(
-                played.broken().stream().anyMatch(broken -> broken.startsWith(rule)),
-                rule + " is not among " + played.broken());
+                run.broken().stream().anyMatch(broken -> broken.startsWith(rule)),
+                rule + " is not among " + run.broken());
     }
 
     @Test
     void aDeciderThatHeedsNothingIsFoundOut() throws Exception {
-        RunResult played = play(scenario("""
+        RunResult run = play(scenario("""
             [[faults]]
             kind = "drain"
             begin = "100ms"
@@ -265,32 +267,32 @@
             length = "1h"
             share = 0.5
             """, ""), PlayTest::reckless);
-        assertBroken(played, "sent to front-");
-        assertBroken(played, "ran twice: ");
+        assertBroken(run, "sent to front-");
+        assertBroken(run, "ran twice: ");
     }
 
     @Test
     void aRefusalOfWhatMayHaveRunIsFoundOut() throws Exception {
-        RunResult played = play(
+        RunResult run = play(
                 scenario("[[faults]]\nkind = \"fail\"\nbegin = \"100ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
                 (settings, seed, host) -> reckless(1, host));
-        assertBroken(played, "refused after it may have run: ");
+        assertBroken(run, "refused after it may have run: ");
     }
 
     @Test
     void noDeciderCanHaveMoreAttemptsMadeThanAllowed() throws Exception {
-        RunResult played = play(
+        RunResult run = play(
                 scenario("[[faults]]\nkind = \"hang\"\nbegin = \"600ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
                 PlayTest::reckless);
         Map<String, Integer> attempts = new HashMap<>();
-        played.recorder().attempts().forEach(each -> attempts.merge(each.request(), 1, Integer::sum));
+        run.recorder().attempts().forEach(each -> attempts.merge(each.request(), 1, Integer::sum));
         assertEquals(
                 4, attempts.values().stream().mapToInt(count -> count).max().orElse(0));
     }
 
     @Test
     void aColdEndpointThatIsPushedOverIsFoundOut() throws Exception {
-        RunResult played = play(scenario("", """
+        RunResult run = play(scenario("", """
             [[tiers]]
             name = "front"
             count = 1
@@ -301,22 +303,22 @@
             tip-window = "500ms"
             starts-cold = true
             """), Deciders.RANDOM);
-        assertBroken(played, "pushed over while cold: front-1");
+        assertBroken(run, "pushed over while cold: front-1");
     }
 
     @Test
     void aFaultThatOutlastsTheRunStillEndsIt() throws Exception {
-        RunResult played = play(
+        RunResult run = play(
                 scenario("[[faults]]\nkind = \"hang\"\nbegin = \"700ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
                 Deciders.BOXCAR);
-        assertEquals(List.of(), played.broken());
-        assertTrue(count(played, ClientRequest.End.SERVED) < played.asks().size());
-        assertEquals(0, count(played, ClientRequest.End.GIVEN_UP) + count(played, ClientRequest.End.LOST));
+        assertEquals(List.of(), run.broken());
+        assertTrue(count(run, ClientRequest.End.SERVED) < run.requests().size());
+        assertEquals(0, count(run, ClientRequest.End.GIVEN_UP) + count(run, ClientRequest.End.LOST));
     }
 
     @Test
     void poorLinksOnBothSidesKeepTheRules() throws Exception {
-        RunResult played = play(scenario("", """
+        RunResult run = play(scenario("", """
             [client-links]
             delay = "10ms"
             jitter = "15ms"
@@ -325,9 +327,9 @@
             delay = "5ms"
             kilobytes-per-second = 200
             """), Deciders.BOXCAR);
-        assertEquals(List.of(), played.broken());
-        assertAllAnswered(played);
-        assertTrue(Scorer.score(played).p50Ms() >= 30, "twice 10 and twice 5 ms at least");
+        assertEquals(List.of(), run.broken());
+        assertAllAnswered(run);
+        assertTrue(Scorer.score(run).p50Ms() >= 30, "twice 10 and twice 5 ms at least");
     }
 
     @Test
@@ -336,27 +338,27 @@
         Scenario.Variant variant = scenario.variants().get(0);
         Thread player = Thread.currentThread();
         try (Testbed testbed = new Testbed(scenario, variant, 1, new Testbed.Builds(null), folder.resolve("run"))) {
-            RunResult played = testbed.play(asks -> {
-                if (asks.get().size() > 30) {
+            RunResult run = testbed.play(clientRequests -> {
+                if (clientRequests.get().size() > 30) {
                     player.interrupt();
                 }
             });
-            assertFalse(played.whole());
-            assertTrue(played.asks().size() < 100);
+            assertFalse(run.whole());
+            assertTrue(run.requests().size() < 100);
             assertEquals(
-                    played.asks().size(),
-                    count(played, ClientRequest.End.SERVED) + count(played, ClientRequest.End.REFUSED));
+                    run.requests().size(),
+                    count(run, ClientRequest.End.SERVED) + count(run, ClientRequest.End.REFUSED));
         }
     }
 
     @Test
     void aRunIsKeptAndItsReportIsMadeFromTheRawData() throws Exception {
-        RunResult played = play(scenario("", ""), Deciders.BOXCAR);
-        Verdict verdict = Scorer.score(played);
+        RunResult run = play(scenario("", ""), Deciders.BOXCAR);
+        Verdict verdict = Scorer.score(run);
         assertTrue(verdict.whole() > 0.8 && verdict.whole() <= 1);
         assertEquals(0, verdict.waste(), 1e-9);
         RunFolder kept = new RunFolder(folder.resolve("kept"));
-        kept.keep(played, verdict, "v1");
+        kept.keep(run, verdict, "v1");
         Report.render(kept);
         String report = Files.readString(kept.path().resolve("report.md"));
         assertTrue(
@@ -374,7 +376,7 @@
                 Files.readString(kept.path().resolve("latency.svg")),
                 "the same data gives the same chart");
         assertEquals(
-                played.asks().size() + 1,
+                run.requests().size() + 1,
                 Files.readAllLines(kept.path().resolve("asks.csv")).size());
     }
 }
--- a/lab/src/test/java/lemonrail/lab/model/EndpointModelTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/EndpointModelTest.java
@@ -14,30 +14,30 @@
 
 class EndpointModelTest {
 
-    private final VirtualScheduler agenda = new VirtualScheduler();
-    private final Rack rack = new Rack(agenda, 10_000);
+    private final VirtualScheduler scheduler = new VirtualScheduler();
+    private final Rack rack = new Rack(scheduler, 10_000);
     private final List<String> seen = new ArrayList<>();
 
     private EndpointModel endpoint(int slots, int room, ColdStart cold, Crowding crowding) {
-        return new EndpointModel(agenda, new EndpointShape("e", 0, 1, 1, slots, room, 3, 50, cold, crowding), rack);
+        return new EndpointModel(scheduler, new EndpointShape("e", 0, 1, 1, slots, room, 3, 50, cold, crowding), rack);
     }
 
     private Work work(String name, String key, double ms, int calls) {
         return new Work(key, ms, calls) {
             @Override
             protected void began() {
-                seen.add(name + " began " + Math.round(agenda.nowMs()));
+                seen.add(name + " began " + Math.round(scheduler.nowMs()));
             }
 
             @Override
             protected void call(Consumer<Boolean> done) {
-                seen.add(name + " calls " + Math.round(agenda.nowMs()));
-                agenda.after(30, () -> done.accept(!name.equals("unlucky")));
+                seen.add(name + " calls " + Math.round(scheduler.nowMs()));
+                scheduler.after(30, () -> done.accept(!name.equals("unlucky")));
             }
 
             @Override
             protected void answered(Answer answer) {
-                seen.add(name + " " + answer + " " + Math.round(agenda.nowMs()));
+                seen.add(name + " " + answer + " " + Math.round(scheduler.nowMs()));
             }
         };
     }
@@ -48,7 +48,7 @@
         endpoint.offer(work("a", null, 100, 0));
         endpoint.offer(work("b", null, 100, 0));
         endpoint.offer(work("c", null, 100, 0));
-        agenda.runUntil(1000);
+        scheduler.runUntil(1000);
         assertEquals(List.of("a began 0", "c TURNED_AWAY 0", "b began 100", "a SERVED 100", "b SERVED 200"), seen);
         assertEquals(2, endpoint.mostHeld());
     }
@@ -58,7 +58,7 @@
         EndpointModel endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
         endpoint.offer(work("a", null, 100, 2));
         endpoint.offer(work("unlucky", null, 100, 2));
-        agenda.runUntil(1000);
+        scheduler.runUntil(1000);
         assertEquals(
                 List.of(
                         "a began 0",
@@ -77,8 +77,8 @@
         Work given = work("a", null, 100, 0);
         endpoint.offer(given);
         endpoint.offer(work("b", null, 100, 0));
-        agenda.after(40, () -> endpoint.cancel(given));
-        agenda.runUntil(1000);
+        scheduler.after(40, () -> endpoint.cancel(given));
+        scheduler.runUntil(1000);
         assertEquals(List.of("a began 0", "b began 40", "b SERVED 140"), seen);
         assertEquals(140, endpoint.doneMs(), 1e-6);
     }
@@ -87,12 +87,12 @@
     void aRackDropsRepeatsForAWhileAndAnotherDoesNot() {
         EndpointModel one = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
         EndpointModel other = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
-        EndpointModel far = new EndpointModel(agenda, one.shape(), new Rack(agenda, 10_000));
+        EndpointModel far = new EndpointModel(scheduler, one.shape(), new Rack(scheduler, 10_000));
         one.offer(work("a", "k", 100, 0));
-        agenda.after(50, () -> other.offer(work("repeat", "k", 100, 0)));
-        agenda.after(60, () -> far.offer(work("far", "k", 100, 0)));
-        agenda.after(10_001, () -> other.offer(work("late", "k", 100, 0)));
-        agenda.runUntil(20_000);
+        scheduler.after(50, () -> other.offer(work("repeat", "k", 100, 0)));
+        scheduler.after(60, () -> far.offer(work("far", "k", 100, 0)));
+        scheduler.after(10_001, () -> other.offer(work("late", "k", 100, 0)));
+        scheduler.runUntil(20_000);
         assertEquals(
                 List.of(
                         "a began 0",
@@ -111,10 +111,10 @@
         endpoint.offer(work("a", "k", 100, 1));
         endpoint.hang(true);
         endpoint.offer(work("repeat", "k", 100, 1));
-        agenda.runUntil(1000);
+        scheduler.runUntil(1000);
         assertEquals(List.of("a began 0"), seen);
         endpoint.hang(false);
-        agenda.runUntil(2000);
+        scheduler.runUntil(2000);
         assertEquals(List.of("a began 0", "repeat SERVED 1000", "a calls 1050", "a SERVED 1130"), seen);
     }
 
@@ -124,10 +124,10 @@
         endpoint.start();
         assertEquals(0.2, endpoint.warmth(), 1e-9);
         endpoint.offer(work("a", null, 600, 0));
-        agenda.runUntil(995);
+        scheduler.runUntil(995);
         // Rising evenly from a fifth to the whole, 0.6 s of work take 1 s.
         assertEquals(1, seen.size());
-        agenda.runUntil(1030);
+        scheduler.runUntil(1030);
         assertEquals(2, seen.size());
         assertEquals(1, endpoint.warmth(), 1e-9);
     }
@@ -137,13 +137,13 @@
         ColdStart cold = new ColdStart(0.5, 1000, Warming.WORK, 99, 3000);
         EndpointModel busy = endpoint(1, 5, cold, Crowding.NONE);
         EndpointModel idle = endpoint(1, 5, cold, Crowding.NONE);
-        agenda.after(0, busy::start);
-        agenda.after(0, idle::start);
-        agenda.after(0, () -> busy.offer(work("a", null, 5000, 0)));
-        agenda.runUntil(500);
+        scheduler.after(0, busy::start);
+        scheduler.after(0, idle::start);
+        scheduler.after(0, () -> busy.offer(work("a", null, 5000, 0)));
+        scheduler.runUntil(500);
         assertEquals(0.75, idle.warmth(), 1e-9);
         assertEquals(0.75, busy.warmth(), 0.001);
-        agenda.runUntil(900);
+        scheduler.runUntil(900);
         busy.doneMs();
         assertTrue(busy.warmth() >= idle.warmth(), "never slower than by time");
     }
@@ -160,7 +160,7 @@
         assertFalse(endpoint.hasFallen());
         endpoint.offer(work("last", null, 150, 0));
         assertTrue(endpoint.hasFallen());
-        agenda.runUntil(60_000);
+        scheduler.runUntil(60_000);
         assertEquals(8, seen.size(), "nothing is answered any more");
         endpoint.start();
         assertFalse(endpoint.hasFallen());
@@ -172,17 +172,17 @@
         for (int i = 0; i < 6; i++) {
             endpoint.offer(work("w" + i, null, 400, 0));
         }
-        agenda.runUntil(990);
+        scheduler.runUntil(990);
         assertFalse(endpoint.isCrowded());
-        agenda.runUntil(1040);
+        scheduler.runUntil(1040);
         assertTrue(endpoint.isCrowded());
         // 2400 ms of work: 1000 at full speed, the rest at half.
-        agenda.runUntil(3700);
+        scheduler.runUntil(3700);
         assertEquals(6, seen.size());
-        agenda.runUntil(4000);
+        scheduler.runUntil(4000);
         assertEquals(12, seen.size());
         assertTrue(endpoint.isCrowded());
-        agenda.runUntil(4500);
+        scheduler.runUntil(4500);
         assertFalse(endpoint.isCrowded());
     }
 
@@ -192,7 +192,7 @@
         for (int i = 0; i < 6; i++) {
             endpoint.offer(work("w" + i, null, 150, 0));
         }
-        agenda.runUntil(5000);
+        scheduler.runUntil(5000);
         assertFalse(endpoint.isCrowded());
         assertEquals("w5 SERVED 900", seen.get(11));
     }
@@ -207,7 +207,7 @@
         endpoint.disconnect();
         assertTrue(endpoint.connect());
         endpoint.handshake(() -> endpoint.offer(work("a", null, 100, 0)));
-        agenda.runUntil(1000);
+        scheduler.runUntil(1000);
         assertEquals(List.of("a began 50", "a SERVED 150"), seen);
         assertEquals(150, endpoint.doneMs(), 1e-6);
     }
@@ -218,7 +218,7 @@
         endpoint.offer(work("a", null, 100, 0));
         endpoint.drain(true);
         endpoint.offer(work("b", null, 100, 0));
-        agenda.runUntil(1000);
+        scheduler.runUntil(1000);
         assertEquals(List.of("a began 0", "b TURNED_AWAY 0", "a SERVED 100"), seen);
     }
 
@@ -226,14 +226,14 @@
     void vanishedItSaysNothingAndComesBackColdAndEmpty() {
         EndpointModel endpoint = endpoint(1, 5, new ColdStart(0.2, 1000, Warming.TIME, 99, 3000), Crowding.NONE);
         endpoint.offer(work("a", null, 100, 0));
-        agenda.after(50, endpoint::vanish);
-        agenda.after(60, () -> endpoint.offer(work("b", null, 100, 0)));
-        agenda.after(500, endpoint::start);
-        agenda.runUntil(500);
+        scheduler.after(50, endpoint::vanish);
+        scheduler.after(60, () -> endpoint.offer(work("b", null, 100, 0)));
+        scheduler.after(500, endpoint::start);
+        scheduler.runUntil(500);
         assertTrue(endpoint.connect());
         assertEquals(0.2, endpoint.warmth(), 1e-9);
         assertEquals(0, endpoint.held());
-        agenda.runUntil(5000);
+        scheduler.runUntil(5000);
         assertEquals(List.of("a began 0"), seen);
     }
 }
--- a/lab/src/test/java/lemonrail/lab/model/ModelsTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/ModelsTest.java
@@ -18,7 +18,7 @@
 /** Clients, arrivals and discovery. */
 class ModelsTest {
 
-    private final VirtualScheduler agenda = new VirtualScheduler();
+    private final VirtualScheduler scheduler = new VirtualScheduler();
     private final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(5L);
 
     private long arrivals(Arrivals arrivals, double fromMs, double toMs) {
@@ -44,16 +44,17 @@
                 new Clients.Shape(List.of(new Kind(1000, true, 1, 10)), List.of(1.0), retrying, 0.5, 1, false);
         int[] tries = new int[1];
         return new Clients(
-                agenda,
+                scheduler,
                 shape,
                 new Arrivals(10, Arrivals.Spacing.EVEN, random),
                 150,
                 random,
-                (ask, id, patience, reply) -> {
+                (request, id, patience, reply) -> {
                     assertTrue(patience >= 500 && patience <= 1000);
-                    sent.add(agenda.nowMs());
+                    sent.add(scheduler.nowMs());
                     ClientRequest.End end = ends[tries[0]++];
-                    agenda.after(10, () -> reply.ended(end, 503, end == ClientRequest.End.REFUSED ? 700 : Double.NaN));
+                    scheduler.after(
+                            10, () -> reply.ended(end, 503, end == ClientRequest.End.REFUSED ? 700 : Double.NaN));
                 });
     }
 
@@ -68,11 +69,11 @@
                 ClientRequest.End.LOST,
                 ClientRequest.End.SERVED);
         clients.start();
-        agenda.runUntil(10_000);
+        scheduler.runUntil(10_000);
         assertEquals(List.of(100.0, 210.0, 420.0, 830.0), sent);
-        assertEquals(1, clients.asks().size());
-        assertEquals(840, clients.asks().get(0).servedMs(), 1e-6);
-        assertEquals(4, clients.asks().get(0).tries().size());
+        assertEquals(1, clients.requests().size());
+        assertEquals(840, clients.requests().get(0).servedMs(), 1e-6);
+        assertEquals(4, clients.requests().get(0).tries().size());
         assertTrue(clients.isOver());
     }
 
@@ -82,21 +83,21 @@
         Clients clients =
                 clients(new Retrying(1, 100, 1, true), sent, ClientRequest.End.REFUSED, ClientRequest.End.REFUSED);
         clients.start();
-        agenda.runUntil(10_000);
+        scheduler.runUntil(10_000);
         assertEquals(List.of(100.0, 810.0), sent);
-        assertTrue(Double.isNaN(clients.asks().get(0).servedMs()));
+        assertTrue(Double.isNaN(clients.requests().get(0).servedMs()));
     }
 
     @Test
     void whoHasGivenUpDoesNotComeBack() {
         List<Double> sent = new ArrayList<>();
         clients(new Retrying(3, 100, 1, true), sent, ClientRequest.End.GIVEN_UP).start();
-        agenda.runUntil(10_000);
+        scheduler.runUntil(10_000);
         assertEquals(1, sent.size());
     }
 
     private Registry registry(boolean pushes) {
-        Registry registry = new Registry(agenda, random, pushes, 500, 100, 300);
+        Registry registry = new Registry(scheduler, random, pushes, 500, 100, 300);
         registry.set(new Line("a", State.IN_SERVICE, Double.NEGATIVE_INFINITY));
         registry.set(new Line("b", State.IN_SERVICE, Double.NEGATIVE_INFINITY));
         return registry;
@@ -111,7 +112,7 @@
     @Test
     void changesAreToldLateAndOnlyThose() {
         Registry registry = registry(true);
-        agenda.runUntil(1000);
+        scheduler.runUntil(1000);
         List<String> told = new ArrayList<>();
         Registry.Agent agent = registry.agent(line -> told.add(line.id()));
         List<Registry.Answer> answers = new ArrayList<>();
@@ -119,21 +120,21 @@
         assertEquals(List.of("a IN_SERVICE", "b IN_SERVICE"), ids(answers.get(0)));
         agent.watch(answers.get(0).version(), 20_000, answers::add);
         registry.set(new Line("b", State.TERMINATING, 0));
-        agenda.runUntil(1099);
+        scheduler.runUntil(1099);
         assertEquals(1, answers.size());
-        agenda.runUntil(1301);
+        scheduler.runUntil(1301);
         assertFalse(answers.get(1).full());
         assertEquals(List.of("b TERMINATING"), ids(answers.get(1)));
         assertEquals(List.of("a", "b", "b"), told);
         agent.watch(answers.get(1).version(), 2000, answers::add);
-        agenda.runUntil(3301);
+        scheduler.runUntil(3301);
         assertEquals(List.of(), ids(answers.get(2)), "a watch that is over answers with nothing");
     }
 
     @Test
     void outOfReachItSaysNothingAndTellsAllAfterwards() {
         Registry registry = registry(true);
-        agenda.runUntil(1000);
+        scheduler.runUntil(1000);
         Registry.Agent agent = registry.agent(line -> {});
         List<Registry.Answer> answers = new ArrayList<>();
         agent.whole(answers::add);
@@ -141,7 +142,7 @@
         agent.whole(answers::add);
         agent.watch(answers.get(0).version(), 500, answers::add);
         registry.set(new Line("a", State.TERMINATED, 0));
-        agenda.runUntil(5000);
+        scheduler.runUntil(5000);
         assertEquals(1, answers.size());
         registry.reachable(true);
         assertEquals(List.of("a TERMINATED"), ids(answers.get(1)));
@@ -150,7 +151,7 @@
     @Test
     void aRestartedRegistryGivesTheWholeListToWhoeverWatches() {
         Registry registry = registry(true);
-        agenda.runUntil(1000);
+        scheduler.runUntil(1000);
         Registry.Agent agent = registry.agent(line -> {});
         List<Registry.Answer> answers = new ArrayList<>();
         agent.whole(answers::add);
@@ -164,7 +165,7 @@
     @Test
     void aListThatShrinksLeavesSomeOutAndHasThemAgain() {
         Registry registry = registry(true);
-        agenda.runUntil(1000);
+        scheduler.runUntil(1000);
         Registry.Agent agent = registry.agent(line -> {});
         List<Registry.Answer> answers = new ArrayList<>();
         registry.hide(List.of("a"), true);
@@ -181,9 +182,9 @@
         Registry.Agent agent = registry.agent(line -> {});
         List<Registry.Answer> answers = new ArrayList<>();
         registry.set(new Line("b", State.TERMINATED, 0));
-        agenda.runUntil(499);
+        scheduler.runUntil(499);
         agent.whole(answers::add);
-        agenda.runUntil(501);
+        scheduler.runUntil(501);
         agent.whole(answers::add);
         assertEquals(2, answers.get(0).lines().size());
         assertEquals(1, answers.get(1).lines().size());
--- a/lab/src/test/java/lemonrail/lab/model/QueueingTheoryTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/QueueingTheoryTest.java
@@ -17,7 +17,7 @@
     private static final double MEAN_MS = 100;
     private static final int MANY = 1_000_000;
 
-    private final VirtualScheduler agenda = new VirtualScheduler();
+    private final VirtualScheduler scheduler = new VirtualScheduler();
     private final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(11L);
 
     private double exponential(double mean) {
@@ -26,7 +26,7 @@
 
     private EndpointModel endpoint(int cores, int slots) {
         return new EndpointModel(
-                agenda,
+                scheduler,
                 new EndpointShape(
                         "e",
                         0,
@@ -38,11 +38,11 @@
                         0,
                         EndpointShape.ColdStart.NONE,
                         EndpointShape.Crowding.NONE),
-                new Rack(agenda, 1000));
+                new Rack(scheduler, 1000));
     }
 
     private final class Timed extends Work {
-        private final double sentMs = agenda.nowMs();
+        private final double sentMs = scheduler.nowMs();
         private final Consumer<Double> taken;
 
         Timed(double workMs, Consumer<Double> taken) {
@@ -63,7 +63,7 @@
         @Override
         protected void answered(Answer answer) {
             assertEquals(Answer.SERVED, answer);
-            taken.accept(agenda.nowMs() - sentMs);
+            taken.accept(scheduler.nowMs() - sentMs);
         }
     }
 
@@ -90,13 +90,13 @@
         double at = 0;
         for (int i = 0; i < count; i++) {
             at = arrivals.next();
-            agenda.runUntil(at);
+            scheduler.runUntil(at);
             endpoint.offer(new Timed(exponential(MEAN_MS), took -> {
                 sum[0] += took;
                 sum[1]++;
             }));
         }
-        agenda.runUntil(at + 1e6);
+        scheduler.runUntil(at + 1e6);
         assertEquals(count, sum[1]);
         double expected = erlangC(cores, used * cores);
         assertEquals(expected, sum[0] / count, expected * 0.04);
@@ -134,7 +134,7 @@
         for (int i = 0; i < customers; i++) {
             new Customer(chain, demands, thinkMs, done).go(0);
         }
-        agenda.runUntil(lengthMs);
+        scheduler.runUntil(lengthMs);
         double expected = closed(demands, customers, thinkMs);
         assertEquals(expected, done[0] / lengthMs, expected * 0.01);
     }
@@ -155,7 +155,7 @@
         void go(int station) {
             if (station == chain.size()) {
                 done[0]++;
-                agenda.after(thinkMs > 0 ? exponential(thinkMs) : 0, () -> go(0));
+                scheduler.after(thinkMs > 0 ? exponential(thinkMs) : 0, () -> go(0));
                 return;
             }
             chain.get(station).offer(new Timed(exponential(demands[station]), took -> go(station + 1)));
@@ -167,11 +167,11 @@
         EndpointModel endpoint = endpoint(2, 4);
         double[] took = new double[1];
         endpoint.offer(new Timed(1000, ms -> took[0] = ms));
-        agenda.after(100, () -> endpoint.slow(4));
-        agenda.after(500, () -> endpoint.hang(true));
-        agenda.after(1500, () -> endpoint.hang(false));
-        agenda.after(1700, () -> endpoint.slow(1));
-        agenda.runUntil(10_000);
+        scheduler.after(100, () -> endpoint.slow(4));
+        scheduler.after(500, () -> endpoint.hang(true));
+        scheduler.after(1500, () -> endpoint.hang(false));
+        scheduler.after(1700, () -> endpoint.slow(1));
+        scheduler.runUntil(10_000);
         // 100 alone, 400 and 200 at a quarter, and what is left of 1000 after a stop of 1000.
         assertEquals(100 + 400 + 1000 + 200 + (1000 - 100 - 100 - 50), took[0], 1e-6);
         assertEquals(1000, endpoint.doneMs(), 1e-6);
--- a/lab/src/test/java/lemonrail/lab/scale/RegistryNodeTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/RegistryNodeTest.java
@@ -47,7 +47,7 @@
         node.close();
     }
 
-    private CompletableFuture<JsonNode> ask(InetSocketAddress at, String query) {
+    private CompletableFuture<JsonNode> poll(InetSocketAddress at, String query) {
         HttpRequest request = HttpRequest.newBuilder(
                         URI.create("http://127.0.0.1:" + at.getPort() + "/registry/instances" + query))
                 .timeout(Duration.ofSeconds(10))
@@ -67,14 +67,14 @@
 
     @Test
     void theWholeListThenChangesOnly() {
-        JsonNode whole = ask(all, "").join();
+        JsonNode whole = poll(all, "").join();
         assertTrue(whole.get("full").booleanValue());
         assertEquals(12, whole.get("servers").size());
         long version = whole.get("version").longValue();
         node.apply(weigh(3, 2));
         node.apply(weigh(3, 4));
         node.apply(weigh(5, 2));
-        JsonNode delta = ask(all, "?index=" + version + "&wait=5000").join();
+        JsonNode delta = poll(all, "?index=" + version + "&wait=5000").join();
         assertFalse(delta.get("full").booleanValue());
         assertEquals(version + 3, delta.get("version").longValue());
         assertEquals(2, delta.get("servers").size(), "an endpoint that changed twice is told once");
@@ -83,8 +83,8 @@
 
     @Test
     void aWatchWaitsUntilSomethingChanges() throws Exception {
-        long version = ask(all, "").join().get("version").longValue();
-        CompletableFuture<JsonNode> watch = ask(all, "?index=" + version + "&wait=9000");
+        long version = poll(all, "").join().get("version").longValue();
+        CompletableFuture<JsonNode> watch = poll(all, "?index=" + version + "&wait=9000");
         while (node.heard("one").isEmpty()) {
             Thread.onSpinWait();
         }
@@ -95,8 +95,8 @@
 
     @Test
     void aWatchEndsEmptyAfterItsWait() {
-        long version = ask(all, "").join().get("version").longValue();
-        JsonNode empty = ask(all, "?index=" + version + "&wait=20").join();
+        long version = poll(all, "").join().get("version").longValue();
+        JsonNode empty = poll(all, "?index=" + version + "&wait=20").join();
         assertEquals(version, empty.get("version").longValue());
         assertEquals(0, empty.get("servers").size());
         assertFalse(empty.get("full").booleanValue());
@@ -104,31 +104,31 @@
 
     @Test
     void whatIsGoneIsToldAmongChangesAlone() {
-        long version = ask(all, "").join().get("version").longValue();
+        long version = poll(all, "").join().get("version").longValue();
         node.apply(Map.of(Site.ALL, List.of(SITE.line(2).with(EndpointEntry.State.TERMINATED))));
-        assertTrue(ask(all, "?index=" + version + "&wait=0").join().toString().contains("terminated"));
-        assertEquals(11, ask(all, "").join().get("servers").size());
+        assertTrue(poll(all, "?index=" + version + "&wait=0").join().toString().contains("terminated"));
+        assertEquals(11, poll(all, "").join().get("servers").size());
     }
 
     @Test
     void whoAsksFromAheadOfARestartGetsTheWholeList() {
         node.apply(weigh(1, 3));
-        long version = ask(all, "").join().get("version").longValue();
+        long version = poll(all, "").join().get("version").longValue();
         node.stop();
-        assertThrows(Exception.class, () -> ask(all, "").join(), "nobody is there");
+        assertThrows(Exception.class, () -> poll(all, "").join(), "nobody is there");
         node.start(true);
-        JsonNode whole = ask(all, "?index=" + version + "&wait=5000").join();
+        JsonNode whole = poll(all, "?index=" + version + "&wait=5000").join();
         assertTrue(whole.get("full").booleanValue());
         assertTrue(whole.get("version").longValue() < version);
     }
 
     @Test
     void aRestartThatKeepsItsVersionsTellsChangesOnly() {
-        long version = ask(all, "").join().get("version").longValue();
+        long version = poll(all, "").join().get("version").longValue();
         node.stop();
         node.apply(weigh(1, 3));
         node.start(false);
-        JsonNode delta = ask(all, "?index=" + version + "&wait=5000").join();
+        JsonNode delta = poll(all, "?index=" + version + "&wait=5000").join();
         assertFalse(delta.get("full").booleanValue());
         assertEquals(1, delta.get("servers").size());
     }
@@ -137,7 +137,7 @@
     void listsAndTrafficAreCountedApart() {
         node.list("service-1", List.of(SITE.line(1)));
         InetSocketAddress other = node.address("service-1", "two");
-        assertEquals(1, ask(other, "").join().get("servers").size());
+        assertEquals(1, poll(other, "").join().get("servers").size());
         long own = node.traffic("two").bytes();
         assertEquals(0, node.traffic("one").bytes());
         assertTrue(own > 100, "bytes " + own);
