--- a/core/src/main/java/lemonrail/core/balancer/AttemptLimits.java
+++ b/core/src/main/java/lemonrail/core/balancer/AttemptLimits.java
@@ -18,10 +18,10 @@
      * @throws IllegalArgumentException naming the value that is out of range
      */
     public AttemptLimits {
-        Checks.positive("limits.maxAttempts", maxAttempts);
-        Checks.finite("limits.maxRetryAfter", maxRetryAfterMs);
+        Checks.positive("limits.tries", maxAttempts);
+        Checks.finite("limits.maxCoolDown", maxRetryAfterMs);
         Checks.finite("limits.connectTimeout", connectTimeoutMs);
-        Checks.notNegative("limits.maxRetryAfter", maxRetryAfterMs);
+        Checks.notNegative("limits.maxCoolDown", maxRetryAfterMs);
         Checks.positive("limits.connectTimeout", connectTimeoutMs);
     }
 }
--- a/core/src/main/java/lemonrail/core/balancer/AttemptResult.java
+++ b/core/src/main/java/lemonrail/core/balancer/AttemptResult.java
@@ -43,13 +43,13 @@
      * @throws IllegalArgumentException naming the value that is missing or out of range
      */
     public AttemptResult {
-        Checks.given("result.request", request);
-        Checks.given("result.outcome", outcome);
-        Checks.notNegative("result.attempt", attempt);
-        Checks.notNegative("result.duration", durationMs);
-        Checks.finite("result.duration", durationMs);
-        Checks.notNegative("result.connect", connectMs);
-        Checks.finite("result.connect", connectMs);
+        Checks.given("finished.request", request);
+        Checks.given("finished.outcome", outcome);
+        Checks.notNegative("finished.attempt", attempt);
+        Checks.notNegative("finished.took", durationMs);
+        Checks.finite("finished.took", durationMs);
+        Checks.notNegative("finished.connect", connectMs);
+        Checks.finite("finished.connect", connectMs);
     }
 
     /** Returns how long the endpoint itself had the request, in milliseconds. */
--- a/core/src/main/java/lemonrail/core/balancer/BalancerSettings.java
+++ b/core/src/main/java/lemonrail/core/balancer/BalancerSettings.java
@@ -43,16 +43,16 @@
      */
     public BalancerSettings {
         Checks.positive("balancers", balancers);
-        Checks.notNegative("balancerIndex", balancerIndex);
+        Checks.notNegative("ownNumber", balancerIndex);
         Checks.notNegative("tier", tier);
-        Checks.notNegative("overQuotaWeight", overQuotaWeight);
-        Checks.notNegative("crossZoneCost", crossZoneCost);
-        Checks.finite("crossZoneCost", crossZoneCost);
+        Checks.notNegative("overShareWorth", overQuotaWeight);
+        Checks.notNegative("crossZonePrice", crossZoneCost);
+        Checks.finite("crossZonePrice", crossZoneCost);
         Checks.given("limits", limits);
         Checks.given("slowStart", slowStart);
         Checks.given("drain", drain);
-        Checks.finite("pollInterval", pollIntervalMs);
-        Checks.positive("pollInterval", pollIntervalMs);
+        Checks.finite("rules.askWithin", pollIntervalMs);
+        Checks.positive("rules.askWithin", pollIntervalMs);
         classes = List.copyOf(classes);
         tenants = List.copyOf(tenants);
         if (classes.isEmpty()) {
--- a/core/src/main/java/lemonrail/core/balancer/Checks.java
+++ b/core/src/main/java/lemonrail/core/balancer/Checks.java
@@ -1,6 +1,9 @@
 package lemonrail.core.balancer;
 
-/** Checks of record components; each throws an {@link IllegalArgumentException} that names the component. */
+/**
+ * Checks of record components. Each throws an {@link IllegalArgumentException} that names the value as the settings
+ * and the platform do, since operators read these messages beside their configuration.
+ */
 final class Checks {
 
     private Checks() {}
--- a/core/src/main/java/lemonrail/core/balancer/DrainSettings.java
+++ b/core/src/main/java/lemonrail/core/balancer/DrainSettings.java
@@ -13,6 +13,6 @@
      * @throws IllegalArgumentException if it is below 0
      */
     public DrainSettings {
-        Checks.notNegative("drain.grace", graceMs);
+        Checks.notNegative("rules.drainGrace", graceMs);
     }
 }
--- a/core/src/main/java/lemonrail/core/balancer/Endpoint.java
+++ b/core/src/main/java/lemonrail/core/balancer/Endpoint.java
@@ -19,11 +19,11 @@
      * @throws IllegalArgumentException naming the value that is missing or out of range
      */
     public Endpoint {
-        Checks.given("endpoint.id", id);
-        Checks.given("endpoint.state", state);
-        Checks.finite("endpoint.started", startedMs);
-        Checks.finite("endpoint.weight", weight);
-        Checks.notNegative("endpoint.weight", weight);
+        Checks.given("server.id", id);
+        Checks.given("server.state", state);
+        Checks.finite("server.started", startedMs);
+        Checks.finite("server.weight", weight);
+        Checks.notNegative("server.weight", weight);
     }
 
     /** Returns the same endpoint in another state. */
--- a/core/src/main/java/lemonrail/core/balancer/RequestClass.java
+++ b/core/src/main/java/lemonrail/core/balancer/RequestClass.java
@@ -30,17 +30,17 @@
      * @throws IllegalArgumentException naming the value that is out of range
      */
     public RequestClass {
-        Checks.positive("classes[].latencyObjective", latencyObjectiveMs);
-        Checks.finite("classes[].latencyObjective", latencyObjectiveMs);
+        Checks.positive("classes[].aim", latencyObjectiveMs);
+        Checks.finite("classes[].aim", latencyObjectiveMs);
         Checks.positive("classes[].deadline", deadlineMs);
         Checks.finite("classes[].deadline", deadlineMs);
-        Checks.notNegative("classes[].priorityWeight", priorityWeight);
-        Checks.finite("classes[].priorityWeight", priorityWeight);
-        Checks.notNegative("classes[].lateResponseWeight", lateResponseWeight);
-        Checks.given("classes[].idempotency", idempotency);
-        Checks.given("classes[].deduplicationScope", deduplicationScope);
+        Checks.notNegative("classes[].worth", priorityWeight);
+        Checks.finite("classes[].worth", priorityWeight);
+        Checks.notNegative("classes[].lateWorth", lateResponseWeight);
+        Checks.given("classes[].effect", idempotency);
+        Checks.given("classes[].group", deduplicationScope);
         if (idempotency == Idempotency.KEYED) {
-            Checks.positive("classes[].deduplicationWindow", deduplicationWindowMs);
+            Checks.positive("classes[].window", deduplicationWindowMs);
         }
     }
 
--- a/core/src/main/java/lemonrail/core/balancer/SlowStartSettings.java
+++ b/core/src/main/java/lemonrail/core/balancer/SlowStartSettings.java
@@ -17,12 +17,12 @@
      * @throws IllegalArgumentException naming the value that is out of range
      */
     public SlowStartSettings {
-        Checks.positive("slowStart.initialFraction", initialFraction);
-        Checks.finite("slowStart.initialFraction", initialFraction);
-        Checks.notNegative("slowStart.duration", durationMs);
-        Checks.finite("slowStart.duration", durationMs);
-        Checks.positive("slowStart.overloadMultiple", overloadMultiple);
-        Checks.positive("slowStart.overloadWindow", overloadWindowMs);
+        Checks.positive("rules.coldShare", initialFraction);
+        Checks.finite("rules.coldShare", initialFraction);
+        Checks.notNegative("rules.coldMs", durationMs);
+        Checks.finite("rules.coldMs", durationMs);
+        Checks.positive("rules.tipMultiple", overloadMultiple);
+        Checks.positive("rules.fallMs", overloadWindowMs);
     }
 
     /**
--- a/core/src/main/java/lemonrail/core/balancer/TenantQuota.java
+++ b/core/src/main/java/lemonrail/core/balancer/TenantQuota.java
@@ -15,8 +15,8 @@
      * @throws IllegalArgumentException naming the value that is out of range
      */
     public TenantQuota {
-        Checks.notNegative("tenants[].requestsPerSecond", requestsPerSecond);
-        Checks.finite("tenants[].requestsPerSecond", requestsPerSecond);
+        Checks.notNegative("tenants[].allowance", requestsPerSecond);
+        Checks.finite("tenants[].allowance", requestsPerSecond);
         Checks.notNegative("tenants[].share", share);
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/BadInputTest.java
+++ b/core/src/test/java/lemonrail/core/policy/BadInputTest.java
@@ -35,7 +35,7 @@
     @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
     void numbersThatCannotBeAreNamed(double bad) {
         refused(
-                "classes[].latencyObjective",
+                "classes[].aim",
                 bad,
                 () -> new RequestClass(
                         "c", bad, 1000, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
@@ -45,24 +45,24 @@
                 () -> new RequestClass(
                         "c", 100, bad, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
         refused(
-                "classes[].priorityWeight",
+                "classes[].worth",
                 bad,
                 () -> new RequestClass(
                         "c", 100, 1000, bad, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
         refused("limits.connectTimeout", bad, () -> new AttemptLimits(3, true, true, 2000, bad));
-        refused("limits.maxRetryAfter", bad, () -> new AttemptLimits(3, true, true, bad, 200));
-        refused("slowStart.initialFraction", bad, () -> new SlowStartSettings(bad, 8000, 3, 1000));
-        refused("slowStart.duration", bad, () -> new SlowStartSettings(0.3, bad, 3, 1000));
-        refused("drain.grace", -1, () -> new DrainSettings(-1));
-        refused("pollInterval", bad, () -> Fixture.settingsPolledWithin(bad));
-        refused("tenants[].requestsPerSecond", bad, () -> new TenantQuota("t", bad, 1));
-        refused("endpoint.weight", bad, () -> new Endpoint("s", 0, 0, 0, 0, EndpointState.READY, bad));
+        refused("limits.maxCoolDown", bad, () -> new AttemptLimits(3, true, true, bad, 200));
+        refused("rules.coldShare", bad, () -> new SlowStartSettings(bad, 8000, 3, 1000));
+        refused("rules.coldMs", bad, () -> new SlowStartSettings(0.3, bad, 3, 1000));
+        refused("rules.drainGrace", -1, () -> new DrainSettings(-1));
+        refused("rules.askWithin", bad, () -> Fixture.settingsPolledWithin(bad));
+        refused("tenants[].allowance", bad, () -> new TenantQuota("t", bad, 1));
+        refused("server.weight", bad, () -> new Endpoint("s", 0, 0, 0, 0, EndpointState.READY, bad));
         refused(
-                "result.duration",
+                "finished.took",
                 bad,
                 () -> new AttemptResult("r", 0, "s", AttemptOutcome.OK, bad, true, LoadReport.NONE));
         refused(
-                "result.connect",
+                "finished.connect",
                 bad,
                 () -> new AttemptResult("r", 0, "s", AttemptOutcome.OK, 5, bad, true, true, LoadReport.NONE));
     }
@@ -71,13 +71,13 @@
     void whatIsMissingIsNamed() {
         refused("request.id", null, () -> new Request(null, 0, 0, 1000, false));
         refused("request.deadline", Double.NaN, () -> new Request("r", 0, 0, Double.NaN, false));
-        refused("result.outcome", null, () -> new AttemptResult("r", 0, "s", null, 5, true, LoadReport.NONE));
+        refused("finished.outcome", null, () -> new AttemptResult("r", 0, "s", null, 5, true, LoadReport.NONE));
         refused(
-                "result.attempt",
+                "finished.attempt",
                 -1,
                 () -> new AttemptResult("r", -1, "s", AttemptOutcome.OK, 5, true, LoadReport.NONE));
-        refused("endpoint.id", null, () -> new Endpoint(null, 0, 0, 0, 0, EndpointState.READY, 1));
-        refused("endpoint.state", null, () -> new Endpoint("s", 0, 0, 0, 0, null, 1));
+        refused("server.id", null, () -> new Endpoint(null, 0, 0, 0, 0, EndpointState.READY, 1));
+        refused("server.state", null, () -> new Endpoint("s", 0, 0, 0, 0, null, 1));
     }
 
     @Test
--- a/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
+++ b/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
@@ -146,7 +146,7 @@
                 "{\"kind\":\"Endpoints\",\"mode\":0,\"ref\":16} | list number 16 is out of range",
                 "{\"kind\":\"Endpoints\",\"mode\":7,\"ref\":0} | unknown mode 7",
                 "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"endpoint\":\"e\",\"state\":5}]} | unknown state 5",
-                "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"state\":1}]} | endpoint.id must be given",
+                "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"state\":1}]} | server.id must be given",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"type\":9} | class 9",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant 4",
                 "7 | an event should begin with",
@@ -190,7 +190,7 @@
                 "\"try-limit\":3 | \"try-limit\":\"x\" | try-limit should be a number but is x",
                 "\"hard-limit-ms\":3000 | \"hard-limit-ms\":-1 | classes[].deadline must be above 0 but is -1",
                 "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect is unknown: twice",
-                "\"cold-share\":0.3 | \"cold-share\":0 | slowStart.initialFraction must be above 0 but is 0",
+                "\"cold-share\":0.3 | \"cold-share\":0 | rules.coldShare must be above 0 but is 0",
             })
     void impossibleSettingsAreRefusedByNameAndValue(String from, String to, String expected) throws IOException {
         assertEquals(1, run(batch(SPAWN.replace(from, to), LIST)));
