--- a/core/src/main/java/lemonrail/core/AdmissionRate.java
+++ b/core/src/main/java/lemonrail/core/AdmissionRate.java
@@ -1,32 +1,36 @@
 package lemonrail.core;
 
 /**
- * The share of recent requests that were served. It goes by their count and not by time: the shares of many
- * processes with little traffic, each weighed by its traffic, come near that of them all.
+ * The fraction of recently forwarded requests that were served. It is weighted by requests and not by time, so that
+ * the mean over many processes with little traffic is close to the fraction over all their requests.
  */
 public final class AdmissionRate {
 
-    /** What a request's weight loses with each one after it. */
-    private static final double FADE = 1.0 / 32;
+    /** The fraction of its weight that a request loses with each later one. */
+    private static final double DECAY_PER_REQUEST = 1.0 / 32;
 
-    private double sent;
+    private double forwarded;
     private double served;
 
-    /** A request has come; one that was not sent anywhere tells nothing. */
-    public void came(boolean sentOn) {
-        if (sentOn) {
-            sent += 1 - FADE * sent;
-            served -= FADE * served;
+    /** Records a request; one that was not forwarded to any endpoint does not count. */
+    public void recordRequest(boolean wasForwarded) {
+        if (wasForwarded) {
+            forwarded += 1 - DECAY_PER_REQUEST * forwarded;
+            served -= DECAY_PER_REQUEST * served;
         }
     }
 
-    /** A request that was sent has been served. */
-    public void served() {
+    /** Records that a forwarded request was served. */
+    public void recordServed() {
         served++;
     }
 
-    /** The share, from 0 to 1; as long as few requests are known, near the one that is given for unknown. */
-    public double share(double unknown) {
-        return Math.min(1, (served + unknown) / (sent + 1));
+    /**
+     * Returns the fraction served, from 0 to 1.
+     *
+     * @param prior the estimate to use as long as few requests are known
+     */
+    public double estimate(double prior) {
+        return Math.min(1, (served + prior) / (forwarded + 1));
     }
 }
--- a/core/src/main/java/lemonrail/core/ConnectFailureRate.java
+++ b/core/src/main/java/lemonrail/core/ConnectFailureRate.java
@@ -1,30 +1,30 @@
 package lemonrail.core;
 
 /**
- * How often connections do not come up though their server is well. A failure counts only once a connection
- * to the same server has come up after it: so dead servers do not make it look as if that were chance.
+ * How often connects fail at endpoints that are healthy. Failures count only once a later connect to the same
+ * endpoint has succeeded, so that failures at dead endpoints are not taken for chance.
  */
 public final class ConnectFailureRate {
 
-    /** Weight of a new connection, and what an occurrence must be more likely than to pass for chance. */
-    private static final double GAIN = 1.0 / 16;
+    /** Weight of a new connect in the moving average. */
+    private static final double SMOOTHING_FACTOR = 1.0 / 16;
+    /** Consecutive failures that are less probable than this are not chance. */
+    private static final double MIN_CHANCE_PROBABILITY = 0.05;
+    /** More consecutive failures than this mean that the endpoint was away; the rest is not counted. */
+    private static final int MAX_COUNTED_FAILURES = 2;
 
-    private static final double CHANCE = 0.05;
-    /** The most failures in a row that count: more are a server's that was away for a while. */
-    private static final int MOST_COUNTED = 2;
+    private double failureRate;
 
-    private double share;
-
-    /** A connection has come up, after so many in a row that did not. */
-    public void cameUp(int failedBefore) {
-        for (int i = 0; i < Math.min(failedBefore, MOST_COUNTED); i++) {
-            share += GAIN * (1 - share);
+    /** Records a connect that succeeded after this many consecutive failures at the same endpoint. */
+    public void recordSuccess(int precedingFailures) {
+        for (int i = 0; i < Math.min(precedingFailures, MAX_COUNTED_FAILURES); i++) {
+            failureRate += SMOOTHING_FACTOR * (1 - failureRate);
         }
-        share -= GAIN * share;
+        failureRate -= SMOOTHING_FACTOR * failureRate;
     }
 
-    /** Whether so many failures in a row at one server may well be chance. */
-    public boolean explains(int failures) {
-        return Math.pow(share, failures) > CHANCE;
+    /** Returns whether this many consecutive failures at one endpoint may well be chance. */
+    public boolean isProbablyChance(int consecutiveFailures) {
+        return Math.pow(failureRate, consecutiveFailures) > MIN_CHANCE_PROBABILITY;
     }
 }
--- a/core/src/main/java/lemonrail/core/LatencyEstimator.java
+++ b/core/src/main/java/lemonrail/core/LatencyEstimator.java
@@ -2,70 +2,72 @@
 
 import lemonrail.core.balancer.RequestClass;
 
-/** The times that answers of a class take, learned one by one: the usual, the one few exceed, the least. */
+/** Estimates the response times of a request class: typical, tail and base. All times are in milliseconds. */
 public final class LatencyEstimator {
 
-    /** Weight of a new sample. */
-    private static final double GAIN = 1.0 / 32;
-    /** The share of answers that the tail time exceeds, and how fast it is learned. */
-    private static final double TAIL_SHARE = 0.03;
+    /** Weight of a new sample in the typical time. */
+    private static final double SMOOTHING_FACTOR = 1.0 / 32;
+    /** The fraction of samples that exceed the tail time. */
+    private static final double TAIL_FRACTION = 0.03;
+    /** The logarithmic step by which the tail time moves. */
+    private static final double TAIL_STEP = 0.1;
+    /** The number of samples in each mean that the base time is taken from. */
+    private static final int SAMPLES_PER_MEAN = 16;
+    /** The factor by which the base time may rise with each such mean. */
+    private static final double MAX_BASE_RISE = 1.02;
+    /** Initial typical time, as a divisor of the latency objective. */
+    private static final double INITIAL_TYPICAL_DIVISOR = 4;
 
-    private static final double TAIL_GAIN = 0.1;
-    /** Answers averaged for the base time, and the rise it is allowed at each such average. */
-    private static final int BASE_SAMPLES = 16;
-
-    private static final double BASE_RISE = 1.02;
-
-    private double mostMs;
+    private double deadlineMs;
     private double typicalMs;
     private double tailMs;
-    /** The lowest of recent averages. */
     private double baseMs;
 
     private double sumMs;
     private int samples;
 
-    /** Nothing is learned yet: the class's own figures stand in. */
-    public LatencyEstimator(RequestClass kind) {
-        mostMs = kind.deadlineMs();
-        typicalMs = kind.latencyObjectiveMs() / 4;
-        tailMs = kind.latencyObjectiveMs();
+    /** Creates an estimator that starts from the class's latency objective and deadline. */
+    public LatencyEstimator(RequestClass requestClass) {
+        deadlineMs = requestClass.deadlineMs();
+        typicalMs = requestClass.latencyObjectiveMs() / INITIAL_TYPICAL_DIVISOR;
+        tailMs = requestClass.latencyObjectiveMs();
     }
 
-    /** The class's deadline from now on; what was learned stays. */
-    public void deadline(double deadlineMs) {
-        mostMs = deadlineMs;
+    /** Changes the class's deadline; the estimates stay. */
+    public void setDeadlineMs(double newDeadlineMs) {
+        deadlineMs = newDeadlineMs;
     }
 
-    /** An answer has taken so long, or has not come within that time. */
-    public void waited(double tookMs) {
-        double step = tookMs > tailMs ? TAIL_GAIN * (1 - TAIL_SHARE) : -TAIL_GAIN * TAIL_SHARE;
-        tailMs = Math.min(mostMs, tailMs * Math.exp(step));
+    /** Records the elapsed time of an attempt, whether or not a response came. */
+    public void recordElapsed(double elapsedMs) {
+        double step = elapsedMs > tailMs ? TAIL_STEP * (1 - TAIL_FRACTION) : -TAIL_STEP * TAIL_FRACTION;
+        tailMs = Math.min(deadlineMs, tailMs * Math.exp(step));
     }
 
-    /** An answer has come. */
-    public void answered(double tookMs) {
-        typicalMs += GAIN * (tookMs - typicalMs);
-        sumMs += tookMs;
-        if (++samples == BASE_SAMPLES) {
-            double mean = sumMs / samples;
-            baseMs = baseMs == 0 ? mean : Math.min(mean, baseMs * BASE_RISE);
+    /** Records the response time of a successful attempt. */
+    public void recordResponse(double responseTimeMs) {
+        typicalMs += SMOOTHING_FACTOR * (responseTimeMs - typicalMs);
+        sumMs += responseTimeMs;
+        samples++;
+        if (samples == SAMPLES_PER_MEAN) {
+            double meanMs = sumMs / samples;
+            baseMs = baseMs == 0 ? meanMs : Math.min(meanMs, baseMs * MAX_BASE_RISE);
             samples = 0;
             sumMs = 0;
         }
     }
 
-    /** What answers usually take, in milliseconds. */
+    /** Returns the mean response time. */
     public double typicalMs() {
         return typicalMs;
     }
 
-    /** What few answers exceed, in milliseconds. */
+    /** Returns the time that a fraction of {@value #TAIL_FRACTION} of the attempts exceeds. */
     public double tailMs() {
         return tailMs;
     }
 
-    /** What answers take when nothing is crowded, in milliseconds. */
+    /** Returns the response time without queueing: the lowest of recent means. */
     public double baseMs() {
         return baseMs > 0 ? baseMs : typicalMs;
     }
--- a/core/src/main/java/lemonrail/core/LoadSheddingReport.java
+++ b/core/src/main/java/lemonrail/core/LoadSheddingReport.java
@@ -2,44 +2,58 @@
 
 import java.util.function.Consumer;
 
-/** Counts what operators should hear of, and makes one line of it at most once in a while. */
+/** Counts rejections, full queues and ejections, and logs them in one line at most every ten seconds. */
 public final class LoadSheddingReport {
 
-    private static final double EVERY_MS = 10_000;
+    private static final double INTERVAL_MS = 10_000;
 
-    private double next;
-    private int turnedAway;
-    private int fullServers;
+    private double nextReportMs;
+    private int rejectedRequests;
+    private int fullQueues;
     private int ejections;
 
-    /** A call was turned away. */
-    public void turnedAway() {
-        turnedAway++;
+    /** Counts a request that was rejected on admission. */
+    public void onRejected() {
+        rejectedRequests++;
     }
 
-    /** An attempt met a full server. */
-    public void metFullServer() {
-        fullServers++;
+    /** Counts an attempt that an endpoint rejected because its queue was full. */
+    public void onQueueFull() {
+        fullQueues++;
     }
 
-    /** A server was put on trial. */
-    public void ejected() {
+    /** Counts the ejection of a healthy endpoint. */
+    public void onEjected() {
         ejections++;
     }
 
-    /** Tells the line that is due now, with how things stand, if one is and there is anything to tell. */
-    public void tell(double now, int tier, double limit, int ailing, int ready, Consumer<String> operators) {
-        if (now < next) {
+    /**
+     * Logs what was counted since the last interval, if one has passed and anything was counted.
+     *
+     * @param tier this balancer's tier
+     * @param concurrencyLimit the present limit of requests in flight
+     * @param unhealthyEndpoints the endpoints that are ejected or probing now
+     * @param readyEndpoints the endpoints that are listed as ready
+     */
+    public void logIfDue(
+            double nowMs,
+            int tier,
+            double concurrencyLimit,
+            int unhealthyEndpoints,
+            int readyEndpoints,
+            Consumer<String> log) {
+        if (nowMs < nextReportMs) {
             return;
         }
-        next = now + EVERY_MS;
-        if (turnedAway + fullServers + ejections > 0) {
-            operators.accept("tier " + tier + ": " + turnedAway + " calls turned away at a limit of "
-                    + Math.round(limit) + " at once, " + fullServers + " attempts met a full server, " + ejections
-                    + " times a server was put on trial; " + ailing + " of " + ready + " on trial now");
+        nextReportMs = nowMs + INTERVAL_MS;
+        if (rejectedRequests + fullQueues + ejections > 0) {
+            log.accept("tier " + tier + ": " + rejectedRequests + " requests rejected at a concurrency limit of "
+                    + Math.round(concurrencyLimit) + ", " + fullQueues + " attempts met a full queue, " + ejections
+                    + " ejections; " + unhealthyEndpoints + " of " + readyEndpoints
+                    + " endpoints ejected or probing now");
         }
-        turnedAway = 0;
-        fullServers = 0;
+        rejectedRequests = 0;
+        fullQueues = 0;
         ejections = 0;
     }
 }
--- a/core/src/main/java/lemonrail/core/TokenBucket.java
+++ b/core/src/main/java/lemonrail/core/TokenBucket.java
@@ -1,29 +1,32 @@
 package lemonrail.core;
 
-/** A rate with savings: tokens come evenly up to a bound, and each use takes one. It starts full. */
+/** A token bucket: tokens arrive at a constant rate up to the burst capacity. It starts full. */
 public final class TokenBucket {
 
-    private double perMs;
-    private double most;
+    private double tokensPerMs;
+    private double burstCapacity;
     private double tokens;
-    private double toppedUp;
+    /** When tokens were last added; 0 before the first use. */
+    private double refilledAtMs;
 
-    /** A bucket that gains so many tokens a millisecond and holds so many at most. */
-    public TokenBucket(double perMs, double most) {
-        this.perMs = perMs;
-        this.most = most;
+    /** Creates a full bucket. */
+    public TokenBucket(double tokensPerMs, double burstCapacity) {
+        this.tokensPerMs = tokensPerMs;
+        this.burstCapacity = burstCapacity;
     }
 
-    /** Gains so many tokens a millisecond and holds so many at most from now on; what is saved stays. */
-    public void rate(double gainPerMs, double mostHeld) {
-        perMs = gainPerMs;
-        most = mostHeld;
+    /** Changes rate and burst capacity; the tokens in the bucket stay. */
+    public void setRate(double newTokensPerMs, double newBurstCapacity) {
+        tokensPerMs = newTokensPerMs;
+        burstCapacity = newBurstCapacity;
     }
 
-    /** Takes a token, if there is one at this time in milliseconds. */
-    public boolean take(double now) {
-        tokens = toppedUp == 0 ? most : Math.min(most, tokens + perMs * (now - toppedUp));
-        toppedUp = now;
+    /** Takes a token and returns whether there was one. */
+    public boolean tryTake(double nowMs) {
+        tokens = refilledAtMs == 0
+                ? burstCapacity
+                : Math.min(burstCapacity, tokens + tokensPerMs * (nowMs - refilledAtMs));
+        refilledAtMs = nowMs;
         if (tokens < 1) {
             return false;
         }
--- a/core/src/main/java/lemonrail/core/policy/BoxcarLoadBalancer.java
+++ b/core/src/main/java/lemonrail/core/policy/BoxcarLoadBalancer.java
@@ -2,62 +2,77 @@
 package lemonrail.core.policy;
 
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.stream.Collectors;
 import lemonrail.core.LatencyEstimator;
 import lemonrail.core.LoadSheddingReport;
-import lemonrail.core.balancer.*;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointUpdateKind;
+import lemonrail.core.balancer.LoadBalancer;
+import lemonrail.core.balancer.LoadBalancerHost;
+import lemonrail.core.balancer.Request;
 
 /**
- * One balancer after Boxcar: a bounded pool of ranked slots on servers; every call takes the lowest-ranked
- * free slot, a failed attempt discards its slot and the call goes on to the next best one within bounds,
- * and a full pool turns calls away. Single-threaded; time comes with the events.
+ * A load balancer after Boxcar. It has a bounded pool of ranked slots on endpoints: each request uses the free slot of
+ * lowest rank, a failed attempt discards its slot and the request is retried on the next best one, and requests that
+ * find no slot are rejected. This class only routes events to the rules, which are listed in docs/DECISIONS.md. It is
+ * used by one thread and has no clock: time comes with the events.
  */
 public final class BoxcarLoadBalancer implements LoadBalancer {
 
-    /** The most servers placed anew for each change of the list, however fast changes come. */
-    private static final int SETTLED_A_CHANGE = 32;
+    /** The interval of background rounds, as a fraction of the connect timeout. */
+    private static final double BACKGROUND_INTERVAL_FRACTION = 0.5;
 
-    private BalancerSettings settings;
     private final LoadBalancerHost host;
+    private final Map<String, InFlightRequest> requests = new HashMap<>();
+    private final LatencyEstimator[] classLatencies;
+    private final double backgroundIntervalMs;
+
     private final EndpointListPoller listPoller;
-    private final Map<String, EndpointRecord> targets = new LinkedHashMap<>();
-    private final Map<String, InFlightRequest> calls = new HashMap<>();
-    private final LatencyEstimator[] learned;
-    private final boolean anyRepeatable;
-    private final SlotRanking ranks;
-    private final SlowStart cold;
-    private final ZoneAffinity locality;
+    private final EndpointTable endpoints;
+    private final SlotRanking ranking;
+    private final SlowStart slowStart;
+    private final ZoneAffinity zoneAffinity;
     private final SlotPool pool;
-    private final OutlierDetector health;
+    private final SlotSelector slotSelector;
+    private final OutlierDetector outlierDetector;
     private final ConcurrencyLimit limit;
-    private final RetryPolicy retries;
-    private final LoadSheddingReport report = new LoadSheddingReport();
-    /** The pause between refills: by it, too, ranks may lag behind the list. */
-    private final double pauseMs;
+    private final TenantQuotas tenantQuotas;
+    private final AdmissionController admissionController;
+    private final RetryBudget retryBudget = new RetryBudget();
+    private final RetryPolicy retryPolicy;
+    private final AttemptTimeoutPolicy attemptTimeoutPolicy;
+    private final GiveUpPolicy giveUpPolicy;
+    private final LoadSheddingReport loadSheddingReport = new LoadSheddingReport();
 
-    private double nextRefill;
-    private double nextSettle;
+    private BalancerSettings settings;
+    private double nextBackgroundRoundMs;
 
-    /** A balancer that knows its settings and nothing else; it acts through {@code host}. */
+    /** Creates a balancer that knows its settings and nothing else; it acts through {@code host}. */
     public BoxcarLoadBalancer(BalancerSettings settings, long seed, LoadBalancerHost host) {
         this.settings = settings;
         this.host = host;
-        pauseMs = settings.limits().connectTimeoutMs() / 2;
+        backgroundIntervalMs = settings.limits().connectTimeoutMs() * BACKGROUND_INTERVAL_FRACTION;
+        classLatencies = settings.classes().stream().map(LatencyEstimator::new).toArray(LatencyEstimator[]::new);
         listPoller = new EndpointListPoller(settings.pollIntervalMs(), new SplittableRandom(seed), host);
-        learned = settings.classes().stream().map(LatencyEstimator::new).toArray(LatencyEstimator[]::new);
-        anyRepeatable = settings.classes().stream().anyMatch(kind -> kind.idempotency() != Idempotency.NON_IDEMPOTENT);
-        ranks = new SlotRanking(settings);
-        cold = new SlowStart(ranks);
-        locality = new ZoneAffinity(settings, ranks);
-        pool = new SlotPool(ranks, cold, locality, host);
-        health = new OutlierDetector(settings, pool, report);
-        limit = new ConcurrencyLimit(settings, ranks, health, locality, report);
-        retries = new RetryPolicy(settings);
+        ranking = new SlotRanking(settings);
+        slowStart = new SlowStart(settings, ranking);
+        zoneAffinity = new ZoneAffinity(settings, ranking);
+        limit = new ConcurrencyLimit(settings, ranking);
+        SlotEligibility eligibility = new SlotEligibility(settings, ranking, slowStart, limit);
+        pool = new SlotPool(ranking, eligibility, zoneAffinity, host);
+        slotSelector = new SlotSelector(pool, eligibility);
+        outlierDetector = new OutlierDetector(settings, pool, ranking, slowStart, loadSheddingReport);
+        endpoints = new EndpointTable(ranking, slowStart, pool, outlierDetector, backgroundIntervalMs);
+        tenantQuotas = new TenantQuotas(settings);
+        admissionController = new AdmissionController(settings, limit);
+        retryPolicy = new RetryPolicy(settings, retryBudget);
+        attemptTimeoutPolicy = new AttemptTimeoutPolicy(settings);
+        giveUpPolicy = new GiveUpPolicy(settings);
         if (settings.pollsEndpoints()) {
             listPoller.scheduleFirstPoll();
         }
@@ -69,281 +84,258 @@
     }
 
     @Override
-    public void onSettings(double now, BalancerSettings changed) {
+    public void onSettings(double nowMs, BalancerSettings changed) {
         settings = changed;
-        limit.adopt(changed);
-        retries.settings = changed;
-        for (int i = 0; i < learned.length; i++) {
-            learned[i].deadline(changed.classes().get(i).deadlineMs());
+        tenantQuotas.onSettings(changed);
+        admissionController.onSettings(changed);
+        retryPolicy.onSettings(changed);
+        attemptTimeoutPolicy.onSettings(changed);
+        giveUpPolicy.onSettings(changed);
+        for (int i = 0; i < classLatencies.length; i++) {
+            classLatencies[i].setDeadlineMs(changed.classes().get(i).deadlineMs());
         }
     }
 
-    /** How many requests are in hand: not answered yet, or answered with an attempt still out. */
-    public int openCalls() {
-        return calls.size();
+    /** Returns how many requests have no final response yet or still have an attempt in flight. */
+    public int requestsInFlight() {
+        return requests.size();
     }
 
-    /** How many servers are known, gone ones with calls still out there among them. */
-    int knownServers() {
-        return targets.size();
+    /** Returns how many endpoints are known, those among them that are gone but have attempts in flight. */
+    int knownEndpoints() {
+        return endpoints.all().size();
     }
 
-    /** How many servers that discovery calls ready are left out for what they did; it changes nothing. */
     @Override
-    public int ejectedEndpoints(double now) {
-        return (int) targets.values().stream()
-                .filter(target -> OutlierDetector.isAvoided(now, target))
+    public int ejectedEndpoints(double nowMs) {
+        return (int) endpoints.all().stream()
+                .filter(endpoint -> OutlierDetector.isRestricted(nowMs, endpoint))
                 .count();
     }
 
     @Override
-    public void onRequest(double now, Request request) {
-        settings.check(request);
-        if (calls.containsKey(request.id())) {
-            throw new IllegalArgumentException("request " + request.id() + " is in hand already");
+    public void onRequest(double nowMs, Request newRequest) {
+        settings.check(newRequest);
+        if (requests.containsKey(newRequest.id())) {
+            throw new IllegalArgumentException("request " + newRequest.id() + " is in flight already");
         }
-        tick(now);
-        InFlightRequest call = new InFlightRequest(
-                now, request, settings.classes().get(request.requestClass()), learned[request.requestClass()]);
-        calls.put(request.id(), call);
-        locality.demand(call.learned.baseMs());
-        retries.taken();
-        boolean placed = limit.admits(now, call) && place(now, call);
-        cold.answers.came(placed);
-        if (!placed) {
-            answer(call);
+        runBackgroundRoundIfDue(nowMs);
+        int requestClass = newRequest.requestClass();
+        InFlightRequest request = new InFlightRequest(
+                nowMs, newRequest, settings.classes().get(requestClass), classLatencies[requestClass]);
+        requests.put(request.id(), request);
+        zoneAffinity.onRequest(request.latency().baseMs());
+        retryBudget.onRequest();
+        boolean isForwarded = admit(nowMs, request) && startAttempt(nowMs, request);
+        slowStart.onRequest(isForwarded);
+        if (!isForwarded) {
+            giveUp(request);
         }
     }
 
-    /** Sends a call to the lowest-ranked free slot it may use, second-best servers last; false if none. */
-    private boolean place(double now, InFlightRequest call) {
-        Slot best = pool.lowest(slot -> mayUse(now, call, slot) && !isSecondBest(call, slot.target));
-        if (best == null) {
-            best = pool.lowest(slot -> mayUse(now, call, slot));
+    private boolean admit(double nowMs, InFlightRequest request) {
+        boolean isWithinQuota = tenantQuotas.charge(nowMs, request.tenant());
+        AdmissionDecision decision = admissionController.decide(nowMs, request.requestClass(), isWithinQuota);
+        if (!decision.isAdmitted()) {
+            admissionController.onRejected(nowMs, decision);
+            loadSheddingReport.onRejected();
         }
-        if (best != null) {
-            pool.adopt(now, best);
-            send(now, call, best);
-        }
-        return best != null;
-    }
-
-    private boolean mayUse(double now, InFlightRequest call, Slot slot) {
-        return cold.gentle(now, slot)
-                && !(call.attempts.isEmpty() && limit.crowds(slot))
-                && RetryPolicy.sameGroup(call, slot.target);
-    }
-
-    /** A call that cannot be tried again must not be the one to find out whether a server is well. */
-    private boolean isSecondBest(InFlightRequest call, EndpointRecord target) {
-        return (target.onTrial && call.kind.idempotency() == Idempotency.NON_IDEMPOTENT && anyRepeatable)
-                || (!call.attempts.isEmpty() && call.attempts.stream().anyMatch(a -> a.slot().target == target));
+        return decision.isAdmitted();
     }
 
-    private void send(double now, InFlightRequest call, Slot slot) {
-        double timeout = retries.timeout(now, call);
-        call.attempts.add(new InFlightRequest.Attempt(slot, now, new AttemptOutcome[1]));
-        call.out++;
-        slot.busy = true;
-        slot.target.inFlight++;
-        limit.sent();
-        host.startAttempt(call.request.id(), slot.target.id, timeout);
+    /** Starts an attempt on the best slot for the request; returns false if it may use none. */
+    private boolean startAttempt(double nowMs, InFlightRequest request) {
+        Slot slot = slotSelector.choose(nowMs, request);
+        if (slot == null) {
+            return false;
+        }
+        pool.adopt(nowMs, slot);
+        double timeoutMs = attemptTimeoutPolicy.timeoutMs(nowMs, request);
+        request.onAttemptStarted(nowMs, slot);
+        slot.onAttemptStarted();
+        slot.endpoint().onAttemptStarted();
+        limit.onAttemptStarted();
+        host.startAttempt(request.id(), slot.endpoint().id(), timeoutMs);
+        return true;
     }
 
-    /** The final answer of a call that cannot be served: a refusal where that is true, else a failure. */
-    private void answer(InFlightRequest call) {
-        call.answered = true;
-        if ((call.mayHaveRun == null && call.out == 0) || call.kind.mayRejectAfterExecution()) {
-            // Told with every refusal, also where few clients are said to heed it: it costs nothing.
-            host.reject(call.request.id(), settings.limits().maxRetryAfterMs() / 4);
+    private void giveUp(InFlightRequest request) {
+        request.markResponded();
+        if (giveUpPolicy.decide(request) == FinalResponse.REJECT) {
+            host.reject(request.id(), giveUpPolicy.retryAfterMs());
         } else {
-            host.fail(call.request.id());
+            host.fail(request.id());
         }
-        forget(call);
+        forgetIfOver(request);
     }
 
-    private void forget(InFlightRequest call) {
-        if (call.isOver()) {
-            calls.remove(call.request.id());
+    private void forgetIfOver(InFlightRequest request) {
+        if (request.isOver()) {
+            requests.remove(request.id());
         }
     }
 
     @Override
-    public void onAttemptFinished(double now, AttemptResult finished) {
-        tick(now);
-        InFlightRequest call = calls.get(finished.request());
-        InFlightRequest.Attempt attempt = call == null ? null : call.open(finished.attempt());
+    public void onAttemptFinished(double nowMs, AttemptResult result) {
+        runBackgroundRoundIfDue(nowMs);
+        InFlightRequest request = requests.get(result.request());
+        Attempt attempt = request == null ? null : request.attemptInFlight(result.attempt());
         if (attempt == null) {
             return;
         }
-        AttemptOutcome outcome = finished.outcome();
-        call.end(attempt, outcome);
-        learn(now, call, attempt.slot().target, finished);
-        limit.judge(now, call, attempt, finished);
-        release(now, attempt.slot(), outcome, OutlierDetector.isFailure(call, finished));
-        if (finished.concluded()) {
-            call.answered = true;
-        } else if (!call.answered
-                && !(finished.replayable() && retries.allows(now, call, outcome) && place(now, call))) {
-            answer(call);
+        request.onAttemptFinished(attempt, result.outcome());
+        learnLatency(nowMs, request, attempt, result);
+        learnLoad(nowMs, request, attempt, result);
+        release(nowMs, attempt.slot(), result.outcome(), OutlierDetector.isFailure(request, result));
+        if (result.concluded()) {
+            request.markResponded();
+        } else if (!request.isResponded() && !retry(nowMs, request, result)) {
+            giveUp(request);
         }
-        forget(call);
+        forgetIfOver(request);
     }
 
-    @Override
-    public void onResponseStreamStarted(double now, String request, int attempt) {
-        tick(now);
-        InFlightRequest call = calls.get(request);
-        if (call == null || attempt >= call.attempts.size()) {
-            return;
+    private void learnLatency(double nowMs, InFlightRequest request, Attempt attempt, AttemptResult result) {
+        double elapsedMs = result.endpointTimeMs();
+        boolean isOk = result.outcome() == AttemptOutcome.OK;
+        if (isOk || result.outcome() == AttemptOutcome.TIMED_OUT) {
+            request.latency().recordElapsed(elapsedMs);
+            outlierDetector.onElapsed(nowMs, attempt.endpoint(), request.latency(), elapsedMs);
         }
-        call.answered = true;
-        Slot slot = call.attempts.get(attempt).slot();
-        if (!slot.streaming && call.open(attempt) != null) {
-            slot.streaming = true;
-            slot.target.inFlight--;
-            limit.inFlight--;
+        if (isOk) {
+            request.latency().recordResponse(elapsedMs);
+            slowStart.onSuccess();
         }
     }
 
-    @Override
-    public void onRequestCancelled(double now, String request) {
-        tick(now);
-        InFlightRequest call = calls.get(request);
-        if (call == null) {
+    private void learnLoad(double nowMs, InFlightRequest request, Attempt attempt, AttemptResult result) {
+        admissionController.onAttemptFinished(nowMs, result.endpointTimeMs());
+        EndpointRecord endpoint = attempt.endpoint();
+        if (!OverloadSignal.isInformative(result.outcome(), outlierDetector.isHung(nowMs, endpoint))) {
             return;
         }
-        call.answered = true;
-        // Nobody waits for these attempts any more: work that has not begun need not be done.
-        for (int i = 0; i < call.attempts.size() && settings.limits().cancel(); i++) {
-            if (call.open(i) != null) {
-                host.cancelAttempt(request, i);
-            }
+        double ratio = OverloadSignal.queueingDelayRatio(request, result);
+        zoneAffinity.onQueueingDelay(endpoint, ratio);
+        if (result.outcome() == AttemptOutcome.OK) {
+            endpoint.statistics().recordResponse(nowMs, ratio);
         }
-        forget(call);
+        boolean isDemandAboveLimit = admissionController.hasRecentlyRejectedWithinQuota(nowMs);
+        limit.onAttemptFinished(nowMs, request, attempt, result, ratio, isDemandAboveLimit);
     }
 
-    private void learn(double now, InFlightRequest call, EndpointRecord target, AttemptResult finished) {
-        boolean ok = finished.outcome() == AttemptOutcome.OK;
-        if (ok || finished.outcome() == AttemptOutcome.TIMED_OUT) {
-            call.learned.waited(finished.endpointTimeMs());
-            health.waited(now, target, call.learned, finished.endpointTimeMs());
+    private void release(double nowMs, Slot slot, AttemptOutcome outcome, boolean isFailure) {
+        EndpointRecord endpoint = slot.endpoint();
+        if (!slot.isStreaming()) {
+            endpoint.onAttemptReleased();
+            limit.onAttemptReleased();
         }
-        if (ok) {
-            call.learned.answered(finished.endpointTimeMs());
-            cold.answers.served();
+        slot.onAttemptFinished();
+        if (endpoint.isForgotten()) {
+            return;
+        }
+        outlierDetector.onAttemptFinished(nowMs, slot, outcome, isFailure);
+        if (slot.isDiscarded() && endpoint.isUnused()) {
+            host.closeIdleConnections(endpoint.id());
+            endpoints.forgetIfGone(nowMs, endpoint);
+        }
+    }
+
+    /** Retries the request if the policy says so; returns false if it may not or there is no slot. */
+    private boolean retry(double nowMs, InFlightRequest request, AttemptResult result) {
+        if (retryPolicy.decide(nowMs, request, result) != RetryDecision.RETRY) {
+            return false;
         }
+        // The token is spent even if no slot is free then.
+        retryBudget.spend();
+        return startAttempt(nowMs, request);
     }
 
-    private void release(double now, Slot slot, AttemptOutcome outcome, boolean failed) {
-        EndpointRecord target = slot.target;
-        slot.busy = false;
-        target.inFlight -= slot.streaming ? 0 : 1;
-        limit.inFlight -= slot.streaming ? 0 : 1;
-        slot.streaming = false;
-        if (target.forgotten) {
+    @Override
+    public void onResponseStreamStarted(double nowMs, String requestId, int attemptNumber) {
+        runBackgroundRoundIfDue(nowMs);
+        InFlightRequest request = requests.get(requestId);
+        if (request == null || attemptNumber >= request.attempts().size()) {
             return;
         }
-        health.judge(now, slot, outcome, failed);
-        if (slot.discarded && target.held == 0 && target.inFlight == 0) {
-            host.closeIdleConnections(target.id);
-            forgetGone(now, target);
+        request.markResponded();
+        Attempt attempt = request.attemptInFlight(attemptNumber);
+        if (attempt != null && !attempt.slot().isStreaming()) {
+            attempt.slot().onResponseStreamStarted();
+            attempt.endpoint().onAttemptReleased();
+            limit.onAttemptReleased();
         }
     }
 
-    /** What Boxcar does in the background: refill toward lower ranks, a pause between tries. */
-    private void tick(double now) {
-        if (now < nextRefill) {
+    @Override
+    public void onRequestCancelled(double nowMs, String requestId) {
+        runBackgroundRoundIfDue(nowMs);
+        InFlightRequest request = requests.get(requestId);
+        if (request == null) {
             return;
         }
-        nextRefill = now + pauseMs;
-        settle(now);
-        locality.tick(now, pauseMs);
-        report.tell(now, settings.tier(), limit.limit, health.ailing, ranks.ready, host::log);
-        health.tick(now);
-        cold.tick(now, target -> pool.reprice(now, target, cold.warmth(now, target) >= 1));
-        limit.resize(cold.able(now));
-        pool.refill(now, limit.fadingPeak());
+        request.markResponded();
+        if (settings.limits().cancel()) {
+            cancelAttempts(request);
+        }
+        forgetIfOver(request);
     }
 
-    /** Gives the ready servers their places and slots their ranks, if the list has changed any. */
-    private void settle(double now) {
-        if (ranks.unsettled > 0) {
-            ranks.settle();
-            pool.settle(now);
-            nextSettle = now + pauseMs;
+    private void cancelAttempts(InFlightRequest request) {
+        for (int i = 0; i < request.attempts().size(); i++) {
+            if (request.attemptInFlight(i) != null) {
+                host.cancelAttempt(request.id(), i);
+            }
         }
     }
 
     @Override
-    public void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> entries) {
+    public void onEndpointUpdate(double nowMs, EndpointUpdateKind kind, List<Endpoint> entries) {
         if (kind == EndpointUpdateKind.FAILED) {
             listPoller.onPollFailed();
             return;
         }
         listPoller.onListReceived();
-        if (kind != EndpointUpdateKind.DELTA) {
-            Set<String> named = entries.stream().map(Endpoint::id).collect(Collectors.toSet());
-            List.copyOf(targets.values()).stream()
-                    .filter(target -> !named.contains(target.id))
-                    .forEach(target -> update(now, target.listed.withState(EndpointState.GONE)));
-        }
-        entries.forEach(entry -> update(now, entry));
-        // In a storm the next refill pause does it, once for many: it costs as the list, not as the change.
-        if (now >= nextSettle || ranks.unsettled * SETTLED_A_CHANGE >= ranks.ready) {
-            settle(now);
-        }
-        limit.resize(cold.able(now));
+        endpoints.onUpdate(nowMs, kind, entries);
+        limit.onCapacityChanged(slowStart.capacity(nowMs));
     }
 
-    private void update(double now, Endpoint entry) {
-        EndpointRecord target = targets.get(entry.id());
-        if (target == null && entry.state() == EndpointState.GONE) {
-            return;
-        }
-        if (target != null && entry.startedMs() != target.listed.startedMs()) {
-            // A new process: nothing of its forerunner counts, not even how the calls still out there end.
-            pool.dropAll(target);
-            forget(now, target);
-            target = null;
-        }
-        if (target == null) {
-            target = new EndpointRecord(entry);
-            targets.put(entry.id(), target);
-        }
-        if (entry.state() == EndpointState.READY && target.listed.state() != EndpointState.READY) {
-            // Back from a drain, as by an operator's word: what it did before counts no more.
-            health.heal(target);
-        }
-        ranks.list(target, entry);
-        cold.watch(now, target);
-        if (entry.state() != EndpointState.READY) {
-            pool.dropAll(target);
-        }
-        pool.reprice(now, target, true);
-        forgetGone(now, target);
+    @Override
+    public void onTimer(double nowMs, long name) {
+        runBackgroundRoundIfDue(nowMs);
+        listPoller.onTimer(name);
     }
 
-    private void forgetGone(double now, EndpointRecord target) {
-        if (target.listed.state() == EndpointState.GONE && target.inFlight == 0) {
-            forget(now, target);
+    /** Updates what changes with time, then refills the pool; with the first event after each interval. */
+    private void runBackgroundRoundIfDue(double nowMs) {
+        if (nowMs < nextBackgroundRoundMs) {
+            return;
         }
+        nextBackgroundRoundMs = nowMs + backgroundIntervalMs;
+        endpoints.settle(nowMs);
+        zoneAffinity.onBackgroundRound(nowMs, backgroundIntervalMs);
+        logLoadSheddingIfDue(nowMs);
+        outlierDetector.onBackgroundRound(nowMs);
+        slowStart.forEachWarmingUp(nowMs, endpoint -> updateRankCost(nowMs, endpoint));
+        limit.onCapacityChanged(slowStart.capacity(nowMs));
+        pool.refill(nowMs, limit.takePeakInFlight());
     }
 
-    /** From here on the server is none of this balancer's; ends of calls there only free what they held. */
-    private void forget(double now, EndpointRecord target) {
-        ranks.list(target, target.listed.withState(EndpointState.GONE));
-        health.heal(target);
-        target.forgotten = true;
-        pool.offer(now, target);
-        targets.remove(target.id);
-        health.forget(target);
-        cold.forget(target);
+    private void logLoadSheddingIfDue(double nowMs) {
+        loadSheddingReport.logIfDue(
+                nowMs,
+                settings.tier(),
+                limit.current(),
+                outlierDetector.outliers(),
+                ranking.readyEndpoints(),
+                host::log);
     }
 
-    @Override
-    public void onTimer(double now, long name) {
-        tick(now);
-        listPoller.onTimer(name);
+    /** An endpoint that has just become warm may have more slots than one, whatever its cost. */
+    private void updateRankCost(double nowMs, EndpointRecord endpoint) {
+        if (slowStart.isWarmingUp(nowMs, endpoint)) {
+            pool.updateRankCostIfChanged(nowMs, endpoint);
+        } else {
+            pool.updateRankCost(nowMs, endpoint);
+        }
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/EndpointRecord.java
+++ b/core/src/main/java/lemonrail/core/policy/EndpointRecord.java
@@ -2,50 +2,35 @@
 
 import lemonrail.core.StableHash;
 import lemonrail.core.balancer.Endpoint;
+import lemonrail.core.balancer.EndpointState;
 
-/** What this balancer knows of one server. */
+/**
+ * One endpoint: its entry in the endpoint list, its place on the ring and its use by this balancer. What is learned
+ * of it stands apart, in {@link EndpointHealth} and {@link EndpointStatistics}.
+ */
 final class EndpointRecord {
 
-    /** Weights of a new sample and of a new outcome in what is learned of a server. */
-    static final double SERVER_GAIN = 1.0 / 12;
-
-    static final double FAILING_GAIN = 1.0 / 4;
-
-    final String id;
-    final long hash;
-    Endpoint listed;
-    boolean forgotten;
-    /** Bits of the slots in the pool, and the next slot outside it, if it may have one. */
-    long held;
-
-    Slot spare;
-    int inFlight;
-    int strikes;
-    /** The recent share of outcomes that spoke against it. */
-    double failing;
-    /** When it last answered, and the usual time between its answers to this balancer; 0 before both. */
-    double lastAnswer;
-
-    double answerGapMs;
-    /** How crowded it is by its answers of late, in the measure of the pressure. */
-    double crowding;
-
-    double pausedUntil;
-    /** Connects that failed in a row, with nothing answered since. */
-    int connectsFailed;
-    /** After failures: one slot at a time until it has answered often enough. */
-    boolean onTrial;
-
-    int trialAnswers;
-    double slowness = 1;
-    double cost = 1;
-    /** Whether it is listed as ready, and on the ring, as it has been so since places were last settled. */
-    boolean ready;
-
-    boolean onRing;
-    long ringOrder;
-    /** Its place there, the same at every balancer that has the same list; NaN while it has none. */
-    double place = Double.NaN;
+    private final String id;
+    private final long hash;
+    private final EndpointHealth health = new EndpointHealth();
+    private final EndpointStatistics statistics = new EndpointStatistics();
+
+    private Endpoint listed;
+    private boolean ready;
+    /** Whether the balancer has dropped it; results of its attempts only free what they held. */
+    private boolean forgotten;
+
+    private boolean onRing;
+    private long ringOrder;
+    private double place = Double.NaN;
+
+    /** One bit for each number of a slot in the pool. */
+    private long slotsInPool;
+
+    private Slot candidate;
+    private int inFlight;
+    /** The factor by which its slots' ranks are multiplied. */
+    private double rankCost = 1;
 
     EndpointRecord(Endpoint listed) {
         this.id = listed.id();
@@ -53,12 +38,130 @@
         this.hash = StableHash.of(id);
     }
 
-    void answered(double now, double ratio) {
-        crowding += FAILING_GAIN * (ratio - crowding);
-        if (lastAnswer > 0) {
-            double gap = now - lastAnswer;
-            answerGapMs += (answerGapMs == 0 ? 1 : SERVER_GAIN) * (gap - answerGapMs);
+    String id() {
+        return id;
+    }
+
+    long hash() {
+        return hash;
+    }
+
+    EndpointHealth health() {
+        return health;
+    }
+
+    EndpointStatistics statistics() {
+        return statistics;
+    }
+
+    /** Returns its entry in the endpoint list. */
+    Endpoint listed() {
+        return listed;
+    }
+
+    /** Returns whether it is listed as ready; false before the first call of {@link #setListed}. */
+    boolean isReady() {
+        return ready;
+    }
+
+    void setListed(Endpoint entry) {
+        listed = entry;
+        ready = entry.state() == EndpointState.READY;
+        if (!ready) {
+            place = Double.NaN;
         }
-        lastAnswer = now;
+    }
+
+    boolean isForgotten() {
+        return forgotten;
+    }
+
+    void markForgotten() {
+        forgotten = true;
+    }
+
+    /** Returns whether it is on the ring: it is ready, or was so when places were last settled. */
+    boolean isOnRing() {
+        return onRing;
+    }
+
+    void setOnRing(boolean nowOnRing) {
+        onRing = nowOnRing;
+    }
+
+    long ringOrder() {
+        return ringOrder;
+    }
+
+    void setRingOrder(long order) {
+        ringOrder = order;
+    }
+
+    boolean hasPlace() {
+        return !Double.isNaN(place);
+    }
+
+    /** Returns its place on the ring, the same at each balancer with the same list; NaN while it has none. */
+    double place() {
+        return place;
+    }
+
+    void setPlace(double newPlace) {
+        place = newPlace;
+    }
+
+    double rankCost() {
+        return rankCost;
+    }
+
+    void setRankCost(double cost) {
+        rankCost = cost;
+    }
+
+    void addSlot(int number) {
+        slotsInPool |= 1L << number;
+    }
+
+    void removeSlot(int number) {
+        slotsInPool &= ~(1L << number);
+    }
+
+    boolean hasSlots() {
+        return slotsInPool != 0;
+    }
+
+    int slotCount() {
+        return Long.bitCount(slotsInPool);
+    }
+
+    int lowestFreeSlotNumber() {
+        return Long.numberOfTrailingZeros(~slotsInPool);
+    }
+
+    /** Returns its candidate slot, or null if it has none. */
+    Slot candidate() {
+        return candidate;
+    }
+
+    void setCandidate(Slot slot) {
+        candidate = slot;
+    }
+
+    /** Returns its attempts in flight, without those whose response is being streamed. */
+    int inFlight() {
+        return inFlight;
+    }
+
+    void onAttemptStarted() {
+        inFlight++;
+    }
+
+    void onAttemptReleased() {
+        inFlight--;
+    }
+
+    /** Returns whether the balancer neither holds a slot on it nor awaits a response from it. */
+    boolean isUnused() {
+        return slotsInPool == 0 && inFlight == 0;
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/InFlightRequest.java
+++ b/core/src/main/java/lemonrail/core/policy/InFlightRequest.java
@@ -1,60 +1,114 @@
 package lemonrail.core.policy;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import lemonrail.core.LatencyEstimator;
 import lemonrail.core.balancer.AttemptOutcome;
 import lemonrail.core.balancer.Request;
 import lemonrail.core.balancer.RequestClass;
 
-/** A request in hand. */
+/** A request that has no final response yet, or has attempts in flight. */
 final class InFlightRequest {
 
-    /** Where a late answer is worth nothing, a call ends at this part of its aim: later costs more. */
-    private static final double USEFUL = 0.99;
+    /** Where late responses are worth nothing, a request ends at this fraction of its latency objective. */
+    private static final double OBJECTIVE_FRACTION = 0.99;
 
-    /** One attempt of a call; its end is null until it has come. */
-    record Attempt(Slot slot, double sentAt, AttemptOutcome[] end) {}
+    private final Request request;
+    private final RequestClass requestClass;
+    private final LatencyEstimator latency;
+    private final double usefulUntilMs;
+    private final List<Attempt> attempts = new ArrayList<>(2);
+    private int attemptsInFlight;
+    private boolean responded;
+    private Attempt firstPossibleExecution;
 
-    final Request request;
-    final RequestClass kind;
-    final LatencyEstimator learned;
-    final List<Attempt> attempts = new ArrayList<>(2);
-    /** When an answer stops being worth waiting for. */
-    final double usefulUntil;
+    /** Creates a request that has just come; {@code latency} is its class's estimator. */
+    InFlightRequest(double nowMs, Request request, RequestClass requestClass, LatencyEstimator latency) {
+        this.request = request;
+        this.requestClass = requestClass;
+        this.latency = latency;
+        usefulUntilMs = requestClass.lateResponseWeight() > 0
+                ? request.deadlineMs()
+                : Math.min(request.deadlineMs(), nowMs + requestClass.latencyObjectiveMs() * OBJECTIVE_FRACTION);
+    }
+
+    String id() {
+        return request.id();
+    }
+
+    int tenant() {
+        return request.tenant();
+    }
+
+    RequestClass requestClass() {
+        return requestClass;
+    }
+
+    LatencyEstimator latency() {
+        return latency;
+    }
+
+    /** Returns when a response stops being worth waiting for. */
+    double usefulUntilMs() {
+        return usefulUntilMs;
+    }
+
+    List<Attempt> attempts() {
+        return Collections.unmodifiableList(attempts);
+    }
 
-    boolean answered;
-    int out;
-    boolean withinShare;
-    /** The first attempt that may have run: its server's group and time bind later ones. */
-    Attempt mayHaveRun;
+    boolean isFirstAttempt() {
+        return attempts.isEmpty();
+    }
+
+    int attemptsInFlight() {
+        return attemptsInFlight;
+    }
+
+    boolean hasTried(EndpointRecord endpoint) {
+        return !attempts.isEmpty() && attempts.stream().anyMatch(attempt -> attempt.endpoint() == endpoint);
+    }
+
+    /**
+     * Returns the first attempt that the endpoint may have executed, or null. A keyed request may be repeated only
+     * within that attempt's deduplication scope and window.
+     */
+    Attempt firstPossibleExecution() {
+        return firstPossibleExecution;
+    }
 
-    /** The attempt of this number, or null if there is none or it has ended. */
-    Attempt open(int number) {
+    /** Returns the attempt of this number, or null if there is none or it has ended. */
+    Attempt attemptInFlight(int number) {
         Attempt attempt = number < attempts.size() ? attempts.get(number) : null;
-        return attempt == null || attempt.end()[0] != null ? null : attempt;
+        return attempt != null && attempt.isInFlight() ? attempt : null;
+    }
+
+    void onAttemptStarted(double nowMs, Slot slot) {
+        attempts.add(new Attempt(slot, nowMs));
+        attemptsInFlight++;
     }
 
     /** Records the outcome of an attempt that was in flight. */
-    void end(Attempt attempt, AttemptOutcome outcome) {
-        attempt.end()[0] = outcome;
-        out--;
-        if (!outcome.provesNotExecuted() && mayHaveRun == null) {
-            mayHaveRun = attempt;
+    void onAttemptFinished(Attempt attempt, AttemptOutcome outcome) {
+        attempt.finish(outcome);
+        attemptsInFlight--;
+        if (!outcome.provesNotExecuted() && firstPossibleExecution == null) {
+            firstPossibleExecution = attempt;
         }
     }
 
-    /** Whether the client has its final response and no attempt is in flight. */
-    boolean isOver() {
-        return answered && out == 0;
+    /** Returns whether the client has its final response or has gone. */
+    boolean isResponded() {
+        return responded;
     }
 
-    InFlightRequest(double now, Request request, RequestClass kind, LatencyEstimator learned) {
-        this.request = request;
-        this.kind = kind;
-        this.learned = learned;
-        usefulUntil = kind.lateResponseWeight() > 0
-                ? request.deadlineMs()
-                : Math.min(request.deadlineMs(), now + kind.latencyObjectiveMs() * USEFUL);
+    void markResponded() {
+        responded = true;
+    }
+
+    /** Returns whether the client has its final response and no attempt is in flight. */
+    boolean isOver() {
+        return responded && attemptsInFlight == 0;
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/OutlierDetector.java
+++ b/core/src/main/java/lemonrail/core/policy/OutlierDetector.java
@@ -9,181 +9,237 @@
 import lemonrail.core.balancer.AttemptResult;
 import lemonrail.core.balancer.BalancerSettings;
 
-/** The servers' health: who pauses after a failure, and who is on trial. */
+/**
+ * Ejects endpoints whose attempts fail, and lets them back in by probes. Its states are {@link HealthState}: a failure
+ * ejects, the end of the ejection time starts probing, and enough successes in a row make the endpoint healthy.
+ */
 final class OutlierDetector {
 
-    /** The share of a server's outcomes that may fail by chance, and the most doublings of its pause. */
-    private static final double FAILING_SHARE = 0.4;
-
-    private static final int MOST_DOUBLINGS = 5;
-    /** A server silent for so many of its usual gaps hangs: by chance that is 2 in 100. */
-    private static final double HANG_GAPS = 4;
-    /** A server's slowness is kept below this factor: more would rest on too few samples. */
-    private static final double SLOWEST = 8;
+    /** Errors count as chance up to this failure rate of an endpoint. */
+    private static final double MAX_CHANCE_FAILURE_RATE = 0.4;
+    /** Backoff after a full queue, as a multiple of the connect timeout. */
+    private static final double QUEUE_FULL_BACKOFF_CONNECT_TIMEOUTS = 1;
+    /** Backoff after one failed connect beside open connections, as a multiple of the connect timeout. */
+    private static final double ISOLATED_FAILURE_BACKOFF_CONNECT_TIMEOUTS = 2;
+
+    /** What the result of an attempt says about its endpoint. */
+    private enum Evidence {
+        /** A failed connect of a kind that healthy endpoints have too. */
+        CONNECT_FAILURE_BY_CHANCE,
+        /** A first failed connect while other connections to the endpoint are open. */
+        ISOLATED_CONNECT_FAILURE,
+        FAILURE,
+        SUCCESS,
+        /** The endpoint is overloaded, not faulty. */
+        QUEUE_FULL,
+        NONE
+    }
 
     private final SlotPool pool;
-    private final BalancerSettings settings;
-    private final List<EndpointRecord> paused = new ArrayList<>();
-    /** Servers on trial. */
-    int ailing;
-
+    private final SlotRanking ranking;
+    private final SlowStart slowStart;
     private final LoadSheddingReport report;
-    private final ConnectFailureRate dials = new ConnectFailureRate();
-
-    OutlierDetector(BalancerSettings settings, SlotPool pool, LoadSheddingReport report) {
-        this.report = report;
+    private final double connectTimeoutMs;
+    private final List<EndpointRecord> backingOff = new ArrayList<>();
+    private final ConnectFailureRate connectFailureRate = new ConnectFailureRate();
+    private int outliers;
+
+    OutlierDetector(
+            BalancerSettings settings,
+            SlotPool pool,
+            SlotRanking ranking,
+            SlowStart slowStart,
+            LoadSheddingReport report) {
         this.pool = pool;
-        this.settings = settings;
+        this.ranking = ranking;
+        this.slowStart = slowStart;
+        this.report = report;
+        connectTimeoutMs = settings.limits().connectTimeoutMs();
+    }
+
+    /** Returns how many endpoints are ejected or probing. */
+    int outliers() {
+        return outliers;
     }
 
-    /** Whether an outcome counts against the endpoint: a timeout does only if the attempt was a long one. */
-    static boolean isFailure(InFlightRequest call, AttemptResult finished) {
-        return switch (finished.outcome()) {
+    /** Returns whether a result counts against the endpoint: a timeout does only if the attempt was a long one. */
+    static boolean isFailure(InFlightRequest request, AttemptResult result) {
+        return switch (result.outcome()) {
             case FAILED, CONNECT_ERROR, RESET -> true;
-            case TIMED_OUT -> finished.endpointTimeMs() >= call.learned.tailMs();
+            case TIMED_OUT -> result.endpointTimeMs() >= request.latency().tailMs();
             default -> false;
         };
     }
 
-    /** Whether a ready endpoint gets fewer or no requests because of its failures. */
-    static boolean isAvoided(double now, EndpointRecord target) {
-        return target.ready && (target.onTrial || (target.held == 0 && now < target.pausedUntil));
+    /** Returns whether a ready endpoint gets fewer or no requests because of its results. */
+    static boolean isRestricted(double nowMs, EndpointRecord endpoint) {
+        EndpointHealth health = endpoint.health();
+        return endpoint.isReady()
+                && (health.state(nowMs) != HealthState.HEALTHY || (!endpoint.hasSlots() && health.isBackingOff(nowMs)));
     }
 
-    /** Learns from how long a call has waited, with or without an answer. */
-    void waited(double now, EndpointRecord target, LatencyEstimator known, double tookMs) {
-        if (pool.cold.warmth(now, target) >= 1) {
-            target.slowness +=
-                    EndpointRecord.SERVER_GAIN * (Math.min(tookMs / known.typicalMs(), SLOWEST) - target.slowness);
-            pool.reprice(now, target, false);
+    /** Learns an endpoint's speed from the elapsed time of an attempt, with or without a response. */
+    void onElapsed(double nowMs, EndpointRecord endpoint, LatencyEstimator classLatency, double elapsedMs) {
+        if (!slowStart.isWarmingUp(nowMs, endpoint)) {
+            endpoint.statistics().recordElapsed(elapsedMs, classLatency.typicalMs());
+            pool.updateRankCostIfChanged(nowMs, endpoint);
         }
     }
 
-    /** Takes in the end of an attempt on this slot. */
-    void judge(double now, Slot slot, AttemptOutcome outcome, boolean failed) {
-        EndpointRecord target = slot.target;
-        boolean alive = learnConnection(slot, outcome);
-        if (outcome == AttemptOutcome.CONNECT_ERROR
-                && dials.explains(target.connectsFailed)
-                && pool.ranks.ready * ConcurrencyLimit.FIRST_CALLS >= settings.balancers()) {
-            // As many fail at servers that are well. Where many share few, the sum of new dials needs pauses.
-            pool.drop(slot);
-            pool.offer(now, target);
-        } else if (alive) {
-            pool.drop(slot);
-            pause(now, target, settings.limits().connectTimeoutMs() * 2);
-        } else if (failed && !blamedOnShared()) {
-            pool.drop(slot);
-            if (fails(target, outcome)) {
-                strike(now, target);
+    /**
+     * Takes in the end of an attempt on this slot.
+     *
+     * @param isFailure see {@link #isFailure}
+     */
+    void onAttemptFinished(double nowMs, Slot slot, AttemptOutcome outcome, boolean isFailure) {
+        recordConnect(slot, outcome);
+        EndpointRecord endpoint = slot.endpoint();
+        switch (evidence(slot, outcome, isFailure)) {
+            case CONNECT_FAILURE_BY_CHANCE -> {
+                pool.discard(slot);
+                pool.updateCandidate(nowMs, endpoint);
             }
-            pool.offer(now, target);
-        } else if (outcome == AttemptOutcome.OK) {
-            target.failing -= EndpointRecord.FAILING_GAIN * target.failing;
-            recover(now, target);
-        }
-        if (outcome == AttemptOutcome.QUEUE_FULL) {
-            report.metFullServer();
-            // It is crowded, not sick: no other slot is taken there for a while.
-            pool.drop(slot);
-            pause(now, target, settings.limits().connectTimeoutMs());
+            case ISOLATED_CONNECT_FAILURE -> {
+                pool.discard(slot);
+                backOff(nowMs, endpoint, connectTimeoutMs * ISOLATED_FAILURE_BACKOFF_CONNECT_TIMEOUTS);
+            }
+            case FAILURE -> onFailure(nowMs, slot, outcome);
+            case SUCCESS -> onSuccess(nowMs, endpoint);
+            case QUEUE_FULL -> {
+                report.onQueueFull();
+                pool.discard(slot);
+                backOff(nowMs, endpoint, connectTimeoutMs * QUEUE_FULL_BACKOFF_CONNECT_TIMEOUTS);
+            }
+            default -> {}
         }
     }
 
-    /** True if only the connect failed while other connections stand, which at first tells nothing. */
-    private boolean learnConnection(Slot slot, AttemptOutcome outcome) {
-        if (!slot.connected && outcome != AttemptOutcome.CANCELED && outcome != AttemptOutcome.IGNORED) {
-            pool.connected(outcome == AttemptOutcome.CONNECT_ERROR);
+    private void recordConnect(Slot slot, AttemptOutcome outcome) {
+        boolean isConnectFailure = outcome == AttemptOutcome.CONNECT_ERROR;
+        boolean isConnectTried = outcome != AttemptOutcome.CANCELED && outcome != AttemptOutcome.IGNORED;
+        if (!slot.isConnected() && isConnectTried) {
+            pool.onConnect(isConnectFailure);
         }
-        boolean cameUp = outcome == AttemptOutcome.OK
+        EndpointHealth health = slot.endpoint().health();
+        boolean isConnected = outcome == AttemptOutcome.OK
                 || outcome == AttemptOutcome.FAILED
                 || outcome == AttemptOutcome.QUEUE_FULL;
-        if (cameUp && (!slot.connected || slot.target.connectsFailed > 0)) {
-            dials.cameUp(slot.target.connectsFailed);
-            slot.target.connectsFailed = 0;
+        if (isConnected && (!slot.isConnected() || health.consecutiveConnectFailures() > 0)) {
+            connectFailureRate.recordSuccess(health.consecutiveConnectFailures());
+            health.recordConnectSuccess();
+        }
+        slot.setConnected(isConnected);
+        if (isConnectFailure) {
+            health.recordConnectFailure();
+        }
+    }
+
+    private Evidence evidence(Slot slot, AttemptOutcome outcome, boolean isFailure) {
+        if (outcome == AttemptOutcome.CONNECT_ERROR) {
+            if (isConnectFailureByChance(slot.endpoint())) {
+                return Evidence.CONNECT_FAILURE_BY_CHANCE;
+            }
+            if (isIsolatedConnectFailure(slot)) {
+                return Evidence.ISOLATED_CONNECT_FAILURE;
+            }
+        }
+        if (isFailure && !isFailureShared()) {
+            return Evidence.FAILURE;
         }
-        slot.connected = cameUp;
-        return outcome == AttemptOutcome.CONNECT_ERROR
-                && ++slot.target.connectsFailed == 1
-                && pool.hasOtherConnected(slot);
+        return switch (outcome) {
+            case OK -> Evidence.SUCCESS;
+            case QUEUE_FULL -> Evidence.QUEUE_FULL;
+            default -> Evidence.NONE;
+        };
+    }
+
+    /** Where many balancers share few endpoints no failure counts as chance: all their connects need backoff. */
+    private boolean isConnectFailureByChance(EndpointRecord endpoint) {
+        return connectFailureRate.isProbablyChance(endpoint.health().consecutiveConnectFailures())
+                && ranking.readyEndpoints() * ConcurrencyLimit.INITIAL_REQUESTS_PER_ENDPOINT >= ranking.balancers();
     }
 
-    /** When half of all servers look bad, something they share is: giving them up would leave none. */
-    private boolean blamedOnShared() {
-        return ailing * 2 > pool.ranks.ready;
+    private boolean isIsolatedConnectFailure(Slot slot) {
+        return slot.endpoint().health().consecutiveConnectFailures() == 1 && pool.hasOtherConnectedSlot(slot);
     }
 
-    /** A crowded server answers late, a hung one not at all, and fewer calls help only the first. */
-    boolean hangs(double now, EndpointRecord target) {
-        return target.answerGapMs > 0 && now - target.lastAnswer > HANG_GAPS * target.answerGapMs && !blamedOnShared();
+    /** If more than half of all endpoints are outliers, the cause is shared: ejecting more would leave none. */
+    private boolean isFailureShared() {
+        return outliers * 2 > ranking.readyEndpoints();
     }
 
-    /** One error may be by chance, whoever sends it; a time-out or a failed connect seldom is. */
-    private static boolean fails(EndpointRecord target, AttemptOutcome outcome) {
-        target.failing += EndpointRecord.FAILING_GAIN * (1 - target.failing);
-        return target.onTrial
-                || (outcome != AttemptOutcome.FAILED && outcome != AttemptOutcome.RESET)
-                || target.failing > FAILING_SHARE;
+    /** Returns whether the endpoint is hung; an overloaded one is slow, but does respond. */
+    boolean isHung(double nowMs, EndpointRecord endpoint) {
+        return endpoint.statistics().isSilent(nowMs) && !isFailureShared();
     }
 
-    /** A failure: the server pauses, longer each time; at the second in a row it loses all its slots. */
-    private void strike(double now, EndpointRecord target) {
-        target.strikes = Math.min(target.strikes + 1, MOST_DOUBLINGS);
-        target.trialAnswers = 0;
-        if (!target.onTrial) {
-            target.onTrial = true;
-            ailing++;
-            report.ejected();
+    private void onFailure(double nowMs, Slot slot, AttemptOutcome outcome) {
+        EndpointRecord endpoint = slot.endpoint();
+        pool.discard(slot);
+        double failureRate = endpoint.health().recordFailedOutcome();
+        if (!isFailureByChance(endpoint, outcome, failureRate)) {
+            eject(nowMs, endpoint);
         }
-        pause(now, target, settings.limits().connectTimeoutMs() * (1 << target.strikes));
-        if (target.strikes > 1) {
-            pool.dropAll(target);
+        pool.updateCandidate(nowMs, endpoint);
+    }
+
+    /** A single error of a healthy endpoint may be chance; a timeout or a failed connect seldom is. */
+    private static boolean isFailureByChance(EndpointRecord endpoint, AttemptOutcome outcome, double failureRate) {
+        return !endpoint.health().isOutlier()
+                && (outcome == AttemptOutcome.FAILED || outcome == AttemptOutcome.RESET)
+                && failureRate <= MAX_CHANCE_FAILURE_RATE;
+    }
+
+    /** The ejection time doubles with each consecutive failure; from the second on all slots are discarded. */
+    private void eject(double nowMs, EndpointRecord endpoint) {
+        EndpointHealth health = endpoint.health();
+        if (!health.isOutlier()) {
+            outliers++;
+            report.onEjected();
+        }
+        health.recordFailure();
+        backOff(nowMs, endpoint, connectTimeoutMs * (1 << health.consecutiveFailures()));
+        if (health.consecutiveFailures() > 1) {
+            pool.discardAll(endpoint);
         }
     }
 
-    private void pause(double now, EndpointRecord target, double ms) {
-        if (target.pausedUntil <= now) {
-            paused.add(target);
+    private void backOff(double nowMs, EndpointRecord endpoint, double durationMs) {
+        if (!endpoint.health().isBackingOff(nowMs)) {
+            backingOff.add(endpoint);
         }
-        target.pausedUntil = Math.max(target.pausedUntil, now + ms);
-        pool.offer(now, target);
-    }
-
-    private void recover(double now, EndpointRecord target) {
-        if (!target.onTrial) {
-            target.strikes = 0;
-        } else if (++target.trialAnswers >= 1 << Math.min(target.strikes, 3)) {
-            target.onTrial = false;
-            ailing--;
-            target.strikes /= 2;
-            pool.offer(now, target);
+        endpoint.health().backOffUntil(nowMs + durationMs);
+        pool.updateCandidate(nowMs, endpoint);
+    }
+
+    private void onSuccess(double nowMs, EndpointRecord endpoint) {
+        boolean wasOutlier = endpoint.health().isOutlier();
+        endpoint.health().recordSuccess();
+        if (wasOutlier && !endpoint.health().isOutlier()) {
+            outliers--;
+            pool.updateCandidate(nowMs, endpoint);
         }
     }
 
-    /** Lets those whose pause is over take part again. */
-    void tick(double now) {
-        List<EndpointRecord> over =
-                paused.stream().filter(target -> target.pausedUntil <= now).toList();
-        paused.removeAll(over);
-        over.forEach(target -> pool.offer(now, target));
+    /** Lets endpoints whose backoff is over get slots again; called in each background round. */
+    void onBackgroundRound(double nowMs) {
+        List<EndpointRecord> over = backingOff.stream()
+                .filter(endpoint -> !endpoint.health().isBackingOff(nowMs))
+                .toList();
+        backingOff.removeAll(over);
+        over.forEach(endpoint -> pool.updateCandidate(nowMs, endpoint));
     }
 
-    /** What the server did before counts no more. */
-    void heal(EndpointRecord target) {
-        if (target.onTrial) {
-            target.onTrial = false;
-            ailing--;
+    /** Makes the endpoint healthy: its results so far no longer count. */
+    void reset(EndpointRecord endpoint) {
+        if (endpoint.health().isOutlier()) {
+            outliers--;
         }
-        target.strikes = 0;
-        target.failing = 0;
-        target.pausedUntil = 0;
-        target.slowness = 1;
-        target.lastAnswer = 0;
-        target.crowding = 0;
-        target.answerGapMs = 0;
+        endpoint.health().reset();
+        endpoint.statistics().reset();
     }
 
-    void forget(EndpointRecord target) {
-        paused.remove(target);
+    void forget(EndpointRecord endpoint) {
+        backingOff.remove(endpoint);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/RetryPolicy.java
+++ b/core/src/main/java/lemonrail/core/policy/RetryPolicy.java
@@ -1,66 +1,64 @@
 package lemonrail.core.policy;
 
 import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
 import lemonrail.core.balancer.BalancerSettings;
-import lemonrail.core.balancer.Idempotency;
 
-/** Which calls may be sent again, where, and how often all of them together. */
+/** Decides whether a request is sent again. Where it may go then is decided by {@link SlotEligibility}. */
 final class RetryPolicy {
 
-    /** Retries allowed for each request taken, and how many may be saved up for when many servers die. */
-    private static final double SHARE = 0.2;
+    /** A retry needs this fraction of the typical response time to be left. */
+    private static final double MIN_TIME_LEFT_FRACTION = 0.5;
+    /** The fraction of the deduplication window in which a keyed request may be sent again. */
+    private static final double DEDUPLICATION_WINDOW_FRACTION = 0.9;
 
-    private static final double SAVINGS = 10;
-    /** An attempt that could be repeated is given up after this multiple of its class's tail time. */
-    private static final double PATIENCE = 1.5;
-    /** The part of its window in which a keyed call may be repeated. */
-    private static final double WINDOW_SHARE = 0.9;
+    private final RetryBudget budget;
+    private int maxAttempts;
 
-    BalancerSettings settings;
-    private double left = SAVINGS;
-
-    RetryPolicy(BalancerSettings settings) {
-        this.settings = settings;
+    RetryPolicy(BalancerSettings settings, RetryBudget budget) {
+        this.budget = budget;
+        onSettings(settings);
     }
 
-    void taken() {
-        left = Math.min(SAVINGS, left + SHARE);
+    /** Adopts a changed bound of attempts. */
+    void onSettings(BalancerSettings changed) {
+        maxAttempts = changed.limits().maxAttempts();
     }
 
-    boolean allows(double now, InFlightRequest call, AttemptOutcome outcome) {
-        if (call.out > 0
-                || call.attempts.size() >= settings.limits().maxAttempts()
-                || outcome == AttemptOutcome.IGNORED
-                || call.usefulUntil - now < call.learned.typicalMs() / 2
-                || (call.mayHaveRun != null
-                        && (call.kind.idempotency() == Idempotency.NON_IDEMPOTENT
-                                || (call.kind.idempotency() == Idempotency.KEYED
-                                        && now - call.mayHaveRun.sentAt()
-                                                >= call.kind.deduplicationWindowMs() * WINDOW_SHARE)))) {
-            return false;
+    /** Decides after an attempt of a request without final response has ended; nothing changes by it. */
+    RetryDecision decide(double nowMs, InFlightRequest request, AttemptResult result) {
+        if (!result.replayable()) {
+            return RetryDecision.NOT_REPLAYABLE;
         }
-        // Retries feed on themselves when all is slow, and multiply from tier to tier.
-        boolean allowed = left >= 1;
-        left -= allowed ? 1 : 0;
-        return allowed;
-    }
-
-    /** Only the group that remembers a keyed call's first run drops its repeat. */
-    static boolean sameGroup(InFlightRequest call, EndpointRecord target) {
-        return call.mayHaveRun == null
-                || call.kind.idempotency() != Idempotency.KEYED
-                || call.kind.deduplicationScope().includesBoth(call.mayHaveRun.slot().target.listed, target.listed);
+        if (request.attemptsInFlight() > 0) {
+            return RetryDecision.ATTEMPT_IN_FLIGHT;
+        }
+        if (request.attempts().size() >= maxAttempts) {
+            return RetryDecision.ATTEMPT_LIMIT_REACHED;
+        }
+        if (result.outcome() == AttemptOutcome.IGNORED) {
+            return RetryDecision.ATTEMPT_IGNORED;
+        }
+        if (request.usefulUntilMs() - nowMs < request.latency().typicalMs() * MIN_TIME_LEFT_FRACTION) {
+            return RetryDecision.TOO_LATE;
+        }
+        if (!mayExecuteAgain(nowMs, request)) {
+            return RetryDecision.MAY_HAVE_EXECUTED;
+        }
+        return budget.hasToken() ? RetryDecision.RETRY : RetryDecision.BUDGET_EXHAUSTED;
     }
 
-    /** How long to wait: a hung server must not eat all of a call's time while another could serve it. */
-    double timeout(double now, InFlightRequest call) {
-        double most = call.usefulUntil - now;
-        double patience =
-                Math.max(call.learned.tailMs() * PATIENCE, settings.limits().connectTimeoutMs());
-        return call.kind.idempotency() != Idempotency.NON_IDEMPOTENT
-                        && call.attempts.size() + 1 < settings.limits().maxAttempts()
-                        && most - patience > call.learned.typicalMs()
-                ? patience
-                : most;
+    private static boolean mayExecuteAgain(double nowMs, InFlightRequest request) {
+        Attempt first = request.firstPossibleExecution();
+        if (first == null) {
+            return true;
+        }
+        return switch (request.requestClass().idempotency()) {
+            case IDEMPOTENT -> true;
+            case NON_IDEMPOTENT -> false;
+            case KEYED ->
+                nowMs - first.startedMs()
+                        < request.requestClass().deduplicationWindowMs() * DEDUPLICATION_WINDOW_FRACTION;
+        };
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/Slot.java
+++ b/core/src/main/java/lemonrail/core/policy/Slot.java
@@ -1,35 +1,96 @@
 package lemonrail.core.policy;
 
-import java.util.List;
-
-/** A slot: the right to have one call at a time at one server. */
+/** A slot: the right to have one attempt in flight at one endpoint. Slots are ordered by rank. */
 final class Slot implements Comparable<Slot> {
 
-    final EndpointRecord target;
-    final int number;
-    /** The rank it has by the design's formula, at the server's present place and cost. */
-    double rank;
-
-    boolean busy;
-    /** A call was answered on it and none was lost since: a connection for it stands open. */
-    boolean connected;
-    /** The slots outside the pool that it is among. */
-    List<Slot> spares;
-    /** Its call's answer is being passed on: the server's work is done, only the connection is taken. */
-    boolean streaming;
-    /** Left the pool while a call was still out on it. */
-    boolean discarded;
-
-    Slot(EndpointRecord target, int number) {
-        this.target = target;
+    /** What the slot is used for. */
+    private enum Use {
+        FREE,
+        AWAITING_RESPONSE,
+        /** The endpoint has done its work: only the connection is in use. */
+        STREAMING_RESPONSE
+    }
+
+    private final EndpointRecord endpoint;
+    private final int number;
+    private final boolean offeredInOwnZone;
+    private double rank;
+    private Use use = Use.FREE;
+    private boolean connected;
+    private boolean discarded;
+
+    /** Creates a free slot; {@code offeredInOwnZone} tells whether its endpoint is in the balancer's zone now. */
+    Slot(EndpointRecord endpoint, int number, boolean offeredInOwnZone) {
+        this.endpoint = endpoint;
         this.number = number;
+        this.offeredInOwnZone = offeredInOwnZone;
+    }
+
+    EndpointRecord endpoint() {
+        return endpoint;
+    }
+
+    /** Returns its number among the endpoint's slots, from 0. */
+    int number() {
+        return number;
+    }
+
+    /** Returns whether the endpoint was in the balancer's zone when the slot became a candidate. */
+    boolean wasOfferedInOwnZone() {
+        return offeredInOwnZone;
+    }
+
+    double rank() {
+        return rank;
+    }
+
+    void setRank(double newRank) {
+        rank = newRank;
+    }
+
+    boolean isFree() {
+        return use == Use.FREE;
+    }
+
+    boolean isStreaming() {
+        return use == Use.STREAMING_RESPONSE;
+    }
+
+    void onAttemptStarted() {
+        use = Use.AWAITING_RESPONSE;
+    }
+
+    void onResponseStreamStarted() {
+        use = Use.STREAMING_RESPONSE;
+    }
+
+    void onAttemptFinished() {
+        use = Use.FREE;
+    }
+
+    /** Returns whether its last attempt left a connection open. */
+    boolean isConnected() {
+        return connected;
+    }
+
+    void setConnected(boolean nowConnected) {
+        connected = nowConnected;
+    }
+
+    /** Returns whether it has left the pool; an attempt may still be in flight on it. */
+    boolean isDiscarded() {
+        return discarded;
+    }
+
+    void markDiscarded() {
+        discarded = true;
     }
 
     @Override
     public int compareTo(Slot other) {
         int order = Double.compare(rank, other.rank);
-        order = order != 0 ? order : Long.compare(target.hash, other.target.hash);
-        order = order != 0 ? order : target.id.compareTo(other.target.id);
+        order = order != 0 ? order : Long.compare(endpoint.hash(), other.endpoint.hash());
+        order = order != 0 ? order : endpoint.id().compareTo(other.endpoint.id());
         return order != 0 ? order : Integer.compare(number, other.number);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/SlotPool.java
+++ b/core/src/main/java/lemonrail/core/policy/SlotPool.java
@@ -1,197 +1,191 @@
 package lemonrail.core.policy;
 
 import java.util.ArrayList;
-import java.util.Collections;
 import java.util.List;
 import java.util.function.Predicate;
 import lemonrail.core.balancer.LoadBalancerHost;
 
-/** The bounded pool of slots, the lowest rank first, and those next outside it. */
+/** The bounded pool of slots that requests use, and the candidates that it grows by. */
 final class SlotPool {
 
-    /** The most slots a pool may hold, whatever the fleet's size: one on each of the largest list. */
-    static final int CEILING = 1024;
-    /** The fewest it aims for, and the multiple of the recent peak of calls at once that it else does. */
-    private static final int FLOOR = 4;
-
-    private static final double HEADROOM = 1.25;
-    /** Slots on one server: the width of the mask that marks them. */
-    private static final int SLOTS_PER_SERVER = 62;
-    /** The least cost of a server, and the factor by which a cost moves before ranks are worked out anew. */
-    private static final double CHEAPEST = 0.6;
-
-    private static final double REPRICE = 1.1;
-    /** Weight of a new connect in the share that fails, what a pause leaves of it, its worth in rounds. */
-    private static final double CONNECT_GAIN = 1.0 / 4;
-
-    private static final double CONNECT_FADE = 0.99;
-    private static final double CONNECT_ROUNDS = 4;
-
-    final SlotRanking ranks;
-    final SlowStart cold;
-    private final ZoneAffinity locality;
+    /** The most slots in a pool, whatever the fleet's size. */
+    static final int MAX_SLOTS = 1024;
+    /** The fewest slots that the pool aims for. */
+    private static final int MIN_SLOTS = 4;
+    /** Slots aimed for, as a multiple of the recent peak of requests in flight. */
+    private static final double PEAK_MULTIPLE = 1.25;
+    /** The least factor by which an endpoint's cost multiplies its ranks. */
+    private static final double MIN_RANK_COST = 0.6;
+    /** Ranks follow an endpoint's cost once it has changed by this factor. */
+    private static final double RANK_COST_STEP = 1.1;
+    /** Weight of a new connect in the connect failure rate. */
+    private static final double CONNECT_SMOOTHING_FACTOR = 1.0 / 4;
+    /** What a background round leaves of the connect failure rate. */
+    private static final double CONNECT_FAILURE_DECAY = 0.99;
+    /** Rounds of ranks by which unconnected slots rank behind connected ones if all connects fail. */
+    private static final double UNCONNECTED_PENALTY_ROUNDS = 4;
+
+    private final SlotRanking ranking;
+    private final SlotEligibility eligibility;
+    private final ZoneAffinity zoneAffinity;
     private final LoadBalancerHost host;
     private final List<Slot> slots = new ArrayList<>();
-    /** The slots next outside it in order, one a server at most: the own zone's and all others. */
-    private final List<Slot> nearSpares = new ArrayList<>();
-
-    private final List<Slot> farSpares = new ArrayList<>();
-    /** The recent share of failures among calls that had to open a connection. */
-    private double connectFailing;
-
-    SlotPool(SlotRanking ranks, SlowStart cold, ZoneAffinity locality, LoadBalancerHost host) {
-        this.ranks = ranks;
-        this.cold = cold;
-        this.locality = locality;
+    private final CandidateSlots candidates = new CandidateSlots();
+    /** The recent fraction of failures among attempts that had to connect. */
+    private double connectFailureRate;
+
+    SlotPool(SlotRanking ranking, SlotEligibility eligibility, ZoneAffinity zoneAffinity, LoadBalancerHost host) {
+        this.ranking = ranking;
+        this.eligibility = eligibility;
+        this.zoneAffinity = zoneAffinity;
         this.host = host;
     }
 
-    /** The lowest-ranked usable slot of the pool, else of those outside it while it may grow. */
-    Slot lowest(Predicate<Slot> usable) {
+    /** Returns the first usable free slot of the pool, else the first usable candidate, or null if none. */
+    Slot firstUsable(Predicate<Slot> usable) {
         Slot best = null;
         for (Slot slot : slots) {
-            if (!slot.busy && (best == null || order(slot, best) < 0) && usable.test(slot)) {
+            if (slot.isFree() && (best == null || compare(slot, best) < 0) && usable.test(slot)) {
                 best = slot;
             }
         }
-        return best != null || slots.size() >= CEILING
-                ? best
-                : lower(first(nearSpares, usable), first(farSpares, usable));
-    }
-
-    private static Slot first(List<Slot> spares, Predicate<Slot> usable) {
-        return spares.stream().filter(usable).findFirst().orElse(null);
-    }
-
-    private Slot firstSpare() {
-        return lower(first(nearSpares, slot -> true), first(farSpares, slot -> true));
+        if (best != null || slots.size() >= MAX_SLOTS) {
+            return best;
+        }
+        return candidates.first(usable, this::compare);
     }
 
-    private Slot lower(Slot a, Slot b) {
-        return a == null || (b != null && order(b, a) < 0) ? b : a;
+    private Slot firstCandidate() {
+        return candidates.first(this::compare);
     }
 
-    /** The order in which calls take slots: by rank, other zones' put back by what locality is worth. */
-    private int order(Slot a, Slot b) {
-        int order = Double.compare(orderRank(a), orderRank(b));
-        return order != 0 ? order : a.compareTo(b);
+    /** The order in which requests use slots. */
+    private int compare(Slot one, Slot other) {
+        int order = Double.compare(effectiveRank(one), effectiveRank(other));
+        return order != 0 ? order : one.compareTo(other);
     }
 
-    /** Slots without a connection come later, the more so the more connects have failed of late. */
-    private double orderRank(Slot slot) {
-        return slot.rank
-                + locality.spill(slot.target)
-                + (slot.connected ? 0 : connectFailing * CONNECT_ROUNDS * ranks.settings.balancers());
+    /** Returns the rank with the penalties for another zone and for a connection that must be opened first. */
+    private double effectiveRank(Slot slot) {
+        double connectPenalty =
+                slot.isConnected() ? 0 : connectFailureRate * UNCONNECTED_PENALTY_ROUNDS * ranking.balancers();
+        return slot.rank() + zoneAffinity.rankPenalty(slot.endpoint()) + connectPenalty;
     }
 
-    void connected(boolean failed) {
-        connectFailing += CONNECT_GAIN * ((failed ? 1 : 0) - connectFailing);
+    /** Takes in the result of an attempt that had to connect. */
+    void onConnect(boolean failed) {
+        connectFailureRate += CONNECT_SMOOTHING_FACTOR * ((failed ? 1 : 0) - connectFailureRate);
     }
 
-    /** Whether the server has another slot with a connection that stands. */
-    boolean hasOtherConnected(Slot slot) {
-        return slots.stream().anyMatch(s -> s != slot && s.target == slot.target && s.connected);
+    /** Returns whether another slot of the same endpoint has an open connection. */
+    boolean hasOtherConnectedSlot(Slot slot) {
+        return slots.stream()
+                .anyMatch(other -> other != slot && other.endpoint() == slot.endpoint() && other.isConnected());
     }
 
-    /** Takes a spare slot into the pool and offers the server's next; others are there already. */
-    void adopt(double now, Slot slot) {
-        EndpointRecord target = slot.target;
-        if (target.spare == slot) {
-            withdraw(target);
-            target.held |= 1L << slot.number;
+    /** Takes the slot into the pool if it is a candidate; the endpoint's next slot becomes one. */
+    void adopt(double nowMs, Slot slot) {
+        EndpointRecord endpoint = slot.endpoint();
+        if (endpoint.candidate() == slot) {
+            candidates.remove(endpoint);
+            endpoint.addSlot(slot.number());
             slots.add(slot);
-            offer(now, target);
+            updateCandidate(nowMs, endpoint);
         }
     }
 
-    /** Takes a slot out; the last one's idle connections are closed with it. */
-    void drop(Slot slot) {
-        if (slot.discarded) {
+    /** Discards a slot; with an endpoint's last one its idle connections are closed. */
+    void discard(Slot slot) {
+        if (slot.isDiscarded()) {
             return;
         }
-        slot.discarded = true;
+        slot.markDiscarded();
         slots.remove(slot);
-        slot.target.held &= ~(1L << slot.number);
-        if (slot.target.held == 0 && slot.target.inFlight == 0) {
-            host.closeIdleConnections(slot.target.id);
+        EndpointRecord endpoint = slot.endpoint();
+        endpoint.removeSlot(slot.number());
+        if (endpoint.isUnused()) {
+            host.closeIdleConnections(endpoint.id());
         }
     }
 
-    void dropAll(EndpointRecord target) {
-        List.copyOf(slots).stream().filter(slot -> slot.target == target).forEach(this::drop);
+    /** Discards all slots of an endpoint. */
+    void discardAll(EndpointRecord endpoint) {
+        List.copyOf(slots).stream().filter(slot -> slot.endpoint() == endpoint).forEach(this::discard);
     }
 
-    /** Puts the server's lowest slot outside the pool into the index, if it may have one more. */
-    void offer(double now, EndpointRecord target) {
-        withdraw(target);
-        int most = target.onTrial || cold.warmth(now, target) < 1 ? 1 : SLOTS_PER_SERVER;
-        if (target.forgotten
-                || !target.ready
-                || Double.isNaN(target.place)
-                || now < target.pausedUntil
-                || Long.bitCount(target.held) >= most
-                || (target.onTrial && target.inFlight > 0)) {
-            return;
+    /** Makes the endpoint's lowest free slot its candidate if the pool may take one more, else removes it. */
+    void updateCandidate(double nowMs, EndpointRecord endpoint) {
+        candidates.remove(endpoint);
+        if (eligibility.mayAddSlot(nowMs, endpoint)) {
+            Slot slot = new Slot(endpoint, endpoint.lowestFreeSlotNumber(), !ranking.isInOtherZone(endpoint));
+            slot.setRank(ranking.rank(slot));
+            candidates.add(slot);
         }
-        Slot slot = new Slot(target, Long.numberOfTrailingZeros(~target.held));
-        slot.rank = ranks.rank(slot);
-        target.spare = slot;
-        slot.spares = ranks.isFar(target) ? farSpares : nearSpares;
-        slot.spares.add(-1 - Collections.binarySearch(slot.spares, slot), slot);
     }
 
-    private static void withdraw(EndpointRecord target) {
-        if (target.spare != null) {
-            target.spare.spares.remove(Collections.binarySearch(target.spare.spares, target.spare));
-            target.spare = null;
+    /** Adopts the endpoint's latency ratio as its cost if it has changed by more than the step. */
+    void updateRankCostIfChanged(double nowMs, EndpointRecord endpoint) {
+        double cost = rankCost(endpoint);
+        double present = endpoint.rankCost();
+        boolean isNearPresent = cost < present * RANK_COST_STEP && cost > present / RANK_COST_STEP;
+        if (!isNearPresent) {
+            updateRankCost(nowMs, endpoint);
         }
     }
 
-    /** Moves a server's slots up or down by what it can do: slow, small or cold ones get fewer calls. */
-    void reprice(double now, EndpointRecord target, boolean always) {
-        double cost = Math.max(CHEAPEST, target.slowness);
-        if (!always && cost < target.cost * REPRICE && cost > target.cost / REPRICE) {
-            return;
-        }
-        target.cost = cost;
-        if (target.held != 0) {
-            slots.stream().filter(s -> s.target == target).forEach(s -> s.rank = ranks.rank(s));
+    /** Adopts the endpoint's latency ratio as its cost: slow endpoints get fewer requests. */
+    void updateRankCost(double nowMs, EndpointRecord endpoint) {
+        endpoint.setRankCost(rankCost(endpoint));
+        if (endpoint.hasSlots()) {
+            slots.stream()
+                    .filter(slot -> slot.endpoint() == endpoint)
+                    .forEach(slot -> slot.setRank(ranking.rank(slot)));
         }
-        offer(now, target);
+        updateCandidate(nowMs, endpoint);
     }
 
-    /** Works all ranks out anew once places are settled, and offers each ready server's next slot. */
-    void settle(double now) {
-        for (List<Slot> moved : List.of(slots, nearSpares, farSpares)) {
-            moved.forEach(slot -> slot.rank = ranks.rank(slot));
-        }
-        // Their order changes little, which the sort makes use of.
-        nearSpares.sort(null);
-        farSpares.sort(null);
-        ranks.ring.stream().filter(target -> target.spare == null).forEach(target -> offer(now, target));
-    }
-
-    /** Refills toward lower ranks, up to what the recent peak of calls at once calls for. */
-    void refill(double now, double peak) {
-        connectFailing *= CONNECT_FADE;
-        double size = Math.min(CEILING, Math.max(FLOOR, Math.ceil(peak * HEADROOM)));
-        while (slots.size() < size && firstSpare() != null) {
-            adopt(now, firstSpare());
+    private static double rankCost(EndpointRecord endpoint) {
+        return Math.max(MIN_RANK_COST, endpoint.statistics().latencyRatio());
+    }
+
+    /** Computes all ranks anew after places were settled, and the candidates of endpoints without one. */
+    void onPlacesSettled(double nowMs) {
+        slots.forEach(slot -> slot.setRank(ranking.rank(slot)));
+        candidates.rerank(ranking::rank);
+        ranking.ring().stream()
+                .filter(endpoint -> endpoint.candidate() == null)
+                .forEach(endpoint -> updateCandidate(nowMs, endpoint));
+    }
+
+    /**
+     * Refills or shrinks the pool to the size that the recent peak of requests in flight needs, and replaces free
+     * slots by candidates that come before them.
+     */
+    void refill(double nowMs, double peakInFlight) {
+        connectFailureRate *= CONNECT_FAILURE_DECAY;
+        double size = Math.min(MAX_SLOTS, Math.max(MIN_SLOTS, Math.ceil(peakInFlight * PEAK_MULTIPLE)));
+        while (slots.size() < size && firstCandidate() != null) {
+            adopt(nowMs, firstCandidate());
         }
-        for (Slot worst = worstFree(); worst != null; worst = worstFree()) {
-            boolean over = slots.size() > size;
-            if (!over && (firstSpare() == null || order(firstSpare(), worst) >= 0)) {
+        for (Slot worst = lastFree(); worst != null; worst = lastFree()) {
+            boolean isOversized = slots.size() > size;
+            if (!isOversized && !hasCandidateBefore(worst)) {
                 return;
             }
-            drop(worst);
-            offer(now, worst.target);
-            if (!over) {
-                adopt(now, firstSpare());
+            discard(worst);
+            updateCandidate(nowMs, worst.endpoint());
+            if (!isOversized) {
+                adopt(nowMs, firstCandidate());
             }
         }
     }
 
-    private Slot worstFree() {
-        return slots.stream().filter(slot -> !slot.busy).max(this::order).orElse(null);
+    private boolean hasCandidateBefore(Slot slot) {
+        Slot candidate = firstCandidate();
+        return candidate != null && compare(candidate, slot) < 0;
+    }
+
+    private Slot lastFree() {
+        return slots.stream().filter(Slot::isFree).max(this::compare).orElse(null);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/SlotRanking.java
+++ b/core/src/main/java/lemonrail/core/policy/SlotRanking.java
@@ -1,6 +1,7 @@
 package lemonrail.core.policy;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.Comparator;
 import java.util.List;
 import lemonrail.core.RingPlacement;
@@ -8,89 +9,138 @@
 import lemonrail.core.balancer.Endpoint;
 import lemonrail.core.balancer.EndpointState;
 
-/** The ranks of slots, by the design's formula, and the servers' places on the ring that it rests on. */
+/**
+ * Ranks slots, and gives ready endpoints the places on the ring that ranks rest on. All balancers with the same list
+ * compute the same places, and each starts at another point of the ring, so that together they spread their requests
+ * evenly without talking to each other.
+ */
 final class SlotRanking {
 
-    /** A multiple of its usual cost moves a server back by this part of a round of ranks. */
-    private static final double STEP_BACK = 0.5;
+    /** An endpoint of twice the cost moves back by this part of a round of ranks. */
+    private static final double ROUNDS_PER_EXCESS_COST = 0.5;
+    /** Moves ranks off 0, so that an endpoint's cost moves its first slot too. */
+    private static final double RANK_OFFSET = 0.5;
 
-    final BalancerSettings settings;
-    /** The ready servers and those that were so when places were last settled, in order as of then. */
-    final List<EndpointRecord> ring = new ArrayList<>();
+    private final int balancers;
+    private final int balancerIndex;
+    private final int zone;
+    private final boolean weighted;
 
-    private double meanWeight = 1;
-    /** Changes of the list since then that move places. */
-    int unsettled;
-    /** Servers that discovery calls ready; those of the own zone, as of when places were settled. */
-    int ready;
+    /** The ready endpoints and those that were ready when places were last settled, in the order of then. */
+    private final List<EndpointRecord> ring = new ArrayList<>();
 
-    int readyInZone;
+    private double meanWeight = 1;
+    private int unsettledChanges;
+    private int readyEndpoints;
+    private int readyInOwnZone;
 
     SlotRanking(BalancerSettings settings) {
-        this.settings = settings;
+        balancers = settings.balancers();
+        balancerIndex = settings.balancerIndex();
+        zone = settings.zone();
+        weighted = settings.weighted();
     }
 
-    /** Takes in what discovery says of a server: who is ready counts at once, places wait to be settled. */
-    void list(EndpointRecord target, Endpoint entry) {
-        boolean isReady = entry.state() == EndpointState.READY;
-        if (target.ready != isReady
-                || (isReady && (entry.weight() != target.listed.weight() || entry.zone() != target.listed.zone()))) {
-            unsettled++;
+    /** Returns how many balancers call the same endpoints. */
+    int balancers() {
+        return balancers;
+    }
+
+    /** Returns how many changes of the list wait for {@link #settle}. */
+    int unsettledChanges() {
+        return unsettledChanges;
+    }
+
+    /** Returns how many endpoints are listed as ready. */
+    int readyEndpoints() {
+        return readyEndpoints;
+    }
+
+    /** Returns how many ready endpoints of the own zone there were when places were last settled. */
+    int readyInOwnZone() {
+        return readyInOwnZone;
+    }
+
+    List<EndpointRecord> ring() {
+        return Collections.unmodifiableList(ring);
+    }
+
+    /** Takes in an endpoint's new entry; it counts as ready at once, its place changes with {@link #settle}. */
+    void onListed(EndpointRecord endpoint, Endpoint entry) {
+        if (movesPlaces(endpoint, entry)) {
+            unsettledChanges++;
+        }
+        readyEndpoints -= endpoint.isReady() ? 1 : 0;
+        endpoint.setListed(entry);
+        readyEndpoints += endpoint.isReady() ? 1 : 0;
+        if (endpoint.isReady() && !endpoint.isOnRing()) {
+            endpoint.setOnRing(true);
+            ring.add(endpoint);
         }
-        ready += (isReady ? 1 : 0) - (target.ready ? 1 : 0);
-        target.listed = entry;
-        target.ready = isReady;
-        target.place = isReady ? target.place : Double.NaN;
-        if (isReady && !target.onRing) {
-            target.onRing = true;
-            ring.add(target);
+    }
+
+    private static boolean movesPlaces(EndpointRecord endpoint, Endpoint entry) {
+        boolean becomesReady = entry.state() == EndpointState.READY;
+        if (endpoint.isReady() != becomesReady) {
+            return true;
         }
+        Endpoint before = endpoint.listed();
+        return becomesReady && (entry.weight() != before.weight() || entry.zone() != before.zone());
     }
 
-    /** Gives each ready server its place. */
+    /** Gives each ready endpoint its place. */
     void settle() {
-        unsettled = 0;
-        readyInZone = 0;
-        ring.forEach(target -> target.onRing = target.ready);
-        ring.removeIf(target -> !target.ready);
-        // Several rings where balancers outnumber servers: who leaves a full one must not crowd the next.
-        int number = settings.balancerIndex()
-                % Integer.highestOneBit(Math.max(1, settings.balancers() / Math.max(1, ready)));
-        double weights = 0;
-        for (EndpointRecord target : ring) {
-            readyInZone += isFar(target) ? 0 : 1;
-            weights += target.listed.weight();
-            target.ringOrder = RingPlacement.order(target.hash, number);
+        unsettledChanges = 0;
+        readyInOwnZone = 0;
+        ring.forEach(endpoint -> endpoint.setOnRing(endpoint.isReady()));
+        ring.removeIf(endpoint -> !endpoint.isReady());
+        int ringNumber = ringNumber();
+        double weightSum = 0;
+        for (EndpointRecord endpoint : ring) {
+            readyInOwnZone += isInOtherZone(endpoint) ? 0 : 1;
+            weightSum += endpoint.listed().weight();
+            endpoint.setRingOrder(RingPlacement.order(endpoint.hash(), ringNumber));
         }
-        meanWeight = ready == 0 || weights <= 0 ? 1 : weights / ready;
-        // Nearly in order since the last time, which the sort makes use of.
-        ring.sort(Comparator.comparingLong((EndpointRecord target) -> target.ringOrder)
-                .thenComparing(t -> t.id));
+        meanWeight = readyEndpoints == 0 || weightSum <= 0 ? 1 : weightSum / readyEndpoints;
+        // The ring is nearly in order from the last time, which makes this sort fast.
+        ring.sort(Comparator.comparingLong(EndpointRecord::ringOrder).thenComparing(EndpointRecord::id));
         RingPlacement.place(
                 ring,
-                target -> target.listed.zone(),
+                endpoint -> endpoint.listed().zone(),
                 this::relativeWeight,
-                (target, place) -> target.place = settings.balancers() * place);
+                (endpoint, place) -> endpoint.setPlace(balancers * place));
+    }
+
+    /**
+     * Returns which ring this balancer uses. Where balancers outnumber endpoints there are several, so that balancers
+     * that leave a full endpoint do not all go on to the same next one.
+     */
+    private int ringNumber() {
+        return balancerIndex % Integer.highestOneBit(Math.max(1, balancers / Math.max(1, readyEndpoints)));
     }
 
-    /** The rank a slot is used by: the formula's times the server's cost, which moves the lowest too. */
+    /** Returns the rank that slots are used by: the ideal rank, raised by the endpoint's cost. */
     double rank(Slot slot) {
-        return (formula(slot) + 0.5) * slot.target.cost
-                + Math.max(0, slot.target.cost - 1) * settings.balancers() * STEP_BACK;
+        double cost = slot.endpoint().rankCost();
+        return (idealRank(slot) + RANK_OFFSET) * cost + Math.max(0, cost - 1) * balancers * ROUNDS_PER_EXCESS_COST;
     }
 
-    /** The design's rank: the calls the server holds if every balancer uses its slots up to this one. */
-    double formula(Slot slot) {
-        int balancers = settings.balancers();
-        return slot.number * balancers / relativeWeight(slot.target)
-                + (settings.balancerIndex() + slot.target.place) % balancers;
+    /**
+     * Returns the slot's rank among endpoints of equal cost: the number of requests in flight at the endpoint if every
+     * balancer uses its slots up to this rank.
+     */
+    double idealRank(Slot slot) {
+        return slot.number() * balancers / relativeWeight(slot.endpoint())
+                + (balancerIndex + slot.endpoint().place()) % balancers;
     }
 
-    double relativeWeight(EndpointRecord target) {
-        return settings.weighted() && target.listed.weight() > 0 ? target.listed.weight() / meanWeight : 1;
+    /** Returns the endpoint's weight relative to the mean; 1 if weights do not count. */
+    double relativeWeight(EndpointRecord endpoint) {
+        double weight = endpoint.listed().weight();
+        return weighted && weight > 0 ? weight / meanWeight : 1;
     }
 
-    boolean isFar(EndpointRecord target) {
-        return target.listed.zone() != settings.zone();
+    boolean isInOtherZone(EndpointRecord endpoint) {
+        return endpoint.listed().zone() != zone;
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/ZoneAffinity.java
+++ b/core/src/main/java/lemonrail/core/policy/ZoneAffinity.java
@@ -2,73 +2,94 @@
 
 import lemonrail.core.balancer.BalancerSettings;
 
-/** How far the own zone's slots come before those of others. */
+/** Decides how far slots of other zones rank behind those of the own zone. */
 final class ZoneAffinity {
 
-    /** Other zones' slots rank after as many of the own zone's as this multiple of the usual calls need. */
-    private static final double SPILL = 3;
-    /** It gives way while the own zone is slower than others by this multiple of the price of crossing. */
-    private static final double MARGIN = 6;
-    /** What a refill pause in which it gave way leaves of it, and what any other gives back. */
-    private static final double CUT = 0.7;
+    /** Other zones' slots rank behind as many of the own zone's as this multiple of the typical demand needs. */
+    private static final double DEMAND_MULTIPLE = 3;
+    /** Affinity shrinks while the own zone's queueing delay ratio is higher by this multiple of the crossing cost. */
+    private static final double CROSSING_COST_MULTIPLE = 6;
+    /** The factor by which affinity shrinks in a background round. */
+    private static final double STRENGTH_DECREASE_FACTOR = 0.7;
+    /** The amount by which it grows in any other. */
+    private static final double STRENGTH_INCREASE = 0.02;
+    /** The number of background rounds over which the typical demand is averaged. */
+    private static final double AVERAGING_ROUNDS = 200;
+    /** Weight of the first sample of the demand. */
+    private static final double FIRST_DEMAND_WEIGHT = 0.1;
+    /** Weight of a new sample in the queueing delay ratios. */
+    private static final double SMOOTHING_FACTOR = 1.0 / 16;
 
-    private static final double REGAIN = 0.02;
-    /** The refill pauses over which the usual calls at once are learned, and the weight of an outcome. */
-    private static final double CALM_PAUSES = 200;
-
-    private static final double GAIN = 1.0 / 16;
-
-    private final BalancerSettings settings;
-    private final SlotRanking ranks;
-    private double lastTick;
-    /** Base time of the calls taken since the last tick, and the calls at once that it usually makes. */
+    private final double crossZoneCost;
+    private final SlotRanking ranking;
+    private double lastRoundMs;
+    /** The sum of the base times of the requests that came since the last round. */
     private double demandMs;
+    /** The typical number of requests in flight, as their base times make it. */
+    private double typicalRequestsInFlight;
+    /** Added to the rank of other zones' slots. */
+    private double rankPenalty;
+    /** From 0, no affinity, to 1. */
+    private double strength = 1;
 
-    private double usual;
-    /** What is added to the ranks of other zones' slots. */
-    private double spill;
-    /** The part of its full reach that locality has; how crowded the own and other zones were of late. */
-    private double locality = 1;
+    private double ownZoneQueueingDelayRatio;
+    private double otherZonesQueueingDelayRatio;
 
-    private double nearCrowding;
-    private double farCrowding;
-
-    ZoneAffinity(BalancerSettings settings, SlotRanking ranks) {
-        this.settings = settings;
-        this.ranks = ranks;
+    ZoneAffinity(BalancerSettings settings, SlotRanking ranking) {
+        this.crossZoneCost = settings.crossZoneCost();
+        this.ranking = ranking;
     }
 
-    double spill(EndpointRecord target) {
-        return ranks.isFar(target) ? spill : 0;
+    /** Returns what is added to the ranks of this endpoint's slots; 0 in the own zone. */
+    double rankPenalty(EndpointRecord endpoint) {
+        return ranking.isInOtherZone(endpoint) ? rankPenalty : 0;
     }
 
-    void demand(double baseMs) {
+    /** Takes in a request; {@code baseMs} is its class's response time without queueing. */
+    void onRequest(double baseMs) {
         demandMs += baseMs;
     }
 
-    void crowding(EndpointRecord target, double ratio) {
-        if (ranks.isFar(target)) {
-            farCrowding += GAIN * (ratio - farCrowding);
+    /** Takes in the queueing delay ratio of an attempt at this endpoint. */
+    void onQueueingDelay(EndpointRecord endpoint, double ratio) {
+        if (ranking.isInOtherZone(endpoint)) {
+            otherZonesQueueingDelayRatio += SMOOTHING_FACTOR * (ratio - otherZonesQueueingDelayRatio);
         } else {
-            nearCrowding += GAIN * (ratio - nearCrowding);
+            ownZoneQueueingDelayRatio += SMOOTHING_FACTOR * (ratio - ownZoneQueueingDelayRatio);
         }
     }
 
-    /** Learns how many calls are usually out at once, and from it where other zones' slots begin. */
-    void tick(double now, double pauseMs) {
-        double elapsed = now - lastTick;
-        lastTick = now;
-        double atOnce = demandMs / Math.max(elapsed, 1);
+    /** Updates demand, strength and penalty; called in each background round. */
+    void onBackgroundRound(double nowMs, double roundMs) {
+        double elapsedMs = nowMs - lastRoundMs;
+        lastRoundMs = nowMs;
+        double rounds = Math.min(elapsedMs / roundMs, AVERAGING_ROUNDS);
+        updateDemand(elapsedMs, rounds);
+        updateStrength(rounds);
+        rankPenalty = ranking.readyInOwnZone() == 0
+                ? 0
+                : strength
+                        * DEMAND_MULTIPLE
+                        * (typicalRequestsInFlight + 1)
+                        * ranking.balancers()
+                        / ranking.readyInOwnZone();
+    }
+
+    private void updateDemand(double elapsedMs, double rounds) {
+        double requestsInFlight = demandMs / Math.max(elapsedMs, 1);
         demandMs = 0;
-        double pauses = Math.min(elapsed / pauseMs, CALM_PAUSES);
-        // A sudden flood must not pass for usual: it counts for twice the usual at most.
-        atOnce = usual == 0 ? atOnce : Math.min(atOnce, 2 * usual + 1);
-        usual += (usual == 0 ? 0.1 : pauses / CALM_PAUSES) * (atOnce - usual);
-        locality = nearCrowding > farCrowding + MARGIN * settings.crossZoneCost()
-                ? locality * CUT
-                : Math.min(1, locality + REGAIN);
-        // Other zones are known only from calls sent there: old news fades to the best.
-        farCrowding *= 1 - pauses / CALM_PAUSES;
-        spill = ranks.readyInZone == 0 ? 0 : locality * SPILL * (usual + 1) * settings.balancers() / ranks.readyInZone;
+        boolean isFirst = typicalRequestsInFlight == 0;
+        // A sudden burst must not pass for typical: it counts for twice the typical demand at most.
+        double counted = isFirst ? requestsInFlight : Math.min(requestsInFlight, 2 * typicalRequestsInFlight + 1);
+        double weight = isFirst ? FIRST_DEMAND_WEIGHT : rounds / AVERAGING_ROUNDS;
+        typicalRequestsInFlight += weight * (counted - typicalRequestsInFlight);
+    }
+
+    private void updateStrength(double rounds) {
+        boolean crossingPays =
+                ownZoneQueueingDelayRatio > otherZonesQueueingDelayRatio + CROSSING_COST_MULTIPLE * crossZoneCost;
+        strength = crossingPays ? strength * STRENGTH_DECREASE_FACTOR : Math.min(1, strength + STRENGTH_INCREASE);
+        // Other zones are known only by requests sent there: without any, they are taken to be idle again.
+        otherZonesQueueingDelayRatio *= 1 - rounds / AVERAGING_ROUNDS;
     }
 }
--- a/core/src/test/java/lemonrail/core/AdmissionRateTest.java
+++ b/core/src/test/java/lemonrail/core/AdmissionRateTest.java
@@ -11,37 +11,37 @@
 
     @Test
     void nothingKnownIsWhatIsGivenForUnknown() {
-        assertEquals(0.3, new AdmissionRate().share(0.3));
+        assertEquals(0.3, new AdmissionRate().estimate(0.3));
     }
 
     @Test
     void whatWasNotSentTellsNothing() {
         AdmissionRate share = new AdmissionRate();
         for (int i = 0; i < 100; i++) {
-            share.came(false);
+            share.recordRequest(false);
         }
-        assertEquals(0.3, share.share(0.3));
+        assertEquals(0.3, share.estimate(0.3));
     }
 
     @Test
     void itNearsTheShareAndForgetsWhatWasBefore() {
         AdmissionRate share = new AdmissionRate();
         for (int i = 0; i < 500; i++) {
-            share.came(true);
-            share.served();
+            share.recordRequest(true);
+            share.recordServed();
         }
-        assertTrue(share.share(0) > 0.96 && share.share(1) <= 1, "all served " + share.share(0));
+        assertTrue(share.estimate(0) > 0.96 && share.estimate(1) <= 1, "all served " + share.estimate(0));
         for (int i = 0; i < 500; i++) {
-            share.came(true);
+            share.recordRequest(true);
             if (i % 5 == 0) {
-                share.served();
+                share.recordServed();
             }
         }
-        assertEquals(0.2, share.share(0), 0.05, "one in five");
+        assertEquals(0.2, share.estimate(0), 0.05, "one in five");
         for (int i = 0; i < 500; i++) {
-            share.came(true);
+            share.recordRequest(true);
         }
-        assertEquals(0, share.share(0), 0.001, "none");
+        assertEquals(0, share.estimate(0), 0.001, "none");
     }
 
     /** Guards against a fleet of slow callers that each take themselves for better served than all are. */
@@ -53,12 +53,12 @@
         for (int process = 0; process < processes; process++) {
             AdmissionRate share = new AdmissionRate();
             for (int i = random.nextInt(4); i > 0; i--) {
-                share.came(true);
+                share.recordRequest(true);
                 if (random.nextInt(6) == 0) {
-                    share.served();
+                    share.recordServed();
                 }
             }
-            sum += share.share(0);
+            sum += share.estimate(0);
         }
         assertTrue(sum / processes > 0.05 && sum / processes < 1.0 / 6, "mean " + sum / processes);
     }
--- a/core/src/test/java/lemonrail/core/SharedPartsTest.java
+++ b/core/src/test/java/lemonrail/core/SharedPartsTest.java
@@ -26,15 +26,15 @@
     void aBucketSavesUpToItsBoundAndNoMore() {
         TokenBucket bucket = new TokenBucket(0.01, 3);
         for (int i = 0; i < 3; i++) {
-            assertTrue(bucket.take(1000));
+            assertTrue(bucket.tryTake(1000));
         }
-        assertFalse(bucket.take(1000));
-        assertFalse(bucket.take(1099));
-        assertTrue(bucket.take(1100));
+        assertFalse(bucket.tryTake(1000));
+        assertFalse(bucket.tryTake(1099));
+        assertTrue(bucket.tryTake(1100));
         for (int i = 0; i < 3; i++) {
-            assertTrue(bucket.take(1_000_000));
+            assertTrue(bucket.tryTake(1_000_000));
         }
-        assertFalse(bucket.take(1_000_000));
+        assertFalse(bucket.tryTake(1_000_000));
     }
 
     /** Guards against news that a silent watch keeps from a sidecar, and against fleets that ask in step. */
@@ -170,14 +170,14 @@
         assertEquals(250, times.baseMs());
         assertEquals(1000, times.tailMs());
         for (int i = 0; i < 2000; i++) {
-            times.waited(i % 50 == 0 ? 400 : 100);
-            times.answered(100);
+            times.recordElapsed(i % 50 == 0 ? 400 : 100);
+            times.recordResponse(100);
         }
         assertEquals(100, times.typicalMs(), 0.1);
         assertEquals(100, times.baseMs(), 0.1);
         assertTrue(times.tailMs() > 100 && times.tailMs() < 450, "" + times.tailMs());
         for (int i = 0; i < 500; i++) {
-            times.waited(9000);
+            times.recordElapsed(9000);
         }
         assertEquals(3000, times.tailMs(), "no more than the deadline");
     }
@@ -207,8 +207,8 @@
     @Test
     void failedDialsAreChanceWhereServersThatAreWellHaveThemToo() {
         ConnectFailureRate calm = new ConnectFailureRate();
-        calm.cameUp(0);
-        assertFalse(calm.explains(1), "none fails where all is well");
+        calm.recordSuccess(0);
+        assertFalse(calm.isProbablyChance(1), "none fails where all is well");
         ConnectFailureRate late = new ConnectFailureRate();
         Random random = new Random(5);
         for (int i = 0; i < 200; i++) {
@@ -216,12 +216,12 @@
             while (random.nextInt(3) == 0) {
                 failed++;
             }
-            late.cameUp(failed);
+            late.recordSuccess(failed);
         }
-        assertTrue(late.explains(1), "one in three fails");
-        assertFalse(late.explains(4), "four in a row are beyond that");
+        assertTrue(late.isProbablyChance(1), "one in three fails");
+        assertFalse(late.isProbablyChance(4), "four in a row are beyond that");
         ConnectFailureRate back = new ConnectFailureRate();
-        back.cameUp(9);
-        assertFalse(back.explains(2), "a server that was away for a while makes no others' failures chance");
+        back.recordSuccess(9);
+        assertFalse(back.isProbablyChance(2), "a server that was away for a while makes no others' failures chance");
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/BadInputTest.java
+++ b/core/src/test/java/lemonrail/core/policy/BadInputTest.java
@@ -88,9 +88,9 @@
         List<String> before = List.copyOf(f.host.all);
         refused("class", 9, () -> f.balancer.onRequest(f.now, new Request("x", 9, 0, f.now + 100, false)));
         refused("tenant", 5, () -> f.balancer.onRequest(f.now, new Request("x", 0, 5, f.now + 100, false)));
-        refused(first, "in hand", () -> f.balancer.onRequest(f.now, new Request(first, 0, 0, f.now + 100, false)));
+        refused(first, "in flight", () -> f.balancer.onRequest(f.now, new Request(first, 0, 0, f.now + 100, false)));
         assertEquals(before, f.host.all);
-        assertEquals(1, f.balancer.openCalls());
+        assertEquals(1, f.balancer.requestsInFlight());
     }
 
     @Test
--- a/core/src/test/java/lemonrail/core/policy/BoxcarLoadBalancerTest.java
+++ b/core/src/test/java/lemonrail/core/policy/BoxcarLoadBalancerTest.java
@@ -85,7 +85,7 @@
         for (Recorder.Sent sent : List.copyOf(f.host.sent)) {
             f.finish(sent, AttemptOutcome.OK, 50);
         }
-        assertEquals(0, f.balancer.openCalls());
+        assertEquals(0, f.balancer.requestsInFlight());
         int before = f.host.sent.size();
         for (int i = 0; i < 40; i++) {
             f.request(Fixture.IDEMPOTENT);
@@ -956,13 +956,13 @@
             f.change(Fixture.server("s" + i, 0, f.now, EndpointState.READY));
             f.request(Fixture.IDEMPOTENT);
             f.change(Fixture.server("s" + i, 0, f.now, EndpointState.GONE));
-            while (f.balancer.openCalls() > 0) {
+            while (f.balancer.requestsInFlight() > 0) {
                 f.finish(f.host.last(), AttemptOutcome.RESET, 1);
             }
             f.now += 50;
         }
-        assertEquals(0, f.balancer.knownServers());
-        assertEquals(0, f.balancer.openCalls());
+        assertEquals(0, f.balancer.knownEndpoints());
+        assertEquals(0, f.balancer.requestsInFlight());
     }
 
     /** Guards against a crowded or slow server that keeps its callers because it is their lowest rank. */
@@ -1070,7 +1070,7 @@
         }
         assertTrue(f.host.log.size() >= 2 && f.host.log.size() <= 4, "lines " + f.host.log.size());
         String last = f.host.log.get(f.host.log.size() - 1);
-        assertTrue(last.contains("calls turned away at a limit of 8 at once"), last);
+        assertTrue(last.contains("requests rejected at a concurrency limit of 8,"), last);
     }
 
     @Test
--- a/core/src/test/java/lemonrail/core/policy/EmbeddingExampleTest.java
+++ b/core/src/test/java/lemonrail/core/policy/EmbeddingExampleTest.java
@@ -59,6 +59,6 @@
                 now + 12, new AttemptResult("r1", 0, "10.0.0.1:80", AttemptOutcome.OK, 12, true, LoadReport.NONE));
         // README: end
         assertEquals(1, recorder.sent.size());
-        assertEquals(0, balancer.openCalls());
+        assertEquals(0, balancer.requestsInFlight());
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
+++ b/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
@@ -134,7 +134,7 @@
                 .toList();
         fresh.list(left);
         assertEquals(firstServers(fresh, 250), firstServers(f, 250));
-        assertEquals(left.size(), f.balancer.knownServers());
+        assertEquals(left.size(), f.balancer.knownEndpoints());
     }
 
     /** What rules rest on doesn't wait for the pause. */
--- a/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
@@ -200,7 +200,7 @@
         assertTrue(judge.seen.values().stream().allMatch(c -> c.over), "a request was lost");
         assertTrue(open.isEmpty());
         assertEquals(0, judge.out);
-        assertEquals(0, balancer.openCalls(), "state is left over");
+        assertEquals(0, balancer.requestsInFlight(), "state is left over");
     }
 
     private static void fireTimers(Judge judge, BoxcarLoadBalancer balancer) {
