--- a/core/src/main/java/lemonrail/core/replication/AppliedVersions.java
+++ b/core/src/main/java/lemonrail/core/replication/AppliedVersions.java
@@ -2,103 +2,106 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
+import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.stream.Stream;
 
-/** Who watches at a node, which settings are in force at each watcher, and who has refused which and why. */
+/**
+ * The watchers of one node, the settings version that each applies, and which versions were rejected and why.
+ * Not thread-safe; times are in milliseconds.
+ */
 public final class AppliedVersions {
 
-    /** Watchers that have not called for so long are forgotten: the longest wait, and twice as much more. */
-    public static final long SILENT_MS = 180_000;
-    /** Names that a summary tells of each kind. */
-    private static final int MOST_NAMES = 8;
+    /** A watcher without a request for this long is forgotten: three times the longest watch. */
+    public static final long WATCHER_TIMEOUT_MS = 180_000;
 
-    private static final int MOST_WATCHERS = 8192;
+    /** The most watchers that a summary names, for each list. */
+    private static final int MAX_NAMES = 8;
 
-    /**
-     * What a watcher has said.
-     *
-     * @param document the settings document that it follows, empty if none
-     * @param inForce the stamp of the one in force there, {@link HybridTimestamp#NONE} for that of its own file
-     * @param refused the stamp of the last one that it has refused, or null
-     * @param why in one line, empty if nothing is refused
-     */
-    public record Word(String name, String document, HybridTimestamp inForce, HybridTimestamp refused, String why) {}
+    private static final int MAX_WATCHERS = 8192;
 
     /**
-     * Of one document at the watchers of a node.
+     * One document's state at the watchers of a node.
      *
      * @param watchers how many follow it
-     * @param oldest the lowest stamp in force
-     * @param oldestNames some of those who have it
-     * @param refusals how many have refused one that is newer than what they have in force
-     * @param refused some of them
+     * @param oldestApplied the lowest version applied by any of them
+     * @param oldestWatchers some of those that apply it
+     * @param rejectionCount how many have rejected a newer version than they apply
+     * @param rejections the reports of some of them
      */
     public record Summary(
             String document,
             int watchers,
-            HybridTimestamp oldest,
-            List<String> oldestNames,
-            int refusals,
-            List<Word> refused) {}
+            HybridTimestamp oldestApplied,
+            List<String> oldestWatchers,
+            int rejectionCount,
+            List<WatcherReport> rejections) {}
 
-    private record Seen(Word word, long atMs) {}
+    private record TimedReport(WatcherReport report, long receivedAtMs) {
+        boolean isActive(long nowMs) {
+            return receivedAtMs >= nowMs - WATCHER_TIMEOUT_MS;
+        }
+    }
 
-    private final LinkedHashMap<String, Seen> seen = new LinkedHashMap<>();
+    /** The last report of each watcher, the oldest first. */
+    private final LinkedHashMap<String, TimedReport> reports = new LinkedHashMap<>();
 
-    /** A watcher has called. */
-    public void called(long nowMs, Word word) {
-        seen.remove(word.name());
-        seen.put(word.name(), new Seen(word, nowMs));
-        var oldest = seen.values().iterator();
-        while (oldest.hasNext()) {
-            if (oldest.next().atMs() >= nowMs - SILENT_MS && seen.size() <= MOST_WATCHERS) {
+    /** Records a watcher's report, and forgets watchers that are silent or in excess. */
+    public void onReport(long nowMs, WatcherReport report) {
+        reports.remove(report.watcher());
+        reports.put(report.watcher(), new TimedReport(report, nowMs));
+        Iterator<TimedReport> oldestFirst = reports.values().iterator();
+        while (oldestFirst.hasNext()) {
+            if (oldestFirst.next().isActive(nowMs) && reports.size() <= MAX_WATCHERS) {
                 break;
             }
-            oldest.remove();
+            oldestFirst.remove();
         }
     }
 
-    /** How many have called of late. */
-    public int watchers(long nowMs) {
-        return (int) seen.values().stream()
-                .filter(one -> one.atMs() >= nowMs - SILENT_MS)
-                .count();
+    /** Returns the number of active watchers. */
+    public int watcherCount(long nowMs) {
+        return (int) activeReports(nowMs).count();
     }
 
-    /** What is in force, for each document that is followed. */
+    /** Returns a summary for each document that is followed, by name. */
     public List<Summary> summaries(long nowMs) {
-        Map<String, List<Word>> byDocument = new TreeMap<>();
-        seen.values().stream()
-                .filter(one -> one.atMs() >= nowMs - SILENT_MS)
-                .map(Seen::word)
-                .filter(word -> !word.document().isEmpty())
-                .forEach(word -> byDocument
-                        .computeIfAbsent(word.document(), name -> new ArrayList<>())
-                        .add(word));
-        List<Summary> all = new ArrayList<>();
-        byDocument.forEach((document, words) -> {
-            HybridTimestamp oldest = words.stream()
-                    .map(Word::inForce)
-                    .min(Comparator.naturalOrder())
-                    .orElse(HybridTimestamp.NONE);
-            List<Word> refused = words.stream()
-                    .filter(word -> word.refused() != null && word.refused().compareTo(word.inForce()) > 0)
-                    .toList();
-            all.add(new Summary(
-                    document,
-                    words.size(),
-                    oldest,
-                    words.stream()
-                            .filter(word -> word.inForce().equals(oldest))
-                            .map(Word::name)
-                            .limit(MOST_NAMES)
-                            .toList(),
-                    refused.size(),
-                    refused.stream().limit(MOST_NAMES).toList()));
-        });
-        return all;
+        Map<String, List<WatcherReport>> byDocument = new TreeMap<>();
+        activeReports(nowMs)
+                .filter(report -> !report.document().isEmpty())
+                .forEach(report -> byDocument
+                        .computeIfAbsent(report.document(), name -> new ArrayList<>())
+                        .add(report));
+        List<Summary> summaries = new ArrayList<>();
+        byDocument.forEach((document, ofDocument) -> summaries.add(summarize(document, ofDocument)));
+        return summaries;
+    }
+
+    private Stream<WatcherReport> activeReports(long nowMs) {
+        return reports.values().stream().filter(timed -> timed.isActive(nowMs)).map(TimedReport::report);
+    }
+
+    private static Summary summarize(String document, List<WatcherReport> reports) {
+        HybridTimestamp oldest = reports.stream()
+                .map(WatcherReport::applied)
+                .min(Comparator.naturalOrder())
+                .orElse(HybridTimestamp.NONE);
+        List<String> oldestWatchers = reports.stream()
+                .filter(report -> report.applied().equals(oldest))
+                .map(WatcherReport::watcher)
+                .limit(MAX_NAMES)
+                .toList();
+        List<WatcherReport> rejections =
+                reports.stream().filter(WatcherReport::hasRejectedNewer).toList();
+        return new Summary(
+                document,
+                reports.size(),
+                oldest,
+                oldestWatchers,
+                rejections.size(),
+                rejections.stream().limit(MAX_NAMES).toList());
     }
 }
--- a/core/src/main/java/lemonrail/core/replication/HybridLogicalClock.java
+++ b/core/src/main/java/lemonrail/core/replication/HybridLogicalClock.java
@@ -1,32 +1,34 @@
 package lemonrail.core.replication;
 
-/** A hybrid logical clock: near to real time, and each reading above all that were heard before. */
+/** A hybrid logical clock: close to wall-clock time, and each reading above all earlier and observed ones. */
 final class HybridLogicalClock {
 
     private final String origin;
-    private long ms;
+    private long timeMs;
     private int counter;
 
     HybridLogicalClock(String origin) {
         this.origin = origin;
     }
 
-    /** A reading above all earlier ones and all that were heard. */
-    HybridTimestamp read(long nowMs) {
-        if (nowMs > ms) {
-            ms = nowMs;
+    /** Returns a reading above all earlier readings and all observed timestamps. */
+    HybridTimestamp tick(long nowMs) {
+        if (nowMs > timeMs) {
+            timeMs = nowMs;
             counter = 0;
         } else {
             counter++;
         }
-        return new HybridTimestamp(ms, counter, origin);
+        return new HybridTimestamp(timeMs, counter, origin);
     }
 
-    /** Takes in another's reading. */
-    void hear(HybridTimestamp stamp) {
-        if (stamp.ms() > ms || (stamp.ms() == ms && stamp.counter() > counter)) {
-            ms = stamp.ms();
-            counter = stamp.counter();
+    /** Advances the clock to a timestamp of another node. */
+    void observe(HybridTimestamp timestamp) {
+        boolean isAhead =
+                timestamp.timeMs() > timeMs || (timestamp.timeMs() == timeMs && timestamp.counter() > counter);
+        if (isAhead) {
+            timeMs = timestamp.timeMs();
+            counter = timestamp.counter();
         }
     }
 }
--- a/core/src/main/java/lemonrail/core/replication/HybridTimestamp.java
+++ b/core/src/main/java/lemonrail/core/replication/HybridTimestamp.java
@@ -3,56 +3,76 @@
 import java.util.Map;
 
 /**
- * When and where a word was given: a reading of a {@link HybridLogicalClock}. The higher of two holds.
+ * When and where a version was written: a reading of a {@link HybridLogicalClock}. The higher of two versions
+ * of an entry wins.
  *
- * @param ms Unix time in milliseconds
- * @param counter tells words of one millisecond apart
- * @param origin the node that took the word
+ * @param timeMs Unix time in milliseconds
+ * @param counter orders the writes of one millisecond
+ * @param origin the node that accepted the write
  */
-public record HybridTimestamp(long ms, int counter, String origin) implements Comparable<HybridTimestamp> {
+public record HybridTimestamp(long timeMs, int counter, String origin) implements Comparable<HybridTimestamp> {
 
-    /** Below all others. */
+    /** Lower than all others. */
     public static final HybridTimestamp NONE = new HybridTimestamp(0, 0, "");
 
-    /** What the origin of a word for an earlier time ends with: it is out of its node's sequence. */
-    private static final String AS_OF = "~";
+    /** Suffix of the origin of a backdated write, which is outside its node's sequence. */
+    private static final String BACKDATED_SUFFIX = "~";
 
-    /** The stamp of a word that a node has taken for an earlier time. */
-    static HybridTimestamp asOf(long ms, String origin) {
-        return new HybridTimestamp(ms, 0, origin + AS_OF);
+    private static final int ENCODED_PARTS = 3;
+
+    /** Returns the timestamp of a write that a node has accepted on behalf of an earlier time. */
+    static HybridTimestamp backdated(long timeMs, String origin) {
+        return new HybridTimestamp(timeMs, 0, origin + BACKDATED_SUFFIX);
+    }
+
+    /** Returns whether the write was backdated, so that later writes of its node do not acknowledge it. */
+    boolean isBackdated() {
+        return origin.endsWith(BACKDATED_SUFFIX);
     }
 
-    /** Whether the word was for an earlier time, so that its node's later words say nothing of it. */
-    boolean isAsOf() {
-        return origin.endsWith(AS_OF);
+    /**
+     * Returns whether a replica with this acknowledged version vector has received this version.
+     *
+     * @param acknowledgedVersions for each node the timestamp up to which all its writes were received
+     */
+    boolean isAcknowledgedBy(Map<String, HybridTimestamp> acknowledgedVersions) {
+        return !isBackdated() && compareTo(acknowledgedVersions.getOrDefault(origin, NONE)) <= 0;
     }
 
-    /** Whether one who has heard each node up to these stamps has heard this word. */
-    boolean isWithin(Map<String, HybridTimestamp> heard) {
-        return !isAsOf() && compareTo(heard.getOrDefault(origin, NONE)) <= 0;
+    /** Returns the higher of two timestamps. */
+    static HybridTimestamp max(HybridTimestamp first, HybridTimestamp second) {
+        return first.compareTo(second) >= 0 ? first : second;
     }
 
     @Override
     public int compareTo(HybridTimestamp other) {
-        return ms != other.ms
-                ? Long.compare(ms, other.ms)
-                : counter != other.counter ? Integer.compare(counter, other.counter) : origin.compareTo(other.origin);
+        if (timeMs != other.timeMs) {
+            return Long.compare(timeMs, other.timeMs);
+        }
+        if (counter != other.counter) {
+            return Integer.compare(counter, other.counter);
+        }
+        return origin.compareTo(other.origin);
     }
 
-    /** As it is told: {@code ms.counter.origin}. */
-    public String text() {
-        return ms + "." + counter + "." + origin;
+    /** Returns the form used on the wire and on disk: {@code timeMs.counter.origin}. */
+    public String encode() {
+        return timeMs + "." + counter + "." + origin;
     }
 
-    /** Reads {@link #text()}; what is no stamp is an exception that says so. */
+    /**
+     * Reads the form of {@link #encode()}.
+     *
+     * @throws IllegalArgumentException if the text is not a timestamp
+     */
     public static HybridTimestamp parse(String text) {
-        String[] parts = text.split("\\.", 3);
+        String[] parts = text.split("\\.", ENCODED_PARTS);
         try {
-            if (parts.length == 3) {
-                HybridTimestamp stamp =
+            if (parts.length == ENCODED_PARTS) {
+                HybridTimestamp timestamp =
                         new HybridTimestamp(Long.parseLong(parts[0]), Integer.parseInt(parts[1]), parts[2]);
-                if (stamp.ms >= 0 && stamp.counter >= 0) {
-                    return stamp;
+                if (timestamp.timeMs >= 0 && timestamp.counter >= 0) {
+                    return timestamp;
                 }
             }
         } catch (NumberFormatException e) {
--- a/core/src/main/java/lemonrail/core/replication/NodeSelector.java
+++ b/core/src/main/java/lemonrail/core/replication/NodeSelector.java
@@ -5,56 +5,77 @@
 import java.util.SplittableRandom;
 
 /**
- * Which control node a watcher is at and when it goes to another: to the next one where its node fails or has
- * heard nothing new for long, and back to its first one after a while, spread over time. Times are in
+ * Selects the control node that a watcher watches at. It fails over to the next node when one fails or lags
+ * behind, and returns to the preferred node after a randomized time. Not thread-safe; times are in
  * milliseconds.
  */
 public final class NodeSelector {
 
-    /** A node that has heard no other for so long is behind; another is looked at once in a while. */
-    static final double STALE_MS = 5_000;
+    /** A node that has received nothing from its peers for this long is considered stale. */
+    static final double STALE_AFTER_MS = 5_000;
 
-    private static final double STALE_PAUSE_MS = 30_000;
-    /** After so long a watcher goes back to its first node. */
-    static final double LEAST_AWAY_MS = 30_000;
+    /** The mean time between two moves away from stale nodes: where all are stale, moving does not help. */
+    private static final double STALE_MOVE_INTERVAL_MS = 30_000;
+
+    /** The range of times after which a watcher returns to its preferred node. */
+    static final double MIN_RETURN_MS = 30_000;
+
+    static final double MAX_RETURN_MS = 60_000;
 
-    static final double MOST_AWAY_MS = 60_000;
     /**
-     * At another region's node it looks at its own region's sooner: if the regions lose each other, that node
-     * hears nothing of its own region.
+     * The range of times after which a watcher at another region's node probes its own region. It is shorter:
+     * if the regions are partitioned, that node receives no updates of the watcher's region.
      */
-    static final double LEAST_ABROAD_MS = 5_000;
+    static final double MIN_REGION_PROBE_MS = 5_000;
+
+    static final double MAX_REGION_PROBE_MS = 10_000;
+
+    /** The mean backoff after all nodes have failed in turn, which doubles up to the maximum. */
+    private static final double INITIAL_BACKOFF_MS = 100;
 
-    static final double MOST_ABROAD_MS = 10_000;
-    /** The mean pause after all nodes have failed in turn, which doubles up to the most. */
-    private static final double PAUSE_MS = 100;
+    private static final double MAX_BACKOFF_MS = 1_000;
 
-    private static final double MOST_PAUSE_MS = 1_000;
+    private static final double MIN_JITTER_FACTOR = 0.5;
+
+    /** Where the watcher is. */
+    private enum State {
+        /** At the first node of its order. */
+        AT_PREFERRED_NODE,
+        /** At another node of its region, or of the only list of nodes. */
+        AT_ALTERNATE_NODE,
+        /** At a node of another region. */
+        AT_FALLBACK_REGION,
+        /** At a node of its own region that has not responded yet, with a fallback node to go back to. */
+        PROBING_OWN_REGION
+    }
 
     private final List<String> order = new ArrayList<>();
     private final SplittableRandom random;
-    private final int own;
-    private int at;
-    /** The other region's node to go on at, if the look at its own region's fails; below 0 for none. */
-    private int back = -1;
-
-    private int looks;
-    private int failures;
-    private double pauseMs = PAUSE_MS;
-    private double homeAt;
-    private double nextStaleMove;
+    private final int ownRegionCount;
+    private State state = State.AT_PREFERRED_NODE;
+    private int currentIndex;
+    /** The node to return to if the probe fails; only valid in {@link State#PROBING_OWN_REGION}. */
+    private int fallbackIndex;
+
+    private int probeCount;
+    private int consecutiveFailures;
+    private double backoffMs = INITIAL_BACKOFF_MS;
+    private double returnAtMs;
+    private double nextStaleMoveAtMs;
 
     /**
-     * A watcher's way.
+     * Creates a selector at the watcher's preferred node.
      *
-     * @param name the watcher's, by which it has an order of its own
-     * @param nodes those of its region
-     * @param others those that come after all of these have failed
+     * @param watcher the watcher's name, which determines its order of the nodes
+     * @param regionNodes the nodes of its region
+     * @param fallbackNodes nodes of other regions, tried after all of its region have failed
+     * @param seed of the random times
+     * @throws IllegalArgumentException if there is no node
      */
-    public NodeSelector(String name, List<String> nodes, List<String> others, long seed) {
-        order.addAll(RendezvousOrder.order(name, nodes));
-        own = order.size();
-        RendezvousOrder.order(name, others).stream()
+    public NodeSelector(String watcher, List<String> regionNodes, List<String> fallbackNodes, long seed) {
+        order.addAll(RendezvousOrder.order(watcher, regionNodes));
+        ownRegionCount = order.size();
+        RendezvousOrder.order(watcher, fallbackNodes).stream()
                 .filter(node -> !order.contains(node))
                 .forEach(order::add);
         if (order.isEmpty()) {
@@ -63,75 +84,109 @@
         random = new SplittableRandom(seed);
     }
 
-    /** The node to watch at. */
-    public String current() {
-        return order.get(at);
+    /** Returns the node to watch at. */
+    public String currentNode() {
+        return order.get(currentIndex);
     }
 
-    /** The node has failed: the next one is the current one from now on, after a pause, 0 for at once. */
-    public double failed(double now) {
-        if (back >= 0) {
-            at = back;
-            back = -1;
-            abroad(now);
-            return 0;
-        }
-        move(now);
-        failures++;
-        if (failures % order.size() != 0) {
+    /**
+     * Handles a failure of the current node: another one is current from now on.
+     *
+     * @return the backoff in milliseconds before the next attempt, 0 for none
+     */
+    public double onFailure(double nowMs) {
+        if (state == State.PROBING_OWN_REGION) {
+            moveTo(fallbackIndex);
+            scheduleRegionProbe(nowMs);
             return 0;
         }
-        // All of them have, and other watchers see the same at this instant.
-        double pause = pauseMs * (0.5 + random.nextDouble());
-        pauseMs = Math.min(MOST_PAUSE_MS, 2 * pauseMs);
-        return pause;
+        failOver(nowMs);
+        consecutiveFailures++;
+        boolean allNodesFailed = consecutiveFailures % order.size() == 0;
+        return allNodesFailed ? nextBackoffMs() : 0;
+    }
+
+    /** Jittered: when all nodes fail, other watchers see the same at the same instant. */
+    private double nextBackoffMs() {
+        double jitteredMs = jitter(backoffMs);
+        backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
+        return jitteredMs;
     }
 
     /**
-     * The node has answered.
+     * Handles a response of the current node.
      *
-     * @param ageMs since it has heard any other node
-     * @return whether another node is the current one from now on
+     * @param replicationAgeMs the time since that node received anything from a peer
+     * @return whether another node is current from now on
      */
-    public boolean answered(double now, double ageMs) {
-        failures = 0;
-        pauseMs = PAUSE_MS;
-        if (back >= 0) {
-            back = -1;
-            away(now);
+    public boolean onResponse(double nowMs, double replicationAgeMs) {
+        consecutiveFailures = 0;
+        backoffMs = INITIAL_BACKOFF_MS;
+        if (state == State.PROBING_OWN_REGION) {
+            moveTo(currentIndex);
+            scheduleReturn(nowMs);
         }
-        if (ageMs > STALE_MS && now >= nextStaleMove && order.size() > 1) {
-            nextStaleMove = now + STALE_PAUSE_MS * (0.5 + random.nextDouble());
-            move(now);
+        if (replicationAgeMs > STALE_AFTER_MS && nowMs >= nextStaleMoveAtMs && order.size() > 1) {
+            nextStaleMoveAtMs = nowMs + jitter(STALE_MOVE_INTERVAL_MS);
+            failOver(nowMs);
             return true;
         }
-        if (at >= own && now >= homeAt && own > 0) {
-            back = at;
-            at = looks++ % own;
-            return true;
-        }
-        if (at != 0 && now >= homeAt) {
-            at = 0;
-            return true;
+        return nowMs >= returnAtMs && moveTowardsPreferredNode();
+    }
+
+    private boolean moveTowardsPreferredNode() {
+        switch (state) {
+            case AT_FALLBACK_REGION -> probeOwnRegion();
+            case AT_ALTERNATE_NODE -> moveTo(0);
+            default -> {
+                return false;
+            }
         }
-        return false;
+        return true;
+    }
+
+    private void probeOwnRegion() {
+        fallbackIndex = currentIndex;
+        currentIndex = probeCount % ownRegionCount;
+        probeCount++;
+        state = State.PROBING_OWN_REGION;
     }
 
-    private void move(double now) {
-        if (at == 0) {
-            away(now);
+    private void failOver(double nowMs) {
+        if (state == State.AT_PREFERRED_NODE) {
+            scheduleReturn(nowMs);
         }
-        at = (at + 1) % order.size();
-        if (at == own) {
-            abroad(now);
+        moveTo((currentIndex + 1) % order.size());
+        if (currentIndex == ownRegionCount) {
+            scheduleRegionProbe(nowMs);
         }
     }
 
-    private void away(double now) {
-        homeAt = now + LEAST_AWAY_MS + (MOST_AWAY_MS - LEAST_AWAY_MS) * random.nextDouble();
+    private void moveTo(int index) {
+        currentIndex = index;
+        if (index == 0) {
+            state = State.AT_PREFERRED_NODE;
+        } else if (ownRegionCount > 0 && index >= ownRegionCount) {
+            state = State.AT_FALLBACK_REGION;
+        } else {
+            state = State.AT_ALTERNATE_NODE;
+        }
+    }
+
+    private void scheduleReturn(double nowMs) {
+        returnAtMs = nowMs + randomBetween(MIN_RETURN_MS, MAX_RETURN_MS);
+    }
+
+    private void scheduleRegionProbe(double nowMs) {
+        returnAtMs = nowMs + randomBetween(MIN_REGION_PROBE_MS, MAX_REGION_PROBE_MS);
+    }
+
+    private double randomBetween(double min, double max) {
+        return min + (max - min) * random.nextDouble();
     }
 
-    private void abroad(double now) {
-        homeAt = now + LEAST_ABROAD_MS + (MOST_ABROAD_MS - LEAST_ABROAD_MS) * random.nextDouble();
+    /** Returns a random value around a mean. */
+    private double jitter(double mean) {
+        return mean * (MIN_JITTER_FACTOR + random.nextDouble());
     }
 }
--- a/core/src/main/java/lemonrail/core/replication/ReplicatedStore.java
+++ b/core/src/main/java/lemonrail/core/replication/ReplicatedStore.java
@@ -7,347 +7,337 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
 /**
- * What one control node knows: items with their stamps, in the order of their arrival here. Of two words on
- * one item the one of the higher stamp holds, whatever way and order they come. Single-threaded; time comes
- * with the calls, in milliseconds of Unix time.
+ * The replicated entries of one control node. Of two versions of an entry the one with the higher timestamp
+ * wins, in whatever order and by whatever node they arrive. Not thread-safe; callers pass the time, in
+ * milliseconds of Unix time.
  */
 public final class ReplicatedStore {
 
-    /** Arrival numbers in a millisecond, as a power of two: Unix time leaves them 53 bits until 2248. */
-    private static final int NUMBERS_BITS = 10;
+    /** The time of a write that stands for the present. */
+    public static final long AS_OF_NOW = Long.MAX_VALUE;
 
     /**
-     * The bounds.
+     * The bounds of a store.
      *
-     * @param topics services and settings documents
-     * @param items that are there, in all topics
-     * @param removed items whose removal is remembered, the oldest being forgotten first
-     * @param removedMs for how long it is remembered at most
-     * @param aheadMs a stamp that is so far ahead of the clock is refused
+     * @param maxTopics services and settings documents
+     * @param maxEntries live entries in all topics
+     * @param maxTombstones removals that are remembered, the oldest being forgotten first
+     * @param tombstoneRetentionMs how long a removal is remembered at most
+     * @param maxClockAheadMs a timestamp further ahead of the local clock is rejected
      */
-    public record Bounds(int topics, int items, int removed, long removedMs, long aheadMs) {
+    public record Bounds(
+            int maxTopics, int maxEntries, int maxTombstones, long tombstoneRetentionMs, long maxClockAheadMs) {
         /** Twenty times the endpoints of the target; removals of a day. */
-        public static final Bounds USUAL = new Bounds(1024, 20_000, 16_384, 86_400_000, 60_000);
+        public static final Bounds DEFAULT = new Bounds(1024, 20_000, 16_384, 86_400_000, 60_000);
     }
 
-    /** What became of a word. */
-    public enum Taken {
-        NEWS,
-        KNOWN,
-        OLDER,
-        AHEAD,
-        FULL
-    }
-
-    /** What a batch of another node's words has changed. */
-    public record Batch(Set<String> topics, int news, int refused) {}
-
-    /** An item, its number here and the node that told of it, empty where it was taken here. */
-    private record Held(VersionedEntry item, long arrival, String via) {}
-
+    /** The entries of one topic and the digest over the live ones. */
     private static final class Topic {
-        final Map<String, Held> items = new HashMap<>();
-        final TreeMap<Long, Held> byArrival = new TreeMap<>();
-        long digest;
+        private final Map<String, StoredEntry> byId = new HashMap<>();
+        private long digest;
     }
 
     private final String origin;
     private final Bounds bounds;
     private final HybridLogicalClock clock;
     private final Map<String, Topic> topics = new HashMap<>();
-    private final TreeMap<Long, Held> all = new TreeMap<>();
-    /** Removed items by their arrival: the oldest is forgotten first. */
-    private final TreeMap<Long, Held> removed = new TreeMap<>();
-    /** For each node the stamp up to which everything of it has come. */
-    private final Map<String, HybridTimestamp> heard = new TreeMap<>();
-
-    private long last;
-    private int live;
+    private final ArrivalIndex arrivals;
+    private final Tombstones tombstones;
+    /** For each node the timestamp up to which all its writes have been received. */
+    private final Map<String, HybridTimestamp> acknowledgedVersions = new TreeMap<>();
+
+    private int liveCount;
     private boolean ready;
 
-    /** A node that knows nothing yet. */
+    /**
+     * Creates an empty store that is not ready.
+     *
+     * @param origin the name of the node, which marks its writes
+     */
     public ReplicatedStore(String origin, Bounds bounds, long nowMs) {
         this.origin = origin;
         this.bounds = bounds;
         clock = new HybridLogicalClock(origin);
-        last = nowMs << NUMBERS_BITS;
+        arrivals = new ArrivalIndex(nowMs);
+        tombstones = new Tombstones(bounds.maxTombstones(), bounds.tombstoneRetentionMs());
     }
 
-    /** Whether it may tell anybody what it knows: an empty list would remove all endpoints. */
+    /** Returns whether the content may be served: an empty endpoint list would remove all endpoints. */
     public boolean isReady() {
         return ready;
     }
 
-    /** From here on what is known counts as all there is. */
-    public void begin() {
+    /** Declares the content complete; it may be served and written from now on. */
+    public void markReady() {
         ready = true;
     }
 
-    /** Takes a word that was given here now. */
-    public Taken accept(long nowMs, String topic, String id, boolean gone, String body) {
-        return acceptAsOf(nowMs, Long.MAX_VALUE, topic, id, gone, body);
+    /**
+     * Writes an entry with the current time.
+     *
+     * @throws IllegalStateException if the store is not ready
+     */
+    public MergeOutcome write(long nowMs, String topic, String id, boolean removed, String body) {
+        return writeAsOf(nowMs, AS_OF_NOW, topic, id, removed, body);
     }
 
     /**
-     * Takes a word that was given here, but stands for what was so at an earlier time, as that of one who
-     * repeats a call elsewhere. Its stamp is of that time, out of this node's sequence.
+     * Writes an entry on behalf of an earlier time, as for a change that is repeated at another node. Its
+     * timestamp is of that time and outside this node's sequence.
+     *
+     * @param asOfMs the time that the write stands for; from {@code nowMs} on it is a current one
+     * @throws IllegalStateException if the store is not ready
      */
-    public Taken acceptAsOf(long nowMs, long asOfMs, String topic, String id, boolean gone, String body) {
+    public MergeOutcome writeAsOf(long nowMs, long asOfMs, String topic, String id, boolean removed, String body) {
         if (!ready) {
             throw new IllegalStateException("not ready: no other node has been heard yet");
         }
-        boolean late = asOfMs < nowMs;
-        HybridTimestamp stamp = late ? HybridTimestamp.asOf(asOfMs, origin) : clock.read(nowMs);
-        Held held = held(topic, id);
-        if (held != null && stamp.compareTo(held.item().stamp()) <= 0) {
-            return stamp.equals(held.item().stamp())
-                            && held.item().gone() == gone
-                            && (gone || held.item().body().equals(body))
-                    ? Taken.KNOWN
-                    : Taken.OLDER;
+        boolean backdated = asOfMs < nowMs;
+        HybridTimestamp timestamp = backdated ? HybridTimestamp.backdated(asOfMs, origin) : clock.tick(nowMs);
+        VersionedEntry entry = new VersionedEntry(topic, id, timestamp, removed, removed ? "" : body);
+        StoredEntry stored = stored(topic, id);
+        if (stored != null && timestamp.compareTo(stored.entry().timestamp()) <= 0) {
+            return entry.equals(stored.entry()) ? MergeOutcome.ALREADY_KNOWN : MergeOutcome.SUPERSEDED;
         }
-        if (gone && (held == null ? !late : held.item().gone())) {
-            return Taken.KNOWN;
+        // A backdated removal is stored even if the entry is unknown: an older version may still arrive.
+        boolean alreadyAbsent = stored == null ? !backdated : stored.isRemoved();
+        if (removed && alreadyAbsent) {
+            return MergeOutcome.ALREADY_KNOWN;
         }
-        if (!fits(held, topic, gone)) {
-            return Taken.FULL;
+        if (!hasCapacityFor(stored, topic, removed)) {
+            return MergeOutcome.STORE_FULL;
         }
-        if (!late) {
-            heard.put(origin, stamp);
+        if (!backdated) {
+            acknowledgedVersions.put(origin, timestamp);
         }
-        put(new VersionedEntry(topic, id, stamp, gone, gone ? "" : body), next(nowMs), "");
-        return Taken.NEWS;
+        store(new StoredEntry(entry, arrivals.nextArrival(nowMs), ""));
+        return MergeOutcome.APPLIED;
     }
 
-    /** Whether there is room for a word that holds. */
-    private boolean fits(Held held, String topic, boolean gone) {
-        boolean more = !gone && (held == null || held.item().gone());
-        return !(more && live >= bounds.items()) && (topics.containsKey(topic) || topics.size() < bounds.topics());
+    private boolean hasCapacityFor(StoredEntry stored, String topic, boolean removed) {
+        boolean addsLiveEntry = !removed && (stored == null || stored.isRemoved());
+        if (addsLiveEntry && liveCount >= bounds.maxEntries()) {
+            return false;
+        }
+        return topics.containsKey(topic) || topics.size() < bounds.maxTopics();
     }
 
     /**
-     * Takes what another node has told in one answer. Before this node is ready, items are numbered by their
-     * stamps: nobody has been told a version yet, and watchers that come from elsewhere lack little then.
+     * Merges the entries of one response of another node. Until this store is ready they are numbered by their
+     * timestamps: no version has been given out yet, and watchers that resume from another node's version then
+     * lack little.
      *
-     * @param items of the answer, in any order
-     * @param itsHeard up to where that node has heard all others
-     * @param via that node
+     * @param entries of the response, in any order
+     * @param peerAcknowledgedVersions that node's acknowledged version vector
+     * @param peer that node's name, empty for a snapshot
      */
-    public Batch takeAll(long nowMs, List<VersionedEntry> items, Map<String, HybridTimestamp> itsHeard, String via) {
-        Set<String> changed = new TreeSet<>();
-        int news = 0;
-        int refused = 0;
-        List<VersionedEntry> ordered = new ArrayList<>(items);
-        // So that those of one node come in its order, and none looks like one that was heard before.
-        ordered.sort(Comparator.comparing(VersionedEntry::stamp));
-        long byStamp = 0;
-        for (VersionedEntry item : ordered) {
-            byStamp = Math.max(byStamp + 1, item.stamp().ms() << NUMBERS_BITS);
-            Taken taken = take(nowMs, item, byStamp, via);
-            if (taken == Taken.NEWS) {
-                news++;
-                changed.add(item.topic());
-            } else if (taken == Taken.AHEAD || taken == Taken.FULL) {
-                refused++;
+    public MergeResult mergeAll(
+            long nowMs,
+            List<VersionedEntry> entries,
+            Map<String, HybridTimestamp> peerAcknowledgedVersions,
+            String peer) {
+        Set<String> changedTopics = new TreeSet<>();
+        int appliedCount = 0;
+        int rejectedCount = 0;
+        List<VersionedEntry> ordered = new ArrayList<>(entries);
+        // By timestamp: a later entry of a node acknowledges its earlier ones, which would look forgotten.
+        ordered.sort(Comparator.comparing(VersionedEntry::timestamp));
+        long arrivalByTime = 0;
+        for (VersionedEntry entry : ordered) {
+            arrivalByTime = Math.max(
+                    arrivalByTime + 1,
+                    ArrivalIndex.firstVersionAt(entry.timestamp().timeMs()));
+            MergeOutcome outcome = merge(nowMs, entry, arrivalByTime, peer);
+            if (outcome == MergeOutcome.APPLIED) {
+                appliedCount++;
+                changedTopics.add(entry.topic());
+            } else if (outcome.isRejected()) {
+                rejectedCount++;
             }
         }
-        itsHeard.forEach((node, stamp) -> {
-            if (stamp.ms() <= nowMs + bounds.aheadMs()) {
-                heard.merge(node, stamp, ReplicatedStore::higher);
-                clock.hear(stamp);
-            }
-        });
-        return new Batch(changed, news, refused);
+        peerAcknowledgedVersions.forEach((node, timestamp) -> acknowledge(nowMs, node, timestamp));
+        return new MergeResult(changedTopics, appliedCount, rejectedCount);
     }
 
-    private Taken take(long nowMs, VersionedEntry item, long byStamp, String via) {
-        HybridTimestamp stamp = item.stamp();
-        if (stamp.ms() > nowMs + bounds.aheadMs()) {
-            return Taken.AHEAD;
-        }
-        Held held = held(item.topic(), item.id());
-        int newer = held == null ? 1 : stamp.compareTo(held.item().stamp());
-        if (newer <= 0) {
-            return newer == 0 ? Taken.KNOWN : Taken.OLDER;
-        }
-        if (held == null && stamp.isWithin(heard)) {
-            // It was heard, and is here no more: it has been removed, and even that is forgotten.
-            return Taken.OLDER;
-        }
-        if (!fits(held, item.topic(), item.gone())) {
-            return Taken.FULL;
-        }
-        clock.hear(stamp);
-        if (!stamp.isAsOf()) {
-            heard.merge(stamp.origin(), stamp, ReplicatedStore::higher);
+    private void acknowledge(long nowMs, String node, HybridTimestamp timestamp) {
+        if (!isTooFarAhead(nowMs, timestamp)) {
+            acknowledgedVersions.merge(node, timestamp, HybridTimestamp::max);
+            clock.observe(timestamp);
         }
-        put(item, ready ? next(nowMs) : byStamp(byStamp), via);
-        return Taken.NEWS;
     }
 
-    private static HybridTimestamp higher(HybridTimestamp one, HybridTimestamp other) {
-        return one.compareTo(other) >= 0 ? one : other;
+    private boolean isTooFarAhead(long nowMs, HybridTimestamp timestamp) {
+        return timestamp.timeMs() > nowMs + bounds.maxClockAheadMs();
     }
 
-    private long next(long nowMs) {
-        last = Math.max(last + 1, nowMs << NUMBERS_BITS);
-        return last;
-    }
-
-    private long byStamp(long wanted) {
-        long number = wanted;
-        while (all.containsKey(number)) {
-            number++;
+    private MergeOutcome merge(long nowMs, VersionedEntry entry, long arrivalByTime, String peer) {
+        HybridTimestamp timestamp = entry.timestamp();
+        if (isTooFarAhead(nowMs, timestamp)) {
+            return MergeOutcome.CLOCK_AHEAD;
+        }
+        StoredEntry stored = stored(entry.topic(), entry.id());
+        if (stored != null) {
+            int comparison = timestamp.compareTo(stored.entry().timestamp());
+            if (comparison <= 0) {
+                return comparison == 0 ? MergeOutcome.ALREADY_KNOWN : MergeOutcome.SUPERSEDED;
+            }
+        } else if (timestamp.isAcknowledgedBy(acknowledgedVersions)) {
+            // It was received and is absent: it has been removed, and the tombstone is forgotten.
+            return MergeOutcome.SUPERSEDED;
+        }
+        if (!hasCapacityFor(stored, entry.topic(), entry.removed())) {
+            return MergeOutcome.STORE_FULL;
         }
-        last = Math.max(last, number);
-        return number;
+        clock.observe(timestamp);
+        if (!timestamp.isBackdated()) {
+            acknowledgedVersions.merge(timestamp.origin(), timestamp, HybridTimestamp::max);
+        }
+        long arrival = ready ? arrivals.nextArrival(nowMs) : arrivals.firstFreeArrival(arrivalByTime);
+        store(new StoredEntry(entry, arrival, peer));
+        return MergeOutcome.APPLIED;
     }
 
-    private Held held(String topic, String id) {
-        Topic in = topics.get(topic);
-        return in == null ? null : in.items.get(id);
+    private StoredEntry stored(String topicName, String id) {
+        Topic topic = topics.get(topicName);
+        return topic == null ? null : topic.byId.get(id);
     }
 
-    private void put(VersionedEntry item, long arrival, String via) {
-        Topic topic = topics.computeIfAbsent(item.topic(), name -> new Topic());
-        Held now = new Held(item, arrival, via);
-        Held before = topic.items.put(item.id(), now);
-        if (before != null) {
-            unlist(topic, before);
+    private void store(StoredEntry stored) {
+        VersionedEntry entry = stored.entry();
+        Topic topic = topics.computeIfAbsent(entry.topic(), name -> new Topic());
+        StoredEntry previous = topic.byId.put(entry.id(), stored);
+        if (previous != null) {
+            unindex(topic, previous);
         }
-        topic.byArrival.put(arrival, now);
-        all.put(arrival, now);
-        if (item.gone()) {
-            removed.put(arrival, now);
-            while (removed.size() > bounds.removed()) {
-                forgetOldest();
-            }
-        } else {
-            topic.digest += item.digest();
-            live++;
+        arrivals.add(stored);
+        if (!entry.removed()) {
+            topic.digest += entry.digest();
+            liveCount++;
+            return;
+        }
+        tombstones.add(stored);
+        for (Optional<StoredEntry> excess = tombstones.oldestInExcess();
+                excess.isPresent();
+                excess = tombstones.oldestInExcess()) {
+            forget(excess.get());
         }
     }
 
-    private void unlist(Topic topic, Held held) {
-        topic.byArrival.remove(held.arrival());
-        all.remove(held.arrival());
-        if (held.item().gone()) {
-            removed.remove(held.arrival());
+    private void unindex(Topic topic, StoredEntry stored) {
+        arrivals.remove(stored);
+        if (stored.isRemoved()) {
+            tombstones.remove(stored);
         } else {
-            topic.digest -= held.item().digest();
-            live--;
+            topic.digest -= stored.entry().digest();
+            liveCount--;
         }
     }
 
-    private void forgetOldest() {
-        Held oldest = removed.firstEntry().getValue();
-        Topic topic = topics.get(oldest.item().topic());
-        unlist(topic, oldest);
-        topic.items.remove(oldest.item().id());
-        if (topic.items.isEmpty()) {
-            topics.remove(oldest.item().topic());
+    private void forget(StoredEntry tombstone) {
+        String topicName = tombstone.entry().topic();
+        Topic topic = topics.get(topicName);
+        unindex(topic, tombstone);
+        topic.byId.remove(tombstone.entry().id());
+        if (topic.byId.isEmpty()) {
+            topics.remove(topicName);
         }
     }
 
-    /** Forgets removals that are older than the bound. */
-    public void expire(long nowMs) {
-        while (!removed.isEmpty()
-                && removed.firstEntry().getValue().item().stamp().ms() < nowMs - bounds.removedMs()) {
-            forgetOldest();
+    /** Forgets the removals whose retention is over. */
+    public void expireTombstones(long nowMs) {
+        for (Optional<StoredEntry> expired = tombstones.oldestExpired(nowMs);
+                expired.isPresent();
+                expired = tombstones.oldestExpired(nowMs)) {
+            forget(expired.get());
         }
     }
 
-    /** The version now: all that has arrived by this time is below or at it, and what comes is above. */
-    public long version(long nowMs) {
-        last = Math.max(last, nowMs << NUMBERS_BITS);
-        return last;
+    /** Returns the current version: all past arrivals are at or below it, all future ones above. */
+    public long currentVersion(long nowMs) {
+        return arrivals.currentVersion(nowMs);
     }
 
-    /** A version moved back by a time, for one that was told by another node. */
-    public static long back(long version, long byMs) {
-        return Math.max(0, version - (byMs << NUMBERS_BITS));
+    /** Returns a version moved back by a time, for one that another node has given out. */
+    public static long rewind(long version, long byMs) {
+        return ArrivalIndex.rewind(version, byMs);
     }
 
-    /** The number of the last arrival in these topics at or below a version, 0 if there is none. */
-    public long lastArrival(Collection<String> names, long version) {
-        long newest = 0;
-        for (String name : names) {
-            Topic topic = topics.get(name);
-            Long number = topic == null ? null : topic.byArrival.floorKey(version);
-            newest = number == null ? newest : Math.max(newest, number);
-        }
-        return newest;
+    /** Returns the last arrival in these topics at or below a version, 0 if there is none. */
+    public long lastArrival(Collection<String> topicNames, long version) {
+        return arrivals.lastArrival(topicNames, version);
     }
 
-    /** Whether anything in these topics is newer than a version. */
-    public boolean hasNewer(Collection<String> names, long version) {
-        return lastArrival(names, Long.MAX_VALUE) > version;
+    /** Returns whether anything arrived in these topics after a version. */
+    public boolean hasNewer(Collection<String> topicNames, long version) {
+        return lastArrival(topicNames, Long.MAX_VALUE) > version;
     }
 
-    /** What is newer than a version in these topics, removals as well, in the order of arrival. */
-    public List<VersionedEntry> since(Collection<String> names, long version) {
-        List<Held> newer = new ArrayList<>();
-        for (String name : names) {
-            Topic topic = topics.get(name);
-            if (topic != null) {
-                newer.addAll(topic.byArrival.tailMap(version, false).values());
-            }
-        }
-        newer.sort(Comparator.comparingLong(Held::arrival));
-        return newer.stream().map(Held::item).toList();
+    /** Returns what arrived in these topics after a version, removals included, in the order of arrival. */
+    public List<VersionedEntry> entriesSince(Collection<String> topicNames, long version) {
+        return arrivals.arrivedSince(topicNames, version).stream()
+                .map(StoredEntry::entry)
+                .toList();
     }
 
-    /** All that is there in these topics. */
-    public List<VersionedEntry> live(Collection<String> names) {
-        return since(names, -1).stream().filter(item -> !item.gone()).toList();
+    /** Returns the live entries of these topics. */
+    public List<VersionedEntry> liveEntries(Collection<String> topicNames) {
+        return entriesSince(topicNames, -1).stream()
+                .filter(entry -> !entry.removed())
+                .toList();
     }
 
-    /** All items, removals as well, in the order of arrival: what a node gets that starts from nothing. */
-    public List<VersionedEntry> everything() {
-        return all.values().stream().map(Held::item).toList();
+    /** Returns all entries, removals included, in the order of arrival: the full snapshot for a node. */
+    public List<VersionedEntry> allEntries() {
+        return arrivals.all().stream().map(StoredEntry::entry).toList();
     }
 
-    /** What is newer than a version in all topics, but for what came by this node. */
-    public List<VersionedEntry> sinceForPeer(String peer, long version) {
-        return all.tailMap(version, false).values().stream()
-                .filter(held -> !held.via().equals(peer))
-                .map(Held::item)
+    /** Returns what arrived in all topics after a version, except for what this peer has sent. */
+    public List<VersionedEntry> entriesForPeerSince(String peer, long version) {
+        return arrivals.arrivedSince(version).stream()
+                .filter(stored -> !stored.receivedFrom().equals(peer))
+                .map(StoredEntry::entry)
                 .toList();
     }
 
-    /** The last word on an item, also that it is gone; null where there is none. */
+    /** Returns the winning version of an entry, which may be a removal; null if there is none. */
     public VersionedEntry get(String topic, String id) {
-        Held held = held(topic, id);
-        return held == null ? null : held.item();
+        StoredEntry stored = stored(topic, id);
+        return stored == null ? null : stored.entry();
     }
 
-    /** The digest over all that is there in these topics. */
-    public long digest(Collection<String> names) {
+    /** Returns the digest over the live entries of these topics. */
+    public long digest(Collection<String> topicNames) {
         long sum = 0;
-        for (String name : names) {
+        for (String name : topicNames) {
             Topic topic = topics.get(name);
             sum += topic == null ? 0 : topic.digest;
         }
         return sum;
     }
 
-    /** For each node the stamp up to which everything of it has come. */
-    public Map<String, HybridTimestamp> heard() {
-        return new LinkedHashMap<>(heard);
+    /** Returns the acknowledged version vector: for each node the timestamp of its last write received. */
+    public Map<String, HybridTimestamp> acknowledgedVersions() {
+        return new LinkedHashMap<>(acknowledgedVersions);
     }
 
-    /** The names of all topics, sorted. */
+    /** Returns the names of all topics, sorted. */
     public List<String> topics() {
         return topics.keySet().stream().sorted().toList();
     }
 
-    /** How many items are there, and how many removals are remembered. */
-    public List<Integer> sizes() {
-        return List.of(live, removed.size());
+    /** Returns the number of live entries. */
+    public int liveCount() {
+        return liveCount;
+    }
+
+    /** Returns the number of removals that are remembered. */
+    public int tombstoneCount() {
+        return tombstones.size();
     }
 }
--- a/core/src/main/java/lemonrail/core/replication/VersionedEntry.java
+++ b/core/src/main/java/lemonrail/core/replication/VersionedEntry.java
@@ -1,49 +1,64 @@
 package lemonrail.core.replication;
 
 /**
- * The last word on one thing: an endpoint of a service or a settings document.
+ * The latest version of one replicated entry: an endpoint of a service, or a settings document.
  *
- * @param topic what watchers name: a service, or {@link #SETTINGS} and the document's name
- * @param id its name within the topic
- * @param stamp when and where the word was given
- * @param gone whether it is the word that the thing is no more
- * @param body what is said of it, of no meaning here; empty where it is gone
+ * @param topic the unit of subscription: a service, or {@link #SETTINGS_TOPIC_PREFIX} and the document's name
+ * @param id the entry's name within the topic
+ * @param timestamp when and where this version was written
+ * @param removed whether this version is a removal (a tombstone)
+ * @param body the entry's content, opaque to replication; empty for a removal
  */
-public record VersionedEntry(String topic, String id, HybridTimestamp stamp, boolean gone, String body) {
+public record VersionedEntry(String topic, String id, HybridTimestamp timestamp, boolean removed, String body) {
 
-    /** What the topics of settings documents begin with; no service's name has a colon. */
-    public static final String SETTINGS = "settings:";
+    /** The prefix of the topics of settings documents; a service name cannot contain a colon. */
+    public static final String SETTINGS_TOPIC_PREFIX = "settings:";
 
-    /** Whether this is a settings document. */
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    /** Separates hashed texts: no UTF-16 unit has this value. */
+    private static final long TEXT_END = 0x10000;
+
+    /** Returns the topic of a settings document. */
+    public static String settingsTopic(String document) {
+        return SETTINGS_TOPIC_PREFIX + document;
+    }
+
+    /** Returns whether a topic is that of a settings document. */
+    public static boolean isSettingsTopic(String topic) {
+        return topic.startsWith(SETTINGS_TOPIC_PREFIX);
+    }
+
+    /** Returns whether this is a settings document. */
     public boolean isSettings() {
-        return topic.startsWith(SETTINGS);
+        return isSettingsTopic(topic);
     }
 
-    /** Its part in a digest, which is the sum over all that is there. */
+    /** Returns this entry's term of a digest, which is the sum over all live entries. */
     long digest() {
-        return digest(topic, id, stamp);
+        return digest(topic, id, timestamp);
     }
 
-    /** The part of an item in a digest: 64 bits, the same in every process. */
-    static long digest(String topic, String id, HybridTimestamp stamp) {
-        long hash = 0xcbf29ce484222325L;
-        hash = add(hash, topic);
-        hash = add(hash, id);
-        hash = add(hash, stamp.origin());
-        hash = mix(hash ^ stamp.ms());
-        return mix(hash + stamp.counter());
+    /** Returns an entry's term of a digest: 64 bits, equal in every process. */
+    static long digest(String topic, String id, HybridTimestamp timestamp) {
+        long hash = FNV_OFFSET_BASIS;
+        hash = addText(hash, topic);
+        hash = addText(hash, id);
+        hash = addText(hash, timestamp.origin());
+        hash = mix(hash ^ timestamp.timeMs());
+        return mix(hash + timestamp.counter());
     }
 
-    /** 64-bit FNV-1a over the text's UTF-16 units and its end. */
-    private static long add(long start, String text) {
+    /** 64-bit FNV-1a over the text's UTF-16 units and a terminator. */
+    private static long addText(long start, String text) {
         long hash = start;
         for (int i = 0; i < text.length(); i++) {
-            hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
-        return (hash ^ 0x10000) * 0x100000001b3L;
+        return (hash ^ TEXT_END) * FNV_PRIME;
     }
 
-    /** The finish of SplitMix64. */
+    /** The finalizer of SplitMix64. */
     private static long mix(long value) {
         long z = value + 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/core/src/main/java/lemonrail/core/replication/WatcherReplica.java
+++ b/core/src/main/java/lemonrail/core/replication/WatcherReplica.java
@@ -9,71 +9,84 @@
 import java.util.Set;
 
 /**
- * What a watcher holds of its topics: the stamps alone, by which it knows news from what it has heard, also
- * when it comes to a node that knows less.
+ * A watcher's replica of its topics, reduced to the timestamps. They tell updates from what is known already,
+ * also after a move to a node that has received less.
  */
 public final class WatcherReplica {
 
-    /** Removed items whose removal is remembered. */
-    static final int MOST_REMOVED = 4096;
+    /** The removals that are remembered; the oldest is forgotten first. */
+    static final int MAX_TOMBSTONES = 4096;
 
-    /** An item's name. */
+    /** Identifies an entry. */
     public record Key(String topic, String id) {}
 
     private final Map<Key, HybridTimestamp> live = new HashMap<>();
-    private final LinkedHashMap<Key, HybridTimestamp> removed = new LinkedHashMap<>() {
+    private final LinkedHashMap<Key, HybridTimestamp> tombstones = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Key, HybridTimestamp> eldest) {
-            return size() > MOST_REMOVED;
+            return size() > MAX_TOMBSTONES;
         }
     };
     private long digest;
 
-    /** Takes a word; true if it holds and is news. */
-    public boolean take(Key key, HybridTimestamp stamp, boolean gone) {
-        HybridTimestamp known = live.getOrDefault(key, removed.get(key));
-        if (known != null && stamp.compareTo(known) <= 0) {
+    /**
+     * Applies one version of an entry.
+     *
+     * @return whether it wins and changes what the watcher sees; a removal of an absent entry does not
+     */
+    public boolean apply(Key key, HybridTimestamp timestamp, boolean removed) {
+        HybridTimestamp known = live.getOrDefault(key, tombstones.get(key));
+        if (known != null && timestamp.compareTo(known) <= 0) {
             return false;
         }
-        HybridTimestamp before = live.remove(key);
-        if (before != null) {
-            digest -= VersionedEntry.digest(key.topic(), key.id(), before);
+        HybridTimestamp previous = live.remove(key);
+        if (previous != null) {
+            digest -= digestOf(key, previous);
         }
-        if (gone) {
-            removed.remove(key);
-            removed.put(key, stamp);
-            return before != null;
+        // Removed first, so that a repeated removal becomes the youngest.
+        tombstones.remove(key);
+        if (removed) {
+            tombstones.put(key, timestamp);
+            return previous != null;
         }
-        removed.remove(key);
-        live.put(key, stamp);
-        digest += VersionedEntry.digest(key.topic(), key.id(), stamp);
+        live.put(key, timestamp);
+        digest += digestOf(key, timestamp);
         return true;
     }
 
     /**
-     * Drops what a whole list doesn't name, if its node has heard of it; what it has not heard of yet stays.
-     * Returns what was dropped.
+     * Drops what a full snapshot does not contain and its node has received; what that node has not received
+     * yet stays.
+     *
+     * @param listed the entries of the snapshot
+     * @param acknowledgedVersions the node's acknowledged version vector
+     * @return the entries dropped
      */
-    public List<Key> keepOnly(Collection<Key> named, Map<String, HybridTimestamp> heard) {
-        Set<Key> there = Set.copyOf(named);
+    public List<Key> retainListed(Collection<Key> listed, Map<String, HybridTimestamp> acknowledgedVersions) {
+        Set<Key> present = Set.copyOf(listed);
         List<Key> dropped = new ArrayList<>();
-        live.forEach((key, stamp) -> {
-            if (!there.contains(key) && (stamp.isAsOf() || stamp.isWithin(heard))) {
+        live.forEach((key, timestamp) -> {
+            boolean receivedByNode = timestamp.isBackdated() || timestamp.isAcknowledgedBy(acknowledgedVersions);
+            if (!present.contains(key) && receivedByNode) {
                 dropped.add(key);
             }
         });
-        dropped.forEach(key -> digest -= VersionedEntry.digest(key.topic(), key.id(), live.remove(key)));
+        dropped.forEach(key -> digest -= digestOf(key, live.remove(key)));
         return dropped;
     }
 
-    /** The digest over all that is held, as the nodes count it. */
+    private static long digestOf(Key key, HybridTimestamp timestamp) {
+        return VersionedEntry.digest(key.topic(), key.id(), timestamp);
+    }
+
+    /** Returns the digest over all live entries, as the nodes calculate it. */
     public long digest() {
         return digest;
     }
 
-    /** How many items are held. */
+    /** Returns the number of live entries. */
     public int size() {
         return live.size();
     }
--- a/core/src/test/java/lemonrail/core/replication/NodeSelectorTest.java
+++ b/core/src/test/java/lemonrail/core/replication/NodeSelectorTest.java
@@ -11,110 +11,113 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Where a watcher goes, on virtual time. */
+/** Selection of a control node, on virtual time. */
 class NodeSelectorTest {
 
     private static final List<String> WEST = List.of("w1", "w2", "w3");
     private static final List<String> EAST = List.of("e1", "e2", "e3");
 
-    private static NodeSelector route(int number) {
+    private static NodeSelector selector(int number) {
         return new NodeSelector("sidecar-" + number, WEST, EAST, number);
     }
 
     @Test
-    void theNextNodeIsAskedAtOnceAndTheOwnRegionFirst() {
-        NodeSelector route = route(1);
-        List<String> asked = new ArrayList<>();
+    void aFailureSelectsTheNextNodeAtOnceOwnRegionFirst() {
+        NodeSelector selector = selector(1);
+        List<String> selected = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            asked.add(route.current());
-            assertEquals(0, route.failed(i));
+            selected.add(selector.currentNode());
+            assertEquals(0, selector.onFailure(i));
         }
-        asked.add(route.current());
-        assertEquals(Set.copyOf(WEST), Set.copyOf(asked.subList(0, 3)));
-        assertEquals(Set.copyOf(EAST), Set.copyOf(asked.subList(3, 6)));
-        double pause = route.failed(6);
-        assertTrue(pause >= 50 && pause <= 150, "all have failed: " + pause);
-        assertEquals(asked.get(0), route.current());
+        selected.add(selector.currentNode());
+        assertEquals(Set.copyOf(WEST), Set.copyOf(selected.subList(0, 3)));
+        assertEquals(Set.copyOf(EAST), Set.copyOf(selected.subList(3, 6)));
+        double backoffMs = selector.onFailure(6);
+        assertTrue(backoffMs >= 50 && backoffMs <= 150, "all have failed: " + backoffMs);
+        assertEquals(selected.get(0), selector.currentNode());
     }
 
     @Test
-    void pausesGrowAndAreBounded() {
-        NodeSelector route = route(1);
-        double longest = 0;
+    void backoffGrowsAndIsBounded() {
+        NodeSelector selector = selector(1);
+        double longestMs = 0;
         for (int i = 0; i < 200; i++) {
-            longest = Math.max(longest, route.failed(i));
+            longestMs = Math.max(longestMs, selector.onFailure(i));
         }
-        assertTrue(longest > 500 && longest <= 1500, "longest " + longest);
-        route.answered(300, 0);
+        assertTrue(longestMs > 500 && longestMs <= 1500, "longest " + longestMs);
+        selector.onResponse(300, 0);
         for (int i = 0; i < 5; i++) {
-            assertEquals(0, route.failed(301));
+            assertEquals(0, selector.onFailure(301));
         }
-        assertTrue(route.failed(301) <= 150);
+        assertTrue(selector.onFailure(301) <= 150);
     }
 
-    /** Guards against a node that is back and gets all its watchers at one instant. */
+    /** Guards against a recovered node that gets all its watchers at one instant. */
     @Test
-    void watchersComeBackSpreadOverTime() {
-        List<Double> back = new ArrayList<>();
+    void watchersReturnSpreadOverTime() {
+        List<Double> returnTimesMs = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            NodeSelector route = route(i);
-            String home = route.current();
-            route.failed(0);
-            assertNotEquals(home, route.current());
-            double now = 0;
-            while (!route.answered(now, 0)) {
-                now += 100;
+            NodeSelector selector = selector(i);
+            String preferred = selector.currentNode();
+            selector.onFailure(0);
+            assertNotEquals(preferred, selector.currentNode());
+            double nowMs = 0;
+            while (!selector.onResponse(nowMs, 0)) {
+                nowMs += 100;
             }
-            assertEquals(home, route.current());
-            back.add(now);
+            assertEquals(preferred, selector.currentNode());
+            returnTimesMs.add(nowMs);
         }
-        assertTrue(back.stream().allMatch(at -> at >= 30_000 && at <= 60_100));
-        var perSecond = back.stream().collect(Collectors.groupingBy(at -> (int) (at / 1000), Collectors.counting()));
+        assertTrue(returnTimesMs.stream().allMatch(ms -> ms >= 30_000 && ms <= 60_100));
+        var perSecond =
+                returnTimesMs.stream().collect(Collectors.groupingBy(ms -> (int) (ms / 1000), Collectors.counting()));
         assertTrue(perSecond.values().stream().allMatch(count -> count <= 30), perSecond.toString());
     }
 
-    /** Guards against watchers that stay in another region, which then may lose theirs, for a minute. */
+    /** Guards against watchers that stay for a minute in another region, which may lose contact with theirs. */
     @Test
-    void aWatcherInAnotherRegionLooksAtItsOwnSoonAndOneNodeAtATime() {
-        NodeSelector route = route(1);
+    void aWatcherInAnotherRegionProbesItsOwnSoonOneNodeAtATime() {
+        NodeSelector selector = selector(1);
         for (int i = 0; i < 3; i++) {
-            route.failed(0);
+            selector.onFailure(0);
         }
-        String abroad = route.current();
-        assertTrue(EAST.contains(abroad));
-        List<String> looked = new ArrayList<>();
-        double now = 0;
+        String fallback = selector.currentNode();
+        assertTrue(EAST.contains(fallback));
+        List<String> probed = new ArrayList<>();
+        double nowMs = 0;
         for (int i = 0; i < 3; i++) {
-            double since = now;
-            while (!route.answered(now, 0)) {
-                now += 100;
+            double sinceMs = nowMs;
+            while (!selector.onResponse(nowMs, 0)) {
+                nowMs += 100;
             }
-            assertTrue(now - since >= NodeSelector.LEAST_ABROAD_MS && now - since <= NodeSelector.MOST_ABROAD_MS + 100);
-            looked.add(route.current());
-            assertEquals(0, route.failed(now));
-            assertEquals(abroad, route.current(), "it goes on where it was");
+            assertTrue(nowMs - sinceMs >= NodeSelector.MIN_REGION_PROBE_MS
+                    && nowMs - sinceMs <= NodeSelector.MAX_REGION_PROBE_MS + 100);
+            probed.add(selector.currentNode());
+            assertEquals(0, selector.onFailure(nowMs));
+            assertEquals(fallback, selector.currentNode(), "a failed probe returns to the fallback node");
         }
-        assertEquals(Set.copyOf(WEST), Set.copyOf(looked));
-        while (!route.answered(now, 0)) {
-            now += 100;
+        assertEquals(Set.copyOf(WEST), Set.copyOf(probed));
+        while (!selector.onResponse(nowMs, 0)) {
+            nowMs += 100;
         }
-        String home = route.current();
-        assertTrue(WEST.contains(home));
-        assertFalse(route.answered(now + 1000, 0), "it stays");
-        assertEquals(home, route.current());
+        String preferred = selector.currentNode();
+        assertTrue(WEST.contains(preferred));
+        assertFalse(selector.onResponse(nowMs + 1000, 0), "it stays there");
+        assertEquals(preferred, selector.currentNode());
     }
 
     @Test
-    void aNodeThatHearsNothingNewIsLeftForAnother() {
-        NodeSelector route = route(1);
-        String home = route.current();
-        assertFalse(route.answered(0, NodeSelector.STALE_MS));
-        assertTrue(route.answered(1000, NodeSelector.STALE_MS + 1));
-        assertNotEquals(home, route.current());
-        assertFalse(route.answered(2000, NodeSelector.STALE_MS + 1), "where all are so it stays for a while");
+    void aStaleNodeIsLeftForAnother() {
+        NodeSelector selector = selector(1);
+        String preferred = selector.currentNode();
+        assertFalse(selector.onResponse(0, NodeSelector.STALE_AFTER_MS));
+        assertTrue(selector.onResponse(1000, NodeSelector.STALE_AFTER_MS + 1));
+        assertNotEquals(preferred, selector.currentNode());
+        assertFalse(
+                selector.onResponse(2000, NodeSelector.STALE_AFTER_MS + 1), "where all are stale it stays for a while");
         boolean moved = false;
-        for (double now = 2000; now < 50_000 && !moved; now += 1000) {
-            moved = route.answered(now, NodeSelector.STALE_MS + 1);
+        for (double nowMs = 2000; nowMs < 50_000 && !moved; nowMs += 1000) {
+            moved = selector.onResponse(nowMs, NodeSelector.STALE_AFTER_MS + 1);
         }
         assertTrue(moved);
     }
--- a/core/src/test/java/lemonrail/core/replication/WatcherReplicaTest.java
+++ b/core/src/test/java/lemonrail/core/replication/WatcherReplicaTest.java
@@ -12,67 +12,68 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a watcher holds, and where it goes. */
+/** The replica of a watcher, the order of nodes, and what watchers report. */
 class WatcherReplicaTest {
 
     private static final WatcherReplica.Key S1 = new WatcherReplica.Key("quote", "s1");
     private static final WatcherReplica.Key S2 = new WatcherReplica.Key("quote", "s2");
     private final WatcherReplica replica = new WatcherReplica();
 
-    private static HybridTimestamp stamp(long ms, String origin) {
-        return new HybridTimestamp(ms, 0, origin);
+    private static HybridTimestamp timestamp(long timeMs, String origin) {
+        return new HybridTimestamp(timeMs, 0, origin);
     }
 
     @Test
-    void anOlderWordIsNoNewsNorAfterARemoval() {
-        assertTrue(replica.take(S1, stamp(5, "a"), false));
-        assertFalse(replica.take(S1, stamp(5, "a"), false));
-        assertFalse(replica.take(S1, stamp(4, "b"), false));
-        assertTrue(replica.take(S1, stamp(6, "a"), true));
-        assertFalse(replica.take(S1, stamp(5, "b"), false));
+    void anOlderVersionIsNoUpdateNorAfterARemoval() {
+        assertTrue(replica.apply(S1, timestamp(5, "a"), false));
+        assertFalse(replica.apply(S1, timestamp(5, "a"), false));
+        assertFalse(replica.apply(S1, timestamp(4, "b"), false));
+        assertTrue(replica.apply(S1, timestamp(6, "a"), true));
+        assertFalse(replica.apply(S1, timestamp(5, "b"), false));
         assertEquals(0, replica.digest());
-        assertTrue(replica.take(S1, stamp(7, "b"), false));
+        assertTrue(replica.apply(S1, timestamp(7, "b"), false));
     }
 
-    /** Guards against a watcher that loses endpoints as it comes to a node that is behind. */
+    /** Guards against a watcher that loses endpoints when it moves to a node that lags behind. */
     @Test
-    void aWholeListOfANodeThatIsBehindRemovesOnlyWhatItHasHeardOf() {
-        replica.take(S1, stamp(5, "a"), false);
-        replica.take(S2, stamp(9, "a"), false);
-        assertEquals(List.of(S1), replica.keepOnly(List.of(), Map.of("a", stamp(8, "a"))));
+    void aFullSnapshotOfALaggingNodeRemovesOnlyWhatItHasReceived() {
+        replica.apply(S1, timestamp(5, "a"), false);
+        replica.apply(S2, timestamp(9, "a"), false);
+        assertEquals(List.of(S1), replica.retainListed(List.of(), Map.of("a", timestamp(8, "a"))));
         assertEquals(1, replica.size());
-        assertEquals(List.of(S2), replica.keepOnly(List.of(), Map.of("a", stamp(9, "a"))));
+        assertEquals(List.of(S2), replica.retainListed(List.of(), Map.of("a", timestamp(9, "a"))));
         assertEquals(0, replica.digest());
     }
 
     @Test
-    void removalsAreBounded() {
-        for (int i = 0; i < 2 * WatcherReplica.MOST_REMOVED; i++) {
+    void tombstonesAreBounded() {
+        for (int i = 0; i < 2 * WatcherReplica.MAX_TOMBSTONES; i++) {
             WatcherReplica.Key key = new WatcherReplica.Key("quote", "s" + i);
-            replica.take(key, stamp(5, "a"), false);
-            replica.take(key, stamp(6, "a"), true);
+            replica.apply(key, timestamp(5, "a"), false);
+            replica.apply(key, timestamp(6, "a"), true);
         }
-        WatcherReplica.Key last = new WatcherReplica.Key("quote", "s" + (2 * WatcherReplica.MOST_REMOVED - 1));
-        assertFalse(replica.take(last, stamp(5, "a"), false));
+        WatcherReplica.Key last = new WatcherReplica.Key("quote", "s" + (2 * WatcherReplica.MAX_TOMBSTONES - 1));
+        assertFalse(replica.apply(last, timestamp(5, "a"), false));
         assertTrue(
-                replica.take(new WatcherReplica.Key("quote", "s0"), stamp(5, "a"), false), "the oldest is forgotten");
+                replica.apply(new WatcherReplica.Key("quote", "s0"), timestamp(5, "a"), false),
+                "the oldest is forgotten");
     }
 
     @Test
-    void stampsAreReadAsTheyAreTold() {
-        HybridTimestamp stamp = new HybridTimestamp(1_790_000_000_000L, 3, "west.1");
-        assertEquals(stamp, HybridTimestamp.parse(stamp.text()));
+    void timestampsAreParsedAsTheyAreEncoded() {
+        HybridTimestamp timestamp = new HybridTimestamp(1_790_000_000_000L, 3, "west.1");
+        assertEquals(timestamp, HybridTimestamp.parse(timestamp.encode()));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "1", "1.2", "x.0.a", "1.x.a", "-1.0.a", "99999999999999999999.0.a"})
-    void whatIsNoStampIsRefused(String text) {
+    void malformedTimestampsAreRejected(String text) {
         assertThrows(IllegalArgumentException.class, () -> HybridTimestamp.parse(text));
     }
 
-    /** Each of six nodes gets its sixth, and a lost node's watchers go to all of the others. */
+    /** Each of six nodes gets a sixth, and a failed node's watchers go to all of the others. */
     @Test
-    void watchersAreSpreadOverTheNodes() {
+    void rendezvousOrderSpreadsWatchersOverTheNodes() {
         List<String> nodes = List.of("n1:1", "n2:1", "n3:1", "n4:1", "n5:1", "n6:1");
         Map<String, Integer> first = new HashMap<>();
         Map<String, Integer> second = new HashMap<>();
@@ -90,22 +91,27 @@
     }
 
     @Test
-    void theOldestInForceAndWhoRefusedAreTold() {
-        AppliedVersions inForce = new AppliedVersions();
-        inForce.called(1000, new AppliedVersions.Word("one", "base", stamp(5, "a"), null, ""));
-        inForce.called(1000, new AppliedVersions.Word("two", "base", stamp(7, "a"), null, ""));
-        inForce.called(1001, new AppliedVersions.Word("three", "base", stamp(5, "a"), stamp(7, "a"), "no such class"));
-        inForce.called(1001, new AppliedVersions.Word("four", "", HybridTimestamp.NONE, null, ""));
-        AppliedVersions.Summary base = inForce.summaries(1002).get(0);
+    void summariesNameTheOldestAppliedVersionAndRejections() {
+        AppliedVersions appliedVersions = new AppliedVersions();
+        appliedVersions.onReport(1000, new WatcherReport("one", "base", timestamp(5, "a"), null, ""));
+        appliedVersions.onReport(1000, new WatcherReport("two", "base", timestamp(7, "a"), null, ""));
+        appliedVersions.onReport(
+                1001, new WatcherReport("three", "base", timestamp(5, "a"), timestamp(7, "a"), "no such class"));
+        appliedVersions.onReport(1001, new WatcherReport("four", "", HybridTimestamp.NONE, null, ""));
+        AppliedVersions.Summary base = appliedVersions.summaries(1002).get(0);
         assertEquals(3, base.watchers());
-        assertEquals(stamp(5, "a"), base.oldest());
-        assertEquals(List.of("one", "three"), base.oldestNames());
-        assertEquals("no such class", base.refused().get(0).why());
-        assertEquals(4, inForce.watchers(1002));
-        inForce.called(
-                1001 + AppliedVersions.SILENT_MS, new AppliedVersions.Word("two", "base", stamp(8, "a"), null, ""));
+        assertEquals(timestamp(5, "a"), base.oldestApplied());
+        assertEquals(List.of("one", "three"), base.oldestWatchers());
+        assertEquals("no such class", base.rejections().get(0).rejectionReason());
+        assertEquals(4, appliedVersions.watcherCount(1002));
+        appliedVersions.onReport(
+                1001 + AppliedVersions.WATCHER_TIMEOUT_MS,
+                new WatcherReport("two", "base", timestamp(8, "a"), null, ""));
         assertEquals(
                 List.of("three"),
-                inForce.summaries(1001 + AppliedVersions.SILENT_MS).get(0).oldestNames());
+                appliedVersions
+                        .summaries(1001 + AppliedVersions.WATCHER_TIMEOUT_MS)
+                        .get(0)
+                        .oldestWatchers());
     }
 }
--- a/edge/src/main/java/lemonrail/control/ConfigurationChange.java
+++ b/edge/src/main/java/lemonrail/control/ConfigurationChange.java
@@ -9,7 +9,7 @@
  * @param body what is said, empty where the thing is gone
  * @param asOfMs the time that it stands for, or {@link Long#MAX_VALUE} for now
  */
-public record ConfigurationChange(String topic, String id, boolean gone, String body, long asOfMs) {
+public record ConfigurationChange(String topic, String id, boolean removed, String body, long asOfMs) {
 
     /** An endpoint of a service, in the platform's form as JSON; what is bad names the field. */
     public static ConfigurationChange endpoint(String service, String id, byte[] json) {
@@ -30,7 +30,7 @@
     /** A settings document. */
     public static ConfigurationChange settings(String name, String text) {
         return new ConfigurationChange(
-                VersionedEntry.SETTINGS + EntryCodec.word("settings", name),
+                VersionedEntry.SETTINGS_TOPIC_PREFIX + EntryCodec.word("settings", name),
                 name,
                 false,
                 EntryCodec.document(text),
@@ -40,11 +40,15 @@
     /** A settings document is no more. */
     public static ConfigurationChange settingsGone(String name) {
         return new ConfigurationChange(
-                VersionedEntry.SETTINGS + EntryCodec.word("settings", name), name, true, "", Long.MAX_VALUE);
+                VersionedEntry.SETTINGS_TOPIC_PREFIX + EntryCodec.word("settings", name),
+                name,
+                true,
+                "",
+                Long.MAX_VALUE);
     }
 
     /** The same for what was so at an earlier time. */
     public ConfigurationChange asOf(long ms) {
-        return new ConfigurationChange(topic, id, gone, body, ms);
+        return new ConfigurationChange(topic, id, removed, body, ms);
     }
 }
--- a/edge/src/main/java/lemonrail/control/ControlAdminApi.java
+++ b/edge/src/main/java/lemonrail/control/ControlAdminApi.java
@@ -15,7 +15,7 @@
 import lemonrail.config.ConfigException;
 import lemonrail.config.ConfigProblem;
 import lemonrail.config.SettingsDocument;
-import lemonrail.core.replication.ReplicatedStore.Taken;
+import lemonrail.core.replication.MergeOutcome;
 import lemonrail.core.replication.VersionedEntry;
 import lemonrail.json.Json;
 
@@ -106,7 +106,7 @@
     private AdminResponse endpoint(
             HttpMethod method, String service, String id, String then, long asOfMs, byte[] body) {
         VersionedEntry item = node.item(service, id);
-        boolean there = item != null && !item.gone();
+        boolean there = item != null && !item.removed();
         if (then != null) {
             String state = then.equals("/drain") ? "terminating" : "in_service";
             return only(
@@ -131,7 +131,7 @@
 
     private AdminResponse settings(HttpMethod method, String name, long asOfMs, byte[] body) {
         if (method.equals(HttpMethod.GET)) {
-            String text = node.get(VersionedEntry.SETTINGS + name, name);
+            String text = node.get(VersionedEntry.SETTINGS_TOPIC_PREFIX + name, name);
             return text == null ? unknown() : new AdminResponse(HttpResponseStatus.OK, text, null);
         }
         if (method.equals(HttpMethod.DELETE)) {
@@ -149,19 +149,24 @@
     }
 
     private AdminResponse put(ConfigurationChange change) {
-        Taken taken = node.put(change);
+        MergeOutcome taken = node.put(change);
         return switch (taken) {
-            case NEWS ->
+            case APPLIED ->
                 AdminResponse.of(
                         HttpResponseStatus.OK,
                         "accepted "
-                                + node.item(change.topic(), change.id()).stamp().text());
-            case KNOWN -> change.gone() ? unknown() : AdminResponse.of(HttpResponseStatus.OK, "known already");
-            case OLDER ->
+                                + node.item(change.topic(), change.id())
+                                        .timestamp()
+                                        .encode());
+            case ALREADY_KNOWN ->
+                change.removed() ? unknown() : AdminResponse.of(HttpResponseStatus.OK, "known already");
+            case SUPERSEDED ->
                 AdminResponse.of(
                         HttpResponseStatus.CONFLICT,
                         "a newer word is known: "
-                                + node.item(change.topic(), change.id()).stamp().text());
+                                + node.item(change.topic(), change.id())
+                                        .timestamp()
+                                        .encode());
             default -> AdminResponse.of(HttpResponseStatus.INSUFFICIENT_STORAGE, "there are too many items");
         };
     }
--- a/edge/src/main/java/lemonrail/control/ControlNode.java
+++ b/edge/src/main/java/lemonrail/control/ControlNode.java
@@ -19,9 +19,10 @@
 import lemonrail.config.ControlConfig;
 import lemonrail.config.ControlConfig.Peer;
 import lemonrail.core.replication.AppliedVersions;
+import lemonrail.core.replication.MergeOutcome;
+import lemonrail.core.replication.MergeResult;
 import lemonrail.core.replication.ReplicatedStore;
 import lemonrail.core.replication.ReplicatedStore.Bounds;
-import lemonrail.core.replication.ReplicatedStore.Taken;
 import lemonrail.core.replication.VersionedEntry;
 import lemonrail.logging.EventLog;
 import lemonrail.logging.LogSink;
@@ -73,7 +74,7 @@
         log = new EventLog(clock, sink).in("control");
         long nowMs = nowMs();
         knownAt = nowMs;
-        state = new ReplicatedStore(config.name(), Bounds.USUAL, nowMs);
+        state = new ReplicatedStore(config.name(), Bounds.DEFAULT, nowMs);
         boot = config.name() + "-" + Long.toString(nowMs, Character.MAX_RADIX);
         file = config.kept() == null ? null : new SnapshotFile(config.kept());
         server = new WatchServer(
@@ -118,11 +119,11 @@
             hasKept = true;
             log.info(
                     "kept_state",
-                    "what was kept has " + state.sizes().get(0) + " items and is " + (nowMs() - at) / 1000 + " s old");
+                    "what was kept has " + state.liveCount() + " items and is " + (nowMs() - at) / 1000 + " s old");
             if (config.peers().isEmpty()) {
-                state.begin();
+                state.markReady();
             } else {
-                loop.schedule(state::begin, HEAR_FIRST_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(state::markReady, HEAR_FIRST_MS, TimeUnit.MILLISECONDS);
             }
         }
         return null;
@@ -215,19 +216,18 @@
     /** What it knows is all there is: the first node of a first cluster. */
     public void begin() {
         asked(() -> {
-            state.begin();
-            log.info(
-                    "begun", "begun by an operator's word with " + state.sizes().get(0) + " items");
+            state.markReady();
+            log.info("begun", "begun by an operator's word with " + state.liveCount() + " items");
             return null;
         });
     }
 
     /** Takes a change, and passes it on; one that is older than what is known changes nothing. */
-    public Taken put(ConfigurationChange change) {
+    public MergeOutcome put(ConfigurationChange change) {
         return asked(() -> {
-            Taken taken = state.acceptAsOf(
-                    nowMs(), change.asOfMs(), change.topic(), change.id(), change.gone(), change.body());
-            if (taken == Taken.NEWS) {
+            MergeOutcome taken = state.writeAsOf(
+                    nowMs(), change.asOfMs(), change.topic(), change.id(), change.removed(), change.body());
+            if (taken == MergeOutcome.APPLIED) {
                 changed(Set.of(change.topic()));
             }
             return taken;
@@ -244,34 +244,34 @@
                 answer,
                 why -> log.trouble(
                         "item_unreadable", "an item of node " + from.peer().name() + " is left out", why));
-        ReplicatedStore.Batch batch = state.takeAll(
+        MergeResult result = state.mergeAll(
                 nowMs(), items, EntryCodec.heard(answer), from.peer().name());
         if (!state.isReady()) {
             if (!Boolean.TRUE.equals(answer.get("full"))) {
                 throw new IllegalArgumentException("the first answer has not everything");
             }
-            state.begin();
+            state.markReady();
             log.info(
                     "ready",
-                    "ready with " + state.sizes().get(0) + " items from "
+                    "ready with " + state.liveCount() + " items from "
                             + from.peer().name());
         }
-        if (batch.refused() > 0) {
+        if (result.rejectedCount() > 0) {
             log.trouble(
                     "items_refused",
                     "items of node " + from.peer().name() + " were refused",
-                    batch.refused(),
+                    result.rejectedCount(),
                     "node",
                     from.peer().name());
         }
-        if (batch.news() > 0) {
-            changed(batch.topics());
+        if (result.appliedCount() > 0) {
+            changed(result.changedTopics());
         }
     }
 
     private void keep() {
         try {
-            state.expire(nowMs());
+            state.expireTombstones(nowMs());
             if (file != null && state.isReady() && (unkept || nowMs() - keptAt >= KEEP_ANYWAY_MS)) {
                 file.write(state, nowMs());
                 unkept = false;
@@ -307,14 +307,14 @@
     public String get(String topic, String id) {
         return asked(() -> {
             VersionedEntry item = state.get(topic, id);
-            return item == null || item.gone() ? null : item.body();
+            return item == null || item.removed() ? null : item.body();
         });
     }
 
     /** The stamp of the last word on an item as it is told, or empty where there was none. */
     public String stamp(String topic, String id) {
         VersionedEntry item = item(topic, id);
-        return item == null ? "" : item.stamp().text();
+        return item == null ? "" : item.timestamp().encode();
     }
 
     /** The loop that all its work is done on, to measure what it costs. */
@@ -328,7 +328,7 @@
 
     /** The last words on all that is there in a topic. */
     List<VersionedEntry> items(String topic) {
-        return asked(() -> state.live(List.of(topic)));
+        return asked(() -> state.liveEntries(List.of(topic)));
     }
 
     /** The digest over all items: nodes that hold the same have the same. */
@@ -361,9 +361,9 @@
             all.put("node", config.name());
             all.put("region", config.region());
             all.put("ready", state.isReady());
-            all.put("version", state.version(nowMs()));
-            all.put("items", state.sizes().get(0));
-            all.put("removed", state.sizes().get(1));
+            all.put("version", state.currentVersion(nowMs()));
+            all.put("items", state.liveCount());
+            all.put("removed", state.tombstoneCount());
             all.put("age_ms", ageMs());
             all.put("regions", regions());
             List<Object> others = new ArrayList<>();
@@ -380,10 +380,10 @@
             all.put("watching", watchingNow());
             List<Object> documents = new ArrayList<>();
             state.topics().stream()
-                    .filter(topic -> topic.startsWith(VersionedEntry.SETTINGS))
-                    .forEach(topic -> state.live(List.of(topic))
+                    .filter(topic -> topic.startsWith(VersionedEntry.SETTINGS_TOPIC_PREFIX))
+                    .forEach(topic -> state.liveEntries(List.of(topic))
                             .forEach(item -> documents.add(Map.of(
-                                    "name", item.id(), "stamp", item.stamp().text()))));
+                                    "name", item.id(), "stamp", item.timestamp().encode()))));
             all.put("settings", documents);
             return all;
         });
@@ -401,19 +401,24 @@
     /** Of this node's own watchers: how many, and for each document the oldest in force and refusals. */
     private Map<String, Object> watchingNow() {
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("watchers", inForce.watchers(nowMs()));
+        all.put("watchers", inForce.watcherCount(nowMs()));
         List<Object> documents = new ArrayList<>();
         for (AppliedVersions.Summary summary : inForce.summaries(nowMs())) {
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("document", summary.document());
             one.put("watchers", summary.watchers());
-            one.put("oldest", summary.oldest().text());
-            one.put("oldest_at", summary.oldestNames());
-            one.put("refusals", summary.refusals());
+            one.put("oldest", summary.oldestApplied().encode());
+            one.put("oldest_at", summary.oldestWatchers());
+            one.put("refusals", summary.rejectionCount());
             List<Object> refused = new ArrayList<>();
-            summary.refused()
-                    .forEach(word -> refused.add(
-                            Map.of("name", word.name(), "stamp", word.refused().text(), "why", word.why())));
+            summary.rejections()
+                    .forEach(report -> refused.add(Map.of(
+                            "name",
+                            report.watcher(),
+                            "stamp",
+                            report.rejected().encode(),
+                            "why",
+                            report.rejectionReason())));
             one.put("refused", refused);
             documents.add(one);
         }
@@ -468,7 +473,7 @@
         @Override
         public Map<String, Object> head(WatchRequest call) {
             Map<String, Object> head = new LinkedHashMap<>();
-            head.put("version", state.version(nowMs()));
+            head.put("version", state.currentVersion(nowMs()));
             head.put("node", boot);
             head.put("age_ms", ageMs());
             Map<String, Object> ages = regions();
--- a/edge/src/main/java/lemonrail/control/EntryCodec.java
+++ b/edge/src/main/java/lemonrail/control/EntryCodec.java
@@ -122,17 +122,17 @@
             if (item.isSettings()) {
                 Map<String, Object> line = new LinkedHashMap<>();
                 line.put("name", item.id());
-                line.put("stamp", item.stamp().text());
-                line.put("gone", item.gone());
+                line.put("stamp", item.timestamp().encode());
+                line.put("gone", item.removed());
                 line.put("text", item.body());
                 to.append(Json.text(line));
             } else {
-                String body = item.gone() ? "{\"id\":\"" + item.id() + "\",\"state\":\"terminated\"}" : item.body();
+                String body = item.removed() ? "{\"id\":\"" + item.id() + "\",\"state\":\"terminated\"}" : item.body();
                 to.append(body, 0, body.length() - 1)
                         .append(",\"service\":\"")
                         .append(item.topic())
                         .append("\",\"stamp\":\"")
-                        .append(item.stamp().text())
+                        .append(item.timestamp().encode())
                         .append("\"}");
             }
         }
@@ -164,7 +164,7 @@
                 String name = word("settings[].name", line.get("name"));
                 boolean gone = Boolean.TRUE.equals(line.get("gone"));
                 items.add(new VersionedEntry(
-                        VersionedEntry.SETTINGS + name,
+                        VersionedEntry.SETTINGS_TOPIC_PREFIX + name,
                         name,
                         stamp(line),
                         gone,
--- a/edge/src/main/java/lemonrail/control/SnapshotFile.java
+++ b/edge/src/main/java/lemonrail/control/SnapshotFile.java
@@ -25,11 +25,12 @@
     /** Writes all that is known; a reader finds the old file or the new one. */
     void write(ReplicatedStore state, long nowMs) throws IOException {
         Map<String, Object> heard = new LinkedHashMap<>();
-        for (Map.Entry<String, HybridTimestamp> entry : state.heard().entrySet()) {
-            heard.put(entry.getKey(), entry.getValue().text());
+        for (Map.Entry<String, HybridTimestamp> entry :
+                state.acknowledgedVersions().entrySet()) {
+            heard.put(entry.getKey(), entry.getValue().encode());
         }
         String text = "{\"kept_ms\":" + nowMs + ",\"heard\":" + Json.text(heard) + ","
-                + EntryCodec.lists(state.everything()) + "}";
+                + EntryCodec.lists(state.allEntries()) + "}";
         Path next = file.resolveSibling(file.getFileName() + ".next");
         Files.write(next, text.getBytes(StandardCharsets.UTF_8));
         Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
@@ -44,7 +45,7 @@
         List<VersionedEntry> items = EntryCodec.items(kept, why -> {
             throw new IllegalArgumentException(file + ": " + why);
         });
-        state.takeAll(nowMs, items, EntryCodec.heard(kept), "");
+        state.mergeAll(nowMs, items, EntryCodec.heard(kept), "");
         return kept.get("kept_ms") instanceof Double ms ? ms.longValue() : 0;
     }
 }
--- a/edge/src/main/java/lemonrail/control/WatchConnection.java
+++ b/edge/src/main/java/lemonrail/control/WatchConnection.java
@@ -99,7 +99,7 @@
             channel.close();
             return;
         }
-        if (!shared.state().isReady() && !(asked.isOfPeer() && shared.node().tellsPeers())) {
+        if (!shared.store().isReady() && !(asked.isOfPeer() && shared.node().tellsPeers())) {
             refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready: no other node has been heard yet");
             return;
         }
@@ -108,9 +108,9 @@
             return;
         }
         if (asked.word() != null) {
-            name = asked.word().name();
+            name = asked.word().watcher();
             server.passed(name, asked.digest(), callBytes, 0);
-            shared.inForce().called((long) shared.clock().now(), asked.word());
+            shared.inForce().onReport((long) shared.clock().now(), asked.word());
         }
         call = asked;
         if (asked.isOfPeer()) {
@@ -122,11 +122,11 @@
 
     private void takePeer() {
         if (call.index() < 0 || !call.from().equals(shared.boot())) {
-            answer(shared.answers().toPeer(shared.state().everything(), true, head()));
+            answer(shared.answers().toPeer(shared.store().allEntries(), true, head()));
             return;
         }
         since = call.index();
-        if (shared.state().sinceForPeer(peer, since).isEmpty()) {
+        if (shared.store().entriesForPeerSince(peer, since).isEmpty()) {
             await();
         } else {
             news();
@@ -141,12 +141,12 @@
         }
         since = call.from().equals(shared.boot()) || settled
                 ? call.index()
-                : ReplicatedStore.back(call.index(), WatchServer.OVERLAP_MS);
-        if (!settled && shared.state().digest(topics) == call.digest()) {
+                : ReplicatedStore.rewind(call.index(), WatchServer.OVERLAP_MS);
+        if (!settled && shared.store().digest(topics) == call.digest()) {
             settled = true;
-            since = shared.state().version((long) shared.clock().now());
+            since = shared.store().currentVersion((long) shared.clock().now());
         }
-        if (shared.state().hasNewer(topics, since)) {
+        if (shared.store().hasNewer(topics, since)) {
             news();
         } else if (settled) {
             await();
@@ -210,14 +210,15 @@
         return call.isOfPeer()
                 || topics.stream()
                         .anyMatch(topic -> call.topics().contains(topic)
-                                || (call.all() && !topic.startsWith(VersionedEntry.SETTINGS)));
+                                || (call.all() && !topic.startsWith(VersionedEntry.SETTINGS_TOPIC_PREFIX)));
     }
 
     /** There is something to tell: now, or once the gap since the last answer is over. */
     private void news() {
         double inMs = nextAnswerAt - shared.clock().now();
         if (inMs <= 0) {
-            if (call.isOfPeer() && shared.state().sinceForPeer(peer, since).isEmpty()) {
+            if (call.isOfPeer()
+                    && shared.store().entriesForPeerSince(peer, since).isEmpty()) {
                 return;
             }
             give();
@@ -240,12 +241,12 @@
         ByteBuf text;
         boolean news;
         if (call.isOfPeer()) {
-            List<VersionedEntry> items = shared.state().sinceForPeer(peer, since);
+            List<VersionedEntry> items = shared.store().entriesForPeerSince(peer, since);
             news = !items.isEmpty();
             text = shared.answers().toPeer(items, false, head());
         } else {
             List<String> topics = shared.topics(call);
-            news = shared.state().hasNewer(topics, since);
+            news = shared.store().hasNewer(topics, since);
             text = shared.answers().toWatcher(topics, false, since, head());
         }
         if (news) {
--- a/edge/src/main/java/lemonrail/control/WatchContext.java
+++ b/edge/src/main/java/lemonrail/control/WatchContext.java
@@ -20,7 +20,7 @@
         EventLoop loop,
         Clock clock,
         EventLog log,
-        ReplicatedStore state,
+        ReplicatedStore store,
         AppliedVersions inForce,
         WatchServer.Node node,
         String boot,
@@ -34,8 +34,8 @@
             return call.topics();
         }
         List<String> all = new ArrayList<>(call.topics());
-        state.topics().stream()
-                .filter(topic -> !topic.startsWith(VersionedEntry.SETTINGS))
+        store.topics().stream()
+                .filter(topic -> !topic.startsWith(VersionedEntry.SETTINGS_TOPIC_PREFIX))
                 .forEach(all::add);
         return all;
     }
--- a/edge/src/main/java/lemonrail/control/WatchRequest.java
+++ b/edge/src/main/java/lemonrail/control/WatchRequest.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import lemonrail.core.replication.AppliedVersions;
 import lemonrail.core.replication.HybridTimestamp;
 import lemonrail.core.replication.VersionedEntry;
+import lemonrail.core.replication.WatcherReport;
 
 /**
  * A call of a watch, as its query says.
@@ -29,7 +29,7 @@
         String from,
         Long digest,
         String peer,
-        AppliedVersions.Word word) {
+        WatcherReport word) {
 
     private static final long MOST_WAIT_MS = 60_000;
     private static final int MOST_TOPICS = 256;
@@ -47,7 +47,7 @@
         boolean all = topics.isEmpty();
         String document = first(given, "settings", "");
         if (!document.isEmpty()) {
-            topics.add(VersionedEntry.SETTINGS + EntryCodec.word("settings", document));
+            topics.add(VersionedEntry.SETTINGS_TOPIC_PREFIX + EntryCodec.word("settings", document));
         }
         if (topics.size() > MOST_TOPICS) {
             throw new IllegalArgumentException("there may be " + MOST_TOPICS + " topics at most");
@@ -65,7 +65,7 @@
                 word(given, document));
     }
 
-    private static AppliedVersions.Word word(Map<String, List<String>> given, String document) {
+    private static WatcherReport word(Map<String, List<String>> given, String document) {
         String name = first(given, "name", "");
         if (name.isEmpty()) {
             return null;
@@ -73,7 +73,7 @@
         String inForce = first(given, "inforce", "");
         String refused = first(given, "refused", "");
         String why = first(given, "why", "");
-        return new AppliedVersions.Word(
+        return new WatcherReport(
                 EntryCodec.word("name", name),
                 document,
                 inForce.isEmpty() ? HybridTimestamp.NONE : HybridTimestamp.parse(inForce),
--- a/edge/src/main/java/lemonrail/control/WatchResponseCache.java
+++ b/edge/src/main/java/lemonrail/control/WatchResponseCache.java
@@ -44,7 +44,7 @@
         Lack lack = new Lack(topics, full, full ? 0 : state.lastArrival(topics, since), newest);
         byte[] text = texts.get(lack);
         if (text == null) {
-            text = bytes(full ? state.live(topics) : state.since(topics, since));
+            text = bytes(full ? state.liveEntries(topics) : state.entriesSince(topics, since));
             keep(lack, text);
         }
         return join(head, text);
@@ -64,8 +64,9 @@
 
     private Map<String, Object> heard() {
         Map<String, Object> heard = new LinkedHashMap<>();
-        for (Map.Entry<String, HybridTimestamp> entry : state.heard().entrySet()) {
-            heard.put(entry.getKey(), entry.getValue().text());
+        for (Map.Entry<String, HybridTimestamp> entry :
+                state.acknowledgedVersions().entrySet()) {
+            heard.put(entry.getKey(), entry.getValue().encode());
         }
         return heard;
     }
--- a/edge/src/main/java/lemonrail/discovery/ControlClient.java
+++ b/edge/src/main/java/lemonrail/discovery/ControlClient.java
@@ -168,16 +168,16 @@
         if (plan.document() != null) {
             uri.append("&settings=").append(plan.document());
             if (!inForce.equals(HybridTimestamp.NONE)) {
-                uri.append("&inforce=").append(encoded(inForce.text()));
+                uri.append("&inforce=").append(encoded(inForce.encode()));
             }
             if (refused != null) {
                 uri.append("&refused=")
-                        .append(encoded(refused.text()))
+                        .append(encoded(refused.encode()))
                         .append("&why=")
                         .append(encoded(why));
             }
         }
-        link.call(places.get(route.current()), uri.toString(), waitMs + SILENCE_MS);
+        link.call(places.get(route.currentNode()), uri.toString(), waitMs + SILENCE_MS);
     }
 
     private static String encoded(String text) {
@@ -186,8 +186,8 @@
 
     private void fail(Object reason) {
         link.end();
-        log.trouble("discovery_failed", "discovery failed", reason, "address", route.current());
-        double pauseMs = route.failed(clock.now());
+        log.trouble("discovery_failed", "discovery failed", reason, "address", route.currentNode());
+        double pauseMs = route.onFailure(clock.now());
         retry = loop.schedule(
                 () -> {
                     retry = null;
@@ -219,8 +219,12 @@
             fail(e);
             return;
         }
-        if (route.answered(clock.now(), ageMs)) {
-            log.info("control_node", "watching at " + route.current() + " from now on", "address", route.current());
+        if (route.onResponse(clock.now(), ageMs)) {
+            log.info(
+                    "control_node",
+                    "watching at " + route.currentNode() + " from now on",
+                    "address",
+                    route.currentNode());
         }
         // The next call goes out first: it must come soon after the answer for the watch to go on.
         ask();
@@ -251,14 +255,14 @@
         List<EndpointList.Entry> news = new ArrayList<>();
         for (int i = 0; i < keys.size(); i++) {
             EndpointList.Entry entry = list.entries().get(i);
-            if (replica.take(keys.get(i), stamps.get(i), entry.server().state() == EndpointState.GONE)) {
+            if (replica.apply(keys.get(i), stamps.get(i), entry.server().state() == EndpointState.GONE)) {
                 news.add(entry);
             }
         }
         settings(answer, keys);
         if (list.full()) {
-            for (WatcherReplica.Key gone : replica.keepOnly(keys, upTo)) {
-                if (gone.topic().startsWith(VersionedEntry.SETTINGS)) {
+            for (WatcherReplica.Key gone : replica.retainListed(keys, upTo)) {
+                if (gone.topic().startsWith(VersionedEntry.SETTINGS_TOPIC_PREFIX)) {
                     settle(null, HybridTimestamp.NONE);
                 } else {
                     news.add(
@@ -289,10 +293,10 @@
                     && plan.document() != null
                     && plan.document().equals(line.get("name"))) {
                 WatcherReplica.Key key =
-                        new WatcherReplica.Key(VersionedEntry.SETTINGS + plan.document(), plan.document());
+                        new WatcherReplica.Key(VersionedEntry.SETTINGS_TOPIC_PREFIX + plan.document(), plan.document());
                 HybridTimestamp stamp = HybridTimestamp.parse(String.valueOf(line.get("stamp")));
                 boolean gone = Boolean.TRUE.equals(line.get("gone"));
-                if (replica.take(key, stamp, gone)) {
+                if (replica.apply(key, stamp, gone)) {
                     settle(gone ? null : String.valueOf(line.get("text")), stamp);
                 }
                 keys.add(key);
@@ -308,11 +312,11 @@
             why = "";
             log.info(
                     "settings_taken",
-                    "settings " + plan.document() + " are in force: " + stamp.text(),
+                    "settings " + plan.document() + " are in force: " + stamp.encode(),
                     "document",
                     plan.document(),
                     "stamp",
-                    stamp.text());
+                    stamp.encode());
         } else {
             refused = stamp;
             why = problem.substring(0, Math.min(MOST_WHY, problem.length()));
@@ -322,7 +326,7 @@
                     "document",
                     plan.document(),
                     "stamp",
-                    stamp.text());
+                    stamp.encode());
         }
     }
 }
--- a/edge/src/test/java/lemonrail/control/ControlClientTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlClientTest.java
@@ -242,7 +242,8 @@
         Nodes.await("it is in force", () -> documents.equals(List.of("good 1")));
         nodes.node("w1").put(ConfigurationChange.settings("base", "bad 2"));
         Nodes.await("it is refused", () -> documents.equals(List.of("good 1", "bad 2")));
-        String stamp = nodes.node("w1").item("settings:base", "base").stamp().text();
+        String stamp =
+                nodes.node("w1").item("settings:base", "base").timestamp().encode();
         taker.call(0, "&settings=base&inforce=" + stamp).take();
         taker.close();
         Nodes.await("the operators see it", () -> {
--- a/edge/src/test/java/lemonrail/control/ControlNodeTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import lemonrail.config.ControlConfig;
 import lemonrail.core.balancer.EndpointState;
-import lemonrail.core.replication.ReplicatedStore.Taken;
+import lemonrail.core.replication.MergeOutcome;
 import lemonrail.discovery.EndpointList;
 import lemonrail.logging.LogSettings;
 import lemonrail.logging.TextSink;
@@ -224,7 +224,7 @@
         nodes.awaitEqual("w1", "w2");
         Watcher watcher = watcher("quote", "w1").watch(0);
         // As if ten seconds and more had passed since.
-        watcher.replica.take(
+        watcher.replica.apply(
                 new lemonrail.core.replication.WatcherReplica.Key("quote", "s9"),
                 new lemonrail.core.replication.HybridTimestamp(1, 0, "w1"),
                 false);
@@ -259,7 +259,7 @@
         watcher.watch(0);
         assertEquals("terminating", watcher.states.get("s1"));
         assertEquals(
-                Taken.OLDER,
+                MergeOutcome.SUPERSEDED,
                 nodes.node("w1")
                         .put(ConfigurationChange.endpoint(
                                         "quote", "s1", "{\"addr\":\"10.0.0.1:9000\"}".getBytes(StandardCharsets.UTF_8))
@@ -338,7 +338,9 @@
     void aSlowWatcherIsClosedAndHoldsUpNobody() throws Exception {
         nodes = Nodes.of("w1");
         for (int i = 0; i < 150; i++) {
-            assertEquals(Taken.NEWS, nodes.node("w1").put(ConfigurationChange.settings("d" + i, "x".repeat(60_000))));
+            assertEquals(
+                    MergeOutcome.APPLIED,
+                    nodes.node("w1").put(ConfigurationChange.settings("d" + i, "x".repeat(60_000))));
         }
         nodes.put("w1", "quote", "s1", "in_service");
         List<Watcher> slow = new ArrayList<>();
--- a/edge/src/test/java/lemonrail/control/Nodes.java
+++ b/edge/src/test/java/lemonrail/control/Nodes.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import lemonrail.config.ControlConfig;
-import lemonrail.core.replication.ReplicatedStore.Taken;
+import lemonrail.core.replication.MergeOutcome;
 import lemonrail.logging.LogSettings;
 import lemonrail.logging.TextSink;
 
@@ -85,7 +85,7 @@
 
     void put(String node, String service, String id, String state) {
         assertEquals(
-                Taken.NEWS,
+                MergeOutcome.APPLIED,
                 node(node)
                         .put(ConfigurationChange.endpoint(
                                 service,
--- a/edge/src/test/java/lemonrail/control/Watcher.java
+++ b/edge/src/test/java/lemonrail/control/Watcher.java
@@ -124,7 +124,7 @@
             Map<?, ?> line = (Map<?, ?>) each;
             boolean gone = "terminated".equals(line.get("state"));
             WatcherReplica.Key key = new WatcherReplica.Key((String) line.get("service"), (String) line.get("id"));
-            if (replica.take(key, HybridTimestamp.parse((String) line.get("stamp")), gone)) {
+            if (replica.apply(key, HybridTimestamp.parse((String) line.get("stamp")), gone)) {
                 states.put(key.id(), (String) line.get("state"));
                 states.values().removeIf("terminated"::equals);
             }
@@ -133,11 +133,11 @@
         for (Object each : (List<?>) answer.get("settings")) {
             Map<?, ?> line = (Map<?, ?>) each;
             WatcherReplica.Key key = new WatcherReplica.Key("settings:" + line.get("name"), (String) line.get("name"));
-            replica.take(key, HybridTimestamp.parse((String) line.get("stamp")), (Boolean) line.get("gone"));
+            replica.apply(key, HybridTimestamp.parse((String) line.get("stamp")), (Boolean) line.get("gone"));
             named.add(key);
         }
         if (full) {
-            replica.keepOnly(named, EntryCodec.heard(answer)).forEach(key -> states.remove(key.id()));
+            replica.retainListed(named, EntryCodec.heard(answer)).forEach(key -> states.remove(key.id()));
         }
         return this;
     }
--- a/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
@@ -22,7 +22,7 @@
 import lemonrail.config.SettingsDocument;
 import lemonrail.control.ConfigurationChange;
 import lemonrail.control.ControlNode;
-import lemonrail.core.replication.ReplicatedStore.Taken;
+import lemonrail.core.replication.MergeOutcome;
 import lemonrail.discovery.ControlClient;
 import lemonrail.discovery.DiscoveryClient;
 import lemonrail.lab.host.SidecarHost;
@@ -324,9 +324,9 @@
             unsaid.add(change);
             return;
         }
-        Taken taken = nodes.get(node).put(change);
-        if (taken != Taken.NEWS && taken != Taken.KNOWN) {
-            throw new IllegalStateException("node " + node + " says " + taken + " to " + change);
+        MergeOutcome outcome = nodes.get(node).put(change);
+        if (outcome != MergeOutcome.APPLIED && outcome != MergeOutcome.ALREADY_KNOWN) {
+            throw new IllegalStateException("node " + node + " says " + outcome + " to " + change);
         }
     }
 
