--- a/edge/src/test/java/lemonrail/assembly/AdminServerTest.java
+++ b/edge/src/test/java/lemonrail/assembly/AdminServerTest.java
@@ -22,21 +22,21 @@
 
     private static final int DEADLINE_MS = 8000;
 
-    private Rig rig;
+    private SidecarFixture rig;
 
     @AfterEach
     void stop() throws IOException {
         rig.close();
     }
 
-    private Rig start(Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
+    private SidecarFixture start(StubEndpoint... endpoints) throws IOException {
+        rig = new SidecarFixture(endpoints);
         return rig.start();
     }
 
     private Map<String, Long> figures() throws IOException {
         Map<String, Long> figures = new TreeMap<>();
-        rig.operate("GET", "/v1/metrics").body().lines().forEach(line -> {
+        rig.callAdmin("GET", "/v1/metrics").body().lines().forEach(line -> {
             assertTrue(line.startsWith("edge_gw."), line);
             int equals = line.indexOf('=');
             figures.put(line.substring("edge_gw.".length(), equals), Long.valueOf(line.substring(equals + 1)));
@@ -45,7 +45,7 @@
     }
 
     private void awaitFigure(String name, long value) throws InterruptedException {
-        Rig.await(name + " is " + value, () -> {
+        SidecarFixture.await(name + " is " + value, () -> {
             try {
                 return figures().get(name) == value;
             } catch (IOException e) {
@@ -82,8 +82,8 @@
         "GET, /v1/readyz/, 404"
     })
     void eachCallHasItsAnswer(String method, String path, int status) throws Exception {
-        start(Fake.answering(200, "", "served"));
-        Wire.Message answer = rig.operate(method, path);
+        start(StubEndpoint.respondingWith(200, "", "served"));
+        HttpTestConnection.Message answer = rig.callAdmin(method, path);
         assertEquals(status, answer.status());
         assertEquals("close", answer.headers().get("connection"));
         assertTrue(answer.body().endsWith("\n"), answer.body());
@@ -98,12 +98,12 @@
         "PUT /v1/sidecar/drain HTTP/1.1\\r\\nContent-Length: 99999, 413"
     })
     void whatIsNoCallIsRefused(String head, int status) throws Exception {
-        start(Fake.answering(200, "", "served"));
-        try (Wire wire = rig.operator()) {
+        start(StubEndpoint.respondingWith(200, "", "served"));
+        try (HttpTestConnection wire = rig.adminConnection()) {
             wire.send(head.replace("\\r\\n", "\r\n") + "\r\n\r\n");
             assertEquals(status, wire.read().status());
         }
-        assertEquals(200, rig.operate("GET", "/v1/readyz").status(), "no harm is done");
+        assertEquals(200, rig.callAdmin("GET", "/v1/readyz").status(), "no harm is done");
     }
 
     // ---- callers who say nothing ----
@@ -111,15 +111,15 @@
     /** Guards against silent callers who take all the room: each call is answered beside them, and soon. */
     @Test
     void silentCallersDoNotStandInTheWay() throws Exception {
-        start(Fake.answering(200, "", "served"));
-        List<Wire> silent = new ArrayList<>();
+        start(StubEndpoint.respondingWith(200, "", "served"));
+        List<HttpTestConnection> silent = new ArrayList<>();
         for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
-            silent.add(rig.operator().send(i % 2 == 0 ? "" : "GET /v1/readyz HTTP/1.1\r\nX: "));
-            assertEquals(200, rig.operate("GET", "/v1/readyz").status());
+            silent.add(rig.adminConnection().send(i % 2 == 0 ? "" : "GET /v1/readyz HTTP/1.1\r\nX: "));
+            assertEquals(200, rig.callAdmin("GET", "/v1/readyz").status());
         }
         silent.get(0).awaitEnd();
         assertEquals(408, silent.get(silent.size() - 1).read().status());
-        for (Wire wire : silent) {
+        for (HttpTestConnection wire : silent) {
             wire.awaitEnd();
             wire.close();
         }
@@ -129,7 +129,7 @@
 
     @Test
     void everyFigureIsThereFromTheStart() throws Exception {
-        start(Fake.answering(200, "", "served"));
+        start(StubEndpoint.respondingWith(200, "", "served"));
         Map<String, Long> expected = new TreeMap<>();
         for (String kind : List.of("read", "order")) {
             for (String ending : List.of("success", "overload", "error")) {
@@ -166,12 +166,12 @@
     @Test
     void repliesAndAttemptsAreCountedAsTheyEnd() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new StubEndpoint((wire, request) -> {
             release.await();
-            Fake.answer(wire, request.line().startsWith("GET") ? 200 : 500, "", "x");
+            StubEndpoint.respond(wire, request.line().startsWith("GET") ? 200 : 500, "", "x");
         }));
-        try (Wire read = rig.client();
-                Wire order = rig.client()) {
+        try (HttpTestConnection read = rig.client();
+                HttpTestConnection order = rig.client()) {
             read.send(rig.request("read", DEADLINE_MS));
             order.send(rig.request("order", DEADLINE_MS));
             awaitFigure("dispatches", 2);
@@ -197,8 +197,8 @@
 
     @Test
     void aClientThatHasGoneIsNotInHandAnyMore() throws Exception {
-        start(new Fake((wire, request) -> wire.awaitEnd()));
-        try (Wire client = rig.client()) {
+        start(new StubEndpoint((wire, request) -> wire.awaitEnd()));
+        try (HttpTestConnection client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS));
             awaitFigure("concurrent", 1);
         }
--- a/edge/src/test/java/lemonrail/assembly/AskingFloodTest.java
+++ b/edge/src/test/java/lemonrail/assembly/AskingFloodTest.java
@@ -39,44 +39,44 @@
     /** Of the known clients' requests the module may refuse so many, as it has no room for all that ask. */
     private static final int MOST_REFUSED = KNOWN * ROUNDS / 10;
 
-    private Rig rig;
-    private final List<Wire> clients = new ArrayList<>();
+    private SidecarFixture rig;
+    private final List<HttpTestConnection> clients = new ArrayList<>();
 
     @AfterEach
     void stop() throws IOException {
-        for (Wire client : clients) {
+        for (HttpTestConnection client : clients) {
             client.close();
         }
         rig.close();
     }
 
-    private void start(int sockets, Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
+    private void start(int sockets, StubEndpoint... endpoints) throws IOException {
+        rig = new SidecarFixture(endpoints);
         rig.sockets = sockets;
         rig.start();
     }
 
-    private static Fake good() throws IOException {
-        return Fake.answering(200, "", "served");
+    private static StubEndpoint good() throws IOException {
+        return StubEndpoint.respondingWith(200, "", "served");
     }
 
-    private Wire client() throws IOException {
-        Wire client = rig.client();
+    private HttpTestConnection client() throws IOException {
+        HttpTestConnection client = rig.client();
         clients.add(client);
         return client;
     }
 
-    private Wire.Message ask(Wire client) throws IOException {
+    private HttpTestConnection.Message ask(HttpTestConnection client) throws IOException {
         return client.send(rig.request("read", DEADLINE_MS)).read();
     }
 
-    private void assertServed(Wire client, String which) throws IOException {
+    private void assertServed(HttpTestConnection client, String which) throws IOException {
         assertEquals(200, ask(client).status(), which);
     }
 
     /** A client that has come back on its connection. */
-    private Wire returning() throws IOException {
-        Wire client = client();
+    private HttpTestConnection returning() throws IOException {
+        HttpTestConnection client = client();
         assertServed(client, "first");
         assertServed(client, "again");
         return client;
@@ -88,11 +88,11 @@
     @Test
     void newcomersDoNotPushOutReturningClients() throws Exception {
         start(1, good());
-        List<Wire> known = List.of(returning(), returning());
+        List<HttpTestConnection> known = List.of(returning(), returning());
         for (int i = 0; i < 5 * ROOM; i++) {
             assertServed(client(), "newcomer " + i);
         }
-        for (Wire client : known) {
+        for (HttpTestConnection client : known) {
             assertServed(client, "known");
         }
     }
@@ -120,10 +120,10 @@
         for (int i = 0; i < RETURNING; i++) {
             returning();
         }
-        try (Rig other = new Rig(good())) {
+        try (SidecarFixture other = new SidecarFixture(good())) {
             other.folder = rig.folder;
             other.start();
-            Rig.await("the limits are shared", () -> rig.logged().contains("the limits are shared"));
+            SidecarFixture.await("the limits are shared", () -> rig.logged().contains("the limits are shared"));
             assertServed(client(), "newcomer");
         }
     }
@@ -132,21 +132,21 @@
     @Test
     void whoIsNeverIdleHandsOnItsPlace() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Fake.Script held = (wire, request) -> {
+        StubEndpoint.RequestHandler held = (wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "served");
+            StubEndpoint.respond(wire, 200, "", "served");
         };
-        start(1, new Fake(held), new Fake(held), new Fake(held));
+        start(1, new StubEndpoint(held), new StubEndpoint(held), new StubEndpoint(held));
         for (int i = 0; i < ROOM; i++) {
             client().send(rig.request("read", DEADLINE_MS));
         }
-        Rig.await("all are in hand", () -> rig.attempts() == ROOM);
-        Wire newcomer = client();
+        SidecarFixture.await("all are in hand", () -> rig.attempts() == ROOM);
+        HttpTestConnection newcomer = client();
         rig.settle();
         release.countDown();
-        List<Wire> kept = new ArrayList<>();
-        for (Wire client : clients.subList(0, ROOM)) {
-            Wire.Message answer = client.read();
+        List<HttpTestConnection> kept = new ArrayList<>();
+        for (HttpTestConnection client : clients.subList(0, ROOM)) {
+            HttpTestConnection.Message answer = client.read();
             assertEquals(200, answer.status());
             if ("close".equals(answer.headers().get("connection"))) {
                 client.close();
@@ -173,7 +173,7 @@
     private void flood(int number, boolean keeps, AtomicBoolean over, AtomicInteger answered) {
         int asked = 0;
         while (!over.get()) {
-            try (Wire client = rig.client()) {
+            try (HttpTestConnection client = rig.client()) {
                 do {
                     client.send("GET /api HTTP/1.1\r\nX-Request-Id: f" + number + "-" + asked++
                                     + "\r\nX-Class: read\r\nHost: x\r\nX-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n")
--- a/edge/src/test/java/lemonrail/assembly/ChurnTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ChurnTest.java
@@ -18,13 +18,13 @@
     private static final int ROUNDS = 200;
     private static final int IDS_A_ROUND = 50;
 
-    private final Fake endpoint = Fake.answering(200, "", "served");
-    private final Rig rig = new Rig(endpoint);
+    private final StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "served");
+    private final SidecarFixture rig = new SidecarFixture(endpoint);
     private final LinkedBlockingQueue<String> lists = new LinkedBlockingQueue<>();
 
     ChurnTest() throws IOException {
         rig.askWithinMs = 20;
-        rig.discovery.script = (wire, request) -> Fake.answer(wire, 200, "", lists.take());
+        rig.discovery.requestHandler = (wire, request) -> StubEndpoint.respond(wire, 200, "", lists.take());
     }
 
     @AfterEach
@@ -35,22 +35,22 @@
     private void tell(String list) throws InterruptedException {
         int before = rig.discovery.requests.size();
         lists.add(list);
-        Rig.await("the list is taken in", () -> rig.discovery.requests.size() > before);
+        SidecarFixture.await("the list is taken in", () -> rig.discovery.requests.size() > before);
     }
 
     /** Guards against tables that grow with each id: after thousands only those that serve are known. */
     @Test
     void nothingIsKeptOfIdsThatAreGone() throws Exception {
         rig.start();
-        Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
+        SidecarFixture.await("a watch is on", () -> rig.discovery.requests.size() == 1);
         int last = 0;
         for (int round = 0; round < ROUNDS; round++) {
             List<String> lines = new ArrayList<>();
             for (int i = 0; i < IDS_A_ROUND; i++) {
-                lines.add(Rig.line(last, endpoint.address(), "terminated", 0));
-                lines.add(Rig.line(++last, endpoint.address(), "in_service", 1000 + last));
+                lines.add(SidecarFixture.line(last, endpoint.address(), "terminated", 0));
+                lines.add(SidecarFixture.line(++last, endpoint.address(), "in_service", 1000 + last));
             }
-            tell(Rig.list(round + 2, false, lines.toArray(String[]::new)));
+            tell(SidecarFixture.list(round + 2, false, lines.toArray(String[]::new)));
             if (round % 20 == 0) {
                 assertEquals(200, rig.ask("read", DEADLINE_MS).status());
             }
@@ -64,17 +64,17 @@
     /** Guards against calls meant for a process that is gone and made to the cold one at its address. */
     @Test
     void anEndpointAtAnotherOnesAddressTakesItsPlace() throws Exception {
-        Fake other = Fake.answering(200, "", "other");
+        StubEndpoint other = StubEndpoint.respondingWith(200, "", "other");
         try {
             rig.endpoints.add(other);
             rig.start();
-            Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
+            SidecarFixture.await("a watch is on", () -> rig.discovery.requests.size() == 1);
             for (int i = 0; i < 4; i++) {
                 assertEquals(200, rig.ask("order", DEADLINE_MS).status());
             }
             // The new one drains, so nothing may go to its address, whoever had it before.
-            tell(Rig.list(2, false, Rig.line(7, endpoint.address(), "terminating", 1000)));
-            Rig.await("connections to the former are closed", () -> endpoint.open.get() == 0);
+            tell(SidecarFixture.list(2, false, SidecarFixture.line(7, endpoint.address(), "terminating", 1000)));
+            SidecarFixture.await("connections to the former are closed", () -> endpoint.open.get() == 0);
             int before = endpoint.requests.size();
             for (int i = 0; i < 20; i++) {
                 assertEquals("other", rig.ask("order", DEADLINE_MS).body());
--- a/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
@@ -27,10 +27,10 @@
     private static final String HIDDEN =
             "GET /api HTTP/1.1\r\nX-Request-Id: hidden\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\nHost: a\r\n\r\n";
 
-    private Rig rig;
+    private SidecarFixture rig;
 
-    private Rig start(Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
+    private SidecarFixture start(StubEndpoint... endpoints) throws IOException {
+        rig = new SidecarFixture(endpoints);
         return rig.start();
     }
 
@@ -39,11 +39,11 @@
         rig.close();
     }
 
-    private static Fake good() throws IOException {
-        return Fake.answering(200, "", "served");
+    private static StubEndpoint good() throws IOException {
+        return StubEndpoint.respondingWith(200, "", "served");
     }
 
-    private static void assertEnded(Wire client) throws IOException {
+    private static void assertEnded(HttpTestConnection client) throws IOException {
         try {
             client.read();
         } catch (EOFException | SocketException e) {
@@ -59,7 +59,7 @@
     void aConnectionThatSaysNothingIsClosed() throws Exception {
         start(good());
         long began = System.nanoTime();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.awaitEnd();
         }
         assertTrue((System.nanoTime() - began) / 1e6 < OWED_MS);
@@ -76,7 +76,7 @@
     void aRequestThatStallsIsAnErrorInTime(String part) throws Exception {
         start(good());
         long began = System.nanoTime();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             assertEquals(408, client.send(part).read().status());
             assertEnded(client);
         }
@@ -88,7 +88,7 @@
     void aRequestThatTricklesIsAnErrorInTime() throws Exception {
         start(good());
         long began = System.nanoTime();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             assertEquals(
                     200, client.send(rig.request("read", DEADLINE_MS)).read().status());
             client.send("POST /api HTTP/1.1\r\n");
@@ -132,7 +132,7 @@
         start(good());
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\n";
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             assertEquals(400, client.send(head + framing + HIDDEN).read().status());
             assertEnded(client);
         }
@@ -144,7 +144,7 @@
     @ValueSource(strings = {"X-Request-Id: twice", "X-Class: order", "X-Deadline-Ms: 9"})
     void whatIsToldTwiceIsNoRequest(String again) throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             String request = rig.request("read", DEADLINE_MS).replace("Host:", again + "\r\nHost:");
             assertEquals(400, client.send(request + HIDDEN).read().status());
             assertEnded(client);
@@ -158,13 +158,13 @@
     @Test
     void aBodyThatIsTooLargeIsRefusedByItsHead() throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 62914560\r\n\r\n");
             client.send("x".repeat(100_000));
             assertEquals(413, client.read().status());
             assertEnded(client);
         }
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             assertEquals(
                     400,
                     client.send("POST /api HTTP/1.1\r\nHost: a\r\n"
@@ -180,7 +180,7 @@
     @Test
     void aHeadWithoutEndIsCutShort() throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send("GET /api HTTP/1.1\r\n" + "X-Pad: pppppppppppppppppp\r\n".repeat(2000));
             assertEquals(431, client.read().status());
             assertEnded(client);
@@ -193,23 +193,23 @@
     @Test
     void requestsFarAheadOfTheirAnswersEndTheConnection() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new StubEndpoint((wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", request.headers().get("x-request-id"));
+            StubEndpoint.respond(wire, 200, "", request.headers().get("x-request-id"));
         }));
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 300; i++) {
                 all.append(rig.request("read", DEADLINE_MS));
             }
             client.send(all.toString());
-            Rig.await("the first is out", () -> rig.attempts() > 0);
+            SidecarFixture.await("the first is out", () -> rig.attempts() > 0);
             // Once another client has its answer, all that came in the first read has been dealt with.
             assertEquals(503, rig.ask("order", DEADLINE_MS).status(), "the module has enough");
             release.countDown();
             int sent = 0;
             for (int i = 0; i < 8; i++) {
-                Wire.Message answer = client.read();
+                HttpTestConnection.Message answer = client.read();
                 sent += i == sent && answer.status() == 200 ? 1 : 0;
                 assertEquals(i < sent ? 200 : 503, answer.status());
                 assertEquals(i < sent ? "r" + i : "refused\n", answer.body());
@@ -224,11 +224,11 @@
     /** Guards against silent connections that take the room of those that ask. */
     @Test
     void connectionsThatNeverAskedMakeRoomFirst() throws Exception {
-        rig = new Rig(good());
+        rig = new SidecarFixture(good());
         rig.sockets = 1;
         rig.start();
-        List<Wire> silent = new ArrayList<>();
-        try (Wire usual = rig.client()) {
+        List<HttpTestConnection> silent = new ArrayList<>();
+        try (HttpTestConnection usual = rig.client()) {
             assertEquals(
                     200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
             for (int i = 0; i < 40; i++) {
@@ -239,7 +239,7 @@
                     200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
             assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         }
-        for (Wire client : silent) {
+        for (HttpTestConnection client : silent) {
             client.close();
         }
     }
@@ -248,8 +248,8 @@
     @Test
     void aDrainLetsGoOfHalfARequest() throws Exception {
         start(good());
-        try (Wire half = rig.client().send("POST /api HTTP/1.1\r\n");
-                Wire behind = rig.client()) {
+        try (HttpTestConnection half = rig.client().send("POST /api HTTP/1.1\r\n");
+                HttpTestConnection behind = rig.client()) {
             behind.send(rig.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
             assertNotEquals(0, behind.read().status());
             Thread drain = new Thread(rig.sidecar::shutdownGracefully);
--- a/edge/src/test/java/lemonrail/assembly/ClientsThatLeaveTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientsThatLeaveTest.java
@@ -34,14 +34,14 @@
     private static final int MOST_AHEAD = 8;
     private static final int MOST_BYTES = 32 * 1024 * 1024;
 
-    private Rig rig;
+    private SidecarFixture rig;
 
     @AfterEach
     void stop() throws IOException {
         rig.close();
     }
 
-    private static void leave(Wire client, boolean byReset) throws IOException {
+    private static void leave(HttpTestConnection client, boolean byReset) throws IOException {
         if (byReset) {
             client.reset();
         } else {
@@ -51,9 +51,9 @@
 
     private void awaitKnown() throws InterruptedException {
         long left = System.nanoTime();
-        Rig.await("it is known that the clients have gone", () -> {
+        SidecarFixture.await("it is known that the clients have gone", () -> {
             try {
-                return rig.operate("GET", "/v1/metrics").body().contains("concurrent=0");
+                return rig.callAdmin("GET", "/v1/metrics").body().contains("concurrent=0");
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -65,23 +65,23 @@
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
     void whatWaitsForAConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
-        try (LateFake late = new LateFake()) {
-            rig = new Rig();
+        try (LateStubEndpoint late = new LateStubEndpoint()) {
+            rig = new SidecarFixture();
             rig.cancel = mayCancel;
             rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
             rig.start();
-            List<Wire> clients = new ArrayList<>();
+            List<HttpTestConnection> clients = new ArrayList<>();
             for (int i = 0; i < BURST; i++) {
                 clients.add(rig.client().send(rig.request("order", DEADLINE_MS)));
             }
-            Rig.await("all wait for their connections", () -> rig.inHand() == BURST);
-            for (Wire client : clients) {
+            SidecarFixture.await("all wait for their connections", () -> rig.openRequests() == BURST);
+            for (HttpTestConnection client : clients) {
                 leave(client, byReset);
             }
             awaitKnown();
             late.release();
-            Rig.await("nothing is out any more", () -> rig.inHand() == 0);
+            SidecarFixture.await("nothing is out any more", () -> rig.openRequests() == 0);
             assertEquals(0, late.asked.get());
             assertEquals("late", rig.ask("order", DEADLINE_MS).body(), "the endpoint is reached from now on");
             assertEquals(1, late.asked.get(), "by who still waits alone");
@@ -92,24 +92,24 @@
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
     void ofManyThatLeaveAtOnceNoneIsSent(boolean mayCancel, boolean byReset) throws Exception {
-        try (LateFake late = new LateFake()) {
-            rig = new Rig();
+        try (LateStubEndpoint late = new LateStubEndpoint()) {
+            rig = new SidecarFixture();
             rig.cancel = mayCancel;
             rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
             rig.start();
-            List<Wire> clients = new ArrayList<>();
+            List<HttpTestConnection> clients = new ArrayList<>();
             for (int i = 0; i < MANY; i++) {
                 clients.add(rig.client().send(rig.request("read", DEADLINE_MS)));
             }
-            Rig.await("some wait for their connections", () -> rig.inHand() > 0);
+            SidecarFixture.await("some wait for their connections", () -> rig.openRequests() > 0);
             rig.settle();
-            for (Wire client : clients) {
+            for (HttpTestConnection client : clients) {
                 leave(client, byReset);
             }
             awaitKnown();
             late.release();
-            Rig.await("nothing is out any more", () -> rig.inHand() == 0);
+            SidecarFixture.await("nothing is out any more", () -> rig.openRequests() == 0);
             assertEquals("late", rig.ask("order", DEADLINE_MS).body(), "the endpoint is reached from now on");
             assertEquals(1, late.asked.get(), "by who still waits alone");
         }
@@ -121,37 +121,41 @@
     void aRepeatThatWaitsForAConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         CountDownLatch failing = new CountDownLatch(BURST);
-        try (LateFake late = new LateFake()) {
-            Fake first = new Fake((wire, request) -> {
+        try (LateStubEndpoint late = new LateStubEndpoint()) {
+            StubEndpoint first = new StubEndpoint((wire, request) -> {
                 failing.countDown();
                 told.countDown();
-                Rig.await("the list is there", () -> rig.discovery.requests.size() == 2);
+                SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() == 2);
                 failing.await();
-                Fake.answer(wire, 503, "X-Not-Run: 1\r\n", "");
+                StubEndpoint.respond(wire, 503, "X-Not-Run: 1\r\n", "");
             });
-            rig = new Rig(first);
+            rig = new SidecarFixture(first);
             rig.cancel = mayCancel;
-            rig.discovery.script = (wire, request) -> {
+            rig.discovery.requestHandler = (wire, request) -> {
                 if (rig.discovery.requests.size() > 1) {
                     wire.awaitEnd();
                 }
                 told.await();
-                Fake.answer(wire, 200, "", Rig.list(2, false, Rig.line(1, late.address(), "in_service", 0)));
+                StubEndpoint.respond(
+                        wire,
+                        200,
+                        "",
+                        SidecarFixture.list(2, false, SidecarFixture.line(1, late.address(), "in_service", 0)));
             };
             rig.start();
-            List<Wire> clients = new ArrayList<>();
+            List<HttpTestConnection> clients = new ArrayList<>();
             for (int i = 0; i < BURST; i++) {
                 clients.add(rig.client().send(rig.request("order", DEADLINE_MS)));
             }
-            Rig.await("their first attempts have failed", () -> rig.attempts() == BURST);
+            SidecarFixture.await("their first attempts have failed", () -> rig.attempts() == BURST);
             rig.settle();
-            Rig.await("some wait for a second connection", () -> rig.inHand() > 0);
-            for (Wire client : clients) {
+            SidecarFixture.await("some wait for a second connection", () -> rig.openRequests() > 0);
+            for (HttpTestConnection client : clients) {
                 leave(client, byReset);
             }
             awaitKnown();
             late.release();
-            Rig.await("nothing is out any more", () -> rig.inHand() == 0);
+            SidecarFixture.await("nothing is out any more", () -> rig.openRequests() == 0);
             rig.settle();
             assertEquals(0, late.asked.get());
             assertEquals(BURST, rig.attempts());
@@ -172,28 +176,28 @@
     })
     void whatFailsLaterIsNotTriedAgain(boolean mayCancel, boolean byReset, int status) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Fake.Script failing = (wire, request) -> {
+        StubEndpoint.RequestHandler failing = (wire, request) -> {
             release.await();
             if (status == 0) {
                 wire.reset();
             } else {
-                Fake.answer(wire, status, status == 503 ? "X-Not-Run: 1\r\n" : "", "");
+                StubEndpoint.respond(wire, status, status == 503 ? "X-Not-Run: 1\r\n" : "", "");
             }
         };
-        rig = new Rig(new Fake(failing), new Fake(failing));
+        rig = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
         rig.cancel = mayCancel;
         rig.start();
-        List<Wire> clients = new ArrayList<>();
+        List<HttpTestConnection> clients = new ArrayList<>();
         for (int i = 0; i < BURST; i++) {
             clients.add(rig.client().send(rig.request("read", DEADLINE_MS)));
         }
-        Rig.await("they are out", () -> rig.attempts() == BURST);
-        for (Wire client : clients) {
+        SidecarFixture.await("they are out", () -> rig.attempts() == BURST);
+        for (HttpTestConnection client : clients) {
             leave(client, byReset);
         }
         awaitKnown();
         release.countDown();
-        Rig.await("nothing is owed any more", () -> rig.inHand() == 0);
+        SidecarFixture.await("nothing is owed any more", () -> rig.openRequests() == 0);
         rig.settle();
         assertEquals(BURST, rig.attempts());
     }
@@ -214,20 +218,21 @@
     })
     void whoGoesBehindMoreThanIsTakenIsNoticed(int behindBytes, boolean byReset) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Fake.Script failing = (wire, request) -> {
+        StubEndpoint.RequestHandler failing = (wire, request) -> {
             release.await();
-            Fake.answer(wire, 500, "", "");
+            StubEndpoint.respond(wire, 500, "", "");
         };
-        rig = new Rig(new Fake(failing), new Fake(failing));
+        rig = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
         rig.cancel = false;
         rig.start();
-        Wire client = rig.client();
+        HttpTestConnection client = rig.client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < MOST_AHEAD; i++) {
             all.append(rig.request("read", DEADLINE_MS));
         }
         client.send(all.toString());
-        Rig.await("those that may be are out", () -> rig.attempts() > 0 && rig.attempts() == rig.inHand());
+        SidecarFixture.await(
+                "those that may be are out", () -> rig.attempts() > 0 && rig.attempts() == rig.openRequests());
         rig.settle();
         int out = rig.attempts();
         String more = rig.request("read", DEADLINE_MS);
@@ -236,7 +241,7 @@
         leave(client, byReset);
         awaitKnown();
         release.countDown();
-        Rig.await("nothing is owed any more", () -> rig.inHand() == 0);
+        SidecarFixture.await("nothing is owed any more", () -> rig.openRequests() == 0);
         rig.settle();
         assertEquals(out, rig.attempts());
     }
@@ -247,27 +252,27 @@
     void whoGoesWithAnAnswerUntakenIsNoticed(boolean byReset) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch begun = new CountDownLatch(1);
-        Fake.Script script = (wire, request) -> {
+        StubEndpoint.RequestHandler script = (wire, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
                 wire.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
                 begun.countDown();
                 wire.send("x".repeat(MOST_BYTES));
             }
             release.await();
-            Fake.answer(wire, 500, "", "");
+            StubEndpoint.respond(wire, 500, "", "");
         };
-        rig = new Rig(new Fake(script), new Fake(script));
+        rig = new SidecarFixture(new StubEndpoint(script), new StubEndpoint(script));
         rig.cancel = false;
         rig.start();
-        Wire client = rig.client();
+        HttpTestConnection client = rig.client();
         client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS));
         begun.await();
-        Rig.await("the second is out", () -> rig.attempts() == 2);
+        SidecarFixture.await("the second is out", () -> rig.attempts() == 2);
         rig.settle();
         leave(client, byReset);
         awaitKnown();
         release.countDown();
-        Rig.await("nothing is owed any more", () -> rig.inHand() == 0);
+        SidecarFixture.await("nothing is owed any more", () -> rig.openRequests() == 0);
         rig.settle();
         assertEquals(2, rig.attempts());
     }
@@ -276,20 +281,20 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 8, 9, 300})
     void whoSendsMuchAndGoesIsNoticed(int requests) throws Exception {
-        Fake hung = new Fake((wire, request) -> wire.awaitEnd());
-        rig = new Rig(hung);
+        StubEndpoint hung = new StubEndpoint((wire, request) -> wire.awaitEnd());
+        rig = new SidecarFixture(hung);
         rig.start();
         long left;
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
                 all.append(rig.request("read", DEADLINE_MS));
             }
             client.send(all.toString());
-            Rig.await("the first is out", () -> rig.attempts() > 0);
+            SidecarFixture.await("the first is out", () -> rig.attempts() > 0);
             left = System.nanoTime();
         }
-        Rig.await("its attempts are called off", () -> hung.open.get() == 0 && rig.inHand() == 0);
+        SidecarFixture.await("its attempts are called off", () -> hung.open.get() == 0 && rig.openRequests() == 0);
         assertTrue((System.nanoTime() - left) / 1e6 < SOON_MS);
     }
 
@@ -297,12 +302,12 @@
     @Test
     void whatComesBehindARequestDoesNotCutItsAnswer() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "served");
+            StubEndpoint.respond(wire, 200, "", "served");
         }));
         rig.start();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             Thread noise = new Thread(() -> {
                 try {
                     client.send(rig.request("order", DEADLINE_MS) + "no request\r\n\r\n");
@@ -314,15 +319,15 @@
             });
             noise.setDaemon(true);
             noise.start();
-            Rig.await("it is out", () -> rig.attempts() == 1);
+            SidecarFixture.await("it is out", () -> rig.attempts() == 1);
             assertEquals(200, release(client, release).status());
         }
     }
 
-    private Wire.Message release(Wire client, CountDownLatch held) throws Exception {
+    private HttpTestConnection.Message release(HttpTestConnection client, CountDownLatch held) throws Exception {
         // Others are served meanwhile, so all that is ever read of the noise has been.
         for (int i = 0; i < BURST; i++) {
-            try (Wire other = rig.client()) {
+            try (HttpTestConnection other = rig.client()) {
                 assertEquals(
                         404,
                         other.send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
@@ -40,22 +40,22 @@
     }
 
     private AttemptResult end(int number) throws InterruptedException {
-        Rig.await("attempt " + number + " has ended", () -> ends.size() > number);
+        SidecarFixture.await("attempt " + number + " has ended", () -> ends.size() > number);
         return ends.get(number);
     }
 
     @Test
     void aLateConnectionIsTold() throws Exception {
-        try (LateFake late = new LateFake();
-                Rig rig = new Rig()) {
+        try (LateStubEndpoint late = new LateStubEndpoint();
+                SidecarFixture rig = new SidecarFixture()) {
             rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
             rig.start(noting());
-            try (Wire client = rig.client()) {
+            try (HttpTestConnection client = rig.client()) {
                 client.send(rig.request("order", DEADLINE_MS));
-                Rig.await("it waits for its connection", () -> rig.inHand() == 1);
+                SidecarFixture.await("it waits for its connection", () -> rig.openRequests() == 1);
                 long waits = System.nanoTime();
-                Rig.await("some time", () -> System.nanoTime() - waits >= HELD_NS);
+                SidecarFixture.await("some time", () -> System.nanoTime() - waits >= HELD_NS);
                 late.release();
                 assertEquals("late", client.read().body());
             }
@@ -69,21 +69,21 @@
     void aSlowAnswerOnAConnectionThatStandsIsTheEndpoints() throws Exception {
         CountDownLatch asked = new CountDownLatch(2);
         CountDownLatch release = new CountDownLatch(1);
-        try (Fake slow = new Fake((wire, request) -> {
+        try (StubEndpoint slow = new StubEndpoint((wire, request) -> {
                     asked.countDown();
                     if (asked.getCount() == 0) {
                         release.await();
                     }
-                    Fake.answer(wire, 200, "", "slow");
+                    StubEndpoint.respond(wire, 200, "", "slow");
                 });
-                Rig rig = new Rig(slow).start(noting());
-                Wire client = rig.client()) {
+                SidecarFixture rig = new SidecarFixture(slow).start(noting());
+                HttpTestConnection client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS)).read();
             rig.settle();
             client.send(rig.request("order", DEADLINE_MS));
             asked.await();
             long waits = System.nanoTime();
-            Rig.await("some time", () -> System.nanoTime() - waits >= HELD_NS);
+            SidecarFixture.await("some time", () -> System.nanoTime() - waits >= HELD_NS);
             release.countDown();
             client.read();
             assertEquals(1, slow.connections.get(), "one connection serves both");
@@ -93,10 +93,10 @@
 
     @Test
     void whatWasNeverWrittenWasAllTheConnections() throws Exception {
-        try (LateFake late = new LateFake();
-                Rig rig = new Rig()) {
+        try (LateStubEndpoint late = new LateStubEndpoint();
+                SidecarFixture rig = new SidecarFixture()) {
             rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
             rig.start(noting());
             assertEquals(503, rig.ask("order", HELD_MS).status());
             assertEquals(AttemptOutcome.CONNECT_ERROR, end(0).outcome());
--- a/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
@@ -36,8 +36,8 @@
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final TextSink sink = new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8));
-    private final Fake first = Fake.answering(200, "", "first");
-    private final Fake second = Fake.answering(200, "", "second");
+    private final StubEndpoint first = StubEndpoint.respondingWith(200, "", "first");
+    private final StubEndpoint second = StubEndpoint.respondingWith(200, "", "second");
     private final List<ControlNode> nodes;
     private final List<Sidecar> edges = new java.util.ArrayList<>();
     private int requests;
@@ -47,7 +47,7 @@
         nodes.get(0).begin();
         nodes.get(0).watch(nodes.get(1).asPeer());
         nodes.get(1).watch(nodes.get(0).asPeer());
-        Rig.await("both are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
+        SidecarFixture.await("both are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
     }
 
     private ControlNode node(String name) throws IOException {
@@ -106,21 +106,21 @@
     }
 
     /** A call of the admin API of a control node. */
-    private Wire.Message operate(int node, String method, String path, String body) throws IOException {
-        try (Wire wire = Wire.to(nodes.get(node).adminAddress())) {
+    private HttpTestConnection.Message operate(int node, String method, String path, String body) throws IOException {
+        try (HttpTestConnection wire = HttpTestConnection.to(nodes.get(node).adminAddress())) {
             return wire.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
                             + "\r\n\r\n" + body)
                     .read();
         }
     }
 
-    private void operated(String said, int status, Wire.Message answer) {
+    private void operated(String said, int status, HttpTestConnection.Message answer) {
         assertEquals(status, answer.status(), answer.body());
         assertTrue(answer.body().startsWith(said), answer.body());
     }
 
-    private Wire.Message ask(Sidecar edge, String kind) throws IOException {
-        try (Wire wire = Wire.to(edge.address())) {
+    private HttpTestConnection.Message ask(Sidecar edge, String kind) throws IOException {
+        try (HttpTestConnection wire = HttpTestConnection.to(edge.address())) {
             return wire.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" + requests++ + "\r\nX-Class: " + kind
                             + "\r\nX-Deadline-Ms: 4000\r\n\r\n")
                     .read();
@@ -128,7 +128,7 @@
     }
 
     private void awaitAnswer(Sidecar edge, String body) throws InterruptedException {
-        Rig.await(body, () -> {
+        SidecarFixture.await(body, () -> {
             try {
                 return ask(edge, "read").body().equals(body);
             } catch (IOException e) {
@@ -150,7 +150,7 @@
                 200,
                 operate(1, "PUT", "/v1/services/quote/endpoints/s2", "{\"addr\":\"" + second.address() + "\"}"));
         // Of words at two nodes either may be at an edge first: the drain must not come before this.
-        Rig.await("the other node knows of it", () -> {
+        SidecarFixture.await("the other node knows of it", () -> {
             try {
                 return operate(0, "GET", "/v1/services/quote/endpoints/s2", "").status() == 200;
             } catch (IOException e) {
@@ -158,7 +158,7 @@
             }
         });
         operated("accepted", 200, operate(0, "PUT", "/v1/services/quote/endpoints/s1/drain", ""));
-        Rig.await("the drained one gets nothing new", () -> {
+        SidecarFixture.await("the drained one gets nothing new", () -> {
             int before = first.requests.size();
             try {
                 for (int i = 0; i < 5; i++) {
@@ -202,9 +202,9 @@
     /** The document names a class that only one of the two has: the other refuses it and says so. */
     @Test
     void settingsAreTakenWhereTheyCanBeAndRefusalsAreSeen() throws Exception {
-        first.script = (wire, request) -> {
+        first.requestHandler = (wire, request) -> {
             Thread.sleep(600);
-            Fake.answer(wire, 200, "", "first");
+            StubEndpoint.respond(wire, 200, "", "first");
         };
         nodes.get(0)
                 .put(ConfigurationChange.endpoint(
@@ -221,14 +221,14 @@
             [limits]
             attempts = 1
             """));
-        Rig.await("it is in force", () -> {
+        SidecarFixture.await("it is in force", () -> {
             try {
                 return ask(taker, "read").status() != 200;
             } catch (IOException e) {
                 return false;
             }
         });
-        Rig.await("the operators see who has refused it and why", () -> {
+        SidecarFixture.await("the operators see who has refused it and why", () -> {
             String status = Json.text(nodes.get(0).status());
             return status.contains("\"name\":\"refuser\"")
                     && status.contains("is unknown to this edge")
@@ -236,7 +236,7 @@
         });
         operated("accepted", 200, operate(0, "DELETE", "/v1/settings/base", ""));
         awaitAnswer(taker, "first");
-        Rig.await("no refusal stands", () -> {
+        SidecarFixture.await("no refusal stands", () -> {
             String status = Json.text(nodes.get(0).status());
             return !status.contains("\"refuser\",\"stamp\"") && status.contains("\"refusals\":0");
         });
--- a/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
@@ -32,19 +32,19 @@
     /** For so long endpoints know a key. */
     private static final int WINDOW_MS = 400;
 
-    private Rig rig;
-    private final List<Wire> clients = new ArrayList<>();
+    private SidecarFixture rig;
+    private final List<HttpTestConnection> clients = new ArrayList<>();
 
     @AfterEach
     void stop() throws IOException {
-        for (Wire client : clients) {
+        for (HttpTestConnection client : clients) {
             client.close();
         }
         rig.close();
     }
 
-    private Wire client() throws IOException {
-        Wire client = rig.client();
+    private HttpTestConnection client() throws IOException {
+        HttpTestConnection client = rig.client();
         clients.add(client);
         return client;
     }
@@ -71,7 +71,7 @@
 
     /** All the room is taken by clients that have asked and are idle, and the loop is held. */
     private CountDownLatch fillAndHold() throws Exception {
-        rig = new Rig(Fake.answering(200, "", "served"));
+        rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "served"));
         rig.sockets = 1;
         rig.start();
         for (int i = 0; i < ROOM; i++) {
@@ -85,7 +85,7 @@
     @Test
     void whoMakesRoomHasNothingUnread() throws Exception {
         CountDownLatch release = fillAndHold();
-        Wire newcomer = client();
+        HttpTestConnection newcomer = client();
         clients.get(0).send(rig.request("order", DEADLINE_MS));
         release.countDown();
         assertEquals(200, clients.get(0).read().status(), "the longest idle one has just asked");
@@ -96,14 +96,14 @@
     /** Guards against newcomers that make room for one another, as others hold half a request each. */
     @Test
     void whoHasJustComeDoesNotMakeRoom() throws Exception {
-        rig = new Rig(Fake.answering(200, "", "served"));
+        rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "served"));
         rig.sockets = 1;
         rig.start();
         for (int i = 0; i < ROOM; i++) {
             client().send("GET /api HT");
         }
         rig.settle();
-        Wire newcomer = client();
+        HttpTestConnection newcomer = client();
         clients.get(0).awaitEnd();
         client();
         clients.get(1).awaitEnd();
@@ -115,7 +115,7 @@
     @Test
     void whoFindsNoRoomIsRefusedInGoodOrder() throws Exception {
         CountDownLatch release = fillAndHold();
-        Wire newcomer = client().send(rig.request("order", DEADLINE_MS));
+        HttpTestConnection newcomer = client().send(rig.request("order", DEADLINE_MS));
         for (int i = 0; i < ROOM; i++) {
             clients.get(i).send(rig.request("read", DEADLINE_MS));
         }
@@ -133,10 +133,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"idle", "first", "half"})
     void aTimeLimitDoesNotCutWhatHasCome(String state) throws Exception {
-        rig = new Rig(Fake.answering(200, "", "served")).start();
+        rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "served")).start();
         String request = rig.request("read", DEADLINE_MS);
         int sent = 0;
-        Wire client = client();
+        HttpTestConnection client = client();
         if (state.equals("idle")) {
             assertEquals(
                     200, client.send(rig.request("read", DEADLINE_MS)).read().status());
@@ -173,37 +173,39 @@
     @ValueSource(strings = {"terminating", "terminated", "moved", "suspended"})
     void whatComesUpTooLateIsSentElsewhere(String how) throws Exception {
         CountDownLatch told = new CountDownLatch(1);
-        try (LateFake late = new LateFake();
-                Fake other = Fake.answering(200, "", "other")) {
-            rig = new Rig();
+        try (LateStubEndpoint late = new LateStubEndpoint();
+                StubEndpoint other = StubEndpoint.respondingWith(200, "", "other")) {
+            rig = new SidecarFixture();
             rig.graceMs = 0;
             rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
             String state = how.startsWith("terminat") ? how : "in_service";
-            rig.discovery.script = (wire, request) -> {
+            rig.discovery.requestHandler = (wire, request) -> {
                 if (rig.discovery.requests.size() > 1) {
                     wire.awaitEnd();
                 }
                 told.await();
-                Fake.answer(
+                StubEndpoint.respond(
                         wire,
                         200,
                         "",
                         how.equals("moved")
-                                ? Rig.list(2, false, Rig.line(0, other.address(), "in_service", 0))
-                                : Rig.list(
+                                ? SidecarFixture.list(
+                                        2, false, SidecarFixture.line(0, other.address(), "in_service", 0))
+                                : SidecarFixture.list(
                                         2,
                                         false,
-                                        Rig.line(0, late.address(), state, 0),
-                                        Rig.line(1, other.address(), "in_service", 0)));
+                                        SidecarFixture.line(0, late.address(), state, 0),
+                                        SidecarFixture.line(1, other.address(), "in_service", 0)));
             };
             rig.start();
-            Wire client = client().send(rig.request("order", DEADLINE_MS));
-            Rig.await("it waits for its connection", () -> rig.inHand() == 1);
+            HttpTestConnection client = client().send(rig.request("order", DEADLINE_MS));
+            SidecarFixture.await("it waits for its connection", () -> rig.openRequests() == 1);
             told.countDown();
-            Rig.await("the list is there", () -> rig.discovery.requests.size() == 2);
+            SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() == 2);
             if (how.equals("suspended")) {
-                assertEquals(200, rig.operate("PUT", "/v1/endpoints/s0/suspend").status());
+                assertEquals(
+                        200, rig.callAdmin("PUT", "/v1/endpoints/s0/suspend").status());
             }
             late.release();
             assertEquals("other", client.read().body());
@@ -215,27 +217,31 @@
     @Test
     void aKeysRepeatIsNotBegunAfterItsWindow() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
-        try (LateFake late = new LateFake()) {
-            Fake first = new Fake((wire, request) -> {
+        try (LateStubEndpoint late = new LateStubEndpoint()) {
+            StubEndpoint first = new StubEndpoint((wire, request) -> {
                 told.countDown();
-                Rig.await("the list is there", () -> rig.discovery.requests.size() == 2);
+                SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() == 2);
                 wire.reset();
             });
-            rig = new Rig(first);
+            rig = new SidecarFixture(first);
             rig.change = config ->
                     config.replace("\"effect\":\"once\"", "\"effect\":\"by_key\",\"memory-span-ms\":" + WINDOW_MS);
-            rig.discovery.script = (wire, request) -> {
+            rig.discovery.requestHandler = (wire, request) -> {
                 if (rig.discovery.requests.size() > 1) {
                     wire.awaitEnd();
                 }
                 told.await();
-                Fake.answer(wire, 200, "", Rig.list(2, false, Rig.line(1, late.address(), "in_service", 0)));
+                StubEndpoint.respond(
+                        wire,
+                        200,
+                        "",
+                        SidecarFixture.list(2, false, SidecarFixture.line(1, late.address(), "in_service", 0)));
             };
             rig.start();
-            Wire client = client().send(rig.request("order", DEADLINE_MS));
-            Rig.await("it has been reset", () -> first.open.get() == 0 && rig.attempts() == 1);
+            HttpTestConnection client = client().send(rig.request("order", DEADLINE_MS));
+            SidecarFixture.await("it has been reset", () -> first.open.get() == 0 && rig.attempts() == 1);
             long over = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WINDOW_MS);
-            Rig.await("its window is over", () -> System.nanoTime() > over);
+            SidecarFixture.await("its window is over", () -> System.nanoTime() > over);
             late.release();
             assertEquals(503, client.read().status(), "its endpoints knew it for so long only");
             assertEquals(0, late.asked.get());
@@ -247,20 +253,20 @@
     /** Guards against requests lost at a restart: one that is unread, and one of which half has come. */
     @Test
     void aStopAnswersWhatHasNotBeenReadYet() throws Exception {
-        rig = new Rig(Fake.answering(200, "", "served")).start();
-        Wire half = client();
+        rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "served")).start();
+        HttpTestConnection half = client();
         String request = rig.request("order", DEADLINE_MS);
         half.send(request.substring(0, request.length() / 2));
         CountDownLatch release = hold();
         Thread stop = new Thread(rig.sidecar::shutdownGracefully);
         stop.start();
-        Wire unread = client().send(rig.request("order", DEADLINE_MS));
-        Wire waiting = client();
+        HttpTestConnection unread = client().send(rig.request("order", DEADLINE_MS));
+        HttpTestConnection waiting = client();
         half.send(request.substring(request.length() / 2));
         release.countDown();
         assertEquals(200, unread.read().status());
         assertEquals(200, half.read().status());
-        Rig.await("it stops", () -> rig.logged().contains("stopping"));
+        SidecarFixture.await("it stops", () -> rig.logged().contains("stopping"));
         assertEquals(200, waiting.send(rig.request("order", DEADLINE_MS)).read().status(), "new");
         assertEquals(200, unread.send(rig.request("order", DEADLINE_MS)).read().status(), "kept");
         stop.join();
@@ -271,12 +277,12 @@
     /** Guards against an answer that only the deadline brings: the module has failed with an attempt out. */
     @Test
     void whatTheModuleFailsOverIsAnsweredOnceNothingIsOut() throws Exception {
-        rig = new Rig(Fake.answering(500, "", ""));
+        rig = new SidecarFixture(StubEndpoint.respondingWith(500, "", ""));
         rig.start((settings, seed, host) -> new Failing(host));
         long began = System.nanoTime();
         assertEquals(502, rig.ask("order", DEADLINE_MS).status());
         assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "long before the deadline");
-        Rig.await("nothing is left", () -> rig.inHand() == 0);
+        SidecarFixture.await("nothing is left", () -> rig.openRequests() == 0);
     }
 
     /** Fails after it has sent a request, and knows nothing of it from then on. */
--- a/edge/src/test/java/lemonrail/assembly/DescriptorsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/DescriptorsTest.java
@@ -69,7 +69,7 @@
         }
     }
 
-    private void serve(Fake endpoint, int discoveryPort) throws Exception {
+    private void serve(StubEndpoint endpoint, int discoveryPort) throws Exception {
         int adminPort = freePort();
         adminApi = new InetSocketAddress("127.0.0.1", adminPort);
         String config = """
@@ -79,7 +79,9 @@
             "classes":[{"name":"read","effect":"repeatable","slo-ms":9000,"hard-limit-ms":9000}],
             "limits":{"dial-timeout-ms":2000,"idle-close-ms":15000,"try-limit":3},
             "rules":{"drain-grace-ms":1000}}}""".formatted(
-                        discoveryPort, SOCKETS, Rig.list(1, true, Rig.line(0, endpoint.address(), "in_service", 0)));
+                        discoveryPort,
+                        SOCKETS,
+                        SidecarFixture.list(1, true, SidecarFixture.line(0, endpoint.address(), "in_service", 0)));
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
@@ -129,7 +131,7 @@
     /** Clients that say nothing, have half a request, or their answer; more than there is room for. */
     private void fill() throws IOException {
         for (int i = 0; i < IDLE_CLIENTS; i++) {
-            Wire idle = keep(Wire.to(address));
+            HttpTestConnection idle = keep(HttpTestConnection.to(address));
             if (i % 3 == 1) {
                 idle.send("GET /api HT");
             } else if (i % 3 == 2) {
@@ -143,8 +145,8 @@
     }
 
     private String ask() {
-        try (Wire client = Wire.to(address)) {
-            Wire.Message answer = client.send(request()).read();
+        try (HttpTestConnection client = HttpTestConnection.to(address)) {
+            HttpTestConnection.Message answer = client.send(request()).read();
             return answer.status() == 200 ? answer.body() : String.valueOf(answer.status());
         } catch (IOException e) {
             return e.toString();
@@ -152,7 +154,7 @@
     }
 
     private int adminStatus() throws IOException {
-        try (Wire operator = Wire.to(adminApi)) {
+        try (HttpTestConnection operator = HttpTestConnection.to(adminApi)) {
             return operator.send("GET /v1/metrics HTTP/1.1\r\nHost: n0\r\n\r\n")
                     .read()
                     .status();
@@ -185,19 +187,23 @@
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "silent"})
     void idleClientsTakeNobodysDescriptor(String down) throws Exception {
-        Fake before = keep(Fake.answering(200, "", "before"));
-        Fake after = keep(Fake.answering(200, "", "after"));
+        StubEndpoint before = keep(StubEndpoint.respondingWith(200, "", "before"));
+        StubEndpoint after = keep(StubEndpoint.respondingWith(200, "", "after"));
         CountDownLatch back = new CountDownLatch(1);
         int port = freePort();
-        Fake.Script script = (wire, request) -> {
+        StubEndpoint.RequestHandler script = (wire, request) -> {
             back.await();
             if (request.line().contains("index=2")) {
                 wire.awaitEnd();
             }
-            Fake.answer(wire, 200, "", Rig.list(2, true, Rig.line(1, after.address(), "in_service", 0)));
+            StubEndpoint.respond(
+                    wire,
+                    200,
+                    "",
+                    SidecarFixture.list(2, true, SidecarFixture.line(1, after.address(), "in_service", 0)));
         };
         if (down.equals("silent")) {
-            port = keep(new Fake(script)).port();
+            port = keep(new StubEndpoint(script)).port();
         }
         serve(before, port);
         for (int i = 0; i < 3; i++) {
@@ -206,16 +212,16 @@
         fill();
         back.countDown();
         if (down.equals("refuses")) {
-            keep(new Fake(script, port));
+            keep(new StubEndpoint(script, port));
         }
-        Rig.await("discovery's list is in force", () -> ask().equals("after"));
+        SidecarFixture.await("discovery's list is in force", () -> ask().equals("after"));
         assertAllGetTheirs("after");
     }
 
     /** The measure itself: where there is no room for what the program says it needs, the system says so. */
     @Test
     void theSystemHoldsTheProcessToItsDescriptors() throws Exception {
-        serve(keep(Fake.answering(200, "", "served")), freePort());
+        serve(keep(StubEndpoint.respondingWith(200, "", "served")), freePort());
         Path limits = Path.of("/proc", String.valueOf(process.pid()), "limits");
         assertTrue(Files.readString(limits)
                 .lines()
--- a/edge/src/test/java/lemonrail/assembly/DrainTest.java
+++ b/edge/src/test/java/lemonrail/assembly/DrainTest.java
@@ -16,7 +16,7 @@
     private static final int DEADLINE_MS = 8000;
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n";
 
-    private Rig rig;
+    private SidecarFixture rig;
 
     @AfterEach
     void stop() throws IOException {
@@ -24,12 +24,12 @@
     }
 
     private void call(String name) throws IOException {
-        assertEquals(200, rig.operate("PUT", "/v1/sidecar/" + name).status());
+        assertEquals(200, rig.callAdmin("PUT", "/v1/sidecar/" + name).status());
     }
 
     private void assertReady(int status) throws IOException {
-        assertEquals(status, rig.operate("GET", "/v1/readyz").status());
-        try (Wire front = rig.client()) {
+        assertEquals(status, rig.callAdmin("GET", "/v1/readyz").status());
+        try (HttpTestConnection front = rig.client()) {
             assertEquals(status, front.send(READY).read().status());
         }
     }
@@ -37,32 +37,33 @@
     @Test
     void openConnectionsAreEmptied() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     if (request.line().startsWith("POST")) {
                         release.await();
                     }
-                    Fake.answer(wire, 200, "", "served");
+                    StubEndpoint.respond(wire, 200, "", "served");
                 }))
                 .start();
         assertReady(200);
-        try (Wire idle = rig.client();
-                Wire used = rig.client();
-                Wire busy = rig.client();
-                Wire silent = rig.client()) {
+        try (HttpTestConnection idle = rig.client();
+                HttpTestConnection used = rig.client();
+                HttpTestConnection busy = rig.client();
+                HttpTestConnection silent = rig.client()) {
             idle.send(rig.request("read", DEADLINE_MS)).read();
             used.send(rig.request("read", DEADLINE_MS)).read();
             busy.send(rig.request("order", DEADLINE_MS));
-            Rig.await("it is in hand", () -> rig.attempts() == 3);
+            SidecarFixture.await("it is in hand", () -> rig.attempts() == 3);
             call("drain");
             call("drain");
             assertReady(503);
-            Wire.Message last = used.send(rig.request("read", DEADLINE_MS)).read();
+            HttpTestConnection.Message last =
+                    used.send(rig.request("read", DEADLINE_MS)).read();
             assertEquals(200, last.status());
             assertEquals("close", last.headers().get("connection"));
             used.awaitEnd();
             idle.awaitEnd();
             silent.awaitEnd();
-            Wire.Message late = rig.ask("read", DEADLINE_MS);
+            HttpTestConnection.Message late = rig.ask("read", DEADLINE_MS);
             assertEquals(200, late.status(), "who comes late is served");
             assertEquals("close", late.headers().get("connection"));
             release.countDown();
@@ -75,15 +76,15 @@
 
     @Test
     void activateTakesAllOfItBack() throws Exception {
-        rig = new Rig(Fake.answering(200, "", "served")).start();
+        rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "served")).start();
         call("drain");
         assertReady(503);
         call("activate");
         call("activate");
         assertReady(200);
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             for (int i = 0; i < 3; i++) {
-                Wire.Message answer =
+                HttpTestConnection.Message answer =
                         client.send(rig.request("read", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
                 assertNull(answer.headers().get("connection"), "it may stay");
--- a/edge/src/test/java/lemonrail/assembly/FleetSizeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/FleetSizeTest.java
@@ -13,8 +13,8 @@
     private static final int VERSION = 7;
     private static final int DEADLINE_MS = 9000;
 
-    private Rig rig;
-    private Fake last;
+    private SidecarFixture rig;
+    private StubEndpoint last;
 
     @AfterEach
     void close() throws Exception {
@@ -28,34 +28,36 @@
     }
 
     private String list() {
-        return Rig.list(
+        return SidecarFixture.list(
                 VERSION,
                 true,
                 IntStream.range(0, SIZE)
-                        .mapToObj(number -> Rig.line(number, address(number), "in_service", 0))
+                        .mapToObj(number -> SidecarFixture.line(number, address(number), "in_service", 0))
                         .toArray(String[]::new));
     }
 
     /** Guards against entries that are lost at the end of a list, and a bound on those out by hand. */
     @Test
     void theLastOfAllServesWhileTheOthersAreOutByHand() throws Exception {
-        last = Fake.answering(200, "", "the last");
-        rig = new Rig();
+        last = StubEndpoint.respondingWith(200, "", "the last");
+        rig = new SidecarFixture();
         rig.change = config -> config.replace(
                 "\"replicas-of-me\":1,\"slot-no\":0", "\"replicas-of-me\":" + SIZE + ",\"slot-no\":" + (SIZE - 1));
-        rig.discovery.script = (wire, request) -> {
-            rig.discovery.script = (next, later) -> next.awaitEnd();
-            Fake.answer(wire, 200, "", list());
+        rig.discovery.requestHandler = (wire, request) -> {
+            rig.discovery.requestHandler = (next, later) -> next.awaitEnd();
+            StubEndpoint.respond(wire, 200, "", list());
         };
         rig.start();
-        Rig.await(
+        SidecarFixture.await(
                 "the list is there",
                 () -> rig.discovery.requests.stream()
                         .anyMatch(request -> request.line().contains("index=" + VERSION)));
         for (int number = 0; number < SIZE - 1; number++) {
             String id = "s" + number;
             assertEquals(
-                    200, rig.operate("PUT", "/v1/endpoints/" + id + "/suspend").status(), id);
+                    200,
+                    rig.callAdmin("PUT", "/v1/endpoints/" + id + "/suspend").status(),
+                    id);
         }
         assertEquals("the last", rig.ask("read", DEADLINE_MS).body());
         assertEquals(1, last.requests.size(), "calls that it got");
--- a/edge/src/test/java/lemonrail/assembly/Wire.java
+++ b/edge/src/test/java/lemonrail/assembly/HttpTestConnection.java
@@ -13,12 +13,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One end of an HTTP connection, spoken byte by byte, so that tests can also speak it badly. */
-final class Wire implements Closeable {
+/** One side of an HTTP connection that sends and reads plain text, so that tests can also break the protocol. */
+final class HttpTestConnection implements Closeable {
 
-    private static final int PATIENCE_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
 
-    /** A message: its first line, its headers in lower case and its body. */
+    /** A message: its first line, its headers with names in lower case, and its body. */
     record Message(String line, Map<String, String> headers, byte[] bytes) {
         String body() {
             return new String(bytes, StandardCharsets.ISO_8859_1);
@@ -32,18 +32,18 @@
     final Socket socket;
     final InputStream in;
 
-    Wire(Socket socket) throws IOException {
+    HttpTestConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    static Wire to(InetSocketAddress address) throws IOException {
-        return new Wire(new Socket(address.getAddress(), address.getPort()));
+    static HttpTestConnection to(InetSocketAddress address) throws IOException {
+        return new HttpTestConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
-    Wire send(String text) throws IOException {
+    HttpTestConnection send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
     }
@@ -109,7 +109,7 @@
         return line.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** Waits until the other side has closed or reset the connection. */
+    /** Waits until the peer has closed or reset the connection. */
     void awaitEnd() throws IOException {
         try {
             while (in.read() >= 0) {
--- a/edge/src/test/java/lemonrail/assembly/LateLoopTest.java
+++ b/edge/src/test/java/lemonrail/assembly/LateLoopTest.java
@@ -37,13 +37,13 @@
     private static final long SEED = 24;
 
     /** An endpoint that takes requests and never answers. */
-    private static Fake hung() throws IOException {
-        return new Fake((Wire wire, Wire.Message request) -> wire.awaitEnd());
+    private static StubEndpoint hung() throws IOException {
+        return new StubEndpoint((HttpTestConnection wire, HttpTestConnection.Message request) -> wire.awaitEnd());
     }
 
     /** How long the final answer takes, in milliseconds from when the request is sent. */
-    private static double answerMs(Rig rig, int waitMs) throws IOException {
-        try (Wire wire = rig.client()) {
+    private static double answerMs(SidecarFixture rig, int waitMs) throws IOException {
+        try (HttpTestConnection wire = rig.client()) {
             String request = rig.request("read", waitMs);
             long sent = System.nanoTime();
             wire.send(request).read();
@@ -60,7 +60,7 @@
     }
 
     /** Keeps the loop from its work for so long, from now or from when it is free. */
-    private static Future<?> stall(Rig rig, int ms) {
+    private static Future<?> stall(SidecarFixture rig, int ms) {
         return rig.sidecar.loop().submit(() -> pause(ms));
     }
 
@@ -73,7 +73,7 @@
     }
 
     /** How many of so many requests sent at once are answered later than their clients wait. */
-    private static int lateAnswers(Rig rig, int waitMs) throws Exception {
+    private static int lateAnswers(SidecarFixture rig, int waitMs) throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(REQUESTS);
         try {
             List<Future<Double>> answers = new ArrayList<>();
@@ -93,12 +93,12 @@
     /** Guards against an attempt that is given up only when its client has gone. */
     @Test
     void aFailureIsHeardWithinTheTimeOfItsClient() throws Exception {
-        Fake first = hung();
-        Fake second = hung();
-        try (Rig rig = new Rig(first, second).start()) {
+        StubEndpoint first = hung();
+        StubEndpoint second = hung();
+        try (SidecarFixture rig = new SidecarFixture(first, second).start()) {
             int late = lateAnswers(rig, STALLED_WAIT_MS);
             assertTrue(late <= REQUESTS / HELD_UP_SHARE, late + " of " + REQUESTS + " came late");
-            for (Wire.Message told : first.requests) {
+            for (HttpTestConnection.Message told : first.requests) {
                 long toldMs = Long.parseLong(told.headers().get("x-deadline-ms"));
                 assertTrue(toldMs < STALLED_WAIT_MS, "an attempt was to wait " + toldMs + " ms");
             }
@@ -108,9 +108,9 @@
     /** Guards against a time that counts from when a request is read, though it came long before. */
     @Test
     void anAttemptIsToldWhatIsLeftAfterTheWaitForTheLoop() throws Exception {
-        Fake endpoint = Fake.answering(200, "", "ok");
-        try (Rig rig = new Rig(endpoint).start();
-                Wire wire = rig.client()) {
+        StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "ok");
+        try (SidecarFixture rig = new SidecarFixture(endpoint).start();
+                HttpTestConnection wire = rig.client()) {
             wire.send(rig.request("read", WAIT_MS)).read();
             CountDownLatch stalled = new CountDownLatch(1);
             rig.sidecar.loop().execute(stalled::countDown);
@@ -125,9 +125,9 @@
     /** Guards against work for who has gone: what is read after its time is refused and not sent on. */
     @Test
     void whatIsReadAfterItsTimeIsRefusedAtOnce() throws Exception {
-        Fake endpoint = Fake.answering(200, "", "ok");
-        try (Rig rig = new Rig(endpoint).start();
-                Wire wire = rig.client()) {
+        StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "ok");
+        try (SidecarFixture rig = new SidecarFixture(endpoint).start();
+                HttpTestConnection wire = rig.client()) {
             wire.send(rig.request("read", WAIT_MS)).read();
             CountDownLatch stalled = new CountDownLatch(1);
             rig.sidecar.loop().execute(stalled::countDown);
@@ -142,21 +142,21 @@
     @Test
     void anAnswerThatIsLateIsCountedAndToldWithWhereItsTimeWent() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Fake endpoint = new Fake((Wire wire, Wire.Message request) -> {
+        StubEndpoint endpoint = new StubEndpoint((HttpTestConnection wire, HttpTestConnection.Message request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "late");
+            StubEndpoint.respond(wire, 200, "", "late");
         });
-        try (Rig rig = new Rig(endpoint).start();
-                Wire wire = rig.client()) {
+        try (SidecarFixture rig = new SidecarFixture(endpoint).start();
+                HttpTestConnection wire = rig.client()) {
             wire.send(rig.request("read", WAIT_MS));
-            Rig.await("the endpoint has it", () -> endpoint.requests.size() == 1);
+            SidecarFixture.await("the endpoint has it", () -> endpoint.requests.size() == 1);
             // The answer and the end of its time both wait for the loop, which is busy until that is past.
             Future<?> stalled = stall(rig, 2 * WAIT_MS);
             release.countDown();
             awaitEnd(stalled);
             wire.read();
-            Rig.await("it is told", () -> rig.logged().contains("an answer came after its client's time"));
-            assertTrue(rig.operate("GET", "/v1/metrics").body().contains("edge_gw.answers_late=1"));
+            SidecarFixture.await("it is told", () -> rig.logged().contains("an answer came after its client's time"));
+            assertTrue(rig.callAdmin("GET", "/v1/metrics").body().contains("edge_gw.answers_late=1"));
         }
     }
 
@@ -165,7 +165,9 @@
     void failuresAreHeardInTimeAlsoWhereTheLoopStalls() throws Exception {
         SplittableRandom random = new SplittableRandom(SEED);
         AtomicBoolean over = new AtomicBoolean();
-        try (Rig rig = new Rig(hung(), hung(), Fake.answering(503, "X-Not-Run: 1\r\n", "full")).start()) {
+        try (SidecarFixture rig = new SidecarFixture(
+                        hung(), hung(), StubEndpoint.respondingWith(503, "X-Not-Run: 1\r\n", "full"))
+                .start()) {
             // The longest stall comes first: how late the loop can be is learned, not known.
             stall(rig, LONGEST_STALL_MS).get();
             Thread stalls = new Thread(() -> {
@@ -185,14 +187,14 @@
     /** Guards against a time told as if the connection had come up at once. */
     @Test
     void anAttemptOnALateConnectionTellsWhatIsLeftThen() throws Exception {
-        try (LateFake late = new LateFake();
-                Rig rig = new Rig()) {
+        try (LateStubEndpoint late = new LateStubEndpoint();
+                SidecarFixture rig = new SidecarFixture()) {
             rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
             rig.start();
-            try (Wire wire = rig.client()) {
+            try (HttpTestConnection wire = rig.client()) {
                 wire.send(rig.request("read", STALLED_WAIT_MS));
-                Rig.await("an attempt waits for its connection", () -> rig.inHand() == 1);
+                SidecarFixture.await("an attempt waits for its connection", () -> rig.openRequests() == 1);
                 late.release();
                 assertEquals(200, wire.read().status());
             }
--- a/edge/src/test/java/lemonrail/assembly/LateFake.java
+++ b/edge/src/test/java/lemonrail/assembly/LateStubEndpoint.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An endpoint to which connections come up only once it is released: its queue is kept full until then, and
- * the system repeats what it has not let in a second after it first came.
+ * An endpoint whose connections are established only once it is released: its accept queue is full until then, and
+ * the system retries a connect a second later.
  */
-final class LateFake implements Closeable {
+final class LateStubEndpoint implements Closeable {
 
     private static final int FULL_MS = 200;
 
@@ -28,7 +28,7 @@
     private final ServerSocket listener;
     private final List<Socket> fillers = new ArrayList<>();
 
-    LateFake() throws IOException {
+    LateStubEndpoint() throws IOException {
         listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         while (fill()) {
             continue;
@@ -63,10 +63,10 @@
 
     private void serve() {
         while (!listener.isClosed()) {
-            try (Wire wire = new Wire(listener.accept())) {
+            try (HttpTestConnection wire = new HttpTestConnection(listener.accept())) {
                 headers = wire.read().headers();
                 asked.incrementAndGet();
-                Fake.answer(wire, 200, "", "late");
+                StubEndpoint.respond(wire, 200, "", "late");
             } catch (IOException e) {
                 // A filler's connection, one that was let go, or the test is over.
                 continue;
--- a/edge/src/test/java/lemonrail/assembly/LostCallsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/LostCallsTest.java
@@ -26,17 +26,17 @@
     private static final int HELD = 6;
 
     private final AtomicInteger givenUp = new AtomicInteger();
-    private final Fake endpoint = new Fake((wire, request) -> {
+    private final StubEndpoint endpoint = new StubEndpoint((wire, request) -> {
         if (request.line().startsWith("POST")) {
             wire.awaitEnd();
             givenUp.incrementAndGet();
         } else {
             Thread.sleep(WORK_MS);
-            Fake.answer(wire, 200, "", "served");
+            StubEndpoint.respond(wire, 200, "", "served");
         }
     });
-    private final Rig rig = new Rig(endpoint);
-    private final List<Wire> clients = new ArrayList<>();
+    private final SidecarFixture rig = new SidecarFixture(endpoint);
+    private final List<HttpTestConnection> clients = new ArrayList<>();
 
     LostCallsTest() throws IOException {
         rig.aimMs = AIM_MS;
@@ -44,22 +44,22 @@
 
     @AfterEach
     void stop() throws IOException {
-        for (Wire client : clients) {
+        for (HttpTestConnection client : clients) {
             client.close();
         }
         rig.close();
     }
 
     /** Sends calls that get no answer; each is on its way at the endpoint when this returns. */
-    private List<Wire> lose(int calls, int deadlineMs) throws Exception {
+    private List<HttpTestConnection> lose(int calls, int deadlineMs) throws Exception {
         int before = endpoint.requests.size();
-        List<Wire> lost = new ArrayList<>();
+        List<HttpTestConnection> lost = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
-            Wire client = rig.client();
+            HttpTestConnection client = rig.client();
             clients.add(client);
             lost.add(client.send(rig.request("order", deadlineMs)));
         }
-        Rig.await("all calls are at the endpoint", () -> endpoint.requests.size() == before + calls);
+        SidecarFixture.await("all calls are at the endpoint", () -> endpoint.requests.size() == before + calls);
         return lost;
     }
 
@@ -68,11 +68,11 @@
     void lostCallsDoNotLowerTheLimitWhileOthersAreAnswered() throws Exception {
         rig.start();
         for (int round = 0; round < ROUNDS; round++) {
-            List<Wire> lost = lose(LOST_AT_ONCE, LOST_MS);
+            List<HttpTestConnection> lost = lose(LOST_AT_ONCE, LOST_MS);
             while (givenUp.get() < (round + 1) * LOST_AT_ONCE) {
                 assertEquals(200, rig.ask("read", AIM_MS).status());
             }
-            for (Wire client : lost) {
+            for (HttpTestConnection client : lost) {
                 int status = client.read().status();
                 assertNotEquals(503, status);
                 assertNotEquals(200, status);
--- a/edge/src/test/java/lemonrail/assembly/OtherSettingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/OtherSettingsTest.java
@@ -102,7 +102,7 @@
     }
 
     private final CountDownLatch release = new CountDownLatch(1);
-    private Rig rig;
+    private SidecarFixture rig;
 
     @AfterEach
     void stop() throws IOException {
@@ -120,7 +120,7 @@
     }
 
     private int ask(Site site, String kind) throws IOException {
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             return client.send(request(site, kind)).read().status();
         }
     }
@@ -128,7 +128,7 @@
     @ParameterizedTest
     @MethodSource("sites")
     void eachIsServedUnderItsOwnNames(Site site) throws Exception {
-        rig = new Rig(Fake.answering(200, "", "served"));
+        rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "served"));
         rig.change = site::of;
         rig.start();
         assertEquals(200, ask(site, "read"));
@@ -147,8 +147,8 @@
     @ParameterizedTest
     @MethodSource("sites")
     void anUnsafeRequestThatMayHaveRunIsNotSentAgain(Site site) throws Exception {
-        Fake.Script resetting = (wire, request) -> wire.reset();
-        rig = new Rig(new Fake(resetting), new Fake(resetting));
+        StubEndpoint.RequestHandler resetting = (wire, request) -> wire.reset();
+        rig = new SidecarFixture(new StubEndpoint(resetting), new StubEndpoint(resetting));
         rig.change = site::of;
         rig.start();
         assertEquals(502, ask(site, "order"));
@@ -159,26 +159,26 @@
     @ParameterizedTest
     @MethodSource("sites")
     void aClientThatHasLeftIsNotRepeatedFor(Site site) throws Exception {
-        Fake.Script failing = (wire, request) -> {
+        StubEndpoint.RequestHandler failing = (wire, request) -> {
             release.await();
-            Fake.answer(wire, 500, "", "");
+            StubEndpoint.respond(wire, 500, "", "");
         };
-        rig = new Rig(new Fake(failing), new Fake(failing));
+        rig = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
         rig.change = site::of;
         rig.start();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send(request(site, "read"));
-            Rig.await("it is out", () -> rig.attempts() == 1);
+            SidecarFixture.await("it is out", () -> rig.attempts() == 1);
         }
-        Rig.await("it is known", () -> concurrent() == 0);
+        SidecarFixture.await("it is known", () -> concurrent() == 0);
         release.countDown();
-        Rig.await("nothing is owed", () -> rig.inHand() == 0);
+        SidecarFixture.await("nothing is owed", () -> rig.openRequests() == 0);
         assertEquals(1, rig.attempts());
     }
 
     private int concurrent() {
         try {
-            String figures = rig.operate("GET", "/v1/metrics").body();
+            String figures = rig.callAdmin("GET", "/v1/metrics").body();
             return Integer.parseInt(figures.replaceAll("(?s).*concurrent=(\\d+).*", "$1"));
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
@@ -189,16 +189,16 @@
     @ParameterizedTest
     @CsvSource({"100", "600", "9000"})
     void aRestartAnswersWhatItHasTaken(int deadlineMs) throws Exception {
-        rig = new Rig(new Fake((wire, request) -> wire.awaitEnd()));
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> wire.awaitEnd()));
         rig.change = config -> config.replace("\"hard-limit-ms\":9000", "\"hard-limit-ms\":" + deadlineMs);
         rig.start();
-        try (Wire client = rig.client();
-                Wire kept = rig.client()) {
+        try (HttpTestConnection client = rig.client();
+                HttpTestConnection kept = rig.client()) {
             client.send(rig.request("order", deadlineMs));
-            Rig.await("it is out", () -> rig.attempts() == 1);
+            SidecarFixture.await("it is out", () -> rig.attempts() == 1);
             Thread drain = new Thread(rig.sidecar::shutdownGracefully);
             drain.start();
-            Rig.await("it stops", () -> rig.logged().contains("stopping"));
+            SidecarFixture.await("it stops", () -> rig.logged().contains("stopping"));
             kept.send(rig.request("order", deadlineMs));
             assertTrue(kept.read().status() >= 500);
             assertTrue(client.read().status() >= 500);
@@ -223,7 +223,7 @@
                 "\"replicas-of-me\":1|\"replicas-of-me\":0|balancers|0"
             })
     void whatIsNoDeploymentDoesNotStart(String part, String instead, String key, String value) throws IOException {
-        rig = new Rig();
+        rig = new SidecarFixture();
         rig.change = config -> {
             assertTrue(config.contains(part), part);
             return config.replaceAll(Pattern.quote(part), instead == null ? "" : instead);
--- a/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
@@ -39,8 +39,8 @@
     Path folder;
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private final Fake first = Fake.answering(200, "", "first");
-    private final Fake second = Fake.answering(200, "", "second");
+    private final StubEndpoint first = StubEndpoint.respondingWith(200, "", "first");
+    private final StubEndpoint second = StubEndpoint.respondingWith(200, "", "second");
     private Sidecar edge;
     private int requests;
 
@@ -57,7 +57,7 @@
         second.close();
     }
 
-    private String text(String listener, Fake endpoint, String more) {
+    private String text(String listener, StubEndpoint endpoint, String more) {
         return """
             name = "own"
             state-dir = "%s"
@@ -89,8 +89,8 @@
         start(text, new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)));
     }
 
-    private Wire.Message ask(InetSocketAddress at) throws IOException {
-        try (Wire wire = Wire.to(at)) {
+    private HttpTestConnection.Message ask(InetSocketAddress at) throws IOException {
+        try (HttpTestConnection wire = HttpTestConnection.to(at)) {
             return wire.send(REQUEST.formatted("r" + requests++)).read();
         }
     }
@@ -98,7 +98,7 @@
     private void reload(String text, String said) throws Exception {
         write(text);
         edge.reload();
-        Rig.await(said, () -> logged().contains(said));
+        SidecarFixture.await(said, () -> logged().contains(said));
     }
 
     private String logged() {
@@ -121,7 +121,7 @@
         InetSocketAddress before = edge.address();
         assertEquals("first", ask(before).body());
         InetSocketAddress now = free();
-        Wire kept = Wire.to(before);
+        HttpTestConnection kept = HttpTestConnection.to(before);
         assertEquals("first", kept.send(REQUEST.formatted("kept")).read().body());
         reload(
                 text(plain(now), second, "[limits]\nattempts = 5"),
@@ -130,7 +130,11 @@
         kept.awaitEnd();
         assertThrows(IOException.class, () -> ask(before));
         assertEquals(
-                1, first.requests.stream().map(Wire.Message::line).distinct().count());
+                1,
+                first.requests.stream()
+                        .map(HttpTestConnection.Message::line)
+                        .distinct()
+                        .count());
     }
 
     @Test
@@ -143,13 +147,13 @@
             edge.reload();
             edge.reload();
         });
-        Rig.await("both are done", () -> logged().split("configuration read again", -1).length == 3);
+        SidecarFixture.await("both are done", () -> logged().split("configuration read again", -1).length == 3);
         assertFalse(logged().contains("stays as it was"), logged());
         assertEquals("second", ask(now).body());
         InetSocketAddress later = free();
         write(text(plain(later), first, ""));
         edge.reload();
-        Rig.await("the third is done", () -> logged().split("configuration read again", -1).length == 4);
+        SidecarFixture.await("the third is done", () -> logged().split("configuration read again", -1).length == 4);
         assertEquals("first", ask(later).body());
         assertThrows(IOException.class, () -> ask(now), "nobody listens there any more");
     }
@@ -167,9 +171,9 @@
                     text(plain(free), second, "[[listeners]]\naddress = \"127.0.0.1:" + other.getLocalPort() + "\""),
                     "cannot listen on /127.0.0.1:" + other.getLocalPort());
             assertEquals("first", ask(edge.address()).body());
-            Rig.await("the other listener is closed again", () -> {
+            SidecarFixture.await("the other listener is closed again", () -> {
                 try {
-                    Wire.to(free).close();
+                    HttpTestConnection.to(free).close();
                     return false;
                 } catch (IOException e) {
                     return true;
@@ -190,7 +194,7 @@
         log.reset();
         Files.delete(folder.resolve("own.toml"));
         edge.reload();
-        Rig.await("it is told", () -> logged().contains("there is no such file"));
+        SidecarFixture.await("it is told", () -> logged().contains("there is no such file"));
         assertEquals("first", ask(edge.address()).body());
         reload(text("127.0.0.1:0", second, ""), "configuration read again");
         assertEquals("second", ask(edge.address()).body());
@@ -219,12 +223,13 @@
         Sidecar old = edge;
         try {
             start(text("127.0.0.1:0", first, both + "\n[limits]\nattempts = 5\n[admin]\naddress = \"127.0.0.1:0\""));
-            Rig.await("the old one has noticed", () -> logged().contains("another process of this sidecar runs"));
-            try (Wire wire = Wire.to(edge.adminAddress())) {
+            SidecarFixture.await(
+                    "the old one has noticed", () -> logged().contains("another process of this sidecar runs"));
+            try (HttpTestConnection wire = HttpTestConnection.to(edge.adminAddress())) {
                 wire.send("PUT /v1/endpoints/other/suspend HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertEquals(200, wire.read().status());
             }
-            Rig.await("the old one heard", () -> logged().contains("suspended by another process: [other]"));
+            SidecarFixture.await("the old one heard", () -> logged().contains("suspended by another process: [other]"));
             for (int i = 0; i < 5; i++) {
                 assertEquals("first", ask(old.address()).body());
                 assertEquals("first", ask(edge.address()).body());
@@ -271,13 +276,13 @@
             "PUT /v1/loggers/io.netty/debug=404",
             "POST /v1/loggers/lemonrail/info=405"
         }) {
-            try (Wire wire = Wire.to(edge.adminAddress())) {
+            try (HttpTestConnection wire = HttpTestConnection.to(edge.adminAddress())) {
                 wire.send(call.split("=")[0] + " HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertEquals(Integer.parseInt(call.split("=")[1]), wire.read().status(), call);
             }
         }
         ask(edge.address());
-        Rig.await(
+        SidecarFixture.await(
                 "it tells all",
                 () -> logged().contains("attempt_ended request_id=r1 class=read endpoint=e-" + first.port()
                         + " attempt=0 outcome=ok took_ms="));
--- a/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
@@ -22,8 +22,8 @@
     Path folder;
 
     private EdgeConfig read(String part, String instead) throws IOException {
-        try (Fake endpoint = Fake.answering(200, "", "");
-                Rig rig = new Rig(endpoint)) {
+        try (StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "");
+                SidecarFixture rig = new SidecarFixture(endpoint)) {
             assertTrue(rig.config().contains(part), part);
             return new PlatformFile(
                             Files.writeString(
--- a/edge/src/test/java/lemonrail/assembly/ReloadTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReloadTest.java
@@ -17,9 +17,9 @@
 
     private static final int DEADLINE_MS = 8000;
 
-    private final Fake before = Fake.answering(200, "", "before");
-    private final Fake after = Fake.answering(200, "", "after");
-    private Rig rig = new Rig(before);
+    private final StubEndpoint before = StubEndpoint.respondingWith(200, "", "before");
+    private final StubEndpoint after = StubEndpoint.respondingWith(200, "", "after");
+    private SidecarFixture rig = new SidecarFixture(before);
 
     ReloadTest() throws IOException {
         // Both fakes stand before each test.
@@ -31,12 +31,17 @@
         after.close();
     }
 
-    private Fake discoveryWith(int version, Fake endpoint) throws IOException {
-        return new Fake((wire, request) -> {
+    private StubEndpoint discoveryWith(int version, StubEndpoint endpoint) throws IOException {
+        return new StubEndpoint((wire, request) -> {
             if (request.line().contains("index=")) {
                 wire.awaitEnd();
             } else {
-                Fake.answer(wire, 200, "", Rig.list(version, true, Rig.line(9, endpoint.address(), "in_service", 0)));
+                StubEndpoint.respond(
+                        wire,
+                        200,
+                        "",
+                        SidecarFixture.list(
+                                version, true, SidecarFixture.line(9, endpoint.address(), "in_service", 0)));
             }
         });
     }
@@ -51,20 +56,20 @@
     void theWholeListIsAskedForAtTheNewAddressAtOnce() throws Exception {
         rig.askWithinMs = 20;
         rig.start();
-        Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
-        try (Fake next = discoveryWith(1, after);
-                Fake last = discoveryWith(1, before)) {
+        SidecarFixture.await("a watch is on", () -> rig.discovery.requests.size() == 1);
+        try (StubEndpoint next = discoveryWith(1, after);
+                StubEndpoint last = discoveryWith(1, before)) {
             reloadFor(next.address());
-            Rig.await("the watch goes on there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the watch goes on there", () -> next.requests.size() == 2);
             assertEquals(
                     "GET /registry/instances HTTP/1.1", next.requests.get(0).line());
             assertEquals(
                     "GET /registry/instances?index=1&wait=3000 HTTP/1.1",
                     next.requests.get(1).line());
-            Rig.await("the old watch is dropped", () -> rig.discovery.open.get() == 0);
+            SidecarFixture.await("the old watch is dropped", () -> rig.discovery.open.get() == 0);
             assertEquals("after", rig.ask("order", DEADLINE_MS).body());
             reloadFor(last.address());
-            Rig.await("and again", () -> last.requests.size() == 2);
+            SidecarFixture.await("and again", () -> last.requests.size() == 2);
             assertEquals("before", rig.ask("order", DEADLINE_MS).body());
         }
         assertFalse(rig.logged().contains("discovery failed"), rig.logged());
@@ -73,17 +78,17 @@
     @Test
     void aRequestInHandIsNotTouched() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        before.script = (wire, request) -> {
+        before.requestHandler = (wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "before");
+            StubEndpoint.respond(wire, 200, "", "before");
         };
         rig.start();
-        try (Fake next = discoveryWith(5, after);
-                Wire client = rig.client()) {
+        try (StubEndpoint next = discoveryWith(5, after);
+                HttpTestConnection client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS));
-            Rig.await("it is in hand", () -> before.requests.size() == 1);
+            SidecarFixture.await("it is in hand", () -> before.requests.size() == 1);
             reloadFor(next.address());
-            Rig.await("the new list is there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the new list is there", () -> next.requests.size() == 2);
             release.countDown();
             assertEquals("before", client.read().body());
         }
@@ -93,12 +98,12 @@
     void aFileThatCannotBeUsedChangesNothing() throws Exception {
         rig.askWithinMs = 20;
         rig.start();
-        Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
+        SidecarFixture.await("a watch is on", () -> rig.discovery.requests.size() == 1);
         reloadFor("nowhere");
-        Rig.await("it is told", () -> rig.logged().contains("field discovery is not usable: nowhere"));
+        SidecarFixture.await("it is told", () -> rig.logged().contains("field discovery is not usable: nowhere"));
         Files.writeString(rig.configFile, "{");
         rig.sidecar.reload();
-        Rig.await("it is told", () -> rig.logged().contains("is not JSON"));
+        SidecarFixture.await("it is told", () -> rig.logged().contains("is not JSON"));
         assertEquals("before", rig.ask("order", DEADLINE_MS).body());
         assertEquals(1, rig.discovery.open.get(), "the old watch goes on");
         assertTrue(rig.logged().contains("the configuration stays as it was"), rig.logged());
--- a/edge/src/test/java/lemonrail/assembly/RestartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/RestartTest.java
@@ -27,12 +27,12 @@
     @TempDir
     Path folder;
 
-    private final List<Served> sidecars = new ArrayList<>();
+    private final List<SidecarChildProcess> sidecars = new ArrayList<>();
 
     @AfterEach
     void stop() throws InterruptedException {
         sidecars.forEach(served -> served.process.destroyForcibly());
-        for (Served served : sidecars) {
+        for (SidecarChildProcess served : sidecars) {
             served.process.waitFor();
         }
     }
@@ -46,11 +46,11 @@
                 .toArray(String[]::new);
     }
 
-    private static boolean isReady(Served served) {
-        if (!served.serves()) {
+    private static boolean isReady(SidecarChildProcess served) {
+        if (!served.isServing()) {
             return false;
         }
-        try (Wire wire = Wire.to(served.address())) {
+        try (HttpTestConnection wire = HttpTestConnection.to(served.address())) {
             return wire.send("GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
                             .read()
                             .status()
@@ -63,14 +63,15 @@
     /** Guards against starts that cost so much that a fleet is long in coming back. */
     @Test
     void nineInTenAreReadyInTime() throws Exception {
-        try (Rig rig = new Rig(Fake.answering(200, "", "yes"))) {
+        try (SidecarFixture rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "yes"))) {
             Path config = Files.writeString(folder.resolve("config.json"), rig.config());
             long began = System.nanoTime();
             for (int i = 0; i < SIDECARS; i++) {
-                sidecars.add(Served.launch(config, Files.createDirectory(folder.resolve("n" + i)), flags()));
+                sidecars.add(
+                        SidecarChildProcess.launch(config, Files.createDirectory(folder.resolve("n" + i)), flags()));
             }
-            List<Served> waiting = new ArrayList<>(sidecars);
-            Rig.await("nine in ten are ready", () -> {
+            List<SidecarChildProcess> waiting = new ArrayList<>(sidecars);
+            SidecarFixture.await("nine in ten are ready", () -> {
                 waiting.removeIf(RestartTest::isReady);
                 return waiting.size() <= (1 - READY_SHARE) * SIDECARS;
             });
--- a/edge/src/test/java/lemonrail/assembly/SeamTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SeamTest.java
@@ -17,10 +17,10 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lemonrail.assembly.Talk.Act;
-import lemonrail.assembly.Talk.Caller;
-import lemonrail.assembly.Talk.Final;
-import lemonrail.assembly.Talk.Peer;
+import lemonrail.assembly.TestProtocol.ClientResult;
+import lemonrail.assembly.TestProtocol.EndpointAction;
+import lemonrail.assembly.TestProtocol.TestClient;
+import lemonrail.assembly.TestProtocol.TestEndpoint;
 import lemonrail.config.TomlFile;
 import lemonrail.logging.TextSink;
 import org.junit.jupiter.api.AfterEach;
@@ -43,10 +43,10 @@
     Path folder;
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private final List<Peer> peers = new ArrayList<>();
+    private final List<TestEndpoint> peers = new ArrayList<>();
     private final List<Closeable> open = new ArrayList<>();
     private final CountDownLatch release = new CountDownLatch(1);
-    private Talk talk;
+    private TestProtocol talk;
     private Sidecar edge;
     private int requests;
 
@@ -61,16 +61,16 @@
         }
     }
 
-    private Peer peer(Act... acts) throws IOException {
-        Peer peer = talk.peer(release, acts);
+    private TestEndpoint peer(EndpointAction... acts) throws IOException {
+        TestEndpoint peer = talk.peer(release, acts);
         peers.add(peer);
         open.add(peer);
         return peer;
     }
 
-    private void write(Peer... draining) throws IOException {
+    private void write(TestEndpoint... draining) throws IOException {
         StringBuilder endpoints = new StringBuilder();
-        for (Peer peer : peers) {
+        for (TestEndpoint peer : peers) {
             endpoints
                     .append("[[endpoints]]\nid = \"p")
                     .append(peers.indexOf(peer))
@@ -110,7 +110,7 @@
             """.formatted(folder, endpoints));
     }
 
-    private void start(Talk spoken) throws IOException {
+    private void start(TestProtocol spoken) throws IOException {
         write();
         TomlFile source = new TomlFile(folder.resolve("edge.toml"), Map.of());
         edge = new SidecarBuilder(
@@ -122,19 +122,19 @@
         edge.start();
     }
 
-    private Caller caller() throws IOException {
-        Caller caller = talk.caller(edge.address());
+    private TestClient caller() throws IOException {
+        TestClient caller = talk.caller(edge.address());
         open.add(caller);
         return caller;
     }
 
-    private Caller send(String kind, int deadlineMs) throws IOException {
-        Caller caller = caller();
+    private TestClient send(String kind, int deadlineMs) throws IOException {
+        TestClient caller = caller();
         caller.send("r" + requests++, kind, deadlineMs);
         return caller;
     }
 
-    private Final ask(String kind, int deadlineMs) throws IOException {
+    private ClientResult ask(String kind, int deadlineMs) throws IOException {
         return send(kind, deadlineMs).read();
     }
 
@@ -143,22 +143,22 @@
     }
 
     private void awaitAttempts(int count) throws InterruptedException {
-        Rig.await(count + " attempts", () -> attempts() == count);
+        SidecarFixture.await(count + " attempts", () -> attempts() == count);
     }
 
     // ---- one final answer ----
 
     @ParameterizedTest
     @EnumSource
-    void eachRequestIsServedOnceByOneEndpoint(Talk spoken) throws Exception {
+    void eachRequestIsServedOnceByOneEndpoint(TestProtocol spoken) throws Exception {
         talk = spoken;
-        peer(Act.SERVE);
-        peer(Act.SERVE);
+        peer(EndpointAction.SERVE);
+        peer(EndpointAction.SERVE);
         start(spoken);
-        Caller caller = caller();
+        TestClient caller = caller();
         for (int i = 0; i < 20; i++) {
             caller.send("q" + i, i % 2 == 0 ? "read" : "order", LONG_MS);
-            assertEquals(new Final(Final.Kind.SERVED, "served q" + i), caller.read());
+            assertEquals(new ClientResult(ClientResult.Kind.SERVED, "served q" + i), caller.read());
         }
         assertEquals(20, attempts());
         assertEquals(
@@ -168,12 +168,12 @@
 
     @ParameterizedTest
     @EnumSource
-    void whatAnEndpointTurnsAwayForGoodIsNotTriedAgain(Talk spoken) throws Exception {
+    void whatAnEndpointTurnsAwayForGoodIsNotTriedAgain(TestProtocol spoken) throws Exception {
         talk = spoken;
-        peer(Act.TURN_AWAY);
-        peer(Act.TURN_AWAY);
+        peer(EndpointAction.REJECT);
+        peer(EndpointAction.REJECT);
         start(spoken);
-        assertEquals(Final.Kind.TURNED_AWAY, ask("read", LONG_MS).kind());
+        assertEquals(ClientResult.Kind.REJECTED, ask("read", LONG_MS).kind());
         assertEquals(1, attempts());
     }
 
@@ -181,9 +181,9 @@
 
     @ParameterizedTest
     @EnumSource
-    void aRepeatableRequestIsTriedElsewhere(Talk spoken) throws Exception {
-        for (Act act : List.of(Act.FAIL, Act.RESET, Act.NOT_RUN)) {
-            tryTwice(spoken, act, "read", Final.Kind.SERVED, 2);
+    void aRepeatableRequestIsTriedElsewhere(TestProtocol spoken) throws Exception {
+        for (EndpointAction act : List.of(EndpointAction.FAIL, EndpointAction.RESET, EndpointAction.NOT_RUN)) {
+            tryTwice(spoken, act, "read", ClientResult.Kind.SERVED, 2);
         }
     }
 
@@ -192,34 +192,35 @@
      */
     @ParameterizedTest
     @EnumSource
-    void aRequestThatMustRunOnceIsRepeatedOnlyIfItNeverRan(Talk spoken) throws Exception {
-        tryTwice(spoken, Act.NOT_RUN, "order", Final.Kind.SERVED, 2);
-        tryTwice(spoken, Act.FAIL, "order", Final.Kind.FAILED, 1);
-        tryTwice(spoken, Act.RESET, "order", Final.Kind.FAILED, 1);
+    void aRequestThatMustRunOnceIsRepeatedOnlyIfItNeverRan(TestProtocol spoken) throws Exception {
+        tryTwice(spoken, EndpointAction.NOT_RUN, "order", ClientResult.Kind.SERVED, 2);
+        tryTwice(spoken, EndpointAction.FAIL, "order", ClientResult.Kind.FAILED, 1);
+        tryTwice(spoken, EndpointAction.RESET, "order", ClientResult.Kind.FAILED, 1);
     }
 
     /** A keyed request may be repeated within its rack alone, and here each rack has one endpoint. */
     @ParameterizedTest
     @EnumSource
-    void aKeyedRequestStaysInItsRack(Talk spoken) throws Exception {
-        tryTwice(spoken, Act.NOT_RUN, "save", Final.Kind.SERVED, 2);
+    void aKeyedRequestStaysInItsRack(TestProtocol spoken) throws Exception {
+        tryTwice(spoken, EndpointAction.NOT_RUN, "save", ClientResult.Kind.SERVED, 2);
         talk = spoken;
         reset();
-        Peer first = peer(Act.RESET);
-        Peer second = peer(Act.RESET);
+        TestEndpoint first = peer(EndpointAction.RESET);
+        TestEndpoint second = peer(EndpointAction.RESET);
         start(spoken);
-        assertEquals(Final.Kind.FAILED, ask("save", LONG_MS).kind());
+        assertEquals(ClientResult.Kind.FAILED, ask("save", LONG_MS).kind());
         assertTrue(first.requests().isEmpty() || second.requests().isEmpty(), "one rack only");
     }
 
     /** Both endpoints do this with the first request that each gets and serve all others. */
-    private void tryTwice(Talk spoken, Act act, String kind, Final.Kind end, int attempts) throws Exception {
+    private void tryTwice(TestProtocol spoken, EndpointAction act, String kind, ClientResult.Kind end, int attempts)
+            throws Exception {
         talk = spoken;
         reset();
         CountDownLatch first = new CountDownLatch(1);
-        Act[] once = {act, Act.SERVE};
-        Peer one = talk.sharing(release, first, once);
-        Peer two = talk.sharing(release, first, once);
+        EndpointAction[] once = {act, EndpointAction.SERVE};
+        TestEndpoint one = talk.sharing(release, first, once);
+        TestEndpoint two = talk.sharing(release, first, once);
         peers.addAll(List.of(one, two));
         open.addAll(List.of(one, two));
         start(spoken);
@@ -231,7 +232,7 @@
         if (edge != null) {
             edge.stop();
         }
-        for (Peer peer : peers) {
+        for (TestEndpoint peer : peers) {
             peer.close();
         }
         peers.clear();
@@ -239,14 +240,14 @@
 
     @ParameterizedTest
     @EnumSource
-    void anEndpointThatIsNotThereIsPassedOver(Talk spoken) throws Exception {
+    void anEndpointThatIsNotThereIsPassedOver(TestProtocol spoken) throws Exception {
         talk = spoken;
-        Peer gone = peer(Act.SERVE);
-        peer(Act.SERVE);
+        TestEndpoint gone = peer(EndpointAction.SERVE);
+        peer(EndpointAction.SERVE);
         start(spoken);
         gone.close();
         for (String kind : List.of("read", "order", "save", "read", "order", "save")) {
-            assertEquals(Final.Kind.SERVED, ask(kind, LONG_MS).kind());
+            assertEquals(ClientResult.Kind.SERVED, ask(kind, LONG_MS).kind());
         }
         assertEquals(0, gone.requests().size());
     }
@@ -255,33 +256,33 @@
 
     @ParameterizedTest
     @EnumSource
-    void aSilentEndpointIsGivenUpAndTheClientHears(Talk spoken) throws Exception {
+    void aSilentEndpointIsGivenUpAndTheClientHears(TestProtocol spoken) throws Exception {
         talk = spoken;
-        Peer silent = peer(Act.SILENT);
+        TestEndpoint silent = peer(EndpointAction.SILENT);
         start(spoken);
         long began = System.nanoTime();
-        assertEquals(Final.Kind.FAILED, ask("order", SHORT_MS).kind());
+        assertEquals(ClientResult.Kind.FAILED, ask("order", SHORT_MS).kind());
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
         assertTrue(tookMs < LONG_MS / 2, tookMs + " ms");
-        Rig.await("the attempt is given up", () -> silent.connections() == 0);
+        SidecarFixture.await("the attempt is given up", () -> silent.connections() == 0);
         assertEquals(1, attempts());
     }
 
     /** Guards against an answer that comes late and passes for the next request's. */
     @ParameterizedTest
     @EnumSource
-    void aLateAnswerIsNobodys(Talk spoken) throws Exception {
+    void aLateAnswerIsNobodys(TestProtocol spoken) throws Exception {
         talk = spoken;
-        peer(Act.HOLD, Act.SERVE);
+        peer(EndpointAction.HOLD, EndpointAction.SERVE);
         start(spoken);
-        Caller caller = caller();
+        TestClient caller = caller();
         caller.send("late", "order", SHORT_MS);
-        assertEquals(Final.Kind.FAILED, caller.read().kind());
+        assertEquals(ClientResult.Kind.FAILED, caller.read().kind());
         release.countDown();
         for (int i = 0; i < 3; i++) {
-            Caller next = caller();
+            TestClient next = caller();
             next.send("next" + i, "order", LONG_MS);
-            assertEquals(new Final(Final.Kind.SERVED, "served next" + i), next.read());
+            assertEquals(new ClientResult(ClientResult.Kind.SERVED, "served next" + i), next.read());
         }
     }
 
@@ -289,16 +290,16 @@
 
     @ParameterizedTest
     @EnumSource
-    void aFullPoolRefusesAtOnce(Talk spoken) throws Exception {
+    void aFullPoolRefusesAtOnce(TestProtocol spoken) throws Exception {
         talk = spoken;
-        peer(Act.HOLD);
+        peer(EndpointAction.HOLD);
         start(spoken);
-        List<Caller> held = new ArrayList<>();
-        Final refused = null;
+        List<TestClient> held = new ArrayList<>();
+        ClientResult refused = null;
         for (int i = 0; i < 300 && refused == null; i++) {
-            Caller caller = send("order", LONG_MS);
+            TestClient caller = send("order", LONG_MS);
             int before = i + 1;
-            Rig.await(
+            SidecarFixture.await(
                     "it is at the endpoint or refused",
                     () -> attempts() == before - (caller.hasAnswer() ? 1 : 0) || caller.hasAnswer());
             refused = caller.hasAnswer() ? caller.read() : null;
@@ -306,10 +307,10 @@
                 held.add(caller);
             }
         }
-        assertEquals(Final.Kind.REFUSED, refused.kind());
+        assertEquals(ClientResult.Kind.SHED, refused.kind());
         release.countDown();
-        for (Caller caller : held) {
-            assertEquals(Final.Kind.SERVED, caller.read().kind());
+        for (TestClient caller : held) {
+            assertEquals(ClientResult.Kind.SERVED, caller.read().kind());
         }
     }
 
@@ -317,41 +318,43 @@
 
     @ParameterizedTest
     @EnumSource
-    void anEndpointThatDrainsFinishesWhatItHasAndGetsNothingNew(Talk spoken) throws Exception {
+    void anEndpointThatDrainsFinishesWhatItHasAndGetsNothingNew(TestProtocol spoken) throws Exception {
         talk = spoken;
-        Peer draining = peer(Act.HOLD);
+        TestEndpoint draining = peer(EndpointAction.HOLD);
         start(spoken);
-        Caller held = send("order", LONG_MS);
+        TestClient held = send("order", LONG_MS);
         awaitAttempts(1);
-        Peer other = peer(Act.SERVE);
+        TestEndpoint other = peer(EndpointAction.SERVE);
         write(draining);
         edge.reload();
-        Rig.await("it is taken up", () -> log.toString(StandardCharsets.UTF_8).contains("read again"));
+        SidecarFixture.await(
+                "it is taken up", () -> log.toString(StandardCharsets.UTF_8).contains("read again"));
         for (int i = 0; i < 6; i++) {
             assertEquals(
-                    Final.Kind.SERVED,
+                    ClientResult.Kind.SERVED,
                     ask(i % 2 == 0 ? "read" : "order", LONG_MS).kind());
         }
         assertEquals(1, draining.requests().size());
         assertEquals(6, other.requests().size());
         release.countDown();
-        assertEquals(Final.Kind.SERVED, held.read().kind());
+        assertEquals(ClientResult.Kind.SERVED, held.read().kind());
     }
 
     @ParameterizedTest
     @EnumSource
-    void anEdgeThatStopsAnswersWhatItHas(Talk spoken) throws Exception {
+    void anEdgeThatStopsAnswersWhatItHas(TestProtocol spoken) throws Exception {
         talk = spoken;
-        peer(Act.HOLD);
+        peer(EndpointAction.HOLD);
         start(spoken);
-        Caller held = send("order", LONG_MS);
+        TestClient held = send("order", LONG_MS);
         awaitAttempts(1);
         Thread stopping = new Thread(edge::shutdownGracefully);
         stopping.start();
-        Rig.await("it is stopping", () -> log.toString(StandardCharsets.UTF_8).contains("stopping"));
+        SidecarFixture.await(
+                "it is stopping", () -> log.toString(StandardCharsets.UTF_8).contains("stopping"));
         assertTrue(stopping.isAlive(), "it waits for what it has");
         release.countDown();
-        assertEquals(Final.Kind.SERVED, held.read().kind());
+        assertEquals(ClientResult.Kind.SERVED, held.read().kind());
         held.awaitEnd();
         stopping.join();
         assertThrows(IOException.class, this::caller);
@@ -359,15 +362,15 @@
 
     @ParameterizedTest
     @EnumSource
-    void whatNobodyWaitsForIsGivenUp(Talk spoken) throws Exception {
+    void whatNobodyWaitsForIsGivenUp(TestProtocol spoken) throws Exception {
         talk = spoken;
-        Peer silent = peer(Act.SILENT);
+        TestEndpoint silent = peer(EndpointAction.SILENT);
         start(spoken);
-        Caller caller = send("order", LONG_MS);
+        TestClient caller = send("order", LONG_MS);
         awaitAttempts(1);
         caller.close();
-        Rig.await("the attempt is given up", () -> silent.connections() == 0);
-        Rig.await(
+        SidecarFixture.await("the attempt is given up", () -> silent.connections() == 0);
+        SidecarFixture.await(
                 "nothing is left",
                 () -> edge.loop()
                                 .submit(() -> edge.tableSizes().get(0))
--- a/edge/src/test/java/lemonrail/assembly/Served.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarChildProcess.java
@@ -8,15 +8,15 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** The program as a process of its own, and all that it has said. */
-final class Served {
+/** The program as a child process, and the lines of its log. */
+final class SidecarChildProcess {
 
     private static final String SERVING = "serving at /";
 
     final Process process;
     final List<String> log = new CopyOnWriteArrayList<>();
 
-    private Served(Process process) {
+    private SidecarChildProcess(Process process) {
         this.process = process;
         BufferedReader reader = process.inputReader();
         Thread thread = new Thread(() -> reader.lines().forEach(log::add), "log");
@@ -24,15 +24,16 @@
         thread.start();
     }
 
-    /** Starts it with these flags of the JVM, and waits until it serves. */
-    static Served start(Path config, Path folder, String... flags) throws IOException, InterruptedException {
-        Served served = launch(config, folder, flags);
+    /** Starts the program with these JVM flags, and waits until it serves. */
+    static SidecarChildProcess start(Path config, Path folder, String... flags)
+            throws IOException, InterruptedException {
+        SidecarChildProcess served = launch(config, folder, flags);
         served.awaitLine(SERVING);
         return served;
     }
 
-    /** Starts it with these flags of the JVM. */
-    static Served launch(Path config, Path folder, String... flags) throws IOException {
+    /** Starts the program with these JVM flags. */
+    static SidecarChildProcess launch(Path config, Path folder, String... flags) throws IOException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.add("-XX:TieredStopAtLevel=1");
@@ -41,22 +42,22 @@
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("GW_CONFIG", config.toString());
         builder.environment().put("TMPDIR", folder.toString());
-        return new Served(builder.redirectErrorStream(true).start());
+        return new SidecarChildProcess(builder.redirectErrorStream(true).start());
     }
 
-    boolean serves() {
-        return said(SERVING);
+    boolean isServing() {
+        return hasLogged(SERVING);
     }
 
     void awaitLine(String part) throws InterruptedException {
-        Rig.await(part, () -> said(part));
+        SidecarFixture.await(part, () -> hasLogged(part));
     }
 
-    boolean said(String part) {
+    boolean hasLogged(String part) {
         return log.stream().anyMatch(line -> line.contains(part));
     }
 
-    /** Where clients connect, as it says itself. */
+    /** Returns where clients connect, as the program has logged it. */
     InetSocketAddress address() {
         String line =
                 log.stream().filter(said -> said.contains(SERVING)).findFirst().orElseThrow();
--- a/edge/src/test/java/lemonrail/assembly/Rig.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarFixture.java
@@ -23,15 +23,15 @@
 import lemonrail.http1.Http1Protocol;
 import lemonrail.logging.TextSink;
 
-/** A sidecar before fake endpoints, with a fake discovery; all on loopback. */
-final class Rig implements Closeable {
+/** A sidecar with stub endpoints and a stub discovery service, all on loopback. */
+final class SidecarFixture implements Closeable {
 
-    private static final long PATIENCE_MS = 20_000;
-    /** More than the sidecar lets a connection stand before it is used again. */
+    private static final long TIMEOUT_MS = 20_000;
+    /** Longer than the time before the sidecar reuses a connection. */
     private static final int SETTLED_MS = 20;
 
-    final List<Fake> endpoints = new ArrayList<>();
-    final Fake discovery;
+    final List<StubEndpoint> endpoints = new ArrayList<>();
+    final StubEndpoint discovery;
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     Path configFile;
     /** What outlives the process; one of its own if none is given. */
@@ -53,10 +53,10 @@
     Protocol<?, ?> protocol = new Http1Protocol();
     private int requests;
 
-    Rig(Fake... endpoints) throws IOException {
+    SidecarFixture(StubEndpoint... endpoints) throws IOException {
         this.endpoints.addAll(List.of(endpoints));
-        // Discovery holds its answer back until the test has one.
-        discovery = new Fake((wire, request) -> wire.awaitEnd());
+        // Discovery holds its response back unless the test replaces its handler.
+        discovery = new StubEndpoint((wire, request) -> wire.awaitEnd());
     }
 
     static String line(int number, String address, String state, long startedMs) {
@@ -96,12 +96,12 @@
                         askWithinMs);
     }
 
-    Rig start() throws IOException {
+    SidecarFixture start() throws IOException {
         return start(BoxcarLoadBalancer::new);
     }
 
-    /** The same with another decider. */
-    Rig start(LoadBalancerFactory decider) throws IOException {
+    /** Starts the sidecar with another load balancer. */
+    SidecarFixture start(LoadBalancerFactory loadBalancer) throws IOException {
         configFile = Files.writeString(Files.createTempFile("config", ".json"), change.apply(config()));
         folder = folder == null ? Files.createTempDirectory("sidecar") : folder;
         Map<String, String> environment = new HashMap<>(Map.of("TMPDIR", folder.toString(), "GW_MGMT", "127.0.0.1:0"));
@@ -114,14 +114,14 @@
                         source,
                         source.load(),
                         new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)))
-                .loadBalancer(decider)
+                .loadBalancer(loadBalancer)
                 .build();
         sidecar.start();
         return this;
     }
 
-    Wire client() throws IOException {
-        return Wire.to(sidecar.address());
+    HttpTestConnection client() throws IOException {
+        return HttpTestConnection.to(sidecar.address());
     }
 
     /** A request of a class, GET for one that may be repeated and else POST with a body. */
@@ -133,20 +133,20 @@
                 : "POST /api?q=1 HTTP/1.1\r\n" + head + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
     }
 
-    Wire operator() throws IOException {
-        return Wire.to(sidecar.adminAddress());
+    HttpTestConnection adminConnection() throws IOException {
+        return HttpTestConnection.to(sidecar.adminAddress());
     }
 
-    /** One call of the admin API. */
-    Wire.Message operate(String method, String path) throws IOException {
-        try (Wire wire = operator()) {
+    /** Sends one request to the admin API. */
+    HttpTestConnection.Message callAdmin(String method, String path) throws IOException {
+        try (HttpTestConnection wire = adminConnection()) {
             return wire.send(method + " " + path + " HTTP/1.1\r\nHost: n0\r\n\r\n")
                     .read();
         }
     }
 
-    Wire.Message ask(String kind, int deadlineMs) throws IOException {
-        try (Wire wire = client()) {
+    HttpTestConnection.Message ask(String kind, int deadlineMs) throws IOException {
+        try (HttpTestConnection wire = client()) {
             return wire.send(request(kind, deadlineMs)).read();
         }
     }
@@ -157,8 +157,8 @@
         Thread.sleep(SETTLED_MS);
     }
 
-    /** How many requests the sidecar has in its table. */
-    int inHand() {
+    /** Returns how many requests are open in the sidecar. */
+    int openRequests() {
         return sidecar.loop()
                 .submit(() -> sidecar.tableSizes().get(0))
                 .syncUninterruptibly()
@@ -174,7 +174,7 @@
     }
 
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < until, what);
             Thread.sleep(2);
@@ -187,7 +187,7 @@
             sidecar.stop();
             Files.delete(configFile);
         }
-        for (Fake endpoint : endpoints) {
+        for (StubEndpoint endpoint : endpoints) {
             endpoint.close();
         }
         discovery.close();
--- a/edge/src/test/java/lemonrail/assembly/SidecarTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarTest.java
@@ -25,10 +25,10 @@
 
     private static final int DEADLINE_MS = 8000;
 
-    private Rig rig;
+    private SidecarFixture rig;
 
-    private Rig start(Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
+    private SidecarFixture start(StubEndpoint... endpoints) throws IOException {
+        rig = new SidecarFixture(endpoints);
         return rig.start();
     }
 
@@ -37,8 +37,8 @@
         rig.close();
     }
 
-    private static Fake good() throws IOException {
-        return Fake.answering(200, "Content-Type: text/x\r\n", "served");
+    private static StubEndpoint good() throws IOException {
+        return StubEndpoint.respondingWith(200, "Content-Type: text/x\r\n", "served");
     }
 
     // ---- a request and its answer ----
@@ -46,11 +46,11 @@
     @Test
     void aRequestAndItsAnswerGoThroughUnchanged() throws Exception {
         start(good());
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+        HttpTestConnection.Message answer = rig.ask("order", DEADLINE_MS);
         assertEquals(200, answer.status());
         assertEquals("served", answer.body());
         assertEquals("text/x", answer.headers().get("content-type"));
-        Wire.Message seen = rig.endpoints.get(0).requests.get(0);
+        HttpTestConnection.Message seen = rig.endpoints.get(0).requests.get(0);
         assertEquals("POST /api?q=1 HTTP/1.1", seen.line());
         assertEquals("hello", seen.body());
         assertEquals("r0", seen.headers().get("x-request-id"));
@@ -62,7 +62,7 @@
     @Test
     void connectionsAreKeptOnBothSides() throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(
                         200,
@@ -77,15 +77,15 @@
     @Test
     void answersKeepTheOrderOfTheRequests() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new StubEndpoint((wire, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
                 second.await();
             } else {
                 second.countDown();
             }
-            Fake.answer(wire, 200, "", request.headers().get("x-request-id"));
+            StubEndpoint.respond(wire, 200, "", request.headers().get("x-request-id"));
         }));
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS));
             assertEquals("r0", client.read().body());
             assertEquals("r1", client.read().body());
@@ -98,7 +98,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"reset", "half", "unframed", "garbage", "503", "504", "500", "201"})
     void anUnsafeRequestThatMayHaveRunFailsAtOnce(String how) throws Exception {
-        Fake.Script script = (wire, request) -> {
+        StubEndpoint.RequestHandler script = (wire, request) -> {
             switch (how) {
                 case "reset" -> wire.reset();
                 case "half" -> {
@@ -110,11 +110,11 @@
                     wire.close();
                 }
                 case "garbage" -> wire.send("what?\r\n\r\n");
-                default -> Fake.answer(wire, Integer.parseInt(how), "", "mine");
+                default -> StubEndpoint.respond(wire, Integer.parseInt(how), "", "mine");
             }
         };
-        start(new Fake(script), new Fake(script));
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+        start(new StubEndpoint(script), new StubEndpoint(script));
+        HttpTestConnection.Message answer = rig.ask("order", DEADLINE_MS);
         assertEquals(502, answer.status());
         assertFalse(answer.body().contains("mine"), "an endpoint's refusal or error is not passed on");
         assertEquals(1, rig.attempts());
@@ -124,36 +124,36 @@
     @ParameterizedTest
     @CsvSource({"order,503", "order,504", "order,refused", "read,500", "read,reset"})
     void whatIsKnownToBeHarmlessIsTriedElsewhere(String kind, String how) throws Exception {
-        Fake bad = new Fake((wire, request) -> {
+        StubEndpoint bad = new StubEndpoint((wire, request) -> {
             if (how.equals("reset")) {
                 wire.reset();
             } else {
-                Fake.answer(wire, Integer.parseInt(how), "X-Not-Run: 1\r\n", "");
+                StubEndpoint.respond(wire, Integer.parseInt(how), "X-Not-Run: 1\r\n", "");
             }
         });
-        Fake other = new Fake(bad.script);
+        StubEndpoint other = new StubEndpoint(bad.requestHandler);
         start(bad, other);
-        Fake.Script good = (wire, request) -> Fake.answer(wire, 200, "", "served");
+        StubEndpoint.RequestHandler good = (wire, request) -> StubEndpoint.respond(wire, 200, "", "served");
         // Whichever is asked first fails, and the other one serves.
         if (how.equals("refused")) {
             bad.close();
-            Rig.await("nobody listens there", () -> {
-                try (Wire wire = Wire.to(new InetSocketAddress("127.0.0.1", bad.port()))) {
+            SidecarFixture.await("nobody listens there", () -> {
+                try (HttpTestConnection wire = HttpTestConnection.to(new InetSocketAddress("127.0.0.1", bad.port()))) {
                     return false;
                 } catch (IOException e) {
                     return true;
                 }
             });
-            other.script = good;
+            other.requestHandler = good;
         } else {
-            Fake.Script first = bad.script;
-            Fake.Script once = (wire, request) -> {
-                bad.script = good;
-                other.script = good;
-                first.on(wire, request);
+            StubEndpoint.RequestHandler first = bad.requestHandler;
+            StubEndpoint.RequestHandler once = (wire, request) -> {
+                bad.requestHandler = good;
+                other.requestHandler = good;
+                first.handle(wire, request);
             };
-            bad.script = once;
-            other.script = once;
+            bad.requestHandler = once;
+            other.requestHandler = once;
         }
         for (int i = 0; i < 3; i++) {
             assertEquals(200, rig.ask(kind, DEADLINE_MS).status());
@@ -163,23 +163,23 @@
     /** Guards against a hang that holds everything: the attempt is given up and its connection closed. */
     @Test
     void anAttemptThatIsGivenUpClosesItsConnection() throws Exception {
-        Fake hung = new Fake((wire, request) -> wire.awaitEnd());
+        StubEndpoint hung = new StubEndpoint((wire, request) -> wire.awaitEnd());
         start(hung);
-        Wire.Message answer = rig.ask("order", 300);
+        HttpTestConnection.Message answer = rig.ask("order", 300);
         assertEquals(502, answer.status(), "it may have run");
-        Rig.await("the connection is closed", () -> hung.open.get() == 0);
+        SidecarFixture.await("the connection is closed", () -> hung.open.get() == 0);
         assertEquals(1, rig.attempts());
     }
 
     @Test
     void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
-        Fake hung = new Fake((wire, request) -> wire.awaitEnd());
+        StubEndpoint hung = new StubEndpoint((wire, request) -> wire.awaitEnd());
         start(hung);
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS));
-            Rig.await("the attempt is out", () -> hung.requests.size() == 1);
+            SidecarFixture.await("the attempt is out", () -> hung.requests.size() == 1);
         }
-        Rig.await("the attempt is called off", () -> hung.open.get() == 0);
+        SidecarFixture.await("the attempt is called off", () -> hung.open.get() == 0);
     }
 
     /** Guards against clients that come straight back: a refusal is given at once and says when. */
@@ -187,7 +187,7 @@
     void aRefusalComesAtOnceAndTellsWhenToComeBack() throws Exception {
         start();
         long began = System.nanoTime();
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+        HttpTestConnection.Message answer = rig.ask("order", DEADLINE_MS);
         assertEquals(503, answer.status());
         assertEquals(0.5, Double.parseDouble(answer.headers().get("retry-after")));
         assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "long before the deadline");
@@ -199,18 +199,18 @@
      */
     @Test
     void attemptsBeyondTheLastConnectionEndInOrder() throws Exception {
-        Fake[] hung = new Fake[4];
+        StubEndpoint[] hung = new StubEndpoint[4];
         for (int i = 0; i < hung.length; i++) {
-            hung[i] = new Fake((wire, request) -> wire.awaitEnd());
+            hung[i] = new StubEndpoint((wire, request) -> wire.awaitEnd());
         }
-        rig = new Rig(hung);
+        rig = new SidecarFixture(hung);
         rig.sockets = 1;
         rig.start();
-        try (Wire ahead = rig.client()) {
+        try (HttpTestConnection ahead = rig.client()) {
             for (int i = 0; i < 8; i++) {
                 ahead.send(rig.request("order", DEADLINE_MS));
             }
-            Rig.await("all connections are busy", () -> rig.attempts() == 8);
+            SidecarFixture.await("all connections are busy", () -> rig.attempts() == 8);
             assertEquals(503, rig.ask("order", DEADLINE_MS).status());
             assertEquals(8, rig.attempts());
             assertTrue(rig.logged().contains("all 8 connections to endpoints are busy"), rig.logged());
@@ -221,14 +221,14 @@
     /** Guards against running out of descriptors: beyond the bound clients are refused in good order. */
     @Test
     void clientsBeyondTheBoundAreRefused() throws Exception {
-        rig = new Rig(new Fake((wire, request) -> wire.awaitEnd()));
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> wire.awaitEnd()));
         rig.sockets = 1;
         rig.start();
-        List<Wire> clients = new ArrayList<>();
+        List<HttpTestConnection> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             clients.add(rig.client().send(rig.request("order", DEADLINE_MS)));
         }
-        Rig.await("some are in hand", () -> rig.attempts() == 4);
+        SidecarFixture.await("some are in hand", () -> rig.attempts() == 4);
         // Idle ones make room for those that come after; busy ones stay.
         for (int i = 0; i < 12; i++) {
             clients.add(rig.client());
@@ -238,11 +238,12 @@
             clients.get(i).send("POST /api HTTP/1.1\r\n");
         }
         clients.add(rig.client());
-        for (Wire client : clients) {
+        for (HttpTestConnection client : clients) {
             client.close();
         }
-        Rig.await("the endpoint is let go", () -> rig.endpoints.get(0).open.get() == 0);
-        rig.endpoints.get(0).script = (wire, request) -> Fake.answer(wire, 200, "", "served");
+        SidecarFixture.await(
+                "the endpoint is let go", () -> rig.endpoints.get(0).open.get() == 0);
+        rig.endpoints.get(0).requestHandler = (wire, request) -> StubEndpoint.respond(wire, 200, "", "served");
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
     }
 
@@ -264,15 +265,15 @@
             })
     void whatIsNoRequestGetsAPlainAnswer(String part, String instead, int status) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new StubEndpoint((wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "served");
+            StubEndpoint.respond(wire, 200, "", "served");
         }));
-        try (Wire other = rig.client();
-                Wire client = rig.client()) {
+        try (HttpTestConnection other = rig.client();
+                HttpTestConnection client = rig.client()) {
             String request = rig.request("read", DEADLINE_MS);
             other.send(rig.request("read", DEADLINE_MS));
-            Rig.await("another request is in hand", () -> rig.attempts() == 1);
+            SidecarFixture.await("another request is in hand", () -> rig.attempts() == 1);
             assertTrue(request.contains(part), part);
             assertEquals(
                     status, client.send(request.replace(part, instead)).read().status());
@@ -285,15 +286,15 @@
     @Test
     void anIdThatIsInHandIsNotTakenTwice() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new StubEndpoint((wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "served");
+            StubEndpoint.respond(wire, 200, "", "served");
         }));
-        try (Wire one = rig.client();
-                Wire two = rig.client()) {
+        try (HttpTestConnection one = rig.client();
+                HttpTestConnection two = rig.client()) {
             String request = rig.request("read", DEADLINE_MS);
             one.send(request);
-            Rig.await("it is in hand", () -> rig.attempts() == 1);
+            SidecarFixture.await("it is in hand", () -> rig.attempts() == 1);
             assertEquals(409, two.send(request).read().status());
             release.countDown();
             assertEquals(200, one.read().status());
@@ -305,11 +306,11 @@
     /** Guards against writing on a connection that the endpoint is closing, which would be a reset. */
     @Test
     void idleConnectionsAreClosedBeforeTheEndpointDoes() throws Exception {
-        rig = new Rig(good());
+        rig = new SidecarFixture(good());
         rig.idleCloseMs = 400;
         rig.start();
         assertEquals(200, rig.ask("read", DEADLINE_MS).status());
-        Rig.await(
+        SidecarFixture.await(
                 "the idle connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
     }
 
@@ -318,12 +319,12 @@
     /** A discovery that answers calls with what the test puts in, one after another. */
     private LinkedBlockingQueue<String> discovering() {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             String answer = answers.take();
             if (answer.equals("reset")) {
                 wire.reset();
             } else {
-                Fake.answer(wire, answer.isEmpty() ? 503 : 200, "", answer);
+                StubEndpoint.respond(wire, answer.isEmpty() ? 503 : 200, "", answer);
             }
         };
         return answers;
@@ -331,23 +332,25 @@
 
     @Test
     void theWatchGoesOnFromTheVersionOfItsLastAnswer() throws Exception {
-        Fake before = good();
-        Fake after = good();
-        rig = new Rig(before);
+        StubEndpoint before = good();
+        StubEndpoint after = good();
+        rig = new SidecarFixture(before);
         rig.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         rig.start();
-        answers.add(Rig.list(
+        answers.add(SidecarFixture.list(
                 7,
                 false,
-                Rig.line(0, before.address(), "terminating", 0),
-                Rig.line(1, after.address(), "in_service", 0)));
-        Rig.await("the next call is made", () -> rig.discovery.requests.size() == 2);
+                SidecarFixture.line(0, before.address(), "terminating", 0),
+                SidecarFixture.line(1, after.address(), "in_service", 0)));
+        SidecarFixture.await("the next call is made", () -> rig.discovery.requests.size() == 2);
         assertEquals(
                 List.of(
                         "GET /registry/instances?index=1&wait=3000 HTTP/1.1",
                         "GET /registry/instances?index=7&wait=3000 HTTP/1.1"),
-                rig.discovery.requests.stream().map(Wire.Message::line).toList());
+                rig.discovery.requests.stream()
+                        .map(HttpTestConnection.Message::line)
+                        .toList());
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "it drains");
         assertEquals(1, after.requests.size());
@@ -357,13 +360,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "reset", "{\"version\":", "{\"version\":1}"})
     void aCallThatFailedIsMadeAgain(String failure) throws Exception {
-        rig = new Rig(good());
+        rig = new SidecarFixture(good());
         rig.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         rig.start();
         answers.add(failure);
         answers.add(failure);
-        Rig.await("it asks again", () -> rig.discovery.requests.size() >= 3);
+        SidecarFixture.await("it asks again", () -> rig.discovery.requests.size() >= 3);
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         assertTrue(rig.logged().contains("discovery failed"), rig.logged());
     }
@@ -371,19 +374,23 @@
     /** Guards against trust in a watch that has fallen silent: the next one tells what it would have. */
     @Test
     void aWatchThatFellSilentIsGivenUpSoonAfterItsWait() throws Exception {
-        Fake before = good();
-        Fake after = good();
-        rig = new Rig(before);
+        StubEndpoint before = good();
+        StubEndpoint after = good();
+        rig = new SidecarFixture(before);
         rig.askWithinMs = 20;
         rig.discoveryWaitMs = 100;
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             if (rig.discovery.requests.size() > 1) {
-                Fake.answer(wire, 200, "", Rig.list(7, true, Rig.line(1, after.address(), "in_service", 0)));
-                rig.discovery.script = (next, call) -> next.awaitEnd();
+                StubEndpoint.respond(
+                        wire,
+                        200,
+                        "",
+                        SidecarFixture.list(7, true, SidecarFixture.line(1, after.address(), "in_service", 0)));
+                rig.discovery.requestHandler = (next, call) -> next.awaitEnd();
             }
         };
         rig.start();
-        Rig.await("the list is there", () -> rig.discovery.requests.size() >= 3);
+        SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() >= 3);
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         assertEquals(1, after.requests.size());
         assertTrue(rig.logged().contains("discovery failed: no answer in time"), rig.logged());
@@ -393,12 +400,12 @@
     /** Guards against changes since a version of another count, which would not be all there are. */
     @Test
     void theWholeListIsAskedForWhereVersionsGoBack() throws Exception {
-        rig = new Rig(good());
+        rig = new SidecarFixture(good());
         rig.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         rig.start();
-        answers.add(Rig.list(0, false));
-        Rig.await("the next call is made", () -> rig.discovery.requests.size() == 2);
+        answers.add(SidecarFixture.list(0, false));
+        SidecarFixture.await("the next call is made", () -> rig.discovery.requests.size() == 2);
         assertEquals(
                 "GET /registry/instances HTTP/1.1",
                 rig.discovery.requests.get(1).line());
@@ -408,15 +415,15 @@
     @ParameterizedTest
     @CsvSource({"true,0", "false,1000"})
     void anEndpointThatMovesOrRestartsGetsNewConnections(boolean moves, long started) throws Exception {
-        Fake old = good();
-        rig = new Rig(old);
+        StubEndpoint old = good();
+        rig = new SidecarFixture(old);
         rig.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
         rig.start();
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        Fake now = moves ? good() : old;
-        answers.add(Rig.list(2, false, Rig.line(0, now.address(), "in_service", started)));
-        Rig.await("the old connection is closed", () -> old.open.get() == 0);
+        StubEndpoint now = moves ? good() : old;
+        answers.add(SidecarFixture.list(2, false, SidecarFixture.line(0, now.address(), "in_service", started)));
+        SidecarFixture.await("the old connection is closed", () -> old.open.get() == 0);
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         assertEquals(moves ? 1 : 2, old.connections.get());
         now.close();
@@ -428,13 +435,13 @@
     void itIsReadyOnlyWithAnEndpointToServeFrom() throws Exception {
         start();
         String ask = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             assertEquals(503, client.send(ask).read().status());
         }
         stop();
         start(good());
-        Rig.await("it is ready once it is warm", () -> {
-            try (Wire client = rig.client()) {
+        SidecarFixture.await("it is ready once it is warm", () -> {
+            try (HttpTestConnection client = rig.client()) {
                 return client.send(ask).read().status() == 200;
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
@@ -446,15 +453,15 @@
     @Test
     void aDrainAnswersWhatIsInHandAndWhatStillComes() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new StubEndpoint((wire, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
                 release.await();
             }
-            Fake.answer(wire, 200, "", "served");
+            StubEndpoint.respond(wire, 200, "", "served");
         }));
-        Wire inHand = rig.client().send(rig.request("order", DEADLINE_MS));
-        Wire idle = rig.client();
-        Wire kept = rig.client();
+        HttpTestConnection inHand = rig.client().send(rig.request("order", DEADLINE_MS));
+        HttpTestConnection idle = rig.client();
+        HttpTestConnection kept = rig.client();
         assertEquals(200, idle.send(rig.request("order", DEADLINE_MS)).read().status());
         assertEquals(200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
         Thread drain = new Thread(rig.sidecar::shutdownGracefully);
@@ -472,7 +479,7 @@
         idle.awaitEnd();
         assertTrue(drain.isAlive(), "it waits for what is in hand");
         release.countDown();
-        Wire.Message answer = inHand.read();
+        HttpTestConnection.Message answer = inHand.read();
         assertEquals(200, answer.status());
         assertEquals("close", answer.headers().get("connection"));
         drain.join();
@@ -483,12 +490,14 @@
     @Test
     void theWarmUpStaysWithinTheSidecar() throws Exception {
         start(good());
-        Rig.await("it is warm", () -> rig.logged().contains("warm after"));
+        SidecarFixture.await("it is warm", () -> rig.logged().contains("warm after"));
         assertEquals(0, rig.endpoints.get(0).connections.get());
-        Rig.await("the watch is on", () -> !rig.discovery.requests.isEmpty());
+        SidecarFixture.await("the watch is on", () -> !rig.discovery.requests.isEmpty());
         assertEquals(
                 List.of("GET /registry/instances?index=1&wait=3000 HTTP/1.1"),
-                rig.discovery.requests.stream().map(Wire.Message::line).toList(),
+                rig.discovery.requests.stream()
+                        .map(HttpTestConnection.Message::line)
+                        .toList(),
                 "its watch and nothing else");
     }
 
@@ -501,7 +510,7 @@
             rig.client().send("\0\0\0\r\n\r\n").reset();
         }
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send("GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n");
             assertEquals(400, client.read().status());
             assertThrows(EOFException.class, client::read);
--- a/edge/src/test/java/lemonrail/assembly/SlowClientsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SlowClientsTest.java
@@ -42,46 +42,46 @@
     /** Beyond the time after which an idle connection is closed. */
     private static final long PAST_IDLE_MS = 5500;
 
-    private Rig rig;
-    private final List<Wire> clients = new ArrayList<>();
+    private SidecarFixture rig;
+    private final List<HttpTestConnection> clients = new ArrayList<>();
 
     @AfterEach
     void stop() throws IOException {
-        for (Wire client : clients) {
+        for (HttpTestConnection client : clients) {
             client.close();
         }
         rig.close();
     }
 
-    private Wire client() throws IOException {
-        Wire client = rig.client();
+    private HttpTestConnection client() throws IOException {
+        HttpTestConnection client = rig.client();
         clients.add(client);
         return client;
     }
 
-    private Wire slowClient() throws IOException {
+    private HttpTestConnection slowClient() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(RECEIVE_BYTES);
         socket.connect(rig.sidecar.address());
-        Wire client = new Wire(socket);
+        HttpTestConnection client = new HttpTestConnection(socket);
         clients.add(client);
         return client;
     }
 
     private boolean isAnswering() {
         try {
-            return !rig.operate("GET", "/v1/metrics").body().contains("concurrent=0\n");
+            return !rig.callAdmin("GET", "/v1/metrics").body().contains("concurrent=0\n");
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** Asks without reading until the last answer no longer fits; returns how many were asked. */
-    private int fill(Wire client) throws Exception {
+    private int fill(HttpTestConnection client) throws Exception {
         for (int asked = 1; asked < MOST_ANSWERS; asked++) {
             int now = asked;
             client.send(rig.request("read", DEADLINE_MS));
-            Rig.await("it is answered", () -> rig.attempts() == now && rig.inHand() == 0);
+            SidecarFixture.await("it is answered", () -> rig.attempts() == now && rig.openRequests() == 0);
             rig.settle();
             if (isAnswering()) {
                 return asked;
@@ -90,7 +90,7 @@
         throw new AssertionError("the connection takes all");
     }
 
-    private static void assertWhole(Wire client, int answers) throws IOException {
+    private static void assertWhole(HttpTestConnection client, int answers) throws IOException {
         for (int i = 0; i < answers; i++) {
             assertEquals(ANSWER.length(), client.read().bytes().length, "answer " + i + " of " + answers);
         }
@@ -101,10 +101,10 @@
     /** Guards against an answer that is cut as its connection passes for idle while it is written. */
     @Test
     void whatIsBeingWrittenMakesNoRoom() throws Exception {
-        rig = new Rig(Fake.answering(200, "", ANSWER));
+        rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", ANSWER));
         rig.sockets = 1;
         rig.start();
-        Wire slow = slowClient();
+        HttpTestConnection slow = slowClient();
         int answers = fill(slow);
         for (int i = 0; i < ROOM; i++) {
             assertEquals(
@@ -116,8 +116,8 @@
     /** The same with the time after which an idle connection is closed. */
     @Test
     void whatIsBeingWrittenIsNotIdle() throws Exception {
-        rig = new Rig(Fake.answering(200, "", ANSWER)).start();
-        Wire slow = slowClient();
+        rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", ANSWER)).start();
+        HttpTestConnection slow = slowClient();
         int answers = fill(slow);
         TimeUnit.MILLISECONDS.sleep(PAST_IDLE_MS);
         assertWhole(slow, answers);
@@ -128,16 +128,16 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void whatIsBeingWrittenIsNotLetGo(boolean stops) throws Exception {
-        rig = new Rig(Fake.answering(200, "", ANSWER)).start();
-        Wire slow = slowClient();
+        rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", ANSWER)).start();
+        HttpTestConnection slow = slowClient();
         int answers = fill(slow);
-        Wire idle = client();
+        HttpTestConnection idle = client();
         assertEquals(200, idle.send(rig.request("read", DEADLINE_MS)).read().status());
         Thread stop = new Thread(rig.sidecar::shutdownGracefully);
         if (stops) {
             stop.start();
         } else {
-            assertEquals(200, rig.operate("PUT", "/v1/sidecar/drain").status());
+            assertEquals(200, rig.callAdmin("PUT", "/v1/sidecar/drain").status());
         }
         idle.awaitEnd();
         assertWhole(slow, answers);
@@ -150,25 +150,25 @@
     void whatIsHeardWhileAnAnswerIsWrittenWaitsItsTurn() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch second = new CountDownLatch(1);
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     boolean first = request.headers().get("x-request-id").equals("r0");
                     if (first) {
                         release.await();
                     }
-                    Fake.answer(wire, 200, "", first ? "first" : FILLING);
+                    StubEndpoint.respond(wire, 200, "", first ? "first" : FILLING);
                     second.countDown();
                 }))
                 .start();
         String other = "GET /other HTTP/1.1\r\nHost: x\r\n\r\n";
-        Wire client = client();
+        HttpTestConnection client = client();
         client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS) + other.repeat(6));
         second.await();
-        Rig.await("the second is answered", () -> rig.inHand() == 1);
+        SidecarFixture.await("the second is answered", () -> rig.openRequests() == 1);
         client.send(other);
         rig.settle();
         release.countDown();
         assertEquals("first", client.read().body());
-        Wire.Message filling = client.read();
+        HttpTestConnection.Message filling = client.read();
         assertEquals(200, filling.status());
         assertArrayEquals(FILLING.getBytes(StandardCharsets.ISO_8859_1), filling.bytes());
         for (int i = 0; i < 7; i++) {
@@ -182,19 +182,19 @@
     /** Guards against an end within a chunk where the process itself ends while an answer is passed on. */
     @Test
     void aStopCutsBetweenChunks() throws Exception {
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     while (true) {
                         wire.send("4000\r\n" + "x".repeat(0x4000) + "\r\n");
                     }
                 }))
                 .start();
-        Wire client = slowClient();
+        HttpTestConnection client = slowClient();
         client.send(rig.request("read", DEADLINE_MS));
         assertEquals("chunked", client.readHead().headers().get("transfer-encoding"));
         Thread stop = new Thread(rig.sidecar::shutdownGracefully);
         stop.start();
-        Rig.await("it is given up", () -> rig.endpoints.get(0).open.get() == 0);
+        SidecarFixture.await("it is given up", () -> rig.endpoints.get(0).open.get() == 0);
         assertCutBetweenChunks(client);
         stop.join();
     }
@@ -204,7 +204,7 @@
     @ValueSource(ints = {1, 7, 40})
     void aCutAnswerArrivesThoughMoreWasSent(int behind) throws Exception {
         CountDownLatch cut = new CountDownLatch(1);
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     for (int i = 0; i < 8; i++) {
                         wire.send("4000\r\n" + "x".repeat(0x4000) + "\r\n");
@@ -213,7 +213,7 @@
                     wire.reset();
                 }))
                 .start();
-        Wire client = slowClient();
+        HttpTestConnection client = slowClient();
         client.send(rig.request("read", DEADLINE_MS));
         assertEquals("chunked", client.readHead().headers().get("transfer-encoding"));
         for (int i = 0; i < behind; i++) {
@@ -221,19 +221,19 @@
         }
         rig.settle();
         cut.countDown();
-        Rig.await("it is cut", () -> !isAnswering());
+        SidecarFixture.await("it is cut", () -> !isAnswering());
         assertCutBetweenChunks(client);
     }
 
     /** The same where the endpoint stalls within a chunk of its own; the deadline is no limit to that. */
     @Test
     void anAnswerThatStallsIsCutBetweenChunks() throws Exception {
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + "x".repeat(0x11000));
                     wire.awaitEnd();
                 }))
                 .start();
-        Wire client = slowClient();
+        HttpTestConnection client = slowClient();
         long began = System.nanoTime();
         client.send(rig.request("read", SHORT_DEADLINE_MS));
         assertEquals("chunked", client.readHead().headers().get("transfer-encoding"));
@@ -245,7 +245,7 @@
     @Test
     void theLastAnswerOnAConnectionIsWhole() throws Exception {
         String body = "x".repeat(LAST_BYTES);
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     for (int i = 0; i < LAST_PARTS; i++) {
                         wire.send(Integer.toHexString(LAST_BYTES) + "\r\n" + body + "\r\n");
@@ -253,18 +253,18 @@
                     wire.send("0\r\n\r\n");
                 }))
                 .start();
-        Wire client = slowClient();
+        HttpTestConnection client = slowClient();
         client.send(rig.request("read", DEADLINE_MS).replace("Host:", "Connection: close\r\nHost:")
                 + rig.request("order", DEADLINE_MS));
         TimeUnit.MILLISECONDS.sleep(PAST_LINGER_MS);
-        Wire.Message answer = client.read();
+        HttpTestConnection.Message answer = client.read();
         assertEquals("close", answer.headers().get("connection"));
         assertEquals(LAST_BYTES * LAST_PARTS, answer.bytes().length);
         assertEquals(-1, client.in.read());
     }
 
     /** Reads whole chunks to the connection's end, of which none is the last one. */
-    private static void assertCutBetweenChunks(Wire client) throws IOException {
+    private static void assertCutBetweenChunks(HttpTestConnection client) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int b = client.in.read(); b >= 0; b = client.in.read()) {
             line.append((char) b);
--- a/edge/src/test/java/lemonrail/assembly/SmallHeapTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SmallHeapTest.java
@@ -29,8 +29,10 @@
     Path folder;
 
     private final AtomicInteger received = new AtomicInteger();
-    private final Rig rig = new Rig(new Fake((Fake.Reader) this::serve), new Fake((Fake.Reader) this::serve));
-    private Served served;
+    private final SidecarFixture rig = new SidecarFixture(
+            new StubEndpoint((StubEndpoint.ConnectionHandler) this::serve),
+            new StubEndpoint((StubEndpoint.ConnectionHandler) this::serve));
+    private SidecarChildProcess served;
 
     SmallHeapTest() throws IOException {
         // The fakes stand before each test.
@@ -39,7 +41,7 @@
     @BeforeEach
     void start() throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), rig.config());
-        served = Served.start(file, folder, "-Xmx20m", "-XX:MaxDirectMemorySize=8m");
+        served = SidecarChildProcess.start(file, folder, "-Xmx20m", "-XX:MaxDirectMemorySize=8m");
     }
 
     @AfterEach
@@ -49,8 +51,8 @@
     }
 
     /** Takes a large body without keeping it, and gives a large answer. */
-    private void serve(Wire wire) throws IOException {
-        Wire.Message head = wire.readHead();
+    private void serve(HttpTestConnection wire) throws IOException {
+        HttpTestConnection.Message head = wire.readHead();
         int left = Integer.parseInt(head.headers().getOrDefault("content-length", "0"));
         while (left > 0) {
             long skipped = wire.in.skip(left);
@@ -84,14 +86,14 @@
         assertEquals(CLIENTS, whole.get(), "" + served.log);
         assertEquals(CLIENTS, received.get());
         assertTrue(served.process.isAlive());
-        assertFalse(served.said("OutOfMemory"), "" + served.log);
+        assertFalse(served.hasLogged("OutOfMemory"), "" + served.log);
     }
 
     private void ask(String head, AtomicInteger whole) {
-        try (Wire client = Wire.to(served.address())) {
+        try (HttpTestConnection client = HttpTestConnection.to(served.address())) {
             client.socket.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
             client.socket.getOutputStream().write(new byte[BYTES]);
-            Wire.Message answer = client.read();
+            HttpTestConnection.Message answer = client.read();
             if (answer.status() == 200 && answer.bytes().length == BYTES) {
                 whole.incrementAndGet();
             }
--- a/edge/src/test/java/lemonrail/assembly/SpoiltAnswerTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SpoiltAnswerTest.java
@@ -17,15 +17,15 @@
     private static final int DEADLINE_MS = 8000;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
-    private Rig rig;
+    private SidecarFixture rig;
 
     @AfterEach
     void stop() throws IOException {
         rig.close();
     }
 
-    private void start(Fake.Script script) throws IOException {
-        rig = new Rig(new Fake(script));
+    private void start(StubEndpoint.RequestHandler script) throws IOException {
+        rig = new SidecarFixture(new StubEndpoint(script));
         rig.start();
     }
 
@@ -56,7 +56,8 @@
         long began = System.nanoTime();
         assertEquals(502, rig.ask("order", DEADLINE_MS).status());
         assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "at once");
-        Rig.await("the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+        SidecarFixture.await(
+                "the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
         assertEquals(1, rig.attempts());
     }
 
@@ -71,7 +72,8 @@
             }
         });
         assertEquals(502, rig.ask("order", DEADLINE_MS).status());
-        Rig.await("the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+        SidecarFixture.await(
+                "the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
     }
 
     @ParameterizedTest
@@ -84,7 +86,7 @@
             })
     void aGoodAnswerWithMoreInItsHeadServes(String head) throws Exception {
         start((wire, request) -> wire.send(head + "Content-Length: 5\r\n\r\nhello"));
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
                         "hello",
@@ -111,9 +113,9 @@
             String answer = OK + "Content-Length: " + id.length() + "\r\n\r\n" + id;
             wire.send(answer + (behind.equals("copy") ? answer : behind));
         });
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             for (int i = 0; i < 10; i++) {
-                Wire.Message answer =
+                HttpTestConnection.Message answer =
                         client.send(rig.request("order", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
                 assertEquals("r" + i, answer.body());
@@ -127,13 +129,13 @@
     @Test
     void anIdleConnectionOnWhichHalfALineComesIsClosed() throws Exception {
         start((wire, request) -> {
-            Fake.answer(wire, 200, "", request.headers().get("x-request-id"));
+            StubEndpoint.respond(wire, 200, "", request.headers().get("x-request-id"));
             Thread.sleep(30);
             wire.send("x");
         });
         for (int i = 0; i < 3; i++) {
             assertEquals("r" + i, rig.ask("order", DEADLINE_MS).body());
-            Rig.await("it is closed", () -> rig.endpoints.get(0).open.get() == 0);
+            SidecarFixture.await("it is closed", () -> rig.endpoints.get(0).open.get() == 0);
         }
     }
 
@@ -141,9 +143,9 @@
     @Test
     void aRequestThatAnEndpointTurnsAwaySaysNothingOfIt() throws Exception {
         start((wire, request) ->
-                Fake.answer(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
+                StubEndpoint.respond(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
         for (int i = 0; i < 20; i++) {
-            try (Wire client = rig.client()) {
+            try (HttpTestConnection client = rig.client()) {
                 String bad = rig.request("order", DEADLINE_MS).replace("Host:", "X-Note: bad\r\nHost:");
                 assertEquals(400, client.send(bad).read().status());
             }
--- a/edge/src/test/java/lemonrail/assembly/StartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StartTest.java
@@ -68,7 +68,7 @@
     void noClientIsLetInBeforeTheSidecarIsWarm() throws Exception {
         int port = freePort();
         AtomicBoolean letIn = new AtomicBoolean();
-        try (Rig rig = new Rig(Fake.answering(200, "", "ok"))) {
+        try (SidecarFixture rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "ok"))) {
             rig.change =
                     config -> config.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
             rig.protocol = new Watched<>(new Http1Protocol(), port, letIn);
--- a/edge/src/test/java/lemonrail/assembly/StreamingTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StreamingTest.java
@@ -36,7 +36,7 @@
     private static final int LARGE_BYTES = 3_000_000;
     private static final int MOST_BYTES = 32 * 1024 * 1024;
 
-    private Rig rig;
+    private SidecarFixture rig;
 
     @AfterEach
     void stop() throws IOException {
@@ -70,8 +70,8 @@
     }
 
     /** An endpoint that answers each request with the digest of its body. */
-    private static Fake digesting() throws IOException {
-        return new Fake((wire, request) -> Fake.answer(wire, 200, "", digest(request.bytes())));
+    private static StubEndpoint digesting() throws IOException {
+        return new StubEndpoint((wire, request) -> StubEndpoint.respond(wire, 200, "", digest(request.bytes())));
     }
 
     // ---- answers ----
@@ -86,16 +86,16 @@
         } else {
             writeChunked(framed, body, chunk);
         }
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n"
                             + (chunk == 0 ? "Content-Length: " + body.length : "Transfer-Encoding: chunked")
                             + "\r\n\r\n");
                     framed.writeTo(wire.socket.getOutputStream());
                 }))
                 .start();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             for (int i = 0; i < 2; i++) {
-                Wire.Message answer =
+                HttpTestConnection.Message answer =
                         client.send(rig.request("read", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
                 assertEquals("text/x", answer.headers().get("content-type"));
@@ -112,13 +112,13 @@
     void theFirstBytesDoNotWaitForTheRest(String framing) throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         boolean chunked = framing.startsWith("T");
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (chunked ? "5\r\nfirst\r\n" : "first"));
                     seen.await();
                     wire.send(chunked ? "4\r\nrest\r\n0\r\n\r\n" : "x".repeat(99_995));
                 }))
                 .start();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS));
             InputStream in = client.in;
             StringBuilder got = new StringBuilder();
@@ -138,7 +138,7 @@
         AtomicInteger sent = new AtomicInteger();
         byte[] piece = random(64 * 1024);
         int pieces = MOST_BYTES / piece.length;
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     wire.socket.setSendBufferSize(64 * 1024);
                     wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + MOST_BYTES + "\r\n\r\n");
                     for (int i = 0; i < pieces; i++) {
@@ -147,10 +147,10 @@
                     }
                 }))
                 .start();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS));
             int[] before = {-1};
-            Rig.await("the endpoint stands still", () -> {
+            SidecarFixture.await("the endpoint stands still", () -> {
                 int now = sent.get();
                 boolean still = now > 0 && now == before[0];
                 before[0] = now;
@@ -158,7 +158,7 @@
                 return still;
             });
             assertTrue(sent.get() < pieces, "it has sent " + sent + " of " + pieces);
-            Wire.Message answer = client.read();
+            HttpTestConnection.Message answer = client.read();
             assertEquals(MOST_BYTES, answer.bytes().length);
         }
     }
@@ -175,23 +175,23 @@
     @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
     void aClientCanTellThatAnAnswerIsCut(String framing) throws Exception {
         String part = framing.startsWith("T") ? "18000\r\n" + "x".repeat(0x18000) + "\r\n" : "x".repeat(80_000);
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + part);
                     wire.close();
                 }))
                 .start();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS));
             assertThrows(IOException.class, client::read);
         }
-        Rig.await("it counts as failed", () -> figures().contains("replies.order.error=1\n"));
+        SidecarFixture.await("it counts as failed", () -> figures().contains("replies.order.error=1\n"));
         assertTrue(figures().contains("concurrent=0\n"), figures());
         assertEquals(1, rig.attempts());
     }
 
     private String figures() {
         try {
-            return rig.operate("GET", "/v1/metrics").body();
+            return rig.callAdmin("GET", "/v1/metrics").body();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -203,8 +203,8 @@
     @Test
     void anAnswerIsCutBetweenItsChunks() throws Exception {
         AtomicInteger sent = new AtomicInteger();
-        AtomicReference<Wire> endpoint = new AtomicReference<>();
-        rig = new Rig(new Fake((wire, request) -> {
+        AtomicReference<HttpTestConnection> endpoint = new AtomicReference<>();
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
             endpoint.set(wire);
             wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             while (true) {
@@ -216,7 +216,7 @@
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(64 * 1024);
             socket.connect(rig.sidecar.address());
-            Wire client = new Wire(socket);
+            HttpTestConnection client = new HttpTestConnection(socket);
             client.send(rig.request("read", DEADLINE_MS));
             assertEquals("chunked", client.readHead().headers().get("transfer-encoding"));
             for (int before = -1; before != sent.get(); ) {
@@ -228,7 +228,7 @@
             for (int i = 0; i < TAKEN_CHUNKS; i++) {
                 assertTrue(takeChunk(client), "chunk " + i);
             }
-            Rig.await("it counts as failed", () -> figures().contains("replies.read.error=1\n"));
+            SidecarFixture.await("it counts as failed", () -> figures().contains("replies.read.error=1\n"));
             while (takeChunk(client)) {
                 continue;
             }
@@ -236,7 +236,7 @@
     }
 
     /** Reads a whole chunk; false at the connection's end, which must not come within one. */
-    private static boolean takeChunk(Wire client) throws IOException {
+    private static boolean takeChunk(HttpTestConnection client) throws IOException {
         String size = line(client);
         if (size != null) {
             int bytes = Integer.parseInt(size, 16);
@@ -247,7 +247,7 @@
     }
 
     /** A line, or null at the connection's end. */
-    private static String line(Wire wire) throws IOException {
+    private static String line(HttpTestConnection wire) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int b = wire.in.read(); b != '\n'; b = wire.in.read()) {
             if (b < 0) {
@@ -261,19 +261,19 @@
 
     @Test
     void aClientThatLeavesFreesTheEndpoint() throws Exception {
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\nfirst");
                     wire.awaitEnd();
                 }))
                 .start();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS));
             assertTrue(client.in.read() >= 0);
         }
-        Rig.await(
+        SidecarFixture.await(
                 "the endpoint's connection is closed",
                 () -> rig.endpoints.get(0).open.get() == 0);
-        Rig.await("nothing is in hand", () -> figures().contains("concurrent=0\n"));
+        SidecarFixture.await("nothing is in hand", () -> figures().contains("concurrent=0\n"));
     }
 
     // ---- bodies ----
@@ -289,7 +289,7 @@
         "33554432, 0, 0"
     })
     void aBodyOfAnySizeIsPassedOnUnchanged(int bytes, int chunk, int piece) throws Exception {
-        rig = new Rig(digesting()).start();
+        rig = new SidecarFixture(digesting()).start();
         byte[] body = random(bytes);
         ByteArrayOutputStream message = new ByteArrayOutputStream();
         if (chunk == 0) {
@@ -300,7 +300,7 @@
             writeChunked(message, body, chunk);
         }
         byte[] all = message.toByteArray();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             OutputStream out = client.socket.getOutputStream();
             for (int from = 0; from < all.length; from += piece == 0 ? all.length : piece) {
                 out.write(all, from, Math.min(piece == 0 ? all.length : piece, all.length - from));
@@ -313,9 +313,9 @@
 
     @Test
     void aClientThatWaitsToBeAskedForItsBodyIsAsked() throws Exception {
-        rig = new Rig(digesting()).start();
+        rig = new SidecarFixture(digesting()).start();
         byte[] body = random(LARGE_BYTES);
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send(head("order", "Expect: 100-continue\r\nContent-Length: " + body.length));
             assertEquals(100, client.read().status());
             client.socket.getOutputStream().write(body);
@@ -326,9 +326,9 @@
     /** Guards against a bound on time that a slow line cannot keep: 64 kB a second are enough. */
     @Test
     void aSlowHeadAndABodyOnASlowLineAreNoAbuse() throws Exception {
-        rig = new Rig(digesting()).start();
+        rig = new SidecarFixture(digesting()).start();
         byte[] body = random(250_000);
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             String head = head("order", "Content-Length: " + body.length);
             for (int i = 0; i < 10; i++) {
                 client.send(head.substring(head.length() * i / 10, head.length() * (i + 1) / 10));
@@ -344,13 +344,13 @@
 
     @Test
     void aBodyThatStopsComingIsGivenUp() throws Exception {
-        rig = new Rig(digesting()).start();
-        try (Wire client = rig.client()) {
+        rig = new SidecarFixture(digesting()).start();
+        try (HttpTestConnection client = rig.client()) {
             client.send(head("order", "Content-Length: 1000000") + "x".repeat(70_000));
             assertEquals(408, client.read().status());
             client.awaitEnd();
         }
-        Rig.await(
+        SidecarFixture.await(
                 "the endpoint's connection is closed",
                 () -> rig.endpoints.get(0).open.get() == 0);
         assertEquals(0, rig.attempts());
@@ -362,29 +362,29 @@
     void aBodyOfWhichOnlyTheHeldPartIsGoneIsTriedElsewhere() throws Exception {
         byte[] body = random(100_000);
         CountDownLatch refused = new CountDownLatch(1);
-        Fake.Reader full = wire -> {
+        StubEndpoint.ConnectionHandler full = wire -> {
             wire.readHead();
-            Fake.answer(wire, 503, "X-Not-Run: 1\r\n", "");
+            StubEndpoint.respond(wire, 503, "X-Not-Run: 1\r\n", "");
             refused.countDown();
             wire.awaitEnd();
         };
         AtomicInteger asked = new AtomicInteger();
-        Fake.Reader firstFull = wire -> {
+        StubEndpoint.ConnectionHandler firstFull = wire -> {
             if (asked.getAndIncrement() == 0) {
-                full.on(wire);
+                full.handle(wire);
             } else {
-                Wire.Message request = wire.read();
-                Fake.answer(wire, 200, "", digest(request.bytes()));
+                HttpTestConnection.Message request = wire.read();
+                StubEndpoint.respond(wire, 200, "", digest(request.bytes()));
             }
         };
-        rig = new Rig(new Fake(firstFull), new Fake(firstFull)).start();
-        try (Wire client = rig.client()) {
+        rig = new SidecarFixture(new StubEndpoint(firstFull), new StubEndpoint(firstFull)).start();
+        try (HttpTestConnection client = rig.client()) {
             client.send(head("order", "Content-Length: " + body.length));
             OutputStream out = client.socket.getOutputStream();
             out.write(body, 0, 65_536);
             // One byte more is what makes it a large one, and is let go only with an endpoint to take it.
             refusedAfter(out, body, refused);
-            Wire.Message answer = client.read();
+            HttpTestConnection.Message answer = client.read();
             assertTrue(
                     (answer.status() == 200 && answer.body().equals(digest(body))) || answer.status() == 503,
                     answer.line());
@@ -401,13 +401,13 @@
     @Test
     void aBodyThatHasBeenLetGoIsNotSentAgain() throws Exception {
         byte[] body = random(MOST_BYTES);
-        Fake.Reader breaking = wire -> {
+        StubEndpoint.ConnectionHandler breaking = wire -> {
             wire.readHead();
             wire.in.readNBytes(4_000_000);
             wire.reset();
         };
-        rig = new Rig(new Fake(breaking), new Fake(breaking)).start();
-        try (Wire client = rig.client()) {
+        rig = new SidecarFixture(new StubEndpoint(breaking), new StubEndpoint(breaking)).start();
+        try (HttpTestConnection client = rig.client()) {
             client.send(head("order", "Content-Length: " + body.length));
             Thread sender = new Thread(() -> {
                 try {
@@ -418,7 +418,7 @@
                 }
             });
             sender.start();
-            Wire.Message answer = client.read();
+            HttpTestConnection.Message answer = client.read();
             assertEquals(503, answer.status(), "it never ran");
             assertEquals("close", answer.headers().get("connection"));
             sender.join();
@@ -436,20 +436,20 @@
     @Test
     void manyLargeAnswersAtOnceShareABound() throws Exception {
         byte[] body = random(LARGE_BYTES);
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
                     wire.socket.getOutputStream().write(body);
                 }))
                 .start();
         int count = 40;
-        Wire[] clients = new Wire[count];
+        HttpTestConnection[] clients = new HttpTestConnection[count];
         for (int i = 0; i < count; i++) {
             clients[i] = rig.client();
             clients[i].send(rig.request("read", DEADLINE_MS));
         }
         int served = 0;
-        for (Wire client : clients) {
-            Wire.Message answer = client.read();
+        for (HttpTestConnection client : clients) {
+            HttpTestConnection.Message answer = client.read();
             if (answer.status() == 200) {
                 assertArrayEquals(body, answer.bytes());
                 served++;
--- a/edge/src/test/java/lemonrail/assembly/SuspensionTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SuspensionTest.java
@@ -22,20 +22,20 @@
     @TempDir
     Path folder;
 
-    private final Fake first = Fake.answering(200, "", "first");
-    private final Fake second = Fake.answering(200, "", "second");
+    private final StubEndpoint first = StubEndpoint.respondingWith(200, "", "first");
+    private final StubEndpoint second = StubEndpoint.respondingWith(200, "", "second");
     private final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
-    private Rig rig;
+    private SidecarFixture rig;
 
     SuspensionTest() throws IOException {
         // Both fakes stand before each test.
     }
 
-    private Rig start(Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
+    private SidecarFixture start(StubEndpoint... endpoints) throws IOException {
+        rig = new SidecarFixture(endpoints);
         rig.folder = folder;
         rig.askWithinMs = 20;
-        rig.discovery.script = (wire, request) -> Fake.answer(wire, 200, "", lists.take());
+        rig.discovery.requestHandler = (wire, request) -> StubEndpoint.respond(wire, 200, "", lists.take());
         return rig.start();
     }
 
@@ -47,7 +47,7 @@
     }
 
     private void operate(String path) throws IOException {
-        assertEquals(200, rig.operate("PUT", "/v1/endpoints/" + path).status());
+        assertEquals(200, rig.callAdmin("PUT", "/v1/endpoints/" + path).status());
     }
 
     private void assertServedBy(String body, int times) throws IOException {
@@ -57,9 +57,9 @@
     }
 
     private void awaitFigure(String line) throws InterruptedException {
-        Rig.await(line, () -> {
+        SidecarFixture.await(line, () -> {
             try {
-                return rig.operate("GET", "/v1/metrics").body().contains("edge_gw." + line + "\n");
+                return rig.callAdmin("GET", "/v1/metrics").body().contains("edge_gw." + line + "\n");
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -68,8 +68,8 @@
 
     private void tell(int version, boolean full, String... lines) throws InterruptedException {
         int asked = rig.discovery.requests.size();
-        lists.add(Rig.list(version, full, lines));
-        Rig.await("the news is taken in", () -> rig.discovery.requests.size() > asked);
+        lists.add(SidecarFixture.list(version, full, lines));
+        SidecarFixture.await("the news is taken in", () -> rig.discovery.requests.size() > asked);
     }
 
     @Test
@@ -92,14 +92,14 @@
     void newsOfDiscoveryDoNotBringItBack() throws Exception {
         start(first, second);
         operate("s0/suspend");
-        String other = Rig.line(1, second.address(), "in_service", 0);
-        tell(2, false, Rig.line(0, first.address(), "in_service", 0));
+        String other = SidecarFixture.line(1, second.address(), "in_service", 0);
+        tell(2, false, SidecarFixture.line(0, first.address(), "in_service", 0));
         assertServedBy("second", 3);
-        tell(3, true, Rig.line(0, first.address(), "in_service", System.currentTimeMillis()), other);
+        tell(3, true, SidecarFixture.line(0, first.address(), "in_service", System.currentTimeMillis()), other);
         assertServedBy("second", 3);
-        tell(4, false, Rig.line(0, first.address(), "terminated", 0));
+        tell(4, false, SidecarFixture.line(0, first.address(), "terminated", 0));
         awaitFigure("targets=1");
-        tell(5, false, Rig.line(0, first.address(), "in_service", 1000));
+        tell(5, false, SidecarFixture.line(0, first.address(), "in_service", 1000));
         awaitFigure("targets=2");
         assertServedBy("second", 3);
         assertEquals(0, first.requests.size());
@@ -113,7 +113,7 @@
     void theCallBackDoesNotOverruleDiscovery() throws Exception {
         start(first, second);
         operate("s0/suspend");
-        tell(2, false, Rig.line(0, first.address(), "terminating", 0));
+        tell(2, false, SidecarFixture.line(0, first.address(), "terminating", 0));
         operate("s0/resume");
         assertServedBy("second", 5);
         assertEquals(0, first.requests.size());
@@ -138,15 +138,16 @@
     @Test
     void theOtherProcessHearsOfIt() throws Exception {
         start(first, second);
-        try (Rig other = new Rig(first, second)) {
+        try (SidecarFixture other = new SidecarFixture(first, second)) {
             other.folder = folder;
             other.start();
             operate("s0/suspend");
-            Rig.await("the other heard", () -> other.logged().contains("suspended by another process: [s0]"));
+            SidecarFixture.await(
+                    "the other heard", () -> other.logged().contains("suspended by another process: [s0]"));
             for (int i = 0; i < 5; i++) {
                 assertEquals("second", other.ask("read", DEADLINE_MS).body());
             }
-            assertEquals(200, other.operate("PUT", "/v1/endpoints/s0/resume").status());
+            assertEquals(200, other.callAdmin("PUT", "/v1/endpoints/s0/resume").status());
             awaitFigure("targets_disabled=0");
         }
     }
@@ -170,7 +171,7 @@
     void whatCannotBeSavedIsRefused() throws Exception {
         start(first, second);
         Files.createDirectory(folder.resolve("n0.suspended.new"));
-        assertEquals(500, rig.operate("PUT", "/v1/endpoints/s0/suspend").status());
+        assertEquals(500, rig.callAdmin("PUT", "/v1/endpoints/s0/suspend").status());
         assertTrue(rig.logged().contains("s0 is not suspended"), rig.logged());
         awaitFigure("targets_disabled=0");
     }
