--- a/edge/src/test/java/lemonrail/assembly/Talk.java
+++ b/edge/src/test/java/lemonrail/assembly/TestProtocol.java
@@ -15,8 +15,8 @@
 import lemonrail.frames.Frames;
 import lemonrail.http1.Http1Protocol;
 
-/** The protocols that the same tests are played in: how clients and endpoints speak them. */
-enum Talk {
+/** The protocols that the same tests run with: how test clients and test endpoints speak them. */
+enum TestProtocol {
     HTTP1 {
         @Override
         Protocol<?, ?> protocol() {
@@ -24,22 +24,22 @@
         }
 
         @Override
-        Caller caller(InetSocketAddress at) throws IOException {
-            return new HttpCaller(at);
+        TestClient caller(InetSocketAddress at) throws IOException {
+            return new HttpClient(at);
         }
 
         @Override
-        String id(Wire wire) throws IOException {
+        String id(HttpTestConnection wire) throws IOException {
             return wire.read().headers().get("x-request-id");
         }
 
         @Override
-        void answer(Wire wire, Act act, String id) throws IOException {
+        void respond(HttpTestConnection wire, EndpointAction act, String id) throws IOException {
             switch (act) {
-                case NOT_RUN -> Fake.answer(wire, 503, "X-Not-Run: 1\r\n", "full");
-                case FAIL -> Fake.answer(wire, 500, "", "failed");
-                case TURN_AWAY -> Fake.answer(wire, 400, "", "no");
-                default -> Fake.answer(wire, 200, "", "served " + id);
+                case NOT_RUN -> StubEndpoint.respond(wire, 503, "X-Not-Run: 1\r\n", "full");
+                case FAIL -> StubEndpoint.respond(wire, 500, "", "failed");
+                case REJECT -> StubEndpoint.respond(wire, 400, "", "no");
+                default -> StubEndpoint.respond(wire, 200, "", "served " + id);
             }
         }
     },
@@ -51,54 +51,54 @@
         }
 
         @Override
-        Caller caller(InetSocketAddress at) throws IOException {
-            return new FrameCaller(at);
+        TestClient caller(InetSocketAddress at) throws IOException {
+            return new FrameClient(at);
         }
 
         @Override
-        String id(Wire wire) throws IOException {
+        String id(HttpTestConnection wire) throws IOException {
             return readFrame(wire).split("\\|")[0].substring(1);
         }
 
         @Override
-        void answer(Wire wire, Act act, String id) throws IOException {
+        void respond(HttpTestConnection wire, EndpointAction act, String id) throws IOException {
             writeFrame(
                     wire,
                     switch (act) {
                         case NOT_RUN -> "N";
                         case FAIL -> "E";
-                        case TURN_AWAY -> "B";
+                        case REJECT -> "B";
                         default -> "Sserved " + id;
                     });
         }
     };
 
     /** What an endpoint does with a request. */
-    enum Act {
+    enum EndpointAction {
         SERVE,
         NOT_RUN,
         FAIL,
-        TURN_AWAY,
+        REJECT,
         RESET,
         SILENT,
         HOLD
     }
 
-    /** What a client hears in the end. */
-    record Final(Kind kind, String text) {
+    /** What a client receives for a request. */
+    record ClientResult(Kind kind, String text) {
         enum Kind {
             SERVED,
-            TURNED_AWAY,
-            REFUSED,
+            REJECTED,
+            SHED,
             FAILED
         }
     }
 
     /** A client's connection. */
-    interface Caller extends Closeable {
+    interface TestClient extends Closeable {
         void send(String id, String kind, int deadlineMs) throws IOException;
 
-        Final read() throws IOException;
+        ClientResult read() throws IOException;
 
         /** Whether an answer has come that is not read yet. */
         boolean hasAnswer();
@@ -107,7 +107,7 @@
     }
 
     /** An endpoint. */
-    record Peer(Fake fake, List<String> requests) implements Closeable {
+    record TestEndpoint(StubEndpoint fake, List<String> requests) implements Closeable {
         String address() {
             return fake.address();
         }
@@ -124,18 +124,18 @@
 
     abstract Protocol<?, ?> protocol();
 
-    abstract Caller caller(InetSocketAddress at) throws IOException;
+    abstract TestClient caller(InetSocketAddress at) throws IOException;
 
     /** Reads a request at an endpoint and tells its id. */
-    abstract String id(Wire wire) throws IOException;
+    abstract String id(HttpTestConnection wire) throws IOException;
 
-    abstract void answer(Wire wire, Act act, String id) throws IOException;
+    abstract void respond(HttpTestConnection wire, EndpointAction act, String id) throws IOException;
 
     /** An endpoint that does these with its requests in turn, the last with all that follow. */
-    Peer peer(CountDownLatch release, Act... acts) throws IOException {
+    TestEndpoint peer(CountDownLatch release, EndpointAction... acts) throws IOException {
         List<String> requests = new CopyOnWriteArrayList<>();
-        return new Peer(
-                new Fake((Wire wire) -> {
+        return new TestEndpoint(
+                new StubEndpoint((HttpTestConnection wire) -> {
                     String id = id(wire);
                     requests.add(id);
                     act(wire, acts[Math.min(requests.size(), acts.length) - 1], id, release);
@@ -144,10 +144,10 @@
     }
 
     /** One of several endpoints, of which one does the first act once and else all do the second. */
-    Peer sharing(CountDownLatch release, CountDownLatch first, Act... acts) throws IOException {
+    TestEndpoint sharing(CountDownLatch release, CountDownLatch first, EndpointAction... acts) throws IOException {
         List<String> requests = new CopyOnWriteArrayList<>();
-        return new Peer(
-                new Fake((Wire wire) -> {
+        return new TestEndpoint(
+                new StubEndpoint((HttpTestConnection wire) -> {
                     String id = id(wire);
                     requests.add(id);
                     boolean isFirst;
@@ -160,26 +160,26 @@
                 requests);
     }
 
-    private void act(Wire wire, Act act, String id, CountDownLatch release) throws Exception {
-        if (act == Act.RESET) {
+    private void act(HttpTestConnection wire, EndpointAction act, String id, CountDownLatch release) throws Exception {
+        if (act == EndpointAction.RESET) {
             wire.reset();
-        } else if (act == Act.SILENT) {
+        } else if (act == EndpointAction.SILENT) {
             wire.awaitEnd();
             throw new IOException("the other side is gone");
         } else {
-            if (act == Act.HOLD) {
+            if (act == EndpointAction.HOLD) {
                 release.await();
             }
-            answer(wire, act, id);
+            respond(wire, act, id);
         }
     }
 
-    private static String readFrame(Wire wire) throws IOException {
+    private static String readFrame(HttpTestConnection wire) throws IOException {
         DataInputStream in = new DataInputStream(wire.in);
         return new String(in.readNBytes(in.readInt()), StandardCharsets.UTF_8);
     }
 
-    private static void writeFrame(Wire wire, String text) throws IOException {
+    private static void writeFrame(HttpTestConnection wire, String text) throws IOException {
         DataOutputStream out = new DataOutputStream(wire.socket.getOutputStream());
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         byte[] frame = new byte[bytes.length + Integer.BYTES];
@@ -187,11 +187,11 @@
         out.write(frame);
     }
 
-    private abstract static class WireCaller implements Caller {
-        final Wire wire;
+    private abstract static class ConnectionClient implements TestClient {
+        final HttpTestConnection wire;
 
-        WireCaller(InetSocketAddress at) throws IOException {
-            wire = new Wire(new Socket(at.getAddress(), at.getPort()));
+        ConnectionClient(InetSocketAddress at) throws IOException {
+            wire = new HttpTestConnection(new Socket(at.getAddress(), at.getPort()));
         }
 
         @Override
@@ -214,8 +214,8 @@
         }
     }
 
-    private static final class HttpCaller extends WireCaller {
-        HttpCaller(InetSocketAddress at) throws IOException {
+    private static final class HttpClient extends ConnectionClient {
+        HttpClient(InetSocketAddress at) throws IOException {
             super(at);
         }
 
@@ -226,21 +226,21 @@
         }
 
         @Override
-        public Final read() throws IOException {
-            Wire.Message answer = wire.read();
-            return new Final(
+        public ClientResult read() throws IOException {
+            HttpTestConnection.Message answer = wire.read();
+            return new ClientResult(
                     switch (answer.status()) {
-                        case 200 -> Final.Kind.SERVED;
-                        case 503 -> Final.Kind.REFUSED;
-                        case 502 -> Final.Kind.FAILED;
-                        default -> Final.Kind.TURNED_AWAY;
+                        case 200 -> ClientResult.Kind.SERVED;
+                        case 503 -> ClientResult.Kind.SHED;
+                        case 502 -> ClientResult.Kind.FAILED;
+                        default -> ClientResult.Kind.REJECTED;
                     },
                     answer.body());
         }
     }
 
-    private static final class FrameCaller extends WireCaller {
-        FrameCaller(InetSocketAddress at) throws IOException {
+    private static final class FrameClient extends ConnectionClient {
+        FrameClient(InetSocketAddress at) throws IOException {
             super(at);
         }
 
@@ -250,14 +250,14 @@
         }
 
         @Override
-        public Final read() throws IOException {
+        public ClientResult read() throws IOException {
             String frame = readFrame(wire);
-            return new Final(
+            return new ClientResult(
                     switch (frame.charAt(0)) {
-                        case 'S' -> Final.Kind.SERVED;
-                        case 'R' -> Final.Kind.REFUSED;
-                        case 'F' -> Final.Kind.FAILED;
-                        default -> Final.Kind.TURNED_AWAY;
+                        case 'S' -> ClientResult.Kind.SERVED;
+                        case 'R' -> ClientResult.Kind.SHED;
+                        case 'F' -> ClientResult.Kind.FAILED;
+                        default -> ClientResult.Kind.REJECTED;
                     },
                     frame.substring(1));
         }
--- a/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
@@ -31,7 +31,8 @@
     Path folder;
 
     private final List<Process> processes = new ArrayList<>();
-    private final Rig rig = new Rig(Fake.answering(200, "", "first"), Fake.answering(200, "", "second"));
+    private final SidecarFixture rig = new SidecarFixture(
+            StubEndpoint.respondingWith(200, "", "first"), StubEndpoint.respondingWith(200, "", "second"));
     /** Bound but deaf: it keeps the port for the processes, which share it. */
     private SocketChannel place;
 
@@ -56,14 +57,14 @@
         rig.close();
     }
 
-    private Served serve() throws Exception {
+    private SidecarChildProcess serve() throws Exception {
         Path file = Files.writeString(
                 folder.resolve("config.json"),
                 rig.config()
                         .replace(
                                 "\"listen\":\"127.0.0.1:0\"",
                                 "\"listen\":\"127.0.0.1:" + address.getPort() + "\",\"mgmt\":\"127.0.0.1:0\""));
-        Served served = Served.start(file, folder);
+        SidecarChildProcess served = SidecarChildProcess.start(file, folder);
         processes.add(served.process);
         return served;
     }
@@ -86,14 +87,15 @@
         public void run() {
             try {
                 while (on.get()) {
-                    try (Wire wire = Wire.to(address)) {
+                    try (HttpTestConnection wire = HttpTestConnection.to(address)) {
                         boolean kept = true;
                         while (on.get() && kept) {
                             String request;
                             synchronized (rig) {
                                 request = rig.request("read", DEADLINE_MS);
                             }
-                            Wire.Message answer = wire.send(request).read();
+                            HttpTestConnection.Message answer =
+                                    wire.send(request).read();
                             if (answer.status() != 200) {
                                 troubles.add(answer.line());
                             }
@@ -110,7 +112,7 @@
 
     @Test
     void noRequestIsLostOnTheWay() throws Exception {
-        Served old = serve();
+        SidecarChildProcess old = serve();
         AtomicBoolean on = new AtomicBoolean(true);
         AtomicInteger served = new AtomicInteger();
         List<String> troubles = new CopyOnWriteArrayList<>();
@@ -119,15 +121,15 @@
             clients.add(new Client(on, served, troubles));
             clients.get(i).start();
         }
-        Rig.await("clients are served", () -> served.get() > CLIENTS);
-        Served fresh = serve();
+        SidecarFixture.await("clients are served", () -> served.get() > CLIENTS);
+        SidecarChildProcess fresh = serve();
         old.awaitLine("another process of this sidecar runs");
         old.process.toHandle().destroy();
         assertEquals(0, old.process.waitFor(), "" + old.log);
         old.awaitLine("stopping, another process goes on");
         old.awaitLine("all connections are done with");
         int before = served.get();
-        Rig.await("the new one serves", () -> served.get() > before + CLIENTS);
+        SidecarFixture.await("the new one serves", () -> served.get() > before + CLIENTS);
         on.set(false);
         for (Client client : clients) {
             client.join();
@@ -140,12 +142,12 @@
     @Test
     void suspensionsGoOver() throws Exception {
         Files.writeString(folder.resolve("n0.suspended"), "suspended endpoints\ns0\nin all: 1\n");
-        Served old = serve();
+        SidecarChildProcess old = serve();
         serve();
         old.process.toHandle().destroy();
         old.process.waitFor();
         for (int i = 0; i < CLIENTS; i++) {
-            try (Wire wire = Wire.to(address)) {
+            try (HttpTestConnection wire = HttpTestConnection.to(address)) {
                 assertEquals(
                         "second",
                         wire.send(rig.request("read", DEADLINE_MS)).read().body());
--- a/edge/src/test/java/lemonrail/assembly/WatchTest.java
+++ b/edge/src/test/java/lemonrail/assembly/WatchTest.java
@@ -47,9 +47,9 @@
     /** Failures in a row until the pauses would be longer than the time in which a change binds. */
     private static final int FAILURES = 7;
 
-    private final Fake before = Fake.answering(200, "", "before");
-    private final Fake after = Fake.answering(200, "", "after");
-    private final Rig rig = new Rig(before);
+    private final StubEndpoint before = StubEndpoint.respondingWith(200, "", "before");
+    private final StubEndpoint after = StubEndpoint.respondingWith(200, "", "after");
+    private final SidecarFixture rig = new SidecarFixture(before);
 
     WatchTest() throws IOException {
         // The module itself would not ask again within any test.
@@ -64,12 +64,12 @@
     }
 
     private String news(int version) {
-        return Rig.list(version, true, Rig.line(1, after.address(), "in_service", 0))
+        return SidecarFixture.list(version, true, SidecarFixture.line(1, after.address(), "in_service", 0))
                 .replace(",", ",\n    ")
                 .replace("{", "{\n  ");
     }
 
-    private static void die(Wire wire, String how, String news) throws IOException {
+    private static void die(HttpTestConnection wire, String how, String news) throws IOException {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: " + news.length() + "\r\n\r\n";
         switch (how) {
             case "reset" -> wire.reset();
@@ -79,8 +79,8 @@
                 wire.send(head + news.substring(0, news.length() / 2)).awaitEnd();
             case "cut" -> wire.send(head + news.substring(0, news.length() / 2)).close();
             case "garbage" -> wire.send("what?\r\n\r\n").awaitEnd();
-            case "unparsed" -> Fake.answer(wire, 200, "", news.replace("in_service", "who knows"));
-            case "error" -> Fake.answer(wire, 503, "", "");
+            case "unparsed" -> StubEndpoint.respond(wire, 200, "", news.replace("in_service", "who knows"));
+            case "error" -> StubEndpoint.respond(wire, 503, "", "");
             default -> wire.awaitEnd();
         }
     }
@@ -104,19 +104,19 @@
     })
     void aWatchThatDiesIsOpenedAnew(String how, String mode) throws Exception {
         rig.change = config -> config.replace("on_request", mode);
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             if (rig.discovery.requests.size() == 1) {
                 die(wire, how, news(7));
             } else if (rig.discovery.requests.size() == 2) {
-                Fake.answer(wire, 200, "", news(7));
+                StubEndpoint.respond(wire, 200, "", news(7));
             } else {
                 wire.awaitEnd();
             }
         };
         rig.start();
-        Rig.await("it is open", () -> rig.discovery.requests.size() >= 1);
+        SidecarFixture.await("it is open", () -> rig.discovery.requests.size() >= 1);
         long dead = System.nanoTime();
-        Rig.await("the list is there", () -> rig.discovery.requests.size() >= 3);
+        SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() >= 3);
         assertTrue((System.nanoTime() - dead) / 1e6 < BINDS_MS);
         assertEquals(
                 "GET /registry/instances?index=1&wait=100 HTTP/1.1",
@@ -135,11 +135,11 @@
         rig.askWithinMs = 20;
         rig.graceMs = 0;
         rig.change = config -> config.replace("on_request", mode);
-        rig.discovery.script = (wire, request) -> wire.reset();
+        rig.discovery.requestHandler = (wire, request) -> wire.reset();
         rig.start();
-        Rig.await("it is open", () -> rig.discovery.requests.size() >= 1);
+        SidecarFixture.await("it is open", () -> rig.discovery.requests.size() >= 1);
         long began = System.nanoTime();
-        Rig.await("it is asked again and again", () -> rig.discovery.requests.size() >= CALLS);
+        SidecarFixture.await("it is asked again and again", () -> rig.discovery.requests.size() >= CALLS);
         assertTrue((System.nanoTime() - began) / 1e6 >= (CALLS - 3) * LEAST_PAUSE_MS, "each after a pause");
     }
 
@@ -147,27 +147,31 @@
     @Test
     void theOldPlaceIsNotHeardAfterAMove() throws Exception {
         CountDownLatch moved = new CountDownLatch(1);
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             if (rig.discovery.requests.size() == 1) {
                 // The pause after this still runs when discovery moves.
                 wire.reset();
             } else {
                 moved.await();
-                Fake.answer(wire, 200, "", Rig.list(99, true, Rig.line(0, before.address(), "in_service", 0)));
+                StubEndpoint.respond(
+                        wire,
+                        200,
+                        "",
+                        SidecarFixture.list(99, true, SidecarFixture.line(0, before.address(), "in_service", 0)));
             }
         };
         rig.start();
-        Rig.await("the watch has failed", () -> rig.logged().contains("discovery failed"));
-        try (Fake next = new Fake((wire, request) -> {
+        SidecarFixture.await("the watch has failed", () -> rig.logged().contains("discovery failed"));
+        try (StubEndpoint next = new StubEndpoint((wire, request) -> {
             if (request.line().contains("index")) {
                 wire.awaitEnd();
             } else {
-                Fake.answer(wire, 200, "", news(3));
+                StubEndpoint.respond(wire, 200, "", news(3));
             }
         })) {
             Files.writeString(rig.configFile, rig.config().replace(rig.discovery.address(), next.address()));
             rig.sidecar.reload();
-            Rig.await("the list is there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the list is there", () -> next.requests.size() == 2);
             moved.countDown();
             for (int i = 0; i < 3; i++) {
                 assertEquals("after", rig.ask("order", DEADLINE_MS).body());
@@ -189,7 +193,7 @@
 
     /** Guards against changes that are known too late: this one is had by discovery at this time. */
     private void isInForceInTime(long hadNs) throws Exception {
-        Rig.await(
+        SidecarFixture.await(
                 "the list is there",
                 () -> rig.discovery.requests.stream()
                         .anyMatch(request -> request.line().contains("index=7")));
@@ -213,11 +217,11 @@
     })
     void aLargeFleetKnowsInTimeWhatDeadWatchesMissed(String how, int calls) throws Exception {
         among(1000);
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             int call = rig.discovery.requests.size();
             if (call > calls) {
-                rig.discovery.script = (next, later) -> next.awaitEnd();
-                Fake.answer(wire, 200, "", news(7));
+                rig.discovery.requestHandler = (next, later) -> next.awaitEnd();
+                StubEndpoint.respond(wire, 200, "", news(7));
             } else if (how.equals("pieces")) {
                 wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + news(7).length() + "\r\n\r\n");
                 for (char piece : news(7).toCharArray()) {
@@ -229,7 +233,7 @@
             }
         };
         rig.start();
-        Rig.await("it is open", () -> rig.discovery.requests.size() >= 1);
+        SidecarFixture.await("it is open", () -> rig.discovery.requests.size() >= 1);
         isInForceInTime(System.nanoTime());
     }
 
@@ -241,16 +245,16 @@
         // As the pauses would have it, if nothing else bounded them: the mean up to 10 s.
         rig.graceMs = 30_000;
         CountDownLatch back = new CountDownLatch(1);
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             if (back.getCount() == 0) {
-                rig.discovery.script = (next, later) -> next.awaitEnd();
-                Fake.answer(wire, 200, "", news(7));
+                rig.discovery.requestHandler = (next, later) -> next.awaitEnd();
+                StubEndpoint.respond(wire, 200, "", news(7));
             } else {
                 die(wire, how, news(7));
             }
         };
         rig.start();
-        Rig.await("it has paused for longer and longer", () -> rig.discovery.requests.size() >= FAILURES);
+        SidecarFixture.await("it has paused for longer and longer", () -> rig.discovery.requests.size() >= FAILURES);
         back.countDown();
         isInForceInTime(System.nanoTime());
     }
@@ -272,7 +276,8 @@
             rig.change =
                     config -> large.apply(config).replace(rig.discovery.address(), "127.0.0.1:" + full.getLocalPort());
             rig.start();
-            Rig.await("connections did not come up", () -> rig.logged().contains("discovery failed"));
+            SidecarFixture.await(
+                    "connections did not come up", () -> rig.logged().contains("discovery failed"));
             long reachable = System.nanoTime();
             for (Socket one : waiting) {
                 one.close();
@@ -281,7 +286,7 @@
             Thread serving = new Thread(() -> serve(full, asked));
             serving.setDaemon(true);
             serving.start();
-            Rig.await("the list is there", () -> asked.stream().anyMatch(line -> line.contains("index=7")));
+            SidecarFixture.await("the list is there", () -> asked.stream().anyMatch(line -> line.contains("index=7")));
             assertEquals("after", rig.ask("order", DEADLINE_MS).body());
             double tookMs = (System.nanoTime() - reachable) / 1e6;
             assertTrue(tookMs < BINDS_MS, tookMs + " ms");
@@ -290,9 +295,9 @@
 
     private void serve(ServerSocket listener, List<String> asked) {
         while (!listener.isClosed()) {
-            try (Wire wire = new Wire(listener.accept())) {
+            try (HttpTestConnection wire = new HttpTestConnection(listener.accept())) {
                 asked.add(wire.read().line());
-                Fake.answer(wire, 200, "", news(7));
+                StubEndpoint.respond(wire, 200, "", news(7));
                 asked.add(wire.read().line());
                 wire.awaitEnd();
             } catch (IOException e) {
@@ -306,7 +311,7 @@
     @Test
     void aWholeListMayComeInPieces() throws Exception {
         among(1000);
-        try (Fake next = new Fake((wire, request) -> {
+        try (StubEndpoint next = new StubEndpoint((wire, request) -> {
             if (request.line().contains("index")) {
                 wire.awaitEnd();
             } else {
@@ -318,12 +323,12 @@
             }
         })) {
             rig.start();
-            Rig.await("it is open", () -> rig.discovery.requests.size() >= 1);
+            SidecarFixture.await("it is open", () -> rig.discovery.requests.size() >= 1);
             long moved = System.nanoTime();
             Files.writeString(
                     rig.configFile, rig.change.apply(rig.config()).replace(rig.discovery.address(), next.address()));
             rig.sidecar.reload();
-            Rig.await("the list is there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the list is there", () -> next.requests.size() == 2);
             assertEquals("after", rig.ask("order", DEADLINE_MS).body());
             assertTrue((System.nanoTime() - moved) / 1e6 < BINDS_MS);
             assertFalse(rig.logged().contains("discovery failed"), rig.logged());
@@ -349,33 +354,33 @@
     }
 
     private static void awaitPassed(long sinceNs, int ms) throws InterruptedException {
-        Rig.await("time", () -> System.nanoTime() - sinceNs > ms * 1_000_000L);
+        SidecarFixture.await("time", () -> System.nanoTime() - sinceNs > ms * 1_000_000L);
     }
 
     /** Guards against an answer that has come in time, and is given up as nobody had read it. */
     @Test
     void anAnswerIsTakenThoughTheLoopWasBusyBeyondItsTime() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             if (rig.discovery.requests.size() > 1) {
-                rig.discovery.script = (next, later) -> next.awaitEnd();
+                rig.discovery.requestHandler = (next, later) -> next.awaitEnd();
                 answer.await();
-                Fake.answer(wire, 200, "", news(7));
+                StubEndpoint.respond(wire, 200, "", news(7));
             } else {
-                Fake.answer(wire, 200, "", news(6));
+                StubEndpoint.respond(wire, 200, "", news(6));
             }
         };
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         rig.start(busyUntil(busy, release));
-        Rig.await("it waits", () -> rig.discovery.requests.size() == 2);
-        try (Wire client = rig.client()) {
+        SidecarFixture.await("it waits", () -> rig.discovery.requests.size() == 2);
+        try (HttpTestConnection client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS));
             busy.await();
             answer.countDown();
             awaitPassed(System.nanoTime(), BUSY_MS);
             release.countDown();
-            Rig.await("the list is there", () -> rig.discovery.requests.size() == 3);
+            SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() == 3);
             assertEquals(200, client.read().status());
         }
         assertEquals(1, rig.discovery.connections.get());
