--- a/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
+++ b/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
@@ -11,18 +11,18 @@
 import lemonrail.lab.scenario.Scenario.Link;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Makes faults happen: it draws whom they befall, begins and ends them. */
+/** Injects the faults of a scenario: it draws the endpoints that each one affects, begins and ends them. */
 final class FaultPlayer {
 
-    /** What one tier has that can go wrong. */
+    /** The parts of one tier that faults act on. */
     record Tier(List<EndpointHost> endpoints, Function<EndpointHost, Relay> links, Registry registry) {}
 
-    private static final double DRAIN_PART = 0.5;
+    private static final double DRAIN_FRACTION = 0.5;
 
     private final Scheduler scheduler;
     private final List<Tier> tiers;
     private final UniformRandomProvider random;
-    /** Of several that befall an endpoint at once the worst is in force. */
+    /** Of several that affect one endpoint at once, the largest applies. */
     private final List<Slowed> slowed = new ArrayList<>();
 
     private record Slowed(EndpointHost host, Fault fault) {}
@@ -33,17 +33,17 @@
         this.random = random;
     }
 
-    /** Whether a scenario with these faults needs relays before its endpoints. */
+    /** Returns whether a scenario with these faults needs relays before its endpoints. */
     static boolean needLinks(List<Fault> faults, Link link) {
         return !link.isPlain() || faults.stream().anyMatch(fault -> fault.kind().isOfLinks());
     }
 
-    /** Has all of them happen in their time; bursts are the arrivals' own affair. */
+    /** Schedules all faults; bursts are left to the arrivals. */
     void play(List<Fault> faults) {
         for (Fault fault : faults) {
             Tier tier = tiers.get(fault.tier());
-            List<EndpointHost> whom = draw(tier, fault.share());
-            scheduler.after(fault.beginMs(), () -> begin(fault, tier, whom));
+            List<EndpointHost> affected = draw(tier, fault.share());
+            scheduler.after(fault.beginMs(), () -> begin(fault, tier, affected));
         }
     }
 
@@ -61,93 +61,94 @@
         return all.subList(0, Math.max(1, (int) Math.round(share * all.size())));
     }
 
-    private void begin(Fault fault, Tier tier, List<EndpointHost> whom) {
+    private void begin(Fault fault, Tier tier, List<EndpointHost> affected) {
         switch (fault.kind()) {
-            case VANISH ->
-                during(fault, whom, host -> host.model().vanish(), host -> {
-                    host.reset();
-                    start(tier, host);
-                });
-            case SLOW -> during(fault, whom, host -> slow(host, fault, true), host -> slow(host, fault, false));
+            case VANISH, SLOW, HANG, FAIL, RESTART, DRAIN -> beginAtEndpoints(fault, tier, affected);
+            case RESET, HALF_OPEN, DELAY, LOSS -> beginAtLinks(fault, tier, affected);
+            case LIST_DOWN, LIST_SHRINKS, LIST_RESTARTS -> beginAtDiscovery(fault, tier, affected);
+            case BURST -> {
+                // The arrivals know of it.
+            }
+            default -> throw new IllegalArgumentException("no such fault: " + fault.kind());
+        }
+    }
+
+    private void beginAtEndpoints(Fault fault, Tier tier, List<EndpointHost> affected) {
+        switch (fault.kind()) {
+            case VANISH -> during(fault, affected, host -> host.model().vanish(), host -> startAgain(tier, host));
+            case SLOW -> during(fault, affected, host -> slow(host, fault, true), host -> slow(host, fault, false));
             case HANG ->
                 during(
                         fault,
-                        whom,
+                        affected,
                         host -> host.model().hang(true),
                         host -> host.model().hang(false));
             case FAIL ->
                 during(
                         fault,
-                        whom,
+                        affected,
                         host -> host.model().fail(true),
                         host -> host.model().fail(false));
-            case RESTART -> {
-                double each = fault.lengthMs() / whom.size();
-                for (int i = 0; i < whom.size(); i++) {
-                    EndpointHost host = whom.get(i);
-                    scheduler.after(i * each, () -> restart(tier, host, each));
-                }
-            }
-            case DRAIN ->
-                during(
-                        fault,
-                        whom,
-                        host -> {
-                            host.model().drain(true);
-                            say(tier, host, Registry.State.TERMINATING);
-                        },
-                        host -> {
-                            host.model().drain(false);
-                            say(tier, host, Registry.State.IN_SERVICE);
-                        });
+            case RESTART -> restartInTurn(fault, tier, affected);
+            case DRAIN -> during(fault, affected, host -> drain(tier, host), host -> endDrain(tier, host));
+            default -> throw new IllegalArgumentException("no fault of endpoints: " + fault.kind());
+        }
+    }
+
+    private void beginAtLinks(Fault fault, Tier tier, List<EndpointHost> affected) {
+        Function<EndpointHost, Relay> links = tier.links;
+        switch (fault.kind()) {
             case RESET ->
                 during(
                         fault,
-                        whom,
+                        affected,
                         host -> {
-                            tier.links.apply(host).reset();
-                            tier.links.apply(host).resetNewAfter(fault.size());
+                            links.apply(host).reset();
+                            links.apply(host).resetNewAfter(fault.size());
                         },
-                        host -> tier.links.apply(host).resetNewAfter(Double.NaN));
+                        host -> links.apply(host).resetNewAfter(Double.NaN));
             case HALF_OPEN ->
                 during(
                         fault,
-                        whom,
-                        host -> tier.links.apply(host).freeze(),
-                        host -> tier.links.apply(host).reset());
+                        affected,
+                        host -> links.apply(host).freeze(),
+                        host -> links.apply(host).reset());
             case DELAY ->
                 during(
                         fault,
-                        whom,
-                        host -> tier.links.apply(host).delay(fault.size()),
-                        host -> tier.links.apply(host).delay(0));
+                        affected,
+                        host -> links.apply(host).delay(fault.size()),
+                        host -> links.apply(host).delay(0));
             case LOSS ->
                 during(
                         fault,
-                        whom,
-                        host -> tier.links.apply(host).lose(fault.size()),
-                        host -> tier.links.apply(host).lose(0));
+                        affected,
+                        host -> links.apply(host).lose(fault.size()),
+                        host -> links.apply(host).lose(0));
+            default -> throw new IllegalArgumentException("no fault of links: " + fault.kind());
+        }
+    }
+
+    private void beginAtDiscovery(Fault fault, Tier tier, List<EndpointHost> affected) {
+        switch (fault.kind()) {
             case LIST_DOWN -> {
                 tiers.forEach(each -> each.registry.reachable(false));
                 scheduler.after(fault.lengthMs(), () -> tiers.forEach(each -> each.registry.reachable(true)));
             }
             case LIST_SHRINKS -> {
-                List<String> ids = whom.stream().map(EndpointHost::id).toList();
+                List<String> ids = affected.stream().map(EndpointHost::id).toList();
                 tier.registry.hide(ids, true);
                 scheduler.after(fault.lengthMs(), () -> tier.registry.hide(ids, false));
             }
             case LIST_RESTARTS -> tiers.forEach(each -> each.registry.restart());
-            case BURST -> {
-                // The arrivals know of it.
-            }
-            default -> throw new IllegalArgumentException("no such fault: " + fault.kind());
+            default -> throw new IllegalArgumentException("no fault of discovery: " + fault.kind());
         }
     }
 
     private void during(
-            Fault fault, List<EndpointHost> whom, Consumer<EndpointHost> begin, Consumer<EndpointHost> end) {
-        whom.forEach(begin);
-        scheduler.after(fault.lengthMs(), () -> whom.forEach(end));
+            Fault fault, List<EndpointHost> affected, Consumer<EndpointHost> begin, Consumer<EndpointHost> end) {
+        affected.forEach(begin);
+        scheduler.after(fault.lengthMs(), () -> affected.forEach(end));
     }
 
     private void slow(EndpointHost host, Fault fault, boolean on) {
@@ -164,23 +165,44 @@
                         .orElse(1));
     }
 
-    /** Drains for half of the time, then ends and starts again, cold. */
+    private void restartInTurn(Fault fault, Tier tier, List<EndpointHost> affected) {
+        double eachMs = fault.lengthMs() / affected.size();
+        for (int i = 0; i < affected.size(); i++) {
+            EndpointHost host = affected.get(i);
+            scheduler.after(i * eachMs, () -> restart(tier, host, eachMs));
+        }
+    }
+
+    /** Drains an endpoint for part of the time, then ends its process and starts another, which warms up. */
     private void restart(Tier tier, EndpointHost host, double lengthMs) {
-        host.model().drain(true);
-        say(tier, host, Registry.State.TERMINATING);
-        scheduler.after(lengthMs * DRAIN_PART, () -> {
+        drain(tier, host);
+        scheduler.after(lengthMs * DRAIN_FRACTION, () -> {
             host.model().vanish();
-            host.reset();
-            start(tier, host);
+            startAgain(tier, host);
         });
     }
 
+    private static void drain(Tier tier, EndpointHost host) {
+        host.model().drain(true);
+        list(tier, host, Registry.State.TERMINATING);
+    }
+
+    private static void endDrain(Tier tier, EndpointHost host) {
+        host.model().drain(false);
+        list(tier, host, Registry.State.IN_SERVICE);
+    }
+
+    private void startAgain(Tier tier, EndpointHost host) {
+        host.reset();
+        start(tier, host);
+    }
+
     private void start(Tier tier, EndpointHost host) {
         host.model().start();
-        say(tier, host, Registry.State.IN_SERVICE);
+        list(tier, host, Registry.State.IN_SERVICE);
     }
 
-    private static void say(Tier tier, EndpointHost host, Registry.State state) {
+    private static void list(Tier tier, EndpointHost host, Registry.State state) {
         tier.registry.set(new Registry.Line(host.id(), state, host.model().startedMs()));
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scenario/ScenarioFile.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/ScenarioFile.java
@@ -11,6 +11,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Supplier;
 import lemonrail.config.ConfigKey;
 import lemonrail.config.ConfigTable;
 import lemonrail.config.TableReader;
@@ -287,33 +288,14 @@
             known = EdgeSettings.load(edge, Map.of());
         }
         Integer seeds = top.get(SEEDS);
-        TableReader load = document.one(LOAD);
-        Double rate = load.get(RATE);
-        Double length = load.get(LENGTH);
-        Double warmUp = load.get(WARM_UP);
-        Arrivals.Spacing spacing = load.get(SPACING);
-        Boolean exponential = load.get(EXPONENTIAL);
-        Integer connections = load.get(CLIENT_CONNECTIONS);
-        if (length != null && warmUp != null && warmUp >= length) {
-            load.contradicts(WARM_UP, "must be below load.length");
-        }
+        Supplier<Scenario.Load> load = load(document.one(LOAD));
         TableReader clients = document.one(CLIENTS);
-        Integer retries = clients.get(RETRIES);
-        Double wait = clients.get(WAIT);
-        Double growth = clients.get(GROWTH);
-        Boolean heeds = clients.get(HEEDS);
-        Double least = clients.get(LEAST_PATIENCE);
-        Double most = clients.get(MOST_PATIENCE);
-        ordered(clients, LEAST_PATIENCE, least, most);
+        Supplier<Retrying> retrying = retrying(clients);
+        Supplier<Scenario.Patience> patience = patience(clients);
         List<Scenario.Requests> requests = requests(document, known);
         List<Scenario.Tenant> tenants = tenants(document, known);
         List<Scenario.Tier> tiers = tiers(document);
-        TableReader discovery = document.one(DISCOVERY);
-        Telling telling = discovery.get(TELLING);
-        Double poll = discovery.get(POLL);
-        Double leastLag = discovery.get(LEAST_LAG);
-        Double mostLag = discovery.get(MOST_LAG);
-        ordered(discovery, LEAST_LAG, leastLag, mostLag);
+        Supplier<Scenario.Discovery> discovery = discovery(document.one(DISCOVERY));
         TableReader sidecars = document.one(SIDECARS);
         Integer front = sidecars.get(FRONT);
         Place place = sidecars.get(PLACE);
@@ -323,20 +305,19 @@
         List<Scenario.Variant> variants =
                 variants(document, folder, place == Place.PROCESS, known == null ? null : edge);
         document.check();
-        String name = file.getFileName().toString().replaceFirst("\\.toml$", "");
         return new Scenario(
-                name,
+                file.getFileName().toString().replaceFirst("\\.toml$", ""),
                 file,
                 about,
                 edge,
                 seeds,
-                new Scenario.Load(rate, length, warmUp, spacing, exponential, connections),
-                new Retrying(retries, wait, growth, heeds),
-                new Scenario.Patience(least, most),
+                load.get(),
+                retrying.get(),
+                patience.get(),
                 requests,
                 tenants,
                 tiers,
-                new Scenario.Discovery(telling == Telling.PUSH, poll, leastLag, mostLag),
+                discovery.get(),
                 new Scenario.Sidecars(front, place == Place.PROCESS),
                 clientLink,
                 endpointLink,
@@ -344,6 +325,45 @@
                 variants);
     }
 
+    // Each table is read at once, so that every problem is named; its values are only complete after the check.
+
+    private static Supplier<Retrying> retrying(TableReader clients) {
+        Integer retries = clients.get(RETRIES);
+        Double wait = clients.get(WAIT);
+        Double growth = clients.get(GROWTH);
+        Boolean heeds = clients.get(HEEDS);
+        return () -> new Retrying(retries, wait, growth, heeds);
+    }
+
+    private static Supplier<Scenario.Load> load(TableReader table) {
+        Double rate = table.get(RATE);
+        Double length = table.get(LENGTH);
+        Double warmUp = table.get(WARM_UP);
+        Arrivals.Spacing spacing = table.get(SPACING);
+        Boolean exponential = table.get(EXPONENTIAL);
+        Integer connections = table.get(CLIENT_CONNECTIONS);
+        if (length != null && warmUp != null && warmUp >= length) {
+            table.contradicts(WARM_UP, "must be below load.length");
+        }
+        return () -> new Scenario.Load(rate, length, warmUp, spacing, exponential, connections);
+    }
+
+    private static Supplier<Scenario.Patience> patience(TableReader clients) {
+        Double least = clients.get(LEAST_PATIENCE);
+        Double most = clients.get(MOST_PATIENCE);
+        ordered(clients, LEAST_PATIENCE, least, most);
+        return () -> new Scenario.Patience(least, most);
+    }
+
+    private static Supplier<Scenario.Discovery> discovery(TableReader table) {
+        Telling telling = table.get(TELLING);
+        Double poll = table.get(POLL);
+        Double leastLag = table.get(LEAST_LAG);
+        Double mostLag = table.get(MOST_LAG);
+        ordered(table, LEAST_LAG, leastLag, mostLag);
+        return () -> new Scenario.Discovery(telling == Telling.PUSH, poll, leastLag, mostLag);
+    }
+
     private static void ordered(TableReader section, ConfigKey<Double> key, Double least, Double most) {
         if (least != null && most != null && least > most) {
             section.contradicts(key, "is above the most that is allowed beside it, which is " + most);
