--- a/core/src/main/java/lemonrail/core/RingPlacement.java
+++ b/core/src/main/java/lemonrail/core/RingPlacement.java
@@ -7,49 +7,58 @@
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToIntFunction;
 
-/** Places of weighted members on a ring, the same wherever the same members are known. */
+/** Places weighted members on a ring, the same in every process that has the same members. */
 public final class RingPlacement {
 
-    /** Any large odd number: its powers put the members of each ring into another order. */
-    private static final long MIX = 0x9E3779B1L;
+    /** A large odd number: each ring's power of it puts the members into another order. */
+    private static final long RING_MULTIPLIER = 0x9E3779B1L;
 
-    /** What is summed up of a group: the weights of all members, and of those before. */
-    private static final int ALL = 0;
+    private static final long ORDER_MASK = 0xffffffffL;
 
-    private static final int BEFORE = 1;
+    /** The weights of the members of a group. */
+    private static final class GroupWeights {
+        private double total;
+        private double placed;
+    }
 
     private RingPlacement() {}
 
-    /** Where a member of this hash comes on the ring of this number; ring 0 has the hash's own order. */
+    /** Returns the order of a member with this hash on the ring of this number; ring 0 has the order of hashes. */
     public static long order(long hash, int ring) {
-        long scatter = 1;
+        long multiplier = 1;
         for (int i = ring; i > 0; i--) {
-            scatter *= MIX;
+            multiplier *= RING_MULTIPLIER;
         }
-        return hash * scatter & 0xffffffffL;
+        return hash * multiplier & ORDER_MASK;
     }
 
     /**
-     * Tells each member its place, above 0 and up to 1, falling in the given order. In each group the arcs
-     * between members are as wide as their weights: by a hash alone they would be very unequal.
+     * Computes each member's place, above 0 and at most 1, which falls in the given order. Within a group the arcs
+     * between members are as wide as their weights; places by hash alone would make them very unequal.
+     *
+     * @param membersInOrder the members, in their order on the ring
+     * @param group the group of a member
+     * @param weight the weight of a member
+     * @param setPlace takes each member and its place
      */
     public static <T> void place(
-            List<T> inOrder, ToIntFunction<T> group, ToDoubleFunction<T> weight, ObjDoubleConsumer<T> told) {
-        Map<Integer, double[]> groups = new HashMap<>();
-        double[][] groupOf = new double[inOrder.size()][];
-        double[] weights = new double[inOrder.size()];
-        int at = 0;
-        for (T member : inOrder) {
-            groupOf[at] = groups.computeIfAbsent(group.applyAsInt(member), number -> new double[2]);
-            weights[at] = weight.applyAsDouble(member);
-            groupOf[at][ALL] += weights[at];
-            at++;
+            List<T> membersInOrder, ToIntFunction<T> group, ToDoubleFunction<T> weight, ObjDoubleConsumer<T> setPlace) {
+        Map<Integer, GroupWeights> groups = new HashMap<>();
+        GroupWeights[] groupOf = new GroupWeights[membersInOrder.size()];
+        double[] weights = new double[membersInOrder.size()];
+        int index = 0;
+        for (T member : membersInOrder) {
+            groupOf[index] = groups.computeIfAbsent(group.applyAsInt(member), number -> new GroupWeights());
+            weights[index] = weight.applyAsDouble(member);
+            groupOf[index].total += weights[index];
+            index++;
         }
-        at = 0;
-        for (T member : inOrder) {
-            told.accept(member, 1 - groupOf[at][BEFORE] / groupOf[at][ALL]);
-            groupOf[at][BEFORE] += weights[at];
-            at++;
+        index = 0;
+        for (T member : membersInOrder) {
+            GroupWeights groupWeights = groupOf[index];
+            setPlace.accept(member, 1 - groupWeights.placed / groupWeights.total);
+            groupWeights.placed += weights[index];
+            index++;
         }
     }
 }
--- a/core/src/main/java/lemonrail/core/SettingsReader.java
+++ b/core/src/main/java/lemonrail/core/SettingsReader.java
@@ -1,6 +1,5 @@
 package lemonrail.core;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import lemonrail.core.balancer.AttemptLimits;
@@ -12,66 +11,86 @@
 import lemonrail.core.balancer.SlowStartSettings;
 import lemonrail.core.balancer.TenantQuota;
 
-/** Turns the wire's settings object into {@link BalancerSettings}; what it does not know it passes over. */
+/**
+ * Reads the platform's settings object into {@link BalancerSettings}. This is the one place that knows the platform's
+ * field names; unknown fields are ignored. Objects are maps, arrays are lists and numbers are {@link Double}.
+ */
 public final class SettingsReader {
 
     private SettingsReader() {}
 
     /**
-     * The settings that the decisions need, from the object with maps for its objects, lists for its arrays
-     * and {@link Double} for its numbers.
+     * Reads the settings that the balancer needs.
+     *
+     * @throws IllegalArgumentException naming the setting that is missing, of the wrong type or out of range
      */
-    public static BalancerSettings settings(Map<String, Object> p) {
-        List<RequestClass> classes = new ArrayList<>();
-        for (Map<String, Object> c : maps(p, "classes")) {
-            classes.add(new RequestClass(
-                    text(c, "name", ""),
-                    number(c, "slo-ms", 0),
-                    number(c, "hard-limit-ms", 0),
-                    number(c, "worth", 1),
-                    number(c, "late-worth", 0),
-                    effect(text(c, "effect", "once")),
-                    group(text(c, "group", "all")),
-                    number(c, "memory-span-ms", 0),
-                    flag(c, "stream")));
-        }
-        List<TenantQuota> tenants = new ArrayList<>();
-        for (Map<String, Object> t : maps(p, "projects")) {
-            tenants.add(new TenantQuota(text(t, "name", ""), number(t, "allowance-per-s", 0), number(t, "share", 0)));
-        }
-        Map<String, Object> l = map(p, "limits");
-        AttemptLimits limits = new AttemptLimits(
-                (int) number(l, "try-limit", 1),
-                flag(l, "parallel-tries"),
-                flag(l, "cancel"),
-                number(l, "max-retry-after-ms", 0),
-                number(l, "dial-timeout-ms", 250));
-        Map<String, Object> r = map(p, "rules");
-        SlowStartSettings slowStart = new SlowStartSettings(
-                number(r, "cold-share", 1),
-                number(r, "cold-ms", 0),
-                number(r, "tip-multiple", 1),
-                number(r, "fall-ms", 1000));
-        DrainSettings drain = new DrainSettings(number(r, "drain-grace-ms", 0));
-        String weights = text(p, "weight-kind", "silent");
+    public static BalancerSettings read(Map<String, Object> settings) {
+        Map<String, Object> rules = map(settings, "rules");
+        List<RequestClass> classes = maps(settings, "classes").stream()
+                .map(SettingsReader::requestClass)
+                .toList();
+        List<TenantQuota> tenants = maps(settings, "projects").stream()
+                .map(SettingsReader::tenantQuota)
+                .toList();
+        AttemptLimits limits = attemptLimits(map(settings, "limits"));
+        SlowStartSettings slowStart = slowStart(rules);
+        DrainSettings drain = new DrainSettings(number(rules, "drain-grace-ms", 0));
         return new BalancerSettings(
-                (int) number(p, "replicas-of-me", 1),
-                (int) number(p, "slot-no", 0),
-                (int) number(p, "zone", 0),
-                (int) number(p, "tier", 0),
-                text(p, "membership-mode", "pushed").equals("on_request"),
-                weights.equals("nominal") || weights.equals("rough"),
-                number(p, "over-share-worth", 1),
-                number(map(p, "prices"), "cross-zone", 0),
+                (int) number(settings, "replicas-of-me", 1),
+                (int) number(settings, "slot-no", 0),
+                (int) number(settings, "zone", 0),
+                (int) number(settings, "tier", 0),
+                text(settings, "membership-mode", "pushed").equals("on_request"),
+                isWeighted(text(settings, "weight-kind", "silent")),
+                number(settings, "over-share-worth", 1),
+                number(map(settings, "prices"), "cross-zone", 0),
                 classes,
                 tenants,
                 limits,
                 slowStart,
                 drain,
-                number(r, "ask-within-ms", 10_000));
+                number(rules, "ask-within-ms", 10_000));
+    }
+
+    private static boolean isWeighted(String weightKind) {
+        return weightKind.equals("nominal") || weightKind.equals("rough");
+    }
+
+    private static RequestClass requestClass(Map<String, Object> from) {
+        return new RequestClass(
+                text(from, "name", ""),
+                number(from, "slo-ms", 0),
+                number(from, "hard-limit-ms", 0),
+                number(from, "worth", 1),
+                number(from, "late-worth", 0),
+                idempotency(text(from, "effect", "once")),
+                deduplicationScope(text(from, "group", "all")),
+                number(from, "memory-span-ms", 0),
+                flag(from, "stream"));
+    }
+
+    private static TenantQuota tenantQuota(Map<String, Object> from) {
+        return new TenantQuota(text(from, "name", ""), number(from, "allowance-per-s", 0), number(from, "share", 0));
+    }
+
+    private static AttemptLimits attemptLimits(Map<String, Object> from) {
+        return new AttemptLimits(
+                (int) number(from, "try-limit", 1),
+                flag(from, "parallel-tries"),
+                flag(from, "cancel"),
+                number(from, "max-retry-after-ms", 0),
+                number(from, "dial-timeout-ms", 250));
+    }
+
+    private static SlowStartSettings slowStart(Map<String, Object> from) {
+        return new SlowStartSettings(
+                number(from, "cold-share", 1),
+                number(from, "cold-ms", 0),
+                number(from, "tip-multiple", 1),
+                number(from, "fall-ms", 1000));
     }
 
-    private static Idempotency effect(String word) {
+    private static Idempotency idempotency(String word) {
         return switch (word) {
             case "repeatable" -> Idempotency.IDEMPOTENT;
             case "by_key" -> Idempotency.KEYED;
@@ -80,7 +99,7 @@
         };
     }
 
-    private static DeduplicationScope group(String word) {
+    private static DeduplicationScope deduplicationScope(String word) {
         return switch (word) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
--- a/core/src/test/java/lemonrail/core/SharedPartsTest.java
+++ b/core/src/test/java/lemonrail/core/SharedPartsTest.java
@@ -47,15 +47,15 @@
         assertEquals(3000, WatchSchedule.ofFleet(550, 1000, 1).waitMs());
         assertEquals(3000, WatchSchedule.ofFleet(100_000, 1000, 1).waitMs());
         List<Double> first = IntStream.range(0, 50)
-                .mapToObj(i -> new WatchSchedule(1000, 1000, i).failed())
+                .mapToObj(i -> new WatchSchedule(1000, 1000, i).onFailure())
                 .toList();
         assertEquals(50, first.stream().distinct().count(), "not in step");
         assertTrue(first.stream().allMatch(pause -> pause >= 50 && pause < 150), first.toString());
         WatchSchedule pace = new WatchSchedule(1000, 3000, 7);
-        double last = IntStream.range(0, 10).mapToDouble(i -> pace.failed()).reduce(0, (a, b) -> b);
+        double last = IntStream.range(0, 10).mapToDouble(i -> pace.onFailure()).reduce(0, (a, b) -> b);
         assertTrue(last >= 500 && last < 1500, "longer and longer, within bounds: " + last);
-        pace.answered();
-        assertTrue(pace.failed() < 150);
+        pace.onResponse();
+        assertTrue(pace.onFailure() < 150);
     }
 
     /**
@@ -71,12 +71,12 @@
                     String who = instances + ", " + graceMs + ", " + seed;
                     double askedMs = noticedMs(pace);
                     assertTrue(askedMs <= 4000, who + ": " + askedMs);
-                    assertTrue(askedMs + WatchSchedule.answerMs() <= 6000, "an answer in pieces: " + who);
+                    assertTrue(askedMs + WatchSchedule.responseTimeoutMs() <= 6000, "an answer in pieces: " + who);
                     askedMs += noticedMs(pace);
                     assertTrue(askedMs <= 5000, who + ": " + askedMs);
                     askedMs += noticedMs(pace);
                     assertTrue(askedMs < 6000, who + ": " + askedMs);
-                    pace.answered();
+                    pace.onResponse();
                     assertTrue(pace.waitMs() >= 1000, "a long wait again: " + who);
                 }
             }
@@ -85,7 +85,7 @@
 
     /** Until the next call after one that is made now and gets no answer. */
     private static double noticedMs(WatchSchedule pace) {
-        return pace.waitMs() + WatchSchedule.silenceMs() + pace.failed();
+        return pace.waitMs() + WatchSchedule.silenceTimeoutMs() + pace.onFailure();
     }
 
     /** Guards against pauses that keep from a sidecar what discovery has at its return. */
@@ -93,7 +93,7 @@
     void noPauseKeepsNewsForLong() {
         WatchSchedule pace = WatchSchedule.ofFleet(1000, 60_000, 7);
         double longest =
-                IntStream.range(0, 500).mapToDouble(i -> pace.failed()).max().orElseThrow();
+                IntStream.range(0, 500).mapToDouble(i -> pace.onFailure()).max().orElseThrow();
         assertTrue(longest + noticedMs(pace) < 6000, longest + ", and one more call in vain");
     }
 
@@ -103,12 +103,12 @@
         for (double graceMs : new double[] {300, 1000, 2500}) {
             WatchSchedule pace = new WatchSchedule(1000, graceMs, 7);
             double longest = IntStream.range(0, 500)
-                    .mapToDouble(i -> pace.failed())
+                    .mapToDouble(i -> pace.onFailure())
                     .max()
                     .orElseThrow();
             assertTrue(longest <= graceMs / 2 && longest > graceMs / 4, graceMs + ": " + longest);
         }
-        assertTrue(new WatchSchedule(1000, 0, 7).failed() >= 50, "it never spins");
+        assertTrue(new WatchSchedule(1000, 0, 7).onFailure() >= 50, "it never spins");
     }
 
     @Test
--- a/edge/src/main/java/lemonrail/config/PlatformFile.java
+++ b/edge/src/main/java/lemonrail/config/PlatformFile.java
@@ -74,7 +74,7 @@
                 positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")),
                 names,
                 EndpointList.of(object("known", config.get("known")), names),
-                SettingsReader.settings(settings),
+                SettingsReader.read(settings),
                 LogSettings.USUAL,
                 null);
     }
--- a/edge/src/main/java/lemonrail/config/Schema.java
+++ b/edge/src/main/java/lemonrail/config/Schema.java
@@ -50,7 +50,7 @@
             .changeable();
     static final ConfigKey<Double> DISCOVERY_WAIT = ConfigKey.optional(
             "wait",
-            ValueType.duration(100, WatchSchedule.LONGEST_WAIT_MS),
+            ValueType.duration(100, WatchSchedule.MAX_WAIT_MS),
             null,
             "how long a call waits for news; if not "
                     + "given 1s, or 10ms for each balancer, up to 3s. With more, silent watches hide news over 6s");
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -119,7 +119,7 @@
         address = to;
         version = OptionalLong.empty();
         // How often the old address failed says nothing of the new one.
-        pace.answered();
+        pace.onResponse();
         callEnded();
         dropConnection();
         watch();
@@ -139,7 +139,7 @@
             ask();
             return;
         }
-        limit("no connection in time", WatchSchedule.silenceMs());
+        limit("no connection in time", WatchSchedule.silenceTimeoutMs());
         ChannelFuture connecting = bootstrap.connect(address);
         channel = connecting.channel();
         connecting.addListener(connected -> {
@@ -169,7 +169,7 @@
         int waitMs = version.isPresent() ? pace.waitMs() : 0;
         wholeByNs = 0;
         // Counted from here: at the start the loop may be busy for long between a call's connection and it.
-        limit("no answer in time", waitMs + WatchSchedule.silenceMs());
+        limit("no answer in time", waitMs + WatchSchedule.silenceTimeoutMs());
         FullHttpRequest call = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.GET,
@@ -196,7 +196,7 @@
         dropConnection();
         if (callEnded()) {
             log.trouble("discovery_failed", "discovery failed", why, "address", address);
-            retry = loop.schedule(this::watch, (long) (pace.failed() * 1e6), TimeUnit.NANOSECONDS);
+            retry = loop.schedule(this::watch, (long) (pace.onFailure() * 1e6), TimeUnit.NANOSECONDS);
         }
     }
 
@@ -227,10 +227,10 @@
             if (ctx.channel() == channel && limit != null) {
                 long now = System.nanoTime();
                 if (wholeByNs == 0) {
-                    wholeByNs = now + TimeUnit.MILLISECONDS.toNanos(WatchSchedule.answerMs());
+                    wholeByNs = now + TimeUnit.MILLISECONDS.toNanos(WatchSchedule.responseTimeoutMs());
                 }
                 limit("no whole answer in time", (int)
-                        Math.min(WatchSchedule.silenceMs(), TimeUnit.NANOSECONDS.toMillis(wholeByNs - now)));
+                        Math.min(WatchSchedule.silenceTimeoutMs(), TimeUnit.NANOSECONDS.toMillis(wholeByNs - now)));
             }
             ctx.fireChannelRead(piece);
         }
@@ -260,7 +260,7 @@
                 return;
             }
             callEnded();
-            pace.answered();
+            pace.onResponse();
             boolean restarted = !list.full() && version.isPresent() && list.version() < version.getAsLong();
             // Versions are counted anew: changes since another count's version would not be all there are.
             version = restarted ? OptionalLong.empty() : OptionalLong.of(list.version());
--- a/edge/src/main/java/lemonrail/simulator/SimulatorAdapter.java
+++ b/edge/src/main/java/lemonrail/simulator/SimulatorAdapter.java
@@ -392,7 +392,7 @@
             case "Inventory" -> lists.set(checkRef(e.ref), e.entries);
             case "Spawn" -> {
                 Instance fresh = new Instance();
-                fresh.balancer = new BoxcarLoadBalancer(SettingsReader.settings(e.params), e.number, fresh);
+                fresh.balancer = new BoxcarLoadBalancer(SettingsReader.read(e.params), e.number, fresh);
                 instances.put(current, fresh);
             }
             case "Stop" -> {
--- a/edge/src/test/java/lemonrail/assembly/Rig.java
+++ b/edge/src/test/java/lemonrail/assembly/Rig.java
@@ -43,7 +43,7 @@
     int sockets = 1024;
     int aimMs = 9000;
     /** How long a call to discovery waits for news; 0 leaves it to the fleet's size. */
-    int discoveryWaitMs = WatchSchedule.LONGEST_WAIT_MS;
+    int discoveryWaitMs = WatchSchedule.MAX_WAIT_MS;
 
     boolean cancel = true;
     /** What a test changes of the configuration beyond the fields here. */
--- a/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
@@ -333,7 +333,7 @@
 
         private void listed(Registry.Answer answer) {
             version = answer.version();
-            pace.answered();
+            pace.onResponse();
             List<Endpoint> servers = answer.lines().stream().map(this::server).toList();
             Set<String> gone = new HashSet<>(listed);
             servers.forEach(server -> gone.remove(server.id()));
@@ -372,10 +372,10 @@
         private void watch() {
             long call = ++watch;
             listCalls.merge((long) (agenda.nowMs() / 1000), 1, Integer::sum);
-            agenda.after(pace.waitMs() + WatchSchedule.silenceMs() + lateMs, () -> {
+            agenda.after(pace.waitMs() + WatchSchedule.silenceTimeoutMs() + lateMs, () -> {
                 if (call == watch) {
                     deaf = false;
-                    agenda.after(pace.failed(), this::watch);
+                    agenda.after(pace.onFailure(), this::watch);
                 }
             });
             agent.watch(
