--- a/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
@@ -333,7 +333,7 @@
 
         private void listed(Registry.Answer answer) {
             version = answer.version();
-            pace.answered();
+            pace.onResponse();
             List<Endpoint> servers = answer.lines().stream().map(this::server).toList();
             Set<String> gone = new HashSet<>(listed);
             servers.forEach(server -> gone.remove(server.id()));
@@ -372,10 +372,10 @@
         private void watch() {
             long call = ++watch;
             listCalls.merge((long) (scheduler.nowMs() / 1000), 1, Integer::sum);
-            scheduler.after(pace.waitMs() + WatchSchedule.silenceMs() + lateMs, () -> {
+            scheduler.after(pace.waitMs() + WatchSchedule.silenceTimeoutMs() + lateMs, () -> {
                 if (call == watch) {
                     deaf = false;
-                    scheduler.after(pace.failed(), this::watch);
+                    scheduler.after(pace.onFailure(), this::watch);
                 }
             });
             agent.watch(
