--- a/edge/src/main/java/lemonrail/assembly/Listeners.java
+++ b/edge/src/main/java/lemonrail/assembly/Listeners.java
@@ -94,8 +94,8 @@
 
     private void leave(InetSocketAddress address) {
         Downstream front = open.remove(address);
-        front.leave();
-        front.finish();
+        front.releaseAddress();
+        front.closeAfterResponses();
         leaving.add(front);
         share();
     }
@@ -108,12 +108,12 @@
 
     private void share() {
         int each = Math.max(LEAST_CONNECTIONS, most / Math.max(1, open.size()));
-        open.values().forEach(front -> front.bound(each));
+        open.values().forEach(front -> front.setMaxConnections(each));
     }
 
     /** Has each front do this, those that leave as well. */
     void each(Consumer<Downstream> action) {
-        leaving.removeIf(Downstream::isEmpty);
+        leaving.removeIf(Downstream::hasNoConnections);
         List.copyOf(leaving).forEach(action);
         List.copyOf(open.values()).forEach(action);
     }
--- a/edge/src/main/java/lemonrail/assembly/Sidecar.java
+++ b/edge/src/main/java/lemonrail/assembly/Sidecar.java
@@ -171,8 +171,8 @@
             listen();
             loop.submit(() -> {
                         // What the start itself has kept the loop from tells nothing of what is to come.
-                        lag.forget();
-                        lifecycle.started();
+                        lag.resetRecentMax();
+                        lifecycle.markStarted();
                     })
                     .sync();
             long tookMs = (System.nanoTime() - began) / 1_000_000;
@@ -213,7 +213,7 @@
         suspensions = new SuspendedEndpoints(config.kept("suspended"), log);
         presence = new SiblingProcessLock(config.kept("processes"), log);
         ownFiles = openFiles() + SPARE_SOCKETS + (config.admin() == null ? 0 : AdminServer.MOST_CONNECTIONS);
-        sharesLimits = presence.hasOther();
+        sharesLimits = presence.hasSibling();
         int half = half();
         double bodiesMb = Math.min(MOST_BODIES_MB, config.memoryMb() / BODIES_SHARE);
         BufferBudget budget = new BufferBudget((long) (bodiesMb * 1024 * 1024));
@@ -237,11 +237,11 @@
         adminServer = new AdminServer(loop, Sockets.BUFFERS, new Controls(), log.in("admin")::bug);
         metrics.gauge("log_dropped", sink::dropped);
         metrics.gauge("log_suppressed", log::suppressed);
-        metrics.gauge("loop_late_ms", () -> (int) Math.ceil(lag.recentMs()));
-        int[] boundsMs = EventLoopLag.boundsMs();
+        metrics.gauge("loop_late_ms", () -> (int) Math.ceil(lag.recentMaxLagMs()));
+        int[] boundsMs = EventLoopLag.histogramBoundsMs();
         for (int i = 0; i < boundsMs.length; i++) {
             int bound = i;
-            metrics.gauge("loop_late.over_" + boundsMs[i] + "ms", () -> lag.timesOver(bound));
+            metrics.gauge("loop_late.over_" + boundsMs[i] + "ms", () -> lag.countAbove(bound));
         }
         metrics.gauge("targets", suspensions::listed);
         metrics.gauge("targets_disabled", () -> suspensions.listedSuspended() + exchange.ejectedEndpoints());
@@ -256,7 +256,7 @@
     }
 
     private <M extends ProtocolRequest, A> void connect(Protocol<M, A> spoken, int half) {
-        Upstream<M, A> upstream = spoken.upstream(shard, half);
+        Upstream<M, A> upstream = spoken.createUpstream(shard, half);
         RequestDispatcher<M, A> between = new RequestDispatcher<>(
                 shard,
                 upstream,
@@ -269,9 +269,9 @@
         exchange = between;
         listeners = new Listeners(
                 most -> {
-                    Downstream front = spoken.front(shard, between, most);
+                    Downstream front = spoken.createDownstream(shard, between, most);
                     if (lifecycle.phase() == Lifecycle.Phase.DRAINING) {
-                        front.drain();
+                        front.startDraining();
                     }
                     return front;
                 },
@@ -282,7 +282,7 @@
     private String takeSettings(String text) {
         try {
             BalancerSettings next = text == null ? config.settings() : SettingsDocument.over(config.settings(), text);
-            if (!exchange.settings(next)) {
+            if (!exchange.updateSettings(next)) {
                 return "the decider of this edge takes no settings while it runs";
             }
             inForce = next;
@@ -293,7 +293,7 @@
     }
 
     private boolean knowsEndpoints() {
-        return exchange != null && exchange.knowsEndpoints();
+        return exchange != null && exchange.hasEndpoints();
     }
 
     /** Connections for clients, and as many to endpoints; two processes share what one may hold. */
@@ -302,7 +302,7 @@
     }
 
     private int clients(int half) {
-        return Math.max(LEAST_CONNECTIONS, half - protocol.overflow());
+        return Math.max(LEAST_CONNECTIONS, half - protocol.overflowConnections());
     }
 
     private static int openFiles() {
@@ -313,8 +313,8 @@
     /** Takes in what the sidecar's other process has done; a failure must not be the end of looking. */
     private void lookRound() {
         try {
-            exchange.retell(suspensions.refresh());
-            shareLimits(presence.hasOther());
+            exchange.refreshEndpoints(suspensions.refresh());
+            shareLimits(presence.hasSibling());
         } catch (RuntimeException e) {
             log.bug("looking round failed", e);
         }
@@ -329,7 +329,7 @@
                             ? "another process of this sidecar runs: the limits are shared"
                             : "the only process of this sidecar from now on");
             int half = half();
-            endpoints.bound(half);
+            endpoints.setMaxConnections(half);
             listeners.bound(clients(half));
         }
     }
@@ -466,20 +466,20 @@
         long endMs = killedAfterMs - DRAIN_SLACK_MS;
         long lastCallMs = Math.max(LINGER_MS, endMs - FINISH_MS);
         loop.execute(() -> {
-            lifecycle.stop();
-            listeners.each(front -> front.endAfter((double) endMs));
-            boolean succeeded = presence.hasOther();
+            lifecycle.startStopping();
+            listeners.each(front -> front.capDeadlines((double) endMs));
+            boolean succeeded = presence.hasSibling();
             log.info("stopping", "stopping" + (succeeded ? ", another process goes on" : ""), "succeeded", succeeded);
             if (succeeded) {
-                listeners.each(Downstream::leave);
+                listeners.each(Downstream::releaseAddress);
             }
         });
         loop.schedule(() -> listeners.each(Downstream::closeListener), LINGER_MS, TimeUnit.MILLISECONDS);
-        loop.schedule(() -> listeners.each(Downstream::finish), lastCallMs, TimeUnit.MILLISECONDS);
-        loop.schedule(() -> exchange.end(), endMs + LAST_ANSWER_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> listeners.each(Downstream::closeAfterResponses), lastCallMs, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> exchange.abandonAll(), endMs + LAST_ANSWER_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(
                 () -> {
-                    if (listeners.all(Downstream::isEmpty)) {
+                    if (listeners.all(Downstream::hasNoConnections)) {
                         empty.countDown();
                     }
                 },
@@ -503,7 +503,7 @@
 
     /** What its tables hold: open requests and known endpoints; to be asked on the event loop. */
     List<Integer> tableSizes() {
-        return List.of(exchange.openRequests(), endpoints.size());
+        return List.of(exchange.requestsInFlight(), endpoints.endpointCount());
     }
 
     EventLoop loop() {
@@ -540,7 +540,7 @@
 
         @Override
         public String phase() {
-            return lifecycle.word();
+            return lifecycle.description();
         }
 
         @Override
@@ -567,7 +567,7 @@
                 if (!changed.isEmpty()) {
                     log.info(word, word + " by hand: " + endpoint, "by", "hand", "endpoint", endpoint);
                 }
-                exchange.retell(changed);
+                exchange.refreshEndpoints(changed);
                 return Verdict.DONE;
             } catch (IOException e) {
                 log.warn(
@@ -607,17 +607,17 @@
 
         @Override
         public void drain() {
-            if (lifecycle.drain()) {
+            if (lifecycle.startDraining()) {
                 log.info("drain_started", "drain by hand: connections are emptied until the sidecar is activated");
-                listeners.each(Downstream::drain);
+                listeners.each(Downstream::startDraining);
             }
         }
 
         @Override
         public void activate() {
-            if (lifecycle.activate()) {
+            if (lifecycle.stopDraining()) {
                 log.info("drain_ended", "activated by hand: the drain is over");
-                listeners.each(Downstream::activate);
+                listeners.each(Downstream::stopDraining);
             }
         }
     }
--- a/edge/src/main/java/lemonrail/exchange/Downstream.java
+++ b/edge/src/main/java/lemonrail/exchange/Downstream.java
@@ -3,36 +3,46 @@
 import io.netty.channel.ChannelFuture;
 import java.net.InetSocketAddress;
 
-/** A protocol's listener for clients and the connections it has taken in. */
+/**
+ * The client side of a protocol: one listener and the connections that it has accepted. All methods are called on the
+ * event loop of the {@link EventLoopContext} that it was created with.
+ */
 public interface Downstream {
 
-    /** Opens the listener. */
+    /**
+     * Binds the listener; called once.
+     *
+     * @return completes when the listener is bound, and fails with the reason if it cannot be
+     */
     ChannelFuture listen(InetSocketAddress address);
 
-    /** Sets how many connections may be open at once; where more are, idle ones make room. */
-    void bound(int connections);
+    /** Sets how many connections may be open at once. Idle ones are closed to make room for new ones. */
+    void setMaxConnections(int connections);
 
-    /** Goes on for so many milliseconds, but takes no request that might not be answered by then. */
-    void endAfter(double leftMs);
+    /** Caps the deadlines of requests read from now on to the given time, in milliseconds from now. */
+    void capDeadlines(double remainingMs);
 
-    /** Takes in all that wait at the listener, then closes it. */
+    /** Accepts all connections that wait at the listener, then closes it. Open connections are kept. */
     void closeListener();
 
-    /** Leaves the address to another process: closes the listener, then lets clients know to connect anew. */
-    void leave();
+    /**
+     * Closes the listener so that another process can take over its address, then makes each response the last on its
+     * connection.
+     */
+    void releaseAddress();
 
-    /** Each answer is the last on its connection, and those that wait for none are let go. */
-    void finish();
+    /** Makes each response the last on its connection, and closes connections that wait for no response. */
+    void closeAfterResponses();
 
-    /** Empties the connections until {@link #activate}. */
-    void drain();
+    /** Closes connections as they become idle, until {@link #stopDraining}. */
+    void startDraining();
 
-    /** The drain is over. */
-    void activate();
+    /** Ends the drain: connections are kept alive again. */
+    void stopDraining();
 
-    /** Takes in no more, and lets go of the connections that wait for no answer. */
+    /** Closes the listener and the connections that wait for no response. */
     void close();
 
-    /** Whether no connection is open. */
-    boolean isEmpty();
+    /** Returns whether no connection is open. */
+    boolean hasNoConnections();
 }
--- a/edge/src/main/java/lemonrail/exchange/EventLoopContext.java
+++ b/edge/src/main/java/lemonrail/exchange/EventLoopContext.java
@@ -9,16 +9,19 @@
 import lemonrail.time.Clock;
 
 /**
- * What the parts on one event loop have in common.
+ * What all parts on one event loop share. The parts are used on this loop only.
  *
- * @param idleCloseMs after how long at most an endpoint closes an idle connection
+ * @param clock the clock of this loop
+ * @param bufferBudget bounds the body bytes that all connections together hold
+ * @param settings the settings at the start; {@link RequestDispatcher#settings} returns those in force
+ * @param endpointIdleTimeoutMs the time, in milliseconds, after which endpoints may close an idle connection
  */
 public record EventLoopContext(
         EventLoop loop,
         Clock clock,
         EventLog log,
         Metrics metrics,
-        BufferBudget budget,
+        BufferBudget bufferBudget,
         Lifecycle lifecycle,
         BalancerSettings settings,
-        double idleCloseMs) {}
+        double endpointIdleTimeoutMs) {}
--- a/edge/src/main/java/lemonrail/exchange/Protocol.java
+++ b/edge/src/main/java/lemonrail/exchange/Protocol.java
@@ -4,28 +4,29 @@
 import java.nio.file.Path;
 
 /**
- * A protocol as the assembly sees it: what makes the two sides between which an {@link RequestDispatcher} stands.
+ * A protocol as the assembly sees it: a factory for the two sides that a {@link RequestDispatcher} connects. All
+ * methods but {@link #overflowConnections} are called on the event loop of their context.
  *
- * @param <M> its requests
- * @param <A> its answers
+ * @param <M> the protocol's requests
+ * @param <A> the protocol's responses
  */
 public interface Protocol<M extends ProtocolRequest, A> {
 
-    /** Connections to endpoints, so many at most. */
-    Upstream<M, A> upstream(EventLoopContext shard, int mostConnections);
+    /** Creates the endpoint side, with at most the given number of connections. */
+    Upstream<M, A> createUpstream(EventLoopContext context, int maxConnections);
 
-    /** The side of the clients, with so many connections at most. */
-    Downstream front(EventLoopContext shard, RequestDispatcher<M, A> exchange, int mostConnections);
+    /** Creates the client side, with at most the given number of connections. */
+    Downstream createDownstream(EventLoopContext context, RequestDispatcher<M, A> dispatcher, int maxConnections);
 
     /**
-     * Runs made-up requests through parts of its own, so that the code is loaded and compiled before clients
-     * come; {@code done} runs when that is over, in whatever way.
+     * Runs synthetic requests through parts of its own, so that the code is loaded and compiled before clients connect.
      *
-     * @param at the host's address on which it may listen meanwhile
-     * @param scratch a file name that it may use
+     * @param listenAddress the host's address on which it may listen meanwhile
+     * @param scratchFile a file that it may create
+     * @param onDone runs on the event loop when the warm-up has ended, whether or not it succeeded
      */
-    void warmUp(EventLoopContext shard, InetAddress at, Path scratch, Runnable done);
+    void warmUp(EventLoopContext context, InetAddress listenAddress, Path scratchFile, Runnable onDone);
 
-    /** Connections beyond the most of a front that it takes in all the same, to refuse them in good order. */
-    int overflow();
+    /** Returns how many connections beyond its maximum a downstream accepts in order to reject their requests. */
+    int overflowConnections();
 }
--- a/edge/src/main/java/lemonrail/exchange/ProtocolRequest.java
+++ b/edge/src/main/java/lemonrail/exchange/ProtocolRequest.java
@@ -3,25 +3,27 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * What a client sent, beyond what the decision module decides by. The exchange does not look into it: it
- * comes from a front and goes to an upstream of the same protocol. Where the body is large, the message holds
- * the first part of it, which can be sent again, and a pipe brings the rest, which cannot.
+ * A request in its protocol's form, forwarded unchanged from a {@link Downstream} to an {@link Upstream} of the same
+ * protocol. A large body is split: the request holds its first part, which can be sent again, and a pipe brings the
+ * rest, which can be read only once. The {@link RequestDispatcher} closes the pipe when the final response is given.
  */
 public interface ProtocolRequest {
 
-    /** The bytes of the body that are held for as long as the request is open. */
-    int heldBytes();
+    /** Returns the body bytes that are held in memory while the request is in flight. */
+    int bufferedBytes();
 
-    /** Where the rest of a large body comes from, or null where the message is whole. */
-    BodyPipe rest();
+    /** Returns the pipe that brings the rest of a large body, or null if the request is held whole. */
+    BodyPipe remainingBody();
 
-    /** Whether the rest of a large body is still to come from the client. */
-    default boolean isComing() {
-        return rest() != null && !rest().hasEnded();
+    /** Returns whether a part of the body has not been received from the client yet. */
+    default boolean isBodyArriving() {
+        BodyPipe remainingBody = remainingBody();
+        return remainingBody != null && !remainingBody.isComplete();
     }
 
-    /** Whether it can still be sent from its first byte on. */
+    /** Returns whether the request can still be sent from its first byte. */
     default boolean isReplayable() {
-        return rest() == null || (!rest().isTouched() && !rest().isBroken());
+        BodyPipe remainingBody = remainingBody();
+        return remainingBody == null || (!remainingBody.hasBeenRead() && !remainingBody.hasFailed());
     }
 }
--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -101,7 +101,7 @@
         this.clock = shard.clock();
         this.log = shard.log().in("exchange");
         this.endpoints = endpoints;
-        this.budget = shard.budget();
+        this.budget = shard.bufferBudget();
         this.metrics = shard.metrics();
         this.watch = watch;
         this.suspensions = suspensions;
@@ -112,7 +112,7 @@
     }
 
     /** Whether a list has named an endpoint yet. */
-    public boolean knowsEndpoints() {
+    public boolean hasEndpoints() {
         return listed;
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** Takes up settings that differ in what may change while requests are open; false if they can't be. */
-    public boolean settings(BalancerSettings changed) {
+    public boolean updateSettings(BalancerSettings changed) {
         if (module.supportsSettingsUpdate()) {
             settings = changed;
             raise(null, now -> module.onSettings(now, changed));
@@ -131,23 +131,24 @@
     }
 
     /** How many requests are open. */
-    public int openRequests() {
+    public int requestsInFlight() {
         return table.size();
     }
 
     /** Whether a request of this id is open. */
-    public boolean has(String id) {
+    public boolean isInFlight(String id) {
         return table.containsKey(id);
     }
 
     // ---- what happens ----
 
     /** A client has sent a request; it hears of the one final answer. */
-    public void request(Request request, M message, ResponseSink<A> client) {
-        PendingRequest<M, A> open = new PendingRequest<>(clock.now(), clock.waitedMs(), request, message, client);
+    public void dispatch(Request request, M message, ResponseSink<A> client) {
+        PendingRequest<M, A> open =
+                new PendingRequest<>(clock.now(), clock.maxQueueDelayMs(), request, message, client);
         table.put(request.id(), open);
-        budget.take(message.heldBytes());
-        if (!message.isComing()) {
+        budget.acquire(message.bufferedBytes());
+        if (!message.isBodyArriving()) {
             scheduleOverdue(open);
         }
         Request told = new Request(
@@ -165,14 +166,14 @@
     }
 
     private double allowanceMs(PendingRequest<M, A> open) {
-        return ResponseTimeReserve.ms(open.waitMs, clock.lag().recentMs());
+        return ResponseTimeReserve.reserveMs(open.waitMs, clock.lag().recentMaxLagMs());
     }
 
     /** The rest of a large body has come: the request's time counts from here. */
-    public void bodyWhole(String id) {
+    public void onRequestBodyReceived(String id) {
         PendingRequest<M, A> open = table.get(id);
         if (open != null && !open.concluded) {
-            open.deadline = clock.now() - clock.waitedMs() + open.waitMs;
+            open.deadline = clock.now() - clock.maxQueueDelayMs() + open.waitMs;
             scheduleOverdue(open);
         }
     }
@@ -182,7 +183,7 @@
     }
 
     /** The client's connection has ended before its answer. */
-    public void clientGone(String id) {
+    public void onClientDisconnected(String id) {
         PendingRequest<M, A> open = table.get(id);
         if (open != null && open.stream != null) {
             giveUp(open, open.stream, AttemptOutcome.CANCELED);
@@ -196,7 +197,7 @@
     /** Nobody waits any more: what has not run is not begun, even where nothing may be called off. */
     private void cancelUnwrittenAttempts(PendingRequest<M, A> open) {
         for (PendingAttempt made : List.copyOf(open.attempts)) {
-            if (!made.ended && !made.attempt.mayHaveRun()) {
+            if (!made.ended && !made.attempt.mayHaveExecuted()) {
                 giveUp(open, made, AttemptOutcome.CANCELED);
             }
         }
@@ -222,7 +223,7 @@
      * The process ends: what is still open is given up now, and each of its clients hears so. An answer that
      * is still being passed on is cut where its client can tell, not where the process happens to end.
      */
-    public void end() {
+    public void abandonAll() {
         for (PendingRequest<M, A> open : List.copyOf(table.values())) {
             if (open.stream != null) {
                 giveUp(open, open.stream, AttemptOutcome.CANCELED);
@@ -239,7 +240,7 @@
 
     private void tellList(EndpointUpdateKind kind, EndpointList list) {
         listed |= !list.entries().isEmpty();
-        endpoints.update(list);
+        endpoints.updateEndpoints(list);
         List<Endpoint> shown = suspensions.show(kind, list.servers());
         limitAttemptsAtLeavingEndpoints(kind, shown);
         raise(null, now -> module.onEndpointUpdate(now, kind, shown));
@@ -264,7 +265,7 @@
     }
 
     /** Operators see these endpoints otherwise now: the module hears of them as of any news. */
-    public void retell(Collection<String> ids) {
+    public void refreshEndpoints(Collection<String> ids) {
         List<Endpoint> shown = suspensions.shown(ids);
         if (!shown.isEmpty()) {
             limitAttemptsAtLeavingEndpoints(EndpointUpdateKind.DELTA, shown);
@@ -306,7 +307,7 @@
         }
         if (open != null && open.concluded && open.out == 0) {
             if (table.remove(open.request.id(), open)) {
-                budget.release(open.message.heldBytes());
+                budget.release(open.message.bufferedBytes());
             }
         }
     }
@@ -324,26 +325,26 @@
         PendingAttempt made = new PendingAttempt(open.attempts.size(), server, now, repeatWindowEnds(open, now));
         open.attempts.add(made);
         open.out++;
-        double left = open.message.isComing() ? open.waitMs - allowanceMs(open) : answerBy(open) - now;
+        double left = open.message.isBodyArriving() ? open.waitMs - allowanceMs(open) : answerBy(open) - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
         if (open.concluded
                 || left <= 0
                 || open.attempts.size() > settings.limits().maxAttempts()) {
-            end(open, made, AttemptOutcome.IGNORED);
+            finishAttempt(open, made, AttemptOutcome.IGNORED);
         } else if (wait <= 0) {
-            end(open, made, AttemptOutcome.TIMED_OUT);
+            finishAttempt(open, made, AttemptOutcome.TIMED_OUT);
         } else {
-            if (open.message.rest() == null) {
+            if (open.message.remainingBody() == null) {
                 made.timeout = after(wait, () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
             } else {
                 made.timeout = after(UPLOAD_STALL_MS, () -> checkUploadProgress(open, made, 0));
             }
             try {
-                made.attempt = endpoints.send(server, open.message, wait, new AttemptEnding(open, made, wait));
+                made.attempt = endpoints.startAttempt(server, open.message, wait, new AttemptEnding(open, made, wait));
             } catch (RuntimeException e) {
                 // How far it came is not known, so it may have run; the module must hear of its end.
                 log.bug("sending failed", e);
-                end(open, made, AttemptOutcome.RESET);
+                finishAttempt(open, made, AttemptOutcome.RESET);
             }
         }
     }
@@ -365,12 +366,12 @@
             open.client.served(answer);
         } else if (outcome == AttemptOutcome.IGNORED) {
             conclude(open, "turned_away");
-            open.client.turnedAway(answer);
+            open.client.rejectedByEndpoint(answer);
         }
     }
 
     /** What one attempt leads to. */
-    private final class AttemptEnding implements Upstream.Ending<A> {
+    private final class AttemptEnding implements Upstream.AttemptListener<A> {
         private final PendingRequest<M, A> open;
         private final PendingAttempt made;
         private final double waitMs;
@@ -382,14 +383,14 @@
         }
 
         @Override
-        public boolean mayBegin() {
+        public boolean mayStart() {
             return !open.concluded && clock.now() < Math.min(made.beginsBefore, made.windowEnds);
         }
 
         @Override
-        public void written() {
+        public void onRequestWritten() {
             made.connectMs = clock.now() - made.sentAt;
-            if (open.message.rest() != null && !made.ended) {
+            if (open.message.remainingBody() != null && !made.ended) {
                 made.sentAt = clock.now();
                 made.connectMs = 0;
                 made.timeout.cancel(false);
@@ -398,7 +399,7 @@
         }
 
         @Override
-        public void streaming(A beginning, BodyPipe body) {
+        public void onResponseStreamStarted(A beginning, BodyPipe body) {
             made.timeout.cancel(false);
             made.firstBytesMs = clock.now() - made.sentAt;
             if (open.concluded) {
@@ -411,38 +412,38 @@
             open.stream = made;
             made.timeout = after(ANSWER_STALL_MS, () -> checkAnswerProgress(open, made, body, 0));
             raise(open, now -> module.onResponseStreamStarted(now, open.request.id(), made.number));
-            open.client.streaming(beginning, body);
+            open.client.streamStarted(beginning, body);
         }
 
         @Override
-        public void ended(AttemptOutcome outcome, A answer) {
+        public void onFinished(AttemptOutcome outcome, A answer) {
             try {
                 if (answer != null && !open.concluded) {
                     pass(open, outcome, answer);
                 }
             } finally {
-                end(open, made, outcome);
+                finishAttempt(open, made, outcome);
             }
         }
     }
 
     /** Gives up an endpoint that takes nothing of a large body, though there is more of it to take. */
     private void checkUploadProgress(PendingRequest<M, A> open, PendingAttempt made, long passedBefore) {
-        BodyPipe rest = open.message.rest();
-        if (rest.passed() == passedBefore && !rest.isDrained()) {
+        BodyPipe rest = open.message.remainingBody();
+        if (rest.forwardedBytes() == passedBefore && !rest.isDrained()) {
             giveUp(open, made, AttemptOutcome.TIMED_OUT);
         } else {
-            long passed = rest.passed();
+            long passed = rest.forwardedBytes();
             made.timeout = after(UPLOAD_STALL_MS, () -> checkUploadProgress(open, made, passed));
         }
     }
 
     /** Gives up a large answer of which nothing moves: it is the endpoint's fault, or the client's. */
     private void checkAnswerProgress(PendingRequest<M, A> open, PendingAttempt made, BodyPipe body, long passedBefore) {
-        if (body.passed() == passedBefore) {
+        if (body.forwardedBytes() == passedBefore) {
             giveUp(open, made, body.isDrained() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELED);
         } else {
-            long passed = body.passed();
+            long passed = body.forwardedBytes();
             made.timeout = after(ANSWER_STALL_MS, () -> checkAnswerProgress(open, made, body, passed));
         }
     }
@@ -452,12 +453,15 @@
         if (!made.ended) {
             // What this cuts of an answer leads back here by way of its client.
             open.stream = open.stream == made ? null : open.stream;
-            boolean mayHaveRun = made.attempt.giveUp();
-            end(open, made, mayHaveRun || outcome == AttemptOutcome.CANCELED ? outcome : AttemptOutcome.CONNECT_ERROR);
+            boolean mayHaveRun = made.attempt.cancel();
+            finishAttempt(
+                    open,
+                    made,
+                    mayHaveRun || outcome == AttemptOutcome.CANCELED ? outcome : AttemptOutcome.CONNECT_ERROR);
         }
     }
 
-    private void end(PendingRequest<M, A> open, PendingAttempt made, AttemptOutcome outcome) {
+    private void finishAttempt(PendingRequest<M, A> open, PendingAttempt made, AttemptOutcome outcome) {
         if (made.ended) {
             return;
         }
@@ -536,10 +540,10 @@
         if (open.overdue != null) {
             open.overdue.cancel(false);
         }
-        if (open.message.rest() != null) {
+        if (open.message.remainingBody() != null) {
             // Of a body that is still coming nothing is needed any more, by an attempt neither.
-            open.message.rest().fail();
-            open.message.rest().close();
+            open.message.remainingBody().fail();
+            open.message.remainingBody().close();
         }
     }
 
@@ -571,7 +575,7 @@
                 "last_connect_ms",
                 last == null ? -1 : last.connectMs,
                 "loop_late_ms",
-                clock.lag().recentMs());
+                clock.lag().recentMaxLagMs());
     }
 
     @Override
@@ -579,7 +583,7 @@
         PendingRequest<M, A> open = table.get(id);
         if (open != null && !open.concluded) {
             conclude(open, "refused");
-            open.client.refused(coolDownMs);
+            open.client.rejected(coolDownMs);
         }
     }
 
@@ -607,7 +611,7 @@
 
     @Override
     public void closeIdleConnections(String server) {
-        endpoints.disconnect(server);
+        endpoints.closeIdleConnections(server);
     }
 
     @Override
--- a/edge/src/main/java/lemonrail/exchange/ResponseSink.java
+++ b/edge/src/main/java/lemonrail/exchange/ResponseSink.java
@@ -3,24 +3,33 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * Where the final answer to a request goes; exactly one of these is called, once.
+ * Receives the final response to one request. Exactly one method is called, once, on the event loop; none is called
+ * after {@link RequestDispatcher#onClientDisconnected}.
  *
- * @param <A> the protocol's answers
+ * @param <A> the protocol's responses
  */
 public interface ResponseSink<A> {
 
-    /** An endpoint has served the request. */
-    void served(A answer);
+    /** Gives the response of the endpoint that served the request. */
+    void served(A response);
 
-    /** A large answer has begun, and its body comes through the pipe; no other answer follows. */
-    void streaming(A beginning, BodyPipe body);
+    /**
+     * Gives the head of a large response; no other response follows.
+     *
+     * @param body brings the body; the sink sets its consumer, and closes it if the client disconnects
+     */
+    void streamStarted(A head, BodyPipe body);
 
-    /** An endpoint has turned the request away for what it is; no other would take it. */
-    void turnedAway(A answer);
+    /** Gives the response of an endpoint that rejected the request as invalid; no other endpoint would accept it. */
+    void rejectedByEndpoint(A response);
 
-    /** The request is given up and has had no effect; a repeat is welcome after this time, 0 for any. */
-    void refused(double coolDownMs);
+    /**
+     * Says that the request was shed and was not executed.
+     *
+     * @param retryAfterMs the delay after which the client may retry, or 0 for no advice
+     */
+    void rejected(double retryAfterMs);
 
-    /** The request is given up, and nothing is said of its effect. */
+    /** Says that the request failed; it may have been executed. */
     void failed();
 }
--- a/edge/src/main/java/lemonrail/exchange/ResponseTimeReserve.java
+++ b/edge/src/main/java/lemonrail/exchange/ResponseTimeReserve.java
@@ -16,7 +16,7 @@
     private ResponseTimeReserve() {}
 
     /** The allowance, in milliseconds, of who waits so long, while the loop has been so late. */
-    static double ms(double waitMs, double loopLateMs) {
+    static double reserveMs(double waitMs, double loopLateMs) {
         double networkMs = Math.max(LEAST_NETWORK_MS, NETWORK_SHARE * waitMs);
         return Math.min(networkMs + loopLateMs, MOST_SHARE * Math.max(0, waitMs));
     }
--- a/edge/src/main/java/lemonrail/exchange/Upstream.java
+++ b/edge/src/main/java/lemonrail/exchange/Upstream.java
@@ -5,63 +5,77 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * A protocol's connections to endpoints: connects, writes attempts, and tells what comes of them. It decides
- * nothing and repeats nothing by itself.
+ * The endpoint side of a protocol: connects, writes attempts and reports their outcomes. It makes no decisions and
+ * never retries. All methods, and all those of its listeners, are called on the event loop.
  *
  * @param <M> the protocol's requests
- * @param <A> the protocol's answers
+ * @param <A> the protocol's responses
  */
 public interface Upstream<M extends ProtocolRequest, A> {
 
     /** One request on its way to an endpoint. */
     interface Attempt {
-        /** Whether its last byte may have been written; until then the request has surely not run. */
-        boolean mayHaveRun();
+        /** Returns whether the last byte may have been written. Until then the request cannot have been executed. */
+        boolean mayHaveExecuted();
 
-        /** Stops waiting for it, of which nothing more is told; true if it may have run. */
-        boolean giveUp();
+        /**
+         * Stops waiting for the response. The listener is not called any more.
+         *
+         * @return whether the request may have been executed
+         */
+        boolean cancel();
     }
 
     /**
-     * What becomes of an attempt.
+     * Is notified of the progress of one attempt.
      *
-     * @param <A> the protocol's answers
+     * @param <A> the protocol's responses
      */
-    interface Ending<A> {
+    interface AttemptListener<A> {
         /**
-         * Whether the first byte may still be written, to be asked when a connection has come up for it; if
-         * not, the attempt ends as one that found no connection.
+         * Returns whether the first byte may still be written. It is called when a connection has been established for
+         * the attempt; if it returns false, the attempt finishes with {@link AttemptOutcome#CONNECT_ERROR}.
          */
-        boolean mayBegin();
+        boolean mayStart();
 
-        /** The last byte has been written: from here on the request may run. */
-        void written();
+        /** Is called when the last byte has been written: from here on the request may be executed. */
+        void onRequestWritten();
 
-        /** A large answer has begun, and its body comes through the pipe; {@link #ended} is still to come. */
-        void streaming(A beginning, BodyPipe body);
+        /**
+         * Is called when a large response has begun; {@link #onFinished} still follows.
+         *
+         * @param body brings the body; the listener sets its consumer or closes it
+         */
+        void onResponseStreamStarted(A head, BodyPipe body);
 
         /**
-         * It is over; told once. The answer is null where none came whole; with {@link AttemptOutcome#IGNORED} it is
-         * the word by which an endpoint turned the request away for what it is.
+         * Is called once, when the attempt has ended.
+         *
+         * @param response null unless a whole response was read; with {@link AttemptOutcome#IGNORED} the response by
+         *     which the endpoint rejected the request as invalid
          */
-        void ended(AttemptOutcome outcome, A answer);
+        void onFinished(AttemptOutcome outcome, A response);
     }
 
-    /** Takes in where endpoints listen. */
-    void update(EndpointList list);
+    /** Adopts the addresses of a full list or of changes to it. */
+    void updateEndpoints(EndpointList list);
 
-    /** Sends a request once, to be waited for so long in milliseconds. It may end before this returns. */
-    Attempt send(String server, M message, double waitMs, Ending<A> ending);
+    /**
+     * Sends a request once. The listener may be notified of the attempt's end before this returns.
+     *
+     * @param timeoutMs the attempt timeout that the endpoint is told; the caller cancels the attempt when it is over
+     */
+    Attempt startAttempt(String endpoint, M request, double timeoutMs, AttemptListener<A> listener);
 
     /** Closes the idle connections to an endpoint. */
-    void disconnect(String server);
+    void closeIdleConnections(String endpoint);
 
-    /** Sets how many connections may be open at once; where more are, idle ones go first. */
-    void bound(int connections);
+    /** Sets how many connections may be open at once. Idle ones are closed to make room for new ones. */
+    void setMaxConnections(int connections);
 
-    /** How many endpoints are known. */
-    int size();
+    /** Returns how many endpoints have an address. */
+    int endpointCount();
 
-    /** Lets go of all idle connections; no more are looked after. */
+    /** Closes all idle connections and stops their upkeep. */
     void close();
 }
--- a/edge/src/main/java/lemonrail/http1/ClientConnection.java
+++ b/edge/src/main/java/lemonrail/http1/ClientConnection.java
@@ -77,16 +77,16 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        openedAt = frontend.clock().now() - frontend.clock().waitedMs();
-        openedInPoll = frontend.clock().lag().polls();
+        openedAt = frontend.clock().now() - frontend.clock().maxQueueDelayMs();
+        openedInPoll = frontend.clock().lag().pollCount();
         surplus = !frontend.opened(this);
     }
 
     /** The earliest that what is read now can have arrived; first bytes may be as old as the connection. */
     private double arrivedAt() {
         Clock clock = frontend.clock();
-        long polls = clock.lag().polls();
-        return polls > 0 && polls <= openedInPoll + 1 ? openedAt : clock.now() - clock.waitedMs();
+        long polls = clock.lag().pollCount();
+        return polls > 0 && polls <= openedInPoll + 1 ? openedAt : clock.now() - clock.maxQueueDelayMs();
     }
 
     @Override
@@ -116,7 +116,7 @@
 
     /** Whether it has been quiet since then, no request is coming in and none waits to be read. */
     boolean isQuietSince(double time) {
-        return isQuiet() && quietSince <= time && !guard.isReading() && !channel.hasUnread();
+        return isQuiet() && quietSince <= time && !guard.isReading() && !channel.hasUnreadBytes();
     }
 
     /** Whether nobody waits for anything on it, nor is a request coming in: it may make room for another. */
@@ -126,7 +126,7 @@
 
     /** The same of one on which half a request may stand. */
     boolean isIdle() {
-        return isAnswered() && (!ending || guard.hasWrittenLastAnswer()) && !channel.hasUnread();
+        return isAnswered() && (!ending || guard.hasWrittenLastAnswer()) && !channel.hasUnreadBytes();
     }
 
     /** Whether its last answer is on its way, or written. */
@@ -146,7 +146,7 @@
 
     /** Whether bytes have come that are not read yet. */
     boolean hasUnread() {
-        return channel.hasUnread();
+        return channel.hasUnreadBytes();
     }
 
     @Override
@@ -176,7 +176,7 @@
             PendingResponse cut = uploading;
             frontend.refused(refusal);
             if (cut.openId() != null) {
-                frontend.exchange().clientGone(cut.openId());
+                frontend.exchange().onClientDisconnected(cut.openId());
                 cut.giveUp(refusal);
             }
         } else {
@@ -213,7 +213,7 @@
         updateAutoRead();
         whole.taken();
         if (whole.openId() != null) {
-            frontend.exchange().bodyWhole(whole.openId());
+            frontend.exchange().onRequestBodyReceived(whole.openId());
         }
     }
 
@@ -233,7 +233,7 @@
             case "/health/ready" ->
                 reply.plain(
                         frontend.lifecycle().isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        frontend.lifecycle().word());
+                        frontend.lifecycle().description());
             default -> reply.plain(HttpResponseStatus.NOT_FOUND, "unknown path");
         }
     }
@@ -250,15 +250,15 @@
             return;
         }
         RequestHeadMapper.Told told = heads.told(request.head());
-        if (frontend.exchange().has(told.id())) {
+        if (frontend.exchange().isInFlight(told.id())) {
             reply.giveUp(TWICE);
         } else if (surplus && frontend.connections().excess() > 0) {
             reply.keepAlive(false);
-            reply.refused(OVERFLOW_COOL_DOWN_MS);
+            reply.rejected(OVERFLOW_COOL_DOWN_MS);
         } else {
             reply.asked(told.id());
             hasAsked = true;
-            frontend.exchange().request(frontend.request(told, arrivedAt()), message(request), reply);
+            frontend.exchange().dispatch(frontend.request(told, arrivedAt()), message(request), reply);
         }
     }
 
@@ -287,7 +287,7 @@
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         updateAutoRead();
         if (writer != null) {
-            writer.more();
+            writer.onProgress();
         }
     }
 
@@ -331,7 +331,7 @@
         } else {
             channel.writeAndFlush(reply.response());
             writer = new PipeWriter(channel, reply.body(), new Streamed(reply, last));
-            reply.body().to(writer);
+            reply.body().setConsumer(writer);
         }
     }
 
@@ -409,7 +409,7 @@
                 reply.body().close();
             }
             if (open != null) {
-                frontend.exchange().clientGone(open);
+                frontend.exchange().onClientDisconnected(open);
             }
         }
     }
--- a/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
+++ b/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
@@ -112,7 +112,7 @@
 
     /** Whether something has come in time that is not read yet; who trickles gets this once. */
     private boolean isCrossed() {
-        boolean crossed = !crossingRead && channel.hasUnread();
+        boolean crossed = !crossingRead && channel.hasUnreadBytes();
         crossingRead = true;
         return crossed;
     }
--- a/edge/src/main/java/lemonrail/http1/Http1Protocol.java
+++ b/edge/src/main/java/lemonrail/http1/Http1Protocol.java
@@ -15,12 +15,12 @@
     public static final int MOST_HELD_BYTES = ResponseReader.MOST_HELD_BYTES;
 
     @Override
-    public Upstream<RequestMessage, UpstreamResponse> upstream(EventLoopContext shard, int mostConnections) {
+    public Upstream<RequestMessage, UpstreamResponse> createUpstream(EventLoopContext shard, int mostConnections) {
         return new UpstreamConnectionPool(shard, mostConnections);
     }
 
     @Override
-    public Downstream front(
+    public Downstream createDownstream(
             EventLoopContext shard, RequestDispatcher<RequestMessage, UpstreamResponse> exchange, int mostConnections) {
         return new HttpServer(shard, exchange, mostConnections);
     }
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public int overflow() {
+    public int overflowConnections() {
         return HttpServer.OVERFLOW;
     }
 }
--- a/edge/src/main/java/lemonrail/http1/HttpServer.java
+++ b/edge/src/main/java/lemonrail/http1/HttpServer.java
@@ -58,7 +58,7 @@
         log = shard.log().in("http1");
         lifecycle = shard.lifecycle();
         metrics = shard.metrics();
-        budget = shard.budget();
+        budget = shard.bufferBudget();
         this.exchange = exchange;
         connections = new ClientConnectionTable(clock, most);
         heads = new RequestHeadMapper(shard.settings(), exchange::settings);
@@ -71,7 +71,7 @@
                 .channel(SharedListener.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .option(SharedListener.SHARED, true)
+                .option(SharedListener.REUSE_PORT, true)
                 .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Sockets.WRITE_MARKS)
@@ -88,19 +88,19 @@
     }
 
     @Override
-    public void bound(int connections) {
+    public void setMaxConnections(int connections) {
         this.connections.bound(connections);
     }
 
     @Override
-    public void endAfter(double leftMs) {
+    public void capDeadlines(double leftMs) {
         endsAt = clock.now() + leftMs;
     }
 
     @Override
     public void closeListener() {
         if (listener != null) {
-            listener.leave();
+            listener.acceptPendingAndClose();
         }
     }
 
@@ -110,15 +110,15 @@
      * the instant between the listener's last look and its close is reset.
      */
     @Override
-    public void leave() {
+    public void releaseAddress() {
         if (listener != null) {
-            listener.leave();
+            listener.acceptPendingAndClose();
             listener.closeFuture().addListener(closed -> leaving = true);
         }
     }
 
     @Override
-    public void finish() {
+    public void closeAfterResponses() {
         leaving = true;
         letGo(connection -> connection.isQuiet() && !connection.hasUnread());
     }
@@ -128,7 +128,7 @@
      * front has noticed, as it still hands out requests; later ones get as long.
      */
     @Override
-    public void drain() {
+    public void startDraining() {
         leaving = true;
         double noticed = clock.now() + NOTICE_MS;
         sweeping = loop.scheduleWithFixedDelay(
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public void activate() {
+    public void stopDraining() {
         leaving = false;
         if (sweeping != null) {
             sweeping.cancel(false);
@@ -159,11 +159,11 @@
     @Override
     public void close() {
         closeListener();
-        finish();
+        closeAfterResponses();
     }
 
     @Override
-    public boolean isEmpty() {
+    public boolean hasNoConnections() {
         return connections.isEmpty();
     }
 
--- a/edge/src/main/java/lemonrail/http1/PendingResponse.java
+++ b/edge/src/main/java/lemonrail/http1/PendingResponse.java
@@ -91,7 +91,7 @@
 
     /** The id of a request that the module or an endpoint is still busy with, else null. */
     String openId() {
-        return response == null || (body != null && !body.isDone()) ? id : null;
+        return response == null || (body != null && !body.isFullyRead()) ? id : null;
     }
 
     void keepAlive(boolean kept) {
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public void streaming(UpstreamResponse beginning, BodyPipe rest) {
+    public void streamStarted(UpstreamResponse beginning, BodyPipe rest) {
         HttpResponse begun = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (beginning.length() >= 0) {
             begun.headers().set(HttpHeaderNames.CONTENT_LENGTH, beginning.length());
@@ -137,12 +137,12 @@
     }
 
     @Override
-    public void turnedAway(UpstreamResponse answer) {
+    public void rejectedByEndpoint(UpstreamResponse answer) {
         giveUp(new RequestReader.Refusal(HttpResponseStatus.valueOf(answer.status()), "turned away"));
     }
 
     @Override
-    public void refused(double coolDownMs) {
+    public void rejected(double coolDownMs) {
         FullHttpResponse refusal = response(HttpResponseStatus.SERVICE_UNAVAILABLE, text("refused"));
         if (coolDownMs > 0) {
             refusal.headers()
--- a/edge/src/main/java/lemonrail/http1/PipeWriter.java
+++ b/edge/src/main/java/lemonrail/http1/PipeWriter.java
@@ -8,7 +8,7 @@
 import lemonrail.streaming.BodyPipe;
 
 /** Writes a body to a connection as fast as its far end takes it; the message's head has been written. */
-public final class PipeWriter implements BodyPipe.Far {
+public final class PipeWriter implements BodyPipe.Consumer {
 
     /** What becomes of the body; exactly one is called, once, unless the writer is stopped before. */
     public interface Ending {
@@ -28,7 +28,7 @@
 
     private boolean again;
 
-    /** A writer to this channel; {@link BodyPipe#to} starts it. */
+    /** A writer to this channel; {@link BodyPipe#setConsumer} starts it. */
     public PipeWriter(Channel channel, BodyPipe pipe, Ending ending) {
         this.channel = channel;
         this.pipe = pipe;
@@ -41,7 +41,7 @@
      * chunk, so such a call only has the one that is under way look again.
      */
     @Override
-    public void more() {
+    public void onProgress() {
         if (writing) {
             again = true;
             return;
@@ -55,10 +55,10 @@
         if (over) {
             return;
         }
-        if (pipe.isDone()) {
+        if (pipe.isFullyRead()) {
             over = true;
             ending.whole(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
-        } else if (pipe.isBroken()) {
+        } else if (pipe.hasFailed()) {
             over = true;
             ending.cut();
         }
@@ -67,12 +67,12 @@
     private void writePieces() {
         boolean wrote = false;
         while (!over && channel.isWritable()) {
-            ByteBuf piece = pipe.next();
+            ByteBuf piece = pipe.poll();
             if (piece == null) {
                 break;
             }
             int bytes = piece.readableBytes();
-            channel.write(new DefaultHttpContent(piece)).addListener(done -> pipe.written(bytes));
+            channel.write(new DefaultHttpContent(piece)).addListener(done -> pipe.onWritten(bytes));
             wrote = true;
         }
         if (wrote) {
--- a/edge/src/main/java/lemonrail/http1/RequestMessage.java
+++ b/edge/src/main/java/lemonrail/http1/RequestMessage.java
@@ -16,14 +16,14 @@
  * A request as it is passed on.
  *
  * @param headers those that concern more than one connection
- * @param body all of it, or the first part where the rest follows
- * @param rest what follows, or null
+ * @param body all of it, or the first part where more follows
+ * @param remainingBody what follows, or null
  */
-public record RequestMessage(HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyPipe rest)
+public record RequestMessage(HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyPipe remainingBody)
         implements ProtocolRequest {
 
     @Override
-    public int heldBytes() {
+    public int bufferedBytes() {
         return body.length;
     }
 
--- a/edge/src/main/java/lemonrail/http1/RequestReader.java
+++ b/edge/src/main/java/lemonrail/http1/RequestReader.java
@@ -47,14 +47,14 @@
     record Incoming(HttpRequest head, byte[] body, BodyPipe rest) {}
 
     private final BufferBudget budget;
-    private final BodyPipe.Near near;
+    private final BodyPipe.Source near;
     private HttpRequest head;
     private ByteBuf body;
     private BodyPipe rest;
     private long received;
     private boolean over;
 
-    RequestReader(BufferBudget budget, BodyPipe.Near near) {
+    RequestReader(BufferBudget budget, BodyPipe.Source near) {
         this.budget = budget;
         this.near = near;
     }
@@ -127,8 +127,8 @@
             rest.write(content.content());
         } else {
             body.writeBytes(content.content());
-            budget.take(bytes);
-            if (body.readableBytes() > SMALL_BYTES && !budget.hasRoom()) {
+            budget.acquire(bytes);
+            if (body.readableBytes() > SMALL_BYTES && !budget.hasCapacity()) {
                 refuse(ctx, new Refusal(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many large bodies"));
                 return;
             }
@@ -169,7 +169,7 @@
             ctx.fireChannelRead(new Incoming(done, takeBody(), null));
         } else {
             ctx.fireChannelRead(BODY_WHOLE);
-            passed.end();
+            passed.complete();
         }
     }
 
--- a/edge/src/main/java/lemonrail/http1/ResponseReader.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseReader.java
@@ -271,7 +271,7 @@
         dropBody();
         if (passedWhole) {
             more |= !keepAlive;
-            pipe.end();
+            pipe.complete();
         }
     }
 
--- a/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
@@ -55,12 +55,12 @@
         /** When it stops being waited for, unless its body takes longer to send. */
         private final double endsAt;
 
-        private Upstream.Ending<UpstreamResponse> ending;
+        private Upstream.AttemptListener<UpstreamResponse> ending;
         private Connection connection;
         /** Tells when the last byte has been handed to the network: from then on the request may have run. */
         private Future<?> lastByte;
 
-        private OneAttempt(RequestMessage request, double waitMs, Upstream.Ending<UpstreamResponse> ending) {
+        private OneAttempt(RequestMessage request, double waitMs, Upstream.AttemptListener<UpstreamResponse> ending) {
             this.request = request;
             this.waitMs = waitMs;
             endsAt = clock.now() + waitMs;
@@ -73,22 +73,22 @@
         }
 
         @Override
-        public boolean mayHaveRun() {
+        public boolean mayHaveExecuted() {
             return lastByte != null && lastByte.isSuccess();
         }
 
         @Override
-        public boolean giveUp() {
+        public boolean cancel() {
             ending = null;
             connection.close();
-            return mayHaveRun();
+            return mayHaveExecuted();
         }
 
         private void end(AttemptOutcome outcome, UpstreamResponse answer) {
-            Upstream.Ending<UpstreamResponse> told = ending;
+            Upstream.AttemptListener<UpstreamResponse> told = ending;
             ending = null;
             if (told != null) {
-                told.ended(outcome, answer);
+                told.onFinished(outcome, answer);
             }
         }
     }
@@ -124,9 +124,9 @@
         clock = shard.clock();
         log = shard.log().in("http1");
         metrics = shard.metrics();
-        budget = shard.budget();
+        budget = shard.bufferBudget();
         this.most = most;
-        idleMs = shard.idleCloseMs() * IDLE_SHARE;
+        idleMs = shard.endpointIdleTimeoutMs() * IDLE_SHARE;
         double dialMs = shard.settings().limits().connectTimeoutMs();
         bootstrap = new Bootstrap()
                 .group(shard.loop())
@@ -142,7 +142,7 @@
 
     /** Takes in where endpoints listen; connections to a process or address that is no more are dropped. */
     @Override
-    public void update(EndpointList list) {
+    public void updateEndpoints(EndpointList list) {
         if (list.full()) {
             Set<String> named = new HashSet<>();
             list.entries().forEach(entry -> named.add(entry.server().id()));
@@ -197,12 +197,12 @@
     }
 
     @Override
-    public void bound(int connections) {
+    public void setMaxConnections(int connections) {
         most = connections;
     }
 
     @Override
-    public int size() {
+    public int endpointCount() {
         return endpoints.size();
     }
 
@@ -212,7 +212,7 @@
     }
 
     @Override
-    public void disconnect(String id) {
+    public void closeIdleConnections(String id) {
         Endpoint endpoint = endpoints.get(id);
         if (endpoint != null) {
             closeAll(endpoint);
@@ -226,8 +226,8 @@
     }
 
     @Override
-    public Upstream.Attempt send(
-            String id, RequestMessage request, double waitMs, Upstream.Ending<UpstreamResponse> ending) {
+    public Upstream.Attempt startAttempt(
+            String id, RequestMessage request, double waitMs, Upstream.AttemptListener<UpstreamResponse> ending) {
         OneAttempt attempt = new OneAttempt(request, waitMs, ending);
         Endpoint endpoint = endpoints.get(id);
         closeStale();
@@ -339,7 +339,7 @@
                 if (!connected.isSuccess()) {
                     channel.close();
                     lost();
-                } else if (first.ending == null || generation != endpoint.generation || !first.ending.mayBegin()) {
+                } else if (first.ending == null || generation != endpoint.generation || !first.ending.mayStart()) {
                     // It leads to what stands there no more, or to what takes nothing new any more.
                     channel.close();
                     lost();
@@ -358,7 +358,7 @@
         }
 
         private void send(OneAttempt sent) {
-            if (sent.request.rest() == null) {
+            if (sent.request.remainingBody() == null) {
                 await(sent, channel.writeAndFlush(sent.request.whole(sent.leftMs())));
                 return;
             }
@@ -366,7 +366,7 @@
             channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(sent.request.body())));
             // An endpoint that is full need not wait for all of a large body to say so.
             reader.expect();
-            writer = new PipeWriter(channel, sent.request.rest(), new PipeWriter.Ending() {
+            writer = new PipeWriter(channel, sent.request.remainingBody(), new PipeWriter.Ending() {
                 @Override
                 public void whole(ChannelFuture lastPart) {
                     writer = null;
@@ -378,7 +378,7 @@
                     close();
                 }
             });
-            sent.request.rest().to(writer);
+            sent.request.remainingBody().setConsumer(writer);
         }
 
         private void await(OneAttempt sent, ChannelFuture lastPart) {
@@ -394,7 +394,7 @@
             metrics.dispatched();
             reader.expect();
             if (sent.ending != null) {
-                sent.ending.written();
+                sent.ending.onRequestWritten();
             }
         }
 
@@ -414,7 +414,7 @@
             BodyPipe cut = answer;
             answer = null;
             if (ended != null) {
-                ended.end(ended.mayHaveRun() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
+                ended.end(ended.mayHaveExecuted() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
             }
             if (cut != null) {
                 cut.fail();
@@ -434,15 +434,17 @@
             if (ended != null) {
                 AttemptOutcome outcome = outcome(whole);
                 // Served, though its request was never whole: whatever that is, it is no answer.
-                ended.end(outcome == AttemptOutcome.OK && !ended.mayHaveRun() ? AttemptOutcome.RESET : outcome, whole);
+                ended.end(
+                        outcome == AttemptOutcome.OK && !ended.mayHaveExecuted() ? AttemptOutcome.RESET : outcome,
+                        whole);
             }
         }
 
         @Override
         public BodyPipe streaming(UpstreamResponse beginning) {
             answer = new BodyPipe(budget, on -> channel.config().setAutoRead(on));
-            if (attempt != null && attempt.ending != null && attempt.mayHaveRun()) {
-                attempt.ending.streaming(beginning, answer);
+            if (attempt != null && attempt.ending != null && attempt.mayHaveExecuted()) {
+                attempt.ending.onResponseStreamStarted(beginning, answer);
             } else {
                 answer.close();
                 close();
@@ -468,7 +470,7 @@
             if (usable
                     && channel.isActive()
                     && generation == endpoint.generation
-                    && (ended == null || ended.mayHaveRun())) {
+                    && (ended == null || ended.mayHaveExecuted())) {
                 channel.config().setAutoRead(true);
                 idleSince = clock.now();
                 endpoint.idle.addLast(this);
@@ -488,7 +490,7 @@
             @Override
             public void channelWritabilityChanged(ChannelHandlerContext ctx) {
                 if (writer != null) {
-                    writer.more();
+                    writer.onProgress();
                 }
             }
 
--- a/edge/src/main/java/lemonrail/http1/Warmup.java
+++ b/edge/src/main/java/lemonrail/http1/Warmup.java
@@ -165,7 +165,7 @@
                 new BufferBudget(Long.MAX_VALUE),
                 new Lifecycle(() -> true),
                 shard.settings(),
-                shard.idleCloseMs());
+                shard.endpointIdleTimeoutMs());
         pool = new UpstreamConnectionPool(own, MOST_CONNECTIONS);
         exchange = new RequestDispatcher<>(
                 own,
--- a/edge/src/main/java/lemonrail/lifecycle/Lifecycle.java
+++ b/edge/src/main/java/lemonrail/lifecycle/Lifecycle.java
@@ -33,7 +33,7 @@
     }
 
     /** What the process is at, for people. */
-    public String word() {
+    public String description() {
         return phase() == Phase.READY && !isReady()
                 ? "no endpoint is known"
                 : phase().name().toLowerCase(Locale.ROOT);
@@ -45,26 +45,26 @@
     }
 
     /** All parts stand, and the code has run often enough to be quick. */
-    public void started() {
+    public void markStarted() {
         started = true;
     }
 
     /** Operators empty the sidecar; true if it was not being emptied already. */
-    public boolean drain() {
+    public boolean startDraining() {
         boolean news = !drained;
         drained = true;
         return news;
     }
 
     /** Operators end the drain; true if there was one, and the process goes on. */
-    public boolean activate() {
+    public boolean stopDraining() {
         boolean news = drained && !stopping;
         drained = false;
         return news;
     }
 
     /** The process ends. */
-    public void stop() {
+    public void startStopping() {
         stopping = true;
     }
 }
--- a/edge/src/main/java/lemonrail/streaming/BodyPipe.java
+++ b/edge/src/main/java/lemonrail/streaming/BodyPipe.java
@@ -16,37 +16,37 @@
     private static final int PIECE_BYTES = 16 * 1024;
 
     /** The connection that the bytes come from. */
-    public interface Near {
+    public interface Source {
         /** Whether it is to be read. */
-        void read(boolean on);
+        void setReading(boolean on);
     }
 
     /** The connection that the bytes go to. */
-    public interface Far {
-        /** There is more to take, or there will be none: {@link #isDone} and {@link #isBroken} say which. */
-        void more();
+    public interface Consumer {
+        /** There is more to take, or there will be none: {@link #isFullyRead} and {@link #hasFailed} say which. */
+        void onProgress();
     }
 
     private final BufferBudget budget;
-    private final Near near;
+    private final Source near;
     private final Runnable wake = this::mindReading;
     private ByteBuf waiting = Unpooled.buffer();
-    private Far far;
+    private Consumer far;
     private int unwritten;
-    private long passed;
+    private long forwardedBytes;
     private boolean touched;
     private boolean ended;
     private boolean broken;
     private boolean closed;
 
     /** A pipe from this connection. */
-    public BodyPipe(BufferBudget budget, Near near) {
+    public BodyPipe(BufferBudget budget, Source near) {
         this.budget = budget;
         this.near = near;
     }
 
     /** Where the bytes go; it hears at once of what is there already. */
-    public void to(Far taker) {
+    public void setConsumer(Consumer taker) {
         far = taker;
         tell();
     }
@@ -59,7 +59,7 @@
         }
         waiting.writeBytes(bytes, bytes.readerIndex(), size);
         unwritten += size;
-        budget.take(size);
+        budget.acquire(size);
         mindReading();
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** All has come. */
-    public void end() {
+    public void complete() {
         ended = true;
         tell();
     }
@@ -84,12 +84,12 @@
 
     private void tell() {
         if (far != null && !closed) {
-            far.more();
+            far.onProgress();
         }
     }
 
     /** The next bytes to pass on, or null where there are none now. */
-    public ByteBuf next() {
+    public ByteBuf poll() {
         if (closed || !waiting.isReadable()) {
             return null;
         }
@@ -100,9 +100,9 @@
         return Unpooled.wrappedBuffer(piece);
     }
 
-    /** So many bytes that {@link #next} gave have been written, or never will be. */
-    public void written(int bytes) {
-        passed += bytes;
+    /** So many bytes that {@link #poll} gave have been written, or never will be. */
+    public void onWritten(int bytes) {
+        forwardedBytes += bytes;
         int counted = Math.min(bytes, unwritten);
         unwritten -= counted;
         budget.release(counted);
@@ -113,16 +113,16 @@
         if (closed || ended) {
             return;
         }
-        boolean room = unwritten == 0 || (unwritten < WINDOW_BYTES && budget.hasRoom());
+        boolean room = unwritten == 0 || (unwritten < WINDOW_BYTES && budget.hasCapacity());
         if (!room && unwritten < WINDOW_BYTES) {
-            budget.await(wake);
+            budget.notifyWhenAvailable(wake);
         }
-        near.read(room);
+        near.setReading(room);
     }
 
     /** The bytes written on so far, which tells whether anything moves. */
-    public long passed() {
-        return passed;
+    public long forwardedBytes() {
+        return forwardedBytes;
     }
 
     /** Whether it waits for the near side: all that has come is written on. */
@@ -131,22 +131,22 @@
     }
 
     /** Whether bytes have been let go, which cannot be had again. */
-    public boolean isTouched() {
+    public boolean hasBeenRead() {
         return touched;
     }
 
     /** Whether all has come and been taken. */
-    public boolean isDone() {
+    public boolean isFullyRead() {
         return ended && !waiting.isReadable();
     }
 
     /** Whether it ends here without being whole. */
-    public boolean isBroken() {
+    public boolean hasFailed() {
         return broken;
     }
 
     /** Whether all has come. */
-    public boolean hasEnded() {
+    public boolean isComplete() {
         return ended;
     }
 
@@ -157,12 +157,12 @@
         }
         closed = true;
         waiting = Unpooled.EMPTY_BUFFER;
-        budget.forget(wake);
+        budget.cancelNotification(wake);
         int left = unwritten;
         unwritten = 0;
         budget.release(left);
         if (!ended && !broken) {
-            near.read(true);
+            near.setReading(true);
         }
     }
 }
--- a/edge/src/main/java/lemonrail/streaming/BufferBudget.java
+++ b/edge/src/main/java/lemonrail/streaming/BufferBudget.java
@@ -20,14 +20,14 @@
     }
 
     /** These bytes are held from now on. */
-    public void take(long bytes) {
+    public void acquire(long bytes) {
         held += bytes;
     }
 
     /** These bytes are not held any more; whoever waited for room is told that there is some. */
     public void release(long bytes) {
         held -= bytes;
-        if (!waiting.isEmpty() && hasRoom()) {
+        if (!waiting.isEmpty() && hasCapacity()) {
             List<Runnable> told = List.copyOf(waiting);
             waiting.clear();
             told.forEach(Runnable::run);
@@ -35,16 +35,16 @@
     }
 
     /** Whether more may be read in. */
-    public boolean hasRoom() {
+    public boolean hasCapacity() {
         return held < most;
     }
 
     /** Has this run once, as soon as there is room. */
-    void await(Runnable wake) {
+    void notifyWhenAvailable(Runnable wake) {
         waiting.add(wake);
     }
 
-    void forget(Runnable wake) {
+    void cancelNotification(Runnable wake) {
         waiting.remove(wake);
     }
 }
--- a/edge/src/main/java/lemonrail/time/Clock.java
+++ b/edge/src/main/java/lemonrail/time/Clock.java
@@ -26,8 +26,8 @@
     }
 
     /** The longest, in milliseconds, that what its event loop handles now can have waited for the loop. */
-    public double waitedMs() {
-        return lag.waitedMs(System.nanoTime());
+    public double maxQueueDelayMs() {
+        return lag.maxQueueDelayMs(System.nanoTime());
     }
 
     /** How late the event loop is. */
--- a/edge/src/main/java/lemonrail/time/EventLoopLag.java
+++ b/edge/src/main/java/lemonrail/time/EventLoopLag.java
@@ -16,7 +16,7 @@
 
     private static final double NANOS_PER_MS = 1e6;
 
-    private long polls;
+    private long pollCount;
     private long pollingAt;
     private long polledAt;
     private long previouslyPolledAt;
@@ -32,23 +32,23 @@
      * @param nowNanos the monotonic time
      * @param untilTimerNanos how long until its next timer is due
      */
-    public void polling(long nowNanos, long untilTimerNanos) {
-        if (polls > 0) {
-            late(nowNanos, nowNanos - polledAt);
+    public void onPollStarted(long nowNanos, long untilTimerNanos) {
+        if (pollCount > 0) {
+            recordLag(nowNanos, nowNanos - polledAt);
         }
         pollingAt = nowNanos;
         dueAt = nowNanos + Math.max(0, untilTimerNanos);
     }
 
     /** The poll has returned at this monotonic time, and what is ready is handled next. */
-    public void polled(long nowNanos) {
-        previouslyPolledAt = polls == 0 ? pollingAt : polledAt;
+    public void onPollReturned(long nowNanos) {
+        previouslyPolledAt = pollCount == 0 ? pollingAt : polledAt;
         polledAt = nowNanos;
-        polls++;
-        late(nowNanos, nowNanos - dueAt);
+        pollCount++;
+        recordLag(nowNanos, nowNanos - dueAt);
     }
 
-    private void late(long nowNanos, long byNanos) {
+    private void recordLag(long nowNanos, long byNanos) {
         for (int i = 0; i < over.length && byNanos > BOUNDS_MS[i] * NANOS_PER_MS; i++) {
             over[i]++;
         }
@@ -62,33 +62,33 @@
     }
 
     /** How many polls there have been. */
-    public long polls() {
-        return polls;
+    public long pollCount() {
+        return pollCount;
     }
 
     /** The longest that what is handled now can have waited for the loop, in milliseconds. */
-    public double waitedMs(long nowNanos) {
+    public double maxQueueDelayMs(long nowNanos) {
         boolean slept = polledAt - pollingAt > SLEPT_NANOS;
-        return polls == 0 ? 0 : (nowNanos - (slept ? polledAt : previouslyPolledAt)) / NANOS_PER_MS;
+        return pollCount == 0 ? 0 : (nowNanos - (slept ? polledAt : previouslyPolledAt)) / NANOS_PER_MS;
     }
 
     /** The greatest lateness of the last few seconds, in milliseconds. */
-    public double recentMs() {
+    public double recentMaxLagMs() {
         return Math.max(greatestNanos, previousGreatestNanos) / NANOS_PER_MS;
     }
 
     /** The bounds of the histogram, in milliseconds, rising. */
-    public static int[] boundsMs() {
+    public static int[] histogramBoundsMs() {
         return BOUNDS_MS.clone();
     }
 
     /** How often the loop has been later than the bound of this index. */
-    public int timesOver(int bound) {
+    public int countAbove(int bound) {
         return over[bound];
     }
 
     /** Leaves out what was measured so far, as once a process has started. */
-    public void forget() {
+    public void resetRecentMax() {
         greatestNanos = 0;
         previousGreatestNanos = 0;
     }
--- a/edge/src/main/java/lemonrail/time/LagMeasuringIoHandler.java
+++ b/edge/src/main/java/lemonrail/time/LagMeasuringIoHandler.java
@@ -86,7 +86,7 @@
         void begin(IoHandlerContext iteration) {
             loop = iteration;
             long now = System.nanoTime();
-            lag.polling(now, iteration.delayNanos(now));
+            lag.onPollStarted(now, iteration.delayNanos(now));
         }
 
         @Override
@@ -111,7 +111,7 @@
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            lag.polled(System.nanoTime());
+            lag.onPollReturned(System.nanoTime());
             return loop.shouldReportActiveIoTime();
         }
     }
--- a/edge/src/main/java/lemonrail/upgrade/AcceptedSocket.java
+++ b/edge/src/main/java/lemonrail/upgrade/AcceptedSocket.java
@@ -13,7 +13,7 @@
     }
 
     /** Whether bytes have come that nobody has read. */
-    public boolean hasUnread() {
+    public boolean hasUnreadBytes() {
         try {
             return isActive() && javaChannel().socket().getInputStream().available() > 0;
         } catch (IOException e) {
--- a/edge/src/main/java/lemonrail/upgrade/SharedListener.java
+++ b/edge/src/main/java/lemonrail/upgrade/SharedListener.java
@@ -18,7 +18,7 @@
 public final class SharedListener extends NioServerSocketChannel {
 
     /** Lets another process listen at the same address. */
-    public static final ChannelOption<Boolean> SHARED = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
+    public static final ChannelOption<Boolean> REUSE_PORT = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
 
     private static final int RETRY_MS = 1;
 
@@ -35,7 +35,7 @@
     }
 
     /** Takes in all that wait, then closes at once. */
-    public void leave() {
+    public void acceptPendingAndClose() {
         if (leaving || !isOpen()) {
             return;
         }
--- a/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
+++ b/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
@@ -46,7 +46,7 @@
     }
 
     /** Whether another process of this sidecar is alive. */
-    public boolean hasOther() {
+    public boolean hasSibling() {
         if (own < 0) {
             return false;
         }
--- a/edge/src/test/java/lemonrail/assembly/ListPathCost.java
+++ b/edge/src/test/java/lemonrail/assembly/ListPathCost.java
@@ -80,7 +80,7 @@
                 new Lifecycle(() -> true),
                 settings(listed),
                 15_000);
-        upstream = new Http1Protocol().upstream(shard, 64);
+        upstream = new Http1Protocol().createUpstream(shard, 64);
         suspensions = new SuspendedEndpoints(kept, silent);
         exchange = new RequestDispatcher<>(
                 shard, upstream, suspensions, BoxcarLoadBalancer::new, 1, parse(all()), () -> {});
@@ -117,7 +117,7 @@
     }
 
     int endpoints() {
-        return upstream.size();
+        return upstream.endpointCount();
     }
 
     private static BalancerSettings settings(int balancers) {
@@ -181,7 +181,7 @@
             exchange.listed(change);
             long told = CPU.getCurrentThreadCpuTime();
             // Once more apart, which changes nothing.
-            upstream.update(change);
+            upstream.updateEndpoints(change);
             long updated = CPU.getCurrentThreadCpuTime();
             suspensions.show(EndpointUpdateKind.DELTA, change.servers());
             long shown = CPU.getCurrentThreadCpuTime();
--- a/edge/src/test/java/lemonrail/assembly/StartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StartTest.java
@@ -28,13 +28,14 @@
             implements Protocol<M, A> {
 
         @Override
-        public Upstream<M, A> upstream(EventLoopContext shard, int mostConnections) {
-            return protocol.upstream(shard, mostConnections);
+        public Upstream<M, A> createUpstream(EventLoopContext shard, int mostConnections) {
+            return protocol.createUpstream(shard, mostConnections);
         }
 
         @Override
-        public Downstream front(EventLoopContext shard, RequestDispatcher<M, A> exchange, int mostConnections) {
-            return protocol.front(shard, exchange, mostConnections);
+        public Downstream createDownstream(
+                EventLoopContext shard, RequestDispatcher<M, A> exchange, int mostConnections) {
+            return protocol.createDownstream(shard, exchange, mostConnections);
         }
 
         @Override
@@ -44,8 +45,8 @@
         }
 
         @Override
-        public int overflow() {
-            return protocol.overflow();
+        public int overflowConnections() {
+            return protocol.overflowConnections();
         }
     }
 
--- a/edge/src/test/java/lemonrail/exchange/ResponseTimeReserveTest.java
+++ b/edge/src/test/java/lemonrail/exchange/ResponseTimeReserveTest.java
@@ -9,27 +9,27 @@
 
     @Test
     void aPromptLoopKeepsAHundredthOfTheTime() {
-        assertEquals(50, ResponseTimeReserve.ms(5000, 0));
+        assertEquals(50, ResponseTimeReserve.reserveMs(5000, 0));
     }
 
     @Test
     void shortWaitsKeepWhatANetworkNeedsAtLeast() {
-        assertEquals(2, ResponseTimeReserve.ms(100, 0));
+        assertEquals(2, ResponseTimeReserve.reserveMs(100, 0));
     }
 
     @Test
     void aLateLoopAddsItsLateness() {
-        assertEquals(34, ResponseTimeReserve.ms(400, 30));
+        assertEquals(34, ResponseTimeReserve.reserveMs(400, 30));
     }
 
     @Test
     void aQuarterIsTheMost() {
-        assertEquals(100, ResponseTimeReserve.ms(400, 1000));
-        assertEquals(1, ResponseTimeReserve.ms(4, 0));
+        assertEquals(100, ResponseTimeReserve.reserveMs(400, 1000));
+        assertEquals(1, ResponseTimeReserve.reserveMs(4, 0));
     }
 
     @Test
     void whoseTimeIsOverKeepsNothing() {
-        assertEquals(0, ResponseTimeReserve.ms(-5, 10));
+        assertEquals(0, ResponseTimeReserve.reserveMs(-5, 10));
     }
 }
--- a/edge/src/test/java/lemonrail/frames/FrameFront.java
+++ b/edge/src/test/java/lemonrail/frames/FrameFront.java
@@ -59,13 +59,13 @@
                     .map(c -> c.name())
                     .toList()
                     .indexOf(parts[1]);
-            if (open != null || kind < 0 || exchange.has(parts[0])) {
+            if (open != null || kind < 0 || exchange.isInFlight(parts[0])) {
                 answer(new Frame('B', "no request"));
                 return;
             }
             open = parts[0];
             double now = shard.clock().now();
-            exchange.request(
+            exchange.dispatch(
                     new Request(open, kind, 0, Math.min(endsAt, now + Double.parseDouble(parts[2])), false),
                     new FrameMessage(open, parts[3]),
                     this);
@@ -85,17 +85,17 @@
         }
 
         @Override
-        public void streaming(Frame beginning, BodyPipe body) {
+        public void streamStarted(Frame beginning, BodyPipe body) {
             throw new IllegalStateException("this protocol has no large answers");
         }
 
         @Override
-        public void turnedAway(Frame answer) {
+        public void rejectedByEndpoint(Frame answer) {
             answer(answer);
         }
 
         @Override
-        public void refused(double coolDownMs) {
+        public void rejected(double coolDownMs) {
             answer(new Frame('R', String.valueOf(coolDownMs)));
         }
 
@@ -108,7 +108,7 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
             if (open != null) {
-                exchange.clientGone(open);
+                exchange.onClientDisconnected(open);
             }
         }
 
@@ -136,12 +136,12 @@
     }
 
     @Override
-    public void bound(int connectionsAtOnce) {
+    public void setMaxConnections(int connectionsAtOnce) {
         most = connectionsAtOnce;
     }
 
     @Override
-    public void endAfter(double leftMs) {
+    public void capDeadlines(double leftMs) {
         endsAt = shard.clock().now() + leftMs;
     }
 
@@ -151,13 +151,13 @@
     }
 
     @Override
-    public void leave() {
+    public void releaseAddress() {
         closeListener();
         leaving = true;
     }
 
     @Override
-    public void finish() {
+    public void closeAfterResponses() {
         leaving = true;
         List.copyOf(connections).stream()
                 .filter(connection -> connection.open == null)
@@ -165,23 +165,23 @@
     }
 
     @Override
-    public void drain() {
-        finish();
+    public void startDraining() {
+        closeAfterResponses();
     }
 
     @Override
-    public void activate() {
+    public void stopDraining() {
         leaving = false;
     }
 
     @Override
     public void close() {
         closeListener();
-        finish();
+        closeAfterResponses();
     }
 
     @Override
-    public boolean isEmpty() {
+    public boolean hasNoConnections() {
         return connections.isEmpty();
     }
 }
--- a/edge/src/test/java/lemonrail/frames/FrameMessage.java
+++ b/edge/src/test/java/lemonrail/frames/FrameMessage.java
@@ -7,12 +7,12 @@
 record FrameMessage(String id, String text) implements ProtocolRequest {
 
     @Override
-    public int heldBytes() {
+    public int bufferedBytes() {
         return text.length();
     }
 
     @Override
-    public BodyPipe rest() {
+    public BodyPipe remainingBody() {
         return null;
     }
 }
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -34,11 +34,11 @@
     private final class Attempt extends SimpleChannelInboundHandler<Frame> implements Upstream.Attempt {
         private final FrameMessage message;
         private final double waitMs;
-        private Ending<Frame> ending;
+        private AttemptListener<Frame> ending;
         private Channel channel;
         private boolean written;
 
-        Attempt(FrameMessage message, double waitMs, Ending<Frame> ending) {
+        Attempt(FrameMessage message, double waitMs, AttemptListener<Frame> ending) {
             this.message = message;
             this.waitMs = waitMs;
             this.ending = ending;
@@ -67,7 +67,7 @@
             connecting.addListener(up -> {
                 if (!up.isSuccess()) {
                     end(AttemptOutcome.CONNECT_ERROR, null);
-                } else if (ending != null && !ending.mayBegin()) {
+                } else if (ending != null && !ending.mayStart()) {
                     channel.close();
                 } else if (ending != null) {
                     Frame request = new Frame('Q', message.id() + "|" + (long) waitMs + "|" + message.text());
@@ -75,7 +75,7 @@
                         written = done.isSuccess();
                         if (written && ending != null) {
                             shard.metrics().dispatched();
-                            ending.written();
+                            ending.onRequestWritten();
                         }
                     });
                 }
@@ -83,22 +83,22 @@
         }
 
         @Override
-        public boolean mayHaveRun() {
+        public boolean mayHaveExecuted() {
             return written;
         }
 
         @Override
-        public boolean giveUp() {
+        public boolean cancel() {
             ending = null;
             channel.close();
             return written;
         }
 
         private void end(AttemptOutcome outcome, Frame answer) {
-            Ending<Frame> told = ending;
+            AttemptListener<Frame> told = ending;
             ending = null;
             if (told != null) {
-                told.ended(outcome, answer);
+                told.onFinished(outcome, answer);
             }
         }
 
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public void update(EndpointList list) {
+    public void updateEndpoints(EndpointList list) {
         if (list.full()) {
             addresses.clear();
         }
@@ -135,7 +135,8 @@
     }
 
     @Override
-    public Upstream.Attempt send(String server, FrameMessage message, double waitMs, Ending<Frame> ending) {
+    public Upstream.Attempt startAttempt(
+            String server, FrameMessage message, double waitMs, AttemptListener<Frame> ending) {
         Attempt attempt = new Attempt(message, waitMs, ending);
         InetSocketAddress address = addresses.get(server);
         if (address == null || open >= most) {
@@ -147,17 +148,17 @@
     }
 
     @Override
-    public void disconnect(String server) {
+    public void closeIdleConnections(String server) {
         // No connection is ever idle.
     }
 
     @Override
-    public void bound(int connections) {
+    public void setMaxConnections(int connections) {
         most = connections;
     }
 
     @Override
-    public int size() {
+    public int endpointCount() {
         return addresses.size();
     }
 
--- a/edge/src/test/java/lemonrail/frames/Frames.java
+++ b/edge/src/test/java/lemonrail/frames/Frames.java
@@ -12,12 +12,12 @@
 public final class Frames implements Protocol<FrameMessage, Frame> {
 
     @Override
-    public Upstream<FrameMessage, Frame> upstream(EventLoopContext shard, int mostConnections) {
+    public Upstream<FrameMessage, Frame> createUpstream(EventLoopContext shard, int mostConnections) {
         return new FrameUpstream(shard, mostConnections);
     }
 
     @Override
-    public Downstream front(
+    public Downstream createDownstream(
             EventLoopContext shard, RequestDispatcher<FrameMessage, Frame> exchange, int mostConnections) {
         return new FrameFront(shard, exchange, mostConnections);
     }
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public int overflow() {
+    public int overflowConnections() {
         return 0;
     }
 }
--- a/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
+++ b/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
@@ -42,7 +42,7 @@
             @Override
             public void channelWritabilityChanged(ChannelHandlerContext ctx) {
                 if (writer != null) {
-                    writer.more();
+                    writer.onProgress();
                 }
             }
         });
@@ -123,12 +123,12 @@
             BodyPipe pipe = new BodyPipe(new BufferBudget(BUDGET_BYTES), on -> {});
             pipe.write(Unpooled.wrappedBuffer(new byte[bytes]));
             if (whole) {
-                pipe.end();
+                pipe.complete();
             } else {
                 pipe.fail();
             }
             writer = new PipeWriter(channel, pipe, ending());
-            pipe.to(writer);
+            pipe.setConsumer(writer);
             assertEquals(List.of(whole ? "whole" : "cut"), endings);
             int written = bytesInChunks(written(channel), whole);
             assertTrue(whole ? written == bytes : written <= bytes, written + " bytes of " + bytes);
--- a/edge/src/test/java/lemonrail/time/EventLoopLagTest.java
+++ b/edge/src/test/java/lemonrail/time/EventLoopLagTest.java
@@ -17,9 +17,9 @@
 
     /** One iteration: a poll that takes so long, and the work that follows. */
     private void iteration(long pollMs, long untilTimerMs, long workMs) {
-        lag.polling(nanos(nowMs), nanos(untilTimerMs));
+        lag.onPollStarted(nanos(nowMs), nanos(untilTimerMs));
         nowMs += pollMs;
-        lag.polled(nanos(nowMs));
+        lag.onPollReturned(nanos(nowMs));
         nowMs += workMs;
     }
 
@@ -28,13 +28,13 @@
     }
 
     private double waitedMs() {
-        return lag.waitedMs(nanos(nowMs));
+        return lag.maxQueueDelayMs(nanos(nowMs));
     }
 
     @Test
     void aLoopThatNobodyMeasuresIsPrompt() {
         assertEquals(0, waitedMs());
-        assertEquals(0, lag.recentMs());
+        assertEquals(0, lag.recentMaxLagMs());
     }
 
     @Test
@@ -54,19 +54,19 @@
     void workBetweenPollsIsLateness() {
         iteration(50, FAR_MS, 80);
         iteration(0, FAR_MS, 0);
-        assertEquals(80, lag.recentMs());
+        assertEquals(80, lag.recentMaxLagMs());
     }
 
     @Test
     void aPollThatOutlastsItsTimerIsLateness() {
         iteration(50, 20, 0);
-        assertEquals(30, lag.recentMs());
+        assertEquals(30, lag.recentMaxLagMs());
     }
 
     @Test
     void aPollThatEndsBeforeItsTimerIsNone() {
         iteration(50, FAR_MS, 0);
-        assertEquals(0, lag.recentMs());
+        assertEquals(0, lag.recentMaxLagMs());
     }
 
     @Test
@@ -74,9 +74,9 @@
         long spanMs = TimeUnit.NANOSECONDS.toMillis(EventLoopLag.SPAN_NANOS);
         iteration(50, FAR_MS, 80);
         iteration(spanMs, spanMs + FAR_MS, 0);
-        assertEquals(80, lag.recentMs());
+        assertEquals(80, lag.recentMaxLagMs());
         iteration(2 * spanMs, 2 * spanMs + FAR_MS, 0);
-        assertEquals(0, lag.recentMs());
+        assertEquals(0, lag.recentMaxLagMs());
     }
 
     @Test
@@ -85,8 +85,8 @@
         iteration(0, FAR_MS, 0);
         assertEquals(
                 List.of(1, 1, 1, 0, 0),
-                IntStream.range(0, EventLoopLag.boundsMs().length)
-                        .mapToObj(lag::timesOver)
+                IntStream.range(0, EventLoopLag.histogramBoundsMs().length)
+                        .mapToObj(lag::countAbove)
                         .toList());
     }
 
@@ -94,7 +94,7 @@
     void whatTheStartTookIsForgotten() {
         iteration(50, FAR_MS, 400);
         iteration(0, FAR_MS, 0);
-        lag.forget();
-        assertEquals(0, lag.recentMs());
+        lag.resetRecentMax();
+        assertEquals(0, lag.recentMaxLagMs());
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -80,7 +80,7 @@
                 config.idleCloseMs());
         suspensions = new SuspendedEndpoints(config.kept("hollow"), log);
         watch = plane.watch(loop, config, log, seed, list, node);
-        endpoints = new Http1Protocol().upstream(shard, CONNECTIONS);
+        endpoints = new Http1Protocol().createUpstream(shard, CONNECTIONS);
         // Set before the exchange begins the watch.
         watch.listen(this::take);
         exchange = new RequestDispatcher<>(
@@ -158,7 +158,7 @@
     boolean knows(Map<String, EndpointEntry> lines) {
         List<Endpoint> shown = suspensions.shown(lines.keySet());
         return suspensions.listed() == lines.size()
-                && endpoints.size() == lines.size()
+                && endpoints.endpointCount() == lines.size()
                 && shown.size() == lines.size()
                 && shown.stream().allMatch(server -> {
                     EndpointEntry line = lines.get(server.id());
