--- a/edge/src/main/java/lemonrail/assembly/ActiveSettings.java
+++ b/edge/src/main/java/lemonrail/assembly/ActiveSettings.java
@@ -29,7 +29,7 @@
     String apply(String document) {
         try {
             BalancerSettings next = document == null ? configured : SettingsDocument.over(configured, document);
-            if (!dispatcher.settings(next)) {
+            if (!dispatcher.updateSettings(next)) {
                 return "the load balancer of this edge does not accept settings at run time";
             }
             active = next;
--- a/edge/src/main/java/lemonrail/assembly/GracefulShutdown.java
+++ b/edge/src/main/java/lemonrail/assembly/GracefulShutdown.java
@@ -71,8 +71,8 @@
         long closeConnectionsAtMs = Math.max(LISTENER_LINGER_MS, drainMs - CLOSE_CONNECTIONS_MS);
         loop.execute(() -> begin(drainMs));
         scheduleOnce(() -> listeners.forEach(Downstream::closeListener), LISTENER_LINGER_MS);
-        scheduleOnce(() -> listeners.forEach(Downstream::finish), closeConnectionsAtMs);
-        scheduleOnce(dispatcher::end, drainMs + FINAL_RESPONSE_MS);
+        scheduleOnce(() -> listeners.forEach(Downstream::closeAfterResponses), closeConnectionsAtMs);
+        scheduleOnce(dispatcher::abandonAll, drainMs + FINAL_RESPONSE_MS);
         loop.scheduleWithFixedDelay(
                 () -> signalIfEmpty(empty), LISTENER_LINGER_MS, EMPTY_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
@@ -82,17 +82,17 @@
     }
 
     private void begin(long drainMs) {
-        lifecycle.stop();
-        listeners.forEach(downstream -> downstream.endAfter((double) drainMs));
-        boolean succeeded = siblingLock.hasOther();
+        lifecycle.startStopping();
+        listeners.forEach(downstream -> downstream.capDeadlines((double) drainMs));
+        boolean succeeded = siblingLock.hasSibling();
         log.info("stopping", "stopping" + (succeeded ? ", another process goes on" : ""), "succeeded", succeeded);
         if (succeeded) {
-            listeners.forEach(Downstream::leave);
+            listeners.forEach(Downstream::releaseAddress);
         }
     }
 
     private void signalIfEmpty(CountDownLatch empty) {
-        if (listeners.allMatch(Downstream::isEmpty)) {
+        if (listeners.allMatch(Downstream::hasNoConnections)) {
             empty.countDown();
         }
     }
--- a/edge/src/main/java/lemonrail/assembly/Listeners.java
+++ b/edge/src/main/java/lemonrail/assembly/Listeners.java
@@ -95,8 +95,8 @@
 
     private void leave(InetSocketAddress address) {
         Downstream downstream = open.remove(address);
-        downstream.leave();
-        downstream.finish();
+        downstream.releaseAddress();
+        downstream.closeAfterResponses();
         leaving.add(downstream);
         distributeConnections();
     }
@@ -109,12 +109,12 @@
 
     private void distributeConnections() {
         int each = Math.max(MIN_CONNECTIONS_EACH, maxConnections / Math.max(1, open.size()));
-        open.values().forEach(downstream -> downstream.bound(each));
+        open.values().forEach(downstream -> downstream.setMaxConnections(each));
     }
 
     /** Performs an action on each downstream, including those that still have connections to finish. */
     void forEach(Consumer<Downstream> action) {
-        leaving.removeIf(Downstream::isEmpty);
+        leaving.removeIf(Downstream::hasNoConnections);
         List.copyOf(leaving).forEach(action);
         List.copyOf(open.values()).forEach(action);
     }
--- a/edge/src/main/java/lemonrail/assembly/SiblingMonitor.java
+++ b/edge/src/main/java/lemonrail/assembly/SiblingMonitor.java
@@ -48,8 +48,8 @@
 
     private void check() {
         try {
-            dispatcher.retell(suspensions.refresh());
-            splitLimits(siblingLock.hasOther());
+            dispatcher.refreshEndpoints(suspensions.refresh());
+            splitLimits(siblingLock.hasSibling());
         } catch (RuntimeException e) {
             // A scheduled task that throws is never run again.
             log.error("checking the sibling process failed", e);
@@ -65,7 +65,7 @@
         } else {
             log.info("limits_restored", "the only process of this sidecar from now on");
         }
-        upstream.bound(descriptors.maxUpstreamConnections());
+        upstream.setMaxConnections(descriptors.maxUpstreamConnections());
         listeners.setMaxConnections(descriptors.maxClientConnections());
     }
 }
--- a/edge/src/main/java/lemonrail/assembly/Sidecar.java
+++ b/edge/src/main/java/lemonrail/assembly/Sidecar.java
@@ -89,8 +89,8 @@
 
     private void becomeReady() {
         // The delays of the start itself say nothing about the time after it.
-        parts.context().clock().lag().forget();
-        parts.context().lifecycle().started();
+        parts.context().clock().lag().resetRecentMax();
+        parts.context().lifecycle().markStarted();
     }
 
     private void logServing(long tookMs) {
@@ -146,6 +146,6 @@
 
     /** Returns the numbers of open requests and of known endpoints; to be called on the event loop. */
     List<Integer> tableSizes() {
-        return List.of(parts.dispatcher().openRequests(), parts.upstream().size());
+        return List.of(parts.dispatcher().requestsInFlight(), parts.upstream().endpointCount());
     }
 }
--- a/edge/src/main/java/lemonrail/assembly/SidecarAdminOperations.java
+++ b/edge/src/main/java/lemonrail/assembly/SidecarAdminOperations.java
@@ -55,7 +55,7 @@
 
     @Override
     public String phase() {
-        return lifecycle.word();
+        return lifecycle.description();
     }
 
     @Override
@@ -82,7 +82,7 @@
             if (!changed.isEmpty()) {
                 log.info(event, event + " by hand: " + endpoint, "by", "hand", "endpoint", endpoint);
             }
-            dispatcher.retell(changed);
+            dispatcher.refreshEndpoints(changed);
             return Result.DONE;
         } catch (IOException e) {
             String message = endpoint + " is not " + event + ": " + e.getMessage();
@@ -114,17 +114,17 @@
 
     @Override
     public void drain() {
-        if (lifecycle.drain()) {
+        if (lifecycle.startDraining()) {
             log.info("drain_started", "drain by hand: connections are emptied until the sidecar is activated");
-            listeners.forEach(Downstream::drain);
+            listeners.forEach(Downstream::startDraining);
         }
     }
 
     @Override
     public void activate() {
-        if (lifecycle.activate()) {
+        if (lifecycle.stopDraining()) {
             log.info("drain_ended", "activated by hand: the drain is over");
-            listeners.forEach(Downstream::activate);
+            listeners.forEach(Downstream::stopDraining);
         }
     }
 }
--- a/edge/src/main/java/lemonrail/assembly/SidecarBuilder.java
+++ b/edge/src/main/java/lemonrail/assembly/SidecarBuilder.java
@@ -88,13 +88,14 @@
         EventLog log = new EventLog(clock, sink);
         SuspendedEndpoints suspensions = new SuspendedEndpoints(config.stateFile("suspended"), log);
         SiblingProcessLock siblingLock = new SiblingProcessLock(config.stateFile("processes"), log);
-        DescriptorBudget descriptors = DescriptorBudget.of(config, protocol.overflow(), siblingLock.hasOther());
+        DescriptorBudget descriptors =
+                DescriptorBudget.of(config, protocol.overflowConnections(), siblingLock.hasSibling());
         AtomicReference<RequestDispatcher<M, A>> builtDispatcher = new AtomicReference<>();
         EventLoopContext context = context(loop, clock, log, new Lifecycle(() -> knowsEndpoints(builtDispatcher)));
 
         DiscoveryClient discovery = discoveryClient(context);
         ControlClient control = controlClient(context);
-        Upstream<M, A> upstream = protocol.upstream(context, descriptors.maxUpstreamConnections());
+        Upstream<M, A> upstream = protocol.createUpstream(context, descriptors.maxUpstreamConnections());
         RequestDispatcher<M, A> dispatcher = new RequestDispatcher<>(
                 context,
                 upstream,
@@ -143,7 +144,7 @@
     /** The life cycle exists before the dispatcher, which knows of no endpoint until it is built. */
     private static boolean knowsEndpoints(AtomicReference<? extends RequestDispatcher<?, ?>> builtDispatcher) {
         RequestDispatcher<?, ?> dispatcher = builtDispatcher.get();
-        return dispatcher != null && dispatcher.knowsEndpoints();
+        return dispatcher != null && dispatcher.hasEndpoints();
     }
 
     private EventLoopContext context(EventLoop loop, Clock clock, EventLog log, Lifecycle lifecycle) {
@@ -213,9 +214,9 @@
 
     private static <M extends ProtocolRequest, A> Downstream downstream(
             Protocol<M, A> protocol, EventLoopContext context, RequestDispatcher<M, A> dispatcher, int maxConnections) {
-        Downstream downstream = protocol.front(context, dispatcher, maxConnections);
+        Downstream downstream = protocol.createDownstream(context, dispatcher, maxConnections);
         if (context.lifecycle().phase() == Lifecycle.Phase.DRAINING) {
-            downstream.drain();
+            downstream.startDraining();
         }
         return downstream;
     }
@@ -226,11 +227,11 @@
         EventLoopLag lag = context.clock().lag();
         metrics.gauge("log_dropped", sink::dropped);
         metrics.gauge("log_suppressed", context.log()::suppressed);
-        metrics.gauge("loop_late_ms", () -> (int) Math.ceil(lag.recentMs()));
-        int[] boundsMs = EventLoopLag.boundsMs();
+        metrics.gauge("loop_late_ms", () -> (int) Math.ceil(lag.recentMaxLagMs()));
+        int[] boundsMs = EventLoopLag.histogramBoundsMs();
         for (int i = 0; i < boundsMs.length; i++) {
             int bound = i;
-            metrics.gauge("loop_late.over_" + boundsMs[i] + "ms", () -> lag.timesOver(bound));
+            metrics.gauge("loop_late.over_" + boundsMs[i] + "ms", () -> lag.countAbove(bound));
         }
         metrics.gauge("targets", suspensions::listed);
         metrics.gauge("targets_disabled", () -> suspensions.listedSuspended() + dispatcher.ejectedEndpoints());
--- a/edge/src/main/java/lemonrail/config/PlatformFile.java
+++ b/edge/src/main/java/lemonrail/config/PlatformFile.java
@@ -83,7 +83,7 @@
                 positive("settings.limits.idle-close-ms", attemptLimits.get("idle-close-ms")),
                 names,
                 EndpointList.of(object("known", json.get("known")), names),
-                SettingsReader.settings(settings),
+                SettingsReader.read(settings),
                 LogSettings.DEFAULT,
                 null);
     }
