--- a/edge/src/main/java/lemonrail/admin/AdminServer.java
+++ b/edge/src/main/java/lemonrail/admin/AdminServer.java
@@ -148,7 +148,7 @@
             try {
                 return handlers.handle(request.method(), request.uri(), ByteBufUtil.getBytes(request.content()));
             } catch (RuntimeException e) {
-                onFault.accept("a call of the operators failed", e);
+                onFault.accept("an admin request failed", e);
                 return AdminResponse.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed: see the log");
             }
         }
@@ -192,7 +192,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
-                onFault.accept("connection of an operator", cause);
+                onFault.accept("admin connection", cause);
             }
             ctx.close();
         }
--- a/edge/src/main/java/lemonrail/assembly/Sidecar.java
+++ b/edge/src/main/java/lemonrail/assembly/Sidecar.java
@@ -54,7 +54,7 @@
     private void openAdminApi() throws IOException, InterruptedException {
         InetSocketAddress address = parts.config().admin();
         if (address != null) {
-            awaitBound("the operators' door", address, parts.adminServer().listen(address));
+            awaitBound("the admin API", address, parts.adminServer().listen(address));
         }
     }
 
--- a/edge/src/main/java/lemonrail/config/Schema.java
+++ b/edge/src/main/java/lemonrail/config/Schema.java
@@ -33,7 +33,7 @@
             "state-dir",
             ValueType.text(".{1,4096}", "the path of a folder"),
             null,
-            "where what outlives the process is kept; $TMPDIR or the system's folder for such if not given");
+            "the folder of files that outlive the process; $TMPDIR or the system's temporary folder if not given");
     static final ConfigKey<Integer> SEED = ConfigKey.optional(
             "seed",
             ValueType.whole(0, Integer.MAX_VALUE),
@@ -55,8 +55,8 @@
             "wait",
             ValueType.duration(100, WatchSchedule.MAX_WAIT_MS),
             null,
-            "how long a call waits for news; if not "
-                    + "given 1s, or 10ms for each balancer, up to 3s. With more, silent watches hide news over 6s");
+            "how long a poll waits for changes; if not "
+                    + "given 1s, or 10ms for each balancer, up to 3s. With more, silent watches hide changes over 6s");
 
     static final ConfigKey<List<InetSocketAddress>> CONTROL_NODES = ConfigKey.optional(
             "addresses",
@@ -111,14 +111,17 @@
             ValueType.choice(Idempotency.class, "repeatable", "keyed", "once"),
             "\"once\"",
             "repeatable: safe to send again; keyed: a rack drops repeats; once: not again if it may have run");
-    static final ConfigKey<Double> LATENCY_OBJECTIVE =
-            ConfigKey.required("aim", ValueType.duration(1, HOUR_MS), "the time within which an answer is wanted");
+    static final ConfigKey<Double> LATENCY_OBJECTIVE = ConfigKey.required(
+            "aim", ValueType.duration(1, HOUR_MS), "the latency objective: a response is wanted within it");
     static final ConfigKey<Double> DEADLINE =
             ConfigKey.required("deadline", ValueType.duration(1, HOUR_MS), "the longest that a client may wait");
     static final ConfigKey<Double> PRIORITY_WEIGHT = ConfigKey.optional(
-            "worth", ValueType.number(0, 1_000_000), "1.0", "under pressure the requests of most worth come first");
+            "worth",
+            ValueType.number(0, 1_000_000),
+            "1.0",
+            "the priority weight: the highest come first under overload");
     static final ConfigKey<Double> LATE_RESPONSE_WEIGHT = ConfigKey.optional(
-            "late-worth", ValueType.number(0, 1_000_000), "0.0", "what an answer after the aim is worth");
+            "late-worth", ValueType.number(0, 1_000_000), "0.0", "the priority weight of a response after the aim");
     static final ConfigKey<DeduplicationScope> DEDUPLICATION_SCOPE = ConfigKey.optional(
             "key-scope",
             ValueType.choice(DeduplicationScope.class, "all", "zone", "rack"),
@@ -130,7 +133,7 @@
     static final ConfigKey<String> TENANT_NAME =
             ConfigKey.required("name", ValueType.word(), "what clients write in X-Tenant");
     static final ConfigKey<Double> TENANT_RATE = ConfigKey.required(
-            "rate", ValueType.number(0, 1_000_000), "requests a second, over all edges, that are within its share");
+            "rate", ValueType.number(0, 1_000_000), "requests a second, over all edges, that are within its quota");
 
     static final ConfigKey<Long> MEMORY = ConfigKey.optional(
             "memory",
@@ -158,7 +161,7 @@
             "retry-after",
             ValueType.duration(0, HOUR_MS),
             "\"2s\"",
-            "the longest that a client is told to stay away; a refusal tells a quarter of it");
+            "the longest that a client is asked to wait before a retry; a rejection asks for a quarter of it");
 
     static final ConfigKey<Integer> BALANCERS =
             ConfigKey.optional("balancers", ValueType.whole(1, 100_000), "1", "how many edges send to these endpoints");
@@ -173,7 +176,7 @@
             "over-share-worth",
             ValueType.number(0, 1),
             "0.2",
-            "what a request beyond its tenant's share is worth, as a part");
+            "the priority weight of a request above its tenant's quota, as a fraction");
     static final ConfigKey<Double> CROSS_ZONE_COST = ConfigKey.optional(
             "cross-zone-price", ValueType.number(0, 1000), "0.0", "what it costs to call another zone");
 
@@ -183,7 +186,7 @@
             "0.3",
             "the part of its work that an endpoint can do just after its start");
     static final ConfigKey<Double> SLOW_START_DURATION =
-            ConfigKey.optional("duration", ValueType.duration(0, HOUR_MS), "\"10s\"", "after so long it is warm");
+            ConfigKey.optional("duration", ValueType.duration(0, HOUR_MS), "\"10s\"", "the length of the slow start");
     static final ConfigKey<Double> OVERLOAD_MULTIPLE = ConfigKey.optional(
             "overload-multiple", ValueType.number(1, 1000), "3.0", "so many times what it can do then is too much");
     static final ConfigKey<Double> OVERLOAD_WINDOW =
@@ -244,10 +247,7 @@
                     DEDUPLICATION_SCOPE,
                     DEDUPLICATION_WINDOW));
     static final ConfigTable TENANTS = new ConfigTable(
-            "tenants",
-            1024,
-            "who sends requests; without any, nobody's share is counted",
-            List.of(TENANT_NAME, TENANT_RATE));
+            "tenants", 1024, "who sends requests; without any, no quota applies", List.of(TENANT_NAME, TENANT_RATE));
     static final ConfigTable LIMITS = new ConfigTable(
             "limits",
             0,
--- a/edge/src/test/java/lemonrail/assembly/AdminServerTest.java
+++ b/edge/src/test/java/lemonrail/assembly/AdminServerTest.java
@@ -22,21 +22,21 @@
 
     private static final int DEADLINE_MS = 8000;
 
-    private SidecarFixture rig;
+    private SidecarFixture fixture;
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
     private SidecarFixture start(StubEndpoint... endpoints) throws IOException {
-        rig = new SidecarFixture(endpoints);
-        return rig.start();
+        fixture = new SidecarFixture(endpoints);
+        return fixture.start();
     }
 
     private Map<String, Long> figures() throws IOException {
         Map<String, Long> figures = new TreeMap<>();
-        rig.callAdmin("GET", "/v1/metrics").body().lines().forEach(line -> {
+        fixture.callAdmin("GET", "/v1/metrics").body().lines().forEach(line -> {
             assertTrue(line.startsWith("edge_gw."), line);
             int equals = line.indexOf('=');
             figures.put(line.substring("edge_gw.".length(), equals), Long.valueOf(line.substring(equals + 1)));
@@ -81,9 +81,9 @@
         "GET, /health/ready, 404",
         "GET, /v1/readyz/, 404"
     })
-    void eachCallHasItsAnswer(String method, String path, int status) throws Exception {
+    void respondsToEachRequest(String method, String path, int status) throws Exception {
         start(StubEndpoint.respondingWith(200, "", "served"));
-        HttpTestConnection.Message answer = rig.callAdmin(method, path);
+        HttpTestConnection.Message answer = fixture.callAdmin(method, path);
         assertEquals(status, answer.status());
         assertEquals("close", answer.headers().get("connection"));
         assertTrue(answer.body().endsWith("\n"), answer.body());
@@ -97,25 +97,25 @@
         "GET /v1/readyz HTTP/1.1\\r\\nContent-Length: ten, 400",
         "PUT /v1/sidecar/drain HTTP/1.1\\r\\nContent-Length: 99999, 413"
     })
-    void whatIsNoCallIsRefused(String head, int status) throws Exception {
+    void rejectsMalformedRequests(String head, int status) throws Exception {
         start(StubEndpoint.respondingWith(200, "", "served"));
-        try (HttpTestConnection wire = rig.adminConnection()) {
+        try (HttpTestConnection wire = fixture.adminConnection()) {
             wire.send(head.replace("\\r\\n", "\r\n") + "\r\n\r\n");
             assertEquals(status, wire.read().status());
         }
-        assertEquals(200, rig.callAdmin("GET", "/v1/readyz").status(), "no harm is done");
+        assertEquals(200, fixture.callAdmin("GET", "/v1/readyz").status(), "no harm is done");
     }
 
     // ---- callers who say nothing ----
 
     /** Guards against silent callers who take all the room: each call is answered beside them, and soon. */
     @Test
-    void silentCallersDoNotStandInTheWay() throws Exception {
+    void silentClientsDoNotKeepOthersOut() throws Exception {
         start(StubEndpoint.respondingWith(200, "", "served"));
         List<HttpTestConnection> silent = new ArrayList<>();
         for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
-            silent.add(rig.adminConnection().send(i % 2 == 0 ? "" : "GET /v1/readyz HTTP/1.1\r\nX: "));
-            assertEquals(200, rig.callAdmin("GET", "/v1/readyz").status());
+            silent.add(fixture.adminConnection().send(i % 2 == 0 ? "" : "GET /v1/readyz HTTP/1.1\r\nX: "));
+            assertEquals(200, fixture.callAdmin("GET", "/v1/readyz").status());
         }
         silent.get(0).awaitEnd();
         assertEquals(408, silent.get(silent.size() - 1).read().status());
@@ -128,7 +128,7 @@
     // ---- figures ----
 
     @Test
-    void everyFigureIsThereFromTheStart() throws Exception {
+    void allMetricsExistFromTheStart() throws Exception {
         start(StubEndpoint.respondingWith(200, "", "served"));
         Map<String, Long> expected = new TreeMap<>();
         for (String kind : List.of("read", "order")) {
@@ -164,16 +164,16 @@
     }
 
     @Test
-    void repliesAndAttemptsAreCountedAsTheyEnd() throws Exception {
+    void countsResponsesAndAttemptsAtTheirEnd() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         start(new StubEndpoint((wire, request) -> {
             release.await();
             StubEndpoint.respond(wire, request.line().startsWith("GET") ? 200 : 500, "", "x");
         }));
-        try (HttpTestConnection read = rig.client();
-                HttpTestConnection order = rig.client()) {
-            read.send(rig.request("read", DEADLINE_MS));
-            order.send(rig.request("order", DEADLINE_MS));
+        try (HttpTestConnection read = fixture.client();
+                HttpTestConnection order = fixture.client()) {
+            read.send(fixture.request("read", DEADLINE_MS));
+            order.send(fixture.request("order", DEADLINE_MS));
             awaitFigure("dispatches", 2);
             assertEquals(2, figures().get("concurrent"));
             assertEquals(0, figures().get("replies.read.success"));
@@ -188,18 +188,18 @@
     }
 
     @Test
-    void aRefusalIsCountedAsOne() throws Exception {
+    void countsRejectedRequestAsOverload() throws Exception {
         start();
-        assertEquals(503, rig.ask("read", DEADLINE_MS).status());
+        assertEquals(503, fixture.ask("read", DEADLINE_MS).status());
         awaitFigure("replies.read.overload", 1);
         assertEquals(0, figures().get("concurrent"));
     }
 
     @Test
-    void aClientThatHasGoneIsNotInHandAnyMore() throws Exception {
+    void requestOfDisconnectedClientIsNotConcurrent() throws Exception {
         start(new StubEndpoint((wire, request) -> wire.awaitEnd()));
-        try (HttpTestConnection client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS));
+        try (HttpTestConnection client = fixture.client()) {
+            client.send(fixture.request("read", DEADLINE_MS));
             awaitFigure("concurrent", 1);
         }
         awaitFigure("concurrent", 0);
--- a/edge/src/test/java/lemonrail/assembly/DescriptorsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/DescriptorsTest.java
@@ -186,7 +186,7 @@
     /** Guards against a discovery that comes back and finds that idle clients have taken its descriptor. */
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "silent"})
-    void idleClientsTakeNobodysDescriptor(String down) throws Exception {
+    void idleClientsDoNotExhaustDescriptors(String down) throws Exception {
         StubEndpoint before = keep(StubEndpoint.respondingWith(200, "", "before"));
         StubEndpoint after = keep(StubEndpoint.respondingWith(200, "", "after"));
         CountDownLatch back = new CountDownLatch(1);
@@ -220,7 +220,7 @@
 
     /** The measure itself: where there is no room for what the program says it needs, the system says so. */
     @Test
-    void theSystemHoldsTheProcessToItsDescriptors() throws Exception {
+    void processStaysWithinDescriptorLimit() throws Exception {
         serve(keep(StubEndpoint.respondingWith(200, "", "served")), freePort());
         Path limits = Path.of("/proc", String.valueOf(process.pid()), "limits");
         assertTrue(Files.readString(limits)
--- a/edge/src/test/java/lemonrail/assembly/FleetSizeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/FleetSizeTest.java
@@ -13,12 +13,12 @@
     private static final int VERSION = 7;
     private static final int DEADLINE_MS = 9000;
 
-    private SidecarFixture rig;
+    private SidecarFixture fixture;
     private StubEndpoint last;
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
         last.close();
     }
 
@@ -38,28 +38,28 @@
 
     /** Guards against entries that are lost at the end of a list, and a bound on those out by hand. */
     @Test
-    void theLastOfAllServesWhileTheOthersAreOutByHand() throws Exception {
+    void lastEndpointServesWhileAllOthersAreSuspended() throws Exception {
         last = StubEndpoint.respondingWith(200, "", "the last");
-        rig = new SidecarFixture();
-        rig.change = config -> config.replace(
+        fixture = new SidecarFixture();
+        fixture.change = config -> config.replace(
                 "\"replicas-of-me\":1,\"slot-no\":0", "\"replicas-of-me\":" + SIZE + ",\"slot-no\":" + (SIZE - 1));
-        rig.discovery.requestHandler = (wire, request) -> {
-            rig.discovery.requestHandler = (next, later) -> next.awaitEnd();
+        fixture.discovery.requestHandler = (wire, request) -> {
+            fixture.discovery.requestHandler = (next, later) -> next.awaitEnd();
             StubEndpoint.respond(wire, 200, "", list());
         };
-        rig.start();
+        fixture.start();
         SidecarFixture.await(
                 "the list is there",
-                () -> rig.discovery.requests.stream()
+                () -> fixture.discovery.requests.stream()
                         .anyMatch(request -> request.line().contains("index=" + VERSION)));
         for (int number = 0; number < SIZE - 1; number++) {
             String id = "s" + number;
             assertEquals(
                     200,
-                    rig.callAdmin("PUT", "/v1/endpoints/" + id + "/suspend").status(),
+                    fixture.callAdmin("PUT", "/v1/endpoints/" + id + "/suspend").status(),
                     id);
         }
-        assertEquals("the last", rig.ask("read", DEADLINE_MS).body());
+        assertEquals("the last", fixture.ask("read", DEADLINE_MS).body());
         assertEquals(1, last.requests.size(), "calls that it got");
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/OtherSettingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/OtherSettingsTest.java
@@ -22,7 +22,7 @@
 
     private static final int DEADLINE_MS = 8000;
 
-    /** A deployment: how its JSON differs from the rig's, and its names of a safe and an unsafe class. */
+    /** A deployment: how its JSON differs from the fixture's, and its names of a safe and an unsafe class. */
     private record Site(String name, String safe, String unsafe, List<String> changes) {
         String of(String config) {
             String changed = config.replace("\"name\":\"read\"", "\"name\":\"" + safe + "\"")
@@ -102,12 +102,12 @@
     }
 
     private final CountDownLatch release = new CountDownLatch(1);
-    private SidecarFixture rig;
+    private SidecarFixture fixture;
 
     @AfterEach
     void stop() throws IOException {
         release.countDown();
-        rig.close();
+        fixture.close();
     }
 
     private static String header(String name) {
@@ -115,70 +115,70 @@
     }
 
     private String request(Site site, String kind) {
-        return rig.request(kind, DEADLINE_MS)
+        return fixture.request(kind, DEADLINE_MS)
                 .replace("X-Class: " + kind, "X-Class: " + header(kind.equals("read") ? site.safe() : site.unsafe()));
     }
 
     private int ask(Site site, String kind) throws IOException {
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             return client.send(request(site, kind)).read().status();
         }
     }
 
     @ParameterizedTest
     @MethodSource("sites")
-    void eachIsServedUnderItsOwnNames(Site site) throws Exception {
-        rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "served"));
-        rig.change = site::of;
-        rig.start();
+    void servesEachDeploymentUnderItsOwnNames(Site site) throws Exception {
+        fixture = new SidecarFixture(StubEndpoint.respondingWith(200, "", "served"));
+        fixture.change = site::of;
+        fixture.start();
         assertEquals(200, ask(site, "read"));
-        rig.settle();
+        fixture.settle();
         assertEquals(200, ask(site, "order"));
         assertEquals(
                 400,
-                rig.ask("read".equals(site.safe()) ? "tractor" : "read", DEADLINE_MS)
+                fixture.ask("read".equals(site.safe()) ? "tractor" : "read", DEADLINE_MS)
                         .status());
         assertEquals(
                 header(site.unsafe()),
-                rig.endpoints.get(0).requests.get(1).headers().get("x-class"));
+                fixture.endpoints.get(0).requests.get(1).headers().get("x-class"));
     }
 
     /** Guards against effects that happen twice, whatever else the settings say. */
     @ParameterizedTest
     @MethodSource("sites")
-    void anUnsafeRequestThatMayHaveRunIsNotSentAgain(Site site) throws Exception {
+    void nonIdempotentRequestThatMayHaveRunIsNotRetried(Site site) throws Exception {
         StubEndpoint.RequestHandler resetting = (wire, request) -> wire.reset();
-        rig = new SidecarFixture(new StubEndpoint(resetting), new StubEndpoint(resetting));
-        rig.change = site::of;
-        rig.start();
+        fixture = new SidecarFixture(new StubEndpoint(resetting), new StubEndpoint(resetting));
+        fixture.change = site::of;
+        fixture.start();
         assertEquals(502, ask(site, "order"));
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attempts());
     }
 
     /** Guards against repeats for nobody, whatever else the settings say. */
     @ParameterizedTest
     @MethodSource("sites")
-    void aClientThatHasLeftIsNotRepeatedFor(Site site) throws Exception {
+    void requestOfDisconnectedClientIsNotRetried(Site site) throws Exception {
         StubEndpoint.RequestHandler failing = (wire, request) -> {
             release.await();
             StubEndpoint.respond(wire, 500, "", "");
         };
-        rig = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
-        rig.change = site::of;
-        rig.start();
-        try (HttpTestConnection client = rig.client()) {
+        fixture = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
+        fixture.change = site::of;
+        fixture.start();
+        try (HttpTestConnection client = fixture.client()) {
             client.send(request(site, "read"));
-            SidecarFixture.await("it is out", () -> rig.attempts() == 1);
+            SidecarFixture.await("it is out", () -> fixture.attempts() == 1);
         }
         SidecarFixture.await("it is known", () -> concurrent() == 0);
         release.countDown();
-        SidecarFixture.await("nothing is owed", () -> rig.openRequests() == 0);
-        assertEquals(1, rig.attempts());
+        SidecarFixture.await("nothing is owed", () -> fixture.openRequests() == 0);
+        assertEquals(1, fixture.attempts());
     }
 
     private int concurrent() {
         try {
-            String figures = rig.callAdmin("GET", "/v1/metrics").body();
+            String figures = fixture.callAdmin("GET", "/v1/metrics").body();
             return Integer.parseInt(figures.replaceAll("(?s).*concurrent=(\\d+).*", "$1"));
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
@@ -188,18 +188,18 @@
     /** The last requests before the end are answered, however short or long the deadlines are. */
     @ParameterizedTest
     @CsvSource({"100", "600", "9000"})
-    void aRestartAnswersWhatItHasTaken(int deadlineMs) throws Exception {
-        rig = new SidecarFixture(new StubEndpoint((wire, request) -> wire.awaitEnd()));
-        rig.change = config -> config.replace("\"hard-limit-ms\":9000", "\"hard-limit-ms\":" + deadlineMs);
-        rig.start();
-        try (HttpTestConnection client = rig.client();
-                HttpTestConnection kept = rig.client()) {
-            client.send(rig.request("order", deadlineMs));
-            SidecarFixture.await("it is out", () -> rig.attempts() == 1);
-            Thread drain = new Thread(rig.sidecar::shutdownGracefully);
+    void shutdownRespondsToRequestsInFlight(int deadlineMs) throws Exception {
+        fixture = new SidecarFixture(new StubEndpoint((wire, request) -> wire.awaitEnd()));
+        fixture.change = config -> config.replace("\"hard-limit-ms\":9000", "\"hard-limit-ms\":" + deadlineMs);
+        fixture.start();
+        try (HttpTestConnection client = fixture.client();
+                HttpTestConnection kept = fixture.client()) {
+            client.send(fixture.request("order", deadlineMs));
+            SidecarFixture.await("it is out", () -> fixture.attempts() == 1);
+            Thread drain = new Thread(fixture.sidecar::shutdownGracefully);
             drain.start();
-            SidecarFixture.await("it stops", () -> rig.logged().contains("stopping"));
-            kept.send(rig.request("order", deadlineMs));
+            SidecarFixture.await("it stops", () -> fixture.logged().contains("stopping"));
+            kept.send(fixture.request("order", deadlineMs));
             assertTrue(kept.read().status() >= 500);
             assertTrue(client.read().status() >= 500);
             drain.join();
@@ -222,18 +222,18 @@
                 "\"drain-grace-ms\":500|\"drain-grace-ms\":-5|drain-grace-ms|-5",
                 "\"replicas-of-me\":1|\"replicas-of-me\":0|balancers|0"
             })
-    void whatIsNoDeploymentDoesNotStart(String part, String instead, String key, String value) throws IOException {
-        rig = new SidecarFixture();
-        rig.change = config -> {
+    void invalidSettingsDoNotStart(String part, String instead, String key, String value) throws IOException {
+        fixture = new SidecarFixture();
+        fixture.change = config -> {
             assertTrue(config.contains(part), part);
             return config.replaceAll(Pattern.quote(part), instead == null ? "" : instead);
         };
         try {
-            rig.start();
+            fixture.start();
         } catch (ConfigException e) {
-            rig.sidecar = null;
+            fixture.sidecar = null;
             assertEquals(1, e.getMessage().lines().count(), e.getMessage());
-            assertTrue(e.getMessage().contains(rig.configFile.toString()), e.getMessage());
+            assertTrue(e.getMessage().contains(fixture.configFile.toString()), e.getMessage());
             assertTrue(e.getMessage().contains(key), e.getMessage());
             assertTrue(value == null || e.getMessage().contains(value), e.getMessage());
             return;
--- a/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aReloadTakesUpEndpointsAndListenersAndNamesTheRest() throws Exception {
+    void reloadAppliesEndpointsAndListenersAndNamesOtherChanges() throws Exception {
         start(text("127.0.0.1:0", first, ""));
         InetSocketAddress before = edge.address();
         assertEquals("first", ask(before).body());
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void reloadsThatOverlapWaitForEachOther() throws Exception {
+    void overlappingReloadsRunInTurn() throws Exception {
         start(text("127.0.0.1:0", first, ""));
         InetSocketAddress now = free();
         write(text(plain(now), second, ""));
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void aListenerThatIsTakenChangesNothing() throws Exception {
+    void reloadWithTakenListenerAddressChangesNothing() throws Exception {
         start(text("127.0.0.1:0", first, ""));
         try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             reload(text("127.0.0.1:" + other.getLocalPort(), second, ""), "cannot listen on");
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void aFileThatIsHalfWrittenOrGoneChangesNothing() throws Exception {
+    void truncatedOrMissingFileChangesNothing() throws Exception {
         String text = text("127.0.0.1:0", first, "");
         start(text);
         for (int end : new int[] {60, text.indexOf("[[classes]]"), 0}) {
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void aDrainingEndpointGetsNothingNew() throws Exception {
+    void drainingEndpointGetsNoNewRequests() throws Exception {
         String both = "[[endpoints]]\nid = \"other\"\naddress = \"" + second.address() + "\"";
         start(text("127.0.0.1:0", first, both + "\nstate = \"draining\""));
         for (int i = 0; i < 5; i++) {
@@ -217,7 +217,7 @@
 
     /** Two processes of one name, one by the old file and one by the new, share what operators did. */
     @Test
-    void twoProcessesByDifferentFilesShareSuspensions() throws Exception {
+    void processesWithDifferentFilesShareSuspensions() throws Exception {
         String both = "[[endpoints]]\nid = \"other\"\naddress = \"" + second.address() + "\"";
         start(text("127.0.0.1:0", first, both));
         Sidecar old = edge;
@@ -241,7 +241,7 @@
 
     /** Guards against a full pipe that stops the edge: nobody reads the log, and requests are served. */
     @Test
-    void aLogThatNobodyReadsStopsNoRequest() throws Exception {
+    void unreadLogDoesNotBlockRequests() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         OutputStream stuck = new OutputStream() {
             @Override
@@ -266,7 +266,7 @@
     }
 
     @Test
-    void levelsAreChangedThroughTheDoor() throws Exception {
+    void adminApiChangesLogLevels() throws Exception {
         start(text("127.0.0.1:0", first, "[admin]\naddress = \"127.0.0.1:0\""));
         ask(edge.address());
         assertFalse(logged().contains("attempt_ended"), logged());
--- a/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
@@ -23,11 +23,12 @@
 
     private EdgeConfig read(String part, String instead) throws IOException {
         try (StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "");
-                SidecarFixture rig = new SidecarFixture(endpoint)) {
-            assertTrue(rig.config().contains(part), part);
+                SidecarFixture fixture = new SidecarFixture(endpoint)) {
+            assertTrue(fixture.config().contains(part), part);
             return new PlatformFile(
                             Files.writeString(
-                                    folder.resolve("config.json"), rig.config().replace(part, instead)),
+                                    folder.resolve("config.json"),
+                                    fixture.config().replace(part, instead)),
                             Map.of())
                     .load()
                     .config();
@@ -35,7 +36,7 @@
     }
 
     @Test
-    void whatItHoldsIsRead() throws IOException {
+    void readsAllFields() throws IOException {
         EdgeConfig config = read("", "");
         assertEquals(0x8c1f30d27a5be964L, config.seed());
         assertEquals(1024, config.sockets());
@@ -60,14 +61,14 @@
                 "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
                 "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"
             })
-    void whatIsMissingOrBadIsNamed(String part, String instead, String complaint) {
+    void reportsMissingAndInvalidFields(String part, String instead, String complaint) {
         IllegalArgumentException e =
                 assertThrows(IllegalArgumentException.class, () -> read(part, instead == null ? "" : instead));
         assertTrue(e.getMessage().contains(complaint), e.getMessage());
     }
 
     @Test
-    void aFileThatIsNoJsonIsNamed() throws IOException {
+    void reportsInvalidJson() throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), "{\"name\":");
         IllegalArgumentException e =
                 assertThrows(IllegalArgumentException.class, () -> new PlatformFile(file, Map.of()).load());
--- a/edge/src/test/java/lemonrail/assembly/ReloadTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReloadTest.java
@@ -19,7 +19,7 @@
 
     private final StubEndpoint before = StubEndpoint.respondingWith(200, "", "before");
     private final StubEndpoint after = StubEndpoint.respondingWith(200, "", "after");
-    private SidecarFixture rig = new SidecarFixture(before);
+    private SidecarFixture fixture = new SidecarFixture(before);
 
     ReloadTest() throws IOException {
         // Both fakes stand before each test.
@@ -27,7 +27,7 @@
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
         after.close();
     }
 
@@ -47,16 +47,16 @@
     }
 
     private void reloadFor(String discovery) throws IOException {
-        Files.writeString(rig.configFile, rig.config().replace(rig.discovery.address(), discovery));
-        rig.sidecar.reload();
+        Files.writeString(fixture.configFile, fixture.config().replace(fixture.discovery.address(), discovery));
+        fixture.sidecar.reload();
     }
 
     /** Guards against trust in the old place's version: the new one may count from anywhere. */
     @Test
-    void theWholeListIsAskedForAtTheNewAddressAtOnce() throws Exception {
-        rig.askWithinMs = 20;
-        rig.start();
-        SidecarFixture.await("a watch is on", () -> rig.discovery.requests.size() == 1);
+    void pollsFullSnapshotAtNewAddressAtOnce() throws Exception {
+        fixture.askWithinMs = 20;
+        fixture.start();
+        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
         try (StubEndpoint next = discoveryWith(1, after);
                 StubEndpoint last = discoveryWith(1, before)) {
             reloadFor(next.address());
@@ -66,26 +66,26 @@
             assertEquals(
                     "GET /registry/instances?index=1&wait=3000 HTTP/1.1",
                     next.requests.get(1).line());
-            SidecarFixture.await("the old watch is dropped", () -> rig.discovery.open.get() == 0);
-            assertEquals("after", rig.ask("order", DEADLINE_MS).body());
+            SidecarFixture.await("the old watch is dropped", () -> fixture.discovery.open.get() == 0);
+            assertEquals("after", fixture.ask("order", DEADLINE_MS).body());
             reloadFor(last.address());
             SidecarFixture.await("and again", () -> last.requests.size() == 2);
-            assertEquals("before", rig.ask("order", DEADLINE_MS).body());
+            assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
         }
-        assertFalse(rig.logged().contains("discovery failed"), rig.logged());
+        assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
     }
 
     @Test
-    void aRequestInHandIsNotTouched() throws Exception {
+    void requestInFlightSurvivesReload() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         before.requestHandler = (wire, request) -> {
             release.await();
             StubEndpoint.respond(wire, 200, "", "before");
         };
-        rig.start();
+        fixture.start();
         try (StubEndpoint next = discoveryWith(5, after);
-                HttpTestConnection client = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS));
+                HttpTestConnection client = fixture.client()) {
+            client.send(fixture.request("order", DEADLINE_MS));
             SidecarFixture.await("it is in hand", () -> before.requests.size() == 1);
             reloadFor(next.address());
             SidecarFixture.await("the new list is there", () -> next.requests.size() == 2);
@@ -95,17 +95,17 @@
     }
 
     @Test
-    void aFileThatCannotBeUsedChangesNothing() throws Exception {
-        rig.askWithinMs = 20;
-        rig.start();
-        SidecarFixture.await("a watch is on", () -> rig.discovery.requests.size() == 1);
+    void invalidFileChangesNothing() throws Exception {
+        fixture.askWithinMs = 20;
+        fixture.start();
+        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
         reloadFor("nowhere");
-        SidecarFixture.await("it is told", () -> rig.logged().contains("field discovery is not usable: nowhere"));
-        Files.writeString(rig.configFile, "{");
-        rig.sidecar.reload();
-        SidecarFixture.await("it is told", () -> rig.logged().contains("is not JSON"));
-        assertEquals("before", rig.ask("order", DEADLINE_MS).body());
-        assertEquals(1, rig.discovery.open.get(), "the old watch goes on");
-        assertTrue(rig.logged().contains("the configuration stays as it was"), rig.logged());
+        SidecarFixture.await("it is told", () -> fixture.logged().contains("field discovery is not usable: nowhere"));
+        Files.writeString(fixture.configFile, "{");
+        fixture.sidecar.reload();
+        SidecarFixture.await("it is told", () -> fixture.logged().contains("is not JSON"));
+        assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
+        assertEquals(1, fixture.discovery.open.get(), "the old watch goes on");
+        assertTrue(fixture.logged().contains("the configuration stays as it was"), fixture.logged());
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/RestartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/RestartTest.java
@@ -62,9 +62,9 @@
 
     /** Guards against starts that cost so much that a fleet is long in coming back. */
     @Test
-    void nineInTenAreReadyInTime() throws Exception {
-        try (SidecarFixture rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "yes"))) {
-            Path config = Files.writeString(folder.resolve("config.json"), rig.config());
+    void nineInTenRestartsAreReadyInTime() throws Exception {
+        try (SidecarFixture fixture = new SidecarFixture(StubEndpoint.respondingWith(200, "", "yes"))) {
+            Path config = Files.writeString(folder.resolve("config.json"), fixture.config());
             long began = System.nanoTime();
             for (int i = 0; i < SIDECARS; i++) {
                 sidecars.add(
--- a/edge/src/test/java/lemonrail/assembly/SidecarTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarTest.java
@@ -25,16 +25,16 @@
 
     private static final int DEADLINE_MS = 8000;
 
-    private SidecarFixture rig;
+    private SidecarFixture fixture;
 
     private SidecarFixture start(StubEndpoint... endpoints) throws IOException {
-        rig = new SidecarFixture(endpoints);
-        return rig.start();
+        fixture = new SidecarFixture(endpoints);
+        return fixture.start();
     }
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
     private static StubEndpoint good() throws IOException {
@@ -46,11 +46,11 @@
     @Test
     void aRequestAndItsAnswerGoThroughUnchanged() throws Exception {
         start(good());
-        HttpTestConnection.Message answer = rig.ask("order", DEADLINE_MS);
+        HttpTestConnection.Message answer = fixture.ask("order", DEADLINE_MS);
         assertEquals(200, answer.status());
         assertEquals("served", answer.body());
         assertEquals("text/x", answer.headers().get("content-type"));
-        HttpTestConnection.Message seen = rig.endpoints.get(0).requests.get(0);
+        HttpTestConnection.Message seen = fixture.endpoints.get(0).requests.get(0);
         assertEquals("POST /api?q=1 HTTP/1.1", seen.line());
         assertEquals("hello", seen.body());
         assertEquals("r0", seen.headers().get("x-request-id"));
@@ -62,15 +62,15 @@
     @Test
     void connectionsAreKeptOnBothSides() throws Exception {
         start(good());
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(
                         200,
-                        client.send(rig.request("read", DEADLINE_MS)).read().status());
-                rig.settle();
+                        client.send(fixture.request("read", DEADLINE_MS)).read().status());
+                fixture.settle();
             }
         }
-        assertEquals(1, rig.endpoints.get(0).connections.get());
+        assertEquals(1, fixture.endpoints.get(0).connections.get());
     }
 
     /** Guards against answers that overtake: a client that sends ahead takes them by their order. */
@@ -85,8 +85,8 @@
             }
             StubEndpoint.respond(wire, 200, "", request.headers().get("x-request-id"));
         }));
-        try (HttpTestConnection client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS));
+        try (HttpTestConnection client = fixture.client()) {
+            client.send(fixture.request("read", DEADLINE_MS) + fixture.request("read", DEADLINE_MS));
             assertEquals("r0", client.read().body());
             assertEquals("r1", client.read().body());
         }
@@ -114,10 +114,10 @@
             }
         };
         start(new StubEndpoint(script), new StubEndpoint(script));
-        HttpTestConnection.Message answer = rig.ask("order", DEADLINE_MS);
+        HttpTestConnection.Message answer = fixture.ask("order", DEADLINE_MS);
         assertEquals(502, answer.status());
         assertFalse(answer.body().contains("mine"), "an endpoint's refusal or error is not passed on");
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attempts());
     }
 
     /** Guards against giving up too early: what surely never ran may be tried elsewhere, unsafe or not. */
@@ -156,7 +156,7 @@
             other.requestHandler = once;
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, rig.ask(kind, DEADLINE_MS).status());
+            assertEquals(200, fixture.ask(kind, DEADLINE_MS).status());
         }
     }
 
@@ -165,18 +165,18 @@
     void anAttemptThatIsGivenUpClosesItsConnection() throws Exception {
         StubEndpoint hung = new StubEndpoint((wire, request) -> wire.awaitEnd());
         start(hung);
-        HttpTestConnection.Message answer = rig.ask("order", 300);
+        HttpTestConnection.Message answer = fixture.ask("order", 300);
         assertEquals(502, answer.status(), "it may have run");
         SidecarFixture.await("the connection is closed", () -> hung.open.get() == 0);
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attempts());
     }
 
     @Test
     void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
         StubEndpoint hung = new StubEndpoint((wire, request) -> wire.awaitEnd());
         start(hung);
-        try (HttpTestConnection client = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS));
+        try (HttpTestConnection client = fixture.client()) {
+            client.send(fixture.request("order", DEADLINE_MS));
             SidecarFixture.await("the attempt is out", () -> hung.requests.size() == 1);
         }
         SidecarFixture.await("the attempt is called off", () -> hung.open.get() == 0);
@@ -187,7 +187,7 @@
     void aRefusalComesAtOnceAndTellsWhenToComeBack() throws Exception {
         start();
         long began = System.nanoTime();
-        HttpTestConnection.Message answer = rig.ask("order", DEADLINE_MS);
+        HttpTestConnection.Message answer = fixture.ask("order", DEADLINE_MS);
         assertEquals(503, answer.status());
         assertEquals(0.5, Double.parseDouble(answer.headers().get("retry-after")));
         assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "long before the deadline");
@@ -203,48 +203,48 @@
         for (int i = 0; i < hung.length; i++) {
             hung[i] = new StubEndpoint((wire, request) -> wire.awaitEnd());
         }
-        rig = new SidecarFixture(hung);
-        rig.sockets = 1;
-        rig.start();
-        try (HttpTestConnection ahead = rig.client()) {
+        fixture = new SidecarFixture(hung);
+        fixture.sockets = 1;
+        fixture.start();
+        try (HttpTestConnection ahead = fixture.client()) {
             for (int i = 0; i < 8; i++) {
-                ahead.send(rig.request("order", DEADLINE_MS));
+                ahead.send(fixture.request("order", DEADLINE_MS));
             }
-            SidecarFixture.await("all connections are busy", () -> rig.attempts() == 8);
-            assertEquals(503, rig.ask("order", DEADLINE_MS).status());
-            assertEquals(8, rig.attempts());
-            assertTrue(rig.logged().contains("all 8 connections to endpoints are busy"), rig.logged());
-            assertFalse(rig.logged().contains("module failed"), rig.logged());
+            SidecarFixture.await("all connections are busy", () -> fixture.attempts() == 8);
+            assertEquals(503, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(8, fixture.attempts());
+            assertTrue(fixture.logged().contains("all 8 connections to endpoints are busy"), fixture.logged());
+            assertFalse(fixture.logged().contains("module failed"), fixture.logged());
         }
     }
 
     /** Guards against running out of descriptors: beyond the bound clients are refused in good order. */
     @Test
     void clientsBeyondTheBoundAreRefused() throws Exception {
-        rig = new SidecarFixture(new StubEndpoint((wire, request) -> wire.awaitEnd()));
-        rig.sockets = 1;
-        rig.start();
+        fixture = new SidecarFixture(new StubEndpoint((wire, request) -> wire.awaitEnd()));
+        fixture.sockets = 1;
+        fixture.start();
         List<HttpTestConnection> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            clients.add(rig.client().send(rig.request("order", DEADLINE_MS)));
+            clients.add(fixture.client().send(fixture.request("order", DEADLINE_MS)));
         }
-        SidecarFixture.await("some are in hand", () -> rig.attempts() == 4);
+        SidecarFixture.await("some are in hand", () -> fixture.attempts() == 4);
         // Idle ones make room for those that come after; busy ones stay.
         for (int i = 0; i < 12; i++) {
-            clients.add(rig.client());
+            clients.add(fixture.client());
         }
         clients.get(4).awaitEnd();
         for (int i = 12; i < 16; i++) {
             clients.get(i).send("POST /api HTTP/1.1\r\n");
         }
-        clients.add(rig.client());
+        clients.add(fixture.client());
         for (HttpTestConnection client : clients) {
             client.close();
         }
         SidecarFixture.await(
-                "the endpoint is let go", () -> rig.endpoints.get(0).open.get() == 0);
-        rig.endpoints.get(0).requestHandler = (wire, request) -> StubEndpoint.respond(wire, 200, "", "served");
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+                "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
+        fixture.endpoints.get(0).requestHandler = (wire, request) -> StubEndpoint.respond(wire, 200, "", "served");
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
     }
 
     // ---- what is no request ----
@@ -269,18 +269,18 @@
             release.await();
             StubEndpoint.respond(wire, 200, "", "served");
         }));
-        try (HttpTestConnection other = rig.client();
-                HttpTestConnection client = rig.client()) {
-            String request = rig.request("read", DEADLINE_MS);
-            other.send(rig.request("read", DEADLINE_MS));
-            SidecarFixture.await("another request is in hand", () -> rig.attempts() == 1);
+        try (HttpTestConnection other = fixture.client();
+                HttpTestConnection client = fixture.client()) {
+            String request = fixture.request("read", DEADLINE_MS);
+            other.send(fixture.request("read", DEADLINE_MS));
+            SidecarFixture.await("another request is in hand", () -> fixture.attempts() == 1);
             assertTrue(request.contains(part), part);
             assertEquals(
                     status, client.send(request.replace(part, instead)).read().status());
             release.countDown();
             assertEquals(200, other.read().status());
         }
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attempts());
     }
 
     @Test
@@ -290,11 +290,11 @@
             release.await();
             StubEndpoint.respond(wire, 200, "", "served");
         }));
-        try (HttpTestConnection one = rig.client();
-                HttpTestConnection two = rig.client()) {
-            String request = rig.request("read", DEADLINE_MS);
+        try (HttpTestConnection one = fixture.client();
+                HttpTestConnection two = fixture.client()) {
+            String request = fixture.request("read", DEADLINE_MS);
             one.send(request);
-            SidecarFixture.await("it is in hand", () -> rig.attempts() == 1);
+            SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
             assertEquals(409, two.send(request).read().status());
             release.countDown();
             assertEquals(200, one.read().status());
@@ -306,12 +306,13 @@
     /** Guards against writing on a connection that the endpoint is closing, which would be a reset. */
     @Test
     void idleConnectionsAreClosedBeforeTheEndpointDoes() throws Exception {
-        rig = new SidecarFixture(good());
-        rig.idleCloseMs = 400;
-        rig.start();
-        assertEquals(200, rig.ask("read", DEADLINE_MS).status());
+        fixture = new SidecarFixture(good());
+        fixture.idleCloseMs = 400;
+        fixture.start();
+        assertEquals(200, fixture.ask("read", DEADLINE_MS).status());
         SidecarFixture.await(
-                "the idle connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+                "the idle connection is closed",
+                () -> fixture.endpoints.get(0).open.get() == 0);
     }
 
     // ---- discovery ----
@@ -319,7 +320,7 @@
     /** A discovery that answers calls with what the test puts in, one after another. */
     private LinkedBlockingQueue<String> discovering() {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        rig.discovery.requestHandler = (wire, request) -> {
+        fixture.discovery.requestHandler = (wire, request) -> {
             String answer = answers.take();
             if (answer.equals("reset")) {
                 wire.reset();
@@ -334,24 +335,24 @@
     void theWatchGoesOnFromTheVersionOfItsLastAnswer() throws Exception {
         StubEndpoint before = good();
         StubEndpoint after = good();
-        rig = new SidecarFixture(before);
-        rig.askWithinMs = 20;
+        fixture = new SidecarFixture(before);
+        fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
-        rig.start();
+        fixture.start();
         answers.add(SidecarFixture.list(
                 7,
                 false,
                 SidecarFixture.line(0, before.address(), "terminating", 0),
                 SidecarFixture.line(1, after.address(), "in_service", 0)));
-        SidecarFixture.await("the next call is made", () -> rig.discovery.requests.size() == 2);
+        SidecarFixture.await("the next call is made", () -> fixture.discovery.requests.size() == 2);
         assertEquals(
                 List.of(
                         "GET /registry/instances?index=1&wait=3000 HTTP/1.1",
                         "GET /registry/instances?index=7&wait=3000 HTTP/1.1"),
-                rig.discovery.requests.stream()
+                fixture.discovery.requests.stream()
                         .map(HttpTestConnection.Message::line)
                         .toList());
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "it drains");
         assertEquals(1, after.requests.size());
         after.close();
@@ -360,15 +361,15 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "reset", "{\"version\":", "{\"version\":1}"})
     void aCallThatFailedIsMadeAgain(String failure) throws Exception {
-        rig = new SidecarFixture(good());
-        rig.askWithinMs = 20;
+        fixture = new SidecarFixture(good());
+        fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
-        rig.start();
+        fixture.start();
         answers.add(failure);
         answers.add(failure);
-        SidecarFixture.await("it asks again", () -> rig.discovery.requests.size() >= 3);
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertTrue(rig.logged().contains("discovery failed"), rig.logged());
+        SidecarFixture.await("it asks again", () -> fixture.discovery.requests.size() >= 3);
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertTrue(fixture.logged().contains("discovery failed"), fixture.logged());
     }
 
     /** Guards against trust in a watch that has fallen silent: the next one tells what it would have. */
@@ -376,39 +377,39 @@
     void aWatchThatFellSilentIsGivenUpSoonAfterItsWait() throws Exception {
         StubEndpoint before = good();
         StubEndpoint after = good();
-        rig = new SidecarFixture(before);
-        rig.askWithinMs = 20;
-        rig.discoveryWaitMs = 100;
-        rig.discovery.requestHandler = (wire, request) -> {
-            if (rig.discovery.requests.size() > 1) {
+        fixture = new SidecarFixture(before);
+        fixture.askWithinMs = 20;
+        fixture.discoveryWaitMs = 100;
+        fixture.discovery.requestHandler = (wire, request) -> {
+            if (fixture.discovery.requests.size() > 1) {
                 StubEndpoint.respond(
                         wire,
                         200,
                         "",
                         SidecarFixture.list(7, true, SidecarFixture.line(1, after.address(), "in_service", 0)));
-                rig.discovery.requestHandler = (next, call) -> next.awaitEnd();
+                fixture.discovery.requestHandler = (next, call) -> next.awaitEnd();
             }
         };
-        rig.start();
-        SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() >= 3);
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        fixture.start();
+        SidecarFixture.await("the list is there", () -> fixture.discovery.requests.size() >= 3);
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         assertEquals(1, after.requests.size());
-        assertTrue(rig.logged().contains("discovery failed: no answer in time"), rig.logged());
+        assertTrue(fixture.logged().contains("discovery failed: no answer in time"), fixture.logged());
         after.close();
     }
 
     /** Guards against changes since a version of another count, which would not be all there are. */
     @Test
     void theWholeListIsAskedForWhereVersionsGoBack() throws Exception {
-        rig = new SidecarFixture(good());
-        rig.askWithinMs = 20;
+        fixture = new SidecarFixture(good());
+        fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
-        rig.start();
+        fixture.start();
         answers.add(SidecarFixture.list(0, false));
-        SidecarFixture.await("the next call is made", () -> rig.discovery.requests.size() == 2);
+        SidecarFixture.await("the next call is made", () -> fixture.discovery.requests.size() == 2);
         assertEquals(
                 "GET /registry/instances HTTP/1.1",
-                rig.discovery.requests.get(1).line());
+                fixture.discovery.requests.get(1).line());
     }
 
     /** Guards against connections to a process that is no more, on which a request would be reset. */
@@ -416,15 +417,15 @@
     @CsvSource({"true,0", "false,1000"})
     void anEndpointThatMovesOrRestartsGetsNewConnections(boolean moves, long started) throws Exception {
         StubEndpoint old = good();
-        rig = new SidecarFixture(old);
-        rig.askWithinMs = 20;
+        fixture = new SidecarFixture(old);
+        fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
-        rig.start();
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        fixture.start();
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         StubEndpoint now = moves ? good() : old;
         answers.add(SidecarFixture.list(2, false, SidecarFixture.line(0, now.address(), "in_service", started)));
         SidecarFixture.await("the old connection is closed", () -> old.open.get() == 0);
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         assertEquals(moves ? 1 : 2, old.connections.get());
         now.close();
     }
@@ -435,13 +436,13 @@
     void itIsReadyOnlyWithAnEndpointToServeFrom() throws Exception {
         start();
         String ask = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             assertEquals(503, client.send(ask).read().status());
         }
         stop();
         start(good());
         SidecarFixture.await("it is ready once it is warm", () -> {
-            try (HttpTestConnection client = rig.client()) {
+            try (HttpTestConnection client = fixture.client()) {
                 return client.send(ask).read().status() == 200;
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
@@ -459,18 +460,21 @@
             }
             StubEndpoint.respond(wire, 200, "", "served");
         }));
-        HttpTestConnection inHand = rig.client().send(rig.request("order", DEADLINE_MS));
-        HttpTestConnection idle = rig.client();
-        HttpTestConnection kept = rig.client();
-        assertEquals(200, idle.send(rig.request("order", DEADLINE_MS)).read().status());
-        assertEquals(200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
-        Thread drain = new Thread(rig.sidecar::shutdownGracefully);
+        HttpTestConnection inHand = fixture.client().send(fixture.request("order", DEADLINE_MS));
+        HttpTestConnection idle = fixture.client();
+        HttpTestConnection kept = fixture.client();
+        assertEquals(
+                200, idle.send(fixture.request("order", DEADLINE_MS)).read().status());
+        assertEquals(
+                200, kept.send(fixture.request("order", DEADLINE_MS)).read().status());
+        Thread drain = new Thread(fixture.sidecar::shutdownGracefully);
         drain.start();
         int served = 0;
         try {
             while (true) {
                 assertEquals(
-                        200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
+                        200,
+                        kept.send(fixture.request("order", DEADLINE_MS)).read().status());
                 served++;
             }
         } catch (IOException e) {
@@ -483,19 +487,19 @@
         assertEquals(200, answer.status());
         assertEquals("close", answer.headers().get("connection"));
         drain.join();
-        assertThrows(IOException.class, () -> rig.client());
+        assertThrows(IOException.class, () -> fixture.client());
     }
 
     /** Guards against a warm-up that leaks: endpoints and discovery see nothing of it. */
     @Test
     void theWarmUpStaysWithinTheSidecar() throws Exception {
         start(good());
-        SidecarFixture.await("it is warm", () -> rig.logged().contains("warm after"));
-        assertEquals(0, rig.endpoints.get(0).connections.get());
-        SidecarFixture.await("the watch is on", () -> !rig.discovery.requests.isEmpty());
+        SidecarFixture.await("it is warm", () -> fixture.logged().contains("warm after"));
+        assertEquals(0, fixture.endpoints.get(0).connections.get());
+        SidecarFixture.await("the watch is on", () -> !fixture.discovery.requests.isEmpty());
         assertEquals(
                 List.of("GET /registry/instances?index=1&wait=3000 HTTP/1.1"),
-                rig.discovery.requests.stream()
+                fixture.discovery.requests.stream()
                         .map(HttpTestConnection.Message::line)
                         .toList(),
                 "its watch and nothing else");
@@ -506,11 +510,11 @@
     void rudePeersHarmNobody() throws Exception {
         start(good());
         for (int i = 0; i < 20; i++) {
-            rig.client().send("GET /api HT").reset();
-            rig.client().send("\0\0\0\r\n\r\n").reset();
+            fixture.client().send("GET /api HT").reset();
+            fixture.client().send("\0\0\0\r\n\r\n").reset();
         }
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        try (HttpTestConnection client = rig.client()) {
+        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        try (HttpTestConnection client = fixture.client()) {
             client.send("GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n");
             assertEquals(400, client.read().status());
             assertThrows(EOFException.class, client::read);
--- a/edge/src/test/java/lemonrail/assembly/StartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StartTest.java
@@ -66,14 +66,14 @@
 
     /** Guards against requests that wait in the listener's queue while the start keeps the loop busy. */
     @Test
-    void noClientIsLetInBeforeTheSidecarIsWarm() throws Exception {
+    void refusesClientsBeforeWarmUpIsDone() throws Exception {
         int port = freePort();
         AtomicBoolean letIn = new AtomicBoolean();
-        try (SidecarFixture rig = new SidecarFixture(StubEndpoint.respondingWith(200, "", "ok"))) {
-            rig.change =
+        try (SidecarFixture fixture = new SidecarFixture(StubEndpoint.respondingWith(200, "", "ok"))) {
+            fixture.change =
                     config -> config.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
-            rig.protocol = new Watched<>(new Http1Protocol(), port, letIn);
-            rig.start();
+            fixture.protocol = new Watched<>(new Http1Protocol(), port, letIn);
+            fixture.start();
             assertFalse(letIn.get(), "a client was let in during the warm-up");
             assertTrue(lets(port), "a client is let in once the sidecar serves");
         }
--- a/edge/src/test/java/lemonrail/cli/BadFilesTest.java
+++ b/edge/src/test/java/lemonrail/cli/BadFilesTest.java
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void theFileThatTheRowsSpoilIsGood() throws IOException {
+    void baseFileIsValid() throws IOException {
         EdgeConfig config = new TomlFile(file(GOOD), Map.of()).load().config();
         assertEquals(1, config.settings().zone());
         assertEquals(2500, config.settings().classes().get(0).deadlineMs());
@@ -149,7 +149,8 @@
                 "level = \"info\"|levels = {\"io.netty\" = \"info\"}|41|logging.levels|must be loggers",
                 "level = \"info\"|format = \"xml\"|41|logging.format|must be one of \"plain\", \"text\", \"json\""
             })
-    void aBadFileIsNamed(String part, String instead, int line, String key, String rest) throws IOException {
+    void reportsProblemWithLineKeyAndValue(String part, String instead, int line, String key, String rest)
+            throws IOException {
         assertTrue(GOOD.contains(part), part);
         ConfigProblem first = problems(GOOD.replaceFirst(
                         java.util.regex.Pattern.quote(part), java.util.regex.Matcher.quoteReplacement(instead)))
@@ -169,7 +170,7 @@
     }
 
     @Test
-    void allThatIsWrongIsNamedAtOnce() throws IOException {
+    void reportsAllProblemsAtOnce() throws IOException {
         List<ConfigProblem> all = problems(GOOD.replace("seed = 7", "seed = -7")
                 .replace("\"1s\"", "\"9s\"")
                 .replace("worth = 3", "wort = 3")
@@ -184,14 +185,14 @@
     }
 
     @Test
-    void whatMustBeThereIsAskedFor() throws IOException {
+    void reportsMissingRequiredTables() throws IOException {
         assertEquals(
                 List.of("listeners", "endpoints", "classes"),
                 problems("name = \"edge\"").stream().map(ConfigProblem::key).toList());
     }
 
     @Test
-    void aFileThatIsNotThereOrNoTextIsNamed() throws IOException {
+    void reportsMissingAndUnreadableFiles() throws IOException {
         TomlFile none = new TomlFile(folder.resolve("none.toml"), Map.of());
         assertEquals(
                 none.file() + ": there is no such file",
@@ -204,7 +205,7 @@
 
     /** Guards against lines that are off where values go over several lines or hold brackets and quotes. */
     @Test
-    void linesAreRightBehindValuesOfSeveralLines() throws IOException {
+    void reportsRightLineAfterMultilineValues() throws IOException {
         String text = GOOD.replace("[\"east\", \"west\"]", "[ # [\n  \"east\", # \"]\n  \"west\"\n]")
                 .replace("name = \"edge\"", "\"name\" = 'edge' # = [")
                 .replace("worth = 3", "worth = -3");
@@ -212,7 +213,7 @@
     }
 
     @Test
-    void theEnvironmentGoesBeforeTheFile() throws IOException {
+    void environmentOverridesFile() throws IOException {
         TomlFile file =
                 new TomlFile(file(GOOD), Map.of("LEMONRAIL_LIMITS_ATTEMPTS", "4", "LEMONRAIL_LOGGING_FORMAT", "json"));
         LoadedConfiguration loaded = file.load();
@@ -232,7 +233,7 @@
 
     /** Guards against waits that hide a silent watch for longer than the time in which a change binds. */
     @Test
-    void aWaitForNewsIsShortEnoughForChangesToBeKnownInTime() throws IOException {
+    void limitsDiscoveryWaitSoThatChangesArriveInTime() throws IOException {
         String watched = GOOD + "[discovery]\naddress = \"127.0.0.1:8500\"\nwait = \"WAIT\"\n";
         EdgeConfig longest = new TomlFile(file(watched.replace("WAIT", "3s")), Map.of())
                 .load()
--- a/edge/src/test/java/lemonrail/cli/CommandLineTest.java
+++ b/edge/src/test/java/lemonrail/cli/CommandLineTest.java
@@ -66,7 +66,7 @@
                 "serve --config none.toml|2|lemonrail: none.toml: there is no such file",
                 "check none.json none.toml|2|none.json: GW_CONFIG names a file that is not there"
             })
-    void aBadCallSaysWhyAndEndsWithTwo(String args, int status, String why) throws Exception {
+    void invalidCallPrintsReasonAndReturnsTwo(String args, int status, String why) throws Exception {
         Result result = call(args == null ? new String[0] : args.split(" "));
         assertEquals(status, result.status(), result.err());
         assertTrue(result.err().contains(why), result.err());
@@ -88,7 +88,7 @@
                 "config schema|[[listeners]]",
                 "config schema --format json|2020-12"
             })
-    void aGoodCallPrintsOnStandardOutput(String args, String part) throws Exception {
+    void validCallPrintsOnStandardOutput(String args, String part) throws Exception {
         Result result = call(args.split(" "));
         assertEquals(0, result.status(), result.err());
         assertTrue(result.out().contains(part), result.out());
@@ -98,7 +98,7 @@
     /** Input that is no batch ends the adapter at once, which shows that the command has reached it. */
     @ParameterizedTest
     @ValueSource(strings = {"simulator", "benchlink"})
-    void theSimulatorCommandAndItsAliasRunTheAdapter(String command) throws Exception {
+    void simulatorCommandAndItsAliasRunTheAdapter(String command) throws Exception {
         Result result = call(command);
         assertEquals(1, result.status(), result.err());
         assertTrue(result.err().startsWith("lemonrail: batch (number unread)"), result.err());
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void theExampleIsGoodAndItsValuesAreTold() throws Exception {
+    void checksAndShowsTheExample() throws Exception {
         Result checked = call("check", EXAMPLE.toString());
         assertEquals(0, checked.status(), checked.err());
         assertTrue(checked.out().contains("edge-1 would listen on 127.0.0.1:9000"), checked.out());
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void checkNamesEachProblemOnALineOfItsOwn() throws Exception {
+    void checkPrintsOneLineForEachProblem() throws Exception {
         Path bad = Files.writeString(
                 folder.resolve("bad.toml"),
                 Files.readString(EXAMPLE, StandardCharsets.UTF_8)
--- a/edge/src/test/java/lemonrail/cli/MainTest.java
+++ b/edge/src/test/java/lemonrail/cli/MainTest.java
@@ -58,7 +58,7 @@
      * first buffer of each kind had its classes loaded and code for them generated, on the event loop.
      */
     @Test
-    void aStartLoadsNothingOfTheFlightRecorder() throws Exception {
+    void startLoadsNoFlightRecorderClasses() throws Exception {
         Process process = serve(CONFIG, List.of(), List.of("-Xlog:class+load"));
         try (BufferedReader log = process.inputReader()) {
             List<String> loaded = linesUntil(log, "warm after");
@@ -78,7 +78,7 @@
      * that says no request needs is loaded before the first of them comes, and so is in the class archive.
      */
     @Test
-    void aStartHasMetTheWaysThatRequestsGo() throws Exception {
+    void startLoadsTheClassesOfAllRequestPaths() throws Exception {
         Process process = serve(CONFIG, List.of(), List.of("-Xlog:class+load"));
         try (BufferedReader log = process.inputReader()) {
             String loaded = String.join("\n", linesUntil(log, "warm after"));
@@ -97,7 +97,7 @@
 
     /** Guards against a planned restart that counts as a crash: after SIGTERM it exits with 0. */
     @Test
-    void aStopBySignalIsACleanExit() throws Exception {
+    void sigtermIsACleanExit() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "warm after");
@@ -111,7 +111,7 @@
 
     /** Guards against a reload that ends the program: SIGHUP reads the configuration again, each time. */
     @Test
-    void aSighupReadsTheConfigurationAgain() throws Exception {
+    void sighupReloadsTheConfiguration() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "warm after");
@@ -134,7 +134,7 @@
 
     /** Guards against a reload that nobody hears of: where SIGHUP is ignored from the start, it says so. */
     @Test
-    void itSaysThatReloadsAreOff() throws Exception {
+    void logsThatTheReloadSignalIsIgnored() throws Exception {
         Assumptions.assumeTrue(Files.exists(Path.of("/proc/self/status")), "the system does not tell");
         assertTrue(reloadsAreOff("trap '' HUP"));
         assertFalse(reloadsAreOff("trap - HUP"));
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void aConfigurationThatIsBadIsOnePlainLine() throws Exception {
+    void invalidConfigurationIsReportedInOneLine() throws Exception {
         Process process = serve(CONFIG.replace("\"sockets\":1024", "\"sockets\":\"many\""));
         try (BufferedReader log = process.inputReader()) {
             List<String> lines = log.lines().toList();
--- a/edge/src/test/java/lemonrail/cli/SignalMaskTest.java
+++ b/edge/src/test/java/lemonrail/cli/SignalMaskTest.java
@@ -21,7 +21,7 @@
         "'',false",
         "none,false"
     })
-    void itTellsWhetherHangUpsAreIgnored(String mask, boolean ignored) {
+    void readsIgnoredSignalsFromTheMask(String mask, boolean ignored) {
         assertEquals(
                 ignored,
                 SignalMask.ignores(
@@ -35,7 +35,7 @@
 
     @ParameterizedTest
     @CsvSource({"''", "SigBlk:\t1"})
-    void whereItIsNotToldNothingIsIgnored(String line) {
+    void unreadableMaskMeansNotIgnored(String line) {
         assertEquals(false, SignalMask.ignores(List.of(line), SignalMask.HUP));
     }
 }
--- a/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
+++ b/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
@@ -41,7 +41,7 @@
             1e12);
 
     @Test
-    void whatItNamesChangesAndAllElseStays() {
+    void overridesOnlyWhatTheDocumentNames() {
         BalancerSettings now = SettingsDocument.over(OWN, """
             [[classes]]
             name = "order"
@@ -80,7 +80,7 @@
                 "[limits];descriptors = 10|limits.descriptors = 10: unknown key",
                 "[drain];grace = '1s'|drain"
             })
-    void whatNoEdgeCouldTakeIsRefusedWithItsPlace(String text, String why) {
+    void rejectsInvalidDocumentsWithTheirLine(String text, String why) {
         String document = text.replace(';', '\n');
         ConfigException e = assertThrows(ConfigException.class, () -> SettingsDocument.check(document));
         assertTrue(e.getMessage().contains(why), e.getMessage());
@@ -98,7 +98,7 @@
                 "[[classes]];name = 'order';worth = 0.1|would have a late-worth above its worth",
                 "[[classes]];name = 'read';aim = '1ms';deadline = '100ms'|limits.connect-timeout"
             })
-    void whatDoesNotGoWithAnEdgesOwnFileIsRefusedThere(String text, String why) {
+    void rejectsDocumentsThatConflictWithTheEdgesFile(String text, String why) {
         String document = text.replace(';', '\n');
         SettingsDocument.check(document);
         ConfigException e = assertThrows(ConfigException.class, () -> SettingsDocument.over(OWN, document));
--- a/edge/src/test/java/lemonrail/logging/LogTest.java
+++ b/edge/src/test/java/lemonrail/logging/LogTest.java
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void repeatedTroubleIsDampedByKindAndCounted() {
+    void repeatedWarningsAreRateLimitedByKindAndCounted() {
         EventLog log = new EventLog(new Clock(), new TextSink(out));
         for (int i = 0; i < 50; i++) {
             log.in("http1").warnRateLimited("no_connection", "no connection", "number " + i);
@@ -86,7 +86,7 @@
 
     /** Guards against a full pipe that stops the event loop: the caller goes on, and what is lost is told. */
     @Test
-    void aReaderThatTakesNothingHoldsNobodyUp() throws Exception {
+    void slowReaderDoesNotBlockTheWriter() throws Exception {
         CountDownLatch reads = new CountDownLatch(1);
         CountDownLatch stuck = new CountDownLatch(1);
         OutputStream pipe = new OutputStream() {
