--- a/core/src/test/java/lemonrail/core/AdmissionRateTest.java
+++ b/core/src/test/java/lemonrail/core/AdmissionRateTest.java
@@ -6,59 +6,59 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What is learned of the share of requests that are served. */
+/** Checks the estimate of the fraction of requests that are served. */
 class AdmissionRateTest {
 
     @Test
-    void nothingKnownIsWhatIsGivenForUnknown() {
+    void estimateIsThePriorAtFirst() {
         assertEquals(0.3, new AdmissionRate().estimate(0.3));
     }
 
     @Test
-    void whatWasNotSentTellsNothing() {
-        AdmissionRate share = new AdmissionRate();
+    void requestsNotForwardedDoNotCount() {
+        AdmissionRate rate = new AdmissionRate();
         for (int i = 0; i < 100; i++) {
-            share.recordRequest(false);
+            rate.recordRequest(false);
         }
-        assertEquals(0.3, share.estimate(0.3));
+        assertEquals(0.3, rate.estimate(0.3));
     }
 
     @Test
-    void itNearsTheShareAndForgetsWhatWasBefore() {
-        AdmissionRate share = new AdmissionRate();
+    void estimateFollowsTheRecentRate() {
+        AdmissionRate rate = new AdmissionRate();
         for (int i = 0; i < 500; i++) {
-            share.recordRequest(true);
-            share.recordServed();
+            rate.recordRequest(true);
+            rate.recordServed();
         }
-        assertTrue(share.estimate(0) > 0.96 && share.estimate(1) <= 1, "all served " + share.estimate(0));
+        assertTrue(rate.estimate(0) > 0.96 && rate.estimate(1) <= 1, "all served " + rate.estimate(0));
         for (int i = 0; i < 500; i++) {
-            share.recordRequest(true);
+            rate.recordRequest(true);
             if (i % 5 == 0) {
-                share.recordServed();
+                rate.recordServed();
             }
         }
-        assertEquals(0.2, share.estimate(0), 0.05, "one in five");
+        assertEquals(0.2, rate.estimate(0), 0.05, "one in five");
         for (int i = 0; i < 500; i++) {
-            share.recordRequest(true);
+            rate.recordRequest(true);
         }
-        assertEquals(0, share.estimate(0), 0.001, "none");
+        assertEquals(0, rate.estimate(0), 0.001, "none");
     }
 
-    /** Guards against a fleet of slow callers that each take themselves for better served than all are. */
+    /** Guards against balancers with little traffic that each overestimate the rate. */
     @Test
-    void manyThatKnowLittleComeNearTheShareOfAll() {
+    void meanOverManyEstimatorsWithLittleTrafficIsCloseToTheRate() {
         SplittableRandom random = new SplittableRandom(5);
         int processes = 1000;
         double sum = 0;
         for (int process = 0; process < processes; process++) {
-            AdmissionRate share = new AdmissionRate();
+            AdmissionRate rate = new AdmissionRate();
             for (int i = random.nextInt(4); i > 0; i--) {
-                share.recordRequest(true);
+                rate.recordRequest(true);
                 if (random.nextInt(6) == 0) {
-                    share.recordServed();
+                    rate.recordServed();
                 }
             }
-            sum += share.estimate(0);
+            sum += rate.estimate(0);
         }
         assertTrue(sum / processes > 0.05 && sum / processes < 1.0 / 6, "mean " + sum / processes);
     }
--- a/core/src/test/java/lemonrail/core/policy/AdmissionTest.java
+++ b/core/src/test/java/lemonrail/core/policy/AdmissionTest.java
@@ -14,27 +14,27 @@
 
     @Test
     void fullPoolRejectsRequestsAndKeepsNoQueue() {
-        Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(32));
+        Fixture f = Fixture.of(1, 0, 1).list(Fixture.endpoints(32));
         for (int i = 0; i < 1068; i++) {
             f.request(Fixture.IDEMPOTENT);
         }
-        assertEquals(1024, f.host.sent.size());
-        assertEquals(44, f.host.refused.size());
-        f.finish(f.host.sent.get(0), AttemptOutcome.OK, 10);
-        assertEquals(1024, f.host.sent.size(), "a refused call must not be sent later");
+        assertEquals(1024, f.host.started.size());
+        assertEquals(44, f.host.rejected.size());
+        f.finish(f.host.started.get(0), AttemptOutcome.OK, 10);
+        assertEquals(1024, f.host.started.size(), "a rejected request must not be sent later");
     }
 
     @Test
     void requestIsRejectedWithoutEndpoints() {
         Fixture f = Fixture.of(1, 0, 0).list(List.of());
         f.request(Fixture.NON_IDEMPOTENT);
-        assertEquals(List.of("r0"), f.host.refused);
+        assertEquals(List.of("r0"), f.host.rejected);
     }
 
-    /** Guards against overload that cannot be shed where balancers outnumber what servers hold (i190c84). */
+    /** Guards against overload that cannot be shed where balancers outnumber what endpoints can serve (i190c84). */
     @Test
     void limitBelowOneRequestPacesRequests() {
-        Fixture f = Fixture.of(100, 0, 0).list(Fixture.servers(10));
+        Fixture f = Fixture.of(100, 0, 0).list(Fixture.endpoints(10));
         int quick = forwardedInASecond(f, 100);
         forwardedInASecond(f, 900);
         for (int i = 0; i < 30; i++) {
@@ -42,59 +42,59 @@
         }
         int slow = forwardedInASecond(f, 100);
         assertTrue(quick >= 8, quick + " while all is well");
-        assertTrue(slow <= 2, slow + " after half a minute of slow answers");
+        assertTrue(slow <= 2, slow + " after half a minute of slow responses");
     }
 
-    /** Guards against refusing work that other servers have already sunk time into. */
+    /** Guards against wasting the work that higher tiers have already done. */
     @Test
     void lowerTiersDoNotShedLoad() {
-        Fixture f = Fixture.of(10, 0, 1).list(Fixture.servers(20));
+        Fixture f = Fixture.of(10, 0, 1).list(Fixture.endpoints(20));
         for (int i = 0; i < 100; i++) {
             f.request(Fixture.IDEMPOTENT);
         }
-        assertEquals(100, f.host.sent.size());
+        assertEquals(100, f.host.started.size());
     }
 
-    /** Guards against a tenant's flood: what is beyond its allowance gives way first. */
+    /** Guards against a tenant's burst: requests over its quota are rejected first. */
     @Test
     void requestsOverQuotaAreRejectedFirst() {
         Fixture f = new Fixture(Fixture.settings(
                 10, 0, 0, true, new TenantQuota("flood", 10, 0.1), new TenantQuota("calm", 1000, 0.9)));
-        f.list(Fixture.servers(20));
+        f.list(Fixture.endpoints(20));
         for (int i = 0; i < 50; i++) {
             f.request(Fixture.IDEMPOTENT, 0);
         }
-        int flooded = f.host.sent.size();
+        int flooded = f.host.started.size();
         for (int i = 0; i < 50; i++) {
             f.request(Fixture.IDEMPOTENT, 1);
         }
-        assertTrue(flooded < f.host.sent.size(), "room is left for the tenant within its share");
-        assertEquals(8, f.host.sent.size());
+        assertTrue(flooded < f.host.started.size(), "capacity is left for the tenant within its quota");
+        assertEquals(8, f.host.started.size());
     }
 
-    /** Guards against a flood that takes a small limit's only slot whenever it falls free (h430bb6). */
+    /** Guards against requests over quota that take a small limit's only slot whenever it falls free (h430bb6). */
     @Test
     void requestsOverQuotaDoNotUseUpASmallLimit() {
         Fixture f = new Fixture(
                 Fixture.settings(10, 0, 0, true, new TenantQuota("flood", 0, 0.1), new TenantQuota("calm", 1000, 0.9)));
-        f.list(Fixture.servers(4));
+        f.list(Fixture.endpoints(4));
         f.request(Fixture.IDEMPOTENT, 0);
         f.now += 10;
         for (int i = 0; i < 20; i++) {
             f.request(Fixture.IDEMPOTENT, 0);
         }
-        assertTrue(f.host.sent.size() <= 1, "the flood got " + f.host.sent.size());
+        assertTrue(f.host.started.size() <= 1, "the flood got " + f.host.started.size());
         f.request(Fixture.IDEMPOTENT, 1);
         assertEquals("r21", f.host.last().request());
         f.request(Fixture.IDEMPOTENT, 1);
         assertEquals(
                 List.of("r22"),
-                f.host.refused.subList(f.host.refused.size() - 1, f.host.refused.size()),
+                f.host.rejected.subList(f.host.rejected.size() - 1, f.host.rejected.size()),
                 "the limit is full");
         f.finish(f.host.last(), AttemptOutcome.OK, 10);
         f.now += 500;
-        int before = f.host.sent.size();
+        int before = f.host.started.size();
         f.request(Fixture.IDEMPOTENT, 0);
-        assertEquals(before, f.host.sent.size(), "a call within its share was turned away just now");
+        assertEquals(before, f.host.started.size(), "a request within its quota was rejected just now");
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/BoxcarLoadBalancerTest.java
+++ b/core/src/test/java/lemonrail/core/policy/BoxcarLoadBalancerTest.java
@@ -14,30 +14,30 @@
 
     @Test
     void requestGetsOneFinalResponseAndNothingAfterIt() {
-        Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
+        Fixture f = Fixture.of(2, 0, 0).list(Fixture.endpoints(4));
         String id = f.request(Fixture.IDEMPOTENT);
-        Recorder.Sent sent = f.host.last();
+        RecordingHost.StartedAttempt sent = f.host.last();
         f.balancer.onRequestCancelled(f.now, id);
         f.finish(sent, AttemptOutcome.CANCELED, 5);
         f.finish(sent, AttemptOutcome.FAILED, 6);
-        assertEquals(1, f.host.sent.size());
-        assertTrue(f.host.refused.isEmpty() && f.host.failed.isEmpty());
+        assertEquals(1, f.host.started.size());
+        assertTrue(f.host.rejected.isEmpty() && f.host.failed.isEmpty());
         assertEquals(List.of("r0#0"), f.host.cancelled);
     }
 
     @Test
     void eventsForUnknownRequestsAreIgnored() {
-        Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(2));
+        Fixture f = Fixture.of(2, 0, 0).list(Fixture.endpoints(2));
         f.balancer.onRequestCancelled(f.now, "nobody");
-        f.finish(new Recorder.Sent("nobody", 0, "s0", 1), AttemptOutcome.OK, 1);
+        f.finish(new RecordingHost.StartedAttempt("nobody", 0, "s0", 1), AttemptOutcome.OK, 1);
         f.balancer.onResponseStreamStarted(f.now, "nobody", 0);
         f.balancer.onTimer(f.now, 99);
-        assertTrue(f.host.sent.isEmpty() && f.host.refused.isEmpty());
+        assertTrue(f.host.started.isEmpty() && f.host.rejected.isEmpty());
     }
 
     @Test
     void loadSheddingIsLoggedOnceInAnInterval() {
-        Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(20));
+        Fixture f = Fixture.of(10, 0, 0).list(Fixture.endpoints(20));
         for (int i = 0; i < 300; i++) {
             f.now += 100;
             f.request(Fixture.IDEMPOTENT);
@@ -51,13 +51,13 @@
     void equalEventsGiveEqualActions() {
         List<List<String>> runs = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            Fixture f = Fixture.of(7, 3, 0).list(Fixture.servers(12));
+            Fixture f = Fixture.of(7, 3, 0).list(Fixture.endpoints(12));
             Random random = new Random(5);
             for (int i = 0; i < 500; i++) {
                 f.now += random.nextInt(30);
                 f.request(random.nextInt(3));
-                if (!f.host.sent.isEmpty() && random.nextBoolean()) {
-                    Recorder.Sent sent = f.host.sent.get(random.nextInt(f.host.sent.size()));
+                if (!f.host.started.isEmpty() && random.nextBoolean()) {
+                    RecordingHost.StartedAttempt sent = f.host.started.get(random.nextInt(f.host.started.size()));
                     f.finish(sent, AttemptOutcome.values()[random.nextInt(6)], random.nextInt(900));
                 }
             }
--- a/core/src/test/java/lemonrail/core/policy/SpareZoneTest.java
+++ b/core/src/test/java/lemonrail/core/policy/CandidateZoneTest.java
@@ -12,20 +12,20 @@
 import lemonrail.core.balancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Servers whose zone is told otherwise than before: of one that is gone it need not be told at all. */
-class SpareZoneTest {
+/** Checks endpoints that are listed in another zone than before; for one that is gone an update may name none. */
+class CandidateZoneTest {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
     private static Endpoint in(String id, int zone, EndpointState state) {
         return new Endpoint(id, zone, 0, 0, 0, state, 1);
     }
 
-    /** Calls come and go for long enough that the pool is refilled many times. */
+    /** Requests come and go for long enough that the pool is refilled many times. */
     private static Set<String> serve(Fixture f) {
-        int before = f.host.sent.size();
+        int before = f.host.started.size();
         assertTimeoutPreemptively(
-                PATIENCE,
+                TIMEOUT,
                 () -> {
                     for (int i = 0; i < 50; i++) {
                         f.now += 150;
@@ -34,14 +34,14 @@
                     }
                 },
                 "a loop without an end");
-        return f.host.sent.subList(before, f.host.sent.size()).stream()
-                .map(Recorder.Sent::server)
+        return f.host.started.subList(before, f.host.started.size()).stream()
+                .map(RecordingHost.StartedAttempt::endpoint)
                 .collect(Collectors.toSet());
     }
 
-    /** Guards against a spare slot that is looked for in another zone than it was put in. */
+    /** Guards against a candidate slot that is looked up in another zone than it was added in. */
     @Test
-    void aServerThatIsGoneLeavesNothingBehindWhateverItsZone() {
+    void goneEndpointLeavesNoCandidateWhateverItsZone() {
         Fixture f =
                 Fixture.of(1, 0, 0).list(List.of(in("s0", 0, EndpointState.READY), in("s1", 0, EndpointState.READY)));
         serve(f);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aServerMayMoveToAnotherZone() {
+    void endpointMayMoveToAnotherZone() {
         Fixture f =
                 Fixture.of(1, 0, 0).list(List.of(in("s0", 0, EndpointState.READY), in("s1", 0, EndpointState.READY)));
         serve(f);
--- a/core/src/test/java/lemonrail/core/policy/ConnectFailureTest.java
+++ b/core/src/test/java/lemonrail/core/policy/ConnectFailureTest.java
@@ -13,16 +13,16 @@
 /** Checks what failed connects do to their endpoint. */
 class ConnectFailureTest {
 
-    /** So many calls on each of three servers: all are answered but the last on the lowest-ranked one. */
-    private static Recorder.Sent allRespondedButOne(Fixture f, int each) {
-        f.list(Fixture.servers(3));
+    /** So many requests on each of three endpoints: all get a response but the last on the lowest-ranked one. */
+    private static RecordingHost.StartedAttempt allRespondedButOne(Fixture f, int each) {
+        f.list(Fixture.endpoints(3));
         for (int i = 0; i < 3 * each; i++) {
             f.request(Fixture.IDEMPOTENT);
         }
-        String lowest = f.host.sent.get(0).server();
-        Recorder.Sent left = f.host.sent.get(3 * each - 3);
-        assertEquals(lowest, left.server());
-        for (Recorder.Sent sent : List.copyOf(f.host.sent)) {
+        String lowest = f.host.started.get(0).endpoint();
+        RecordingHost.StartedAttempt left = f.host.started.get(3 * each - 3);
+        assertEquals(lowest, left.endpoint());
+        for (RecordingHost.StartedAttempt sent : List.copyOf(f.host.started)) {
             if (!sent.equals(left)) {
                 f.finish(sent, AttemptOutcome.OK, 10);
             }
@@ -30,24 +30,24 @@
         return left;
     }
 
-    private static void connectFails(Fixture f, Recorder.Sent sent) {
+    private static void connectFails(Fixture f, RecordingHost.StartedAttempt sent) {
         f.balancer.onAttemptFinished(
                 f.now,
                 new AttemptResult(
                         sent.request(),
                         sent.attempt(),
-                        sent.server(),
+                        sent.endpoint(),
                         AttemptOutcome.CONNECT_ERROR,
                         200,
                         true,
                         LoadReport.NONE));
     }
 
-    /** Guards against slow or failing handshakes taken for dead servers (incident i190c84). */
+    /** Guards against slow or failing handshakes taken for dead endpoints (incident i190c84). */
     @Test
     void failedConnectsLeaveOpenConnectionsInUse() {
         Fixture f = Fixture.of(1, 0, 1);
-        Recorder.Sent left = allRespondedButOne(f, 2);
+        RecordingHost.StartedAttempt left = allRespondedButOne(f, 2);
         connectFails(f, left);
         f.request(Fixture.IDEMPOTENT);
         f.finish(f.host.last(), AttemptOutcome.OK, 10);
@@ -55,36 +55,36 @@
         for (int i = 0; i < 6; i++) {
             f.request(Fixture.IDEMPOTENT);
         }
-        Recorder.Sent again = f.host.last();
-        assertEquals(left.server(), again.server(), "the slot without a connection comes last");
+        RecordingHost.StartedAttempt again = f.host.last();
+        assertEquals(left.endpoint(), again.endpoint(), "the slot without a connection comes last");
         connectFails(f, again);
-        assertEquals(List.of(), f.host.disconnected);
-        f.finish(f.host.sent.get(f.host.sent.size() - 6), AttemptOutcome.OK, 10);
+        assertEquals(List.of(), f.host.closed);
+        f.finish(f.host.started.get(f.host.started.size() - 6), AttemptOutcome.OK, 10);
         f.request(Fixture.NON_IDEMPOTENT);
-        assertEquals(left.server(), f.host.last().server(), "a call that must not run twice goes there");
+        assertEquals(left.endpoint(), f.host.last().endpoint(), "a request that must not run twice goes there");
     }
 
-    /** A connect that fails again before anything was answered speaks against the server after all. */
+    /** A connect that fails again before any response counts against the endpoint after all. */
     @Test
     void endpointThatOnlyFailsConnectsIsEjected() {
         Fixture f = Fixture.of(1, 0, 1);
-        Recorder.Sent left = allRespondedButOne(f, 3);
+        RecordingHost.StartedAttempt left = allRespondedButOne(f, 3);
         connectFails(f, left);
-        int before = f.host.sent.size();
+        int before = f.host.started.size();
         for (int i = 0; i < 4; i++) {
             f.request(Fixture.IDEMPOTENT);
         }
         connectFails(f, f.host.last());
         f.now += 1500;
-        f.finish(f.host.sent.get(before), AttemptOutcome.OK, 10);
+        f.finish(f.host.started.get(before), AttemptOutcome.OK, 10);
         f.request(Fixture.NON_IDEMPOTENT);
-        assertTrue(!f.host.last().server().equals(left.server()), "not trusted any more");
+        assertTrue(!f.host.last().endpoint().equals(left.endpoint()), "not trusted any more");
     }
 
-    /** Guards against trials by chance, where a third of all connections come up too late, at any server. */
+    /** Guards against ejections by chance, where a third of all connections come up too late, at any endpoint. */
     @Test
     void connectsThatFailByChanceEjectFewEndpoints() {
-        Fixture f = Fixture.of(3, 0, 1).list(Fixture.servers(4));
+        Fixture f = Fixture.of(3, 0, 1).list(Fixture.endpoints(4));
         Random random = new Random(11);
         int ejectedEndpoints = 0;
         int rounds = 600;
@@ -94,11 +94,11 @@
             ejectedEndpoints += round < 100 ? 0 : f.balancer.ejectedEndpoints(f.now);
             int sent;
             do {
-                sent = f.host.sent.size();
+                sent = f.host.started.size();
                 boolean late = random.nextInt(3) == 0;
                 f.now += late ? 200 : 20;
                 f.finish(f.host.last(), late ? AttemptOutcome.CONNECT_ERROR : AttemptOutcome.OK, late ? 200 : 20);
-            } while (f.host.sent.size() > sent);
+            } while (f.host.started.size() > sent);
         }
         assertTrue(
                 ejectedEndpoints < 4 * (rounds - 100) / 10,
--- a/core/src/test/java/lemonrail/core/policy/EmbeddingExampleTest.java
+++ b/core/src/test/java/lemonrail/core/policy/EmbeddingExampleTest.java
@@ -24,8 +24,8 @@
 class EmbeddingExampleTest {
 
     @Test
-    void aSidecarCreatesFeedsAndObeysABalancer() {
-        Recorder recorder = new Recorder();
+    void sidecarCreatesAndDrivesABalancer() {
+        RecordingHost recorder = new RecordingHost();
         LoadBalancerHost sidecar = recorder;
         // README: begin
         BalancerSettings settings = new BalancerSettings(
@@ -54,11 +54,11 @@
                         new Endpoint("10.0.0.1:80", 0, 0, 0, 0, EndpointState.READY, 1),
                         new Endpoint("10.0.0.2:80", 0, 0, 0, 0, EndpointState.READY, 1)));
         balancer.onRequest(now, new Request("r1", 0, 0, now + 1000, false));
-        // The balancer has called sidecar.send("r1", server, timeoutMs): carry it out, then tell the end.
+        // The balancer has called sidecar.startAttempt("r1", endpoint, timeoutMs): carry it out, then give the result.
         balancer.onAttemptFinished(
                 now + 12, new AttemptResult("r1", 0, "10.0.0.1:80", AttemptOutcome.OK, 12, true, LoadReport.NONE));
         // README: end
-        assertEquals(1, recorder.sent.size());
+        assertEquals(1, recorder.started.size());
         assertEquals(0, balancer.requestsInFlight());
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/Fixture.java
+++ b/core/src/test/java/lemonrail/core/policy/Fixture.java
@@ -25,7 +25,7 @@
     static final int NON_IDEMPOTENT = 1;
     static final int BY_CELL = 2;
 
-    final Recorder host = new Recorder();
+    final RecordingHost host = new RecordingHost();
     final BoxcarLoadBalancer balancer;
     double now = 1_000_000;
     private int requests;
@@ -71,29 +71,29 @@
         return new Fixture(settings(balancers, own, tier, true));
     }
 
-    static Endpoint server(String id) {
+    static Endpoint endpoint(String id) {
         return new Endpoint(id, 0, 0, 0, 0, EndpointState.READY, 1);
     }
 
-    static Endpoint server(String id, int cell, double startedMs, EndpointState state) {
+    static Endpoint endpoint(String id, int cell, double startedMs, EndpointState state) {
         return new Endpoint(id, 0, 0, cell, startedMs, state, 1);
     }
 
-    static List<Endpoint> servers(int count) {
+    static List<Endpoint> endpoints(int count) {
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            list.add(server("s" + i));
+            list.add(endpoint("s" + i));
         }
         return list;
     }
 
-    Fixture list(List<Endpoint> servers) {
-        balancer.onEndpointUpdate(now, EndpointUpdateKind.SNAPSHOT, servers);
+    Fixture list(List<Endpoint> endpoints) {
+        balancer.onEndpointUpdate(now, EndpointUpdateKind.SNAPSHOT, endpoints);
         return this;
     }
 
-    void change(Endpoint... servers) {
-        balancer.onEndpointUpdate(now, EndpointUpdateKind.DELTA, List.of(servers));
+    void change(Endpoint... endpoints) {
+        balancer.onEndpointUpdate(now, EndpointUpdateKind.DELTA, List.of(endpoints));
     }
 
     String request(int kind) {
@@ -106,33 +106,33 @@
         return id;
     }
 
-    void finish(Recorder.Sent sent, AttemptOutcome outcome, double tookMs) {
+    void finish(RecordingHost.StartedAttempt sent, AttemptOutcome outcome, double tookMs) {
         balancer.onAttemptFinished(
                 now,
                 new AttemptResult(
                         sent.request(),
                         sent.attempt(),
-                        sent.server(),
+                        sent.endpoint(),
                         outcome,
                         tookMs,
                         outcome == AttemptOutcome.OK,
                         LoadReport.NONE));
     }
 
-    /** Has a server fail two calls in a row, which is more than chance, and tells which. */
+    /** Has an endpoint fail two requests in a row, which is more than chance, and returns it. */
     String failTwice(AttemptOutcome outcome) {
         request(IDEMPOTENT);
-        Recorder.Sent first = host.last();
+        RecordingHost.StartedAttempt first = host.last();
         finish(first, outcome, 2);
         do {
             now += 300;
             request(IDEMPOTENT);
-        } while (!host.last().server().equals(first.server()));
+        } while (!host.last().endpoint().equals(first.endpoint()));
         finish(host.last(), outcome, 2);
-        return first.server();
+        return first.endpoint();
     }
 
-    /** The ranks that the design gives to a server's first slot, worked out apart from the module. */
+    /** The ranks that the design gives to an endpoint's first slot, worked out apart from the module. */
     static long hash(String id) {
         int h = 0x811c9dc5;
         for (int i = 0; i < id.length(); i++) {
--- a/core/src/test/java/lemonrail/core/policy/ListChangeCost.java
+++ b/core/src/test/java/lemonrail/core/policy/ListChangeCost.java
@@ -11,16 +11,16 @@
 import lemonrail.core.balancer.EndpointState;
 
 /**
- * What a change of the list costs a decider, in microseconds of processor time, by how many servers are
- * listed and how fast changes come; a table by {@link #main}. Each change is one entry: a server leaves or
- * comes back. Ten calls a second go on meanwhile, without which nothing would be put in order.
+ * Measures what a change of the list costs a balancer, in microseconds of processor time, by how many endpoints are
+ * listed and how fast changes come; a table by {@link #main}. Each change is one entry: an endpoint leaves or
+ * comes back. Ten requests a second go on meanwhile, which settle places.
  */
 public final class ListChangeCost {
 
     private static final ThreadMXBean CPU = ManagementFactory.getThreadMXBean();
     private static final int[] LISTED = {10, 100, 1000, 5000};
     private static final int CHANGES = 2000;
-    private static final double CALL_EVERY_MS = 100;
+    private static final double REQUEST_INTERVAL_MS = 100;
 
     private ListChangeCost() {}
 
@@ -39,14 +39,14 @@
         }
     }
 
-    /** The servers of a fleet in seven zones. */
+    /** The endpoints of a fleet in seven zones. */
     static List<Endpoint> fleet(int listed) {
-        List<Endpoint> servers = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < listed; i++) {
-            servers.add(new Endpoint(
+            endpoints.add(new Endpoint(
                     "s-" + Integer.toHexString(i * 7919 + 1), i % 7, 0, i % 3, 0, EndpointState.READY, 1 + i % 2));
         }
-        return servers;
+        return endpoints;
     }
 
     /**
@@ -55,22 +55,22 @@
      */
     static double change(int listed, double everyMs, int changes) {
         Fixture f = Fixture.of(listed, 3, 0).list(fleet(listed));
-        List<Endpoint> servers = fleet(listed);
+        List<Endpoint> endpoints = fleet(listed);
         Random random = new Random(5);
         double nextCall = 0;
         double spentNs = 0;
         for (int i = 0; i < 2 * changes; i++) {
             f.now += everyMs;
             int which = random.nextInt(listed);
-            Endpoint was = servers.get(which);
+            Endpoint was = endpoints.get(which);
             Endpoint is =
                     was.withState(was.state() == EndpointState.READY ? EndpointState.DRAINING : EndpointState.READY);
-            servers.set(which, is);
+            endpoints.set(which, is);
             long before = CPU.getCurrentThreadCpuTime();
             f.change(is);
             if (f.now >= nextCall) {
-                call(f);
-                nextCall = f.now + CALL_EVERY_MS;
+                request(f);
+                nextCall = f.now + REQUEST_INTERVAL_MS;
             }
             spentNs += i < changes ? 0 : CPU.getCurrentThreadCpuTime() - before;
         }
@@ -80,23 +80,23 @@
     /** Microseconds of processor time for a whole list in which nothing has changed. */
     private static double all(int listed) {
         Fixture f = Fixture.of(listed, 3, 0).list(fleet(listed));
-        List<Endpoint> servers = fleet(listed);
+        List<Endpoint> endpoints = fleet(listed);
         double spentNs = 0;
         int lists = 200;
         for (int i = 0; i < 2 * lists; i++) {
             f.now += 1000;
             long before = CPU.getCurrentThreadCpuTime();
-            f.list(servers);
-            call(f);
+            f.list(endpoints);
+            request(f);
             spentNs += i < lists ? 0 : CPU.getCurrentThreadCpuTime() - before;
         }
         return spentNs / lists / 1000;
     }
 
-    private static void call(Fixture f) {
-        int sent = f.host.sent.size();
+    private static void request(Fixture f) {
+        int sent = f.host.started.size();
         f.request(Fixture.IDEMPOTENT);
-        if (f.host.sent.size() > sent) {
+        if (f.host.started.size() > sent) {
             f.finish(f.host.last(), AttemptOutcome.OK, 20);
         }
     }
--- a/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
+++ b/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
@@ -22,35 +22,35 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Changes of a long list: what they cost, what is in force at once, and where they lead in the end. */
+/** Checks changes of a long endpoint list: their cost, what takes effect at once, and the state they lead to. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ListChangesTest {
 
     private static final int LISTED = 400;
-    /** Half of the connect time-out in the fixture's settings. */
-    private static final double PAUSE_MS = 100;
-    /** A timer that nothing is asked for by: it only lets time be seen to pass. */
+    /** Half of the connect timeout in the fixture's settings. */
+    private static final double ROUND_MS = 100;
+    /** A timer without effect: its event only shows the time. */
     private static final long NO_TIMER = 99;
 
-    private static List<String> firstServers(Fixture f, int calls) {
-        List<String> servers = new ArrayList<>();
-        for (int i = 0; i < calls; i++) {
+    private static List<String> firstEndpoints(Fixture f, int requests) {
+        List<String> endpoints = new ArrayList<>();
+        for (int i = 0; i < requests; i++) {
             f.request(Fixture.IDEMPOTENT);
-            servers.add(f.host.last().server());
+            endpoints.add(f.host.last().endpoint());
         }
-        return servers;
+        return endpoints;
     }
 
     private static Fixture before(int listed) {
         return Fixture.of(listed, 3, 1).list(ListChangeCost.fleet(listed));
     }
 
-    /** In the pause after a change, when places are not settled yet. */
-    private static Fixture inAStorm() {
+    /** Returns a balancer after a change, before places are settled again. */
+    private static Fixture withUnsettledPlaces() {
         Fixture f = before(LISTED);
         f.now += 1000;
         f.change(ListChangeCost.fleet(LISTED).get(7).withState(EndpointState.DRAINING));
-        firstServers(f, 1);
+        firstEndpoints(f, 1);
         f.now += 1;
         return f;
     }
@@ -62,9 +62,9 @@
                 .orElseThrow();
     }
 
-    /** Guards against a cost of each change that grows with the list (before: 16 times here). */
+    /** Guards against a cost of each change that grows with the list . */
     @Test
-    void aChangeInAStormCostsNoMoreInALongList() {
+    void frequentChangesCostNoMoreInALongList() {
         double least = Double.POSITIVE_INFINITY;
         for (int i = 0; i < 3; i++) {
             double few = ListChangeCost.change(500, 0.2, 1000);
@@ -74,9 +74,9 @@
         assertTrue(least < 5, "ten times as many listed cost " + least + " times as much");
     }
 
-    /** What moves no place is settled by nothing, though far apart (before: as any change). */
+    /** Guards against settling after changes that move no place. */
     @Test
-    void aChangeThatMovesNoPlaceCostsNoMoreInALongList() {
+    void changeThatMovesNoPlaceCostsNoMoreInALongList() {
         double least = Double.POSITIVE_INFINITY;
         for (int i = 0; i < 3; i++) {
             double few = movesNoPlaceNs(500);
@@ -100,10 +100,10 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
-    void afterAPauseAllIsAsIfTheListHadComeAtOnce(int seed) {
+    void deltasLeadToTheSameStateAsOneSnapshot(int seed) {
         Random random = new Random(seed);
         Map<String, Endpoint> listed = new HashMap<>();
-        ListChangeCost.fleet(LISTED).forEach(server -> listed.put(server.id(), server));
+        ListChangeCost.fleet(LISTED).forEach(endpoint -> listed.put(endpoint.id(), endpoint));
         Fixture f = before(LISTED);
         for (int step = 0; step < 300; step++) {
             f.now += random.nextInt(12);
@@ -119,13 +119,13 @@
                         EndpointState.values()[random.nextInt(3)],
                         1 + random.nextInt(3)));
             }
-            changes.forEach(server -> listed.put(server.id(), server));
+            changes.forEach(endpoint -> listed.put(endpoint.id(), endpoint));
             f.change(changes.toArray(Endpoint[]::new));
             if (random.nextBoolean()) {
                 f.balancer.onTimer(f.now, NO_TIMER);
             }
         }
-        f.now += PAUSE_MS;
+        f.now += ROUND_MS;
         f.balancer.onTimer(f.now, NO_TIMER);
         Fixture fresh = Fixture.of(LISTED, 3, 1);
         fresh.now = f.now;
@@ -133,19 +133,19 @@
                 .filter(s -> s.state() != EndpointState.GONE)
                 .toList();
         fresh.list(left);
-        assertEquals(firstServers(fresh, 250), firstServers(f, 250));
+        assertEquals(firstEndpoints(fresh, 250), firstEndpoints(f, 250));
         assertEquals(left.size(), f.balancer.knownEndpoints());
     }
 
-    /** What rules rest on doesn't wait for the pause. */
+    /** Whether an endpoint is ready counts at once. */
     @ParameterizedTest
     @ValueSource(strings = {"DRAINING", "GONE"})
-    void whoLeavesInAStormGetsNothingMoreInTheSameTurn(EndpointState state) {
-        Fixture f = inAStorm();
+    void endpointThatLeavesWhilePlacesAreUnsettledGetsNoRequests(EndpointState state) {
+        Fixture f = withUnsettledPlaces();
         Set<String> left = new HashSet<>();
         for (int i = 0; i < 10; i++) {
             f.request(Fixture.IDEMPOTENT);
-            String id = f.host.last().server();
+            String id = f.host.last().endpoint();
             assertFalse(left.contains(id), id + " has left");
             left.add(id);
             f.change(named(id).withState(state));
@@ -153,51 +153,51 @@
     }
 
     @Test
-    void whoReturnsOrStartsInAStormServesWithinAPause() {
-        Fixture f = inAStorm();
-        String first = firstServers(f, 1).get(0);
+    void endpointThatComesWhilePlacesAreUnsettledServesWithinARound() {
+        Fixture f = withUnsettledPlaces();
+        String first = firstEndpoints(f, 1).get(0);
         f.change(named(first).withState(EndpointState.DRAINING));
         f.change(named(first));
-        f.now += PAUSE_MS;
-        assertTrue(firstServers(f, 250).contains(first));
+        f.now += ROUND_MS;
+        assertTrue(firstEndpoints(f, 250).contains(first));
     }
 
-    /** When all are replaced at once, the new ones are there at once: nothing else is. */
+    /** If all endpoints are replaced, the new ones must be used at once. */
     @Test
-    void aFleetReplacedInAStormIsServedByItsSuccessors() {
-        Fixture f = inAStorm();
+    void replacedFleetIsServedByItsSuccessors() {
+        Fixture f = withUnsettledPlaces();
         List<Endpoint> changes = new ArrayList<>();
-        for (Endpoint server : ListChangeCost.fleet(LISTED)) {
-            changes.add(server.withState(EndpointState.GONE));
-            changes.add(new Endpoint("n" + server.id(), server.zone(), 0, 0, 0, EndpointState.READY, 1));
+        for (Endpoint endpoint : ListChangeCost.fleet(LISTED)) {
+            changes.add(endpoint.withState(EndpointState.GONE));
+            changes.add(new Endpoint("n" + endpoint.id(), endpoint.zone(), 0, 0, 0, EndpointState.READY, 1));
         }
         f.change(changes.toArray(Endpoint[]::new));
-        assertTrue(firstServers(f, 100).stream().allMatch(id -> id.startsWith("n")));
+        assertTrue(firstEndpoints(f, 100).stream().allMatch(id -> id.startsWith("n")));
     }
 
-    /** A few that come while many leave must not have to wait for the pause: those left would be crowded. */
+    /** New endpoints must be used at once while many leave: the remaining ones would be overloaded. */
     @Test
-    void callsAreNotLeftToTheLastOnesWhileSuccessorsWait() {
-        Fixture f = inAStorm();
+    void requestsAreNotLeftToTheLastEndpointsWhileSuccessorsWait() {
+        Fixture f = withUnsettledPlaces();
         List<Endpoint> fleet = ListChangeCost.fleet(LISTED);
         for (int i = 2; i < LISTED; i++) {
             f.change(fleet.get(i).withState(EndpointState.GONE));
             f.change(new Endpoint("n" + i, i % 7, 0, 0, 0, EndpointState.READY, 1));
         }
-        assertTrue(new HashSet<>(firstServers(f, 60)).size() > 50);
+        assertTrue(new HashSet<>(firstEndpoints(f, 60)).size() > 50);
     }
 
-    /** Guards against a slot left in the old zone's index, which refilling then took up for ever. */
+    /** Guards against a slot left in the old zone's index, which the refill then added for ever. */
     @Test
-    void aServerMayBeToldToBeInAnotherZone() {
+    void endpointMayBeListedInAnotherZone() {
         assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
-            Fixture f = Fixture.of(3, 0, 1).list(Fixture.servers(6));
+            Fixture f = Fixture.of(3, 0, 1).list(Fixture.endpoints(6));
             for (int i = 0; i < 6; i++) {
                 f.change(new Endpoint("s" + i, 1 + i % 2, 0, 0, 0, EndpointState.READY, 1));
-                f.now += PAUSE_MS;
-                assertNotEquals(0, firstServers(f, 3).size());
+                f.now += ROUND_MS;
+                assertNotEquals(0, firstEndpoints(f, 3).size());
             }
-            assertEquals(18, f.host.sent.size());
+            assertEquals(18, f.host.started.size());
         });
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/LiveSettingsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/LiveSettingsTest.java
@@ -11,7 +11,7 @@
 import lemonrail.core.balancer.TenantQuota;
 import org.junit.jupiter.api.Test;
 
-/** Settings that change while calls are in hand: what may, is taken up, and what was learned stays. */
+/** Checks that changed settings are adopted while requests are in flight, and that what was learned stays. */
 class LiveSettingsTest {
 
     private static BalancerSettings with(
@@ -51,11 +51,11 @@
                 base.pollIntervalMs());
     }
 
-    /** An answer after the aim is worth nothing here, so a call waits no longer than for that. */
+    /** A response after the objective is worth nothing here, so a request waits no longer than for that. */
     @Test
-    void anAimHoldsForTheNextCall() {
+    void changedObjectiveAppliesToTheNextRequest() {
         BalancerSettings base = Fixture.settings(1, 0, 0, true);
-        Fixture f = new Fixture(base).list(Fixture.servers(1));
+        Fixture f = new Fixture(base).list(Fixture.endpoints(1));
         f.request(Fixture.IDEMPOTENT);
         double before = f.host.last().timeoutMs();
         f.finish(f.host.last(), AttemptOutcome.OK, 10);
@@ -68,41 +68,41 @@
     }
 
     @Test
-    void fewerAttemptsHoldForCallsInHand() {
+    void changedAttemptLimitAppliesToRequestsInFlight() {
         BalancerSettings base = Fixture.settings(1, 0, 0, true);
-        Fixture f = new Fixture(base).list(Fixture.servers(3));
+        Fixture f = new Fixture(base).list(Fixture.endpoints(3));
         f.request(Fixture.IDEMPOTENT);
         f.balancer.onSettings(f.now, with(base, 1000, 3000, 1));
         f.finish(f.host.last(), AttemptOutcome.FAILED, 2);
-        assertEquals(1, f.host.sent.size(), "not sent again");
+        assertEquals(1, f.host.started.size(), "not sent again");
     }
 
-    /** Guards against a change of a rate that gives a flood its savings again. */
+    /** Guards against a change of a rate that gives a flood its burst capacity again. */
     @Test
-    void anAllowanceChangesAndItsSavingsStay() {
+    void changedQuotaKeepsItsTokens() {
         BalancerSettings base =
                 Fixture.settings(1, 0, 0, true, new TenantQuota("flood", 10, 0.1), new TenantQuota("calm", 1000, 0.9));
-        Fixture f = new Fixture(base).list(Fixture.servers(20));
+        Fixture f = new Fixture(base).list(Fixture.endpoints(20));
         BalancerSettings same = with(base, 1000, 3000, 3, base.tenants().toArray(TenantQuota[]::new));
         int taken = 0;
         for (int i = 0; i < 60; i++) {
             f.balancer.onSettings(f.now, same);
-            int before = f.host.sent.size();
+            int before = f.host.started.size();
             f.request(Fixture.IDEMPOTENT, 0);
-            taken += f.host.sent.size() - before;
+            taken += f.host.started.size() - before;
         }
-        Fixture plain = new Fixture(base).list(Fixture.servers(20));
+        Fixture plain = new Fixture(base).list(Fixture.endpoints(20));
         for (int i = 0; i < 60; i++) {
             plain.request(Fixture.IDEMPOTENT, 0);
         }
-        assertEquals(plain.host.sent.size(), taken);
+        assertEquals(plain.host.started.size(), taken);
     }
 
     @Test
-    void whatWasLearnedStays() {
+    void estimatesStayWhenSettingsChange() {
         BalancerSettings base = Fixture.settings(1, 0, 0, true);
-        Fixture f = new Fixture(base).list(Fixture.servers(2));
-        Fixture other = new Fixture(base).list(Fixture.servers(2));
+        Fixture f = new Fixture(base).list(Fixture.endpoints(2));
+        Fixture other = new Fixture(base).list(Fixture.endpoints(2));
         for (int i = 0; i < 200; i++) {
             for (Fixture each : List.of(f, other)) {
                 each.now += 20;
--- a/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
@@ -24,102 +24,109 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random events, and a host that checks the rules from outside, without the module's own state. */
+/** Feeds random events to a balancer whose host checks the rules from outside, without the balancer's state. */
 class RandomEventsTest {
 
     /** A request as the host sees it. */
-    private static final class Seen {
+    private static final class ObservedRequest {
         final int kind;
         final double deadlineMs;
-        final List<String> servers = new ArrayList<>();
-        final List<Double> sentAt = new ArrayList<>();
-        final List<AttemptOutcome> ends = new ArrayList<>();
+        final List<String> endpoints = new ArrayList<>();
+        final List<Double> startedMs = new ArrayList<>();
+        final List<AttemptOutcome> outcomes = new ArrayList<>();
         boolean over;
 
-        Seen(int kind, double deadlineMs) {
+        ObservedRequest(int kind, double deadlineMs) {
             this.kind = kind;
             this.deadlineMs = deadlineMs;
         }
 
-        /** The first attempt that is out or may have run; -1 if there is none. */
-        int mayHaveRun() {
-            for (int i = 0; i < ends.size(); i++) {
-                if (ends.get(i) == null || !ends.get(i).provesNotExecuted()) {
+        /** Returns the first attempt that is in flight or may have run; -1 if there is none. */
+        int firstPossibleExecution() {
+            for (int i = 0; i < outcomes.size(); i++) {
+                if (outcomes.get(i) == null || !outcomes.get(i).provesNotExecuted()) {
                     return i;
                 }
             }
             return -1;
         }
 
-        int out() {
-            return (int) ends.stream().filter(e -> e == null).count();
+        int attemptsInFlight() {
+            return (int) outcomes.stream().filter(outcome -> outcome == null).count();
         }
     }
 
-    /** Checks every action as it comes. */
-    private static final class Judge implements LoadBalancerHost {
+    /** Checks each action against the rules. */
+    private static final class RuleCheckingHost implements LoadBalancerHost {
         final BalancerSettings settings;
-        final Map<String, Seen> seen = new HashMap<>();
+        final Map<String, ObservedRequest> observed = new HashMap<>();
         final Map<String, Endpoint> listed = new HashMap<>();
         final List<Double> timers = new ArrayList<>();
         final List<Long> timerNames = new ArrayList<>();
         double now;
-        int out;
+        int attemptsInFlight;
 
-        Judge(BalancerSettings settings) {
+        RuleCheckingHost(BalancerSettings settings) {
             this.settings = settings;
         }
 
         @Override
-        public void startAttempt(String request, String server, double timeoutMs) {
-            Seen call = seen.get(request);
-            RequestClass kind = settings.classes().get(call.kind);
-            assertFalse(call.over, "sent after its end: " + request);
-            assertEquals(EndpointState.READY, listed.get(server).state(), "sent to a server that is not ready");
-            assertTrue(timeoutMs <= call.deadlineMs - now + 1e-6, "outlasts the client");
-            assertTrue(call.ends.size() < settings.limits().maxAttempts(), "too many attempts");
-            assertTrue(settings.limits().parallelAttempts() || call.out() == 0, "two attempts at once");
-            int first = call.mayHaveRun();
+        public void startAttempt(String requestId, String endpoint, double timeoutMs) {
+            ObservedRequest request = observed.get(requestId);
+            RequestClass kind = settings.classes().get(request.kind);
+            assertFalse(request.over, "started after its final response: " + requestId);
+            assertEquals(EndpointState.READY, listed.get(endpoint).state(), "started at an endpoint that is not ready");
+            assertTrue(timeoutMs <= request.deadlineMs - now + 1e-6, "outlasts the client");
+            assertTrue(request.outcomes.size() < settings.limits().maxAttempts(), "too many attempts");
+            assertTrue(
+                    settings.limits().parallelAttempts() || request.attemptsInFlight() == 0, "two attempts in flight");
+            int first = request.firstPossibleExecution();
             if (first >= 0) {
-                assertTrue(kind.idempotency() != Idempotency.NON_IDEMPOTENT, "a call that may have run was sent again");
+                assertTrue(
+                        kind.idempotency() != Idempotency.NON_IDEMPOTENT,
+                        "a request that may have run was started again");
                 if (kind.idempotency() == Idempotency.KEYED) {
                     assertEquals(
-                            listed.get(call.servers.get(first)).cell(),
-                            listed.get(server).cell(),
-                            "repeat outside the group");
-                    assertTrue(now - call.sentAt.get(first) < kind.deduplicationWindowMs(), "repeat after the window");
+                            listed.get(request.endpoints.get(first)).cell(),
+                            listed.get(endpoint).cell(),
+                            "repeat outside the deduplication scope");
+                    assertTrue(
+                            now - request.startedMs.get(first) < kind.deduplicationWindowMs(),
+                            "repeat after the deduplication window");
                 }
             }
-            call.servers.add(server);
-            call.sentAt.add(now);
-            call.ends.add(null);
-            out++;
-            assertTrue(out <= 256, "more calls out than the pool may hold");
+            request.endpoints.add(endpoint);
+            request.startedMs.add(now);
+            request.outcomes.add(null);
+            attemptsInFlight++;
+            assertTrue(attemptsInFlight <= 256, "more attempts in flight than the pool may hold");
         }
 
         @Override
-        public void reject(String request, double coolDownMs) {
-            Seen call = seen.get(request);
+        public void reject(String requestId, double retryAfterMs) {
+            ObservedRequest request = observed.get(requestId);
             assertTrue(
-                    settings.classes().get(call.kind).idempotency() == Idempotency.IDEMPOTENT || call.mayHaveRun() < 0,
-                    "refused though it may have run");
-            finish(call);
+                    settings.classes().get(request.kind).idempotency() == Idempotency.IDEMPOTENT
+                            || request.firstPossibleExecution() < 0,
+                    "rejected though it may have run");
+            finish(request);
         }
 
         @Override
-        public void fail(String request) {
-            finish(seen.get(request));
+        public void fail(String requestId) {
+            finish(observed.get(requestId));
         }
 
-        private void finish(Seen call) {
-            assertFalse(call.over, "two final answers");
-            assertTrue(now <= call.deadlineMs, "answered too late");
-            call.over = true;
+        private void finish(ObservedRequest request) {
+            assertFalse(request.over, "two final responses");
+            assertTrue(now <= request.deadlineMs, "final response too late");
+            request.over = true;
         }
 
         @Override
-        public void cancelAttempt(String request, int attempt) {
-            assertTrue(attempt < seen.get(request).ends.size(), "cancelled an attempt never made");
+        public void cancelAttempt(String requestId, int attempt) {
+            assertTrue(
+                    attempt < observed.get(requestId).outcomes.size(), "cancelled an attempt that was never started");
         }
 
         @Override
@@ -129,8 +136,8 @@
         }
 
         @Override
-        public void closeIdleConnections(String server) {
-            assertTrue(listed.containsKey(server));
+        public void closeIdleConnections(String endpoint) {
+            assertTrue(listed.containsKey(endpoint));
         }
 
         @Override
@@ -152,116 +159,118 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void theRulesHoldUnderRandomEvents(int seed) {
+    void rulesHoldUnderRandomEvents(int seed) {
         Random random = new Random(seed);
         BalancerSettings settings = settings(random);
-        Judge judge = new Judge(settings);
-        judge.now = 10_000;
-        BoxcarLoadBalancer balancer = new BoxcarLoadBalancer(settings, seed, judge);
+        RuleCheckingHost host = new RuleCheckingHost(settings);
+        host.now = 10_000;
+        BoxcarLoadBalancer balancer = new BoxcarLoadBalancer(settings, seed, host);
         List<String> open = new ArrayList<>();
         int requests = 0;
         for (int step = 0; step < 4000; step++) {
-            judge.now += random.nextInt(12);
-            fireTimers(judge, balancer);
-            endOverdue(judge, balancer, open);
+            host.now += random.nextInt(12);
+            fireTimers(host, balancer);
+            endOverdue(host, balancer, open);
             int what = random.nextInt(20);
             if (what == 0 || step == 0) {
-                changeList(judge, balancer, random, step == 0);
+                changeList(host, balancer, random, step == 0);
             } else if (what < 9 && step < 3500) {
                 String id = "q" + requests++;
                 int kind = random.nextInt(settings.classes().size());
                 double left = 1 + random.nextInt(3000);
-                judge.seen.put(id, new Seen(kind, judge.now + left));
+                host.observed.put(id, new ObservedRequest(kind, host.now + left));
                 open.add(id);
                 balancer.onRequest(
-                        judge.now,
+                        host.now,
                         new Request(
                                 id,
                                 kind,
                                 settings.tenants().isEmpty() ? 0 : random.nextInt(2),
-                                judge.now + left,
+                                host.now + left,
                                 false));
             } else if (what < 10 && !open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
-                judge.seen.get(id).over = true;
-                balancer.onRequestCancelled(judge.now, id);
+                host.observed.get(id).over = true;
+                balancer.onRequestCancelled(host.now, id);
             } else if (!open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
-                end(judge, balancer, id, AttemptOutcome.values()[random.nextInt(8)]);
+                end(host, balancer, id, AttemptOutcome.values()[random.nextInt(8)]);
             }
-            open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
+            open.removeIf(
+                    id -> host.observed.get(id).over && host.observed.get(id).attemptsInFlight() == 0);
         }
         for (int i = 0; i < 400; i++) {
-            judge.now += 50;
-            fireTimers(judge, balancer);
-            endOverdue(judge, balancer, open);
-            open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
+            host.now += 50;
+            fireTimers(host, balancer);
+            endOverdue(host, balancer, open);
+            open.removeIf(
+                    id -> host.observed.get(id).over && host.observed.get(id).attemptsInFlight() == 0);
         }
-        assertTrue(judge.seen.values().stream().allMatch(c -> c.over), "a request was lost");
+        assertTrue(host.observed.values().stream().allMatch(c -> c.over), "a request was lost");
         assertTrue(open.isEmpty());
-        assertEquals(0, judge.out);
+        assertEquals(0, host.attemptsInFlight);
         assertEquals(0, balancer.requestsInFlight(), "state is left over");
     }
 
-    private static void fireTimers(Judge judge, BoxcarLoadBalancer balancer) {
-        for (int i = 0; i < judge.timers.size(); i++) {
-            if (judge.timers.get(i) <= judge.now) {
-                judge.timers.remove(i);
-                balancer.onTimer(judge.now, judge.timerNames.remove(i));
+    private static void fireTimers(RuleCheckingHost host, BoxcarLoadBalancer balancer) {
+        for (int i = 0; i < host.timers.size(); i++) {
+            if (host.timers.get(i) <= host.now) {
+                host.timers.remove(i);
+                balancer.onTimer(host.now, host.timerNames.remove(i));
                 i = -1;
             }
         }
     }
 
     /** The host cuts attempts off at the client's deadline, within the slack that the judge allows. */
-    private static void endOverdue(Judge judge, BoxcarLoadBalancer balancer, List<String> open) {
+    private static void endOverdue(RuleCheckingHost host, BoxcarLoadBalancer balancer, List<String> open) {
         for (String id : List.copyOf(open)) {
-            Seen call = judge.seen.get(id);
-            if (call.deadlineMs <= judge.now + 15) {
-                double now = judge.now;
-                judge.now = Math.min(now, call.deadlineMs);
-                while (call.out() > 0) {
-                    end(judge, balancer, id, AttemptOutcome.TIMED_OUT);
+            ObservedRequest request = host.observed.get(id);
+            if (request.deadlineMs <= host.now + 15) {
+                double now = host.now;
+                host.now = Math.min(now, request.deadlineMs);
+                while (request.attemptsInFlight() > 0) {
+                    end(host, balancer, id, AttemptOutcome.TIMED_OUT);
                 }
-                judge.now = now;
+                host.now = now;
             }
         }
     }
 
-    private static void end(Judge judge, BoxcarLoadBalancer balancer, String id, AttemptOutcome outcome) {
-        Seen call = judge.seen.get(id);
-        int attempt = call.ends.indexOf(null);
+    private static void end(RuleCheckingHost host, BoxcarLoadBalancer balancer, String id, AttemptOutcome outcome) {
+        ObservedRequest request = host.observed.get(id);
+        int attempt = request.outcomes.indexOf(null);
         if (attempt < 0) {
             return;
         }
-        call.ends.set(attempt, outcome);
-        judge.out--;
-        boolean served = outcome == AttemptOutcome.OK && !call.over;
-        boolean concluded = call.over || served;
-        call.over |= served;
+        request.outcomes.set(attempt, outcome);
+        host.attemptsInFlight--;
+        boolean served = outcome == AttemptOutcome.OK && !request.over;
+        boolean concluded = request.over || served;
+        request.over |= served;
         balancer.onAttemptFinished(
-                judge.now,
+                host.now,
                 new AttemptResult(
                         id,
                         attempt,
-                        call.servers.get(attempt),
+                        request.endpoints.get(attempt),
                         outcome,
-                        judge.now - call.sentAt.get(attempt),
+                        host.now - request.startedMs.get(attempt),
                         concluded,
                         LoadReport.NONE));
     }
 
-    private static void changeList(Judge judge, BoxcarLoadBalancer balancer, Random random, boolean whole) {
+    private static void changeList(RuleCheckingHost host, BoxcarLoadBalancer balancer, Random random, boolean whole) {
         List<Endpoint> changes = new ArrayList<>();
         for (int i = 0; i < (whole ? 12 : 2); i++) {
             String id = "s" + (whole ? i : random.nextInt(15));
             EndpointState state = whole ? EndpointState.READY : EndpointState.values()[random.nextInt(3)];
-            double started = random.nextInt(4) == 0 ? judge.now - random.nextInt(9000) : 0;
+            double started = random.nextInt(4) == 0 ? host.now - random.nextInt(9000) : 0;
             int number = Integer.parseInt(id.substring(1));
-            Endpoint server = new Endpoint(id, number % 2, 0, number % 4, started, state, 1);
-            changes.add(server);
-            judge.listed.put(id, server);
+            Endpoint endpoint = new Endpoint(id, number % 2, 0, number % 4, started, state, 1);
+            changes.add(endpoint);
+            host.listed.put(id, endpoint);
         }
-        balancer.onEndpointUpdate(judge.now, whole ? EndpointUpdateKind.CACHED : EndpointUpdateKind.DELTA, changes);
+        balancer.onEndpointUpdate(host.now, whole ? EndpointUpdateKind.CACHED : EndpointUpdateKind.DELTA, changes);
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/SlowStartTest.java
+++ b/core/src/test/java/lemonrail/core/policy/SlowStartTest.java
@@ -8,59 +8,59 @@
 import lemonrail.core.balancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** What a server that has just started is given, and what it is given once it is warm. */
+/** Checks how many requests an endpoint gets during its slow start and after it. */
 class SlowStartTest {
 
     private static final int LOWER_TIER = 1;
-    /** So many before two servers are more than a cold one bears calls at once from. */
+    /** Balancers of two endpoints; one that is warming up cannot take a request from each. */
     private static final int MANY = 1000;
     /** Three tenths of the 500 balancers that are its even part. */
     private static final int WARM_PART = 150;
 
-    private static final int KNOWN_CALLS = 60;
+    private static final int PRIOR_REQUESTS = 60;
 
-    /** Guards against a server that keeps to the one slot of its start until something else re-offers it. */
+    /** Guards against an endpoint that stays at one slot after its slow start. */
     @Test
-    void aServerThatTurnsWarmGetsMoreThanOneCallAtOnce() {
+    void endpointGetsSeveralRequestsAtOnceOnceItIsWarm() {
         Fixture f = Fixture.of(1, 0, LOWER_TIER);
-        f.list(List.of(Fixture.server("cold", 0, f.now, EndpointState.READY)));
+        f.list(List.of(Fixture.endpoint("cold", 0, f.now, EndpointState.READY)));
         f.request(Fixture.IDEMPOTENT);
         f.request(Fixture.IDEMPOTENT);
-        assertEquals(1, f.host.sent.size(), "one call at a time while it is cold");
+        assertEquals(1, f.host.started.size(), "one request at a time while it is cold");
         f.now += 8000;
         f.request(Fixture.IDEMPOTENT);
         f.request(Fixture.IDEMPOTENT);
-        assertEquals(3, f.host.sent.size(), "two more now that it is warm, beside the one still out");
+        assertEquals(3, f.host.started.size(), "two more now that it is warm, beside the one still in flight");
     }
 
-    /** Guards against balancers far beyond its budget that know nothing yet and send a call each at once. */
+    /** Guards against many balancers without estimates that send a request each at once. */
     @Test
-    void unknowingBalancersAreCareful() {
-        int users = usersOfAColdServer(0, 1);
-        assertTrue(users > 0 && users <= 12, "calls at once " + users);
+    void balancersWithoutEstimatesSendLittle() {
+        int users = balancersThatUseAnEndpointWarmingUp(0, 1);
+        assertTrue(users > 0 && users <= 12, "requests in flight " + users);
     }
 
-    /** Guards against such balancers when servers answer one call in six: all that they want is too much. */
+    /** Guards against overload by such balancers when endpoints serve only one request in six. */
     @Test
-    void balancersFarBeyondItsBudgetArePacedByWhatIsServed() {
-        int users = usersOfAColdServer(KNOWN_CALLS, 6);
-        assertTrue(users > WARM_PART / 12 && users <= WARM_PART / 3, "calls at once " + users);
+    void balancersOverCapacityArePacedByTheAdmissionRate() {
+        int users = balancersThatUseAnEndpointWarmingUp(PRIOR_REQUESTS, 6);
+        assertTrue(users > WARM_PART / 12 && users <= WARM_PART / 3, "requests in flight " + users);
     }
 
-    /** Guards against a cold server that is left out though all calls are served, and few come. */
+    /** Guards against an endpoint that is left out while it warms up, though all requests are served. */
     @Test
-    void balancersWhoseCallsAreServedKeepToTheWarmPart() {
-        int users = usersOfAColdServer(KNOWN_CALLS, 1);
-        assertTrue(users >= WARM_PART * 9 / 10 && users <= WARM_PART * 11 / 10, "calls at once " + users);
+    void balancersWhoseRequestsAreServedUseTheWarmUpFraction() {
+        int users = balancersThatUseAnEndpointWarmingUp(PRIOR_REQUESTS, 1);
+        assertTrue(users >= WARM_PART * 9 / 10 && users <= WARM_PART * 11 / 10, "requests in flight " + users);
     }
 
-    /** How many balancers use a cold server, after so many calls of which one in so many was served. */
-    private static int usersOfAColdServer(int callsBefore, int oneServedIn) {
+    /** Returns how many balancers use an endpoint that warms up; before, one in so many requests was served. */
+    private static int balancersThatUseAnEndpointWarmingUp(int requestsBefore, int oneServedIn) {
         int users = 0;
         for (int own = 0; own < MANY; own++) {
             Fixture f = Fixture.of(MANY, own, LOWER_TIER);
-            f.list(List.of(Fixture.server("other"), Fixture.server("warm")));
-            for (int i = 0; i < callsBefore; i++) {
+            f.list(List.of(Fixture.endpoint("other"), Fixture.endpoint("warm")));
+            for (int i = 0; i < requestsBefore; i++) {
                 f.now += 300;
                 f.request(Fixture.IDEMPOTENT);
                 f.finish(f.host.last(), AttemptOutcome.OK, 10);
@@ -69,16 +69,16 @@
                     f.finish(f.host.last(), AttemptOutcome.CANCELED, 10);
                 }
             }
-            f.list(List.of(Fixture.server("cold", 0, f.now, EndpointState.READY), Fixture.server("warm")));
+            f.list(List.of(Fixture.endpoint("cold", 0, f.now, EndpointState.READY), Fixture.endpoint("warm")));
             f.now += 100;
             f.balancer.onTimer(f.now, 99);
-            int before = f.host.sent.size();
+            int before = f.host.started.size();
             for (int i = 0; i < 3; i++) {
                 f.request(Fixture.IDEMPOTENT);
             }
-            users += (int) f.host.sent.stream()
+            users += (int) f.host.started.stream()
                     .skip(before)
-                    .filter(s -> s.server().equals("cold"))
+                    .filter(s -> s.endpoint().equals("cold"))
                     .count();
         }
         return users;
