--- a/core/src/test/java/lemonrail/core/policy/LoadPatterns.java
+++ b/core/src/test/java/lemonrail/core/policy/LoadPatterns.java
@@ -23,7 +23,7 @@
         return out.size();
     }
 
-    /** Sends a request every 100 ms; each that is forwarded gets its response in the time given before the next comes. */
+    /** Sends a request every 100 ms; each forwarded one gets its response, after this time, before the next comes. */
     static int forwardedInASecond(Fixture f, double tookMs) {
         int before = f.host.started.size();
         for (int i = 0; i < 10; i++) {
