--- a/core/src/main/java/lemonrail/core/StableHash.java
+++ b/core/src/main/java/lemonrail/core/StableHash.java
@@ -3,17 +3,24 @@
 /** A hash of names that is the same in every process and version. */
 public final class StableHash {
 
+    private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
+    private static final int FNV_PRIME = 0x01000193;
+    /** Multiplier of the final mix, which spreads similar names. */
+    private static final int MIX_MULTIPLIER = 0x7feb352d;
+
+    private static final long UNSIGNED_INT_MASK = 0xffffffffL;
+
     private StableHash() {}
 
-    /** 32-bit FNV-1a over the text's UTF-16 units, finished with a mix; 0 to 2^32 - 1. */
+    /** Returns the mixed 32-bit FNV-1a hash of the text's UTF-16 units, from 0 to 2^32 - 1. */
     public static long of(String text) {
-        int h = 0x811c9dc5;
+        int hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
-            h = (h ^ text.charAt(i)) * 0x01000193;
+            hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
-        h ^= h >>> 16;
-        h *= 0x7feb352d;
-        h ^= h >>> 15;
-        return h & 0xffffffffL;
+        hash ^= hash >>> 16;
+        hash *= MIX_MULTIPLIER;
+        hash ^= hash >>> 15;
+        return hash & UNSIGNED_INT_MASK;
     }
 }
