--- /dev/null
+++ b/edge/src/main/java/lemonrail/exchange/AttemptRunner.java
@@ -0,0 +1,231 @@
+package lemonrail.exchange;
+
+import java.util.List;
+import java.util.function.Supplier;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.core.balancer.AttemptResult;
+import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.core.balancer.LoadReport;
+import lemonrail.core.balancer.RequestClass;
+import lemonrail.streaming.BodyPipe;
+
+/**
+ * Starts attempts, times them out, cancels them, and reports the result of each to the balancer once.
+ *
+ * @param <M> the protocol's requests
+ * @param <A> the protocol's responses
+ */
+final class AttemptRunner<M extends ProtocolRequest, A> {
+
+    private final EventLoopContext context;
+    private final Upstream<M, A> upstream;
+    private final Supplier<BalancerSettings> settings;
+    private final BalancerEventQueue<M, A> events;
+    private final ResponseDelivery<M, A> responses;
+    private final RequestDeadlines deadlines;
+    private final EventLoopTimers timers;
+    private final StreamProgressMonitor progress;
+    private final RequestLog log;
+
+    AttemptRunner(
+            EventLoopContext context,
+            Upstream<M, A> upstream,
+            Supplier<BalancerSettings> settings,
+            BalancerEventQueue<M, A> events,
+            ResponseDelivery<M, A> responses,
+            RequestDeadlines deadlines,
+            EventLoopTimers timers,
+            RequestLog log) {
+        this.context = context;
+        this.upstream = upstream;
+        this.settings = settings;
+        this.events = events;
+        this.responses = responses;
+        this.deadlines = deadlines;
+        this.timers = timers;
+        this.log = log;
+        progress = new StreamProgressMonitor(timers);
+    }
+
+    /**
+     * Starts the next attempt. It finishes at once where no time is left, the request is concluded or it has had the
+     * most attempts.
+     *
+     * @param timeoutMs the attempt timeout, or 0 for all the time that is left
+     */
+    void start(PendingRequest<M, A> request, String endpoint, double timeoutMs) {
+        double nowMs = nowMs();
+        RequestClass requestClass = settings.get().classes().get(request.requestClass());
+        PendingAttempt attempt =
+                request.addAttempt(endpoint, nowMs, deadlines.nextAttemptWindowEndMs(request, requestClass, nowMs));
+        double remainingMs = deadlines.remainingMs(request, nowMs);
+        double attemptTimeoutMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
+        if (request.isConcluded() || remainingMs <= 0 || hasTooManyAttempts(request)) {
+            finish(request, attempt, AttemptOutcome.IGNORED);
+        } else if (attemptTimeoutMs <= 0) {
+            finish(request, attempt, AttemptOutcome.TIMED_OUT);
+        } else {
+            send(request, attempt, attemptTimeoutMs);
+        }
+    }
+
+    private boolean hasTooManyAttempts(PendingRequest<M, A> request) {
+        return request.attempts().size() > settings.get().limits().maxAttempts();
+    }
+
+    private void send(PendingRequest<M, A> request, PendingAttempt attempt, double timeoutMs) {
+        BodyPipe remainingBody = request.message().remainingBody();
+        if (remainingBody == null) {
+            startTimeout(request, attempt, timeoutMs);
+        } else {
+            progress.watchUpload(attempt, remainingBody, () -> cancel(request, attempt, AttemptOutcome.TIMED_OUT));
+        }
+        try {
+            attempt.setUpstreamAttempt(upstream.startAttempt(
+                    attempt.endpoint(), request.message(), timeoutMs, new Listener(request, attempt, timeoutMs)));
+        } catch (RuntimeException e) {
+            // How far it came is unknown, so it may have been executed; the balancer must learn of its end.
+            log.sendingFailed(e);
+            finish(request, attempt, AttemptOutcome.RESET);
+        }
+    }
+
+    private void startTimeout(PendingRequest<M, A> request, PendingAttempt attempt, double timeoutMs) {
+        attempt.setTimeout(timers.schedule(timeoutMs, () -> cancel(request, attempt, AttemptOutcome.TIMED_OUT)));
+    }
+
+    /** Cancels attempts that have not been written whole: nobody waits for them, and they have not been executed. */
+    void cancelUnwritten(PendingRequest<M, A> request) {
+        for (PendingAttempt attempt : List.copyOf(request.attempts())) {
+            if (!attempt.isFinished() && !attempt.upstreamAttempt().mayHaveExecuted()) {
+                cancel(request, attempt, AttemptOutcome.CANCELED);
+            }
+        }
+    }
+
+    /**
+     * Stops waiting for an attempt; does nothing if it has finished.
+     *
+     * @param outcome its outcome if it may have been executed; otherwise a timeout counts as a connect error
+     */
+    void cancel(PendingRequest<M, A> request, PendingAttempt attempt, AttemptOutcome outcome) {
+        if (attempt.isFinished()) {
+            return;
+        }
+        // Cutting a streamed response leads back to onClientDisconnected, which must not cancel this attempt again.
+        request.stopStreaming(attempt);
+        boolean mayHaveExecuted = attempt.upstreamAttempt().cancel();
+        boolean keepsOutcome = mayHaveExecuted || outcome == AttemptOutcome.CANCELED;
+        finish(request, attempt, keepsOutcome ? outcome : AttemptOutcome.CONNECT_ERROR);
+    }
+
+    private void finish(PendingRequest<M, A> request, PendingAttempt attempt, AttemptOutcome outcome) {
+        if (attempt.isFinished()) {
+            return;
+        }
+        attempt.markFinished();
+        attempt.cancelTimeout();
+        double durationMs = attempt.durationMs(nowMs());
+        double connectMs = attempt.connectPartMs(durationMs);
+        log.attemptEnded(request, attempt, outcome, durationMs, connectMs);
+        request.stopStreaming(attempt);
+        events.add(request, (balancer, nowMs) -> {
+            request.markAttemptReported();
+            balancer.onAttemptFinished(nowMs, result(request, attempt, outcome, durationMs, connectMs));
+        });
+    }
+
+    private AttemptResult result(
+            PendingRequest<M, A> request,
+            PendingAttempt attempt,
+            AttemptOutcome outcome,
+            double durationMs,
+            double connectMs) {
+        return new AttemptResult(
+                request.id(),
+                attempt.number(),
+                attempt.endpoint(),
+                outcome,
+                durationMs,
+                connectMs,
+                request.isConcluded(),
+                request.message().isReplayable(),
+                LoadReport.NONE);
+    }
+
+    private double nowMs() {
+        return context.clock().now();
+    }
+
+    /** Turns the progress of one attempt into responses and results. */
+    private final class Listener implements Upstream.AttemptListener<A> {
+        private final PendingRequest<M, A> request;
+        private final PendingAttempt attempt;
+        private final double timeoutMs;
+
+        Listener(PendingRequest<M, A> request, PendingAttempt attempt, double timeoutMs) {
+            this.request = request;
+            this.attempt = attempt;
+            this.timeoutMs = timeoutMs;
+        }
+
+        @Override
+        public boolean mayStart() {
+            return !request.isConcluded() && attempt.mayStart(nowMs());
+        }
+
+        @Override
+        public void onRequestWritten() {
+            attempt.markRequestWritten(nowMs());
+            if (request.message().remainingBody() != null && !attempt.isFinished()) {
+                attempt.restartAfterUpload(nowMs());
+                attempt.cancelTimeout();
+                startTimeout(request, attempt, timeoutMs);
+            }
+        }
+
+        @Override
+        public void onResponseStreamStarted(A head, BodyPipe body) {
+            attempt.cancelTimeout();
+            attempt.markFirstBytes(nowMs());
+            if (request.isConcluded()) {
+                // Nobody waits for it any more, and more of it would only be dropped.
+                body.close();
+                context.loop().execute(() -> cancel(request, attempt, AttemptOutcome.CANCELED));
+                return;
+            }
+            responses.streaming(request);
+            request.startStreaming(attempt);
+            progress.watchResponse(attempt, body, () -> cancelStalledResponse(body));
+            events.add(
+                    request,
+                    (balancer, nowMs) -> balancer.onResponseStreamStarted(nowMs, request.id(), attempt.number()));
+            request.sink().streamStarted(head, body);
+        }
+
+        /** Cancels a response of which nothing moves: by the endpoint's fault, or else by the client's. */
+        private void cancelStalledResponse(BodyPipe body) {
+            cancel(request, attempt, body.isDrained() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELED);
+        }
+
+        @Override
+        public void onFinished(AttemptOutcome outcome, A response) {
+            try {
+                if (response != null && !request.isConcluded()) {
+                    forwardFinalResponse(outcome, response);
+                }
+            } finally {
+                finish(request, attempt, outcome);
+            }
+        }
+
+        /** Forwards a response unless the balancer is to decide whether to retry. */
+        private void forwardFinalResponse(AttemptOutcome outcome, A response) {
+            if (outcome == AttemptOutcome.OK) {
+                responses.served(request, response);
+            } else if (outcome == AttemptOutcome.IGNORED) {
+                responses.rejectedByEndpoint(request, response);
+            }
+        }
+    }
+}
--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -1,630 +1,284 @@
 package lemonrail.exchange;
 
-import io.netty.channel.EventLoop;
-import io.netty.util.concurrent.Future;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Deque;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
-import java.util.concurrent.TimeUnit;
 import lemonrail.core.balancer.AttemptOutcome;
-import lemonrail.core.balancer.AttemptResult;
 import lemonrail.core.balancer.BalancerSettings;
 import lemonrail.core.balancer.Endpoint;
-import lemonrail.core.balancer.EndpointState;
 import lemonrail.core.balancer.EndpointUpdateKind;
-import lemonrail.core.balancer.Idempotency;
 import lemonrail.core.balancer.LoadBalancer;
 import lemonrail.core.balancer.LoadBalancerFactory;
 import lemonrail.core.balancer.LoadBalancerHost;
-import lemonrail.core.balancer.LoadReport;
 import lemonrail.core.balancer.Request;
-import lemonrail.core.balancer.RequestClass;
 import lemonrail.discovery.DiscoveryClient;
 import lemonrail.discovery.EndpointList;
 import lemonrail.logging.EventLog;
-import lemonrail.metrics.Metrics;
-import lemonrail.streaming.BodyPipe;
-import lemonrail.streaming.BufferBudget;
 import lemonrail.suspension.SuspendedEndpoints;
 import lemonrail.time.Clock;
 
 /**
- * The host of the decision module: the table of open requests and their attempts. It carries out what the
- * module asks for, tells it what comes of it, and sees to it that each request gets one final answer. It
- * knows no protocol: requests come from a front and go to an upstream, and answers the other way.
+ * Connects the client side and the endpoint side of a protocol through a load balancer: it carries out the balancer's
+ * decisions, notifies it of what happens, and sees to it that each request gets one final response. It knows nothing of
+ * the protocol. All methods are called on the event loop.
  *
  * @param <M> the protocol's requests
- * @param <A> the protocol's answers
+ * @param <A> the protocol's responses
  */
 public final class RequestDispatcher<M extends ProtocolRequest, A>
         implements LoadBalancerHost, DiscoveryClient.Listener {
 
-    /** So long after its deadline a request that nothing has concluded fails. */
-    private static final double OVERDUE_MS = 5;
-    /** A large body of which an endpoint takes nothing for so long is given up. */
-    private static final int UPLOAD_STALL_MS = 4000;
-    /** The same for a large answer of which an endpoint sends or a client takes nothing. */
-    private static final int ANSWER_STALL_MS = 10_000;
-    /** The part of the time in which sends to a leaving endpoint must cease that is made use of. */
-    private static final double DRAIN_SHARE = 0.5;
-    /** The part of its window in which a keyed request's repeat may be begun: it has a way to go. */
-    private static final double WINDOW_SHARE = 0.95;
-
-    /** What happens to the module, at the time at which it is told. */
-    private interface Event {
-        void tell(double now);
-    }
-
-    private record Queued<M extends ProtocolRequest, A>(PendingRequest<M, A> open, Event event) {}
-
-    private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
-    private final Upstream<M, A> endpoints;
-    private final Metrics metrics;
-    private final BufferBudget budget;
-    /** Begins a watch on discovery. */
-    private final Runnable watch;
-
-    private BalancerSettings settings;
-    private final LoadBalancer module;
+    private final RequestLog requestLog;
+    private final EventLoopTimers timers;
+    private final RequestDeadlines deadlines;
+    private final Upstream<M, A> upstream;
     private final SuspendedEndpoints suspensions;
-    private final Map<String, PendingRequest<M, A>> table = new HashMap<>();
-    /** Events wait here while the module is at work: it is never called from within its own call. */
-    private final Deque<Queued<M, A>> events = new ArrayDeque<>();
+    private final Runnable startPolling;
+    private final LoadBalancer balancer;
+    private final BalancerEventQueue<M, A> events;
+    private final RequestTable<M, A> requests;
+    private final ResponseDelivery<M, A> responses;
+    private final AttemptRunner<M, A> attempts;
 
-    private boolean telling;
-    private boolean listed;
+    private BalancerSettings settings;
+    private boolean hasEndpoints;
 
     /**
-     * An exchange before these endpoints.
+     * Creates a dispatcher with a balancer of its own, and starts polling the endpoint list.
      *
-     * @param decider chooses servers, repeats and refusals
-     * @param seed for random numbers
-     * @param known the list as it was last known, which may be old
-     * @param watch begins a watch on discovery
+     * @param balancerFactory creates the balancer
+     * @param seed for the balancer's random numbers
+     * @param cachedEndpoints the last known endpoint list, which may be outdated
+     * @param startPolling starts polling the endpoint list, unless that is on already
      */
     public RequestDispatcher(
-            EventLoopContext shard,
-            Upstream<M, A> endpoints,
+            EventLoopContext context,
+            Upstream<M, A> upstream,
             SuspendedEndpoints suspensions,
-            LoadBalancerFactory decider,
+            LoadBalancerFactory balancerFactory,
             long seed,
-            EndpointList known,
-            Runnable watch) {
-        this.loop = shard.loop();
-        this.clock = shard.clock();
-        this.log = shard.log().in("exchange");
-        this.endpoints = endpoints;
-        this.budget = shard.bufferBudget();
-        this.metrics = shard.metrics();
-        this.watch = watch;
+            EndpointList cachedEndpoints,
+            Runnable startPolling) {
+        this.upstream = upstream;
         this.suspensions = suspensions;
-        settings = shard.settings();
-        module = decider.create(settings, seed, this);
-        tellList(EndpointUpdateKind.CACHED, known);
-        watch.run();
-    }
-
-    /** Whether a list has named an endpoint yet. */
+        this.startPolling = startPolling;
+        clock = context.clock();
+        log = context.log().in("exchange");
+        settings = context.settings();
+        requestLog = new RequestLog(log, clock, this::settings);
+        timers = new EventLoopTimers(context.loop());
+        deadlines = new RequestDeadlines(clock, timers);
+        requests = new RequestTable<>(context.bufferBudget());
+        responses = new ResponseDelivery<>(clock, requestLog, context.metrics());
+        balancer = balancerFactory.create(settings, seed, this);
+        events = new BalancerEventQueue<>(balancer, clock, log, this::settle);
+        attempts = new AttemptRunner<>(
+                context, upstream, this::settings, events, responses, deadlines, timers, requestLog);
+        updateEndpoints(EndpointUpdateKind.CACHED, cachedEndpoints);
+        startPolling.run();
+    }
+
+    // ---- state, for the assembly and the client side ----
+
+    /** Returns whether an endpoint list has named an endpoint yet. */
     public boolean hasEndpoints() {
-        return listed;
+        return hasEndpoints;
     }
 
-    /** The settings in force. */
+    /** Returns the settings in force. */
     public BalancerSettings settings() {
         return settings;
     }
 
-    /** Takes up settings that differ in what may change while requests are open; false if they can't be. */
-    public boolean updateSettings(BalancerSettings changed) {
-        if (module.supportsSettingsUpdate()) {
-            settings = changed;
-            raise(null, now -> module.onSettings(now, changed));
-        }
-        return module.supportsSettingsUpdate();
-    }
-
-    /** How many requests are open. */
+    /** Returns how many requests are in flight. */
     public int requestsInFlight() {
-        return table.size();
+        return requests.size();
     }
 
-    /** Whether a request of this id is open. */
+    /** Returns whether a request of this id is in flight. */
     public boolean isInFlight(String id) {
-        return table.containsKey(id);
+        return requests.contains(id);
     }
 
-    // ---- what happens ----
-
-    /** A client has sent a request; it hears of the one final answer. */
-    public void dispatch(Request request, M message, ResponseSink<A> client) {
-        PendingRequest<M, A> open =
-                new PendingRequest<>(clock.now(), clock.maxQueueDelayMs(), request, message, client);
-        table.put(request.id(), open);
-        budget.acquire(message.bufferedBytes());
-        if (!message.isBodyArriving()) {
-            scheduleOverdue(open);
-        }
-        Request told = new Request(
-                request.id(), request.requestClass(), request.tenant(), answerBy(open), request.retriedByClient());
-        raise(open, now -> module.onRequest(now, told));
+    /** Returns how many endpoints get no or fewer requests by the balancer's own decision. */
+    public int ejectedEndpoints() {
+        return balancer.ejectedEndpoints(clock.now());
     }
 
     /**
-     * When the final answer must be on its way for the client to have it within its time. It leaves room for
-     * the way, and for as late as the event loop has been of late: an attempt given up at the client's very
-     * deadline is always answered after it.
+     * Adopts settings that differ in what may change while requests are in flight.
+     *
+     * @return false if the balancer cannot adopt settings; they stay as they are
      */
-    private double answerBy(PendingRequest<M, A> open) {
-        return open.deadline - allowanceMs(open);
-    }
-
-    private double allowanceMs(PendingRequest<M, A> open) {
-        return ResponseTimeReserve.reserveMs(open.waitMs, clock.lag().recentMaxLagMs());
-    }
-
-    /** The rest of a large body has come: the request's time counts from here. */
-    public void onRequestBodyReceived(String id) {
-        PendingRequest<M, A> open = table.get(id);
-        if (open != null && !open.concluded) {
-            open.deadline = clock.now() - clock.maxQueueDelayMs() + open.waitMs;
-            scheduleOverdue(open);
+    public boolean updateSettings(BalancerSettings changed) {
+        if (!balancer.supportsSettingsUpdate()) {
+            return false;
         }
+        settings = changed;
+        events.add((loadBalancer, nowMs) -> loadBalancer.onSettings(nowMs, changed));
+        return true;
     }
 
-    private void scheduleOverdue(PendingRequest<M, A> open) {
-        open.overdue = after(answerBy(open) - clock.now() + OVERDUE_MS, () -> overdue(open));
-    }
+    // ---- events of clients ----
 
-    /** The client's connection has ended before its answer. */
-    public void onClientDisconnected(String id) {
-        PendingRequest<M, A> open = table.get(id);
-        if (open != null && open.stream != null) {
-            giveUp(open, open.stream, AttemptOutcome.CANCELED);
-        } else if (open != null && !open.concluded) {
-            conclude(open, "client_gone");
-            raise(open, now -> module.onRequestCancelled(now, id));
-            cancelUnwrittenAttempts(open);
+    /** Takes in a client's request; the sink gets its one final response, possibly before this returns. */
+    public void dispatch(Request details, M message, ResponseSink<A> sink) {
+        PendingRequest<M, A> request =
+                new PendingRequest<>(details, message, sink, clock.now(), clock.maxQueueDelayMs());
+        requests.add(request);
+        if (!message.isBodyArriving()) {
+            startDecisionTimeout(request);
         }
+        Request forBalancer = request.forBalancer(deadlines.responseDueMs(request));
+        events.add(request, (loadBalancer, nowMs) -> loadBalancer.onRequest(nowMs, forBalancer));
     }
 
-    /** Nobody waits any more: what has not run is not begun, even where nothing may be called off. */
-    private void cancelUnwrittenAttempts(PendingRequest<M, A> open) {
-        for (PendingAttempt made : List.copyOf(open.attempts)) {
-            if (!made.ended && !made.attempt.mayHaveExecuted()) {
-                giveUp(open, made, AttemptOutcome.CANCELED);
-            }
+    /** Notes that the rest of a large body has been received: the client's time counts from now on. */
+    public void onRequestBodyReceived(String id) {
+        PendingRequest<M, A> request = requests.findUnconcluded(id);
+        if (request != null) {
+            deadlines.restart(request);
+            startDecisionTimeout(request);
         }
     }
 
-    private void overdue(PendingRequest<M, A> open) {
-        if (!open.concluded) {
-            log.trouble(
-                    "no_decision", "no decision by the deadline", open.request.id(), "request_id", open.request.id());
-            abandon(open);
+    /** Notes that the client of a request has disconnected before its response was written whole. */
+    public void onClientDisconnected(String id) {
+        PendingRequest<M, A> request = requests.find(id);
+        if (request != null && request.isStreaming()) {
+            attempts.cancel(request, request.streamingAttempt(), AttemptOutcome.CANCELED);
+        } else if (request != null && !request.isConcluded()) {
+            responses.clientDisconnected(request);
+            releaseFromBalancer(request);
         }
     }
 
-    /** Fails a request without the module, and lets the module know that it owes nothing any more. */
-    private void abandon(PendingRequest<M, A> open) {
-        conclude(open, "abandoned");
-        open.client.failed();
-        raise(open, now -> module.onRequestCancelled(now, open.request.id()));
-        cancelUnwrittenAttempts(open);
-    }
-
-    /**
-     * The process ends: what is still open is given up now, and each of its clients hears so. An answer that
-     * is still being passed on is cut where its client can tell, not where the process happens to end.
-     */
+    /** Gives up all requests as the process ends. Each client is sent its response, or sees its streamed one cut. */
     public void abandonAll() {
-        for (PendingRequest<M, A> open : List.copyOf(table.values())) {
-            if (open.stream != null) {
-                giveUp(open, open.stream, AttemptOutcome.CANCELED);
-            } else if (!open.concluded) {
-                abandon(open);
+        for (PendingRequest<M, A> request : requests.snapshot()) {
+            if (request.isStreaming()) {
+                attempts.cancel(request, request.streamingAttempt(), AttemptOutcome.CANCELED);
+            } else if (!request.isConcluded()) {
+                abandon(request);
             }
         }
     }
 
-    @Override
-    public void listed(EndpointList list) {
-        tellList(list.full() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list);
-    }
-
-    private void tellList(EndpointUpdateKind kind, EndpointList list) {
-        listed |= !list.entries().isEmpty();
-        endpoints.updateEndpoints(list);
-        List<Endpoint> shown = suspensions.show(kind, list.servers());
-        limitAttemptsAtLeavingEndpoints(kind, shown);
-        raise(null, now -> module.onEndpointUpdate(now, kind, shown));
+    private void startDecisionTimeout(PendingRequest<M, A> request) {
+        deadlines.startDecisionTimeout(request, () -> onDecisionTimeout(request));
     }
 
-    /** Attempts that still wait for a connection to an endpoint that leaves have only so long to begin. */
-    private void limitAttemptsAtLeavingEndpoints(EndpointUpdateKind kind, List<Endpoint> shown) {
-        Map<String, EndpointState> told = new HashMap<>();
-        shown.forEach(server -> told.put(server.id(), server.state()));
-        double before = clock.now() + DRAIN_SHARE * settings.drain().graceMs();
-        for (PendingRequest<M, A> open : table.values()) {
-            for (PendingAttempt made : open.attempts) {
-                EndpointState state =
-                        told.getOrDefault(made.server, kind == EndpointUpdateKind.DELTA ? null : EndpointState.GONE);
-                if (state == EndpointState.READY) {
-                    made.beginsBefore = Double.POSITIVE_INFINITY;
-                } else if (state != null) {
-                    made.beginsBefore = Math.min(made.beginsBefore, before);
-                }
-            }
+    private void onDecisionTimeout(PendingRequest<M, A> request) {
+        if (!request.isConcluded()) {
+            requestLog.decisionTimeout(request);
+            abandon(request);
         }
     }
 
-    /** Operators see these endpoints otherwise now: the module hears of them as of any news. */
-    public void refreshEndpoints(Collection<String> ids) {
-        List<Endpoint> shown = suspensions.shown(ids);
-        if (!shown.isEmpty()) {
-            limitAttemptsAtLeavingEndpoints(EndpointUpdateKind.DELTA, shown);
-            raise(null, now -> module.onEndpointUpdate(now, EndpointUpdateKind.DELTA, shown));
-        }
+    private void abandon(PendingRequest<M, A> request) {
+        responses.abandoned(request);
+        releaseFromBalancer(request);
     }
 
-    /** How many endpoints the module leaves out by its own choice. */
-    public int ejectedEndpoints() {
-        return module.ejectedEndpoints(clock.now());
+    /** Notifies the balancer that it owes a request nothing any more, and cancels what has not been executed of it. */
+    private void releaseFromBalancer(PendingRequest<M, A> request) {
+        events.add(request, (loadBalancer, nowMs) -> loadBalancer.onRequestCancelled(nowMs, request.id()));
+        attempts.cancelUnwritten(request);
     }
 
-    private void raise(PendingRequest<M, A> open, Event event) {
-        events.add(new Queued<>(open, event));
-        if (telling) {
+    /** Abandons a request that the balancer failed on, and removes one that is over. */
+    private void settle(PendingRequest<M, A> request) {
+        if (request.hasInFlightAttempts()) {
             return;
         }
-        telling = true;
-        try {
-            for (Queued<M, A> next = events.poll(); next != null; next = events.poll()) {
-                tell(next.open(), next.event());
-            }
-        } finally {
-            telling = false;
-        }
-    }
-
-    private void tell(PendingRequest<M, A> open, Event event) {
-        try {
-            event.tell(clock.now());
-        } catch (RuntimeException e) {
-            log.bug("the decision module failed", e);
-            if (open != null) {
-                open.moduleFailed = true;
-            }
+        if (request.hasBalancerFailed() && !request.isConcluded()) {
+            abandon(request);
         }
-        if (open != null && open.moduleFailed && !open.concluded && open.out == 0) {
-            abandon(open);
-        }
-        if (open != null && open.concluded && open.out == 0) {
-            if (table.remove(open.request.id(), open)) {
-                budget.release(open.message.bufferedBytes());
-            }
+        if (request.isConcluded()) {
+            requests.remove(request);
         }
     }
 
-    // ---- what the module has done ----
+    // ---- events of discovery ----
 
     @Override
-    public void startAttempt(String id, String server, double timeoutMs) {
-        PendingRequest<M, A> open = table.get(id);
-        if (open == null) {
-            log.trouble("attempt_unknown", "an attempt for a request that is not open", id, "request_id", id);
-            return;
-        }
-        double now = clock.now();
-        PendingAttempt made = new PendingAttempt(open.attempts.size(), server, now, repeatWindowEnds(open, now));
-        open.attempts.add(made);
-        open.out++;
-        double left = open.message.isBodyArriving() ? open.waitMs - allowanceMs(open) : answerBy(open) - now;
-        double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
-        if (open.concluded
-                || left <= 0
-                || open.attempts.size() > settings.limits().maxAttempts()) {
-            finishAttempt(open, made, AttemptOutcome.IGNORED);
-        } else if (wait <= 0) {
-            finishAttempt(open, made, AttemptOutcome.TIMED_OUT);
-        } else {
-            if (open.message.remainingBody() == null) {
-                made.timeout = after(wait, () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
-            } else {
-                made.timeout = after(UPLOAD_STALL_MS, () -> checkUploadProgress(open, made, 0));
-            }
-            try {
-                made.attempt = endpoints.startAttempt(server, open.message, wait, new AttemptEnding(open, made, wait));
-            } catch (RuntimeException e) {
-                // How far it came is not known, so it may have run; the module must hear of its end.
-                log.bug("sending failed", e);
-                finishAttempt(open, made, AttemptOutcome.RESET);
-            }
-        }
+    public void listed(EndpointList list) {
+        updateEndpoints(list.full() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list);
     }
 
-    /** Until when a repeat of a keyed request may be begun; the window counts from the first attempt. */
-    private double repeatWindowEnds(PendingRequest<M, A> open, double now) {
-        RequestClass kind = settings.classes().get(open.request.requestClass());
-        if (kind.idempotency() == Idempotency.KEYED && open.attempts.isEmpty()) {
-            open.windowEnds = now + kind.deduplicationWindowMs() * WINDOW_SHARE;
-            return Double.POSITIVE_INFINITY;
-        }
-        return open.windowEnds;
+    private void updateEndpoints(EndpointUpdateKind kind, EndpointList list) {
+        hasEndpoints |= !list.entries().isEmpty();
+        upstream.updateEndpoints(list);
+        notifyOfEndpoints(kind, suspensions.show(kind, list.servers()));
     }
 
-    /** Passes an answer on where it is the last word on its request. */
-    private void pass(PendingRequest<M, A> open, AttemptOutcome outcome, A answer) {
-        if (outcome == AttemptOutcome.OK) {
-            conclude(open, "served");
-            open.client.served(answer);
-        } else if (outcome == AttemptOutcome.IGNORED) {
-            conclude(open, "turned_away");
-            open.client.rejectedByEndpoint(answer);
+    /** Notifies the balancer of endpoints whose suspension has begun or ended. */
+    public void refreshEndpoints(Collection<String> ids) {
+        List<Endpoint> update = suspensions.shown(ids);
+        if (!update.isEmpty()) {
+            notifyOfEndpoints(EndpointUpdateKind.DELTA, update);
         }
     }
 
-    /** What one attempt leads to. */
-    private final class AttemptEnding implements Upstream.AttemptListener<A> {
-        private final PendingRequest<M, A> open;
-        private final PendingAttempt made;
-        private final double waitMs;
-
-        AttemptEnding(PendingRequest<M, A> open, PendingAttempt made, double waitMs) {
-            this.open = open;
-            this.made = made;
-            this.waitMs = waitMs;
-        }
-
-        @Override
-        public boolean mayStart() {
-            return !open.concluded && clock.now() < Math.min(made.beginsBefore, made.windowEnds);
-        }
-
-        @Override
-        public void onRequestWritten() {
-            made.connectMs = clock.now() - made.sentAt;
-            if (open.message.remainingBody() != null && !made.ended) {
-                made.sentAt = clock.now();
-                made.connectMs = 0;
-                made.timeout.cancel(false);
-                made.timeout = after(waitMs, () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
-            }
-        }
-
-        @Override
-        public void onResponseStreamStarted(A beginning, BodyPipe body) {
-            made.timeout.cancel(false);
-            made.firstBytesMs = clock.now() - made.sentAt;
-            if (open.concluded) {
-                // Nobody waits for it any more, and more of it would only be thrown away.
-                body.close();
-                loop.execute(() -> giveUp(open, made, AttemptOutcome.CANCELED));
-                return;
-            }
-            conclude(open, "streaming");
-            open.stream = made;
-            made.timeout = after(ANSWER_STALL_MS, () -> checkAnswerProgress(open, made, body, 0));
-            raise(open, now -> module.onResponseStreamStarted(now, open.request.id(), made.number));
-            open.client.streamStarted(beginning, body);
-        }
-
-        @Override
-        public void onFinished(AttemptOutcome outcome, A answer) {
-            try {
-                if (answer != null && !open.concluded) {
-                    pass(open, outcome, answer);
-                }
-            } finally {
-                finishAttempt(open, made, outcome);
-            }
-        }
+    private void notifyOfEndpoints(EndpointUpdateKind kind, List<Endpoint> update) {
+        deadlines.limitStartsAtLeavingEndpoints(requests.all(), kind, update, settings.drain());
+        events.add((loadBalancer, nowMs) -> loadBalancer.onEndpointUpdate(nowMs, kind, update));
     }
 
-    /** Gives up an endpoint that takes nothing of a large body, though there is more of it to take. */
-    private void checkUploadProgress(PendingRequest<M, A> open, PendingAttempt made, long passedBefore) {
-        BodyPipe rest = open.message.remainingBody();
-        if (rest.forwardedBytes() == passedBefore && !rest.isDrained()) {
-            giveUp(open, made, AttemptOutcome.TIMED_OUT);
-        } else {
-            long passed = rest.forwardedBytes();
-            made.timeout = after(UPLOAD_STALL_MS, () -> checkUploadProgress(open, made, passed));
-        }
-    }
+    // ---- decisions of the balancer ----
 
-    /** Gives up a large answer of which nothing moves: it is the endpoint's fault, or the client's. */
-    private void checkAnswerProgress(PendingRequest<M, A> open, PendingAttempt made, BodyPipe body, long passedBefore) {
-        if (body.forwardedBytes() == passedBefore) {
-            giveUp(open, made, body.isDrained() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELED);
+    @Override
+    public void startAttempt(String id, String endpoint, double timeoutMs) {
+        PendingRequest<M, A> request = requests.find(id);
+        if (request == null) {
+            requestLog.unknownAttempt(id);
         } else {
-            long passed = body.forwardedBytes();
-            made.timeout = after(ANSWER_STALL_MS, () -> checkAnswerProgress(open, made, body, passed));
-        }
-    }
-
-    /** Stops waiting for an attempt. One that was not written whole is known not to have run. */
-    private void giveUp(PendingRequest<M, A> open, PendingAttempt made, AttemptOutcome outcome) {
-        if (!made.ended) {
-            // What this cuts of an answer leads back here by way of its client.
-            open.stream = open.stream == made ? null : open.stream;
-            boolean mayHaveRun = made.attempt.cancel();
-            finishAttempt(
-                    open,
-                    made,
-                    mayHaveRun || outcome == AttemptOutcome.CANCELED ? outcome : AttemptOutcome.CONNECT_ERROR);
-        }
-    }
-
-    private void finishAttempt(PendingRequest<M, A> open, PendingAttempt made, AttemptOutcome outcome) {
-        if (made.ended) {
-            return;
-        }
-        made.ended = true;
-        if (made.timeout != null) {
-            made.timeout.cancel(false);
-        }
-        double took = made.firstBytesMs >= 0 ? made.firstBytesMs : clock.now() - made.sentAt;
-        double connect = made.connectMs >= 0 ? Math.min(made.connectMs, took) : took;
-        if (log.tellsAll()) {
-            tell(
-                    "attempt_ended",
-                    open,
-                    "endpoint",
-                    made.server,
-                    "attempt",
-                    made.number,
-                    "outcome",
-                    outcome.name().toLowerCase(Locale.ROOT),
-                    "took_ms",
-                    took,
-                    "connect_ms",
-                    connect);
-        }
-        if (open.stream == made) {
-            open.stream = null;
-        }
-        raise(open, now -> {
-            open.out--;
-            module.onAttemptFinished(
-                    now,
-                    new AttemptResult(
-                            open.request.id(),
-                            made.number,
-                            made.server,
-                            outcome,
-                            took,
-                            connect,
-                            open.concluded,
-                            open.message.isReplayable(),
-                            LoadReport.NONE));
-        });
-    }
-
-    /** Tells of a request, of which there are many. */
-    private void tell(String event, PendingRequest<M, A> open, Object... fields) {
-        List<Object> all = new ArrayList<>(List.of(
-                "request_id",
-                open.request.id(),
-                "class",
-                settings.classes().get(open.request.requestClass()).name()));
-        all.addAll(List.of(fields));
-        StringBuilder line = new StringBuilder(event);
-        for (int i = 0; i + 1 < all.size(); i += 2) {
-            line.append(' ').append(all.get(i)).append('=').append(all.get(i + 1));
-        }
-        log.debug(event, line.toString(), all.toArray());
-    }
-
-    private void conclude(PendingRequest<M, A> open, String how) {
-        open.concluded = true;
-        if (log.tellsAll()) {
-            tell(
-                    "request_concluded",
-                    open,
-                    "outcome",
-                    how,
-                    "attempts",
-                    open.attempts.size(),
-                    "took_ms",
-                    clock.now() - open.deadline + open.waitMs);
-        }
-        if (clock.now() > open.deadline) {
-            reportLateAnswer(open, how);
+            attempts.start(request, endpoint, timeoutMs);
         }
-        if (open.overdue != null) {
-            open.overdue.cancel(false);
-        }
-        if (open.message.remainingBody() != null) {
-            // Of a body that is still coming nothing is needed any more, by an attempt neither.
-            open.message.remainingBody().fail();
-            open.message.remainingBody().close();
-        }
-    }
-
-    /** Tells operators where the time went of a request that is answered too late. */
-    private void reportLateAnswer(PendingRequest<M, A> open, String how) {
-        metrics.answeredLate();
-        double lateMs = clock.now() - open.deadline;
-        PendingAttempt last = open.attempts.isEmpty() ? null : open.attempts.get(open.attempts.size() - 1);
-        log.trouble(
-                "late_answer",
-                "an answer came after its client's time",
-                open.request.id(),
-                "request_id",
-                open.request.id(),
-                "outcome",
-                how,
-                "late_ms",
-                lateMs,
-                "wait_ms",
-                open.waitMs,
-                "unread_ms",
-                open.unreadMs,
-                "attempts",
-                open.attempts.size(),
-                "last_endpoint",
-                last == null ? "none" : last.server,
-                "last_sent_ms",
-                last == null ? -1 : last.sentAt - open.deadline + open.waitMs,
-                "last_connect_ms",
-                last == null ? -1 : last.connectMs,
-                "loop_late_ms",
-                clock.lag().recentMaxLagMs());
     }
 
     @Override
-    public void reject(String id, double coolDownMs) {
-        PendingRequest<M, A> open = table.get(id);
-        if (open != null && !open.concluded) {
-            conclude(open, "refused");
-            open.client.rejected(coolDownMs);
+    public void reject(String id, double retryAfterMs) {
+        PendingRequest<M, A> request = requests.findUnconcluded(id);
+        if (request != null) {
+            responses.shed(request, retryAfterMs);
         }
     }
 
     @Override
     public void fail(String id) {
-        PendingRequest<M, A> open = table.get(id);
-        if (open != null && !open.concluded) {
-            conclude(open, "failed");
-            open.client.failed();
+        PendingRequest<M, A> request = requests.findUnconcluded(id);
+        if (request != null) {
+            responses.failed(request);
         }
     }
 
     @Override
     public void cancelAttempt(String id, int attempt) {
-        PendingRequest<M, A> open = table.get(id);
-        if (open != null && attempt < open.attempts.size()) {
-            giveUp(open, open.attempts.get(attempt), AttemptOutcome.CANCELED);
+        PendingRequest<M, A> request = requests.find(id);
+        if (request != null && attempt < request.attempts().size()) {
+            attempts.cancel(request, request.attempts().get(attempt), AttemptOutcome.CANCELED);
         }
     }
 
     @Override
-    public void startTimer(double inMs, long name) {
-        after(inMs, () -> raise(null, now -> module.onTimer(now, name)));
+    public void startTimer(double delayMs, long name) {
+        timers.schedule(delayMs, () -> events.add((loadBalancer, nowMs) -> loadBalancer.onTimer(nowMs, name)));
     }
 
     @Override
-    public void closeIdleConnections(String server) {
-        endpoints.closeIdleConnections(server);
+    public void closeIdleConnections(String endpoint) {
+        upstream.closeIdleConnections(endpoint);
     }
 
     @Override
     public void pollEndpoints() {
-        watch.run();
+        startPolling.run();
     }
 
     @Override
     public void log(String line) {
-        log.info("balancer_report", line);
-    }
-
-    private Future<?> after(double ms, Runnable task) {
-        return loop.schedule(task, (long) (Math.max(0, ms) * 1e6), TimeUnit.NANOSECONDS);
+        log.info("load_shedding", line);
     }
 }
--- /dev/null
+++ b/edge/src/main/java/lemonrail/exchange/RequestTable.java
@@ -0,0 +1,63 @@
+package lemonrail.exchange;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import lemonrail.streaming.BufferBudget;
+
+/**
+ * The requests in flight, by id. Their buffered bytes count in the budget for as long as they are in the table.
+ *
+ * @param <M> the protocol's requests
+ * @param <A> the protocol's responses
+ */
+final class RequestTable<M extends ProtocolRequest, A> {
+
+    private final BufferBudget budget;
+    private final Map<String, PendingRequest<M, A>> requests = new HashMap<>();
+
+    RequestTable(BufferBudget budget) {
+        this.budget = budget;
+    }
+
+    void add(PendingRequest<M, A> request) {
+        requests.put(request.id(), request);
+        budget.acquire(request.message().bufferedBytes());
+    }
+
+    /** Removes a request; does nothing if it is not in the table any more. */
+    void remove(PendingRequest<M, A> request) {
+        if (requests.remove(request.id(), request)) {
+            budget.release(request.message().bufferedBytes());
+        }
+    }
+
+    /** Returns the request of this id, or null if none is in flight. */
+    PendingRequest<M, A> find(String id) {
+        return requests.get(id);
+    }
+
+    /** Returns the request of this id if its final response has not been given, else null. */
+    PendingRequest<M, A> findUnconcluded(String id) {
+        PendingRequest<M, A> request = requests.get(id);
+        return request == null || request.isConcluded() ? null : request;
+    }
+
+    boolean contains(String id) {
+        return requests.containsKey(id);
+    }
+
+    int size() {
+        return requests.size();
+    }
+
+    Collection<PendingRequest<M, A>> all() {
+        return requests.values();
+    }
+
+    /** Returns a copy, for callers that conclude requests on the way. */
+    List<PendingRequest<M, A>> snapshot() {
+        return List.copyOf(requests.values());
+    }
+}
