--- a/edge/src/main/java/lemonrail/lifecycle/Lifecycle.java
+++ b/edge/src/main/java/lemonrail/lifecycle/Lifecycle.java
@@ -4,66 +4,89 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What the process is at: starting, ready, draining by the operators' word, or stopping for good. A drain can
- * be taken back, a stop cannot, and a stop is no drain: the process ends on SIGTERM alone.
+ * The phase of a process. A drain may begin in any phase and can be ended; the process then is where it was before.
+ * Stopping is final and takes precedence over a drain. Used on the event loop only.
  */
 public final class Lifecycle {
 
-    /** The phases, as operators know them. */
+    /** The phases, by the names that operators see. */
     public enum Phase {
+        /** Parts are being created and warmed up. */
         STARTING,
+        /** Clients are served. */
         READY,
+        /** Operators are emptying the process; it still serves requests that arrive. */
         DRAINING,
+        /** The process completes what is in flight and exits. */
         STOPPING
     }
 
-    private final BooleanSupplier knowsEndpoints;
+    private final BooleanSupplier hasEndpoints;
     private boolean started;
-    private boolean drained;
+    private boolean draining;
     private boolean stopping;
 
-    /** A process that is of no use to clients before it knows of an endpoint. */
-    public Lifecycle(BooleanSupplier knowsEndpoints) {
-        this.knowsEndpoints = knowsEndpoints;
+    /**
+     * Creates the life cycle of a process that is starting.
+     *
+     * @param hasEndpoints whether an endpoint is known; the process is not ready before
+     */
+    public Lifecycle(BooleanSupplier hasEndpoints) {
+        this.hasEndpoints = hasEndpoints;
     }
 
-    /** Whether clients may come. */
+    /** Returns whether clients should connect: in {@link Phase#READY}, and once an endpoint is known. */
     public boolean isReady() {
-        return phase() == Phase.READY && knowsEndpoints.getAsBoolean();
+        return phase() == Phase.READY && hasEndpoints.getAsBoolean();
     }
 
-    /** What the process is at, for people. */
+    /** Returns the phase or what keeps the process from being ready, for people. */
     public String description() {
-        return phase() == Phase.READY && !isReady()
-                ? "no endpoint is known"
-                : phase().name().toLowerCase(Locale.ROOT);
+        if (phase() == Phase.READY && !isReady()) {
+            return "no endpoint is known";
+        }
+        return phase().name().toLowerCase(Locale.ROOT);
     }
 
-    /** Where the process stands now. */
+    /** Returns the current phase. */
     public Phase phase() {
-        return stopping ? Phase.STOPPING : drained ? Phase.DRAINING : started ? Phase.READY : Phase.STARTING;
+        if (stopping) {
+            return Phase.STOPPING;
+        }
+        if (draining) {
+            return Phase.DRAINING;
+        }
+        return started ? Phase.READY : Phase.STARTING;
     }
 
-    /** All parts stand, and the code has run often enough to be quick. */
+    /** Moves from {@link Phase#STARTING} to {@link Phase#READY}: all parts have been created and warmed up. */
     public void markStarted() {
         started = true;
     }
 
-    /** Operators empty the sidecar; true if it was not being emptied already. */
+    /**
+     * Moves to {@link Phase#DRAINING}, unless the process is stopping.
+     *
+     * @return whether no drain was in progress
+     */
     public boolean startDraining() {
-        boolean news = !drained;
-        drained = true;
-        return news;
+        boolean begins = !draining;
+        draining = true;
+        return begins;
     }
 
-    /** Operators end the drain; true if there was one, and the process goes on. */
+    /**
+     * Ends a drain and moves back to the phase before it.
+     *
+     * @return whether a drain was in progress and the process is not stopping
+     */
     public boolean stopDraining() {
-        boolean news = drained && !stopping;
-        drained = false;
-        return news;
+        boolean resumes = draining && !stopping;
+        draining = false;
+        return resumes;
     }
 
-    /** The process ends. */
+    /** Moves to {@link Phase#STOPPING}, for good. */
     public void startStopping() {
         stopping = true;
     }
--- a/edge/src/main/java/lemonrail/streaming/BodyPipe.java
+++ b/edge/src/main/java/lemonrail/streaming/BodyPipe.java
@@ -4,165 +4,172 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * A body on its way from one connection to another. It holds a small window of bytes: where the far side does
- * not take them, the near side is not read any further. Its bytes count in the budget until they are written
- * on, so what waits in a connection's own buffers counts as well.
+ * Forwards a body from one connection to another, with backpressure: it holds a small window of bytes, and its source
+ * is not read further while the consumer does not take them. Bytes count in the budget until {@link #onWritten}, so
+ * those in a connection's write buffer count as well. Used on the event loop only.
  */
 public final class BodyPipe {
 
-    /** Bytes that may wait before the near side stops being read. */
+    /** Unwritten bytes from which on the source is not read. */
     public static final int WINDOW_BYTES = 32 * 1024;
-    /** Bytes that are passed on at a time. */
-    private static final int PIECE_BYTES = 16 * 1024;
+
+    private static final int CHUNK_BYTES = 16 * 1024;
 
     /** The connection that the bytes come from. */
+    @FunctionalInterface
     public interface Source {
-        /** Whether it is to be read. */
-        void setReading(boolean on);
+        /** Starts or stops reading; may be called repeatedly with the same value. */
+        void setReading(boolean reading);
     }
 
     /** The connection that the bytes go to. */
+    @FunctionalInterface
     public interface Consumer {
-        /** There is more to take, or there will be none: {@link #isFullyRead} and {@link #hasFailed} say which. */
+        /** Is called when there may be bytes to {@link #poll}, or the body is complete or has failed. */
         void onProgress();
     }
 
     private final BufferBudget budget;
-    private final Source near;
-    private final Runnable wake = this::mindReading;
-    private ByteBuf waiting = Unpooled.buffer();
-    private Consumer far;
-    private int unwritten;
+    private final Source source;
+    private final Runnable onCapacity = this::updateReading;
+    private Consumer consumer;
+    private ByteBuf pending = Unpooled.buffer();
+    private int unwrittenBytes;
     private long forwardedBytes;
-    private boolean touched;
-    private boolean ended;
-    private boolean broken;
+    private boolean read;
+    private boolean complete;
+    private boolean failed;
     private boolean closed;
 
-    /** A pipe from this connection. */
-    public BodyPipe(BufferBudget budget, Source near) {
+    /** Creates a pipe without a consumer; it holds a window of bytes until it has one. */
+    public BodyPipe(BufferBudget budget, Source source) {
         this.budget = budget;
-        this.near = near;
+        this.source = source;
     }
 
-    /** Where the bytes go; it hears at once of what is there already. */
-    public void setConsumer(Consumer taker) {
-        far = taker;
-        tell();
+    /** Sets where the bytes go, and notifies it at once. */
+    public void setConsumer(Consumer consumer) {
+        this.consumer = consumer;
+        notifyConsumer();
     }
 
-    /** Takes in a copy of these bytes; {@link #flush} has them passed on. */
+    /** Adds a copy of the bytes, which stay with the caller. The consumer is notified by {@link #flush}. */
     public void write(ByteBuf bytes) {
         int size = bytes.readableBytes();
         if (closed || size == 0) {
             return;
         }
-        waiting.writeBytes(bytes, bytes.readerIndex(), size);
-        unwritten += size;
+        pending.writeBytes(bytes, bytes.readerIndex(), size);
+        unwrittenBytes += size;
         budget.acquire(size);
-        mindReading();
+        updateReading();
     }
 
-    /** Passes on what has been written so far: many small pieces then go in one. */
+    /** Notifies the consumer of all bytes written so far, so that small pieces are forwarded together. */
     public void flush() {
-        tell();
+        notifyConsumer();
     }
 
-    /** All has come. */
+    /** Notes that the whole body has been written. */
     public void complete() {
-        ended = true;
-        tell();
+        complete = true;
+        notifyConsumer();
     }
 
-    /** No more will come, though there should. */
+    /** Notes that the rest of the body will not come; does nothing if it is complete. */
     public void fail() {
-        if (!ended && !broken) {
-            broken = true;
-            tell();
+        if (!complete && !failed) {
+            failed = true;
+            notifyConsumer();
         }
     }
 
-    private void tell() {
-        if (far != null && !closed) {
-            far.onProgress();
+    private void notifyConsumer() {
+        if (consumer != null && !closed) {
+            consumer.onProgress();
         }
     }
 
-    /** The next bytes to pass on, or null where there are none now. */
+    /**
+     * Returns the next bytes, or null if there are none now. The caller releases the buffer, and calls
+     * {@link #onWritten} with its size once it has been written.
+     */
     public ByteBuf poll() {
-        if (closed || !waiting.isReadable()) {
+        if (closed || !pending.isReadable()) {
             return null;
         }
-        touched = true;
-        byte[] piece = new byte[Math.min(PIECE_BYTES, waiting.readableBytes())];
-        waiting.readBytes(piece);
-        waiting.discardSomeReadBytes();
-        return Unpooled.wrappedBuffer(piece);
+        read = true;
+        byte[] chunk = new byte[Math.min(CHUNK_BYTES, pending.readableBytes())];
+        pending.readBytes(chunk);
+        pending.discardSomeReadBytes();
+        return Unpooled.wrappedBuffer(chunk);
     }
 
-    /** So many bytes that {@link #poll} gave have been written, or never will be. */
+    /** Notes that bytes from {@link #poll} have been written, or never will be. */
     public void onWritten(int bytes) {
         forwardedBytes += bytes;
-        int counted = Math.min(bytes, unwritten);
-        unwritten -= counted;
+        int counted = Math.min(bytes, unwrittenBytes);
+        unwrittenBytes -= counted;
         budget.release(counted);
-        mindReading();
+        updateReading();
     }
 
-    private void mindReading() {
-        if (closed || ended) {
+    /** Reads the source while the window and the budget have capacity; an empty pipe may always read. */
+    private void updateReading() {
+        if (closed || complete) {
             return;
         }
-        boolean room = unwritten == 0 || (unwritten < WINDOW_BYTES && budget.hasCapacity());
-        if (!room && unwritten < WINDOW_BYTES) {
-            budget.notifyWhenAvailable(wake);
+        boolean windowOpen = unwrittenBytes < WINDOW_BYTES;
+        boolean mayRead = unwrittenBytes == 0 || (windowOpen && budget.hasCapacity());
+        if (!mayRead && windowOpen) {
+            budget.notifyWhenAvailable(onCapacity);
         }
-        near.setReading(room);
+        source.setReading(mayRead);
     }
 
-    /** The bytes written on so far, which tells whether anything moves. */
+    /** Returns how many bytes have been written on, which shows whether the body moves. */
     public long forwardedBytes() {
         return forwardedBytes;
     }
 
-    /** Whether it waits for the near side: all that has come is written on. */
+    /** Returns whether all bytes that have come are written on, so that the pipe waits for its source. */
     public boolean isDrained() {
-        return unwritten == 0;
+        return unwrittenBytes == 0;
     }
 
-    /** Whether bytes have been let go, which cannot be had again. */
+    /** Returns whether bytes have been polled, which cannot be read again. */
     public boolean hasBeenRead() {
-        return touched;
+        return read;
     }
 
-    /** Whether all has come and been taken. */
+    /** Returns whether the body is complete and all of it has been polled. */
     public boolean isFullyRead() {
-        return ended && !waiting.isReadable();
+        return complete && !pending.isReadable();
     }
 
-    /** Whether it ends here without being whole. */
+    /** Returns whether the body ends before it is complete. */
     public boolean hasFailed() {
-        return broken;
+        return failed;
     }
 
-    /** Whether all has come. */
+    /** Returns whether the whole body has been written to the pipe. */
     public boolean isComplete() {
-        return ended;
+        return complete;
     }
 
-    /** Nobody takes any more: what waits is dropped and so is what still comes. */
+    /** Discards the bytes that are held and all that still come; the source is read so that it can end. */
     public void close() {
         if (closed) {
             return;
         }
         closed = true;
-        waiting = Unpooled.EMPTY_BUFFER;
-        budget.cancelNotification(wake);
-        int left = unwritten;
-        unwritten = 0;
-        budget.release(left);
-        if (!ended && !broken) {
-            near.setReading(true);
+        pending = Unpooled.EMPTY_BUFFER;
+        budget.cancelNotification(onCapacity);
+        int held = unwrittenBytes;
+        unwrittenBytes = 0;
+        budget.release(held);
+        if (!complete && !failed) {
+            source.setReading(true);
         }
     }
 }
--- a/edge/src/main/java/lemonrail/streaming/BufferBudget.java
+++ b/edge/src/main/java/lemonrail/streaming/BufferBudget.java
@@ -5,46 +5,46 @@
 import java.util.Set;
 
 /**
- * The bytes of bodies that all connections together may hold. What comes is always taken, as it has been read
- * already; where the budget is used up, nobody reads on who still has something waiting to be written.
+ * Bounds the body bytes that all connections together hold. Bytes that have been read are always accepted, so the bound
+ * can be exceeded; while it is reached, connections with unwritten bytes are not read. Used on the event loop only.
  */
 public final class BufferBudget {
 
-    private final long most;
+    private final long maxBytes;
     private final Set<Runnable> waiting = new LinkedHashSet<>();
-    private long held;
+    private long heldBytes;
 
-    /** A budget of so many bytes. */
-    public BufferBudget(long most) {
-        this.most = most;
+    /** Creates a budget of this many bytes. */
+    public BufferBudget(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** These bytes are held from now on. */
+    /** Counts bytes as held, also beyond the bound. */
     public void acquire(long bytes) {
-        held += bytes;
+        heldBytes += bytes;
     }
 
-    /** These bytes are not held any more; whoever waited for room is told that there is some. */
+    /** Counts bytes as held no longer, and notifies all that wait if there is capacity. */
     public void release(long bytes) {
-        held -= bytes;
+        heldBytes -= bytes;
         if (!waiting.isEmpty() && hasCapacity()) {
-            List<Runnable> told = List.copyOf(waiting);
+            List<Runnable> notified = List.copyOf(waiting);
             waiting.clear();
-            told.forEach(Runnable::run);
+            notified.forEach(Runnable::run);
         }
     }
 
-    /** Whether more may be read in. */
+    /** Returns whether more bytes may be read. */
     public boolean hasCapacity() {
-        return held < most;
+        return heldBytes < maxBytes;
     }
 
-    /** Has this run once, as soon as there is room. */
-    void notifyWhenAvailable(Runnable wake) {
-        waiting.add(wake);
+    /** Runs a task once, when there is capacity; a task that waits already is not added again. */
+    void notifyWhenAvailable(Runnable onCapacity) {
+        waiting.add(onCapacity);
     }
 
-    void cancelNotification(Runnable wake) {
-        waiting.remove(wake);
+    void cancelNotification(Runnable onCapacity) {
+        waiting.remove(onCapacity);
     }
 }
--- a/edge/src/main/java/lemonrail/time/Clock.java
+++ b/edge/src/main/java/lemonrail/time/Clock.java
@@ -1,36 +1,38 @@
 package lemonrail.time;
 
 /**
- * The one clock of a sidecar, in milliseconds: it runs with the monotonic clock, so it never goes back, and
- * was set once to Unix time, because discovery tells in Unix time when an endpoint started.
+ * The clock of a sidecar, in milliseconds. It follows the monotonic clock from the Unix time at its creation, so it
+ * never runs backwards and can be compared with the Unix times that discovery reports.
  */
 public final class Clock {
 
+    private static final double NANOS_PER_MS = 1e6;
+
     private final double startMs = System.currentTimeMillis();
     private final long startNanos = System.nanoTime();
     private final EventLoopLag lag;
 
-    /** A clock for a loop whose lateness nobody measures: it counts as prompt. */
+    /** Creates a clock whose event loop's lag is not measured and counts as 0. */
     public Clock() {
         this(new EventLoopLag());
     }
 
-    /** The clock of the event loop that this measures. */
+    /** Creates the clock of an event loop whose lag is measured. */
     public Clock(EventLoopLag lag) {
         this.lag = lag;
     }
 
-    /** Milliseconds, on the scale of Unix time. */
+    /** Returns the time in milliseconds since the Unix epoch. */
     public double now() {
-        return startMs + (System.nanoTime() - startNanos) / 1e6;
+        return startMs + (System.nanoTime() - startNanos) / NANOS_PER_MS;
     }
 
-    /** The longest, in milliseconds, that what its event loop handles now can have waited for the loop. */
+    /** Returns the longest time, in milliseconds, that the event being handled may have waited for the event loop. */
     public double maxQueueDelayMs() {
         return lag.maxQueueDelayMs(System.nanoTime());
     }
 
-    /** How late the event loop is. */
+    /** Returns the lag of the event loop. */
     public EventLoopLag lag() {
         return lag;
     }
--- a/edge/src/main/java/lemonrail/time/EventLoopLag.java
+++ b/edge/src/main/java/lemonrail/time/EventLoopLag.java
@@ -1,95 +1,102 @@
 package lemonrail.time;
 
 /**
- * How late an event loop attends to what happens, measured at its polls for I/O. What an iteration handles
- * may have been ready since the poll before it, and a timer that falls due while the loop is busy, or while
- * something else has its processor, runs late. Belongs to the loop; times come in from outside.
+ * Measures how late an event loop handles events, at its polls for I/O. An event handled in one iteration may have been
+ * ready since the poll before, and a timer that is due while the loop is busy or not scheduled runs late. Used on the
+ * event loop only; callers pass monotonic time in nanoseconds.
  */
 public final class EventLoopLag {
 
-    /** A poll that took longer than this has slept: what it returned with was not ready when it began. */
+    /** A poll that took longer has slept, so what it returned with was not ready when it began. */
     static final long SLEPT_NANOS = 1_000_000;
-    /** The greatest lateness is remembered for one to two such spans. */
-    static final long SPAN_NANOS = 2_000_000_000L;
-    /** Bounds of the histogram: how often the loop was later than each, in milliseconds. */
-    private static final int[] BOUNDS_MS = {1, 5, 20, 100, 500};
+    /** The greatest lag is remembered for one to two such windows. */
+    static final long WINDOW_NANOS = 2_000_000_000L;
+
+    private static final int[] HISTOGRAM_BOUNDS_MS = {1, 5, 20, 100, 500};
 
     private static final double NANOS_PER_MS = 1e6;
 
+    private final int[] countsAbove = new int[HISTOGRAM_BOUNDS_MS.length];
     private long pollCount;
-    private long pollingAt;
-    private long polledAt;
-    private long previouslyPolledAt;
-    private long dueAt;
-    private long spanBegan;
-    private long greatestNanos;
-    private long previousGreatestNanos;
-    private final int[] over = new int[BOUNDS_MS.length];
+    private long pollStartedNanos;
+    private long pollReturnedNanos;
+    private long previousPollReturnedNanos;
+    private long timerDueNanos;
+    private long windowStartNanos;
+    private long windowMaxNanos;
+    private long previousWindowMaxNanos;
 
     /**
-     * The loop is about to poll.
+     * Notes that the loop is about to poll.
      *
-     * @param nowNanos the monotonic time
      * @param untilTimerNanos how long until its next timer is due
      */
     public void onPollStarted(long nowNanos, long untilTimerNanos) {
         if (pollCount > 0) {
-            recordLag(nowNanos, nowNanos - polledAt);
+            recordLag(nowNanos, nowNanos - pollReturnedNanos);
         }
-        pollingAt = nowNanos;
-        dueAt = nowNanos + Math.max(0, untilTimerNanos);
+        pollStartedNanos = nowNanos;
+        timerDueNanos = nowNanos + Math.max(0, untilTimerNanos);
     }
 
-    /** The poll has returned at this monotonic time, and what is ready is handled next. */
+    /** Notes that a poll has returned and the loop goes on to handle what is ready. */
     public void onPollReturned(long nowNanos) {
-        previouslyPolledAt = pollCount == 0 ? pollingAt : polledAt;
-        polledAt = nowNanos;
+        previousPollReturnedNanos = pollCount == 0 ? pollStartedNanos : pollReturnedNanos;
+        pollReturnedNanos = nowNanos;
         pollCount++;
-        recordLag(nowNanos, nowNanos - dueAt);
+        recordLag(nowNanos, nowNanos - timerDueNanos);
     }
 
-    private void recordLag(long nowNanos, long byNanos) {
-        for (int i = 0; i < over.length && byNanos > BOUNDS_MS[i] * NANOS_PER_MS; i++) {
-            over[i]++;
+    private void recordLag(long nowNanos, long lagNanos) {
+        for (int i = 0; i < countsAbove.length && lagNanos > HISTOGRAM_BOUNDS_MS[i] * NANOS_PER_MS; i++) {
+            countsAbove[i]++;
         }
-        long spans = (nowNanos - spanBegan) / SPAN_NANOS;
-        if (spans > 0) {
-            previousGreatestNanos = spans == 1 ? greatestNanos : 0;
-            greatestNanos = 0;
-            spanBegan = nowNanos;
+        startWindowIfDue(nowNanos);
+        windowMaxNanos = Math.max(windowMaxNanos, lagNanos);
+    }
+
+    private void startWindowIfDue(long nowNanos) {
+        long windowsPassed = (nowNanos - windowStartNanos) / WINDOW_NANOS;
+        if (windowsPassed > 0) {
+            previousWindowMaxNanos = windowsPassed == 1 ? windowMaxNanos : 0;
+            windowMaxNanos = 0;
+            windowStartNanos = nowNanos;
         }
-        greatestNanos = Math.max(greatestNanos, byNanos);
     }
 
-    /** How many polls there have been. */
+    /** Returns how many polls have returned. */
     public long pollCount() {
         return pollCount;
     }
 
-    /** The longest that what is handled now can have waited for the loop, in milliseconds. */
+    /** Returns the longest time, in milliseconds, that the event being handled may have waited for the loop. */
     public double maxQueueDelayMs(long nowNanos) {
-        boolean slept = polledAt - pollingAt > SLEPT_NANOS;
-        return pollCount == 0 ? 0 : (nowNanos - (slept ? polledAt : previouslyPolledAt)) / NANOS_PER_MS;
+        if (pollCount == 0) {
+            return 0;
+        }
+        boolean slept = pollReturnedNanos - pollStartedNanos > SLEPT_NANOS;
+        long readySinceNanos = slept ? pollReturnedNanos : previousPollReturnedNanos;
+        return (nowNanos - readySinceNanos) / NANOS_PER_MS;
     }
 
-    /** The greatest lateness of the last few seconds, in milliseconds. */
+    /** Returns the greatest lag of the last 2 to 4 seconds, in milliseconds. */
     public double recentMaxLagMs() {
-        return Math.max(greatestNanos, previousGreatestNanos) / NANOS_PER_MS;
+        return Math.max(windowMaxNanos, previousWindowMaxNanos) / NANOS_PER_MS;
     }
 
-    /** The bounds of the histogram, in milliseconds, rising. */
+    /** Returns the bounds of the histogram, in milliseconds, ascending. */
     public static int[] histogramBoundsMs() {
-        return BOUNDS_MS.clone();
+        return HISTOGRAM_BOUNDS_MS.clone();
     }
 
-    /** How often the loop has been later than the bound of this index. */
+    /** Returns how often the lag has exceeded the bound of this index. */
     public int countAbove(int bound) {
-        return over[bound];
+        return countsAbove[bound];
     }
 
-    /** Leaves out what was measured so far, as once a process has started. */
+    /** Forgets the greatest lag, so that the start of a process does not count. The histogram stays. */
     public void resetRecentMax() {
-        greatestNanos = 0;
-        previousGreatestNanos = 0;
+        windowMaxNanos = 0;
+        previousWindowMaxNanos = 0;
     }
 }
--- a/edge/src/main/java/lemonrail/time/LagMeasuringIoHandler.java
+++ b/edge/src/main/java/lemonrail/time/LagMeasuringIoHandler.java
@@ -8,73 +8,73 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
 /**
- * I/O of one event loop whose polls are told to a {@link EventLoopLag}. A handler asks its context whether to
- * report the time of I/O right after the poll, and before it handles what is ready: that is where the end of
- * a poll shows.
+ * Reports the polls of one event loop to an {@link EventLoopLag}. Netty has no hook after a poll, but a handler asks
+ * its context right then whether to report the I/O time, before it handles what is ready; that call marks
+ * the poll's end.
  */
 public final class LagMeasuringIoHandler implements IoHandlerFactory {
 
-    private final IoHandlerFactory measured;
+    private final IoHandlerFactory delegate;
     private final EventLoopLag lag;
 
-    /** Measures the handlers of this factory, which must serve one loop only. */
-    public LagMeasuringIoHandler(IoHandlerFactory measured, EventLoopLag lag) {
-        this.measured = measured;
+    /** Creates a factory around another, which must serve one event loop only. */
+    public LagMeasuringIoHandler(IoHandlerFactory delegate, EventLoopLag lag) {
+        this.delegate = delegate;
         this.lag = lag;
     }
 
     @Override
     public IoHandler newHandler(ThreadAwareExecutor executor) {
-        return new Handler(measured.newHandler(executor), lag);
+        return new Handler(delegate.newHandler(executor), lag);
     }
 
     private static final class Handler implements IoHandler {
-        private final IoHandler handler;
+        private final IoHandler delegate;
         private final Context context;
 
-        Handler(IoHandler handler, EventLoopLag lag) {
-            this.handler = handler;
+        Handler(IoHandler delegate, EventLoopLag lag) {
+            this.delegate = delegate;
             context = new Context(lag);
         }
 
         @Override
         public int run(IoHandlerContext loop) {
-            context.begin(loop);
-            return handler.run(context);
+            context.startIteration(loop);
+            return delegate.run(context);
         }
 
         @Override
         public void initialize() {
-            handler.initialize();
+            delegate.initialize();
         }
 
         @Override
         public void prepareToDestroy() {
-            handler.prepareToDestroy();
+            delegate.prepareToDestroy();
         }
 
         @Override
         public void destroy() {
-            handler.destroy();
+            delegate.destroy();
         }
 
         @Override
         public IoRegistration register(IoHandle handle) throws Exception {
-            return handler.register(handle);
+            return delegate.register(handle);
         }
 
         @Override
         public void wakeup() {
-            handler.wakeup();
+            delegate.wakeup();
         }
 
         @Override
         public boolean isCompatible(Class<? extends IoHandle> handleType) {
-            return handler.isCompatible(handleType);
+            return delegate.isCompatible(handleType);
         }
     }
 
-    /** One for the life of the handler: an iteration must not cost an allocation. */
+    /** Reused for each iteration, so that none allocates. */
     private static final class Context implements IoHandlerContext {
         private final EventLoopLag lag;
         private IoHandlerContext loop;
@@ -83,7 +83,7 @@
             this.lag = lag;
         }
 
-        void begin(IoHandlerContext iteration) {
+        void startIteration(IoHandlerContext iteration) {
             loop = iteration;
             long now = System.nanoTime();
             lag.onPollStarted(now, iteration.delayNanos(now));
--- a/edge/src/main/java/lemonrail/upgrade/SharedListener.java
+++ b/edge/src/main/java/lemonrail/upgrade/SharedListener.java
@@ -11,43 +11,43 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A listener whose address two processes can hold at once (SO_REUSEPORT), and which can leave it without a
- * loss. Each listener has a queue of its own, and what waits in it when it closes is reset, so it is emptied
- * by the very task that closes it.
+ * A listener whose address two processes can share (SO_REUSEPORT), and which can close without losing connections.
+ * Each listener has an accept queue of its own; connections in it when the listener closes are reset, so the same task
+ * empties and closes it.
  */
 public final class SharedListener extends NioServerSocketChannel {
 
-    /** Lets another process listen at the same address. */
+    /** Set to true to let another process listen at the same address. */
     public static final ChannelOption<Boolean> REUSE_PORT = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
 
-    private static final int RETRY_MS = 1;
+    private static final int DEREGISTER_POLL_MS = 1;
 
-    private boolean leaving;
+    private boolean closing;
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
-        SocketChannel fresh = javaChannel().accept();
-        if (fresh == null) {
+        SocketChannel socket = javaChannel().accept();
+        if (socket == null) {
             return 0;
         }
-        accepted.add(new AcceptedSocket(this, fresh));
+        accepted.add(new AcceptedSocket(this, socket));
         return 1;
     }
 
-    /** Takes in all that wait, then closes at once. */
+    /** Accepts all connections in the queue, then closes; does nothing if that has begun. Called on the event loop. */
     public void acceptPendingAndClose() {
-        if (leaving || !isOpen()) {
+        if (closing || !isOpen()) {
             return;
         }
-        leaving = true;
-        // While a selector knows the socket, a close waits for its next round, and the queue goes on filling.
-        deregister().addListener(gone -> closeEmptied());
+        closing = true;
+        // A socket that is registered with a selector closes only at its next poll, and the queue fills meanwhile.
+        deregister().addListener(deregistered -> acceptAllAndClose());
     }
 
-    private void closeEmptied() {
+    private void acceptAllAndClose() {
         ServerSocketChannel socket = javaChannel();
         if (socket.isRegistered()) {
-            eventLoop().schedule(this::closeEmptied, RETRY_MS, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(this::acceptAllAndClose, DEREGISTER_POLL_MS, TimeUnit.MILLISECONDS);
             return;
         }
         List<Object> accepted = new ArrayList<>();
--- a/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
+++ b/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
@@ -10,62 +10,83 @@
 import lemonrail.logging.EventLog;
 
 /**
- * Tells whether another process of the same sidecar runs beside this one, as during an upgrade: each holds a
- * lock on a byte of one file. The system gives a lock back when its process ends in whatever way, so nothing
- * stale is ever believed, which a file with a process id in it could not promise.
+ * Detects whether another process of the same sidecar is alive, as during an upgrade. Each process locks one byte of a
+ * shared file. The operating system releases the lock whenever the process ends, so it is never stale, unlike a process
+ * id in a file.
  */
 public final class SiblingProcessLock implements Closeable {
 
-    /** Processes that can be told apart; an upgrade has two. */
-    private static final int MOST_PROCESSES = 8;
+    /** How many processes can be told apart; an upgrade has two. */
+    private static final int MAX_PROCESSES = 8;
+
+    private static final int NO_INDEX = -1;
 
     private final EventLog log;
     private FileChannel channel;
-    private int own = -1;
+    /** The byte that this process has locked. */
+    private int ownIndex = NO_INDEX;
 
-    /** Takes this process's place in the file; where that fails, the process counts as alone. */
-    public SiblingProcessLock(Path places, EventLog log) {
+    /** Locks a byte of the file, which is created if need be. If that fails, no sibling is ever detected. */
+    public SiblingProcessLock(Path file, EventLog log) {
         this.log = log.in("upgrade");
         try {
-            channel = FileChannel.open(places, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            for (int i = 0; i < MOST_PROCESSES && own < 0; i++) {
-                own = lock(i) == null ? -1 : i;
-            }
+            channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            ownIndex = lockFirstFree();
         } catch (IOException e) {
-            log.trouble("presence_unknown", "cannot tell of other processes of this sidecar", e);
+            logFailure(e);
         }
     }
 
-    private FileLock lock(int place) throws IOException {
+    private int lockFirstFree() throws IOException {
+        for (int index = 0; index < MAX_PROCESSES; index++) {
+            if (tryLock(index) != null) {
+                return index;
+            }
+        }
+        return NO_INDEX;
+    }
+
+    /** Returns the lock, or null if another holds it. */
+    private FileLock tryLock(int index) throws IOException {
         try {
-            return channel.tryLock(place, 1, false);
+            return channel.tryLock(index, 1, false);
         } catch (OverlappingFileLockException e) {
             // Held within this process, as by another sidecar of a test.
             return null;
         }
     }
 
-    /** Whether another process of this sidecar is alive. */
+    /** Returns whether another process of this sidecar is alive; false if that cannot be determined. */
     public boolean hasSibling() {
-        if (own < 0) {
+        if (ownIndex == NO_INDEX) {
             return false;
         }
         try {
-            for (int i = 0; i < MOST_PROCESSES; i++) {
-                FileLock probe = i == own ? null : lock(i);
-                if (i != own && probe == null) {
+            for (int index = 0; index < MAX_PROCESSES; index++) {
+                if (index != ownIndex && isLockedElsewhere(index)) {
                     return true;
                 }
-                if (probe != null) {
-                    probe.release();
-                }
             }
         } catch (IOException e) {
-            log.trouble("presence_unknown", "cannot tell of other processes of this sidecar", e);
+            logFailure(e);
         }
         return false;
     }
 
+    private boolean isLockedElsewhere(int index) throws IOException {
+        FileLock probe = tryLock(index);
+        if (probe == null) {
+            return true;
+        }
+        probe.release();
+        return false;
+    }
+
+    private void logFailure(IOException cause) {
+        log.trouble("sibling_lock_failed", "cannot detect other processes of this sidecar", cause);
+    }
+
+    /** Releases the lock. */
     @Override
     public void close() throws IOException {
         if (channel != null) {
--- a/edge/src/test/java/lemonrail/assembly/ClientsThatLeaveTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientDisconnectTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A request whose client has left is not sent on any more, whether or not what runs may be called off. */
+/** A request whose client has disconnected is not forwarded, whether or not attempts in flight may be cancelled. */
 @Timeout(60)
-class ClientsThatLeaveTest {
+class ClientDisconnectTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** What takes longer has waited for the deadline. */
+    /** Anything slower has waited for the deadline. */
     private static final double SOON_MS = DEADLINE_MS / 2.0;
 
     private static final int BURST = 3;
-    /** More than the module lets through at once, so that others are refused before they leave. */
+    /** More than the balancer admits at once, so that some are rejected before they disconnect. */
     private static final int MANY = 40;
-    /** What is read behind as many requests as may be in hand on one connection, and more than that. */
+    /** What is read behind as many requests as may be in flight on one connection, and more than that. */
     private static final int BEHIND_BYTES = 10_000;
 
     private static final int FAR_BEHIND_BYTES = 100_000;
@@ -41,7 +41,7 @@
         rig.close();
     }
 
-    private static void leave(Wire client, boolean byReset) throws IOException {
+    private static void disconnect(Wire client, boolean byReset) throws IOException {
         if (byReset) {
             client.reset();
         } else {
@@ -61,10 +61,10 @@
         assertTrue((System.nanoTime() - left) / 1e6 < SOON_MS, "long before their deadlines");
     }
 
-    /** Guards against work for nobody: the connection comes up after its clients have gone. */
+    /** Guards against attempts whose connection is established after the client has disconnected. */
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void whatWaitsForAConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
+    void attemptAwaitingItsConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
         try (LateFake late = new LateFake()) {
             rig = new Rig();
             rig.cancel = mayCancel;
@@ -77,21 +77,21 @@
             }
             Rig.await("all wait for their connections", () -> rig.inHand() == BURST);
             for (Wire client : clients) {
-                leave(client, byReset);
+                disconnect(client, byReset);
             }
             awaitKnown();
             late.release();
             Rig.await("nothing is out any more", () -> rig.inHand() == 0);
             assertEquals(0, late.asked.get());
             assertEquals("late", rig.ask("order", DEADLINE_MS).body(), "the endpoint is reached from now on");
-            assertEquals(1, late.asked.get(), "by who still waits alone");
+            assertEquals(1, late.asked.get(), "only by the client that still waits");
         }
     }
 
-    /** The same with many of them at once, of which only so many are let through. */
+    /** The same with many clients at once, of which the balancer admits a part. */
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void ofManyThatLeaveAtOnceNoneIsSent(boolean mayCancel, boolean byReset) throws Exception {
+    void noAttemptIsSentWhenManyClientsDisconnect(boolean mayCancel, boolean byReset) throws Exception {
         try (LateFake late = new LateFake()) {
             rig = new Rig();
             rig.cancel = mayCancel;
@@ -105,20 +105,20 @@
             Rig.await("some wait for their connections", () -> rig.inHand() > 0);
             rig.settle();
             for (Wire client : clients) {
-                leave(client, byReset);
+                disconnect(client, byReset);
             }
             awaitKnown();
             late.release();
             Rig.await("nothing is out any more", () -> rig.inHand() == 0);
             assertEquals("late", rig.ask("order", DEADLINE_MS).body(), "the endpoint is reached from now on");
-            assertEquals(1, late.asked.get(), "by who still waits alone");
+            assertEquals(1, late.asked.get(), "only by the client that still waits");
         }
     }
 
-    /** Guards against a repeat for nobody: its connection comes up after the client has gone. */
+    /** Guards against a retry whose connection is established after the client has disconnected. */
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void aRepeatThatWaitsForAConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
+    void retryAwaitingItsConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         CountDownLatch failing = new CountDownLatch(BURST);
         try (LateFake late = new LateFake()) {
@@ -147,7 +147,7 @@
             rig.settle();
             Rig.await("some wait for a second connection", () -> rig.inHand() > 0);
             for (Wire client : clients) {
-                leave(client, byReset);
+                disconnect(client, byReset);
             }
             awaitKnown();
             late.release();
@@ -158,7 +158,7 @@
         }
     }
 
-    /** Guards against a repeat for nobody: the attempt fails after the client has gone. */
+    /** Guards against a retry of an attempt that fails after the client has disconnected. */
     @ParameterizedTest
     @CsvSource({
         "true,true,500",
@@ -170,7 +170,8 @@
         "false,true,0",
         "false,false,0"
     })
-    void whatFailsLaterIsNotTriedAgain(boolean mayCancel, boolean byReset, int status) throws Exception {
+    void attemptThatFailsAfterTheDisconnectIsNotRetried(boolean mayCancel, boolean byReset, int status)
+            throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         Fake.Script failing = (wire, request) -> {
             release.await();
@@ -189,7 +190,7 @@
         }
         Rig.await("they are out", () -> rig.attempts() == BURST);
         for (Wire client : clients) {
-            leave(client, byReset);
+            disconnect(client, byReset);
         }
         awaitKnown();
         release.countDown();
@@ -198,7 +199,7 @@
         assertEquals(BURST, rig.attempts());
     }
 
-    /** Guards against repeats for who has gone unnoticed behind what came after the requests in hand. */
+    /** Guards against retries for a client whose disconnect is hidden behind unread input. */
     @ParameterizedTest
     @CsvSource({
         "0,false",
@@ -212,7 +213,7 @@
         NOISE_BYTES + ",false",
         NOISE_BYTES + ",true"
     })
-    void whoGoesBehindMoreThanIsTakenIsNoticed(int behindBytes, boolean byReset) throws Exception {
+    void disconnectBehindUnreadInputIsNoticed(int behindBytes, boolean byReset) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         Fake.Script failing = (wire, request) -> {
             release.await();
@@ -233,7 +234,7 @@
         String more = rig.request("read", DEADLINE_MS);
         client.send(more.repeat(behindBytes / more.length()));
         rig.settle();
-        leave(client, byReset);
+        disconnect(client, byReset);
         awaitKnown();
         release.countDown();
         Rig.await("nothing is owed any more", () -> rig.inHand() == 0);
@@ -241,10 +242,10 @@
         assertEquals(out, rig.attempts());
     }
 
-    /** The same for one that has not taken an answer: it is not read, as nothing more is written to it. */
+    /** The same for a client that has not read a response: it is not read either, as its write buffer is full. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whoGoesWithAnAnswerUntakenIsNoticed(boolean byReset) throws Exception {
+    void disconnectWithAnUnreadResponseIsNoticed(boolean byReset) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch begun = new CountDownLatch(1);
         Fake.Script script = (wire, request) -> {
@@ -264,7 +265,7 @@
         begun.await();
         Rig.await("the second is out", () -> rig.attempts() == 2);
         rig.settle();
-        leave(client, byReset);
+        disconnect(client, byReset);
         awaitKnown();
         release.countDown();
         Rig.await("nothing is owed any more", () -> rig.inHand() == 0);
@@ -272,10 +273,10 @@
         assertEquals(2, rig.attempts());
     }
 
-    /** Guards against clients that send much and go: who is not read is not noticed to have gone. */
+    /** Guards against unnoticed disconnects of clients with so many requests that they are not read. */
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 8, 9, 300})
-    void whoSendsMuchAndGoesIsNoticed(int requests) throws Exception {
+    void disconnectAfterManyRequestsIsNoticed(int requests) throws Exception {
         Fake hung = new Fake((wire, request) -> wire.awaitEnd());
         rig = new Rig(hung);
         rig.start();
@@ -293,9 +294,9 @@
         assertTrue((System.nanoTime() - left) / 1e6 < SOON_MS);
     }
 
-    /** Guards against a good request's answer that is lost to what its client sends behind it. */
+    /** Guards against a response that is lost because of what its client sends after the request. */
     @Test
-    void whatComesBehindARequestDoesNotCutItsAnswer() throws Exception {
+    void inputBehindARequestDoesNotTruncateItsResponse() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         rig = new Rig(new Fake((wire, request) -> {
             release.await();
@@ -308,7 +309,7 @@
                     client.send(rig.request("order", DEADLINE_MS) + "no request\r\n\r\n");
                     client.send("x".repeat(1 << 20));
                 } catch (IOException e) {
-                    // It is not all read, and need not be.
+                    // Not all of it is read, nor need it be.
                     return;
                 }
             });
@@ -320,7 +321,7 @@
     }
 
     private Wire.Message release(Wire client, CountDownLatch held) throws Exception {
-        // Others are served meanwhile, so all that is ever read of the noise has been.
+        // Others have been served meanwhile, so all that is ever read of this input has been.
         for (int i = 0; i < BURST; i++) {
             try (Wire other = rig.client()) {
                 assertEquals(
--- a/edge/src/test/java/lemonrail/assembly/DrainTest.java
+++ b/edge/src/test/java/lemonrail/assembly/DrainTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A drain by hand: the sidecar empties, still serves who comes late, and can be taken back into service. */
+/** A drain by operators: idle connections are closed, late requests are still served, and the drain can be ended. */
 @Timeout(60)
 class DrainTest {
 
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void openConnectionsAreEmptied() throws Exception {
+    void drainClosesIdleConnections() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         rig = new Rig(new Fake((wire, request) -> {
                     if (request.line().startsWith("POST")) {
@@ -63,18 +63,18 @@
             idle.awaitEnd();
             silent.awaitEnd();
             Wire.Message late = rig.ask("read", DEADLINE_MS);
-            assertEquals(200, late.status(), "who comes late is served");
+            assertEquals(200, late.status(), "a late request is served");
             assertEquals("close", late.headers().get("connection"));
             release.countDown();
             last = busy.read();
-            assertEquals(200, last.status(), "what is in hand is finished");
+            assertEquals(200, last.status(), "the request in flight is completed");
             assertEquals("close", last.headers().get("connection"));
             busy.awaitEnd();
         }
     }
 
     @Test
-    void activateTakesAllOfItBack() throws Exception {
+    void activateEndsTheDrain() throws Exception {
         rig = new Rig(Fake.answering(200, "", "served")).start();
         call("drain");
         assertReady(503);
@@ -86,7 +86,7 @@
                 Wire.Message answer =
                         client.send(rig.request("read", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
-                assertNull(answer.headers().get("connection"), "it may stay");
+                assertNull(answer.headers().get("connection"), "the connection is kept alive");
                 rig.settle();
             }
         }
--- a/edge/src/test/java/lemonrail/assembly/SeamTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
@@ -30,11 +30,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What every protocol owes by the exchange: one final answer, repeats only as the class allows, drains and
- * deadlines. HTTP/1.1 and a protocol of the tests' own run through the same tests, over real sockets.
+ * The contract of the exchange package that holds for each protocol: one final response, retries only as the class
+ * permits, drains and deadlines. HTTP/1.1 and a test protocol run through the same tests, over real sockets.
  */
 @Timeout(60)
-class SeamTest {
+class ProtocolContractTest {
 
     private static final int LONG_MS = 8000;
     private static final int SHORT_MS = 400;
@@ -145,7 +145,7 @@
         Rig.await(count + " attempts", () -> attempts() == count);
     }
 
-    // ---- one final answer ----
+    // ---- one final response ----
 
     @ParameterizedTest
     @EnumSource
@@ -167,7 +167,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void whatAnEndpointTurnsAwayForGoodIsNotTriedAgain(Talk spoken) throws Exception {
+    void requestRejectedAsInvalidIsNotRetried(Talk spoken) throws Exception {
         talk = spoken;
         peer(Act.TURN_AWAY);
         peer(Act.TURN_AWAY);
@@ -176,31 +176,31 @@
         assertEquals(1, attempts());
     }
 
-    // ---- repeats ----
+    // ---- retries ----
 
     @ParameterizedTest
     @EnumSource
-    void aRepeatableRequestIsTriedElsewhere(Talk spoken) throws Exception {
+    void idempotentRequestIsRetriedAtAnotherEndpoint(Talk spoken) throws Exception {
         for (Act act : List.of(Act.FAIL, Act.RESET, Act.NOT_RUN)) {
             tryTwice(spoken, act, "read", Final.Kind.SERVED, 2);
         }
     }
 
     /**
-     * Guards against a second run of what must run once: only an end that proves there was none is repeated.
+     * Guards against a second execution: only an outcome that proves there was none permits a retry.
      */
     @ParameterizedTest
     @EnumSource
-    void aRequestThatMustRunOnceIsRepeatedOnlyIfItNeverRan(Talk spoken) throws Exception {
+    void nonIdempotentRequestIsRetriedOnlyIfNotExecuted(Talk spoken) throws Exception {
         tryTwice(spoken, Act.NOT_RUN, "order", Final.Kind.SERVED, 2);
         tryTwice(spoken, Act.FAIL, "order", Final.Kind.FAILED, 1);
         tryTwice(spoken, Act.RESET, "order", Final.Kind.FAILED, 1);
     }
 
-    /** A keyed request may be repeated within its rack alone, and here each rack has one endpoint. */
+    /** A keyed request may be retried within its rack only, and here each rack has one endpoint. */
     @ParameterizedTest
     @EnumSource
-    void aKeyedRequestStaysInItsRack(Talk spoken) throws Exception {
+    void keyedRequestIsRetriedOnlyInItsRack(Talk spoken) throws Exception {
         tryTwice(spoken, Act.NOT_RUN, "save", Final.Kind.SERVED, 2);
         talk = spoken;
         reset();
@@ -211,7 +211,7 @@
         assertTrue(first.requests().isEmpty() || second.requests().isEmpty(), "one rack only");
     }
 
-    /** Both endpoints do this with the first request that each gets and serve all others. */
+    /** Sends a request while both endpoints do this with the first request that each gets and serve all others. */
     private void tryTwice(Talk spoken, Act act, String kind, Final.Kind end, int attempts) throws Exception {
         talk = spoken;
         reset();
@@ -238,7 +238,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void anEndpointThatIsNotThereIsPassedOver(Talk spoken) throws Exception {
+    void endpointThatRefusesConnectionsIsSkipped(Talk spoken) throws Exception {
         talk = spoken;
         Peer gone = peer(Act.SERVE);
         peer(Act.SERVE);
@@ -254,7 +254,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void aSilentEndpointIsGivenUpAndTheClientHears(Talk spoken) throws Exception {
+    void unresponsiveEndpointTimesOutAndTheClientIsInformed(Talk spoken) throws Exception {
         talk = spoken;
         Peer silent = peer(Act.SILENT);
         start(spoken);
@@ -266,10 +266,10 @@
         assertEquals(1, attempts());
     }
 
-    /** Guards against an answer that comes late and passes for the next request's. */
+    /** Guards against a late response that is taken for the next request's. */
     @ParameterizedTest
     @EnumSource
-    void aLateAnswerIsNobodys(Talk spoken) throws Exception {
+    void lateResponseIsNotGivenToTheNextRequest(Talk spoken) throws Exception {
         talk = spoken;
         peer(Act.HOLD, Act.SERVE);
         start(spoken);
@@ -288,7 +288,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void aFullPoolRefusesAtOnce(Talk spoken) throws Exception {
+    void fullPoolRejectsAtOnce(Talk spoken) throws Exception {
         talk = spoken;
         peer(Act.HOLD);
         start(spoken);
@@ -312,11 +312,11 @@
         }
     }
 
-    // ---- drains, and clients that go ----
+    // ---- drains and client disconnects ----
 
     @ParameterizedTest
     @EnumSource
-    void anEndpointThatDrainsFinishesWhatItHasAndGetsNothingNew(Talk spoken) throws Exception {
+    void drainingEndpointCompletesItsRequestsAndGetsNoNewOnes(Talk spoken) throws Exception {
         talk = spoken;
         Peer draining = peer(Act.HOLD);
         start(spoken);
@@ -339,7 +339,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void anEdgeThatStopsAnswersWhatItHas(Talk spoken) throws Exception {
+    void stoppingSidecarRespondsToRequestsInFlight(Talk spoken) throws Exception {
         talk = spoken;
         peer(Act.HOLD);
         start(spoken);
@@ -348,7 +348,7 @@
         Thread stopping = new Thread(edge::terminate);
         stopping.start();
         Rig.await("it is stopping", () -> log.toString(StandardCharsets.UTF_8).contains("stopping"));
-        assertTrue(stopping.isAlive(), "it waits for what it has");
+        assertTrue(stopping.isAlive(), "it waits for requests in flight");
         release.countDown();
         assertEquals(Final.Kind.SERVED, held.read().kind());
         held.awaitEnd();
@@ -358,7 +358,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void whatNobodyWaitsForIsGivenUp(Talk spoken) throws Exception {
+    void attemptIsCancelledWhenItsClientDisconnects(Talk spoken) throws Exception {
         talk = spoken;
         Peer silent = peer(Act.SILENT);
         start(spoken);
--- a/edge/src/test/java/lemonrail/assembly/CrossingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/RaceConditionsTest.java
@@ -20,16 +20,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What ends a connection or an attempt in the very instant in which something is still owed on it. */
+/** Connections or attempts that end at the instant in which a request, a response or a result is on its way. */
 @Timeout(60)
-class CrossingsTest {
+class RaceConditionsTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** As many clients as there is room for with hardly a descriptor. */
+    /** As many clients as may connect with few descriptors. */
     private static final int ROOM = 8;
-    /** Beyond each time limit of a client's connection. */
+    /** Longer than each timeout of a client's connection. */
     private static final long PAST_MS = 5300;
-    /** For so long endpoints know a key. */
+    /** How long endpoints remember a key. */
     private static final int WINDOW_MS = 400;
 
     private Rig rig;
@@ -49,7 +49,7 @@
         return client;
     }
 
-    /** Keeps the event loop from all else until it is let go; it is held when this returns. */
+    /** Blocks the event loop until it is released. It is blocked when this returns. */
     private CountDownLatch hold() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
@@ -67,9 +67,9 @@
         }
     }
 
-    // ---- room ----
+    // ---- eviction ----
 
-    /** All the room is taken by clients that have asked and are idle, and the loop is held. */
+    /** Connects as many idle clients as may connect, each of which has sent a request, and blocks the event loop. */
     private CountDownLatch fillAndHold() throws Exception {
         rig = new Rig(Fake.answering(200, "", "served"));
         rig.sockets = 1;
@@ -81,21 +81,21 @@
         return hold();
     }
 
-    /** Guards against the close of a connection on which a request has come that is not read yet. */
+    /** Guards against closing a connection that has an unread request. */
     @Test
-    void whoMakesRoomHasNothingUnread() throws Exception {
+    void evictedConnectionHasNoUnreadRequest() throws Exception {
         CountDownLatch release = fillAndHold();
         Wire newcomer = client();
         clients.get(0).send(rig.request("order", DEADLINE_MS));
         release.countDown();
-        assertEquals(200, clients.get(0).read().status(), "the longest idle one has just asked");
+        assertEquals(200, clients.get(0).read().status(), "the longest idle one has just sent a request");
         clients.get(1).awaitEnd();
         assertEquals(200, newcomer.send(rig.request("read", DEADLINE_MS)).read().status());
     }
 
-    /** Guards against newcomers that make room for one another, as others hold half a request each. */
+    /** Guards against new connections that evict one another while others hold half a request each. */
     @Test
-    void whoHasJustComeDoesNotMakeRoom() throws Exception {
+    void newConnectionIsNotEvicted() throws Exception {
         rig = new Rig(Fake.answering(200, "", "served"));
         rig.sockets = 1;
         rig.start();
@@ -111,9 +111,9 @@
                 200, newcomer.send(rig.request("order", DEADLINE_MS)).read().status());
     }
 
-    /** Guards against a refusal that its client never gets: where nobody can make room, it is whole. */
+    /** Guards against a rejection that its client does not receive whole, when no connection can be evicted. */
     @Test
-    void whoFindsNoRoomIsRefusedInGoodOrder() throws Exception {
+    void connectionBeyondTheLimitGetsACompleteRejection() throws Exception {
         CountDownLatch release = fillAndHold();
         Wire newcomer = client().send(rig.request("order", DEADLINE_MS));
         for (int i = 0; i < ROOM; i++) {
@@ -122,17 +122,17 @@
         release.countDown();
         assertEquals(503, newcomer.read().status());
         for (int i = 0; i < ROOM; i++) {
-            // More at once than the module lets through; what counts is that each has its answer.
+            // More than the balancer admits at once; what counts is that each gets its response.
             assertTrue(List.of(200, 503).contains(clients.get(i).read().status()));
         }
     }
 
-    // ---- time ----
+    // ---- timeouts ----
 
-    /** Guards against time limits that fall due in the turn in which the rest of a request has come. */
+    /** Guards against timeouts that are due in the iteration in which the rest of a request has arrived. */
     @ParameterizedTest
     @ValueSource(strings = {"idle", "first", "half"})
-    void aTimeLimitDoesNotCutWhatHasCome(String state) throws Exception {
+    void clientTimeoutDoesNotDropReceivedBytes(String state) throws Exception {
         rig = new Rig(Fake.answering(200, "", "served")).start();
         String request = rig.request("read", DEADLINE_MS);
         int sent = 0;
@@ -144,11 +144,11 @@
             sent = request.length() / 2;
             client.send(request.substring(0, sent));
         }
-        // All that has come so far is dealt with once another connection has its answer.
+        // All that has arrived so far is handled once another connection has its response.
         assertEquals(
                 404,
                 client().send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").read().status());
-        // What is due before the time limit runs in the same turn, if the loop comes to both too late.
+        // A timer due before the timeout runs in the same iteration if the loop is late for both.
         CountDownLatch due = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch last = new CountDownLatch(1);
@@ -166,12 +166,12 @@
         assertEquals(200, client.read().status());
     }
 
-    // ---- endpoints that leave ----
+    // ---- leaving endpoints ----
 
-    /** Guards against sends after a drain: the connection comes up when its endpoint takes nothing new. */
+    /** Guards against attempts after a drain, when the connection is established late. */
     @ParameterizedTest
     @ValueSource(strings = {"terminating", "terminated", "moved", "suspended"})
-    void whatComesUpTooLateIsSentElsewhere(String how) throws Exception {
+    void attemptIsNotStartedOnALateConnectionToALeavingEndpoint(String how) throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         try (LateFake late = new LateFake();
                 Fake other = Fake.answering(200, "", "other")) {
@@ -207,13 +207,13 @@
             }
             late.release();
             assertEquals("other", client.read().body());
-            assertEquals(0, late.asked.get(), "nothing is written on a connection from before");
+            assertEquals(0, late.asked.get(), "nothing is written to the late connection");
         }
     }
 
-    /** Guards against an effect that happens twice: a repeat's connection comes up after the key's window. */
+    /** Guards against a second execution by a retry whose connection is established after the key's window. */
     @Test
-    void aKeysRepeatIsNotBegunAfterItsWindow() throws Exception {
+    void keyedRetryIsNotStartedAfterItsDeduplicationWindow() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         try (LateFake late = new LateFake()) {
             Fake first = new Fake((wire, request) -> {
@@ -237,16 +237,16 @@
             long over = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WINDOW_MS);
             Rig.await("its window is over", () -> System.nanoTime() > over);
             late.release();
-            assertEquals(503, client.read().status(), "its endpoints knew it for so long only");
+            assertEquals(503, client.read().status(), "its endpoints may have forgotten the key");
             assertEquals(0, late.asked.get());
         }
     }
 
-    // ---- a restart ----
+    // ---- restarts ----
 
-    /** Guards against requests lost at a restart: one that is unread, and one of which half has come. */
+    /** Guards against requests lost at a restart: an unread one, and one of which half has arrived. */
     @Test
-    void aStopAnswersWhatHasNotBeenReadYet() throws Exception {
+    void stopRespondsToUnreadRequests() throws Exception {
         rig = new Rig(Fake.answering(200, "", "served")).start();
         Wire half = client();
         String request = rig.request("order", DEADLINE_MS);
@@ -266,11 +266,11 @@
         stop.join();
     }
 
-    // ---- a module that fails ----
+    // ---- balancer failures ----
 
-    /** Guards against an answer that only the deadline brings: the module has failed with an attempt out. */
+    /** Guards against a response only at the deadline when the balancer fails with an attempt in flight. */
     @Test
-    void whatTheModuleFailsOverIsAnsweredOnceNothingIsOut() throws Exception {
+    void requestIsAbandonedOnceNoAttemptIsInFlightAfterABalancerFailure() throws Exception {
         rig = new Rig(Fake.answering(500, "", ""));
         rig.start((settings, seed, host) -> new Failing(host));
         long began = System.nanoTime();
@@ -279,7 +279,7 @@
         Rig.await("nothing is left", () -> rig.inHand() == 0);
     }
 
-    /** Fails after it has sent a request, and knows nothing of it from then on. */
+    /** Throws after it has started an attempt, and ignores its result. */
     private record Failing(LoadBalancerHost host) implements LoadBalancer {
 
         @Override
--- a/edge/src/test/java/lemonrail/assembly/StreamingTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StreamingTest.java
@@ -78,7 +78,7 @@
 
     @ParameterizedTest
     @CsvSource({"65536, 0", "65537, 0", "65537, 100", "3000000, 0", "3000000, 1", "3000000, 70000", "33554432, 0"})
-    void anAnswerOfAnySizeIsPassedOnUnchanged(int bytes, int chunk) throws Exception {
+    void responseOfAnySizeIsForwardedUnchanged(int bytes, int chunk) throws Exception {
         byte[] body = random(chunk == 1 ? bytes / 10 : bytes);
         ByteArrayOutputStream framed = new ByteArrayOutputStream();
         if (chunk == 0) {
@@ -109,7 +109,7 @@
     /** The answer's first bytes come at once, while the endpoint still works on the rest. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
-    void theFirstBytesDoNotWaitForTheRest(String framing) throws Exception {
+    void firstBytesAreForwardedAtOnce(String framing) throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         boolean chunked = framing.startsWith("T");
         rig = new Rig(new Fake((wire, request) -> {
@@ -134,7 +134,7 @@
 
     /** A slow client slows the endpoint down; what lies between is little, whatever the answer's size. */
     @Test
-    void aSlowClientHoldsTheEndpointBack() throws Exception {
+    void slowClientExertsBackpressureOnTheEndpoint() throws Exception {
         AtomicInteger sent = new AtomicInteger();
         byte[] piece = random(64 * 1024);
         int pieces = MOST_BYTES / piece.length;
@@ -173,7 +173,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
-    void aClientCanTellThatAnAnswerIsCut(String framing) throws Exception {
+    void truncatedResponseIsDetectableByTheClient(String framing) throws Exception {
         String part = framing.startsWith("T") ? "18000\r\n" + "x".repeat(0x18000) + "\r\n" : "x".repeat(80_000);
         rig = new Rig(new Fake((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + part);
@@ -201,7 +201,7 @@
      * Guards against a cut within a chunk, which a client cannot tell from noise: all that came goes first.
      */
     @Test
-    void anAnswerIsCutBetweenItsChunks() throws Exception {
+    void responseIsTruncatedBetweenChunks() throws Exception {
         AtomicInteger sent = new AtomicInteger();
         AtomicReference<Wire> endpoint = new AtomicReference<>();
         rig = new Rig(new Fake((wire, request) -> {
@@ -226,17 +226,17 @@
             endpoint.get().reset();
             // Once the client takes something, the edge reads on and finds the endpoint gone.
             for (int i = 0; i < TAKEN_CHUNKS; i++) {
-                assertTrue(takeChunk(client), "chunk " + i);
+                assertTrue(readChunk(client), "chunk " + i);
             }
             Rig.await("it counts as failed", () -> figures().contains("replies.read.error=1\n"));
-            while (takeChunk(client)) {
+            while (readChunk(client)) {
                 continue;
             }
         }
     }
 
     /** Reads a whole chunk; false at the connection's end, which must not come within one. */
-    private static boolean takeChunk(Wire client) throws IOException {
+    private static boolean readChunk(Wire client) throws IOException {
         String size = line(client);
         if (size != null) {
             int bytes = Integer.parseInt(size, 16);
@@ -260,7 +260,7 @@
     }
 
     @Test
-    void aClientThatLeavesFreesTheEndpoint() throws Exception {
+    void clientDisconnectReleasesTheEndpoint() throws Exception {
         rig = new Rig(new Fake((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\nfirst");
                     wire.awaitEnd();
@@ -288,7 +288,7 @@
         "100000, 1, 0",
         "33554432, 0, 0"
     })
-    void aBodyOfAnySizeIsPassedOnUnchanged(int bytes, int chunk, int piece) throws Exception {
+    void requestBodyOfAnySizeIsForwardedUnchanged(int bytes, int chunk, int piece) throws Exception {
         rig = new Rig(digesting()).start();
         byte[] body = random(bytes);
         ByteArrayOutputStream message = new ByteArrayOutputStream();
@@ -312,7 +312,7 @@
     }
 
     @Test
-    void aClientThatWaitsToBeAskedForItsBodyIsAsked() throws Exception {
+    void expectContinueIsAnswered() throws Exception {
         rig = new Rig(digesting()).start();
         byte[] body = random(LARGE_BYTES);
         try (Wire client = rig.client()) {
@@ -325,7 +325,7 @@
 
     /** Guards against a bound on time that a slow line cannot keep: 64 kB a second are enough. */
     @Test
-    void aSlowHeadAndABodyOnASlowLineAreNoAbuse() throws Exception {
+    void slowHeadAndSlowBodyAreAccepted() throws Exception {
         rig = new Rig(digesting()).start();
         byte[] body = random(250_000);
         try (Wire client = rig.client()) {
@@ -343,7 +343,7 @@
     }
 
     @Test
-    void aBodyThatStopsComingIsGivenUp() throws Exception {
+    void requestBodyThatStallsIsAborted() throws Exception {
         rig = new Rig(digesting()).start();
         try (Wire client = rig.client()) {
             client.send(head("order", "Content-Length: 1000000") + "x".repeat(70_000));
@@ -359,7 +359,7 @@
 
     /** An endpoint that is full says so early: what is held of the body can go to another one. */
     @Test
-    void aBodyOfWhichOnlyTheHeldPartIsGoneIsTriedElsewhere() throws Exception {
+    void requestIsRetriedWhileItsSentBodyIsStillBuffered() throws Exception {
         byte[] body = random(100_000);
         CountDownLatch refused = new CountDownLatch(1);
         Fake.Reader full = wire -> {
@@ -383,7 +383,7 @@
             OutputStream out = client.socket.getOutputStream();
             out.write(body, 0, 65_536);
             // One byte more is what makes it a large one, and is let go only with an endpoint to take it.
-            refusedAfter(out, body, refused);
+            rejectAfter(out, body, refused);
             Wire.Message answer = client.read();
             assertTrue(
                     (answer.status() == 200 && answer.body().equals(digest(body))) || answer.status() == 503,
@@ -391,7 +391,7 @@
         }
     }
 
-    private static void refusedAfter(OutputStream out, byte[] body, CountDownLatch refused) throws Exception {
+    private static void rejectAfter(OutputStream out, byte[] body, CountDownLatch refused) throws Exception {
         out.write(body, 65_536, 1);
         refused.await();
         out.write(body, 65_537, body.length - 65_537);
@@ -399,7 +399,7 @@
 
     /** What has been let go cannot be sent again: a safe request too is then given up at once. */
     @Test
-    void aBodyThatHasBeenLetGoIsNotSentAgain() throws Exception {
+    void requestIsNotRetriedOnceBodyBytesAreDiscarded() throws Exception {
         byte[] body = random(MOST_BYTES);
         Fake.Reader breaking = wire -> {
             wire.readHead();
@@ -434,7 +434,7 @@
 
     /** Many large answers at once to clients that read nothing yet: they all come, within one bound. */
     @Test
-    void manyLargeAnswersAtOnceShareABound() throws Exception {
+    void concurrentLargeResponsesShareTheBufferBudget() throws Exception {
         byte[] body = random(LARGE_BYTES);
         rig = new Rig(new Fake((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
--- a/edge/src/test/java/lemonrail/assembly/Talk.java
+++ b/edge/src/test/java/lemonrail/assembly/Talk.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import lemonrail.exchange.Protocol;
-import lemonrail.frames.Frames;
+import lemonrail.frames.FrameProtocol;
 import lemonrail.http1.Http1Protocol;
 
 /** The protocols that the same tests are played in: how clients and endpoints speak them. */
@@ -47,7 +47,7 @@
     FRAMES {
         @Override
         Protocol<?, ?> protocol() {
-            return new Frames();
+            return new FrameProtocol();
         }
 
         @Override
--- a/edge/src/test/java/lemonrail/assembly/LostCallsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/UnansweredRequestsTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An endpoint that answers most calls as ever and leaves others without a word. */
+/** An endpoint that serves most requests and never responds to others. */
 @Timeout(60)
-class LostCallsTest {
+class UnansweredRequestsTest {
 
     private static final int AIM_MS = 1000;
     private static final int LOST_MS = 800;
     private static final int ROUNDS = 7;
-    /** As many as the limit starts from before one endpoint, with one of the answered calls. */
+    /** With one served request, as many as the initial concurrency limit for one endpoint. */
     private static final int LOST_AT_ONCE = 3;
-    /** What an answer takes: short against the aim, long enough that not too many of them hide the lost. */
+    /** Short compared with the latency objective, but long enough that the served requests do not hide the others. */
     private static final int WORK_MS = 150;
 
     private static final int HELD = 6;
@@ -38,7 +38,7 @@
     private final Rig rig = new Rig(endpoint);
     private final List<Wire> clients = new ArrayList<>();
 
-    LostCallsTest() throws IOException {
+    UnansweredRequestsTest() throws IOException {
         rig.aimMs = AIM_MS;
     }
 
@@ -50,7 +50,7 @@
         rig.close();
     }
 
-    /** Sends calls that get no answer; each is on its way at the endpoint when this returns. */
+    /** Sends requests that get no response; the endpoint has each of them when this returns. */
     private List<Wire> lose(int calls, int deadlineMs) throws Exception {
         int before = endpoint.requests.size();
         List<Wire> lost = new ArrayList<>();
@@ -63,9 +63,9 @@
         return lost;
     }
 
-    /** Guards against calls turned away at an endpoint that has room: what it loses does not crowd it. */
+    /** Guards against requests rejected though the endpoint has capacity: unanswered ones are no sign of overload. */
     @Test
-    void lostCallsDoNotLowerTheLimitWhileOthersAreAnswered() throws Exception {
+    void unansweredRequestsDoNotLowerTheLimitWhileOthersAreServed() throws Exception {
         rig.start();
         for (int round = 0; round < ROUNDS; round++) {
             List<Wire> lost = lose(LOST_AT_ONCE, LOST_MS);
--- a/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A new version under load: two real processes at one address, of which the older one leaves. */
+/** An upgrade under load: two real processes share one address, and the older one stops. */
 @Timeout(60)
 class UpgradeTest {
 
@@ -32,13 +32,13 @@
 
     private final List<Process> processes = new ArrayList<>();
     private final Rig rig = new Rig(Fake.answering(200, "", "first"), Fake.answering(200, "", "second"));
-    /** Bound but deaf: it keeps the port for the processes, which share it. */
+    /** Bound but not listening: it reserves the port for the processes, which share it. */
     private SocketChannel place;
 
     private InetSocketAddress address;
 
     UpgradeTest() throws IOException {
-        // The fakes stand before each test.
+        // Rig and endpoints are created for each test.
     }
 
     @BeforeEach
@@ -68,7 +68,7 @@
         return served;
     }
 
-    /** Asks again and again; a connection that has ended between requests is replaced, as clients do. */
+    /** Sends requests one after another, and reconnects as clients do if the connection was closed between requests. */
     private final class Client extends Thread {
         private final AtomicBoolean on;
         private final AtomicInteger served;
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void noRequestIsLostOnTheWay() throws Exception {
+    void noRequestIsLostDuringAnUpgrade() throws Exception {
         Served old = serve();
         AtomicBoolean on = new AtomicBoolean(true);
         AtomicInteger served = new AtomicInteger();
@@ -136,9 +136,9 @@
         fresh.awaitLine("the only process of this sidecar from now on");
     }
 
-    /** Guards against a new version that sends to an endpoint which operators took out before it started. */
+    /** Guards against a new process that uses an endpoint which operators suspended before it started. */
     @Test
-    void suspensionsGoOver() throws Exception {
+    void suspensionsAreHandedOver() throws Exception {
         Files.writeString(folder.resolve("n0.suspended"), "suspended endpoints\ns0\nin all: 1\n");
         Served old = serve();
         serve();
--- a/edge/src/test/java/lemonrail/exchange/ResponseTimeReserveTest.java
+++ b/edge/src/test/java/lemonrail/exchange/ResponseTimeReserveTest.java
@@ -4,32 +4,32 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How much of a client's time is kept for its answer's way. */
+/** Tests how much of the client timeout is reserved for the response. */
 class ResponseTimeReserveTest {
 
     @Test
-    void aPromptLoopKeepsAHundredthOfTheTime() {
+    void loopWithoutLagReservesOnePercent() {
         assertEquals(50, ResponseTimeReserve.reserveMs(5000, 0));
     }
 
     @Test
-    void shortWaitsKeepWhatANetworkNeedsAtLeast() {
+    void shortClientTimeoutReservesTheNetworkMinimum() {
         assertEquals(2, ResponseTimeReserve.reserveMs(100, 0));
     }
 
     @Test
-    void aLateLoopAddsItsLateness() {
+    void loopLagIsAdded() {
         assertEquals(34, ResponseTimeReserve.reserveMs(400, 30));
     }
 
     @Test
-    void aQuarterIsTheMost() {
+    void reserveIsAtMostAQuarter() {
         assertEquals(100, ResponseTimeReserve.reserveMs(400, 1000));
         assertEquals(1, ResponseTimeReserve.reserveMs(4, 0));
     }
 
     @Test
-    void whoseTimeIsOverKeepsNothing() {
+    void expiredClientTimeoutReservesNothing() {
         assertEquals(0, ResponseTimeReserve.reserveMs(-5, 10));
     }
 }
--- a/edge/src/test/java/lemonrail/frames/FrameFront.java
+++ b/edge/src/test/java/lemonrail/frames/FrameDownstream.java
@@ -21,22 +21,22 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * Clients of the test's protocol: one request at a time on a connection, as {@code id|class|deadline|text}.
+ * The client side of the test protocol: one request at a time on a connection, as {@code id|class|timeout|text}.
  */
-final class FrameFront implements Downstream {
+final class FrameDownstream implements Downstream {
 
-    private final EventLoopContext shard;
-    private final RequestDispatcher<FrameMessage, Frame> exchange;
+    private final EventLoopContext context;
+    private final RequestDispatcher<FrameRequest, Frame> dispatcher;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private int most;
+    private int maxConnections;
     private Channel listener;
     private boolean leaving;
     private double endsAt = Double.POSITIVE_INFINITY;
 
-    FrameFront(EventLoopContext shard, RequestDispatcher<FrameMessage, Frame> exchange, int most) {
-        this.shard = shard;
-        this.exchange = exchange;
-        this.most = most;
+    FrameDownstream(EventLoopContext context, RequestDispatcher<FrameRequest, Frame> dispatcher, int maxConnections) {
+        this.context = context;
+        this.dispatcher = dispatcher;
+        this.maxConnections = maxConnections;
     }
 
     private final class Connection extends SimpleChannelInboundHandler<Frame> implements ResponseSink<Frame> {
@@ -47,7 +47,7 @@
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
             connections.add(this);
-            if (connections.size() > most) {
+            if (connections.size() > maxConnections) {
                 answer(new Frame('R', "0"));
             }
         }
@@ -55,19 +55,19 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Frame frame) {
             String[] parts = frame.text().split("\\|", 4);
-            int kind = shard.settings().classes().stream()
+            int kind = context.settings().classes().stream()
                     .map(c -> c.name())
                     .toList()
                     .indexOf(parts[1]);
-            if (open != null || kind < 0 || exchange.isInFlight(parts[0])) {
+            if (open != null || kind < 0 || dispatcher.isInFlight(parts[0])) {
                 answer(new Frame('B', "no request"));
                 return;
             }
             open = parts[0];
-            double now = shard.clock().now();
-            exchange.dispatch(
+            double now = context.clock().now();
+            dispatcher.dispatch(
                     new Request(open, kind, 0, Math.min(endsAt, now + Double.parseDouble(parts[2])), false),
-                    new FrameMessage(open, parts[3]),
+                    new FrameRequest(open, parts[3]),
                     this);
         }
 
@@ -108,7 +108,7 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
             if (open != null) {
-                exchange.onClientDisconnected(open);
+                dispatcher.onClientDisconnected(open);
             }
         }
 
@@ -121,7 +121,7 @@
     @Override
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
-                .group(shard.loop())
+                .group(context.loop())
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -137,12 +137,12 @@
 
     @Override
     public void setMaxConnections(int connectionsAtOnce) {
-        most = connectionsAtOnce;
+        maxConnections = connectionsAtOnce;
     }
 
     @Override
     public void capDeadlines(double leftMs) {
-        endsAt = shard.clock().now() + leftMs;
+        endsAt = context.clock().now() + leftMs;
     }
 
     @Override
--- /dev/null
+++ b/edge/src/test/java/lemonrail/frames/FrameProtocol.java
@@ -0,0 +1,34 @@
+package lemonrail.frames;
+
+import java.net.InetAddress;
+import java.nio.file.Path;
+import lemonrail.exchange.Downstream;
+import lemonrail.exchange.EventLoopContext;
+import lemonrail.exchange.Protocol;
+import lemonrail.exchange.RequestDispatcher;
+import lemonrail.exchange.Upstream;
+
+/** A second protocol, for tests only: it shows that the request dispatcher depends on none. */
+public final class FrameProtocol implements Protocol<FrameRequest, Frame> {
+
+    @Override
+    public Upstream<FrameRequest, Frame> createUpstream(EventLoopContext context, int maxConnections) {
+        return new FrameUpstream(context, maxConnections);
+    }
+
+    @Override
+    public Downstream createDownstream(
+            EventLoopContext context, RequestDispatcher<FrameRequest, Frame> dispatcher, int maxConnections) {
+        return new FrameDownstream(context, dispatcher, maxConnections);
+    }
+
+    @Override
+    public void warmUp(EventLoopContext context, InetAddress at, Path scratch, Runnable done) {
+        done.run();
+    }
+
+    @Override
+    public int overflowConnections() {
+        return 0;
+    }
+}
--- a/edge/src/test/java/lemonrail/frames/FrameMessage.java
+++ b/edge/src/test/java/lemonrail/frames/FrameRequest.java
@@ -3,8 +3,8 @@
 import lemonrail.exchange.ProtocolRequest;
 import lemonrail.streaming.BodyPipe;
 
-/** A request of the test's protocol: its id and a text. */
-record FrameMessage(String id, String text) implements ProtocolRequest {
+/** A request of the test protocol. */
+record FrameRequest(String id, String text) implements ProtocolRequest {
 
     @Override
     public int bufferedBytes() {
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -18,27 +18,27 @@
 import lemonrail.exchange.EventLoopContext;
 import lemonrail.exchange.Upstream;
 
-/** A connection for each attempt, which is closed with it. */
-final class FrameUpstream implements Upstream<FrameMessage, Frame> {
+/** The endpoint side of the test protocol: each attempt has a connection, which is closed with it. */
+final class FrameUpstream implements Upstream<FrameRequest, Frame> {
 
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final EventLoopContext shard;
-    private int most;
+    private final EventLoopContext context;
+    private int maxConnections;
     private int open;
 
-    FrameUpstream(EventLoopContext shard, int most) {
-        this.shard = shard;
-        this.most = most;
+    FrameUpstream(EventLoopContext context, int maxConnections) {
+        this.context = context;
+        this.maxConnections = maxConnections;
     }
 
     private final class Attempt extends SimpleChannelInboundHandler<Frame> implements Upstream.Attempt {
-        private final FrameMessage message;
+        private final FrameRequest message;
         private final double waitMs;
         private AttemptListener<Frame> ending;
         private Channel channel;
         private boolean written;
 
-        Attempt(FrameMessage message, double waitMs, AttemptListener<Frame> ending) {
+        Attempt(FrameRequest message, double waitMs, AttemptListener<Frame> ending) {
             this.message = message;
             this.waitMs = waitMs;
             this.ending = ending;
@@ -47,10 +47,10 @@
         void open(InetSocketAddress address) {
             open++;
             ChannelFuture connecting = new Bootstrap()
-                    .group(shard.loop())
+                    .group(context.loop())
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
-                            shard.settings().limits().connectTimeoutMs())
+                            context.settings().limits().connectTimeoutMs())
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel fresh) {
@@ -74,7 +74,7 @@
                     channel.writeAndFlush(request).addListener(done -> {
                         written = done.isSuccess();
                         if (written && ending != null) {
-                            shard.metrics().dispatched();
+                            context.metrics().dispatched();
                             ending.onRequestWritten();
                         }
                     });
@@ -136,10 +136,10 @@
 
     @Override
     public Upstream.Attempt startAttempt(
-            String server, FrameMessage message, double waitMs, AttemptListener<Frame> ending) {
+            String server, FrameRequest message, double waitMs, AttemptListener<Frame> ending) {
         Attempt attempt = new Attempt(message, waitMs, ending);
         InetSocketAddress address = addresses.get(server);
-        if (address == null || open >= most) {
+        if (address == null || open >= maxConnections) {
             attempt.end(AttemptOutcome.CONNECT_ERROR, null);
         } else {
             attempt.open(address);
@@ -149,12 +149,12 @@
 
     @Override
     public void closeIdleConnections(String server) {
-        // No connection is ever idle.
+        // Connections are never idle.
     }
 
     @Override
     public void setMaxConnections(int connections) {
-        most = connections;
+        maxConnections = connections;
     }
 
     @Override
--- a/edge/src/test/java/lemonrail/time/EventLoopLagTest.java
+++ b/edge/src/test/java/lemonrail/time/EventLoopLagTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** How late a loop counts as, by the times of its polls. */
+/** Tests the lag of an event loop by the times of its polls. */
 class EventLoopLagTest {
 
     private static final long FAR_MS = 1000;
@@ -15,7 +15,7 @@
     private final EventLoopLag lag = new EventLoopLag();
     private long nowMs = 100;
 
-    /** One iteration: a poll that takes so long, and the work that follows. */
+    /** Runs one iteration: a poll and the work that follows it. */
     private void iteration(long pollMs, long untilTimerMs, long workMs) {
         lag.onPollStarted(nanos(nowMs), nanos(untilTimerMs));
         nowMs += pollMs;
@@ -27,60 +27,60 @@
         return TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
-    private double waitedMs() {
+    private double maxQueueDelayMs() {
         return lag.maxQueueDelayMs(nanos(nowMs));
     }
 
     @Test
-    void aLoopThatNobodyMeasuresIsPrompt() {
-        assertEquals(0, waitedMs());
+    void unmeasuredLoopHasNoLag() {
+        assertEquals(0, maxQueueDelayMs());
         assertEquals(0, lag.recentMaxLagMs());
     }
 
     @Test
-    void whatWakesTheLoopHasWaitedOnlySinceThen() {
+    void eventThatWakesTheLoopHasWaitedSinceThePollReturned() {
         iteration(50, FAR_MS, 7);
-        assertEquals(7, waitedMs());
+        assertEquals(7, maxQueueDelayMs());
     }
 
     @Test
-    void whatIsReadyAtOnceMayHaveComeRightAfterThePollBefore() {
+    void eventReadyAtOnceMayHaveWaitedSinceThePreviousPoll() {
         iteration(50, FAR_MS, 200);
         iteration(0, FAR_MS, 3);
-        assertEquals(203, waitedMs());
+        assertEquals(203, maxQueueDelayMs());
     }
 
     @Test
-    void workBetweenPollsIsLateness() {
+    void workBetweenPollsCountsAsLag() {
         iteration(50, FAR_MS, 80);
         iteration(0, FAR_MS, 0);
         assertEquals(80, lag.recentMaxLagMs());
     }
 
     @Test
-    void aPollThatOutlastsItsTimerIsLateness() {
+    void pollThatOutlastsItsTimerCountsAsLag() {
         iteration(50, 20, 0);
         assertEquals(30, lag.recentMaxLagMs());
     }
 
     @Test
-    void aPollThatEndsBeforeItsTimerIsNone() {
+    void pollThatEndsBeforeItsTimerIsNoLag() {
         iteration(50, FAR_MS, 0);
         assertEquals(0, lag.recentMaxLagMs());
     }
 
     @Test
-    void latenessIsRememberedForASpanAndForgottenAfterTwo() {
-        long spanMs = TimeUnit.NANOSECONDS.toMillis(EventLoopLag.SPAN_NANOS);
+    void recentMaxIsKeptForOneWindowAndForgottenAfterTwo() {
+        long windowMs = TimeUnit.NANOSECONDS.toMillis(EventLoopLag.WINDOW_NANOS);
         iteration(50, FAR_MS, 80);
-        iteration(spanMs, spanMs + FAR_MS, 0);
+        iteration(windowMs, windowMs + FAR_MS, 0);
         assertEquals(80, lag.recentMaxLagMs());
-        iteration(2 * spanMs, 2 * spanMs + FAR_MS, 0);
+        iteration(2 * windowMs, 2 * windowMs + FAR_MS, 0);
         assertEquals(0, lag.recentMaxLagMs());
     }
 
     @Test
-    void eachLatenessCountsAtAllBoundsBelowIt() {
+    void lagCountsAtAllBoundsBelowIt() {
         iteration(50, FAR_MS, 80);
         iteration(0, FAR_MS, 0);
         assertEquals(
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void whatTheStartTookIsForgotten() {
+    void resetForgetsTheRecentMax() {
         iteration(50, FAR_MS, 400);
         iteration(0, FAR_MS, 0);
         lag.resetRecentMax();
