--- /dev/null
+++ b/edge/src/main/java/lemonrail/simulator/EndpointLists.java
@@ -0,0 +1,29 @@
+package lemonrail.simulator;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import lemonrail.core.balancer.Endpoint;
+
+/** The endpoint lists that the simulator has defined, by number; all are empty at first. */
+final class EndpointLists {
+
+    private static final int MAX_LISTS = 16;
+
+    private final List<List<Endpoint>> lists = new ArrayList<>(Collections.nCopies(MAX_LISTS, List.of()));
+
+    void define(int listNumber, List<Endpoint> endpoints) throws MalformedBatchException {
+        lists.set(check(listNumber), endpoints);
+    }
+
+    List<Endpoint> get(int listNumber) throws MalformedBatchException {
+        return lists.get(check(listNumber));
+    }
+
+    private static int check(int listNumber) throws MalformedBatchException {
+        if (listNumber < 0 || listNumber >= MAX_LISTS) {
+            throw new MalformedBatchException("list number " + listNumber + " is out of range");
+        }
+        return listNumber;
+    }
+}
--- a/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
+++ b/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The adapter on literal lines of the wire. */
+/** The adapter on literal batches of the simulator's protocol. */
 class SimulatorAdapterTest {
 
-    private static final String PARAMS = """
+    private static final String SETTINGS = """
         {"azs":["a"],"classes":[
         {"effect":"repeatable","group":"all","hard-limit-ms":3000,"late-worth":0.5,"name":"get","slo-ms":1000,
         "worth":1,"novel":[1,{"x":2}]},
@@ -31,12 +31,13 @@
         "projects":[{"allowance-per-s":100,"name":"t","share":1}],"replicas-of-me":1,
         "rules":{"cold-ms":8000,"cold-share":0.3,"drain-grace-ms":1000,"fall-ms":1000,"tip-multiple":3},
         "slot-no":0,"tier":0,"zone":0,"novelty":true}""".replace("\n", "");
-    private static final String SPAWN =
-            "{\"kind\":\"Spawn\",\"init-seed\":9223372036854775807,\"params\":" + PARAMS + "}";
+    private static final String START =
+            "{\"kind\":\"Spawn\",\"init-seed\":9223372036854775807,\"params\":" + SETTINGS + "}";
     private static final String LIST = "{\"kind\":\"Inventory\",\"ref\":0,\"entries\":["
             + "{\"endpoint\":\"e1\",\"state\":1,\"share\":1}]},"
             + "{\"kind\":\"Endpoints\",\"mode\":0,\"rev\":1,\"ref\":0}";
-    private static final String QUERY = "{\"kind\":\"Query\",\"msg-id\":\"q1\",\"drop-dead-ms\":5000," + "\"type\":0}";
+    private static final String REQUEST =
+            "{\"kind\":\"Query\",\"msg-id\":\"q1\",\"drop-dead-ms\":5000," + "\"type\":0}";
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
@@ -64,14 +65,14 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyBatchGetsEmptyReply() throws IOException {
         assertEquals(0, run("{\"wall-ms\":8412.25,\"batch\":1,\"parts\":[]}\n"));
         assertEquals(List.of("{\"batch\":1,\"parts\":[]}"), replies());
     }
 
     @Test
-    void aRequestIsHandedToAServer() throws IOException {
-        assertEquals(0, run(batch(SPAWN, LIST), batch(QUERY)));
+    void requestStartsAnAttempt() throws IOException {
+        assertEquals(0, run(batch(START, LIST), batch(REQUEST)));
         assertEquals(
                 "{\"batch\":1,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[{\"kind\":\"HandOff\","
                         + "\"msg-id\":\"q1\",\"endpoint\":\"e1\",\"give-up-after-ms\":995}]}]}",
@@ -79,12 +80,12 @@
     }
 
     @Test
-    void anOutcomeLeadsToARefusal() throws IOException {
+    void failedAttemptFailsRequestThatMayHaveRun() throws IOException {
         assertEquals(
                 0,
                 run(
-                        batch(SPAWN, LIST),
-                        batch(QUERY.replace("\"type\":0", "\"type\":1")),
+                        batch(START, LIST),
+                        batch(REQUEST.replace("\"type\":0", "\"type\":1")),
                         batch("{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"endpoint\":\"e1\","
                                 + "\"reason\":\"ResetByPeer\",\"rtt-ms\":5,\"stats\":{\"outstanding\":3,\"x\":1}}")));
         assertTrue(
@@ -93,13 +94,13 @@
     }
 
     @Test
-    void aRestartInOneBatchForgetsTheRequestsBefore() throws IOException {
+    void restartWithinOneBatchForgetsEarlierRequests() throws IOException {
         assertEquals(
                 0,
                 run(
-                        batch(SPAWN, LIST),
-                        batch(QUERY),
-                        batch("{\"kind\":\"Stop\"}", SPAWN, LIST),
+                        batch(START, LIST),
+                        batch(REQUEST),
+                        batch("{\"kind\":\"Stop\"}", START, LIST),
                         batch("{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"endpoint\":\"e1\","
                                 + "\"reason\":\"TimedOut\",\"rtt-ms\":5}")));
         assertEquals(
@@ -108,24 +109,24 @@
     }
 
     @Test
-    void unknownKindsAndFieldsArePassedOverAndAKindIsMentionedOnce() throws IOException {
+    void unknownKindsAndFieldsAreSkippedAndAKindIsWarnedOfOnce() throws IOException {
         assertEquals(
                 0,
                 run(
-                        batch(SPAWN, LIST),
+                        batch(START, LIST),
                         batch("{\"kind\":\"Novel\",\"x\":{\"y\":[1]}}"),
-                        batch("{\"kind\":\"Novel\"}", QUERY.replace("}", ",\"work-ms\":3,\"odd\":{\"a\":[]}}"))));
+                        batch("{\"kind\":\"Novel\"}", REQUEST.replace("}", ",\"work-ms\":3,\"odd\":{\"a\":[]}}"))));
         assertEquals(1, errors.toString(StandardCharsets.UTF_8).lines().count());
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("'Novel'"));
         assertTrue(replies().get(2).contains("HandOff"));
     }
 
     @Test
-    void messagesAndProbeResultsNotAskedForAreHarmless() throws IOException {
+    void unrequestedEventsHaveNoEffect() throws IOException {
         assertEquals(
                 0,
                 run(
-                        batch(SPAWN, LIST),
+                        batch(START, LIST),
                         batch(
                                 "{\"kind\":\"NeighbourSays\",\"neighbour\":2,\"payload\":\"68\"}",
                                 "{\"kind\":\"PingResult\",\"reason\":\"Ok\",\"endpoint\":\"e9\",\"rtt-ms\":1}",
@@ -151,8 +152,8 @@
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant 4",
                 "7 | an event should begin with",
             })
-    void badEventsStopTheAdapterWithOnePlainLine(String event, String expected) throws IOException {
-        assertEquals(1, run(batch(SPAWN, LIST), batch(QUERY, event)));
+    void malformedEventStopsTheAdapterWithOneLine(String event, String expected) throws IOException {
+        assertEquals(1, run(batch(START, LIST), batch(REQUEST, event)));
         String line = errors.toString(StandardCharsets.UTF_8);
         assertEquals(1, line.lines().count(), line);
         assertTrue(line.contains("batch 1") && line.contains("sidecar/0") && line.contains(expected), line);
@@ -160,8 +161,8 @@
     }
 
     @Test
-    void anInstanceNeverStartedIsNamed() throws IOException {
-        assertEquals(1, run(batch(QUERY)));
+    void eventForInstanceNeverStartedIsAnError() throws IOException {
+        assertEquals(1, run(batch(REQUEST)));
         assertTrue(errors.toString(StandardCharsets.UTF_8)
                 .contains("batch 0, instance sidecar/0: an event for an instance that was never started"));
     }
@@ -175,7 +176,7 @@
                 "{\"wall-ms\":1,\"batch\":3}",
                 "[1]"
             })
-    void brokenInputStopsTheAdapter(String text) throws IOException {
+    void malformedInputStopsTheAdapter(String text) throws IOException {
         assertEquals(1, run(text));
         assertEquals(
                 1, errors.toString(StandardCharsets.UTF_8).lines().count(), errors.toString(StandardCharsets.UTF_8));
@@ -192,13 +193,13 @@
                 "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect is unknown: twice",
                 "\"cold-share\":0.3 | \"cold-share\":0 | rules.coldShare must be above 0 but is 0",
             })
-    void impossibleSettingsAreRefusedByNameAndValue(String from, String to, String expected) throws IOException {
-        assertEquals(1, run(batch(SPAWN.replace(from, to), LIST)));
+    void invalidSettingIsNamedWithItsValue(String from, String to, String expected) throws IOException {
+        assertEquals(1, run(batch(START.replace(from, to), LIST)));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains(expected), errors.toString(StandardCharsets.UTF_8));
     }
 
     @Test
-    void missingSettingsAreRefused() throws IOException {
+    void missingSettingsAreAnError() throws IOException {
         assertEquals(1, run(batch("{\"kind\":\"Spawn\",\"init-seed\":1,\"params\":{}}")));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("setting "));
     }
