--- a/edge/src/main/java/lemonrail/http1/ClientConnection.java
+++ b/edge/src/main/java/lemonrail/http1/ClientConnection.java
@@ -6,417 +6,349 @@
 import io.netty.channel.ChannelPipeline;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpHeaders;
-import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.List;
-import lemonrail.http1.RequestReader.Incoming;
-import lemonrail.http1.RequestReader.Refusal;
+import lemonrail.core.balancer.Request;
+import lemonrail.http1.ClientMessage.BodyComplete;
+import lemonrail.http1.ClientMessage.IncomingRequest;
+import lemonrail.http1.ClientMessage.RequestError;
 import lemonrail.time.Clock;
 import lemonrail.upgrade.AcceptedSocket;
 
-/** One connection of a client: its requests in, and their answers out in the same order. */
-final class ClientConnection extends SimpleChannelInboundHandler<Object> {
+/**
+ * One connection of a client: takes its requests in and decides when it is read and when it closes. The last
+ * handler of the connection's pipeline, confined to its event loop.
+ */
+final class ClientConnection extends SimpleChannelInboundHandler<ClientMessage> implements ResponseQueue.Listener {
 
-    /** Requests that a client may send ahead of their answers on one connection. */
-    private static final int MOST_AHEAD = 8;
+    /** Requests that a client may send ahead of their responses. */
+    private static final int MAX_PIPELINED_REQUESTS = 8;
 
-    private static final double OVERFLOW_COOL_DOWN_MS = 1000;
-    private static final Refusal TWICE =
-            new Refusal(HttpResponseStatus.CONFLICT, "X-Request-Id is that of a request in hand");
-
-    private final HttpServer frontend;
+    private final HttpServer server;
     private final AcceptedSocket channel;
-    private final ClientTimeoutHandler guard;
-    private final RequestReader reader;
-    /** In the order of the requests, which is the order that HTTP asks answers to be in. */
-    private final Deque<PendingResponse> replies = new ArrayDeque<>();
-    /** There was no room for it: it is told to come back later, unless there is when it asks. */
-    private boolean surplus;
-
-    private boolean hasAsked;
-    private double quietSince;
-    /** The earliest that it can have come up, and the poll that found it. */
-    private double openedAt;
+    private final ClientTimeoutHandler timeouts;
+    private final RequestReader requestReader;
+    private final ResponseQueue responses;
+    /** Whether it was accepted beyond the bound: its requests are rejected for as long as that is exceeded. */
+    private boolean acceptedOverLimit;
+
+    private boolean hasDispatched;
+    private double quietSinceMs;
+    /** The earliest that it can have been opened, and the event loop's poll that found it. */
+    private double openedAtMs;
 
     private long openedInPoll;
-    /** Answers that have been handed to the connection whole and that it has not written yet. */
-    private int unwritten;
-    /** Answers are being handed to the connection: what comes of that waits its turn. */
-    private boolean flushing;
-    /** The last answer is on its way. */
-    private boolean ending;
-    /** The answer whose body is being passed on, and by what. */
-    private PipeWriter writer;
-    /** The request whose body is still coming, if that has been taken up already. */
+    /** The response to the request whose body is still being read, once that request has been passed on; else null. */
     private PendingResponse uploading;
-    /** The far side of that body takes no more for now. */
-    private boolean farFull;
+    /** Whether the endpoint takes no more of that body for now. */
+    private boolean uploadPaused;
 
-    private boolean continueOwed;
+    private boolean continueDue;
 
-    ClientConnection(HttpServer frontend, AcceptedSocket channel) {
-        this.frontend = frontend;
+    ClientConnection(HttpServer server, AcceptedSocket channel) {
+        this.server = server;
         this.channel = channel;
-        guard = new ClientTimeoutHandler(channel, frontend.clock());
-        reader = new RequestReader(frontend.budget(), this::readBody);
-        quietSince = frontend.clock().now();
+        timeouts = new ClientTimeoutHandler(channel, server.clock());
+        requestReader = new RequestReader(server.budget(), this::onUploadReading);
+        responses = new ResponseQueue(channel, this);
+        quietSinceMs = server.clock().now();
     }
 
+    /** Adds the connection's handlers to its pipeline, in the order in which input passes them. */
     void addTo(ChannelPipeline pipeline) {
-        pipeline.addLast(guard, new HttpRequestDecoder(), new HttpResponseEncoder(), reader, this);
+        pipeline.addLast(timeouts, new HttpRequestDecoder(), new HttpResponseEncoder(), requestReader, this);
     }
 
+    // ---- opening and closing ----
+
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        openedAt = frontend.clock().now() - frontend.clock().waitedMs();
-        openedInPoll = frontend.clock().lag().polls();
-        surplus = !frontend.opened(this);
-    }
-
-    /** The earliest that what is read now can have arrived; first bytes may be as old as the connection. */
-    private double arrivedAt() {
-        Clock clock = frontend.clock();
-        long polls = clock.lag().polls();
-        return polls > 0 && polls <= openedInPoll + 1 ? openedAt : clock.now() - clock.waitedMs();
+        openedAtMs = server.clock().now() - server.clock().waitedMs();
+        openedInPoll = server.clock().lag().polls();
+        acceptedOverLimit = !server.onOpened(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        frontend.closed(this);
-        drop();
-    }
-
-    /** Whether it has asked for something at least once. */
-    boolean hasAsked() {
-        return hasAsked;
+        server.onClosed(this);
+        cancelPending();
     }
 
     void close() {
         channel.close();
     }
 
-    /** Whether nobody waits for an answer on it. */
-    boolean isQuiet() {
-        return isAnswered() && !ending;
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        server.logConnectionError(cause);
+        ctx.close();
     }
 
-    /** Whether nothing is asked on it that has not been answered and written. */
-    private boolean isAnswered() {
-        return replies.isEmpty() && unwritten == 0;
+    // ---- state, for the decision which connections close ----
+
+    /** Returns whether it has sent a request that was dispatched. */
+    boolean hasDispatched() {
+        return hasDispatched;
     }
 
-    /** Whether it has been quiet since then, no request is coming in and none waits to be read. */
-    boolean isQuietSince(double time) {
-        return isQuiet() && quietSince <= time && !guard.isReading() && !channel.hasUnread();
+    /** Returns whether no response is awaited on it. */
+    boolean isQuiet() {
+        return responses.isDrained() && !isClosing();
     }
 
-    /** Whether nobody waits for anything on it, nor is a request coming in: it may make room for another. */
+    /** Returns whether it has been quiet since this time, and no request is being received or waits to be read. */
+    boolean isQuietSince(double timeMs) {
+        return isQuiet() && quietSinceMs <= timeMs && !timeouts.isReceiving() && !channel.hasUnread();
+    }
+
+    /** Returns whether it is idle, and no part of a request has been received. */
     boolean isFree() {
-        return isIdle() && !guard.isReading();
+        return isIdle() && !timeouts.isReceiving();
     }
 
-    /** The same of one on which half a request may stand. */
+    /** Returns whether no response is awaited and nothing waits to be read. A part of a request may have been read. */
     boolean isIdle() {
-        return isAnswered() && (!ending || guard.hasWrittenLastAnswer()) && !channel.hasUnread();
+        return responses.isDrained() && (!isClosing() || timeouts.isLastResponseWritten()) && !channel.hasUnread();
     }
 
-    /** Whether its last answer is on its way, or written. */
-    boolean isEnding() {
-        return ending;
+    /** Returns whether its last response is being written, or is written. */
+    boolean isClosing() {
+        return responses.isClosing();
     }
 
-    /** Whether it has had its last answer, and nothing is left to do but to close it. */
-    boolean isOver() {
-        return ending && isIdle();
+    /** Returns whether its last response is written, and nothing is left to do but to close it. */
+    boolean isFinished() {
+        return isClosing() && isIdle();
     }
 
-    /** Whether nothing has happened on it since then. */
-    boolean isStillSince(double time) {
-        return Math.max(quietSince, guard.lastReadAt()) <= time;
+    /** Returns whether nothing has been received or responded to on it since this time. */
+    boolean isInactiveSince(double timeMs) {
+        return Math.max(quietSinceMs, timeouts.lastReadMs()) <= timeMs;
     }
 
-    /** Whether bytes have come that are not read yet. */
+    /** Returns whether bytes have arrived that are not read yet. */
     boolean hasUnread() {
         return channel.hasUnread();
     }
 
+    // ---- requests ----
+
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        guard.headRead();
-        if (event == RequestReader.EXPECTS) {
-            continueOwed = true;
+        if (event instanceof RequestReader.HeadEvent) {
+            timeouts.onHeadRead();
+        }
+        if (event == RequestReader.HeadEvent.CONTINUE_EXPECTED) {
+            continueDue = true;
             sendContinueIfDue();
         }
     }
 
-    /** Asks for the body that a client holds back, once no answer is under way that this would break into. */
+    /** Asks for the body that a client holds back, once no response is pending that this would break into. */
     private void sendContinueIfDue() {
-        if (continueOwed && replies.isEmpty()) {
-            continueOwed = false;
+        if (continueDue && responses.isEmpty()) {
+            continueDue = false;
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, Object message) {
-        if (message == RequestReader.BODY_WHOLE) {
-            bodyWhole();
-        } else if (uploading != null && message instanceof Refusal refusal) {
-            // What has come of its body is no use any more, to the module and to endpoints either.
-            PendingResponse cut = uploading;
-            frontend.refused(refusal);
-            if (cut.openId() != null) {
-                frontend.exchange().clientGone(cut.openId());
-                cut.giveUp(refusal);
-            }
-        } else {
-            begin(message);
+    protected void channelRead0(ChannelHandlerContext ctx, ClientMessage message) {
+        if (message instanceof IncomingRequest request) {
+            onRequest(request);
+        } else if (message instanceof BodyComplete) {
+            onUploadComplete();
+        } else if (message instanceof RequestError error) {
+            server.logRequestError(error);
+            onRequestError(error);
         }
     }
 
-    private void begin(Object message) {
-        PendingResponse reply = new PendingResponse(this, frontend.metrics());
-        replies.add(reply);
-        continueOwed = false;
-        frontend.connections().asked(this);
-        if (message instanceof Incoming incoming && incoming.rest() != null) {
-            uploading = reply;
+    private void onRequest(IncomingRequest request) {
+        PendingResponse response = addPendingResponse();
+        if (request.isStreamed()) {
+            uploading = response;
         } else {
-            guard.requestTaken();
+            timeouts.onRequestRead();
         }
-        updateAutoRead();
-        if (message instanceof Refusal refusal) {
-            frontend.refused(refusal);
-            reply.giveUp(refusal);
-        } else if (replies.size() > MOST_AHEAD) {
-            reply.giveUp(RequestReader.TOO_MANY);
+        updateReading();
+        if (responses.size() > MAX_PIPELINED_REQUESTS) {
+            response.respondAndStopReading(RequestReader.TOO_MANY_REQUESTS);
         } else {
-            take(reply, (Incoming) message);
+            server.router().route(this, request, response);
         }
     }
 
-    private void bodyWhole() {
-        PendingResponse whole = uploading;
-        uploading = null;
-        farFull = false;
-        guard.requestTaken();
-        updateAutoRead();
-        whole.taken();
-        if (whole.openId() != null) {
-            frontend.exchange().bodyWhole(whole.openId());
-        }
+    private PendingResponse addPendingResponse() {
+        PendingResponse response = new PendingResponse(this, server.metrics());
+        responses.add(response);
+        continueDue = false;
+        server.connections().onRequest(this);
+        return response;
     }
 
-    /** The far side of a large body takes more, or has enough for now. */
-    private void readBody(boolean on) {
-        farFull = !on;
-        guard.reading(on);
-        updateAutoRead();
-    }
-
-    private void take(PendingResponse reply, Incoming request) {
-        HttpRequest head = request.head();
-        reply.keepAlive(HttpUtil.isKeepAlive(head));
-        int query = head.uri().indexOf('?');
-        switch (query < 0 ? head.uri() : head.uri().substring(0, query)) {
-            case "/api" -> api(reply, request);
-            case "/health/ready" ->
-                reply.plain(
-                        frontend.lifecycle().isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        frontend.lifecycle().word());
-            default -> reply.plain(HttpResponseStatus.NOT_FOUND, "unknown path");
-        }
-    }
-
-    private void api(PendingResponse reply, Incoming request) {
-        RequestHeadMapper heads = frontend.heads();
-        reply.ofClass(heads.requestClass(request.head()));
-        if (request.rest() == null) {
-            reply.taken();
-        }
-        Refusal refusal = heads.refusal(request.head());
-        if (refusal != null) {
-            reply.giveUp(refusal);
+    private void onRequestError(RequestError error) {
+        if (uploading == null) {
+            PendingResponse response = addPendingResponse();
+            timeouts.onRequestRead();
+            updateReading();
+            response.respondAndStopReading(error);
             return;
         }
-        RequestHeadMapper.Told told = heads.told(request.head());
-        if (frontend.exchange().has(told.id())) {
-            reply.giveUp(TWICE);
-        } else if (surplus && frontend.connections().excess() > 0) {
-            reply.keepAlive(false);
-            reply.refused(OVERFLOW_COOL_DOWN_MS);
-        } else {
-            reply.asked(told.id());
-            hasAsked = true;
-            frontend.exchange().request(frontend.request(told, arrivedAt()), message(request), reply);
+        // The body of a request that is in flight has broken off.
+        String requestId = uploading.openRequestId();
+        if (requestId != null) {
+            PendingResponse truncated = uploading;
+            server.dispatcher().clientGone(requestId);
+            truncated.respondAndStopReading(error);
         }
     }
 
-    private static RequestMessage message(Incoming request) {
-        HttpRequest head = request.head();
-        HttpHeaders headers = RequestHeadMapper.endToEnd(head);
-        if (request.rest() == null && request.body().length > 0) {
-            headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
-        } else if (request.rest() != null && !HttpUtil.isContentLengthSet(head)) {
-            headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+    private void onUploadComplete() {
+        PendingResponse response = uploading;
+        uploading = null;
+        uploadPaused = false;
+        timeouts.onRequestRead();
+        updateReading();
+        response.onRequestRead();
+        if (response.openRequestId() != null) {
+            server.dispatcher().bodyWhole(response.openRequestId());
         }
-        return new RequestMessage(head.method(), head.uri(), headers, request.body(), request.rest());
     }
 
-    /** What is not read for long hides that its client has gone: only what has no place is left unread. */
-    private void updateAutoRead() {
-        guard.full(replies.size() >= MOST_AHEAD);
-        channel.config()
-                .setAutoRead(guard.takes()
-                        && (ending
-                                || guard.isDiscarding()
-                                || (!farFull && (channel.isWritable() || uploading != null))));
+    private void onUploadReading(boolean reading) {
+        uploadPaused = !reading;
+        timeouts.onBodyReading(reading);
+        updateReading();
+    }
+
+    /** Returns whether requests are to be rejected, as the connection exceeds the bound on connections. */
+    boolean isOverLimit() {
+        return acceptedOverLimit && server.connections().excess() > 0;
+    }
+
+    /** Notes that a request is being dispatched. */
+    void onRequestDispatched() {
+        hasDispatched = true;
+    }
+
+    /** Returns the request for the load balancer. */
+    Request toRequest(RequestHead head) {
+        return head.toRequest(arrivedAtMs(), server.latestDeadlineMs());
+    }
+
+    /** Returns the earliest that what is read now can have arrived; first bytes may be as old as the connection. */
+    private double arrivedAtMs() {
+        Clock clock = server.clock();
+        long polls = clock.lag().polls();
+        boolean opened = polls > 0 && polls <= openedInPoll + 1;
+        return opened ? openedAtMs : clock.now() - clock.waitedMs();
+    }
+
+    // ---- reading ----
+
+    /**
+     * Reads on or stops, by what there is room for. Input that finds no room in the pipeline is left unread only
+     * where there is none to hold it: that a client has gone is noticed by reading.
+     */
+    private void updateReading() {
+        timeouts.setHolding(responses.size() >= MAX_PIPELINED_REQUESTS);
+        channel.config().setAutoRead(!timeouts.isThrottled() && (isDiscarding() || hasRoomForInput()));
+    }
+
+    private boolean isDiscarding() {
+        return isClosing() || timeouts.isDiscarding();
+    }
+
+    private boolean hasRoomForInput() {
+        return !uploadPaused && (channel.isWritable() || uploading != null);
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        updateAutoRead();
-        if (writer != null) {
-            writer.more();
-        }
+        updateReading();
+        responses.onWritabilityChanged();
     }
 
-    /** Nothing that comes from now on is listened to. */
+    /** Discards all input from now on. */
     void discardInput() {
-        reader.stop();
-        guard.discardInput();
+        requestReader.stop();
+        timeouts.discardInput();
     }
 
-    /** Writes the answers that are there, as far as none before them is missing. */
-    void flush() {
-        // To write can lead back here: the connection is full, or takes more, which has more of it read.
-        if (flushing) {
-            return;
-        }
-        flushing = true;
-        while (!ending && writer == null && !replies.isEmpty() && replies.peek().response() != null) {
-            write(replies.peek());
-        }
-        flushing = false;
-        if (ending) {
-            drop();
-        } else if (replies.isEmpty()) {
-            allAnswered();
-        }
-        updateAutoRead();
-    }
+    // ---- responses ----
 
-    private void write(PendingResponse reply) {
-        boolean last = reply.isLast() || (frontend.letsGo(this) && replies.size() == 1);
-        if (uploading == reply) {
-            // Its client still sends what nobody needs any more, and would go on with it.
-            last = true;
-            guard.allowRestOfBody();
-        }
-        if (last) {
-            reply.response().headers().set(HttpHeaderNames.CONNECTION, "close");
-        }
-        if (reply.body() == null) {
-            written(reply, last, channel.writeAndFlush(reply.response()));
-        } else {
-            channel.writeAndFlush(reply.response());
-            writer = new PipeWriter(channel, reply.body(), new Streamed(reply, last));
-            reply.body().to(writer);
-        }
+    /** Writes the responses that are ready. */
+    void onResponseReady() {
+        responses.flush();
     }
 
-    /** All is answered; the connection is free once that is written as well. */
-    private void allAnswered() {
-        if (unwritten > 0) {
-            guard.answering();
-        } else if (frontend.connections().answered(this)) {
-            quietSince = frontend.clock().now();
-            guard.answered();
-            sendContinueIfDue();
-        }
+    @Override
+    public boolean isLast(PendingResponse response) {
+        // A client whose body is no longer needed would go on sending it.
+        boolean uploadUnneeded = uploading == response;
+        return uploadUnneeded || response.isLast() || (server.closesAfterResponse(this) && responses.size() == 1);
     }
 
-    /** An answer has been handed to the connection whole. */
-    private void written(PendingResponse reply, boolean last, ChannelFuture written) {
-        replies.poll();
-        unwritten++;
-        written.addListener(done -> {
-            unwritten--;
-            reply.ended(done.isSuccess());
-            if (done.isSuccess() && isQuiet()) {
-                flush();
-            }
-        });
-        if (last) {
-            endAfter(written);
+    @Override
+    public void onWriting(PendingResponse response) {
+        if (uploading == response) {
+            timeouts.allowRestOfBody();
         }
     }
 
-    /** Nothing more is answered on this connection than what is written by then. */
-    private void endAfter(ChannelFuture written) {
-        ending = true;
-        reader.stop();
-        guard.endAfter(written);
+    @Override
+    public void onLastResponse(ChannelFuture lastPart) {
+        requestReader.stop();
+        timeouts.closeAfter(lastPart);
     }
 
-    /** What becomes of an answer that is passed on as it comes. */
-    private final class Streamed implements PipeWriter.Ending {
-        private final PendingResponse reply;
-        private final boolean last;
-
-        Streamed(PendingResponse reply, boolean last) {
-            this.reply = reply;
-            this.last = last;
+    @Override
+    public void onFlushed() {
+        if (isClosing()) {
+            cancelPending();
+        } else if (responses.isEmpty()) {
+            onAllResponded();
         }
+        updateReading();
+    }
 
-        @Override
-        public void whole(ChannelFuture lastPart) {
-            writer = null;
-            written(reply, last, lastPart);
-            flush();
+    /** The connection is free for the next request, once the responses are written as well. */
+    private void onAllResponded() {
+        if (responses.hasUnwritten()) {
+            timeouts.onResponsesPending();
+        } else if (server.connections().onResponded(this)) {
+            quietSinceMs = server.clock().now();
+            timeouts.onResponsesWritten();
+            sendContinueIfDue();
         }
+    }
 
-        @Override
-        public void cut() {
-            // Closing ahead of the end is how a client can tell that its answer is not whole. What has been
-            // handed to the connection goes first: cut within a chunk, it would pass for one that is broken.
-            reply.cut();
-            writer = null;
-            endAfter(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
-            drop();
-        }
+    @Override
+    public void onTruncated() {
+        cancelPending();
     }
 
-    /** The connection says no more: what else was asked on it has nobody to answer to. */
-    private void drop() {
-        List<PendingResponse> left = List.copyOf(replies);
-        replies.clear();
-        frontend.connections().dropped(this);
-        for (PendingResponse reply : left) {
-            reply.ended(false);
-            String open = reply.openId();
-            if (reply.body() != null) {
-                reply.body().close();
-            }
-            if (open != null) {
-                frontend.exchange().clientGone(open);
-            }
+    /** Cancels the requests that cannot be responded to, as the connection is closing or closed. */
+    private void cancelPending() {
+        Iterable<PendingResponse> cancelled = responses.removeAll();
+        server.connections().onCancelled(this);
+        for (PendingResponse response : cancelled) {
+            cancel(response);
         }
     }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        frontend.troubled(cause);
-        ctx.close();
+    private void cancel(PendingResponse response) {
+        response.onWritten(false);
+        String requestId = response.openRequestId();
+        if (response.body() != null) {
+            response.body().close();
+        }
+        if (requestId != null) {
+            server.dispatcher().clientGone(requestId);
+        }
     }
 }
--- a/edge/src/main/java/lemonrail/http1/ClientConnectionTable.java
+++ b/edge/src/main/java/lemonrail/http1/ClientConnectionTable.java
@@ -10,41 +10,42 @@
 import lemonrail.time.Clock;
 
 /**
- * The open connections of clients, bounded in number, and the order in which they make room for new ones. Up
- * to a fixed share of them is reserved for returning clients, first come, first served: however many others
- * connect and ask, they compete for the rest only, and there each gets one request at a time.
+ * The open connections of clients, bounded in number, and the order in which they are evicted for new ones. Up
+ * to a fixed part of them is reserved for returning clients, first come, first served: however many others
+ * connect and send requests, they compete for the rest only, where each connection gets one request at a time.
+ * Confined to the server's event loop.
  */
 final class ClientConnectionTable {
 
-    /** One of so many connections may be reserved. */
-    private static final int RESERVED_PART = 2;
-    /** What has been still for so long is not about to ask. */
-    private static final int SETTLED_MS = HttpServer.QUIET_MS;
+    /** One in this many connections may be reserved. */
+    private static final int RESERVED_ONE_IN = 2;
+    /** A connection that has been inactive for this time is not about to send a request. */
+    private static final int INACTIVE_MS = HttpServer.QUIET_MS;
 
     private final Clock clock;
     private final Set<ClientConnection> open = new LinkedHashSet<>();
-    /** Those that have asked for nothing yet or have had their last answer, the oldest first. */
+    /** Those without any request so far, and those whose last response is handed over; the oldest first. */
     private final Set<ClientConnection> expendable = new LinkedHashSet<>();
-    /** Those with no request in hand, the longest idle first. */
+    /** Those with no request in flight, the longest idle first. */
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
-    /** Those that have asked again after an answer while there was a reserved place, the oldest first. */
+    /** Those with a request after a response while there was a reserved place, the oldest first. */
     private final Set<ClientConnection> reserved = new LinkedHashSet<>();
 
-    private int most;
+    private int maxConnections;
 
-    ClientConnectionTable(Clock clock, int most) {
+    ClientConnectionTable(Clock clock, int maxConnections) {
         this.clock = clock;
-        this.most = most;
+        this.maxConnections = maxConnections;
     }
 
-    /** From now on there may be so many; who was reserved last loses its place first. */
-    void bound(int connections) {
-        most = connections;
-        List.copyOf(reserved).stream().skip(mostReserved()).forEach(reserved::remove);
+    /** Sets how many connections may be open; those that were reserved last lose their place first. */
+    void setMaxConnections(int connections) {
+        maxConnections = connections;
+        List.copyOf(reserved).stream().skip(maxReserved()).forEach(reserved::remove);
     }
 
-    private int mostReserved() {
-        return most / RESERVED_PART;
+    private int maxReserved() {
+        return maxConnections / RESERVED_ONE_IN;
     }
 
     List<ClientConnection> all() {
@@ -59,17 +60,17 @@
         return open.size();
     }
 
-    /** How many there are beyond the bound; below zero while there is room. */
+    /** Returns how many connections there are beyond the bound; below zero while there is room. */
     int excess() {
-        return open.size() - most;
+        return open.size() - maxConnections;
     }
 
-    /** Adds a new connection; false if there is no room for it, and none can be made. */
+    /** Adds a new connection, and returns whether there is room for it or another one could be evicted. */
     boolean add(ClientConnection connection) {
         open.add(connection);
-        boolean room = makeRoom();
+        boolean withinBound = evictExcess();
         expendable.add(connection);
-        return room;
+        return withinBound;
     }
 
     void remove(ClientConnection connection) {
@@ -79,73 +80,76 @@
         reserved.remove(connection);
     }
 
-    /** Something has been asked on a connection: it is needed. */
-    void asked(ClientConnection connection) {
+    /** Notes that a request has been received on a connection. */
+    void onRequest(ClientConnection connection) {
         expendable.remove(connection);
-        if (idle.remove(connection) && reserved.size() < mostReserved()) {
+        if (idle.remove(connection) && reserved.size() < maxReserved()) {
             reserved.add(connection);
         }
     }
 
-    /** All that was asked on a connection is answered; false if it is none of the open ones any more. */
-    boolean answered(ClientConnection connection) {
+    /** Notes that all requests on a connection are responded to, and returns whether it is still open. */
+    boolean onResponded(ClientConnection connection) {
         boolean known = open.contains(connection);
         if (known) {
-            (connection.hasAsked() ? idle : expendable).add(connection);
+            (connection.hasDispatched() ? idle : expendable).add(connection);
         }
         return known;
     }
 
-    /** Nobody waits for anything on a connection. */
-    void dropped(ClientConnection connection) {
+    /** Notes that no response is awaited on a connection any more. */
+    void onCancelled(ClientConnection connection) {
         if (open.contains(connection)) {
             expendable.add(connection);
         }
     }
 
-    /** Whether others need the place of this connection: its next answer is to be its last. */
-    boolean isWanted(ClientConnection connection) {
-        return excess() > 0
-                && !reserved.contains(connection)
-                && excess()
-                        > expendable.stream().filter(ClientConnection::isEnding).count();
+    /** Returns whether others need the place of this connection, so that its next response is to be its last. */
+    boolean isNeededByOthers(ClientConnection connection) {
+        return excess() > 0 && !reserved.contains(connection) && excess() > closingConnections();
     }
 
-    /**
-     * Makes room for connections beyond the bound, if there are any; first those go that have had their last
-     * answer, then those that never asked for anything, and of these who has been still for a while: one that
-     * has just come is about to ask. On none of them may a request have come that is not read yet, or an
-     * answer be left to write. Reserved ones stay.
-     */
-    private boolean makeRoom() {
+    private long closingConnections() {
+        return expendable.stream().filter(ClientConnection::isClosing).count();
+    }
+
+    /** Closes connections beyond the bound; returns false if one of them is left as none can be evicted. */
+    private boolean evictExcess() {
         while (excess() > 0) {
-            ClientConnection gone = leastNeeded();
-            if (gone == null) {
+            ClientConnection evicted = leastNeeded();
+            if (evicted == null) {
                 return false;
             }
-            remove(gone);
-            gone.close();
+            remove(evicted);
+            evicted.close();
         }
         return true;
     }
 
-    /** Which connection goes first, the oldest of its kind; null where each is needed. */
+    /**
+     * Returns the connection to evict first, or null where each is needed: first one that has had its last
+     * response, then one without any request, of these first one that has been inactive for a while, since a new
+     * one is about to send a request; the oldest first of each kind. No connection is evicted on which bytes
+     * wait to be read or a response is left to write, and no reserved one.
+     */
     private ClientConnection leastNeeded() {
-        double settled = clock.now() - SETTLED_MS;
+        double inactiveSinceMs = clock.now() - INACTIVE_MS;
+        Predicate<ClientConnection> inactive = connection -> connection.isInactiveSince(inactiveSinceMs);
+        Predicate<ClientConnection> unreserved = connection -> !reserved.contains(connection);
         return Stream.<Supplier<ClientConnection>>of(
-                        () -> first(expendable, ClientConnection::isOver),
-                        () -> first(expendable, connection -> connection.isStillSince(settled) && connection.isFree()),
-                        () -> first(expendable, connection -> connection.isStillSince(settled) && connection.isIdle()),
+                        () -> first(expendable, ClientConnection::isFinished),
+                        () -> first(expendable, inactive.and(ClientConnection::isFree)),
+                        () -> first(expendable, inactive.and(ClientConnection::isIdle)),
                         () -> first(expendable, ClientConnection::isIdle),
-                        () -> first(idle, connection -> !reserved.contains(connection) && connection.isFree()),
-                        () -> first(idle, connection -> !reserved.contains(connection) && connection.isIdle()))
+                        () -> first(idle, unreserved.and(ClientConnection::isFree)),
+                        () -> first(idle, unreserved.and(ClientConnection::isIdle)))
                 .map(Supplier::get)
                 .filter(Objects::nonNull)
                 .findFirst()
                 .orElse(null);
     }
 
-    private static ClientConnection first(Set<ClientConnection> of, Predicate<ClientConnection> which) {
-        return of.stream().filter(which).findFirst().orElse(null);
+    private static ClientConnection first(Set<ClientConnection> connections, Predicate<ClientConnection> condition) {
+        return connections.stream().filter(condition).findFirst().orElse(null);
     }
 }
--- a/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
+++ b/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
@@ -5,344 +5,276 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.util.concurrent.Future;
-import java.util.concurrent.TimeUnit;
 import lemonrail.time.Clock;
 import lemonrail.upgrade.AcceptedSocket;
 
 /**
- * Stands before the decoder on a client's connection: bounds the time that it may stand open with no whole
- * request, and what is read of it once it has nothing more to say. A body may take as long as it needs at a
- * slow line's pace; time in which the sidecar itself does not read counts for nothing.
+ * The first handler of a client's connection, ahead of the decoder: bounds the time in which a request must be
+ * read whole and the time between requests, holds input back while enough requests are in flight, and discards
+ * it once the connection ends. Confined to the connection's event loop.
  */
 final class ClientTimeoutHandler extends ChannelInboundHandlerAdapter {
 
-    /** Fired when a request has begun and has not become whole in time. */
-    static final Object LATE = new Object();
-    /** Fired when more has come behind the requests in hand than is kept for later: nothing more is heard. */
-    static final Object FLOOD = new Object();
-
-    /** A head must be whole so long after its first byte, the first one so long after the connect. */
-    private static final int READ_MS = 2500;
-    /** The time that a body has in any case, and the least pace of one that takes longer. */
-    private static final int BODY_MS = 500;
-
-    private static final int LEAST_BYTES_PER_MS = 32;
-    /** Between requests a connection is closed after this time. */
-    private static final int IDLE_MS = 5000;
-    /** A client that takes nothing of its answers for so long does not want them. */
-    private static final int STALL_MS = 10_000;
-    /** What a client still sends when it has its last answer is read, so that no reset destroys that. */
-    private static final int LINGER_MS = 300;
-
-    private static final int MOST_LINGER_MS = 10_000;
-    private static final int MOST_LINGERING_BYTES = 256 * 1024;
-    /** What is kept of what comes while as many requests as may be are in hand. */
-    private static final int MOST_WAITING_BYTES = 16 * 1024;
-    /** Between two reads of one who has sent more than that: enough to notice soon that it has gone. */
-    private static final int THROTTLED_READ_MS = 1;
-
-    /** What crosses the end of a time limit is read within this time. */
-    private static final int CROSSING_MS = 1;
+    /** User events fired when nothing more is to be read from the client. */
+    enum InputEvent {
+        /** A request has begun but is not whole in time. */
+        REQUEST_TIMED_OUT,
+        /** More has arrived behind the requests in flight than is held back. */
+        TOO_MUCH_INPUT
+    }
+
+    /** A connection is closed after this time between requests. */
+    private static final int MAX_IDLE_MS = 5000;
+    /** The most that is held back while as many requests as may be are in flight. */
+    private static final int MAX_HELD_BYTES = 16 * 1024;
+    /** By how much a timeout is put off, once, when bytes have arrived that are not read yet. */
+    private static final int UNREAD_INPUT_GRACE_MS = 1;
+
+    private enum RequestState {
+        /** Connected, and no byte has arrived. */
+        CONNECTED,
+        /** Bytes of a request have arrived, and it is not whole. */
+        RECEIVING,
+        /** A request is being responded to, and no read since has brought bytes of another. */
+        RESPONDING,
+        /** All responses are written, and no byte of another request has arrived. */
+        IDLE
+    }
+
+    private enum InputState {
+        /** Input is passed on as it arrives. */
+        FORWARDED,
+        /** Input is held back until a response has been written. */
+        HELD,
+        /** Input is discarded, as the connection ends. */
+        DISCARDED
+    }
 
     private final AcceptedSocket channel;
     private final Clock clock;
-    private Future<?> limit;
-    private boolean begun;
-    private boolean waiting;
-    private boolean discarding;
-    /** As many requests as may be are in hand: what comes now waits here. */
-    private boolean full;
-
-    private ByteBuf held;
-    /** The last answer is written. */
-    private boolean lastAnswerWritten;
-    /** More than is dropped came while answers were owed: until these are written it is read at a pace. */
-    private boolean throttled;
-    /** A time limit has given way once to what came in that very instant. */
-    private boolean crossingRead;
-
-    private long discardedBytes;
-    private long mostDiscardedBytes = MOST_LINGERING_BYTES;
-    private int mostLingerMs = LINGER_MS;
-    /** By when the request must be whole, but for what its body's pace adds. */
-    private double dueAt;
-
-    private boolean inBody;
-    private long bodyBytes;
-    private double pausedAt = -1;
-    /** When something last came. */
-    private double lastReadAt;
+    private final ConnectionTimer timer;
+    private final LingeringClose lingeringClose;
+    private final RequestDeadline requestDeadline = new RequestDeadline();
+    private RequestState requestState = RequestState.CONNECTED;
+    private InputState inputState = InputState.FORWARDED;
+    /** What is held back, or null. */
+    private ByteBuf heldInput;
+    /** Whether the current timeout has been put off already. */
+    private boolean graceUsed;
+
+    private double lastReadMs;
 
     ClientTimeoutHandler(AcceptedSocket channel, Clock clock) {
         this.channel = channel;
         this.clock = clock;
-        lastReadAt = clock.now();
+        timer = new ConnectionTimer(channel);
+        lingeringClose = new LingeringClose(channel, clock, timer);
+        lastReadMs = clock.now();
     }
 
+    // ---- timeouts ----
+
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        awaitRequest(ctx);
+        startRequestTimeout(ctx);
         ctx.fireChannelActive();
     }
 
-    private void awaitRequest(ChannelHandlerContext ctx) {
-        inBody = false;
-        bodyBytes = 0;
-        pausedAt = -1;
-        crossingRead = false;
-        dueAt = clock.now() + READ_MS;
-        await(READ_MS, () -> checkRequest(ctx));
+    private void startRequestTimeout(ChannelHandlerContext ctx) {
+        graceUsed = false;
+        requestDeadline.start(clock.now());
+        timer.start(RequestDeadline.MAX_HEAD_MS, () -> checkRequestTimeout(ctx));
     }
 
-    private void checkRequest(ChannelHandlerContext ctx) {
-        double left = dueAt + (inBody ? bodyBytes / LEAST_BYTES_PER_MS : 0) - clock.now();
-        if (pausedAt >= 0) {
-            await(BODY_MS, () -> checkRequest(ctx));
-        } else if (left > 0) {
-            await((int) Math.ceil(left), () -> checkRequest(ctx));
-        } else if (isCrossed()) {
-            await(CROSSING_MS, () -> checkRequest(ctx));
-        } else if (begun && !discarding) {
-            ctx.fireUserEventTriggered(LATE);
+    private void checkRequestTimeout(ChannelHandlerContext ctx) {
+        double remainingMs = requestDeadline.remainingMs(clock.now());
+        if (requestDeadline.isPaused()) {
+            timer.start(RequestDeadline.MIN_BODY_MS, () -> checkRequestTimeout(ctx));
+        } else if (remainingMs > 0) {
+            timer.start((int) Math.ceil(remainingMs), () -> checkRequestTimeout(ctx));
+        } else if (useGrace()) {
+            timer.start(UNREAD_INPUT_GRACE_MS, () -> checkRequestTimeout(ctx));
+        } else if (requestState == RequestState.RECEIVING && !isDiscarding()) {
+            ctx.fireUserEventTriggered(InputEvent.REQUEST_TIMED_OUT);
         } else {
             channel.close();
         }
     }
 
-    /** Whether something has come in time that is not read yet; who trickles gets this once. */
-    private boolean isCrossed() {
-        boolean crossed = !crossingRead && channel.hasUnread();
-        crossingRead = true;
-        return crossed;
-    }
-
-    /** Closes the connection, unless a request crosses that. */
     private void closeIdle() {
-        if (isCrossed()) {
-            await(CROSSING_MS, this::closeIdle);
+        if (useGrace()) {
+            timer.start(UNREAD_INPUT_GRACE_MS, this::closeIdle);
         } else {
             channel.close();
         }
     }
 
-    private void await(int ms, Runnable then) {
-        stopClock();
-        limit = channel.eventLoop().schedule(then, ms, TimeUnit.MILLISECONDS);
+    /** Returns whether input is waiting to be read that has not put off this timeout before. */
+    private boolean useGrace() {
+        boolean granted = !graceUsed && channel.hasUnread();
+        graceUsed = true;
+        return granted;
     }
 
-    private void stopClock() {
-        if (limit != null) {
-            limit.cancel(false);
-            limit = null;
-        }
-    }
+    // ---- input ----
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-        int size = ((ByteBuf) bytes).readableBytes();
-        lastReadAt = clock.now();
-        if (discarding) {
-            discardedBytes += size;
-            ((ByteBuf) bytes).release();
-            if (discardedBytes > mostDiscardedBytes) {
-                throttle();
-            }
-            return;
-        }
-        if (full) {
-            keep(ctx, (ByteBuf) bytes);
-            return;
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
+        ByteBuf input = (ByteBuf) message;
+        lastReadMs = clock.now();
+        switch (inputState) {
+            case DISCARDED -> discard(input);
+            case HELD -> hold(ctx, input);
+            default -> forward(ctx, input);
         }
-        hear(ctx, (ByteBuf) bytes);
     }
 
-    private void throttle() {
-        if (lastAnswerWritten) {
-            channel.close();
-        } else {
-            // Its end stands behind what it has sent, and is heard only once all that is read.
-            throttled = true;
-            channel.config().setAutoRead(false);
-            channel.eventLoop().schedule(this::readOn, THROTTLED_READ_MS, TimeUnit.MILLISECONDS);
-        }
+    private void discard(ByteBuf input) {
+        int bytes = input.readableBytes();
+        input.release();
+        lingeringClose.onDiscarded(bytes);
     }
 
-    private void readOn() {
-        if (channel.isActive()) {
-            channel.read();
+    private void hold(ChannelHandlerContext ctx, ByteBuf input) {
+        if (heldInput == null) {
+            heldInput = Unpooled.buffer(input.readableBytes(), Integer.MAX_VALUE);
         }
-    }
-
-    private void keep(ChannelHandlerContext ctx, ByteBuf bytes) {
-        held = held == null ? Unpooled.buffer(bytes.readableBytes(), Integer.MAX_VALUE) : held;
-        held.writeBytes(bytes);
-        bytes.release();
-        if (held.readableBytes() > MOST_WAITING_BYTES) {
+        heldInput.writeBytes(input);
+        input.release();
+        if (heldInput.readableBytes() > MAX_HELD_BYTES) {
             discardInput();
-            ctx.fireUserEventTriggered(FLOOD);
+            ctx.fireUserEventTriggered(InputEvent.TOO_MUCH_INPUT);
         }
     }
 
-    private void hear(ChannelHandlerContext ctx, ByteBuf bytes) {
-        if (!begun) {
-            begun = true;
-            if (waiting) {
-                waiting = false;
-                awaitRequest(ctx);
-            }
-        }
-        bodyBytes += inBody ? bytes.readableBytes() : 0;
-        ctx.fireChannelRead(bytes);
-    }
-
-    /** A head is whole, and its body is still to come. */
-    void headRead() {
-        inBody = true;
-        bodyBytes = 0;
-        dueAt = Math.max(dueAt, clock.now() + BODY_MS);
-    }
-
-    /** The sidecar stops or goes on reading a body: meanwhile its client can do nothing. */
-    void reading(boolean on) {
-        if (on && pausedAt >= 0) {
-            dueAt += clock.now() - pausedAt;
-            pausedAt = -1;
-        } else if (!on && pausedAt < 0) {
-            pausedAt = clock.now();
+    private void forward(ChannelHandlerContext ctx, ByteBuf input) {
+        boolean wasIdle = requestState == RequestState.IDLE;
+        requestState = RequestState.RECEIVING;
+        if (wasIdle) {
+            startRequestTimeout(ctx);
         }
+        requestDeadline.onBytesRead(input.readableBytes());
+        ctx.fireChannelRead(input);
     }
 
     /**
-     * Whether as many requests as may be are in hand. The connection is read on, so that a client that goes
-     * is noticed, but what comes waits until there is room, as long as that is little.
+     * Holds input back, or forwards it again with what was held. Reading goes on meanwhile, so that a client
+     * that disconnects is noticed.
      */
-    void full(boolean on) {
-        full = on;
-        if (!full && held != null) {
-            ByteBuf bytes = held;
-            held = null;
+    void setHolding(boolean holding) {
+        if (isDiscarding()) {
+            return;
+        }
+        inputState = holding ? InputState.HELD : InputState.FORWARDED;
+        if (!holding && heldInput != null) {
+            ByteBuf input = heldInput;
+            heldInput = null;
             ChannelHandlerContext ctx = channel.pipeline().context(this);
-            hear(ctx, bytes);
+            forward(ctx, input);
             ctx.fireChannelReadComplete();
         }
     }
 
-    /** Whether what comes is read as it comes. */
-    boolean takes() {
-        return !throttled;
+    /** Discards all input from now on. */
+    void discardInput() {
+        inputState = InputState.DISCARDED;
+        releaseHeldInput();
     }
 
     boolean isDiscarding() {
-        return discarding;
+        return inputState == InputState.DISCARDED;
     }
 
-    /** Whether the last answer is written. */
-    boolean hasWrittenLastAnswer() {
-        return lastAnswerWritten;
-    }
-
-    private void dropHeld() {
-        if (held != null) {
-            held.release();
-            held = null;
+    private void releaseHeldInput() {
+        if (heldInput != null) {
+            heldInput.release();
+            heldInput = null;
         }
     }
 
-    /** A request is whole: until it is answered the connection may take its time. */
-    void requestTaken() {
-        begun = false;
-        waiting = false;
-        inBody = false;
-        stopClock();
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        timer.cancel();
+        releaseHeldInput();
+        ctx.fireChannelInactive();
     }
 
-    /** When something last came, or the connection itself. */
-    double lastReadAt() {
-        return lastReadAt;
+    // ---- progress of requests and responses ----
+
+    /** Notes that a head is whole and its body is still to come. */
+    void onHeadRead() {
+        requestDeadline.onHeadRead(clock.now());
     }
 
-    /** Whether a part of a request has come. */
-    boolean isReading() {
-        return begun;
+    /** Notes that the sidecar stops or resumes reading a body. */
+    void onBodyReading(boolean reading) {
+        if (reading) {
+            requestDeadline.resume(clock.now());
+        } else {
+            requestDeadline.pause(clock.now());
+        }
     }
 
-    /** All that was asked is answered, but not written yet: it has time while the client takes some. */
-    void answering() {
-        awaitTaken(Long.MIN_VALUE);
+    /** Notes that a request is whole: no time limit until it is responded to. */
+    void onRequestRead() {
+        requestState = RequestState.RESPONDING;
+        requestDeadline.onRequestRead();
+        timer.cancel();
     }
 
-    /** All that was asked is answered, and that is written. */
-    void answered() {
-        if (!discarding && channel.isActive()) {
-            waiting = !begun;
-            if (begun && inBody) {
-                dueAt = Math.max(dueAt, clock.now() + BODY_MS);
-                checkRequest(channel.pipeline().context(this));
-            } else if (begun) {
-                awaitRequest(channel.pipeline().context(this));
-            } else {
-                crossingRead = false;
-                await(IDLE_MS, this::closeIdle);
-            }
-        }
+    /** Notes that all responses are handed to the channel but not written: the client must take some now and then. */
+    void onResponsesPending() {
+        timer.closeWhenStalled();
     }
 
-    /** Nothing that comes from now on is listened to. */
-    void discardInput() {
-        discarding = true;
-        dropHeld();
+    /** Notes that all responses are written. */
+    void onResponsesWritten() {
+        if (isDiscarding() || !channel.isActive()) {
+            return;
+        }
+        ChannelHandlerContext ctx = channel.pipeline().context(this);
+        if (requestState != RequestState.RECEIVING) {
+            requestState = RequestState.IDLE;
+            graceUsed = false;
+            timer.start(MAX_IDLE_MS, this::closeIdle);
+        } else if (requestDeadline.isInBody()) {
+            requestDeadline.allowBodyTime(clock.now());
+            checkRequestTimeout(ctx);
+        } else {
+            startRequestTimeout(ctx);
+        }
     }
 
-    /** The rest of a body that its request no longer needs may still come before the connection is cut. */
+    /** Allows for the rest of a body that its request no longer needs before the connection closes. */
     void allowRestOfBody() {
-        mostDiscardedBytes = ResponseReader.MOST_BODY_BYTES;
-        mostLingerMs = MOST_LINGER_MS;
+        lingeringClose.allowRestOfBody();
     }
 
-    /** Ends the connection once its last answer is written, in a way that lets that answer arrive. */
-    void endAfter(ChannelFuture lastAnswer) {
+    /** Closes the connection after this response. */
+    void closeAfter(ChannelFuture lastResponse) {
         discardInput();
-        channel.config().setAutoRead(!throttled);
-        awaitTaken(Long.MIN_VALUE);
-        lastAnswer.addListener(written -> {
-            lastAnswerWritten = true;
-            if (written.isSuccess()) {
-                throttled = false;
-                mostDiscardedBytes = Math.max(mostDiscardedBytes, discardedBytes + MOST_LINGERING_BYTES);
-                channel.shutdownOutput();
-                channel.config().setAutoRead(true);
-                linger(-1, clock.now() + mostLingerMs);
-            } else {
-                channel.close();
-            }
-        });
+        lingeringClose.closeAfter(lastResponse);
     }
 
-    /** Waits for as long as the client takes something of its answer now and then. */
-    private void awaitTaken(long leftBefore) {
-        long left = channel.bytesBeforeWritable() - channel.bytesBeforeUnwritable();
-        if (left == leftBefore) {
-            channel.close();
-        } else {
-            await(STALL_MS, () -> awaitTaken(left));
-        }
+    // ---- what the connection is told ----
+
+    /** Returns whether reading is slowed down because too much is discarded. */
+    boolean isThrottled() {
+        return lingeringClose.isThrottled();
     }
 
-    /** Waits for as long as the client goes on sending. */
-    private void linger(long discardedBefore, double until) {
-        if (discardedBytes == discardedBefore || clock.now() >= until) {
-            channel.close();
-        } else {
-            long now = discardedBytes;
-            await(LINGER_MS, () -> linger(now, until));
-        }
+    /** Returns whether the last response is written. */
+    boolean isLastResponseWritten() {
+        return lingeringClose.isLastResponseWritten();
     }
 
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-        stopClock();
-        dropHeld();
-        ctx.fireChannelInactive();
+    /** Returns when something was read last, or the connection opened, in milliseconds of the clock. */
+    double lastReadMs() {
+        return lastReadMs;
+    }
+
+    /** Returns whether a part of a request has been read. */
+    boolean isReceiving() {
+        return requestState == RequestState.RECEIVING;
     }
 }
--- a/edge/src/main/java/lemonrail/http1/Http1Protocol.java
+++ b/edge/src/main/java/lemonrail/http1/Http1Protocol.java
@@ -12,7 +12,7 @@
 public final class Http1Protocol implements Protocol<RequestMessage, UpstreamResponse> {
 
     /** The largest body, either way, that is held whole, in bytes. */
-    public static final int MOST_HELD_BYTES = ResponseReader.MOST_HELD_BYTES;
+    public static final int MAX_HELD_BYTES = ResponseReader.MAX_HELD_BYTES;
 
     @Override
     public Upstream<RequestMessage, UpstreamResponse> upstream(EventLoopContext shard, int mostConnections) {
--- a/edge/src/main/java/lemonrail/http1/HttpServer.java
+++ b/edge/src/main/java/lemonrail/http1/HttpServer.java
@@ -10,11 +10,9 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import lemonrail.core.balancer.Request;
 import lemonrail.exchange.Downstream;
 import lemonrail.exchange.EventLoopContext;
 import lemonrail.exchange.RequestDispatcher;
-import lemonrail.lifecycle.Lifecycle;
 import lemonrail.logging.EventLog;
 import lemonrail.metrics.Metrics;
 import lemonrail.net.Sockets;
@@ -23,45 +21,59 @@
 import lemonrail.upgrade.AcceptedSocket;
 import lemonrail.upgrade.SharedListener;
 
-/** The listener for clients: which connections there are, which make room, and when they are let go. */
+/**
+ * The listener for clients and their connections: accepts them up to a bound, and closes them in a drain or a
+ * shutdown. Owned by one event loop, on which all methods are called.
+ */
 final class HttpServer implements Downstream {
 
-    private static final int BACKLOG = 1024;
-    /** So long after a drain's start the front has surely noticed. */
-    private static final int NOTICE_MS = 500;
-    /** What has asked for nothing for so long is let go in a drain, and how often that is seen to. */
+    /** Connections above the bound that are still accepted, so that their requests get a response. */
+    static final int OVERFLOW = 16;
+    /** A connection without requests for this time closes in a drain. */
     static final int QUIET_MS = 300;
 
-    private static final int SWEEP_MS = 100;
-    /** Connections above the bound that are still taken in, to refuse what they ask in good order. */
-    static final int OVERFLOW = 16;
+    private static final int BACKLOG = 1024;
+    /** How long clients take to notice that a drain has begun. */
+    private static final int DRAIN_NOTICE_MS = 500;
+
+    private static final int DRAIN_SWEEP_INTERVAL_MS = 100;
 
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
-    private final RequestDispatcher<RequestMessage, UpstreamResponse> exchange;
-    private final Lifecycle lifecycle;
+    private final RequestDispatcher<RequestMessage, UpstreamResponse> dispatcher;
     private final Metrics metrics;
     private final BufferBudget budget;
-    private final RequestHeadMapper heads;
+    private final ClientRequestRouter router;
     private final ClientConnectionTable connections;
     private SharedListener listener;
-    /** Each answer is the last on its connection. */
-    private boolean leaving;
-
-    private Future<?> sweeping;
-    private double endsAt = Double.POSITIVE_INFINITY;
-
-    HttpServer(EventLoopContext shard, RequestDispatcher<RequestMessage, UpstreamResponse> exchange, int most) {
-        loop = shard.loop();
-        clock = shard.clock();
-        log = shard.log().in("http1");
-        lifecycle = shard.lifecycle();
-        metrics = shard.metrics();
-        budget = shard.budget();
-        this.exchange = exchange;
-        connections = new ClientConnectionTable(clock, most);
-        heads = new RequestHeadMapper(shard.settings(), exchange::settings);
+    /** Whether each response is the last on its connection. */
+    private boolean closingConnections;
+    /** Closes quiet connections while a drain lasts, else null. */
+    private Future<?> drainSweep;
+
+    private double latestDeadlineMs = Double.POSITIVE_INFINITY;
+
+    /**
+     * Creates a server that does not listen yet.
+     *
+     * @param context what the parts on this event loop share
+     * @param dispatcher takes in the clients' requests
+     * @param maxConnections how many connections may be open at once
+     */
+    HttpServer(
+            EventLoopContext context,
+            RequestDispatcher<RequestMessage, UpstreamResponse> dispatcher,
+            int maxConnections) {
+        loop = context.loop();
+        clock = context.clock();
+        log = context.log().in("http1");
+        metrics = context.metrics();
+        budget = context.budget();
+        this.dispatcher = dispatcher;
+        connections = new ClientConnectionTable(clock, maxConnections);
+        RequestHeadMapper headMapper = new RequestHeadMapper(context.settings(), dispatcher::settings);
+        router = new ClientRequestRouter(dispatcher, headMapper, context.lifecycle());
     }
 
     @Override
@@ -88,13 +100,13 @@
     }
 
     @Override
-    public void bound(int connections) {
-        this.connections.bound(connections);
+    public void bound(int maxConnections) {
+        connections.setMaxConnections(maxConnections);
     }
 
     @Override
     public void endAfter(double leftMs) {
-        endsAt = clock.now() + leftMs;
+        latestDeadlineMs = clock.now() + leftMs;
     }
 
     @Override
@@ -105,55 +117,54 @@
     }
 
     /**
-     * Leaves the address to another process: closes the listener, and then makes each answer the last on its
-     * connection. In this order, since who gets a last answer connects again at once, and what connects in
-     * the instant between the listener's last look and its close is reset.
+     * Leaves the address to another process: closes the listener, and then makes each response the last on its
+     * connection. In this order, since a client that gets its last response reconnects at once, and a connect
+     * between the listener's last accept and its close would be reset.
      */
     @Override
     public void leave() {
         if (listener != null) {
             listener.leave();
-            listener.closeFuture().addListener(closed -> leaving = true);
+            listener.closeFuture().addListener(closed -> closingConnections = true);
         }
     }
 
     @Override
     public void finish() {
-        leaving = true;
-        letGo(connection -> connection.isQuiet() && !connection.hasUnread());
+        closingConnections = true;
+        closeConnections(connection -> connection.isQuiet() && !connection.hasUnread());
     }
 
     /**
-     * Empties the connections for as long as the drain lasts. Those with nothing asked on them stay until the
-     * front has noticed, as it still hands out requests; later ones get as long.
+     * Closes connections for as long as the drain lasts. Those without requests stay until clients have noticed
+     * the drain, as they may still send some; later ones get as long.
      */
     @Override
     public void drain() {
-        leaving = true;
-        double noticed = clock.now() + NOTICE_MS;
-        sweeping = loop.scheduleWithFixedDelay(
-                () -> {
-                    if (clock.now() >= noticed) {
-                        double quietSince = clock.now() - QUIET_MS;
-                        letGo(connection -> connection.isQuietSince(quietSince));
-                    }
-                },
-                NOTICE_MS,
-                SWEEP_MS,
-                TimeUnit.MILLISECONDS);
+        closingConnections = true;
+        double noticedMs = clock.now() + DRAIN_NOTICE_MS;
+        drainSweep = loop.scheduleWithFixedDelay(
+                () -> closeQuiet(noticedMs), DRAIN_NOTICE_MS, DRAIN_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    }
+
+    private void closeQuiet(double noticedMs) {
+        if (clock.now() >= noticedMs) {
+            double quietSinceMs = clock.now() - QUIET_MS;
+            closeConnections(connection -> connection.isQuietSince(quietSinceMs));
+        }
     }
 
     @Override
     public void activate() {
-        leaving = false;
-        if (sweeping != null) {
-            sweeping.cancel(false);
-            sweeping = null;
+        closingConnections = false;
+        if (drainSweep != null) {
+            drainSweep.cancel(false);
+            drainSweep = null;
         }
     }
 
-    private void letGo(Predicate<ClientConnection> which) {
-        connections.all().stream().filter(which).forEach(ClientConnection::close);
+    private void closeConnections(Predicate<ClientConnection> condition) {
+        connections.all().stream().filter(condition).forEach(ClientConnection::close);
     }
 
     @Override
@@ -167,24 +178,21 @@
         return connections.isEmpty();
     }
 
+    /** Pauses the listener while the bound is exceeded by {@link #OVERFLOW} connections. */
     private void updateAccepting() {
-        boolean room = connections.excess() < OVERFLOW;
-        if (!room) {
+        boolean accepting = connections.excess() < OVERFLOW;
+        if (!accepting) {
             log.trouble(
                     "accept_paused",
-                    "no more connections are taken in",
+                    "no more connections are accepted",
                     connections.size() + " are open",
                     "connections",
                     connections.size());
         }
-        listener.config().setAutoRead(room);
+        listener.config().setAutoRead(accepting);
     }
 
-    // ---- what connections need ----
-
-    Lifecycle lifecycle() {
-        return lifecycle;
-    }
+    // ---- for the connections ----
 
     Clock clock() {
         return clock;
@@ -198,58 +206,53 @@
         return budget;
     }
 
-    RequestDispatcher<RequestMessage, UpstreamResponse> exchange() {
-        return exchange;
+    RequestDispatcher<RequestMessage, UpstreamResponse> dispatcher() {
+        return dispatcher;
     }
 
-    RequestHeadMapper heads() {
-        return heads;
+    ClientRequestRouter router() {
+        return router;
     }
 
-    /** Whether the answer that is due on a connection is to be its last. */
-    boolean letsGo(ClientConnection connection) {
-        return leaving || connections.isWanted(connection);
+    ClientConnectionTable connections() {
+        return connections;
     }
 
-    /** What a request asks for that came no earlier than this: its client waits from when it was sent. */
-    Request request(RequestHeadMapper.Told told, double arrivedAt) {
-        return new Request(
-                told.id(),
-                told.requestClass(),
-                told.tenant(),
-                Math.min(arrivedAt + told.waitMs(), endsAt),
-                told.resent());
+    /** Returns when requests must be over, whatever their clients allow; infinite until a shutdown begins. */
+    double latestDeadlineMs() {
+        return latestDeadlineMs;
     }
 
-    /** A connection is there; false if there is no room for it. */
-    boolean opened(ClientConnection connection) {
-        boolean room = connections.add(connection);
-        updateAccepting();
-        return room;
+    /** Returns whether a connection closes after the response that is about to be written on it. */
+    boolean closesAfterResponse(ClientConnection connection) {
+        return closingConnections || connections.isNeededByOthers(connection);
     }
 
-    void closed(ClientConnection connection) {
-        connections.remove(connection);
+    /** Registers a connection, and returns whether it is within the bound. */
+    boolean onOpened(ClientConnection connection) {
+        boolean withinBound = connections.add(connection);
         updateAccepting();
+        return withinBound;
     }
 
-    /** Which connections there are, and which of them make room for others. */
-    ClientConnectionTable connections() {
-        return connections;
+    /** Removes a connection that has closed. */
+    void onClosed(ClientConnection connection) {
+        connections.remove(connection);
+        updateAccepting();
     }
 
-    /** A client has sent what is no request, or not in time. */
-    void refused(RequestReader.Refusal refusal) {
+    /** Logs that a client has sent what cannot be served, or not in time. */
+    void logRequestError(ClientMessage.RequestError error) {
         log.trouble(
                 "client_refused",
                 "a client is refused",
-                refusal.status().code() + " " + refusal.why(),
+                error.status().code() + " " + error.reason(),
                 "status",
-                refusal.status().code());
+                error.status().code());
     }
 
-    /** Clients come and go; only what is not the network's doing is worth a line. */
-    void troubled(Throwable cause) {
+    /** Logs an error on a client's connection, unless it comes from the network. */
+    void logConnectionError(Throwable cause) {
         if (!(cause instanceof IOException)) {
             log.bug("connection of a client", cause);
         }
--- a/edge/src/main/java/lemonrail/http1/PendingResponse.java
+++ b/edge/src/main/java/lemonrail/http1/PendingResponse.java
@@ -13,175 +13,196 @@
 import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
 import lemonrail.exchange.ResponseSink;
+import lemonrail.http1.ClientMessage.RequestError;
 import lemonrail.metrics.Metrics;
 import lemonrail.streaming.BodyPipe;
 
-/** The answer that one request on a client's connection will get, and its place in the figures. */
+/**
+ * The response to one request on a client's connection, from the request's arrival until the response is
+ * written; counts it in the metrics. Confined to the connection's event loop.
+ */
 final class PendingResponse implements ResponseSink<UpstreamResponse> {
 
-    /** Seconds are told to the millisecond. */
-    private static final int MS_DIGITS = 3;
+    /** Retry-After is given in seconds with this many digits after the point. */
+    private static final int RETRY_AFTER_DIGITS = 3;
 
     private final ClientConnection connection;
     private final Metrics metrics;
-    private String id;
+    /** The id under which the request is dispatched, or null. */
+    private String requestId;
+
+    private int requestClass = RequestHeadMapper.UNKNOWN_CLASS;
     private boolean keepAlive;
     private HttpResponse response;
-    /** The body of an answer that is passed on as it comes, else null. */
+    /** The body of a streamed response, or null. */
     private BodyPipe body;
 
-    private boolean ended;
-    private boolean counted;
-    private int requestClass = RequestHeadMapper.NO_CLASS;
+    private boolean finished;
+    private boolean countedInFlight;
 
     PendingResponse(ClientConnection connection, Metrics metrics) {
         this.connection = connection;
         this.metrics = metrics;
     }
 
-    /** The class of the request, which its answer counts for. */
-    void ofClass(int known) {
-        requestClass = known;
+    /** Sets the class that the response is counted for. */
+    void setRequestClass(int index) {
+        requestClass = index;
+    }
+
+    /** Sets the id under which the request is dispatched. */
+    void setRequestId(String id) {
+        requestId = id;
+    }
+
+    /** Sets whether the connection persists after this response. */
+    void setKeepAlive(boolean persists) {
+        keepAlive = persists;
     }
 
-    /** The request has come whole: from here on it is in hand. */
-    void taken() {
-        if (requestClass != RequestHeadMapper.NO_CLASS && !ended && !counted) {
-            counted = true;
+    /** Notes that the request has been read whole, from when on it counts as in flight. */
+    void onRequestRead() {
+        if (isCounted() && !finished && !countedInFlight) {
+            countedInFlight = true;
             metrics.taken();
         }
     }
 
-    /** The answer has been written, or nobody waits for it any more. */
-    void ended(boolean written) {
-        end(written ? ending(response.status()) : null);
+    /** Notes that the response is written, or that it never will be as the client has gone. */
+    void onWritten(boolean success) {
+        finish(success ? ending(response.status()) : null);
     }
 
-    /** The answer could not be written to its end. */
-    void cut() {
-        end(Metrics.Ending.ERROR);
+    /** Notes that the response breaks off before its end. */
+    void onTruncated() {
+        finish(Metrics.Ending.ERROR);
     }
 
-    private void end(Metrics.Ending as) {
-        if (ended) {
+    private void finish(Metrics.Ending ending) {
+        if (finished) {
             return;
         }
-        ended = true;
-        if (counted) {
+        finished = true;
+        if (countedInFlight) {
             metrics.ended();
         }
-        if (as != null && requestClass != RequestHeadMapper.NO_CLASS) {
-            metrics.replied(requestClass, as);
+        if (ending != null && isCounted()) {
+            metrics.replied(requestClass, ending);
         }
     }
 
-    private static Metrics.Ending ending(HttpResponseStatus status) {
-        return status.equals(HttpResponseStatus.OK)
-                ? Metrics.Ending.SUCCESS
-                : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-                                || status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)
-                        ? Metrics.Ending.OVERLOAD
-                        : Metrics.Ending.ERROR;
-    }
-
-    /** The request is in the module's hands under this id. */
-    void asked(String requestId) {
-        id = requestId;
+    private boolean isCounted() {
+        return requestClass != RequestHeadMapper.UNKNOWN_CLASS;
     }
 
-    /** The id of a request that the module or an endpoint is still busy with, else null. */
-    String openId() {
-        return response == null || (body != null && !body.isDone()) ? id : null;
+    private static Metrics.Ending ending(HttpResponseStatus status) {
+        if (status.equals(HttpResponseStatus.OK)) {
+            return Metrics.Ending.SUCCESS;
+        }
+        boolean overload = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
+                || status.equals(HttpResponseStatus.TOO_MANY_REQUESTS);
+        return overload ? Metrics.Ending.OVERLOAD : Metrics.Ending.ERROR;
     }
 
-    void keepAlive(boolean kept) {
-        keepAlive = kept;
+    /** Returns the id of a request that is still in progress at the dispatcher, else null. */
+    String openRequestId() {
+        boolean open = response == null || (body != null && !body.isDone());
+        return open ? requestId : null;
     }
 
+    /** Returns whether the connection closes after this response. */
     boolean isLast() {
         return !keepAlive;
     }
 
-    /** The answer, or null where there is none yet. */
+    /** Returns whether there is a response to write. */
+    boolean isReady() {
+        return response != null;
+    }
+
+    /** Returns the response, or null where there is none yet. */
     HttpResponse response() {
         return response;
     }
 
-    /** The body that follows the answer's head, or null where the answer is whole. */
+    /** Returns the body that follows the response's head, or null where the response is whole. */
     BodyPipe body() {
         return body;
     }
 
     @Override
-    public void served(UpstreamResponse answer) {
-        FullHttpResponse served = response(HttpResponseStatus.OK, Unpooled.wrappedBuffer(answer.body()));
-        if (answer.contentType() != null) {
-            served.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
-        }
-        answer(served);
+    public void served(UpstreamResponse upstream) {
+        FullHttpResponse success = fullResponse(HttpResponseStatus.OK, Unpooled.wrappedBuffer(upstream.body()));
+        copyContentType(upstream, success);
+        respond(success);
     }
 
     @Override
-    public void streaming(UpstreamResponse beginning, BodyPipe rest) {
-        HttpResponse begun = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        if (beginning.length() >= 0) {
-            begun.headers().set(HttpHeaderNames.CONTENT_LENGTH, beginning.length());
+    public void streaming(UpstreamResponse upstreamHead, BodyPipe rest) {
+        HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+        if (upstreamHead.length() >= 0) {
+            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, upstreamHead.length());
         } else {
-            begun.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        }
-        if (beginning.contentType() != null) {
-            begun.headers().set(HttpHeaderNames.CONTENT_TYPE, beginning.contentType());
+            head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
+        copyContentType(upstreamHead, head);
         body = rest;
-        answer(begun);
+        respond(head);
+    }
+
+    private static void copyContentType(UpstreamResponse from, HttpResponse to) {
+        if (from.contentType() != null) {
+            to.headers().set(HttpHeaderNames.CONTENT_TYPE, from.contentType());
+        }
     }
 
     @Override
-    public void turnedAway(UpstreamResponse answer) {
-        giveUp(new RequestReader.Refusal(HttpResponseStatus.valueOf(answer.status()), "turned away"));
+    public void turnedAway(UpstreamResponse upstream) {
+        respondAndStopReading(new RequestError(HttpResponseStatus.valueOf(upstream.status()), "turned away"));
     }
 
     @Override
-    public void refused(double coolDownMs) {
-        FullHttpResponse refusal = response(HttpResponseStatus.SERVICE_UNAVAILABLE, text("refused"));
-        if (coolDownMs > 0) {
-            refusal.headers()
-                    .set(
-                            HttpHeaderNames.RETRY_AFTER,
-                            BigDecimal.valueOf(Math.round(coolDownMs), MS_DIGITS)
-                                    .toPlainString());
+    public void refused(double retryAfterMs) {
+        FullHttpResponse rejection = fullResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, line("refused"));
+        if (retryAfterMs > 0) {
+            rejection.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(retryAfterMs));
         }
-        answer(refusal);
+        respond(rejection);
+    }
+
+    private static String seconds(double ms) {
+        return BigDecimal.valueOf(Math.round(ms), RETRY_AFTER_DIGITS).toPlainString();
     }
 
     @Override
     public void failed() {
-        answer(response(HttpResponseStatus.BAD_GATEWAY, text("failed")));
+        respond(HttpResponseStatus.BAD_GATEWAY, "failed");
     }
 
-    void plain(HttpResponseStatus status, String why) {
-        answer(response(status, text(why)));
+    /** Responds with a line of text. */
+    void respond(HttpResponseStatus status, String text) {
+        respond(fullResponse(status, line(text)));
     }
 
-    /** Answers what is no request; nothing more is heard from who sends such. */
-    void giveUp(RequestReader.Refusal refusal) {
+    /** Responds with an error. The response is the last one, and nothing more is read from the client. */
+    void respondAndStopReading(RequestError error) {
         keepAlive = false;
         connection.discardInput();
-        plain(refusal.status(), refusal.why());
+        respond(error.status(), error.reason());
     }
 
-    private void answer(HttpResponse made) {
-        response = made;
-        connection.flush();
+    private void respond(HttpResponse ready) {
+        response = ready;
+        connection.onResponseReady();
     }
 
-    private static ByteBuf text(String line) {
-        return Unpooled.wrappedBuffer((line + "\n").getBytes(StandardCharsets.US_ASCII));
+    private static ByteBuf line(String text) {
+        return Unpooled.wrappedBuffer((text + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static FullHttpResponse response(HttpResponseStatus status, ByteBuf body) {
-        FullHttpResponse made = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        made.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        return made;
+    private static FullHttpResponse fullResponse(HttpResponseStatus status, ByteBuf content) {
+        FullHttpResponse full = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
+        full.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
+        return full;
     }
 }
--- a/edge/src/main/java/lemonrail/http1/PipeWriter.java
+++ b/edge/src/main/java/lemonrail/http1/PipeWriter.java
@@ -7,66 +7,71 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import lemonrail.streaming.BodyPipe;
 
-/** Writes a body to a connection as fast as its far end takes it; the message's head has been written. */
+/**
+ * Writes a body from a pipe to a channel as fast as the peer takes it, after the message's head has been
+ * written. Confined to the channel's event loop.
+ */
 public final class PipeWriter implements BodyPipe.Far {
 
-    /** What becomes of the body; exactly one is called, once, unless the writer is stopped before. */
-    public interface Ending {
-        /** The last byte has been handed to the connection; the future tells when it is written. */
-        void whole(ChannelFuture written);
+    /** Notified of how the body ends: exactly one method is called, once, unless the writer is stopped before. */
+    public interface Listener {
+        /** The last byte has been handed to the channel; the future completes when it is written. */
+        void onBodyWritten(ChannelFuture lastPart);
 
-        /** The body ends here without being whole. */
-        void cut();
+        /** The body ends before it is whole. */
+        void onBodyBroken();
+    }
+
+    private enum State {
+        /** Waiting for bytes, or for the channel to take more. */
+        WAITING,
+        /** Writing pieces. */
+        WRITING,
+        /** Writing pieces, and called to write meanwhile. */
+        CALLED_WHILE_WRITING,
+        /** The body has ended or the writer was stopped. */
+        FINISHED
     }
 
     private final Channel channel;
     private final BodyPipe pipe;
-    private final Ending ending;
-    private boolean over;
-    /** It is writing, and was called upon meanwhile. */
-    private boolean writing;
+    private final Listener listener;
+    private State state = State.WAITING;
 
-    private boolean again;
-
-    /** A writer to this channel; {@link BodyPipe#to} starts it. */
-    public PipeWriter(Channel channel, BodyPipe pipe, Ending ending) {
+    /** Creates a writer to this channel; {@link BodyPipe#to} starts it. */
+    public PipeWriter(Channel channel, BodyPipe pipe, Listener listener) {
         this.channel = channel;
         this.pipe = pipe;
-        this.ending = ending;
+        this.listener = listener;
     }
 
     /**
-     * Also to be called when the channel has become writable again. A chunk goes out in several writes, and
-     * the channel may tell in the midst of them that it is full: what is written then would stand within the
-     * chunk, so such a call only has the one that is under way look again.
+     * Writes what the pipe holds. Also to be called when the channel has become writable again. A chunk goes
+     * out in several writes, and the channel may report in between that its writability has changed: bytes
+     * written then would stand within the chunk, so such a call only makes the one under way look again.
      */
     @Override
     public void more() {
-        if (writing) {
-            again = true;
+        if (state == State.WRITING || state == State.CALLED_WHILE_WRITING) {
+            state = State.CALLED_WHILE_WRITING;
             return;
         }
-        writing = true;
-        do {
-            again = false;
-            writePieces();
-        } while (again && !over);
-        writing = false;
-        if (over) {
+        if (state == State.FINISHED) {
             return;
         }
-        if (pipe.isDone()) {
-            over = true;
-            ending.whole(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
-        } else if (pipe.isBroken()) {
-            over = true;
-            ending.cut();
+        do {
+            state = State.WRITING;
+            writePieces();
+        } while (state == State.CALLED_WHILE_WRITING);
+        if (state != State.FINISHED) {
+            state = State.WAITING;
+            finishIfEnded();
         }
     }
 
     private void writePieces() {
         boolean wrote = false;
-        while (!over && channel.isWritable()) {
+        while (state != State.FINISHED && channel.isWritable()) {
             ByteBuf piece = pipe.next();
             if (piece == null) {
                 break;
@@ -80,8 +85,18 @@
         }
     }
 
-    /** Writes no more, and says nothing of it. */
+    private void finishIfEnded() {
+        if (pipe.isDone()) {
+            state = State.FINISHED;
+            listener.onBodyWritten(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+        } else if (pipe.isBroken()) {
+            state = State.FINISHED;
+            listener.onBodyBroken();
+        }
+    }
+
+    /** Stops writing; the listener is not notified. */
     public void stop() {
-        over = true;
+        state = State.FINISHED;
     }
 }
--- a/edge/src/main/java/lemonrail/http1/RequestHeadMapper.java
+++ b/edge/src/main/java/lemonrail/http1/RequestHeadMapper.java
@@ -12,21 +12,26 @@
 import java.util.function.Supplier;
 import lemonrail.core.balancer.BalancerSettings;
 import lemonrail.core.balancer.RequestClass;
-import lemonrail.http1.RequestReader.Refusal;
+import lemonrail.http1.ClientMessage.RequestError;
 
-/** What the head of a request says to the decision module, or why it says nothing that can be served. */
+/** Maps the heads of clients' requests to what the load balancer decides by, and to the headers forwarded. */
 final class RequestHeadMapper {
 
-    static final String DEADLINE = "X-Deadline-Ms";
-    /** What stands for a class that the settings don't have. */
-    static final int NO_CLASS = -1;
+    static final String DEADLINE_HEADER = "X-Deadline-Ms";
+    /** Stands for a class that the settings do not have. */
+    static final int UNKNOWN_CLASS = -1;
 
-    private static final String ID = "X-Request-Id";
-    private static final int MOST_DEADLINE_DIGITS = 9;
-    /** What a request is told by, which must not be open to two readings. */
-    private static final List<String> ONCE_ONLY = List.of(ID, DEADLINE, "X-Class", "X-Tenant", "Idempotency-Key");
-    /** Headers that concern one connection only. */
-    private static final List<CharSequence> HOP_BY_HOP = List.of(
+    private static final String ID_HEADER = "X-Request-Id";
+    private static final String CLASS_HEADER = "X-Class";
+    private static final String TENANT_HEADER = "X-Tenant";
+    private static final String RETRY_HEADER = "X-Retry";
+    private static final int MAX_DEADLINE_DIGITS = 9;
+    private static final long MALFORMED_DEADLINE = -1;
+    /** Headers that must not be repeated, as a repeated one would have two meanings. */
+    private static final List<String> UNIQUE_HEADERS =
+            List.of(ID_HEADER, DEADLINE_HEADER, CLASS_HEADER, TENANT_HEADER, "Idempotency-Key");
+    /** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+    private static final List<CharSequence> HOP_BY_HOP_HEADERS = List.of(
             HttpHeaderNames.CONNECTION,
             HttpHeaderNames.PROXY_CONNECTION,
             "keep-alive",
@@ -36,90 +41,95 @@
             HttpHeaderNames.UPGRADE,
             HttpHeaderNames.EXPECT);
 
-    /** A request's own words; {@code waitMs} is how long its client waits, as its class allows. */
-    record Told(String id, int requestClass, int tenant, double waitMs, boolean resent) {}
+    private final Map<String, Integer> classIndexes = new HashMap<>();
+    private final Map<String, Integer> tenantIndexes = new HashMap<>();
+    private final Supplier<BalancerSettings> currentSettings;
 
-    private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<String, Integer> tenants = new HashMap<>();
-    private final Supplier<BalancerSettings> inForce;
-
-    /** Reads heads by the names of these settings, and by the times of those that are in force. */
-    RequestHeadMapper(BalancerSettings settings, Supplier<BalancerSettings> inForce) {
-        this.inForce = inForce;
-        List<RequestClass> kinds = settings.classes();
-        for (int i = 0; i < kinds.size(); i++) {
-            name(classes, kinds.get(i).name(), i);
+    /**
+     * Creates a mapper.
+     *
+     * @param settings names the classes and tenants, which do not change
+     * @param currentSettings gives the classes' deadlines, which may change
+     */
+    RequestHeadMapper(BalancerSettings settings, Supplier<BalancerSettings> currentSettings) {
+        this.currentSettings = currentSettings;
+        List<RequestClass> classes = settings.classes();
+        for (int i = 0; i < classes.size(); i++) {
+            addName(classIndexes, classes.get(i).name(), i);
         }
         for (int i = 0; i < settings.tenants().size(); i++) {
-            name(tenants, settings.tenants().get(i).name(), i);
+            addName(tenantIndexes, settings.tenants().get(i).name(), i);
         }
     }
 
-    /** Headers are read a byte a character: a name outside ASCII comes in them as its bytes in UTF-8. */
-    private static void name(Map<String, Integer> places, String name, int place) {
-        places.put(name, place);
-        places.put(new String(name.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1), place);
+    /** Headers are decoded one character a byte, so a name outside ASCII appears as its UTF-8 bytes. */
+    private static void addName(Map<String, Integer> indexes, String name, int index) {
+        indexes.put(name, index);
+        indexes.put(new String(name.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1), index);
     }
 
-    /** The class that a head names, known or not to be served otherwise. */
+    /** Returns the index of the class that a head names, or {@link #UNKNOWN_CLASS}. */
     int requestClass(HttpRequest head) {
-        return classes.getOrDefault(head.headers().get("X-Class", ""), NO_CLASS);
+        return classIndexes.getOrDefault(head.headers().get(CLASS_HEADER, ""), UNKNOWN_CLASS);
     }
 
-    /** Why this is no request that could be served, or null if it is one. */
-    Refusal refusal(HttpRequest head) {
-        HttpHeaders headers = head.headers();
+    /** Returns the head's fields, or the error to respond with. */
+    MappedHead map(HttpRequest head) {
         if (!head.method().equals(HttpMethod.GET) && !head.method().equals(HttpMethod.POST)) {
-            return new Refusal(HttpResponseStatus.METHOD_NOT_ALLOWED, "only GET and POST are served");
+            return new RequestError(HttpResponseStatus.METHOD_NOT_ALLOWED, "only GET and POST are served");
+        }
+        HttpHeaders headers = head.headers();
+        if (headers.get(ID_HEADER, "").isEmpty()) {
+            return badRequest(ID_HEADER + " is missing");
+        }
+        if (UNIQUE_HEADERS.stream().anyMatch(name -> headers.getAll(name).size() > 1)) {
+            return badRequest("one of " + UNIQUE_HEADERS + " is repeated");
+        }
+        int requestClass = requestClass(head);
+        if (requestClass == UNKNOWN_CLASS) {
+            return badRequest(CLASS_HEADER + " is missing or unknown");
         }
-        String why = null;
-        if (headers.get(ID, "").isEmpty()) {
-            why = ID + " is missing";
-        } else if (ONCE_ONLY.stream().anyMatch(name -> headers.getAll(name).size() > 1)) {
-            why = "one of " + ONCE_ONLY + " is repeated";
-        } else if (requestClass(head) == NO_CLASS) {
-            why = "X-Class is missing or unknown";
-        } else if (tenant(headers) == null) {
-            why = "X-Tenant is missing or unknown";
-        } else if (deadline(headers) < 0) {
-            why = DEADLINE + " is no whole number";
+        Integer tenant = tenant(headers);
+        if (tenant == null) {
+            return badRequest(TENANT_HEADER + " is missing or unknown");
         }
-        return why == null ? null : new Refusal(HttpResponseStatus.BAD_REQUEST, why);
+        long deadlineMs = deadlineMs(headers);
+        if (deadlineMs == MALFORMED_DEADLINE) {
+            return badRequest(DEADLINE_HEADER + " is no whole number");
+        }
+        double waitMs = Math.min((double) deadlineMs, maxWaitMs(requestClass));
+        return new RequestHead(headers.get(ID_HEADER), requestClass, tenant, waitMs, isRetried(headers));
     }
 
-    /** What a head says that {@link #refusal} has nothing against. */
-    Told told(HttpRequest head) {
-        HttpHeaders headers = head.headers();
-        int kind = requestClass(head);
-        // No client waits longer than its class may take, whatever it says.
-        return new Told(
-                headers.get(ID),
-                kind,
-                tenant(headers),
-                Math.min(
-                        (double) deadline(headers),
-                        inForce.get().classes().get(kind).deadlineMs()),
-                "1".equals(headers.get("X-Retry")));
+    private static RequestError badRequest(String reason) {
+        return new RequestError(HttpResponseStatus.BAD_REQUEST, reason);
+    }
+
+    private double maxWaitMs(int requestClass) {
+        return currentSettings.get().classes().get(requestClass).deadlineMs();
+    }
+
+    private static boolean isRetried(HttpHeaders headers) {
+        return "1".equals(headers.get(RETRY_HEADER));
     }
 
-    /** What of a head is passed on. */
-    static HttpHeaders endToEnd(HttpRequest head) {
+    /** Returns the headers that are forwarded to the endpoint. */
+    static HttpHeaders endToEndHeaders(HttpRequest head) {
         HttpHeaders headers = head.headers().copy();
-        HOP_BY_HOP.forEach(headers::remove);
+        HOP_BY_HOP_HEADERS.forEach(headers::remove);
         return headers;
     }
 
     private Integer tenant(HttpHeaders headers) {
-        return tenants.isEmpty() ? Integer.valueOf(0) : tenants.get(headers.get("X-Tenant", ""));
+        return tenantIndexes.isEmpty() ? Integer.valueOf(0) : tenantIndexes.get(headers.get(TENANT_HEADER, ""));
     }
 
-    /** The milliseconds, or -1 for what is no whole number of a sane size. */
-    private static long deadline(HttpHeaders headers) {
-        String text = headers.get(DEADLINE, "");
+    private static long deadlineMs(HttpHeaders headers) {
+        String text = headers.get(DEADLINE_HEADER, "");
         if (text.isEmpty()
-                || text.length() > MOST_DEADLINE_DIGITS
+                || text.length() > MAX_DEADLINE_DIGITS
                 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            return -1;
+            return MALFORMED_DEADLINE;
         }
         return Long.parseLong(text);
     }
--- a/edge/src/main/java/lemonrail/http1/RequestMessage.java
+++ b/edge/src/main/java/lemonrail/http1/RequestMessage.java
@@ -13,11 +13,11 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * A request as it is passed on.
+ * A request as it is forwarded to an endpoint.
  *
- * @param headers those that concern more than one connection
- * @param body all of it, or the first part where the rest follows
- * @param rest what follows, or null
+ * @param headers the end-to-end headers
+ * @param body the body, or the first part of it
+ * @param rest the rest of a large body, or null
  */
 public record RequestMessage(HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyPipe rest)
         implements ProtocolRequest {
@@ -27,23 +27,23 @@
         return body.length;
     }
 
-    /** The whole request, as one that is waited for so long. */
+    /** Returns the whole request, which the endpoint has so many milliseconds to respond to. */
     FullHttpRequest whole(double waitMs) {
         return new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 method,
                 uri,
                 Unpooled.wrappedBuffer(body),
-                told(waitMs),
+                headersWithDeadline(waitMs),
                 EmptyHttpHeaders.INSTANCE);
     }
 
-    /** The head of a request whose body follows. */
+    /** Returns the head of a request whose body follows. */
     HttpRequest head(double waitMs) {
-        return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, told(waitMs));
+        return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, headersWithDeadline(waitMs));
     }
 
-    private HttpHeaders told(double waitMs) {
-        return headers.copy().set(RequestHeadMapper.DEADLINE, (long) Math.ceil(waitMs));
+    private HttpHeaders headersWithDeadline(double waitMs) {
+        return headers.copy().set(RequestHeadMapper.DEADLINE_HEADER, (long) Math.ceil(waitMs));
     }
 }
--- a/edge/src/main/java/lemonrail/http1/RequestReader.java
+++ b/edge/src/main/java/lemonrail/http1/RequestReader.java
@@ -18,139 +18,159 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 import io.netty.util.ReferenceCountUtil;
 import java.util.List;
+import lemonrail.http1.ClientMessage.BodyComplete;
+import lemonrail.http1.ClientMessage.IncomingRequest;
+import lemonrail.http1.ClientMessage.RequestError;
 import lemonrail.streaming.BodyPipe;
 import lemonrail.streaming.BufferBudget;
 
 /**
- * Makes requests of what the decoder has read: whole ones, or such as have outgrown what is held and whose
- * rest follows through a pipe. The first thing that is no request, or too large, or ambiguous about where it
- * ends, becomes a {@link Refusal}, and is the last thing heard of its connection.
+ * Assembles requests from what the decoder has read: whole ones, or large ones whose rest follows through a pipe.
+ * Input that is malformed, too large, or ambiguous about where it ends becomes a {@link RequestError}, after which
+ * nothing more is read. Confined to the connection's event loop.
  */
 final class RequestReader extends ChannelInboundHandlerAdapter {
 
-    /** Said when the rest of a large body has come. */
-    static final Object BODY_WHOLE = new Object();
-    /** Said when a head is read and its body is still to come. */
-    static final Object HEAD_WHOLE = new Object();
-    /** The same, of a client that waits to be asked for the body. */
-    static final Object EXPECTS = new Object();
-    /** Said to who sends more requests ahead of their answers than are taken. */
-    static final Refusal TOO_MANY =
-            new Refusal(HttpResponseStatus.TOO_MANY_REQUESTS, "too many requests ahead of answers");
-    /** Bodies up to this size are read even where there is no room for large ones. */
-    private static final int SMALL_BYTES = 8 * 1024;
+    /** User events fired when a head has been read and its body is still to come. */
+    enum HeadEvent {
+        /** The body follows by itself. */
+        HEAD_READ,
+        /** The client waits for 100 Continue before it sends the body. */
+        CONTINUE_EXPECTED
+    }
 
-    /** Why a connection is given up. */
-    record Refusal(HttpResponseStatus status, String why) {}
+    /** Sent to a client that sends more requests ahead of their responses than are read. */
+    static final RequestError TOO_MANY_REQUESTS =
+            new RequestError(HttpResponseStatus.TOO_MANY_REQUESTS, "too many requests ahead of answers");
 
-    /** A request: the first part of its body, and the rest where it is large, else null. */
-    record Incoming(HttpRequest head, byte[] body, BodyPipe rest) {}
+    private static final RequestError TIMED_OUT =
+            new RequestError(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time");
+    private static final RequestError BODY_TOO_LARGE =
+            new RequestError(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+    private static final BodyComplete BODY_COMPLETE = new BodyComplete();
+    /** Bodies up to this size are read even when the buffer budget is exhausted. */
+    private static final int ALWAYS_HELD_BYTES = 8 * 1024;
 
     private final BufferBudget budget;
-    private final BodyPipe.Near near;
+    private final BodyPipe.Near bodySource;
+    /** The head of the request being read, or null. */
     private HttpRequest head;
+    /** What is held of its body, or null. */
     private ByteBuf body;
+    /** Takes the rest of a large body, or null. */
     private BodyPipe rest;
-    private long received;
-    private boolean over;
 
-    RequestReader(BufferBudget budget, BodyPipe.Near near) {
+    private long receivedBytes;
+    private boolean stopped;
+
+    /**
+     * Creates a reader.
+     *
+     * @param bodySource told when large bodies are to be read on, and when not
+     */
+    RequestReader(BufferBudget budget, BodyPipe.Near bodySource) {
         this.budget = budget;
-        this.near = near;
+        this.bodySource = bodySource;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (!over
+            if (!stopped
                     && message instanceof HttpObject part
                     && part.decoderResult().isFailure()) {
-                refuse(ctx, unreadable(part.decoderResult().cause()));
+                fail(ctx, malformed(part.decoderResult().cause()));
             }
-            if (!over && message instanceof HttpRequest begun) {
-                begin(ctx, begun);
+            if (!stopped && message instanceof HttpRequest request) {
+                startRequest(ctx, request);
             }
-            if (!over && message instanceof HttpContent content) {
-                take(ctx, content);
+            if (!stopped && message instanceof HttpContent content) {
+                readContent(ctx, content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private static Refusal unreadable(Throwable cause) {
+    private static RequestError malformed(Throwable cause) {
         return cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException
-                ? new Refusal(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
-                : new Refusal(HttpResponseStatus.BAD_REQUEST, "malformed request");
+                ? new RequestError(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
+                : new RequestError(HttpResponseStatus.BAD_REQUEST, "malformed request");
     }
 
-    private void begin(ChannelHandlerContext ctx, HttpRequest begun) {
-        HttpHeaders headers = begun.headers();
-        List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        String expected = headers.get(HttpHeaderNames.EXPECT);
-        if (!codings.isEmpty()
-                && (codings.size() > 1
-                        || headers.contains(HttpHeaderNames.CONTENT_LENGTH)
-                        || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0)))) {
-            // Where it is not plain where a body ends, another request may hide in it.
-            refuse(ctx, new Refusal(HttpResponseStatus.BAD_REQUEST, "ambiguous framing"));
-        } else if (HttpUtil.getContentLength(begun, 0L) > ResponseReader.MOST_BODY_BYTES) {
-            refuse(ctx, tooLarge());
-        } else if (expected != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
-            refuse(ctx, new Refusal(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation"));
+    private void startRequest(ChannelHandlerContext ctx, HttpRequest request) {
+        String expectation = request.headers().get(HttpHeaderNames.EXPECT);
+        if (isFramingAmbiguous(request.headers())) {
+            fail(ctx, new RequestError(HttpResponseStatus.BAD_REQUEST, "ambiguous framing"));
+        } else if (HttpUtil.getContentLength(request, 0L) > ResponseReader.MAX_BODY_BYTES) {
+            fail(ctx, BODY_TOO_LARGE);
+        } else if (expectation != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expectation)) {
+            fail(ctx, new RequestError(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation"));
         } else {
-            head = begun;
-            body = Unpooled.buffer(0, ResponseReader.MOST_HELD_BYTES);
-            received = 0;
-            ctx.fireUserEventTriggered(expected == null ? HEAD_WHOLE : EXPECTS);
+            head = request;
+            body = Unpooled.buffer(0, ResponseReader.MAX_HELD_BYTES);
+            receivedBytes = 0;
+            ctx.fireUserEventTriggered(expectation == null ? HeadEvent.HEAD_READ : HeadEvent.CONTINUE_EXPECTED);
         }
     }
 
-    private static Refusal tooLarge() {
-        return new Refusal(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+    /** Where the end of a body is ambiguous, another request may be smuggled in it (RFC 9112, section 11.2). */
+    private static boolean isFramingAmbiguous(HttpHeaders headers) {
+        List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        if (codings.isEmpty()) {
+            return false;
+        }
+        return codings.size() > 1
+                || headers.contains(HttpHeaderNames.CONTENT_LENGTH)
+                || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0));
     }
 
-    private void take(ChannelHandlerContext ctx, HttpContent content) {
+    private void readContent(ChannelHandlerContext ctx, HttpContent content) {
         int bytes = content.content().readableBytes();
-        received += bytes;
-        if (received > ResponseReader.MOST_BODY_BYTES) {
-            refuse(ctx, tooLarge());
+        receivedBytes += bytes;
+        if (receivedBytes > ResponseReader.MAX_BODY_BYTES) {
+            fail(ctx, BODY_TOO_LARGE);
             return;
         }
         if (rest == null && bytes > body.maxWritableBytes()) {
-            outgrow(ctx);
+            startStreaming(ctx);
         }
-        if (over) {
+        // What streaming led to may have stopped the reader.
+        if (stopped) {
             return;
         }
         if (rest != null) {
             rest.write(content.content());
         } else {
-            body.writeBytes(content.content());
-            budget.take(bytes);
-            if (body.readableBytes() > SMALL_BYTES && !budget.hasRoom()) {
-                refuse(ctx, new Refusal(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many large bodies"));
-                return;
-            }
+            hold(ctx, content.content());
+        }
+        if (!stopped && content instanceof LastHttpContent) {
+            finishRequest(ctx);
         }
-        if (content instanceof LastHttpContent) {
-            finish(ctx);
+    }
+
+    private void hold(ChannelHandlerContext ctx, ByteBuf bytes) {
+        int count = bytes.readableBytes();
+        body.writeBytes(bytes);
+        budget.take(count);
+        if (body.readableBytes() > ALWAYS_HELD_BYTES && !budget.hasRoom()) {
+            fail(ctx, new RequestError(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many large bodies"));
         }
     }
 
-    /** The body is larger than what is held of one: the request goes its way, and the rest follows. */
-    private void outgrow(ChannelHandlerContext ctx) {
-        rest = new BodyPipe(budget, near);
-        ctx.fireChannelRead(new Incoming(head, takeBody(), rest));
+    /** Passes on a request whose body is larger than what is held; the rest follows. */
+    private void startStreaming(ChannelHandlerContext ctx) {
+        rest = new BodyPipe(budget, bodySource);
+        ctx.fireChannelRead(new IncomingRequest(head, takeBody(), rest));
     }
 
     private byte[] takeBody() {
         byte[] bytes = ByteBufUtil.getBytes(body);
-        dropBody();
+        releaseBody();
         return bytes;
     }
 
-    private void dropBody() {
+    private void releaseBody() {
         if (body != null) {
             budget.release(body.readableBytes());
             body.release();
@@ -158,18 +178,18 @@
         }
     }
 
-    private void finish(ChannelHandlerContext ctx) {
-        // No more is taken after a request that says it is the last.
-        over = !HttpUtil.isKeepAlive(head);
-        HttpRequest done = head;
-        BodyPipe passed = rest;
+    private void finishRequest(ChannelHandlerContext ctx) {
+        // No request is read after one that announces the connection's close.
+        stopped = !HttpUtil.isKeepAlive(head);
+        HttpRequest finished = head;
+        BodyPipe streamed = rest;
         head = null;
         rest = null;
-        if (passed == null) {
-            ctx.fireChannelRead(new Incoming(done, takeBody(), null));
+        if (streamed == null) {
+            ctx.fireChannelRead(new IncomingRequest(finished, takeBody(), null));
         } else {
-            ctx.fireChannelRead(BODY_WHOLE);
-            passed.end();
+            ctx.fireChannelRead(BODY_COMPLETE);
+            streamed.end();
         }
     }
 
@@ -181,35 +201,31 @@
         ctx.fireChannelReadComplete();
     }
 
-    /** Takes nothing more from this connection. */
+    /** Ignores all further input. The rest of a body that is being streamed fails. */
     void stop() {
-        over = true;
-        dropBody();
+        stopped = true;
+        releaseBody();
         head = null;
         if (rest != null) {
-            BodyPipe cut = rest;
+            BodyPipe truncated = rest;
             rest = null;
-            cut.fail();
+            truncated.fail();
         }
     }
 
-    private void refuse(ChannelHandlerContext ctx, Refusal refusal) {
-        over = true;
-        // First the word, then the end of a body: who passes it on must know that it is no endpoint's fault.
-        ctx.fireChannelRead(refusal);
+    private void fail(ChannelHandlerContext ctx, RequestError error) {
+        stopped = true;
+        // Passed on before the body fails, so that the failure is not blamed on the endpoint.
+        ctx.fireChannelRead(error);
         stop();
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event != ClientTimeoutHandler.LATE && event != ClientTimeoutHandler.FLOOD) {
+        if (!(event instanceof ClientTimeoutHandler.InputEvent inputEvent)) {
             ctx.fireUserEventTriggered(event);
-        } else if (!over) {
-            refuse(
-                    ctx,
-                    event == ClientTimeoutHandler.FLOOD
-                            ? TOO_MANY
-                            : new Refusal(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time"));
+        } else if (!stopped) {
+            fail(ctx, inputEvent == ClientTimeoutHandler.InputEvent.TOO_MUCH_INPUT ? TOO_MANY_REQUESTS : TIMED_OUT);
         }
     }
 
--- a/edge/src/main/java/lemonrail/http1/ResponseReader.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseReader.java
@@ -28,9 +28,9 @@
 final class ResponseReader extends ChannelInboundHandlerAdapter {
 
     /** The largest body, either way, that is held whole. */
-    static final int MOST_HELD_BYTES = 64 * 1024;
+    static final int MAX_HELD_BYTES = 64 * 1024;
     /** The largest body, either way, that is passed through. */
-    static final long MOST_BODY_BYTES = 32 * 1024 * 1024;
+    static final long MAX_BODY_BYTES = 32 * 1024 * 1024;
     /** Answers 1xx ahead of the final one; more are no good sign. */
     private static final int MOST_INTERIM = 16;
     /** An answer of unknown length that takes longer than this is passed on as it comes. */
@@ -39,16 +39,16 @@
     /** What comes of it. */
     interface Listener {
         /** The answer is whole; {@code clean} if nothing came with it, so that the connection may go on. */
-        void answered(UpstreamResponse answer, boolean clean);
+        void onResponse(UpstreamResponse response, boolean reusable);
 
         /** A large answer has begun; returns where its body goes. */
-        BodyPipe streaming(UpstreamResponse beginning);
+        BodyPipe onStreamStarted(UpstreamResponse head);
 
         /** The large answer is whole; {@code clean} if the connection may go on. */
-        void streamed(boolean clean);
+        void onStreamCompleted(boolean reusable);
 
         /** What has come is no answer, or was not asked for: the connection is of no further use. */
-        void spoilt();
+        void onMalformedResponse();
     }
 
     private static final class Decoder extends HttpResponseDecoder {
@@ -121,7 +121,7 @@
     }
 
     /** A request has been written, or enough of one to be turned away by: what comes may be its answer. */
-    void expect() {
+    void expectResponse() {
         expecting = true;
     }
 
@@ -133,7 +133,7 @@
         dropBody();
         if (!spoilt) {
             spoilt = true;
-            listener.spoilt();
+            listener.onMalformedResponse();
         }
     }
 
@@ -183,7 +183,7 @@
         }
         if (!HttpUtil.isContentLengthSet(response)) {
             hold = ctx.executor().schedule(this::outgrow, HOLD_MS, TimeUnit.MILLISECONDS);
-        } else if (HttpUtil.getContentLength(response) > MOST_HELD_BYTES) {
+        } else if (HttpUtil.getContentLength(response) > MAX_HELD_BYTES) {
             outgrow();
         }
     }
@@ -200,8 +200,7 @@
         // Where only the connection's end ends a body, it may be cut short: that counts as no answer.
         return status < 600
                 && (coding == null
-                        ? HttpUtil.isContentLengthSet(response)
-                                && HttpUtil.getContentLength(response) <= MOST_BODY_BYTES
+                        ? HttpUtil.isContentLengthSet(response) && HttpUtil.getContentLength(response) <= MAX_BODY_BYTES
                         : HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(coding));
     }
 
@@ -212,7 +211,7 @@
             hold = null;
         }
         if (head.status().code() == HttpResponseStatus.OK.code()) {
-            pipe = listener.streaming(answer(new byte[0]));
+            pipe = listener.onStreamStarted(answer(new byte[0]));
             pass(body);
             pipe.flush();
             if (body != null) {
@@ -232,7 +231,7 @@
             spoil();
             return;
         }
-        if (pipe == null && body.readableBytes() + content.content().readableBytes() > MOST_HELD_BYTES) {
+        if (pipe == null && body.readableBytes() + content.content().readableBytes() > MAX_HELD_BYTES) {
             if (head.status().code() < 200) {
                 spoil();
                 return;
@@ -254,7 +253,7 @@
 
     private void pass(ByteBuf bytes) {
         passed += bytes.readableBytes();
-        if (passed > MOST_BODY_BYTES) {
+        if (passed > MAX_BODY_BYTES) {
             spoil();
         } else {
             pipe.write(bytes);
@@ -315,9 +314,9 @@
         interim = 0;
         expecting = false;
         if (answer != null) {
-            listener.answered(answer, clean);
+            listener.onResponse(answer, clean);
         } else {
-            listener.streamed(clean);
+            listener.onStreamCompleted(clean);
         }
     }
 }
--- /dev/null
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnection.java
@@ -0,0 +1,277 @@
+package lemonrail.http1;
+
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.HttpRequestEncoder;
+import io.netty.util.concurrent.Future;
+import java.io.IOException;
+import lemonrail.core.balancer.AttemptOutcome;
+import lemonrail.exchange.EventLoopContext;
+import lemonrail.logging.EventLog;
+import lemonrail.streaming.BodyPipe;
+
+/**
+ * One connection to an endpoint: writes one attempt at a time and reports its outcome. Owned by the pool and
+ * confined to its event loop.
+ */
+final class UpstreamConnection implements ResponseReader.Listener {
+
+    private enum State {
+        /** Being opened for its first attempt. */
+        CONNECTING,
+        /** An attempt is being written, or its response read. */
+        IN_USE,
+        /** Open and ready for another attempt. */
+        IDLE,
+        /** Closed, or about to be: no attempt is sent on it. */
+        CLOSED
+    }
+
+    private final EndpointConnections endpoint;
+    private final int generation;
+    private final IdleConnections idleConnections;
+    private final EventLoopContext context;
+    private final EventLog log;
+    private final ResponseReader reader = new ResponseReader(this);
+    private EndpointSocket channel;
+    private State state = State.CONNECTING;
+    /** The attempt in flight, or null. */
+    private UpstreamAttempt attempt;
+    /** Writes the rest of a large request, or null. */
+    private PipeWriter requestWriter;
+    /** The body of a streamed response, or null. */
+    private BodyPipe responseBody;
+
+    private double idleSinceMs;
+
+    UpstreamConnection(
+            EndpointConnections endpoint, IdleConnections idleConnections, EventLoopContext context, EventLog log) {
+        this.endpoint = endpoint;
+        this.idleConnections = idleConnections;
+        this.context = context;
+        this.log = log;
+        generation = endpoint.generation();
+    }
+
+    /** Connects, then sends the first attempt; {@code onClosed} runs once the channel is closed. */
+    void connect(UpstreamConnector connector, UpstreamAttempt first, Runnable onClosed) {
+        attempt = first;
+        first.assignTo(this);
+        ChannelFuture connecting = connector.connect(endpoint.address(), this::addHandlers);
+        channel = (EndpointSocket) connecting.channel();
+        channel.closeFuture().addListener(closed -> {
+            onClosed.run();
+            onClosed();
+        });
+        connecting.addListener(connected -> onConnectFinished(first, connected.isSuccess()));
+    }
+
+    private void addHandlers(EndpointSocket opened) {
+        opened.pipeline().addLast(new HttpRequestEncoder());
+        reader.addTo(opened.pipeline());
+        opened.pipeline().addLast(new ChannelEventHandler());
+    }
+
+    private void onConnectFinished(UpstreamAttempt first, boolean connected) {
+        // While connecting, the attempt may have been given up, or the endpoint's process replaced.
+        if (connected && first.isAwaited() && isCurrent() && first.mayStart()) {
+            send(first);
+        } else {
+            channel.close();
+            onClosed();
+        }
+    }
+
+    /** Returns whether the connection leads to the process that the endpoint list names now. */
+    private boolean isCurrent() {
+        return generation == endpoint.generation();
+    }
+
+    /** Sends another attempt on this idle connection. */
+    void startNext(UpstreamAttempt next) {
+        leaveIdle();
+        attempt = next;
+        next.assignTo(this);
+        send(next);
+    }
+
+    private void send(UpstreamAttempt sent) {
+        state = State.IN_USE;
+        RequestMessage request = sent.request();
+        if (request.rest() == null) {
+            awaitWritten(sent, channel.writeAndFlush(request.whole(sent.timeLeftMs())));
+        } else {
+            stream(sent, request);
+        }
+    }
+
+    private void stream(UpstreamAttempt sent, RequestMessage request) {
+        channel.write(request.head(sent.waitMs()));
+        channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(request.body())));
+        // An overloaded endpoint may reject a large request before its body is whole.
+        reader.expectResponse();
+        requestWriter = new PipeWriter(channel, request.rest(), new PipeWriter.Listener() {
+            @Override
+            public void onBodyWritten(ChannelFuture lastPart) {
+                requestWriter = null;
+                awaitWritten(sent, lastPart);
+            }
+
+            @Override
+            public void onBodyBroken() {
+                close();
+            }
+        });
+        request.rest().to(requestWriter);
+    }
+
+    private void awaitWritten(UpstreamAttempt sent, ChannelFuture lastPart) {
+        sent.setRequestWritten(lastPart);
+        lastPart.addListener(written -> onRequestWritten(sent, written));
+    }
+
+    private void onRequestWritten(UpstreamAttempt sent, Future<?> written) {
+        if (!written.isSuccess()) {
+            channel.close();
+            return;
+        }
+        context.metrics().dispatched();
+        reader.expectResponse();
+        sent.onRequestWritten();
+    }
+
+    /** Returns when the connection became idle last, in milliseconds of the event loop's clock. */
+    double idleSinceMs() {
+        return idleSinceMs;
+    }
+
+    /** Returns whether the connection is open and nothing has arrived on it since it became idle. */
+    boolean isSilent() {
+        return channel.isSilent();
+    }
+
+    /** Closes the connection; an attempt in flight fails. */
+    void close() {
+        leaveIdle();
+        state = State.CLOSED;
+        channel.close();
+    }
+
+    private void leaveIdle() {
+        if (state == State.IDLE) {
+            endpoint.removeIdle(this);
+            idleConnections.remove(this);
+        }
+    }
+
+    /** The channel is closed or could not connect. The outcome depends on whether the request was written. */
+    private void onClosed() {
+        leaveIdle();
+        state = State.CLOSED;
+        UpstreamAttempt failed = attempt;
+        attempt = null;
+        stopRequestWriter();
+        BodyPipe truncated = responseBody;
+        responseBody = null;
+        if (failed != null) {
+            failed.finish(failed.mayHaveRun() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
+        }
+        if (truncated != null) {
+            truncated.fail();
+        }
+    }
+
+    private void stopRequestWriter() {
+        if (requestWriter != null) {
+            requestWriter.stop();
+            requestWriter = null;
+        }
+    }
+
+    @Override
+    public void onResponse(UpstreamResponse response, boolean reusable) {
+        UpstreamAttempt finished = release(reusable && response.keepAlive());
+        if (finished == null) {
+            return;
+        }
+        AttemptOutcome outcome = response.outcome();
+        // Success before the request was whole cannot be the response to it.
+        boolean premature = outcome == AttemptOutcome.OK && !finished.mayHaveRun();
+        finished.finish(premature ? AttemptOutcome.RESET : outcome, response);
+    }
+
+    @Override
+    public BodyPipe onStreamStarted(UpstreamResponse head) {
+        responseBody = new BodyPipe(context.budget(), on -> channel.config().setAutoRead(on));
+        BodyPipe started = responseBody;
+        if (attempt != null && attempt.isAwaited() && attempt.mayHaveRun()) {
+            attempt.onResponseStreamStarted(head, started);
+        } else {
+            started.close();
+            close();
+        }
+        return started;
+    }
+
+    @Override
+    public void onStreamCompleted(boolean reusable) {
+        responseBody = null;
+        UpstreamAttempt finished = release(reusable);
+        if (finished != null) {
+            finished.finish(AttemptOutcome.OK, null);
+        }
+    }
+
+    @Override
+    public void onMalformedResponse() {
+        close();
+    }
+
+    /**
+     * Ends the attempt's use of this connection, which becomes idle if it can be reused and closes otherwise.
+     * Called before the outcome is reported, since that may start an attempt that needs a connection.
+     */
+    private UpstreamAttempt release(boolean reusable) {
+        UpstreamAttempt finished = attempt;
+        attempt = null;
+        stopRequestWriter();
+        boolean requestWhole = finished == null || finished.mayHaveRun();
+        if (reusable && channel.isActive() && isCurrent() && requestWhole) {
+            becomeIdle();
+        } else {
+            channel.close();
+        }
+        return finished;
+    }
+
+    private void becomeIdle() {
+        channel.config().setAutoRead(true);
+        idleSinceMs = context.clock().now();
+        state = State.IDLE;
+        endpoint.addIdle(this);
+        idleConnections.add(this);
+    }
+
+    /** Resumes writing when the channel takes more, and closes the connection on errors. */
+    private final class ChannelEventHandler extends ChannelInboundHandlerAdapter {
+
+        @Override
+        public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+            if (requestWriter != null) {
+                requestWriter.more();
+            }
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            // A reset is reported as the attempt's outcome; anything else is a fault of this program.
+            if (!(cause instanceof IOException)) {
+                log.bug("connection to an endpoint", cause);
+            }
+            close();
+        }
+    }
+}
--- a/edge/src/main/java/lemonrail/http1/WarmUpRequest.java
+++ b/edge/src/main/java/lemonrail/http1/WarmUpRequest.java
@@ -40,7 +40,7 @@
     static final byte LAST = '~';
 
     private static final String BODY = "warm-up".repeat(16) + (char) LAST;
-    private static final int TOO_MANY = ResponseReader.MOST_HELD_BYTES + 1;
+    private static final int TOO_MANY = ResponseReader.MAX_HELD_BYTES + 1;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
     private static final String NOT_RUN =
             "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
--- a/edge/src/main/java/lemonrail/http1/Warmup.java
+++ b/edge/src/main/java/lemonrail/http1/Warmup.java
@@ -263,7 +263,7 @@
         String head = (safe ? "GET" : "POST") + " " + PATH + rounds + IS + round() + " HTTP/1.1\r\n"
                 + "Host: warm-up\r\nX-Request-Id: warm-up-" + rounds + "\r\n"
                 + "X-Class: " + bytes(kind.name()) + "\r\n"
-                + RequestHeadMapper.DEADLINE + ": " + deadlineMs + "\r\n"
+                + RequestHeadMapper.DEADLINE_HEADER + ": " + deadlineMs + "\r\n"
                 + (shard.settings().tenants().isEmpty()
                         ? ""
                         : "X-Tenant: " + bytes(shard.settings().tenants().get(0).name()) + "\r\n")
--- a/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
@@ -31,7 +31,7 @@
             Class<?>[] kinds = {LoadBalancer.class};
             return (LoadBalancer) Proxy.newProxyInstance(
                     LoadBalancer.class.getClassLoader(), kinds, (proxy, method, arguments) -> {
-                        if (method.getName().equals("onFinished")) {
+                        if (method.getName().equals("onAttemptFinished")) {
                             ends.add((AttemptResult) arguments[1]);
                         }
                         return method.invoke(decide, arguments);
--- a/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
+++ b/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
@@ -29,12 +29,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a body's writer puts on a connection that becomes full, and takes again, in the middle of a chunk. */
+/** A body written to a channel whose writability changes in the middle of a chunk. */
 class PipeWriterTest {
 
     private static final int BUDGET_BYTES = 1 << 20;
 
-    private final List<String> endings = new ArrayList<>();
+    private final List<String> notifications = new ArrayList<>();
     private PipeWriter writer;
 
     private EmbeddedChannel connection(ChannelHandler encoder) {
@@ -50,16 +50,16 @@
         return channel;
     }
 
-    private PipeWriter.Ending ending() {
-        return new PipeWriter.Ending() {
+    private PipeWriter.Listener listener() {
+        return new PipeWriter.Listener() {
             @Override
-            public void whole(ChannelFuture written) {
-                endings.add("whole");
+            public void onBodyWritten(ChannelFuture lastPart) {
+                notifications.add("written");
             }
 
             @Override
-            public void cut() {
-                endings.add("cut");
+            public void onBodyBroken() {
+                notifications.add("broken");
             }
         };
     }
@@ -96,7 +96,7 @@
         return bytes;
     }
 
-    /** Guards against an end, or a next chunk, that is written within the chunk that fills the connection. */
+    /** The last chunk, or the next one, must not be written within the chunk that fills the channel. */
     @ParameterizedTest
     @CsvSource({
         "32768,true",
@@ -111,13 +111,13 @@
         "1,true",
         "1,false"
     })
-    void aBodyEndsBetweenChunks(int bytes, boolean whole) {
-        for (boolean answer : new boolean[] {true, false}) {
-            endings.clear();
+    void bodyEndsBetweenChunks(int bytes, boolean whole) {
+        for (boolean response : new boolean[] {true, false}) {
+            notifications.clear();
             writer = null;
-            EmbeddedChannel channel = connection(answer ? new HttpResponseEncoder() : new HttpRequestEncoder());
+            EmbeddedChannel channel = connection(response ? new HttpResponseEncoder() : new HttpRequestEncoder());
             channel.writeOutbound(chunked(
-                    answer
+                    response
                             ? new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK)
                             : new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api")));
             BodyPipe pipe = new BodyPipe(new BufferBudget(BUDGET_BYTES), on -> {});
@@ -127,9 +127,9 @@
             } else {
                 pipe.fail();
             }
-            writer = new PipeWriter(channel, pipe, ending());
+            writer = new PipeWriter(channel, pipe, listener());
             pipe.to(writer);
-            assertEquals(List.of(whole ? "whole" : "cut"), endings);
+            assertEquals(List.of(whole ? "written" : "broken"), notifications);
             int written = bytesInChunks(written(channel), whole);
             assertTrue(whole ? written == bytes : written <= bytes, written + " bytes of " + bytes);
             channel.finishAndReleaseAll();
