--- a/edge/src/main/java/lemonrail/http1/Http1Protocol.java
+++ b/edge/src/main/java/lemonrail/http1/Http1Protocol.java
@@ -8,26 +8,25 @@
 import lemonrail.exchange.RequestDispatcher;
 import lemonrail.exchange.Upstream;
 
-/** HTTP/1.1 over plain TCP, from client to endpoint (RFC 9112). */
+/** HTTP/1.1 over plain TCP, from clients to endpoints (RFC 9112). */
 public final class Http1Protocol implements Protocol<RequestMessage, UpstreamResponse> {
 
-    /** The largest body, either way, that is held whole, in bytes. */
-    public static final int MAX_HELD_BYTES = ResponseReader.MAX_HELD_BYTES;
-
     @Override
-    public Upstream<RequestMessage, UpstreamResponse> upstream(EventLoopContext shard, int mostConnections) {
-        return new UpstreamConnectionPool(shard, mostConnections);
+    public Upstream<RequestMessage, UpstreamResponse> upstream(EventLoopContext context, int maxConnections) {
+        return new UpstreamConnectionPool(context, maxConnections);
     }
 
     @Override
     public Downstream front(
-            EventLoopContext shard, RequestDispatcher<RequestMessage, UpstreamResponse> exchange, int mostConnections) {
-        return new HttpServer(shard, exchange, mostConnections);
+            EventLoopContext context,
+            RequestDispatcher<RequestMessage, UpstreamResponse> dispatcher,
+            int maxConnections) {
+        return new HttpServer(context, dispatcher, maxConnections);
     }
 
     @Override
-    public void warmUp(EventLoopContext shard, InetAddress at, Path scratch, Runnable done) {
-        new Warmup(shard, at, scratch, done).start();
+    public void warmUp(EventLoopContext context, InetAddress host, Path scratchFolder, Runnable onDone) {
+        new WarmUp(context, host, scratchFolder, onDone).start();
     }
 
     @Override
--- a/edge/src/main/java/lemonrail/http1/ResponseReader.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseReader.java
@@ -9,9 +9,7 @@
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
@@ -21,260 +19,267 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * Reads the one answer that a connection to an endpoint waits for. A small one is told once all that has come
- * with it is read, so that bytes that don't belong to it are never taken for the next one; until then it can
- * be thrown away without a trace. A large one is passed on as it comes.
+ * Reads the responses on a connection to an endpoint, one at a time. A small response is held and reported once
+ * everything that arrived with it has been read, so that stray bytes are never taken for the next response. A
+ * large or slow one is streamed. Confined to the connection's event loop.
  */
 final class ResponseReader extends ChannelInboundHandlerAdapter {
 
-    /** The largest body, either way, that is held whole. */
+    /** The largest body that is held whole, in requests and responses. */
     static final int MAX_HELD_BYTES = 64 * 1024;
-    /** The largest body, either way, that is passed through. */
+    /** The largest body that is forwarded, in requests and responses. */
     static final long MAX_BODY_BYTES = 32 * 1024 * 1024;
-    /** Answers 1xx ahead of the final one; more are no good sign. */
-    private static final int MOST_INTERIM = 16;
-    /** An answer of unknown length that takes longer than this is passed on as it comes. */
-    private static final int HOLD_MS = 500;
 
-    /** What comes of it. */
+    private static final int MAX_INTERIM_RESPONSES = 16;
+    /** A response of unknown length that takes longer than this is streamed. */
+    private static final int MAX_HOLD_MS = 500;
+
+    private static final int FIRST_FINAL_STATUS = 200;
+    private static final int FIRST_UNKNOWN_STATUS = 600;
+
+    /** Notified of responses. */
     interface Listener {
-        /** The answer is whole; {@code clean} if nothing came with it, so that the connection may go on. */
+        /** A response is whole; {@code reusable} unless more than the response has arrived. */
         void onResponse(UpstreamResponse response, boolean reusable);
 
-        /** A large answer has begun; returns where its body goes. */
+        /** A response has begun that is streamed; returns the pipe that takes its body. */
         BodyPipe onStreamStarted(UpstreamResponse head);
 
-        /** The large answer is whole; {@code clean} if the connection may go on. */
+        /** A streamed response is whole; {@code reusable} unless more than the response has arrived. */
         void onStreamCompleted(boolean reusable);
 
-        /** What has come is no answer, or was not asked for: the connection is of no further use. */
+        /** What has arrived is no response, or was not expected: the connection cannot be used any more. */
         void onMalformedResponse();
     }
 
-    private static final class Decoder extends HttpResponseDecoder {
-        private boolean inHead;
-
-        boolean holdsBytes() {
-            return actualReadableBytes() > 0;
-        }
-
-        @Override
-        protected HttpMessage createMessage(String[] initialLine) {
-            inHead = true;
-            return super.createMessage(initialLine);
-        }
-
-        /** The codec is lenient with lines of an answer's head, as with one that has no colon: not here. */
-        @Override
-        protected boolean isDecodingRequest() {
-            return inHead;
-        }
-
-        /** Asked when the head is read. */
-        @Override
-        protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            inHead = false;
-            return super.isContentAlwaysEmpty(message);
-        }
-    }
-
-    /** Sees the bytes before the decoder, which keeps half a line to itself. */
-    private final class Gate extends ChannelInboundHandlerAdapter {
-        @Override
-        public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (expecting && !isWhole()) {
-                ctx.fireChannelRead(bytes);
-                return;
-            }
-            ReferenceCountUtil.release(bytes);
-            if (isWhole()) {
-                more = true;
-            } else {
-                spoil();
-            }
-        }
+    private enum State {
+        /** No request awaits a response: whatever arrives is malformed. */
+        NOT_EXPECTED,
+        /** A response is awaited or being read. */
+        EXPECTED,
+        /** A response is whole; it is reported once all that has arrived is read. */
+        COMPLETE,
+        /** Something else than a response has arrived; all that follows is ignored. */
+        MALFORMED
     }
 
     private final Listener listener;
-    private final Decoder decoder = new Decoder();
-    private boolean expecting;
-    private boolean spoilt;
+    private final EndpointResponseDecoder decoder = new EndpointResponseDecoder();
+    private State state = State.NOT_EXPECTED;
+    /** The head of the response being read, or null. */
     private HttpResponse head;
+    /** What is held of its body, or null. */
     private ByteBuf body;
-    private int interim;
-    private UpstreamResponse whole;
-    /** Where a large answer goes, how much of it has, and whether that was all. */
+    /** The response that is whole, or null where it was streamed. */
+    private UpstreamResponse response;
+    /** Takes the body of a streamed response, or null. */
     private BodyPipe pipe;
 
-    private long passed;
-    private boolean passedWhole;
-    private Future<?> hold;
-    /** More has come with the answer than belongs to it. */
-    private boolean more;
+    private long streamedBytes;
+    private int interimResponses;
+    /** Ends the time for which a response of unknown length is held, or null. */
+    private Future<?> holdTimeout;
+    /** Whether the connection cannot be used after this response. */
+    private boolean unusableAfter;
 
     ResponseReader(Listener listener) {
         this.listener = listener;
     }
 
+    /** Adds the decoder and this reader to a pipeline. */
     void addTo(ChannelPipeline pipeline) {
-        pipeline.addLast(new Gate(), decoder, this);
+        pipeline.addLast(new UnexpectedInputFilter(), decoder, this);
     }
 
-    /** A request has been written, or enough of one to be turned away by: what comes may be its answer. */
+    /** Notes that what arrives may be a response: a request is written, or enough of one to be rejected by. */
     void expectResponse() {
-        expecting = true;
+        if (state == State.NOT_EXPECTED) {
+            state = State.EXPECTED;
+        }
     }
 
-    private boolean isWhole() {
-        return whole != null || passedWhole;
+    /** Keeps unexpected bytes from the decoder, which would hold on to a part of a line. */
+    private final class UnexpectedInputFilter extends ChannelInboundHandlerAdapter {
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object bytes) {
+            if (state == State.EXPECTED) {
+                ctx.fireChannelRead(bytes);
+                return;
+            }
+            ReferenceCountUtil.release(bytes);
+            if (state == State.COMPLETE) {
+                unusableAfter = true;
+            } else {
+                failMalformed();
+            }
+        }
     }
 
-    private void spoil() {
-        dropBody();
-        if (!spoilt) {
-            spoilt = true;
+    private void failMalformed() {
+        discardResponse();
+        if (state != State.MALFORMED) {
+            state = State.MALFORMED;
             listener.onMalformedResponse();
         }
     }
 
-    private void dropBody() {
+    private void discardResponse() {
+        releaseBody();
+        head = null;
+        cancelHoldTimeout();
+    }
+
+    private void releaseBody() {
         if (body != null) {
             body.release();
             body = null;
         }
-        head = null;
-        if (hold != null) {
-            hold.cancel(false);
-            hold = null;
+    }
+
+    private void cancelHoldTimeout() {
+        if (holdTimeout != null) {
+            holdTimeout.cancel(false);
+            holdTimeout = null;
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (spoilt) {
-                return;
-            }
-            if (isWhole()) {
-                more = true;
-                return;
-            }
-            if (message instanceof HttpResponse response) {
-                begin(ctx, response);
-            }
-            if (head != null && message instanceof HttpContent content) {
-                take(content);
+            if (state == State.COMPLETE) {
+                unusableAfter = true;
+            } else if (state != State.MALFORMED) {
+                read(ctx, message);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void begin(ChannelHandlerContext ctx, HttpResponse response) {
-        if (response.decoderResult().isFailure() || !fits(response)) {
-            spoil();
+    private void read(ChannelHandlerContext ctx, Object message) {
+        if (message instanceof HttpResponse started) {
+            startResponse(ctx, started);
+        }
+        if (head != null && message instanceof HttpContent content) {
+            readContent(content);
+        }
+    }
+
+    private void startResponse(ChannelHandlerContext ctx, HttpResponse started) {
+        if (started.decoderResult().isFailure() || !isAcceptable(started)) {
+            failMalformed();
             return;
         }
-        dropBody();
-        head = response;
+        discardResponse();
+        head = started;
         body = Unpooled.buffer();
-        if (response.status().code() < 200) {
+        if (isInterim(started)) {
             return;
         }
-        if (!HttpUtil.isContentLengthSet(response)) {
-            hold = ctx.executor().schedule(this::outgrow, HOLD_MS, TimeUnit.MILLISECONDS);
-        } else if (HttpUtil.getContentLength(response) > MAX_HELD_BYTES) {
-            outgrow();
+        if (!HttpUtil.isContentLengthSet(started)) {
+            holdTimeout = ctx.executor().schedule(this::stopHolding, MAX_HOLD_MS, TimeUnit.MILLISECONDS);
+        } else if (HttpUtil.getContentLength(started) > MAX_HELD_BYTES) {
+            stopHolding();
         }
     }
 
-    /** Whether a head can be that of an answer, and says where the answer ends. */
-    private boolean fits(HttpResponse response) {
-        int status = response.status().code();
-        if (status < 200) {
-            return status >= 100
+    private static boolean isInterim(HttpResponse response) {
+        return response.status().code() < FIRST_FINAL_STATUS;
+    }
+
+    private boolean isAcceptable(HttpResponse started) {
+        int status = started.status().code();
+        if (isInterim(started)) {
+            interimResponses++;
+            return status >= HttpResponseStatus.CONTINUE.code()
                     && status != HttpResponseStatus.SWITCHING_PROTOCOLS.code()
-                    && ++interim <= MOST_INTERIM;
+                    && interimResponses <= MAX_INTERIM_RESPONSES;
         }
-        String coding = response.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
-        // Where only the connection's end ends a body, it may be cut short: that counts as no answer.
-        return status < 600
-                && (coding == null
-                        ? HttpUtil.isContentLengthSet(response) && HttpUtil.getContentLength(response) <= MAX_BODY_BYTES
-                        : HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(coding));
+        return status < FIRST_UNKNOWN_STATUS && isDelimited(started);
     }
 
-    /** The answer is too large or too slow to be held whole; of one that serves nobody the head is enough. */
-    private void outgrow() {
-        if (hold != null) {
-            hold.cancel(false);
-            hold = null;
+    /** Returns whether the head tells where the body ends: one that ends with the connection may be truncated. */
+    private static boolean isDelimited(HttpResponse started) {
+        String coding = started.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
+        if (coding != null) {
+            return HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(coding);
         }
+        return HttpUtil.isContentLengthSet(started) && HttpUtil.getContentLength(started) <= MAX_BODY_BYTES;
+    }
+
+    /** Streams a response that is too large or too slow to be held. Of an unsuccessful one, the head is enough. */
+    private void stopHolding() {
+        cancelHoldTimeout();
         if (head.status().code() == HttpResponseStatus.OK.code()) {
-            pipe = listener.onStreamStarted(answer(new byte[0]));
-            pass(body);
+            pipe = listener.onStreamStarted(toResponse(new byte[0]));
+            stream(body);
             pipe.flush();
-            if (body != null) {
-                body.release();
-                body = null;
-            }
+            releaseBody();
         } else {
-            more = true;
-            whole = answer(new byte[0]);
-            dropBody();
-            conclude();
+            unusableAfter = true;
+            response = toResponse(new byte[0]);
+            state = State.COMPLETE;
+            discardResponse();
+            reportIfComplete();
         }
     }
 
-    private void take(HttpContent content) {
+    private void readContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            spoil();
+            failMalformed();
             return;
         }
-        if (pipe == null && body.readableBytes() + content.content().readableBytes() > MAX_HELD_BYTES) {
-            if (head.status().code() < 200) {
-                spoil();
+        ByteBuf bytes = content.content();
+        if (pipe == null && body.readableBytes() + bytes.readableBytes() > MAX_HELD_BYTES) {
+            if (isInterim(head)) {
+                failMalformed();
                 return;
             }
-            outgrow();
+            stopHolding();
         }
+        // The response may have been reported, or be malformed, by now.
         if (head == null) {
             return;
         }
         if (pipe != null) {
-            pass(content.content());
+            stream(bytes);
         } else {
-            body.writeBytes(content.content());
+            body.writeBytes(bytes);
         }
         if (head != null && content instanceof LastHttpContent) {
-            finish();
+            finishResponse();
         }
     }
 
-    private void pass(ByteBuf bytes) {
-        passed += bytes.readableBytes();
-        if (passed > MAX_BODY_BYTES) {
-            spoil();
+    private void stream(ByteBuf bytes) {
+        streamedBytes += bytes.readableBytes();
+        if (streamedBytes > MAX_BODY_BYTES) {
+            failMalformed();
         } else {
             pipe.write(bytes);
         }
     }
 
-    private void finish() {
+    private void finishResponse() {
         if (pipe != null) {
-            passedWhole = true;
-        } else if (head.status().code() >= 200) {
-            whole = answer(ByteBufUtil.getBytes(body));
+            finishStream();
+            return;
         }
-        boolean keepAlive = HttpUtil.isKeepAlive(head);
-        dropBody();
-        if (passedWhole) {
-            more |= !keepAlive;
-            pipe.end();
+        if (!isInterim(head)) {
+            response = toResponse(ByteBufUtil.getBytes(body));
+            state = State.COMPLETE;
         }
+        discardResponse();
+    }
+
+    private void finishStream() {
+        state = State.COMPLETE;
+        unusableAfter |= !HttpUtil.isKeepAlive(head);
+        discardResponse();
+        pipe.end();
     }
 
-    private UpstreamResponse answer(byte[] content) {
+    private UpstreamResponse toResponse(byte[] content) {
         return new UpstreamResponse(
                 head.status().code(),
                 "1".equals(head.headers().get("X-Not-Run")),
@@ -289,34 +294,33 @@
         if (pipe != null) {
             pipe.flush();
         }
-        conclude();
+        reportIfComplete();
         ctx.fireChannelReadComplete();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        conclude();
-        dropBody();
+        reportIfComplete();
+        discardResponse();
         ctx.fireChannelInactive();
     }
 
-    private void conclude() {
-        if (!isWhole()) {
+    private void reportIfComplete() {
+        if (state != State.COMPLETE) {
             return;
         }
-        UpstreamResponse answer = whole;
-        boolean clean = !more && !decoder.holdsBytes();
-        whole = null;
+        UpstreamResponse complete = response;
+        boolean reusable = !unusableAfter && !decoder.holdsBytes();
+        state = State.NOT_EXPECTED;
+        response = null;
         pipe = null;
-        passed = 0;
-        passedWhole = false;
-        more = false;
-        interim = 0;
-        expecting = false;
-        if (answer != null) {
-            listener.onResponse(answer, clean);
+        streamedBytes = 0;
+        unusableAfter = false;
+        interimResponses = 0;
+        if (complete != null) {
+            listener.onResponse(complete, reusable);
         } else {
-            listener.onStreamCompleted(clean);
+            listener.onStreamCompleted(reusable);
         }
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that behave badly: each gets an error or a close in time, and nobody else notices. */
+/** Clients that break the protocol or its limits: each gets an error or a close in time, without effect on others. */
 @Timeout(60)
 class ClientLimitsTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** What such a client is owed an end within, and what a busy machine may take beyond it. */
-    private static final double OWED_MS = 3000 + 5000;
+    /** Within this time the connection must end; the second term allows for a busy machine. */
+    private static final double MAX_DURATION_MS = 3000 + 5000;
 
-    private static final String HIDDEN =
+    private static final String SMUGGLED_REQUEST =
             "GET /api HTTP/1.1\r\nX-Request-Id: hidden\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\nHost: a\r\n\r\n";
 
     private Rig rig;
@@ -43,11 +43,11 @@
         return Fake.answering(200, "", "served");
     }
 
-    private static void assertEnded(Wire client) throws IOException {
+    private static void assertClosed(Wire client) throws IOException {
         try {
             client.read();
         } catch (EOFException | SocketException e) {
-            // What is wanted: no further message.
+            // As expected: no further message.
             return;
         }
         throw new AssertionError("one more message came");
@@ -56,13 +56,13 @@
     // ---- time ----
 
     @Test
-    void aConnectionThatSaysNothingIsClosed() throws Exception {
+    void silentConnectionIsClosed() throws Exception {
         start(good());
-        long began = System.nanoTime();
+        long startNs = System.nanoTime();
         try (Wire client = rig.client()) {
             client.awaitEnd();
         }
-        assertTrue((System.nanoTime() - began) / 1e6 < OWED_MS);
+        assertTrue((System.nanoTime() - startNs) / 1e6 < MAX_DURATION_MS);
     }
 
     @ParameterizedTest
@@ -73,21 +73,21 @@
                 "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhel",
                 "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel"
             })
-    void aRequestThatStallsIsAnErrorInTime(String part) throws Exception {
+    void stalledRequestTimesOut(String part) throws Exception {
         start(good());
-        long began = System.nanoTime();
+        long startNs = System.nanoTime();
         try (Wire client = rig.client()) {
             assertEquals(408, client.send(part).read().status());
-            assertEnded(client);
+            assertClosed(client);
         }
-        assertTrue((System.nanoTime() - began) / 1e6 < OWED_MS);
+        assertTrue((System.nanoTime() - startNs) / 1e6 < MAX_DURATION_MS);
     }
 
-    /** Guards against a limit that each byte starts anew. */
+    /** The time limit must not start anew with each byte. */
     @Test
-    void aRequestThatTricklesIsAnErrorInTime() throws Exception {
+    void tricklingRequestTimesOut() throws Exception {
         start(good());
-        long began = System.nanoTime();
+        long startNs = System.nanoTime();
         try (Wire client = rig.client()) {
             assertEquals(
                     200, client.send(rig.request("read", DEADLINE_MS)).read().status());
@@ -106,10 +106,10 @@
             trickle.start();
             assertEquals(408, client.read().status());
         }
-        assertTrue((System.nanoTime() - began) / 1e6 < OWED_MS);
+        assertTrue((System.nanoTime() - startNs) / 1e6 < MAX_DURATION_MS);
     }
 
-    // ---- what can't be read ----
+    // ---- malformed requests ----
 
     @ParameterizedTest
     @ValueSource(
@@ -128,41 +128,42 @@
                 "a line with no colon\r\n\r\n",
                 "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\n\r\n"
             })
-    void noRequestHidesInAnother(String framing) throws Exception {
+    void noRequestIsSmuggledInAnother(String framing) throws Exception {
         start(good());
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\n";
         try (Wire client = rig.client()) {
-            assertEquals(400, client.send(head + framing + HIDDEN).read().status());
-            assertEnded(client);
+            assertEquals(
+                    400, client.send(head + framing + SMUGGLED_REQUEST).read().status());
+            assertClosed(client);
         }
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertEquals(1, rig.attempts(), "nothing of it was sent on");
+        assertEquals(1, rig.attempts(), "none of it was forwarded");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"X-Request-Id: twice", "X-Class: order", "X-Deadline-Ms: 9"})
-    void whatIsToldTwiceIsNoRequest(String again) throws Exception {
+    void repeatedHeaderIsAnError(String again) throws Exception {
         start(good());
         try (Wire client = rig.client()) {
             String request = rig.request("read", DEADLINE_MS).replace("Host:", again + "\r\nHost:");
-            assertEquals(400, client.send(request + HIDDEN).read().status());
-            assertEnded(client);
+            assertEquals(400, client.send(request + SMUGGLED_REQUEST).read().status());
+            assertClosed(client);
         }
         assertEquals(0, rig.attempts());
     }
 
     // ---- size ----
 
-    /** The error comes by the head alone, and is not destroyed by what is still being sent. */
+    /** The error is sent as soon as the head is read, and arrives though the client is still sending. */
     @Test
-    void aBodyThatIsTooLargeIsRefusedByItsHead() throws Exception {
+    void bodyTooLargeIsRejectedByItsHead() throws Exception {
         start(good());
         try (Wire client = rig.client()) {
             client.send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 62914560\r\n\r\n");
             client.send("x".repeat(100_000));
             assertEquals(413, client.read().status());
-            assertEnded(client);
+            assertClosed(client);
         }
         try (Wire client = rig.client()) {
             assertEquals(
@@ -172,26 +173,26 @@
                                     + "11000\r\n" + "x".repeat(0x11000))
                             .read()
                             .status(),
-                    "it is refused before it is whole");
+                    "it is rejected before it is whole");
         }
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
     }
 
     @Test
-    void aHeadWithoutEndIsCutShort() throws Exception {
+    void endlessHeadIsCutShort() throws Exception {
         start(good());
         try (Wire client = rig.client()) {
             client.send("GET /api HTTP/1.1\r\n" + "X-Pad: pppppppppppppppppp\r\n".repeat(2000));
             assertEquals(431, client.read().status());
-            assertEnded(client);
+            assertClosed(client);
         }
     }
 
     // ---- number ----
 
-    /** Guards against hundreds of requests in one read: few are taken, and the answers keep their order. */
+    /** Of hundreds of requests in one read few are accepted, and the responses keep their order. */
     @Test
-    void requestsFarAheadOfTheirAnswersEndTheConnection() throws Exception {
+    void tooManyPipelinedRequestsEndTheConnection() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         start(new Fake((wire, request) -> {
             release.await();
@@ -203,9 +204,9 @@
                 all.append(rig.request("read", DEADLINE_MS));
             }
             client.send(all.toString());
-            Rig.await("the first is out", () -> rig.attempts() > 0);
-            // Once another client has its answer, all that came in the first read has been dealt with.
-            assertEquals(503, rig.ask("order", DEADLINE_MS).status(), "the module has enough");
+            Rig.await("the first is forwarded", () -> rig.attempts() > 0);
+            // Once another client has its response, the whole first read has been handled.
+            assertEquals(503, rig.ask("order", DEADLINE_MS).status(), "the load balancer rejects it");
             release.countDown();
             int sent = 0;
             for (int i = 0; i < 8; i++) {
@@ -216,14 +217,14 @@
             }
             assertTrue(sent > 0 && sent < 8, sent + " were taken");
             assertEquals(429, client.read().status());
-            assertEnded(client);
+            assertClosed(client);
             assertEquals(sent, rig.attempts());
         }
     }
 
-    /** Guards against silent connections that take the room of those that ask. */
+    /** Silent connections must not take the place of those with requests. */
     @Test
-    void connectionsThatNeverAskedMakeRoomFirst() throws Exception {
+    void connectionsWithoutRequestsAreEvictedFirst() throws Exception {
         rig = new Rig(good());
         rig.sockets = 1;
         rig.start();
@@ -244,9 +245,9 @@
         }
     }
 
-    /** A drain does not wait for what never becomes a request. */
+    /** A drain does not wait for requests that are never completed. */
     @Test
-    void aDrainLetsGoOfHalfARequest() throws Exception {
+    void drainClosesConnectionsWithHalfARequest() throws Exception {
         start(good());
         try (Wire half = rig.client().send("POST /api HTTP/1.1\r\n");
                 Wire behind = rig.client()) {
@@ -260,9 +261,9 @@
         }
     }
 
-    /** The module's time for a request is bounded by its class, whatever the client says. */
+    /** The deadline of a request is bounded by its class, whatever the client sends. */
     @Test
-    void aDeadlineFarAwayIsBoundedByTheClass() throws Exception {
+    void deadlineIsBoundedByTheClass() throws Exception {
         start(good());
         assertEquals(200, rig.ask("order", 999_999_999).status());
         int told =
--- a/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
@@ -15,42 +15,42 @@
 import lemonrail.core.policy.BoxcarLoadBalancer;
 import org.junit.jupiter.api.Test;
 
-/** The decisions are told which part of an attempt's time passed before its request was written whole. */
+/** Attempt results tell how much of an attempt's time passed before its request was written. */
 class ConnectTimeTest {
 
     private static final int DEADLINE_MS = 9000;
     private static final int HELD_MS = 40;
     private static final long HELD_NS = TimeUnit.MILLISECONDS.toNanos(HELD_MS);
 
-    private final List<AttemptResult> ends = new CopyOnWriteArrayList<>();
+    private final List<AttemptResult> results = new CopyOnWriteArrayList<>();
 
-    /** The project's own decider, with the ends of attempts noted on their way to it. */
-    private LoadBalancerFactory noting() {
+    /** The project's own load balancer, with the results of attempts recorded on their way to it. */
+    private LoadBalancerFactory recording() {
         return (settings, seed, host) -> {
-            LoadBalancer decide = new BoxcarLoadBalancer(settings, seed, host);
+            LoadBalancer balancer = new BoxcarLoadBalancer(settings, seed, host);
             Class<?>[] kinds = {LoadBalancer.class};
             return (LoadBalancer) Proxy.newProxyInstance(
                     LoadBalancer.class.getClassLoader(), kinds, (proxy, method, arguments) -> {
                         if (method.getName().equals("onAttemptFinished")) {
-                            ends.add((AttemptResult) arguments[1]);
+                            results.add((AttemptResult) arguments[1]);
                         }
-                        return method.invoke(decide, arguments);
+                        return method.invoke(balancer, arguments);
                     });
         };
     }
 
-    private AttemptResult end(int number) throws InterruptedException {
-        Rig.await("attempt " + number + " has ended", () -> ends.size() > number);
-        return ends.get(number);
+    private AttemptResult result(int number) throws InterruptedException {
+        Rig.await("attempt " + number + " has ended", () -> results.size() > number);
+        return results.get(number);
     }
 
     @Test
-    void aLateConnectionIsTold() throws Exception {
+    void slowConnectCountsAsConnectTime() throws Exception {
         try (LateFake late = new LateFake();
                 Rig rig = new Rig()) {
             rig.change = config -> config.replace(
                     "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
-            rig.start(noting());
+            rig.start(recording());
             try (Wire client = rig.client()) {
                 client.send(rig.request("order", DEADLINE_MS));
                 Rig.await("it waits for its connection", () -> rig.inHand() == 1);
@@ -59,14 +59,15 @@
                 late.release();
                 assertEquals("late", client.read().body());
             }
-            assertEquals(AttemptOutcome.OK, end(0).outcome());
-            assertTrue(end(0).connectMs() >= HELD_MS, end(0).toString());
-            assertTrue(end(0).connectMs() <= end(0).durationMs(), end(0).toString());
+            assertEquals(AttemptOutcome.OK, result(0).outcome());
+            assertTrue(result(0).connectMs() >= HELD_MS, result(0).toString());
+            assertTrue(
+                    result(0).connectMs() <= result(0).durationMs(), result(0).toString());
         }
     }
 
     @Test
-    void aSlowAnswerOnAConnectionThatStandsIsTheEndpoints() throws Exception {
+    void slowResponseOnAnOpenConnectionCountsAsEndpointTime() throws Exception {
         CountDownLatch asked = new CountDownLatch(2);
         CountDownLatch release = new CountDownLatch(1);
         try (Fake slow = new Fake((wire, request) -> {
@@ -76,7 +77,7 @@
                     }
                     Fake.answer(wire, 200, "", "slow");
                 });
-                Rig rig = new Rig(slow).start(noting());
+                Rig rig = new Rig(slow).start(recording());
                 Wire client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS)).read();
             rig.settle();
@@ -87,20 +88,20 @@
             release.countDown();
             client.read();
             assertEquals(1, slow.connections.get(), "one connection serves both");
-            assertTrue(end(1).endpointTimeMs() >= HELD_MS, end(1).toString());
+            assertTrue(result(1).endpointTimeMs() >= HELD_MS, result(1).toString());
         }
     }
 
     @Test
-    void whatWasNeverWrittenWasAllTheConnections() throws Exception {
+    void requestNeverWrittenIsAllConnectTime() throws Exception {
         try (LateFake late = new LateFake();
                 Rig rig = new Rig()) {
             rig.change = config -> config.replace(
                     "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
-            rig.start(noting());
+            rig.start(recording());
             assertEquals(503, rig.ask("order", HELD_MS).status());
-            assertEquals(AttemptOutcome.CONNECT_ERROR, end(0).outcome());
-            assertEquals(end(0).durationMs(), end(0).connectMs());
+            assertEquals(AttemptOutcome.CONNECT_ERROR, result(0).outcome());
+            assertEquals(result(0).durationMs(), result(0).connectMs());
         }
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/SpoiltAnswerTest.java
+++ b/edge/src/test/java/lemonrail/assembly/MalformedResponseTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Endpoints that answer badly: no client is served with anything but the answer made for its request. */
+/** Endpoints that send malformed responses: a client only ever gets the response to its own request. */
 @Timeout(60)
-class SpoiltAnswerTest {
+class MalformedResponseTest {
 
     private static final int DEADLINE_MS = 8000;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
@@ -29,7 +29,7 @@
         rig.start();
     }
 
-    /** The request has run, so one that may not run twice fails, at once, and the connection goes. */
+    /** The request has run, so a non-idempotent one fails at once, and the connection is closed. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -51,18 +51,18 @@
                 OK + "lonely\r\nContent-Length: 5\r\n\r\nhello",
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
             })
-    void aSpoiltAnswerIsAFailedAttemptAtOnce(String answer) throws Exception {
-        start((wire, request) -> wire.send(answer).awaitEnd());
-        long began = System.nanoTime();
+    void malformedResponseFailsTheAttemptAtOnce(String response) throws Exception {
+        start((wire, request) -> wire.send(response).awaitEnd());
+        long startNs = System.nanoTime();
         assertEquals(502, rig.ask("order", DEADLINE_MS).status());
-        assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "at once");
+        assertTrue((System.nanoTime() - startNs) / 1e6 < DEADLINE_MS / 2.0, "at once");
         Rig.await("the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
         assertEquals(1, rig.attempts());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {OK + "%sX-Pad: pppppppppppppppppppp\r\n", "%sHTTP/1.1 103 Early Hints\r\n\r\n"})
-    void anAnswerWithoutEndIsCutShort(String pattern) throws Exception {
+    void endlessHeadIsCutShort(String pattern) throws Exception {
         String[] parts = pattern.split("%s");
         start((wire, request) -> {
             wire.send(parts[0]);
@@ -82,7 +82,7 @@
                 OK + "X-Load: {\"\r\n",
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK
             })
-    void aGoodAnswerWithMoreInItsHeadServes(String head) throws Exception {
+    void wellFormedResponseWithUnusualHeadIsServed(String head) throws Exception {
         start((wire, request) -> wire.send(head + "Content-Length: 5\r\n\r\nhello"));
         try (Wire client = rig.client()) {
             for (int i = 0; i < 3; i++) {
@@ -95,7 +95,7 @@
         assertEquals(1, rig.endpoints.get(0).connections.get(), "and its connection is kept");
     }
 
-    /** Guards against a second copy, noise or half a line that becomes the next request's answer. */
+    /** A second copy, noise or half a line must not become the response to the next request. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -105,27 +105,27 @@
                 "HTTP/1.1 100 Continue\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nX-"
             })
-    void whatComesBehindAnAnswerIsNeverTheNextOne(String behind) throws Exception {
+    void strayBytesAreNeverTheNextResponse(String strayBytes) throws Exception {
         start((wire, request) -> {
             String id = request.headers().get("x-request-id");
-            String answer = OK + "Content-Length: " + id.length() + "\r\n\r\n" + id;
-            wire.send(answer + (behind.equals("copy") ? answer : behind));
+            String response = OK + "Content-Length: " + id.length() + "\r\n\r\n" + id;
+            wire.send(response + (strayBytes.equals("copy") ? response : strayBytes));
         });
         try (Wire client = rig.client()) {
             for (int i = 0; i < 10; i++) {
-                Wire.Message answer =
+                Wire.Message response =
                         client.send(rig.request("order", DEADLINE_MS)).read();
-                assertEquals(200, answer.status());
-                assertEquals("r" + i, answer.body());
+                assertEquals(200, response.status());
+                assertEquals("r" + i, response.body());
                 rig.settle();
             }
         }
         assertEquals(10, rig.endpoints.get(0).connections.get(), "none is used again");
     }
 
-    /** Guards against the same a moment later, when the connection has been put aside. */
+    /** The same when the bytes arrive later, on an idle connection. */
     @Test
-    void anIdleConnectionOnWhichHalfALineComesIsClosed() throws Exception {
+    void strayBytesOnAnIdleConnectionCloseIt() throws Exception {
         start((wire, request) -> {
             Fake.answer(wire, 200, "", request.headers().get("x-request-id"));
             Thread.sleep(30);
@@ -137,9 +137,9 @@
         }
     }
 
-    /** Guards against endpoints put out of use by what clients sent: the request alone is at fault. */
+    /** An endpoint must not be ejected for client errors, which only the request is to blame for. */
     @Test
-    void aRequestThatAnEndpointTurnsAwaySaysNothingOfIt() throws Exception {
+    void clientErrorsDoNotEjectTheEndpoint() throws Exception {
         start((wire, request) ->
                 Fake.answer(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
         for (int i = 0; i < 20; i++) {
--- a/edge/src/test/java/lemonrail/assembly/AskingFloodTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReconnectFloodTest.java
@@ -15,29 +15,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Hundreds of clients connect and ask, and ask again: those that were there before are still served. */
+/** Hundreds of clients connect, send requests and reconnect: returning clients are still served. */
 @Timeout(90)
-class AskingFloodTest {
+class ReconnectFloodTest {
 
     private static final int DEADLINE_MS = 4000;
-    /** As many clients as there is room for with hardly a descriptor, and those of them that are reserved. */
-    private static final int ROOM = 8;
+    /** The bound on connections where hardly any descriptor is left, and how many of them are reserved. */
+    private static final int MAX_CONNECTIONS = 8;
 
     private static final int RESERVED = 4;
     private static final int DESCRIPTORS = 256;
-    private static final int FLOODING = 300;
-    /** So many descriptors give room to all returning clients, and to few of them where they are shared. */
+    private static final int FLOOD_CLIENTS = 300;
+    /** Descriptors for all returning clients, and for few of them once they are split with another process. */
     private static final int SHARED_DESCRIPTORS = 512;
 
     private static final int RETURNING = 110;
-    /** So many requests of the flood are answered before the known clients' requests count. */
-    private static final int UNDER_WAY = 1000;
-    /** They ask in turn: whatever one waits for, the other is not idle for the 5 s that end a connection. */
-    private static final int KNOWN = 2;
+    /** Responses that the flood gets before the returning clients' requests are counted. */
+    private static final int FLOOD_RESPONSES_BEFORE_COUNT = 1000;
+    /** They send in turn, so that neither is idle for the 5 s after which a connection is closed. */
+    private static final int RETURNING_IN_FLOOD = 2;
 
     private static final int ROUNDS = 30;
-    /** Of the known clients' requests the module may refuse so many, as it has no room for all that ask. */
-    private static final int MOST_REFUSED = KNOWN * ROUNDS / 10;
+    /** Requests of returning clients that the load balancer may reject, as it lacks capacity for all. */
+    private static final int MAX_REJECTED = RETURNING_IN_FLOOD * ROUNDS / 10;
 
     private Rig rig;
     private final List<Wire> clients = new ArrayList<>();
@@ -66,30 +66,30 @@
         return client;
     }
 
-    private Wire.Message ask(Wire client) throws IOException {
+    private Wire.Message request(Wire client) throws IOException {
         return client.send(rig.request("read", DEADLINE_MS)).read();
     }
 
     private void assertServed(Wire client, String which) throws IOException {
-        assertEquals(200, ask(client).status(), which);
+        assertEquals(200, request(client).status(), which);
     }
 
-    /** A client that has come back on its connection. */
-    private Wire returning() throws IOException {
+    /** Returns a client that has sent a second request on its connection. */
+    private Wire returningClient() throws IOException {
         Wire client = client();
         assertServed(client, "first");
         assertServed(client, "again");
         return client;
     }
 
-    // ---- one by one ----
+    // ---- one after the other ----
 
-    /** Guards against newcomers that each ask once, and each push out who has been idle the longest. */
+    /** New clients with one request each must not evict the connections that have been idle the longest. */
     @Test
-    void newcomersDoNotPushOutReturningClients() throws Exception {
+    void newClientsDoNotEvictReturningOnes() throws Exception {
         start(1, good());
-        List<Wire> known = List.of(returning(), returning());
-        for (int i = 0; i < 5 * ROOM; i++) {
+        List<Wire> known = List.of(returningClient(), returningClient());
+        for (int i = 0; i < 5 * MAX_CONNECTIONS; i++) {
             assertServed(client(), "newcomer " + i);
         }
         for (Wire client : known) {
@@ -97,28 +97,28 @@
         }
     }
 
-    /** Guards against returning clients that shut all others out: a part of the room is nobody's. */
+    /** Returning clients must not keep all others out: a part of the connections is never reserved. */
     @Test
-    void returningClientsKeepNoMoreThanTheirShare() throws Exception {
+    void returningClientsKeepOnlyTheReservedConnections() throws Exception {
         start(1, good());
-        for (int i = 0; i < ROOM; i++) {
-            returning();
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
+            returningClient();
         }
         assertServed(client(), "newcomer");
         clients.get(RESERVED).awaitEnd();
-        for (int i = 0; i < ROOM; i++) {
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
             if (i != RESERVED) {
                 assertServed(clients.get(i), "returning " + i);
             }
         }
     }
 
-    /** Guards against places that were reserved in the whole room, and fill all of what an upgrade leaves. */
+    /** Reserved connections must not fill the smaller bound of an upgrade. */
     @Test
-    void whatIsReservedShrinksWithTheRoom() throws Exception {
+    void reservedConnectionsShrinkWithTheBound() throws Exception {
         start(SHARED_DESCRIPTORS, good());
         for (int i = 0; i < RETURNING; i++) {
-            returning();
+            returningClient();
         }
         try (Rig other = new Rig(good())) {
             other.folder = rig.folder;
@@ -128,24 +128,24 @@
         }
     }
 
-    /** Guards against clients that are never idle, and so never make room. */
+    /** Clients that are never idle must still make room for others. */
     @Test
-    void whoIsNeverIdleHandsOnItsPlace() throws Exception {
+    void clientThatIsNeverIdleIsDisconnectedForANewOne() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         Fake.Script held = (wire, request) -> {
             release.await();
             Fake.answer(wire, 200, "", "served");
         };
         start(1, new Fake(held), new Fake(held), new Fake(held));
-        for (int i = 0; i < ROOM; i++) {
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
             client().send(rig.request("read", DEADLINE_MS));
         }
-        Rig.await("all are in hand", () -> rig.attempts() == ROOM);
+        Rig.await("all are in flight", () -> rig.attempts() == MAX_CONNECTIONS);
         Wire newcomer = client();
         rig.settle();
         release.countDown();
         List<Wire> kept = new ArrayList<>();
-        for (Wire client : clients.subList(0, ROOM)) {
+        for (Wire client : clients.subList(0, MAX_CONNECTIONS)) {
             Wire.Message answer = client.read();
             assertEquals(200, answer.status());
             if ("close".equals(answer.headers().get("connection"))) {
@@ -154,8 +154,8 @@
                 kept.add(client);
             }
         }
-        assertEquals(ROOM - 1, kept.size(), "one place is needed");
-        // What has come before is dealt with by the time of a second answer.
+        assertEquals(MAX_CONNECTIONS - 1, kept.size(), "one place is needed");
+        // By the second response, everything that arrived before is handled.
         for (int i = 0; i < 2; i++) {
             assertEquals(
                     404,
@@ -164,55 +164,55 @@
                             .read()
                             .status());
         }
-        assertServed(newcomer, "who found no room when it came");
+        assertServed(newcomer, "over the bound when it connected");
     }
 
     // ---- all at once ----
 
-    /** Asks until it is over, on connections that it keeps as long as it may, or on ever new ones. */
-    private void flood(int number, boolean keeps, AtomicBoolean over, AtomicInteger answered) {
-        int asked = 0;
+    /** Sends requests until the flood is over, on persistent connections or on a new one each. */
+    private void flood(int number, boolean persistent, AtomicBoolean over, AtomicInteger responses) {
+        int sent = 0;
         while (!over.get()) {
             try (Wire client = rig.client()) {
                 do {
-                    client.send("GET /api HTTP/1.1\r\nX-Request-Id: f" + number + "-" + asked++
+                    client.send("GET /api HTTP/1.1\r\nX-Request-Id: f" + number + "-" + sent++
                                     + "\r\nX-Class: read\r\nHost: x\r\nX-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n")
                             .read();
-                    answered.incrementAndGet();
-                } while (keeps && !over.get());
+                    responses.incrementAndGet();
+                } while (persistent && !over.get());
             } catch (IOException e) {
-                // Its connection has been closed: it comes again at once.
+                // The connection has been closed: reconnect at once.
                 continue;
             }
         }
     }
 
-    /** Guards against known clients that a flood leaves without an answer: their connections were closed. */
+    /** A flood must not have the connections of returning clients closed before their responses. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void knownClientsAreServedInAnAskingFlood(boolean keeps) throws Exception {
+    void returningClientsAreServedInAReconnectFlood(boolean persistent) throws Exception {
         start(DESCRIPTORS, good(), good(), good());
-        for (int i = 0; i < KNOWN; i++) {
-            returning();
+        for (int i = 0; i < RETURNING_IN_FLOOD; i++) {
+            returningClient();
         }
         AtomicBoolean over = new AtomicBoolean();
-        AtomicInteger answered = new AtomicInteger();
+        AtomicInteger responses = new AtomicInteger();
         List<Thread> flooding = new ArrayList<>();
-        for (int i = 0; i < FLOODING; i++) {
+        for (int i = 0; i < FLOOD_CLIENTS; i++) {
             int number = i;
-            flooding.add(new Thread(() -> flood(number, keeps, over, answered)));
+            flooding.add(new Thread(() -> flood(number, persistent, over, responses)));
             flooding.get(i).start();
         }
         try {
-            // All the while they go on asking: who is idle for long is closed for that.
-            for (int i = 0; answered.get() <= UNDER_WAY; i++) {
-                ask(clients.get(i % KNOWN));
+            // They go on sending meanwhile, as idle connections are closed.
+            for (int i = 0; responses.get() <= FLOOD_RESPONSES_BEFORE_COUNT; i++) {
+                request(clients.get(i % RETURNING_IN_FLOOD));
             }
-            int refused = 0;
-            for (int i = 0; i < KNOWN * ROUNDS; i++) {
-                refused += ask(clients.get(i % KNOWN)).status() == 200 ? 0 : 1;
+            int rejected = 0;
+            for (int i = 0; i < RETURNING_IN_FLOOD * ROUNDS; i++) {
+                rejected += request(clients.get(i % RETURNING_IN_FLOOD)).status() == 200 ? 0 : 1;
             }
-            assertTrue(refused <= MOST_REFUSED, refused + " of " + KNOWN * ROUNDS + " refused");
+            assertTrue(rejected <= MAX_REJECTED, rejected + " of " + RETURNING_IN_FLOOD * ROUNDS + " rejected");
         } finally {
             over.set(true);
             for (Thread each : flooding) {
--- a/edge/src/test/java/lemonrail/assembly/SlowClientsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SlowClientsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that take their answers late: what they get is whole, or ends where they can tell. */
+/** Clients that read their responses late: these arrive whole, or end where the client can tell. */
 @Timeout(60)
 class SlowClientsTest {
 
@@ -26,20 +26,20 @@
     private static final int RECEIVE_BYTES = 16 * 1024;
     private static final String ANSWER = "x".repeat(60_000);
     private static final int SHORT_DEADLINE_MS = 1000;
-    /** For so long nothing of an answer may move. */
+    /** A response may make no progress for this time. */
     private static final int STALL_MS = 10_000;
 
     private static final int LAST_BYTES = 9_001;
     private static final int LAST_PARTS = 600;
-    /** Beyond the time for which a connection is still read when its last answer is written. */
+    /** Longer than a connection is read after its last response. */
     private static final long PAST_LINGER_MS = 700;
-    /** Large enough to fill a connection by itself. */
+    /** Large enough to fill a connection's buffers. */
     private static final String FILLING = "y".repeat(40_000);
-    /** More answers than any connection's buffers hold. */
+    /** More responses than any connection's buffers hold. */
     private static final int MOST_ANSWERS = 1000;
-    /** As many clients as there is room for with hardly a descriptor. */
+    /** The bound on connections where hardly any descriptor is left. */
     private static final int ROOM = 8;
-    /** Beyond the time after which an idle connection is closed. */
+    /** Longer than a connection may be idle. */
     private static final long PAST_IDLE_MS = 5500;
 
     private Rig rig;
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Asks without reading until the last answer no longer fits; returns how many were asked. */
+    /** Sends requests without reading until the last response no longer fits; returns how many were sent. */
     private int fill(Wire client) throws Exception {
         for (int asked = 1; asked < MOST_ANSWERS; asked++) {
             int now = asked;
@@ -96,11 +96,11 @@
         }
     }
 
-    // ---- answers that are still being written ----
+    // ---- responses that are still being written ----
 
-    /** Guards against an answer that is cut as its connection passes for idle while it is written. */
+    /** A connection must not count as idle while a response is written to it. */
     @Test
-    void whatIsBeingWrittenMakesNoRoom() throws Exception {
+    void connectionWithUnwrittenResponseIsNotEvicted() throws Exception {
         rig = new Rig(Fake.answering(200, "", ANSWER));
         rig.sockets = 1;
         rig.start();
@@ -113,9 +113,9 @@
         assertWhole(slow, answers);
     }
 
-    /** The same with the time after which an idle connection is closed. */
+    /** The same with the idle timeout. */
     @Test
-    void whatIsBeingWrittenIsNotIdle() throws Exception {
+    void connectionWithUnwrittenResponseIsNotIdle() throws Exception {
         rig = new Rig(Fake.answering(200, "", ANSWER)).start();
         Wire slow = slowClient();
         int answers = fill(slow);
@@ -124,10 +124,10 @@
         assertEquals(200, slow.send(rig.request("read", DEADLINE_MS)).read().status(), "it goes on");
     }
 
-    /** The same with a drain and with a stop, both of which close what is idle. */
+    /** The same with a drain and with a stop, both of which close idle connections. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatIsBeingWrittenIsNotLetGo(boolean stops) throws Exception {
+    void drainWaitsForUnwrittenResponses(boolean stops) throws Exception {
         rig = new Rig(Fake.answering(200, "", ANSWER)).start();
         Wire slow = slowClient();
         int answers = fill(slow);
@@ -145,9 +145,9 @@
         stop.join();
     }
 
-    /** Guards against an answer that is written into another one: what waits is heard in the midst of it. */
+    /** Requests held back are read while a response is written; theirs must not be written into it. */
     @Test
-    void whatIsHeardWhileAnAnswerIsWrittenWaitsItsTurn() throws Exception {
+    void responseIsNotWrittenIntoAnother() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch second = new CountDownLatch(1);
         rig = new Rig(new Fake((wire, request) -> {
@@ -179,9 +179,9 @@
 
     // ---- answers that are cut ----
 
-    /** Guards against an end within a chunk where the process itself ends while an answer is passed on. */
+    /** A stop while a response is streamed must not end it within a chunk. */
     @Test
-    void aStopCutsBetweenChunks() throws Exception {
+    void stopTruncatesBetweenChunks() throws Exception {
         rig = new Rig(new Fake((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     while (true) {
@@ -195,14 +195,14 @@
         Thread stop = new Thread(rig.sidecar::terminate);
         stop.start();
         Rig.await("it is given up", () -> rig.endpoints.get(0).open.get() == 0);
-        assertCutBetweenChunks(client);
+        assertTruncatedBetweenChunks(client);
         stop.join();
     }
 
-    /** The same where more has come behind its request: that is read, lest a reset takes the end away. */
+    /** The same with unread input behind the request, which must not make the close a reset. */
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 40})
-    void aCutAnswerArrivesThoughMoreWasSent(int behind) throws Exception {
+    void truncatedResponseArrivesThoughMoreWasSent(int behind) throws Exception {
         CountDownLatch cut = new CountDownLatch(1);
         rig = new Rig(new Fake((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -222,12 +222,12 @@
         rig.settle();
         cut.countDown();
         Rig.await("it is cut", () -> !isAnswering());
-        assertCutBetweenChunks(client);
+        assertTruncatedBetweenChunks(client);
     }
 
-    /** The same where the endpoint stalls within a chunk of its own; the deadline is no limit to that. */
+    /** The same where the endpoint stalls within a chunk of its own, to which no deadline applies. */
     @Test
-    void anAnswerThatStallsIsCutBetweenChunks() throws Exception {
+    void stalledStreamIsTruncatedBetweenChunks() throws Exception {
         rig = new Rig(new Fake((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + "x".repeat(0x11000));
                     wire.awaitEnd();
@@ -237,13 +237,13 @@
         long began = System.nanoTime();
         client.send(rig.request("read", SHORT_DEADLINE_MS));
         assertEquals("chunked", client.readHead().headers().get("transfer-encoding"));
-        assertCutBetweenChunks(client);
+        assertTruncatedBetweenChunks(client);
         assertTrue(System.nanoTime() - began > TimeUnit.MILLISECONDS.toNanos(STALL_MS), "at its limit");
     }
 
-    /** The last answer on a connection arrives whole, though taken late and with more sent behind. */
+    /** The last response on a connection arrives whole, though read late and with more input behind. */
     @Test
-    void theLastAnswerOnAConnectionIsWhole() throws Exception {
+    void lastResponseOnAConnectionArrivesWhole() throws Exception {
         String body = "x".repeat(LAST_BYTES);
         rig = new Rig(new Fake((wire, request) -> {
                     wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -263,8 +263,8 @@
         assertEquals(-1, client.in.read());
     }
 
-    /** Reads whole chunks to the connection's end, of which none is the last one. */
-    private static void assertCutBetweenChunks(Wire client) throws IOException {
+    /** Reads whole chunks to the end of the connection, without the last chunk. */
+    private static void assertTruncatedBetweenChunks(Wire client) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int b = client.in.read(); b >= 0; b = client.in.read()) {
             line.append((char) b);
--- a/edge/src/test/java/lemonrail/assembly/SmallHeapTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SmallHeapTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Bodies and answers that are larger than the heap of the process they go through, several at once. */
+/** Request and response bodies larger than the heap of the process that forwards them, several at once. */
 @Timeout(60)
 class SmallHeapTest {
 
@@ -33,7 +33,7 @@
     private Served served;
 
     SmallHeapTest() throws IOException {
-        // The fakes stand before each test.
+        // The fakes are created before each test.
     }
 
     @BeforeEach
@@ -48,7 +48,7 @@
         rig.close();
     }
 
-    /** Takes a large body without keeping it, and gives a large answer. */
+    /** Reads a large body without keeping it, and sends a large response. */
     private void serve(Wire wire) throws IOException {
         Wire.Message head = wire.readHead();
         int left = Integer.parseInt(head.headers().getOrDefault("content-length", "0"));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void theyPassThroughWhole() throws Exception {
+    void largeBodiesAreForwardedWhole() throws Exception {
         List<Thread> clients = new ArrayList<>();
         AtomicInteger whole = new AtomicInteger();
         for (int i = 0; i < CLIENTS; i++) {
@@ -91,12 +91,12 @@
         try (Wire client = Wire.to(served.address())) {
             client.socket.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
             client.socket.getOutputStream().write(new byte[BYTES]);
-            Wire.Message answer = client.read();
-            if (answer.status() == 200 && answer.bytes().length == BYTES) {
+            Wire.Message response = client.read();
+            if (response.status() == 200 && response.bytes().length == BYTES) {
                 whole.incrementAndGet();
             }
         } catch (IOException e) {
-            // It counts as not whole, which the test sees.
+            // Not counted as whole.
             return;
         }
     }
