--- /dev/null
+++ b/edge/src/main/java/lemonrail/http1/ArrivalClock.java
@@ -0,0 +1,33 @@
+package lemonrail.http1;
+
+import lemonrail.time.Clock;
+
+/**
+ * Estimates when the input that is being read arrived on a connection. Input may have waited while the event loop
+ * was busy, and the first input may have waited since the connection was opened. Confined to the event loop.
+ */
+final class ArrivalClock {
+
+    private final Clock clock;
+    private final double openedAtMs;
+    /** The event loop's poll that found the connection. */
+    private final long openedInPoll;
+
+    /** Creates the clock of a connection that has just been accepted. */
+    ArrivalClock(Clock clock) {
+        this.clock = clock;
+        openedAtMs = earliestArrivalMs();
+        openedInPoll = clock.lag().polls();
+    }
+
+    /** Returns the earliest time at which what is read now can have arrived, in milliseconds. */
+    double arrivedAtMs() {
+        long polls = clock.lag().polls();
+        boolean justOpened = polls > 0 && polls <= openedInPoll + 1;
+        return justOpened ? openedAtMs : earliestArrivalMs();
+    }
+
+    private double earliestArrivalMs() {
+        return clock.now() - clock.waitedMs();
+    }
+}
--- a/edge/src/main/java/lemonrail/http1/ClientConnection.java
+++ b/edge/src/main/java/lemonrail/http1/ClientConnection.java
@@ -14,7 +14,6 @@
 import lemonrail.http1.ClientMessage.BodyComplete;
 import lemonrail.http1.ClientMessage.IncomingRequest;
 import lemonrail.http1.ClientMessage.RequestError;
-import lemonrail.time.Clock;
 import lemonrail.upgrade.AcceptedSocket;
 
 /**
@@ -36,10 +35,8 @@
 
     private boolean hasDispatched;
     private double quietSinceMs;
-    /** The earliest that it can have been opened, and the event loop's poll that found it. */
-    private double openedAtMs;
-
-    private long openedInPoll;
+    /** Null until the channel is active. */
+    private ArrivalClock arrivalClock;
     /** The response to the request whose body is still being read, once that request has been passed on; else null. */
     private PendingResponse uploading;
     /** Whether the endpoint takes no more of that body for now. */
@@ -65,8 +62,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        openedAtMs = server.clock().now() - server.clock().waitedMs();
-        openedInPoll = server.clock().lag().polls();
+        arrivalClock = new ArrivalClock(server.clock());
         acceptedOverLimit = !server.onOpened(this);
     }
 
@@ -237,15 +233,7 @@
 
     /** Returns the request for the load balancer. */
     Request toRequest(RequestHead head) {
-        return head.toRequest(arrivedAtMs(), server.latestDeadlineMs());
-    }
-
-    /** Returns the earliest that what is read now can have arrived; first bytes may be as old as the connection. */
-    private double arrivedAtMs() {
-        Clock clock = server.clock();
-        long polls = clock.lag().polls();
-        boolean opened = polls > 0 && polls <= openedInPoll + 1;
-        return opened ? openedAtMs : clock.now() - clock.waitedMs();
+        return head.toRequest(arrivalClock.arrivedAtMs(), server.latestDeadlineMs());
     }
 
     // ---- reading ----
--- a/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
+++ b/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
@@ -256,7 +256,7 @@
         lingeringClose.closeAfter(lastResponse);
     }
 
-    // ---- what the connection is told ----
+    // ---- state, for the connection ----
 
     /** Returns whether reading is slowed down because too much is discarded. */
     boolean isThrottled() {
