--- a/edge/src/main/java/lemonrail/http1/ArrivalClock.java
+++ b/edge/src/main/java/lemonrail/http1/ArrivalClock.java
@@ -17,17 +17,17 @@
     ArrivalClock(Clock clock) {
         this.clock = clock;
         openedAtMs = earliestArrivalMs();
-        openedInPoll = clock.lag().polls();
+        openedInPoll = clock.lag().pollCount();
     }
 
     /** Returns the earliest time at which what is read now can have arrived, in milliseconds. */
     double arrivedAtMs() {
-        long polls = clock.lag().polls();
+        long polls = clock.lag().pollCount();
         boolean justOpened = polls > 0 && polls <= openedInPoll + 1;
         return justOpened ? openedAtMs : earliestArrivalMs();
     }
 
     private double earliestArrivalMs() {
-        return clock.now() - clock.waitedMs();
+        return clock.now() - clock.maxQueueDelayMs();
     }
 }
--- a/edge/src/main/java/lemonrail/http1/ClientConnection.java
+++ b/edge/src/main/java/lemonrail/http1/ClientConnection.java
@@ -96,7 +96,7 @@
 
     /** Returns whether it has been quiet since this time, and no request is being received or waits to be read. */
     boolean isQuietSince(double timeMs) {
-        return isQuiet() && quietSinceMs <= timeMs && !timeouts.isReceiving() && !channel.hasUnread();
+        return isQuiet() && quietSinceMs <= timeMs && !timeouts.isReceiving() && !channel.hasUnreadBytes();
     }
 
     /** Returns whether it is idle, and no part of a request has been received. */
@@ -106,7 +106,7 @@
 
     /** Returns whether no response is awaited and nothing waits to be read. A part of a request may have been read. */
     boolean isIdle() {
-        return responses.isDrained() && (!isClosing() || timeouts.isLastResponseWritten()) && !channel.hasUnread();
+        return responses.isDrained() && (!isClosing() || timeouts.isLastResponseWritten()) && !channel.hasUnreadBytes();
     }
 
     /** Returns whether its last response is being written, or is written. */
@@ -126,7 +126,7 @@
 
     /** Returns whether bytes have arrived that are not read yet. */
     boolean hasUnread() {
-        return channel.hasUnread();
+        return channel.hasUnreadBytes();
     }
 
     // ---- requests ----
@@ -198,7 +198,7 @@
         String requestId = uploading.openRequestId();
         if (requestId != null) {
             PendingResponse truncated = uploading;
-            server.dispatcher().clientGone(requestId);
+            server.dispatcher().onClientDisconnected(requestId);
             truncated.respondAndStopReading(error);
         }
     }
@@ -211,7 +211,7 @@
         updateReading();
         response.onRequestRead();
         if (response.openRequestId() != null) {
-            server.dispatcher().bodyWhole(response.openRequestId());
+            server.dispatcher().onRequestBodyReceived(response.openRequestId());
         }
     }
 
@@ -336,7 +336,7 @@
             response.body().close();
         }
         if (requestId != null) {
-            server.dispatcher().clientGone(requestId);
+            server.dispatcher().onClientDisconnected(requestId);
         }
     }
 }
--- a/edge/src/main/java/lemonrail/http1/ClientMessage.java
+++ b/edge/src/main/java/lemonrail/http1/ClientMessage.java
@@ -11,13 +11,13 @@
      * A request.
      *
      * @param body the body, or the first part of it
-     * @param rest the rest of a large body, else null
+     * @param remainingBody the rest of a large body, or null
      */
-    record IncomingRequest(HttpRequest head, byte[] body, BodyPipe rest) implements ClientMessage {
+    record IncomingRequest(HttpRequest head, byte[] body, BodyPipe remainingBody) implements ClientMessage {
 
         /** Returns whether a part of the body is still to come. */
         boolean isStreamed() {
-            return rest != null;
+            return remainingBody != null;
         }
     }
 
--- a/edge/src/main/java/lemonrail/http1/ClientRequestRouter.java
+++ b/edge/src/main/java/lemonrail/http1/ClientRequestRouter.java
@@ -38,7 +38,7 @@
         response.setKeepAlive(HttpUtil.isKeepAlive(request.head()));
         switch (path(request.head().uri())) {
             case API_PATH -> dispatch(connection, request, response);
-            case READINESS_PATH -> response.respond(readinessStatus(), lifecycle.word());
+            case READINESS_PATH -> response.respond(readinessStatus(), lifecycle.description());
             default -> response.respond(HttpResponseStatus.NOT_FOUND, "unknown path");
         }
     }
@@ -67,15 +67,15 @@
 
     private void dispatch(
             ClientConnection connection, RequestHead head, IncomingRequest request, PendingResponse response) {
-        if (dispatcher.has(head.id())) {
+        if (dispatcher.isInFlight(head.id())) {
             response.respondAndStopReading(DUPLICATE_ID);
         } else if (connection.isOverLimit()) {
             response.setKeepAlive(false);
-            response.refused(OVER_LIMIT_RETRY_AFTER_MS);
+            response.rejected(OVER_LIMIT_RETRY_AFTER_MS);
         } else {
             response.setRequestId(head.id());
             connection.onRequestDispatched();
-            dispatcher.request(connection.toRequest(head), message(request), response);
+            dispatcher.dispatch(connection.toRequest(head), message(request), response);
         }
     }
 
@@ -87,6 +87,6 @@
         } else if (request.isStreamed() && !HttpUtil.isContentLengthSet(head)) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        return new RequestMessage(head.method(), head.uri(), headers, request.body(), request.rest());
+        return new RequestMessage(head.method(), head.uri(), headers, request.body(), request.remainingBody());
     }
 }
--- a/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
+++ b/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
@@ -111,7 +111,7 @@
 
     /** Returns whether input is waiting to be read that has not put off this timeout before. */
     private boolean useGrace() {
-        boolean granted = !graceUsed && channel.hasUnread();
+        boolean granted = !graceUsed && channel.hasUnreadBytes();
         graceUsed = true;
         return granted;
     }
--- a/edge/src/main/java/lemonrail/http1/Http1Protocol.java
+++ b/edge/src/main/java/lemonrail/http1/Http1Protocol.java
@@ -12,12 +12,12 @@
 public final class Http1Protocol implements Protocol<RequestMessage, UpstreamResponse> {
 
     @Override
-    public Upstream<RequestMessage, UpstreamResponse> upstream(EventLoopContext context, int maxConnections) {
+    public Upstream<RequestMessage, UpstreamResponse> createUpstream(EventLoopContext context, int maxConnections) {
         return new UpstreamConnectionPool(context, maxConnections);
     }
 
     @Override
-    public Downstream front(
+    public Downstream createDownstream(
             EventLoopContext context,
             RequestDispatcher<RequestMessage, UpstreamResponse> dispatcher,
             int maxConnections) {
@@ -25,12 +25,12 @@
     }
 
     @Override
-    public void warmUp(EventLoopContext context, InetAddress host, Path scratchFolder, Runnable onDone) {
-        new WarmUp(context, host, scratchFolder, onDone).start();
+    public void warmUp(EventLoopContext context, InetAddress listenAddress, Path scratchFile, Runnable onDone) {
+        new WarmUp(context, listenAddress, scratchFile, onDone).start();
     }
 
     @Override
-    public int overflow() {
-        return HttpServer.OVERFLOW;
+    public int overflowConnections() {
+        return HttpServer.OVERFLOW_CONNECTIONS;
     }
 }
--- a/edge/src/main/java/lemonrail/http1/HttpServer.java
+++ b/edge/src/main/java/lemonrail/http1/HttpServer.java
@@ -28,7 +28,7 @@
 final class HttpServer implements Downstream {
 
     /** Connections above the bound that are still accepted, so that their requests get a response. */
-    static final int OVERFLOW = 16;
+    static final int OVERFLOW_CONNECTIONS = 16;
     /** A connection without requests for this time closes in a drain. */
     static final int QUIET_MS = 300;
 
@@ -69,7 +69,7 @@
         clock = context.clock();
         log = context.log().in("http1");
         metrics = context.metrics();
-        budget = context.budget();
+        budget = context.bufferBudget();
         this.dispatcher = dispatcher;
         connections = new ClientConnectionTable(clock, maxConnections);
         RequestHeadMapper headMapper = new RequestHeadMapper(context.settings(), dispatcher::settings);
@@ -83,7 +83,7 @@
                 .channel(SharedListener.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .option(SharedListener.SHARED, true)
+                .option(SharedListener.REUSE_PORT, true)
                 .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Sockets.WRITE_MARKS)
@@ -100,19 +100,19 @@
     }
 
     @Override
-    public void bound(int maxConnections) {
+    public void setMaxConnections(int maxConnections) {
         connections.setMaxConnections(maxConnections);
     }
 
     @Override
-    public void endAfter(double leftMs) {
-        latestDeadlineMs = clock.now() + leftMs;
+    public void capDeadlines(double remainingMs) {
+        latestDeadlineMs = clock.now() + remainingMs;
     }
 
     @Override
     public void closeListener() {
         if (listener != null) {
-            listener.leave();
+            listener.acceptPendingAndClose();
         }
     }
 
@@ -122,15 +122,15 @@
      * between the listener's last accept and its close would be reset.
      */
     @Override
-    public void leave() {
+    public void releaseAddress() {
         if (listener != null) {
-            listener.leave();
+            listener.acceptPendingAndClose();
             listener.closeFuture().addListener(closed -> closingConnections = true);
         }
     }
 
     @Override
-    public void finish() {
+    public void closeAfterResponses() {
         closingConnections = true;
         closeConnections(connection -> connection.isQuiet() && !connection.hasUnread());
     }
@@ -140,7 +140,7 @@
      * the drain, as they may still send some; later ones get as long.
      */
     @Override
-    public void drain() {
+    public void startDraining() {
         closingConnections = true;
         double noticedMs = clock.now() + DRAIN_NOTICE_MS;
         drainSweep = loop.scheduleWithFixedDelay(
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void activate() {
+    public void stopDraining() {
         closingConnections = false;
         if (drainSweep != null) {
             drainSweep.cancel(false);
@@ -170,17 +170,17 @@
     @Override
     public void close() {
         closeListener();
-        finish();
+        closeAfterResponses();
     }
 
     @Override
-    public boolean isEmpty() {
+    public boolean hasNoConnections() {
         return connections.isEmpty();
     }
 
-    /** Pauses the listener while the bound is exceeded by {@link #OVERFLOW} connections. */
+    /** Pauses the listener while the bound is exceeded by {@link #OVERFLOW_CONNECTIONS} connections. */
     private void updateAccepting() {
-        boolean accepting = connections.excess() < OVERFLOW;
+        boolean accepting = connections.excess() < OVERFLOW_CONNECTIONS;
         if (!accepting) {
             log.trouble(
                     "accept_paused",
--- a/edge/src/main/java/lemonrail/http1/PendingResponse.java
+++ b/edge/src/main/java/lemonrail/http1/PendingResponse.java
@@ -106,7 +106,7 @@
 
     /** Returns the id of a request that is still in progress at the dispatcher, else null. */
     String openRequestId() {
-        boolean open = response == null || (body != null && !body.isDone());
+        boolean open = response == null || (body != null && !body.isFullyRead());
         return open ? requestId : null;
     }
 
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public void streaming(UpstreamResponse upstreamHead, BodyPipe rest) {
+    public void streamStarted(UpstreamResponse upstreamHead, BodyPipe rest) {
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (upstreamHead.length() >= 0) {
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, upstreamHead.length());
@@ -157,12 +157,12 @@
     }
 
     @Override
-    public void turnedAway(UpstreamResponse upstream) {
+    public void rejectedByEndpoint(UpstreamResponse upstream) {
         respondAndStopReading(new RequestError(HttpResponseStatus.valueOf(upstream.status()), "turned away"));
     }
 
     @Override
-    public void refused(double retryAfterMs) {
+    public void rejected(double retryAfterMs) {
         FullHttpResponse rejection = fullResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, line("refused"));
         if (retryAfterMs > 0) {
             rejection.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(retryAfterMs));
--- a/edge/src/main/java/lemonrail/http1/PipeWriter.java
+++ b/edge/src/main/java/lemonrail/http1/PipeWriter.java
@@ -11,7 +11,7 @@
  * Writes a body from a pipe to a channel as fast as the peer takes it, after the message's head has been
  * written. Confined to the channel's event loop.
  */
-public final class PipeWriter implements BodyPipe.Far {
+public final class PipeWriter implements BodyPipe.Consumer {
 
     /** Notified of how the body ends: exactly one method is called, once, unless the writer is stopped before. */
     public interface Listener {
@@ -38,7 +38,7 @@
     private final Listener listener;
     private State state = State.WAITING;
 
-    /** Creates a writer to this channel; {@link BodyPipe#to} starts it. */
+    /** Creates a writer to this channel; {@link BodyPipe#setConsumer} starts it. */
     public PipeWriter(Channel channel, BodyPipe pipe, Listener listener) {
         this.channel = channel;
         this.pipe = pipe;
@@ -51,7 +51,7 @@
      * written then would stand within the chunk, so such a call only makes the one under way look again.
      */
     @Override
-    public void more() {
+    public void onProgress() {
         if (state == State.WRITING || state == State.CALLED_WHILE_WRITING) {
             state = State.CALLED_WHILE_WRITING;
             return;
@@ -72,12 +72,12 @@
     private void writePieces() {
         boolean wrote = false;
         while (state != State.FINISHED && channel.isWritable()) {
-            ByteBuf piece = pipe.next();
+            ByteBuf piece = pipe.poll();
             if (piece == null) {
                 break;
             }
             int bytes = piece.readableBytes();
-            channel.write(new DefaultHttpContent(piece)).addListener(done -> pipe.written(bytes));
+            channel.write(new DefaultHttpContent(piece)).addListener(done -> pipe.onWritten(bytes));
             wrote = true;
         }
         if (wrote) {
@@ -86,10 +86,10 @@
     }
 
     private void finishIfEnded() {
-        if (pipe.isDone()) {
+        if (pipe.isFullyRead()) {
             state = State.FINISHED;
             listener.onBodyWritten(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
-        } else if (pipe.isBroken()) {
+        } else if (pipe.hasFailed()) {
             state = State.FINISHED;
             listener.onBodyBroken();
         }
--- a/edge/src/main/java/lemonrail/http1/RequestMessage.java
+++ b/edge/src/main/java/lemonrail/http1/RequestMessage.java
@@ -17,13 +17,13 @@
  *
  * @param headers the end-to-end headers
  * @param body the body, or the first part of it
- * @param rest the rest of a large body, or null
+ * @param remainingBody the rest of a large body, or null
  */
-public record RequestMessage(HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyPipe rest)
+public record RequestMessage(HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyPipe remainingBody)
         implements ProtocolRequest {
 
     @Override
-    public int heldBytes() {
+    public int bufferedBytes() {
         return body.length;
     }
 
--- a/edge/src/main/java/lemonrail/http1/RequestReader.java
+++ b/edge/src/main/java/lemonrail/http1/RequestReader.java
@@ -52,7 +52,7 @@
     private static final int ALWAYS_HELD_BYTES = 8 * 1024;
 
     private final BufferBudget budget;
-    private final BodyPipe.Near bodySource;
+    private final BodyPipe.Source bodySource;
     /** The head of the request being read, or null. */
     private HttpRequest head;
     /** What is held of its body, or null. */
@@ -68,7 +68,7 @@
      *
      * @param bodySource told when large bodies are to be read on, and when not
      */
-    RequestReader(BufferBudget budget, BodyPipe.Near bodySource) {
+    RequestReader(BufferBudget budget, BodyPipe.Source bodySource) {
         this.budget = budget;
         this.bodySource = bodySource;
     }
@@ -152,8 +152,8 @@
     private void hold(ChannelHandlerContext ctx, ByteBuf bytes) {
         int count = bytes.readableBytes();
         body.writeBytes(bytes);
-        budget.take(count);
-        if (body.readableBytes() > ALWAYS_HELD_BYTES && !budget.hasRoom()) {
+        budget.acquire(count);
+        if (body.readableBytes() > ALWAYS_HELD_BYTES && !budget.hasCapacity()) {
             fail(ctx, new RequestError(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many large bodies"));
         }
     }
@@ -189,7 +189,7 @@
             ctx.fireChannelRead(new IncomingRequest(finished, takeBody(), null));
         } else {
             ctx.fireChannelRead(BODY_COMPLETE);
-            streamed.end();
+            streamed.complete();
         }
     }
 
--- a/edge/src/main/java/lemonrail/http1/ResponseQueue.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseQueue.java
@@ -86,7 +86,7 @@
     /** Resumes the body being written, as the channel's writability has changed. */
     void onWritabilityChanged() {
         if (bodyWriter != null) {
-            bodyWriter.more();
+            bodyWriter.onProgress();
         }
     }
 
@@ -122,7 +122,7 @@
             onHandedOver(next, last, headWritten);
         } else {
             bodyWriter = new PipeWriter(channel, next.body(), new BodyListener(next, last));
-            next.body().to(bodyWriter);
+            next.body().setConsumer(bodyWriter);
         }
     }
 
--- a/edge/src/main/java/lemonrail/http1/ResponseReader.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseReader.java
@@ -276,7 +276,7 @@
         state = State.COMPLETE;
         unusableAfter |= !HttpUtil.isKeepAlive(head);
         discardResponse();
-        pipe.end();
+        pipe.complete();
     }
 
     private UpstreamResponse toResponse(byte[] content) {
--- a/edge/src/main/java/lemonrail/http1/UpstreamAttempt.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamAttempt.java
@@ -13,11 +13,11 @@
     private static final double MIN_TIME_LEFT_MS = 1;
 
     private final RequestMessage request;
-    private final double waitMs;
+    private final double timeoutMs;
     private final double deadlineMs;
     private final Clock clock;
-    /** Null once the outcome is reported or the attempt is given up. */
-    private Upstream.Ending<UpstreamResponse> ending;
+    /** Null once the outcome is reported or the attempt is cancelled. */
+    private Upstream.AttemptListener<UpstreamResponse> listener;
 
     private UpstreamConnection connection;
     /** Completes when the last byte is handed to the network; null until the last part is being written. */
@@ -26,24 +26,28 @@
     /**
      * Creates an attempt that is not sent yet.
      *
-     * @param waitMs how long its response is waited for
-     * @param ending what is notified of the response and the outcome
+     * @param timeoutMs the attempt timeout
+     * @param listener what is notified of the response and the outcome
      */
-    UpstreamAttempt(RequestMessage request, double waitMs, Clock clock, Upstream.Ending<UpstreamResponse> ending) {
+    UpstreamAttempt(
+            RequestMessage request,
+            double timeoutMs,
+            Clock clock,
+            Upstream.AttemptListener<UpstreamResponse> listener) {
         this.request = request;
-        this.waitMs = waitMs;
+        this.timeoutMs = timeoutMs;
         this.clock = clock;
-        this.ending = ending;
-        deadlineMs = clock.now() + waitMs;
+        this.listener = listener;
+        deadlineMs = clock.now() + timeoutMs;
     }
 
     RequestMessage request() {
         return request;
     }
 
-    /** Returns how long the response was to be waited for as the attempt was created, in milliseconds. */
-    double waitMs() {
-        return waitMs;
+    /** Returns the attempt timeout, from the creation of the attempt. */
+    double timeoutMs() {
+        return timeoutMs;
     }
 
     /** Returns the milliseconds left until the deadline, which connecting may have taken a part of. */
@@ -63,44 +67,44 @@
 
     /** Returns whether the outcome is still waited for. */
     boolean isAwaited() {
-        return ending != null;
+        return listener != null;
     }
 
     /** Returns whether the attempt may still be started on a connection that has come up. */
     boolean mayStart() {
-        return ending != null && ending.mayBegin();
+        return listener != null && listener.mayStart();
     }
 
     @Override
-    public boolean mayHaveRun() {
+    public boolean mayHaveExecuted() {
         return requestWritten != null && requestWritten.isSuccess();
     }
 
     @Override
-    public boolean giveUp() {
-        ending = null;
+    public boolean cancel() {
+        listener = null;
         connection.close();
-        return mayHaveRun();
+        return mayHaveExecuted();
     }
 
     /** Reports that the whole request is written. */
     void onRequestWritten() {
-        if (ending != null) {
-            ending.written();
+        if (listener != null) {
+            listener.onRequestWritten();
         }
     }
 
     /** Reports that a response has begun whose body follows through the pipe. */
     void onResponseStreamStarted(UpstreamResponse head, BodyPipe body) {
-        ending.streaming(head, body);
+        listener.onResponseStreamStarted(head, body);
     }
 
     /** Reports the outcome, unless it is reported already or no longer awaited. */
     void finish(AttemptOutcome outcome, UpstreamResponse response) {
-        Upstream.Ending<UpstreamResponse> notified = ending;
-        ending = null;
+        Upstream.AttemptListener<UpstreamResponse> notified = listener;
+        listener = null;
         if (notified != null) {
-            notified.ended(outcome, response);
+            notified.onFinished(outcome, response);
         }
     }
 }
--- a/edge/src/main/java/lemonrail/http1/UpstreamConnection.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnection.java
@@ -76,7 +76,7 @@
     }
 
     private void onConnectFinished(UpstreamAttempt first, boolean connected) {
-        // While connecting, the attempt may have been given up, or the endpoint's process replaced.
+        // While connecting, the attempt may have been cancelled, or the endpoint's process replaced.
         if (connected && first.isAwaited() && isCurrent() && first.mayStart()) {
             send(first);
         } else {
@@ -101,7 +101,7 @@
     private void send(UpstreamAttempt sent) {
         state = State.IN_USE;
         RequestMessage request = sent.request();
-        if (request.rest() == null) {
+        if (request.remainingBody() == null) {
             awaitWritten(sent, channel.writeAndFlush(request.whole(sent.timeLeftMs())));
         } else {
             stream(sent, request);
@@ -109,11 +109,11 @@
     }
 
     private void stream(UpstreamAttempt sent, RequestMessage request) {
-        channel.write(request.head(sent.waitMs()));
+        channel.write(request.head(sent.timeoutMs()));
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(request.body())));
         // An overloaded endpoint may reject a large request before its body is whole.
         reader.expectResponse();
-        requestWriter = new PipeWriter(channel, request.rest(), new PipeWriter.Listener() {
+        requestWriter = new PipeWriter(channel, request.remainingBody(), new PipeWriter.Listener() {
             @Override
             public void onBodyWritten(ChannelFuture lastPart) {
                 requestWriter = null;
@@ -125,7 +125,7 @@
                 close();
             }
         });
-        request.rest().to(requestWriter);
+        request.remainingBody().setConsumer(requestWriter);
     }
 
     private void awaitWritten(UpstreamAttempt sent, ChannelFuture lastPart) {
@@ -177,7 +177,7 @@
         BodyPipe truncated = responseBody;
         responseBody = null;
         if (failed != null) {
-            failed.finish(failed.mayHaveRun() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
+            failed.finish(failed.mayHaveExecuted() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
         }
         if (truncated != null) {
             truncated.fail();
@@ -199,15 +199,16 @@
         }
         AttemptOutcome outcome = response.outcome();
         // Success before the request was whole cannot be the response to it.
-        boolean premature = outcome == AttemptOutcome.OK && !finished.mayHaveRun();
+        boolean premature = outcome == AttemptOutcome.OK && !finished.mayHaveExecuted();
         finished.finish(premature ? AttemptOutcome.RESET : outcome, response);
     }
 
     @Override
     public BodyPipe onStreamStarted(UpstreamResponse head) {
-        responseBody = new BodyPipe(context.budget(), on -> channel.config().setAutoRead(on));
+        responseBody =
+                new BodyPipe(context.bufferBudget(), on -> channel.config().setAutoRead(on));
         BodyPipe started = responseBody;
-        if (attempt != null && attempt.isAwaited() && attempt.mayHaveRun()) {
+        if (attempt != null && attempt.isAwaited() && attempt.mayHaveExecuted()) {
             attempt.onResponseStreamStarted(head, started);
         } else {
             started.close();
@@ -238,7 +239,7 @@
         UpstreamAttempt finished = attempt;
         attempt = null;
         stopRequestWriter();
-        boolean requestWhole = finished == null || finished.mayHaveRun();
+        boolean requestWhole = finished == null || finished.mayHaveExecuted();
         if (reusable && channel.isActive() && isCurrent() && requestWhole) {
             becomeIdle();
         } else {
@@ -261,7 +262,7 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (requestWriter != null) {
-                requestWriter.more();
+                requestWriter.onProgress();
             }
         }
 
--- a/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
@@ -36,7 +36,7 @@
         log = context.log().in("http1");
         connector = new UpstreamConnector(
                 context.loop(), context.settings().limits().connectTimeoutMs());
-        idleConnections = new IdleConnections(context.clock(), context.idleCloseMs());
+        idleConnections = new IdleConnections(context.clock(), context.endpointIdleTimeoutMs());
         connectPolicy = new ConnectPolicy(context.clock(), idleConnections, maxConnections);
         long sweepIntervalMs = (long) Math.ceil(idleConnections.maxIdleMs() / SWEEPS_PER_IDLE_TIME);
         idleSweep = context.loop()
@@ -45,22 +45,22 @@
     }
 
     @Override
-    public void update(EndpointList list) {
+    public void updateEndpoints(EndpointList list) {
         endpoints.update(list);
     }
 
     @Override
-    public void bound(int connections) {
+    public void setMaxConnections(int connections) {
         connectPolicy.setMaxConnections(connections);
     }
 
     @Override
-    public int size() {
+    public int endpointCount() {
         return endpoints.size();
     }
 
     @Override
-    public void disconnect(String endpointId) {
+    public void closeIdleConnections(String endpointId) {
         EndpointConnections endpoint = endpoints.find(endpointId);
         if (endpoint != null) {
             endpoint.closeIdle();
@@ -68,9 +68,12 @@
     }
 
     @Override
-    public Upstream.Attempt send(
-            String endpointId, RequestMessage request, double waitMs, Upstream.Ending<UpstreamResponse> ending) {
-        UpstreamAttempt attempt = new UpstreamAttempt(request, waitMs, context.clock(), ending);
+    public Upstream.Attempt startAttempt(
+            String endpointId,
+            RequestMessage request,
+            double timeoutMs,
+            Upstream.AttemptListener<UpstreamResponse> listener) {
+        UpstreamAttempt attempt = new UpstreamAttempt(request, timeoutMs, context.clock(), listener);
         EndpointConnections endpoint = endpoints.find(endpointId);
         idleConnections.closeExpired();
         ConnectDecision decision = connectPolicy.decide(endpointId, endpoint);
--- a/edge/src/main/java/lemonrail/http1/WarmUp.java
+++ b/edge/src/main/java/lemonrail/http1/WarmUp.java
@@ -76,8 +76,8 @@
 
     private final EventLoop loop;
     private final EventLoopContext sidecarContext;
-    private final InetAddress host;
-    private final Path scratchFolder;
+    private final InetAddress listenAddress;
+    private final Path scratchFile;
     private final Runnable onDone;
     private final List<Channel> endpoints = new ArrayList<>();
     /** The numbers of the requests of which an attempt has come to an endpoint. */
@@ -97,15 +97,15 @@
      * Creates a warm-up.
      *
      * @param sidecarContext the event loop and the settings of the sidecar to warm up
-     * @param host the address to listen on, at ephemeral ports
-     * @param scratchFolder where the second set of parts may keep files
+     * @param listenAddress the address to listen on, at ephemeral ports
+     * @param scratchFile a file that the second set of parts may create
      * @param onDone runs once the warm-up has ended
      */
-    WarmUp(EventLoopContext sidecarContext, InetAddress host, Path scratchFolder, Runnable onDone) {
+    WarmUp(EventLoopContext sidecarContext, InetAddress listenAddress, Path scratchFile, Runnable onDone) {
         loop = sidecarContext.loop();
         this.sidecarContext = sidecarContext;
-        this.host = host;
-        this.scratchFolder = scratchFolder;
+        this.listenAddress = listenAddress;
+        this.scratchFile = scratchFile;
         this.onDone = onDone;
     }
 
@@ -140,7 +140,7 @@
     }
 
     private InetSocketAddress ephemeralPort() {
-        return new InetSocketAddress(host, 0);
+        return new InetSocketAddress(listenAddress, 0);
     }
 
     private void onReceivedByEndpoint(WarmUpRequest request) {
@@ -155,7 +155,7 @@
         dispatcher = new RequestDispatcher<>(
                 context,
                 pool,
-                new SuspendedEndpoints(scratchFolder, context.log()),
+                new SuspendedEndpoints(scratchFile, context.log()),
                 BoxcarLoadBalancer::new,
                 0,
                 endpointList(EndpointUpdateKind.SNAPSHOT, EndpointState.READY),
@@ -188,7 +188,7 @@
                 new BufferBudget(Long.MAX_VALUE),
                 new Lifecycle(() -> true),
                 sidecarContext.settings(),
-                sidecarContext.idleCloseMs());
+                sidecarContext.endpointIdleTimeoutMs());
     }
 
     /** Returns all endpoints, the last one in this state. */
--- a/edge/src/main/java/lemonrail/simulator/SimulatedInstance.java
+++ b/edge/src/main/java/lemonrail/simulator/SimulatedInstance.java
@@ -20,7 +20,7 @@
      */
     SimulatedInstance(Map<String, Object> settings, long seed, ReplyWriter replies) {
         this.replies = replies;
-        balancer = new BoxcarLoadBalancer(SettingsReader.settings(settings), seed, this);
+        balancer = new BoxcarLoadBalancer(SettingsReader.read(settings), seed, this);
     }
 
     LoadBalancer balancer() {
