--- a/edge/src/main/java/lemonrail/http1/Http1Protocol.java
+++ b/edge/src/main/java/lemonrail/http1/Http1Protocol.java
@@ -8,30 +8,29 @@
 import lemonrail.exchange.RequestDispatcher;
 import lemonrail.exchange.Upstream;
 
-/** HTTP/1.1 over plain TCP, from client to endpoint (RFC 9112). */
+/** HTTP/1.1 over plain TCP, from clients to endpoints (RFC 9112). */
 public final class Http1Protocol implements Protocol<RequestMessage, UpstreamResponse> {
 
-    /** The largest body, either way, that is held whole, in bytes. */
-    public static final int MOST_HELD_BYTES = ResponseReader.MOST_HELD_BYTES;
-
     @Override
-    public Upstream<RequestMessage, UpstreamResponse> createUpstream(EventLoopContext shard, int mostConnections) {
-        return new UpstreamConnectionPool(shard, mostConnections);
+    public Upstream<RequestMessage, UpstreamResponse> createUpstream(EventLoopContext context, int maxConnections) {
+        return new UpstreamConnectionPool(context, maxConnections);
     }
 
     @Override
     public Downstream createDownstream(
-            EventLoopContext shard, RequestDispatcher<RequestMessage, UpstreamResponse> exchange, int mostConnections) {
-        return new HttpServer(shard, exchange, mostConnections);
+            EventLoopContext context,
+            RequestDispatcher<RequestMessage, UpstreamResponse> dispatcher,
+            int maxConnections) {
+        return new HttpServer(context, dispatcher, maxConnections);
     }
 
     @Override
-    public void warmUp(EventLoopContext shard, InetAddress at, Path scratch, Runnable done) {
-        new Warmup(shard, at, scratch, done).start();
+    public void warmUp(EventLoopContext context, InetAddress listenAddress, Path scratchFile, Runnable onDone) {
+        new WarmUp(context, listenAddress, scratchFile, onDone).start();
     }
 
     @Override
     public int overflowConnections() {
-        return HttpServer.OVERFLOW;
+        return HttpServer.OVERFLOW_CONNECTIONS;
     }
 }
