--- a/edge/src/test/java/lemonrail/assembly/SeamTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
@@ -30,11 +30,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What every protocol owes by the exchange: one final answer, repeats only as the class allows, drains and
- * deadlines. HTTP/1.1 and a protocol of the tests' own run through the same tests, over real sockets.
+ * The contract of the exchange package that holds for each protocol: one final response, retries only as the class
+ * permits, drains and deadlines. HTTP/1.1 and a test protocol run through the same tests, over real sockets.
  */
 @Timeout(60)
-class SeamTest {
+class ProtocolContractTest {
 
     private static final int LONG_MS = 8000;
     private static final int SHORT_MS = 400;
@@ -146,7 +146,7 @@
         SidecarFixture.await(count + " attempts", () -> attempts() == count);
     }
 
-    // ---- one final answer ----
+    // ---- one final response ----
 
     @ParameterizedTest
     @EnumSource
@@ -168,7 +168,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void whatAnEndpointTurnsAwayForGoodIsNotTriedAgain(TestProtocol spoken) throws Exception {
+    void requestRejectedAsInvalidIsNotRetried(TestProtocol spoken) throws Exception {
         talk = spoken;
         peer(EndpointAction.REJECT);
         peer(EndpointAction.REJECT);
@@ -177,31 +177,31 @@
         assertEquals(1, attempts());
     }
 
-    // ---- repeats ----
+    // ---- retries ----
 
     @ParameterizedTest
     @EnumSource
-    void aRepeatableRequestIsTriedElsewhere(TestProtocol spoken) throws Exception {
+    void idempotentRequestIsRetriedAtAnotherEndpoint(TestProtocol spoken) throws Exception {
         for (EndpointAction act : List.of(EndpointAction.FAIL, EndpointAction.RESET, EndpointAction.NOT_RUN)) {
             tryTwice(spoken, act, "read", ClientResult.Kind.SERVED, 2);
         }
     }
 
     /**
-     * Guards against a second run of what must run once: only an end that proves there was none is repeated.
+     * Guards against a second execution: only an outcome that proves there was none permits a retry.
      */
     @ParameterizedTest
     @EnumSource
-    void aRequestThatMustRunOnceIsRepeatedOnlyIfItNeverRan(TestProtocol spoken) throws Exception {
+    void nonIdempotentRequestIsRetriedOnlyIfNotExecuted(TestProtocol spoken) throws Exception {
         tryTwice(spoken, EndpointAction.NOT_RUN, "order", ClientResult.Kind.SERVED, 2);
         tryTwice(spoken, EndpointAction.FAIL, "order", ClientResult.Kind.FAILED, 1);
         tryTwice(spoken, EndpointAction.RESET, "order", ClientResult.Kind.FAILED, 1);
     }
 
-    /** A keyed request may be repeated within its rack alone, and here each rack has one endpoint. */
+    /** A keyed request may be retried within its rack only, and here each rack has one endpoint. */
     @ParameterizedTest
     @EnumSource
-    void aKeyedRequestStaysInItsRack(TestProtocol spoken) throws Exception {
+    void keyedRequestIsRetriedOnlyInItsRack(TestProtocol spoken) throws Exception {
         tryTwice(spoken, EndpointAction.NOT_RUN, "save", ClientResult.Kind.SERVED, 2);
         talk = spoken;
         reset();
@@ -212,7 +212,7 @@
         assertTrue(first.requests().isEmpty() || second.requests().isEmpty(), "one rack only");
     }
 
-    /** Both endpoints do this with the first request that each gets and serve all others. */
+    /** Sends a request while both endpoints do this with the first request that each gets and serve all others. */
     private void tryTwice(TestProtocol spoken, EndpointAction act, String kind, ClientResult.Kind end, int attempts)
             throws Exception {
         talk = spoken;
@@ -240,7 +240,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void anEndpointThatIsNotThereIsPassedOver(TestProtocol spoken) throws Exception {
+    void endpointThatRefusesConnectionsIsSkipped(TestProtocol spoken) throws Exception {
         talk = spoken;
         TestEndpoint gone = peer(EndpointAction.SERVE);
         peer(EndpointAction.SERVE);
@@ -256,7 +256,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void aSilentEndpointIsGivenUpAndTheClientHears(TestProtocol spoken) throws Exception {
+    void unresponsiveEndpointTimesOutAndTheClientIsInformed(TestProtocol spoken) throws Exception {
         talk = spoken;
         TestEndpoint silent = peer(EndpointAction.SILENT);
         start(spoken);
@@ -268,10 +268,10 @@
         assertEquals(1, attempts());
     }
 
-    /** Guards against an answer that comes late and passes for the next request's. */
+    /** Guards against a late response that is taken for the next request's. */
     @ParameterizedTest
     @EnumSource
-    void aLateAnswerIsNobodys(TestProtocol spoken) throws Exception {
+    void lateResponseIsNotGivenToTheNextRequest(TestProtocol spoken) throws Exception {
         talk = spoken;
         peer(EndpointAction.HOLD, EndpointAction.SERVE);
         start(spoken);
@@ -290,7 +290,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void aFullPoolRefusesAtOnce(TestProtocol spoken) throws Exception {
+    void fullPoolRejectsAtOnce(TestProtocol spoken) throws Exception {
         talk = spoken;
         peer(EndpointAction.HOLD);
         start(spoken);
@@ -314,11 +314,11 @@
         }
     }
 
-    // ---- drains, and clients that go ----
+    // ---- drains and client disconnects ----
 
     @ParameterizedTest
     @EnumSource
-    void anEndpointThatDrainsFinishesWhatItHasAndGetsNothingNew(TestProtocol spoken) throws Exception {
+    void drainingEndpointCompletesItsRequestsAndGetsNoNewOnes(TestProtocol spoken) throws Exception {
         talk = spoken;
         TestEndpoint draining = peer(EndpointAction.HOLD);
         start(spoken);
@@ -342,7 +342,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void anEdgeThatStopsAnswersWhatItHas(TestProtocol spoken) throws Exception {
+    void stoppingSidecarRespondsToRequestsInFlight(TestProtocol spoken) throws Exception {
         talk = spoken;
         peer(EndpointAction.HOLD);
         start(spoken);
@@ -352,7 +352,7 @@
         stopping.start();
         SidecarFixture.await(
                 "it is stopping", () -> log.toString(StandardCharsets.UTF_8).contains("stopping"));
-        assertTrue(stopping.isAlive(), "it waits for what it has");
+        assertTrue(stopping.isAlive(), "it waits for requests in flight");
         release.countDown();
         assertEquals(ClientResult.Kind.SERVED, held.read().kind());
         held.awaitEnd();
@@ -362,7 +362,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void whatNobodyWaitsForIsGivenUp(TestProtocol spoken) throws Exception {
+    void attemptIsCancelledWhenItsClientDisconnects(TestProtocol spoken) throws Exception {
         talk = spoken;
         TestEndpoint silent = peer(EndpointAction.SILENT);
         start(spoken);
--- a/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A new version under load: two real processes at one address, of which the older one leaves. */
+/** An upgrade under load: two real processes share one address, and the older one stops. */
 @Timeout(60)
 class UpgradeTest {
 
@@ -33,13 +33,13 @@
     private final List<Process> processes = new ArrayList<>();
     private final SidecarFixture rig = new SidecarFixture(
             StubEndpoint.respondingWith(200, "", "first"), StubEndpoint.respondingWith(200, "", "second"));
-    /** Bound but deaf: it keeps the port for the processes, which share it. */
+    /** Bound but not listening: it reserves the port for the processes, which share it. */
     private SocketChannel place;
 
     private InetSocketAddress address;
 
     UpgradeTest() throws IOException {
-        // The fakes stand before each test.
+        // SidecarFixture and endpoints are created for each test.
     }
 
     @BeforeEach
@@ -69,7 +69,7 @@
         return served;
     }
 
-    /** Asks again and again; a connection that has ended between requests is replaced, as clients do. */
+    /** Sends requests one after another, and reconnects as clients do if the connection was closed between requests. */
     private final class Client extends Thread {
         private final AtomicBoolean on;
         private final AtomicInteger served;
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void noRequestIsLostOnTheWay() throws Exception {
+    void noRequestIsLostDuringAnUpgrade() throws Exception {
         SidecarChildProcess old = serve();
         AtomicBoolean on = new AtomicBoolean(true);
         AtomicInteger served = new AtomicInteger();
@@ -138,9 +138,9 @@
         fresh.awaitLine("the only process of this sidecar from now on");
     }
 
-    /** Guards against a new version that sends to an endpoint which operators took out before it started. */
+    /** Guards against a new process that uses an endpoint which operators suspended before it started. */
     @Test
-    void suspensionsGoOver() throws Exception {
+    void suspensionsAreHandedOver() throws Exception {
         Files.writeString(folder.resolve("n0.suspended"), "suspended endpoints\ns0\nin all: 1\n");
         SidecarChildProcess old = serve();
         serve();
