--- a/edge/src/main/java/lemonrail/http1/ResponseReader.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseReader.java
@@ -7,8 +7,6 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelPipeline;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
@@ -34,9 +32,6 @@
     /** A response of unknown length that takes longer than this is streamed. */
     private static final int MAX_HOLD_MS = 500;
 
-    private static final int FIRST_FINAL_STATUS = 200;
-    private static final int FIRST_UNKNOWN_STATUS = 600;
-
     /** Notified of responses. */
     interface Listener {
         /** A response is whole; {@code reusable} unless more than the response has arrived. */
@@ -173,7 +168,7 @@
         discardResponse();
         head = started;
         body = Unpooled.buffer();
-        if (isInterim(started)) {
+        if (ResponseHeads.isInterim(started)) {
             return;
         }
         if (!HttpUtil.isContentLengthSet(started)) {
@@ -183,41 +178,25 @@
         }
     }
 
-    private static boolean isInterim(HttpResponse response) {
-        return response.status().code() < FIRST_FINAL_STATUS;
-    }
-
     private boolean isAcceptable(HttpResponse started) {
-        int status = started.status().code();
-        if (isInterim(started)) {
-            interimResponses++;
-            return status >= HttpResponseStatus.CONTINUE.code()
-                    && status != HttpResponseStatus.SWITCHING_PROTOCOLS.code()
-                    && interimResponses <= MAX_INTERIM_RESPONSES;
-        }
-        return status < FIRST_UNKNOWN_STATUS && isDelimited(started);
-    }
-
-    /** Returns whether the head tells where the body ends: one that ends with the connection may be truncated. */
-    private static boolean isDelimited(HttpResponse started) {
-        String coding = started.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
-        if (coding != null) {
-            return HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(coding);
+        if (!ResponseHeads.isInterim(started)) {
+            return ResponseHeads.isAcceptableFinal(started);
         }
-        return HttpUtil.isContentLengthSet(started) && HttpUtil.getContentLength(started) <= MAX_BODY_BYTES;
+        interimResponses++;
+        return ResponseHeads.isAcceptableInterim(started) && interimResponses <= MAX_INTERIM_RESPONSES;
     }
 
     /** Streams a response that is too large or too slow to be held. Of an unsuccessful one, the head is enough. */
     private void stopHolding() {
         cancelHoldTimeout();
         if (head.status().code() == HttpResponseStatus.OK.code()) {
-            pipe = listener.onStreamStarted(toResponse(new byte[0]));
+            pipe = listener.onStreamStarted(ResponseHeads.toResponse(head, new byte[0]));
             stream(body);
             pipe.flush();
             releaseBody();
         } else {
             unusableAfter = true;
-            response = toResponse(new byte[0]);
+            response = ResponseHeads.toResponse(head, new byte[0]);
             state = State.COMPLETE;
             discardResponse();
             reportIfComplete();
@@ -231,7 +210,7 @@
         }
         ByteBuf bytes = content.content();
         if (pipe == null && body.readableBytes() + bytes.readableBytes() > MAX_HELD_BYTES) {
-            if (isInterim(head)) {
+            if (ResponseHeads.isInterim(head)) {
                 failMalformed();
                 return;
             }
@@ -265,8 +244,8 @@
             finishStream();
             return;
         }
-        if (!isInterim(head)) {
-            response = toResponse(ByteBufUtil.getBytes(body));
+        if (!ResponseHeads.isInterim(head)) {
+            response = ResponseHeads.toResponse(head, ByteBufUtil.getBytes(body));
             state = State.COMPLETE;
         }
         discardResponse();
@@ -279,16 +258,6 @@
         pipe.complete();
     }
 
-    private UpstreamResponse toResponse(byte[] content) {
-        return new UpstreamResponse(
-                head.status().code(),
-                "1".equals(head.headers().get("X-Not-Run")),
-                HttpUtil.isKeepAlive(head),
-                head.headers().get(HttpHeaderNames.CONTENT_TYPE),
-                HttpUtil.getContentLength(head, -1L),
-                content);
-    }
-
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (pipe != null) {
