--- a/edge/src/test/java/lemonrail/cli/MainTest.java
+++ b/edge/src/test/java/lemonrail/cli/MainTest.java
@@ -85,8 +85,8 @@
             for (String needed : List.of(
                     "lemonrail.streaming.BodyPipe ",
                     "lemonrail.http1.PipeWriter ",
-                    "lemonrail.http1.RequestReader$Refusal ",
-                    "lemonrail.http1.ClientConnection$Streamed ",
+                    "lemonrail.http1.ClientMessage$RequestError ",
+                    "lemonrail.http1.ResponseQueue$BodyListener ",
                     "lemonrail.core.balancer.AttemptResult ")) {
                 assertTrue(loaded.contains(needed), needed + "is met");
             }
