--- a/edge/src/test/java/lemonrail/assembly/StreamingTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StreamingTest.java
@@ -29,7 +29,7 @@
 class StreamingTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** An endpoint of which nothing was taken for so long is held back. */
+    /** If nothing was read from an endpoint for so long, backpressure is in effect. */
     private static final int HELD_BACK_MS = 200;
 
     private static final int TAKEN_CHUNKS = 64;
@@ -69,7 +69,7 @@
         out.write("0\r\nX-Sum: 1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** An endpoint that answers each request with the digest of its body. */
+    /** Creates an endpoint that responds to each request with the digest of its body. */
     private static Fake digesting() throws IOException {
         return new Fake((wire, request) -> Fake.answer(wire, 200, "", digest(request.bytes())));
     }
@@ -106,7 +106,7 @@
         assertEquals(1, rig.endpoints.get(0).connections.get(), "its connection is kept");
     }
 
-    /** The answer's first bytes come at once, while the endpoint still works on the rest. */
+    /** The first bytes of a response arrive at once, while the endpoint still works on the rest. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
     void firstBytesAreForwardedAtOnce(String framing) throws Exception {
@@ -132,7 +132,7 @@
         }
     }
 
-    /** A slow client slows the endpoint down; what lies between is little, whatever the answer's size. */
+    /** A slow client slows the endpoint down; few bytes are buffered, whatever the size of the response. */
     @Test
     void slowClientExertsBackpressureOnTheEndpoint() throws Exception {
         AtomicInteger sent = new AtomicInteger();
@@ -235,7 +235,7 @@
         }
     }
 
-    /** Reads a whole chunk; false at the connection's end, which must not come within one. */
+    /** Reads a whole chunk; false at the connection's end, which must not be within a chunk. */
     private static boolean readChunk(Wire client) throws IOException {
         String size = line(client);
         if (size != null) {
@@ -323,7 +323,7 @@
         }
     }
 
-    /** Guards against a bound on time that a slow line cannot keep: 64 kB a second are enough. */
+    /** Guards against a timeout that a slow client cannot meet: 64 kB per second are enough. */
     @Test
     void slowHeadAndSlowBodyAreAccepted() throws Exception {
         rig = new Rig(digesting()).start();
@@ -357,7 +357,7 @@
         assertEquals(200, rig.ask("read", DEADLINE_MS).status());
     }
 
-    /** An endpoint that is full says so early: what is held of the body can go to another one. */
+    /** A full endpoint rejects early: the buffered part of the body can be sent to another one. */
     @Test
     void requestIsRetriedWhileItsSentBodyIsStillBuffered() throws Exception {
         byte[] body = random(100_000);
@@ -397,7 +397,7 @@
         out.write(body, 65_537, body.length - 65_537);
     }
 
-    /** What has been let go cannot be sent again: a safe request too is then given up at once. */
+    /** Discarded bytes cannot be sent again: an idempotent request fails at once as well. */
     @Test
     void requestIsNotRetriedOnceBodyBytesAreDiscarded() throws Exception {
         byte[] body = random(MOST_BYTES);
@@ -432,7 +432,7 @@
 
     // ---- memory ----
 
-    /** Many large answers at once to clients that read nothing yet: they all come, within one bound. */
+    /** Many large responses at once to clients that do not read yet: all arrive, and the memory is bounded. */
     @Test
     void concurrentLargeResponsesShareTheBufferBudget() throws Exception {
         byte[] body = random(LARGE_BYTES);
--- a/edge/src/test/java/lemonrail/frames/Frame.java
+++ b/edge/src/test/java/lemonrail/frames/Frame.java
@@ -16,12 +16,12 @@
  */
 record Frame(char kind, String text) {
 
-    private static final int MOST_BYTES = 64 * 1024;
+    private static final int MAX_BYTES = 64 * 1024;
     private static final int LENGTH_BYTES = 4;
 
     static void addTo(ChannelPipeline pipeline) {
         pipeline.addLast(
-                new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                new LengthFieldBasedFrameDecoder(MAX_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                 new LengthFieldPrepender(LENGTH_BYTES),
                 new Codec());
     }
--- a/edge/src/test/java/lemonrail/frames/FrameDownstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameDownstream.java
@@ -30,8 +30,8 @@
     private final Set<Connection> connections = new LinkedHashSet<>();
     private int maxConnections;
     private Channel listener;
-    private boolean leaving;
-    private double endsAt = Double.POSITIVE_INFINITY;
+    private boolean closeAfterResponse;
+    private double latestDeadlineMs = Double.POSITIVE_INFINITY;
 
     FrameDownstream(EventLoopContext context, RequestDispatcher<FrameRequest, Frame> dispatcher, int maxConnections) {
         this.context = context;
@@ -41,14 +41,14 @@
 
     private final class Connection extends SimpleChannelInboundHandler<Frame> implements ResponseSink<Frame> {
         private Channel channel;
-        private String open;
+        private String requestId;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
             connections.add(this);
             if (connections.size() > maxConnections) {
-                answer(new Frame('R', "0"));
+                respond(new Frame('R', "0"));
             }
         }
 
@@ -59,56 +59,57 @@
                     .map(c -> c.name())
                     .toList()
                     .indexOf(parts[1]);
-            if (open != null || kind < 0 || dispatcher.isInFlight(parts[0])) {
-                answer(new Frame('B', "no request"));
+            if (requestId != null || kind < 0 || dispatcher.isInFlight(parts[0])) {
+                respond(new Frame('B', "no request"));
                 return;
             }
-            open = parts[0];
+            requestId = parts[0];
             double now = context.clock().now();
             dispatcher.dispatch(
-                    new Request(open, kind, 0, Math.min(endsAt, now + Double.parseDouble(parts[2])), false),
-                    new FrameRequest(open, parts[3]),
+                    new Request(
+                            requestId, kind, 0, Math.min(latestDeadlineMs, now + Double.parseDouble(parts[2])), false),
+                    new FrameRequest(requestId, parts[3]),
                     this);
         }
 
-        private void answer(Frame frame) {
-            open = null;
+        private void respond(Frame frame) {
+            requestId = null;
             ChannelFuture written = channel.writeAndFlush(frame);
-            if (leaving) {
+            if (closeAfterResponse) {
                 written.addListener(ChannelFutureListener.CLOSE);
             }
         }
 
         @Override
-        public void served(Frame answer) {
-            answer(answer);
+        public void served(Frame response) {
+            respond(response);
         }
 
         @Override
-        public void streamStarted(Frame beginning, BodyPipe body) {
+        public void streamStarted(Frame head, BodyPipe body) {
             throw new IllegalStateException("this protocol has no large answers");
         }
 
         @Override
-        public void rejectedByEndpoint(Frame answer) {
-            answer(answer);
+        public void rejectedByEndpoint(Frame response) {
+            respond(response);
         }
 
         @Override
-        public void rejected(double coolDownMs) {
-            answer(new Frame('R', String.valueOf(coolDownMs)));
+        public void rejected(double retryAfterMs) {
+            respond(new Frame('R', String.valueOf(retryAfterMs)));
         }
 
         @Override
         public void failed() {
-            answer(new Frame('F', ""));
+            respond(new Frame('F', ""));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
-            if (open != null) {
-                dispatcher.onClientDisconnected(open);
+            if (requestId != null) {
+                dispatcher.onClientDisconnected(requestId);
             }
         }
 
@@ -136,13 +137,13 @@
     }
 
     @Override
-    public void setMaxConnections(int connectionsAtOnce) {
-        maxConnections = connectionsAtOnce;
+    public void setMaxConnections(int maximum) {
+        maxConnections = maximum;
     }
 
     @Override
-    public void capDeadlines(double leftMs) {
-        endsAt = context.clock().now() + leftMs;
+    public void capDeadlines(double remainingMs) {
+        latestDeadlineMs = context.clock().now() + remainingMs;
     }
 
     @Override
@@ -153,14 +154,14 @@
     @Override
     public void releaseAddress() {
         closeListener();
-        leaving = true;
+        closeAfterResponse = true;
     }
 
     @Override
     public void closeAfterResponses() {
-        leaving = true;
+        closeAfterResponse = true;
         List.copyOf(connections).stream()
-                .filter(connection -> connection.open == null)
+                .filter(connection -> connection.requestId == null)
                 .forEach(connection -> connection.channel.close());
     }
 
@@ -171,7 +172,7 @@
 
     @Override
     public void stopDraining() {
-        leaving = false;
+        closeAfterResponse = false;
     }
 
     @Override
--- a/edge/src/test/java/lemonrail/frames/FrameProtocol.java
+++ b/edge/src/test/java/lemonrail/frames/FrameProtocol.java
@@ -23,8 +23,8 @@
     }
 
     @Override
-    public void warmUp(EventLoopContext context, InetAddress at, Path scratch, Runnable done) {
-        done.run();
+    public void warmUp(EventLoopContext context, InetAddress listenAddress, Path scratchFile, Runnable onDone) {
+        onDone.run();
     }
 
     @Override
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -24,7 +24,7 @@
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final EventLoopContext context;
     private int maxConnections;
-    private int open;
+    private int openConnections;
 
     FrameUpstream(EventLoopContext context, int maxConnections) {
         this.context = context;
@@ -32,20 +32,20 @@
     }
 
     private final class Attempt extends SimpleChannelInboundHandler<Frame> implements Upstream.Attempt {
-        private final FrameRequest message;
-        private final double waitMs;
-        private AttemptListener<Frame> ending;
+        private final FrameRequest request;
+        private final double timeoutMs;
+        private AttemptListener<Frame> listener;
         private Channel channel;
         private boolean written;
 
-        Attempt(FrameRequest message, double waitMs, AttemptListener<Frame> ending) {
-            this.message = message;
-            this.waitMs = waitMs;
-            this.ending = ending;
+        Attempt(FrameRequest request, double timeoutMs, AttemptListener<Frame> listener) {
+            this.request = request;
+            this.timeoutMs = timeoutMs;
+            this.listener = listener;
         }
 
         void open(InetSocketAddress address) {
-            open++;
+            openConnections++;
             ChannelFuture connecting = new Bootstrap()
                     .group(context.loop())
                     .channel(NioSocketChannel.class)
@@ -61,21 +61,21 @@
                     .connect(address);
             channel = connecting.channel();
             channel.closeFuture().addListener(closed -> {
-                open--;
-                end(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
+                openConnections--;
+                finish(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
             });
             connecting.addListener(up -> {
                 if (!up.isSuccess()) {
-                    end(AttemptOutcome.CONNECT_ERROR, null);
-                } else if (ending != null && !ending.mayStart()) {
+                    finish(AttemptOutcome.CONNECT_ERROR, null);
+                } else if (listener != null && !listener.mayStart()) {
                     channel.close();
-                } else if (ending != null) {
-                    Frame request = new Frame('Q', message.id() + "|" + (long) waitMs + "|" + message.text());
-                    channel.writeAndFlush(request).addListener(done -> {
+                } else if (listener != null) {
+                    Frame frame = new Frame('Q', request.id() + "|" + (long) timeoutMs + "|" + request.text());
+                    channel.writeAndFlush(frame).addListener(done -> {
                         written = done.isSuccess();
-                        if (written && ending != null) {
+                        if (written && listener != null) {
                             context.metrics().dispatched();
-                            ending.onRequestWritten();
+                            listener.onRequestWritten();
                         }
                     });
                 }
@@ -89,28 +89,28 @@
 
         @Override
         public boolean cancel() {
-            ending = null;
+            listener = null;
             channel.close();
             return written;
         }
 
-        private void end(AttemptOutcome outcome, Frame answer) {
-            AttemptListener<Frame> told = ending;
-            ending = null;
-            if (told != null) {
-                told.onFinished(outcome, answer);
+        private void finish(AttemptOutcome outcome, Frame response) {
+            AttemptListener<Frame> notified = listener;
+            listener = null;
+            if (notified != null) {
+                notified.onFinished(outcome, response);
             }
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, Frame answer) {
-            AttemptOutcome outcome = switch (answer.kind()) {
+        protected void channelRead0(ChannelHandlerContext ctx, Frame response) {
+            AttemptOutcome outcome = switch (response.kind()) {
                 case 'S' -> AttemptOutcome.OK;
                 case 'N' -> AttemptOutcome.QUEUE_FULL;
                 case 'B' -> AttemptOutcome.IGNORED;
                 default -> AttemptOutcome.FAILED;
             };
-            end(outcome, answer);
+            finish(outcome, response);
             ctx.close();
         }
 
@@ -136,11 +136,11 @@
 
     @Override
     public Upstream.Attempt startAttempt(
-            String server, FrameRequest message, double waitMs, AttemptListener<Frame> ending) {
-        Attempt attempt = new Attempt(message, waitMs, ending);
-        InetSocketAddress address = addresses.get(server);
-        if (address == null || open >= maxConnections) {
-            attempt.end(AttemptOutcome.CONNECT_ERROR, null);
+            String endpoint, FrameRequest request, double timeoutMs, AttemptListener<Frame> listener) {
+        Attempt attempt = new Attempt(request, timeoutMs, listener);
+        InetSocketAddress address = addresses.get(endpoint);
+        if (address == null || openConnections >= maxConnections) {
+            attempt.finish(AttemptOutcome.CONNECT_ERROR, null);
         } else {
             attempt.open(address);
         }
@@ -148,7 +148,7 @@
     }
 
     @Override
-    public void closeIdleConnections(String server) {
+    public void closeIdleConnections(String endpoint) {
         // Connections are never idle.
     }
 
