--- a/edge/src/main/java/lemonrail/exchange/BalancerEventQueue.java
+++ b/edge/src/main/java/lemonrail/exchange/BalancerEventQueue.java
@@ -69,7 +69,7 @@
         try {
             event.deliver(balancer, clock.now());
         } catch (RuntimeException e) {
-            log.bug("the load balancer failed", e);
+            log.error("the load balancer failed", e);
             if (request != null) {
                 request.markBalancerFailed();
             }
--- a/edge/src/main/java/lemonrail/exchange/RequestLog.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestLog.java
@@ -31,7 +31,7 @@
             AttemptOutcome outcome,
             double durationMs,
             double connectMs) {
-        if (log.tellsAll()) {
+        if (log.isDebugEnabled()) {
             debug(
                     "attempt_ended",
                     request,
@@ -49,7 +49,7 @@
     }
 
     void requestConcluded(PendingRequest<?, ?> request, RequestOutcome outcome) {
-        if (log.tellsAll()) {
+        if (log.isDebugEnabled()) {
             debug(
                     "request_concluded",
                     request,
@@ -67,7 +67,7 @@
         double lateMs = clock.now() - request.deadlineMs();
         List<PendingAttempt> attempts = request.attempts();
         PendingAttempt last = attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
-        log.trouble(
+        log.warnRateLimited(
                 "late_response",
                 "a response was given after its client's deadline",
                 request.id(),
@@ -94,11 +94,12 @@
     }
 
     void decisionTimeout(PendingRequest<?, ?> request) {
-        log.trouble("decision_timeout", "no decision by the deadline", request.id(), "request_id", request.id());
+        log.warnRateLimited(
+                "decision_timeout", "no decision by the deadline", request.id(), "request_id", request.id());
     }
 
     void unknownAttempt(String requestId) {
-        log.trouble(
+        log.warnRateLimited(
                 "unknown_attempt",
                 "an attempt was started for a request that is not in flight",
                 requestId,
@@ -107,7 +108,7 @@
     }
 
     void sendingFailed(RuntimeException cause) {
-        log.bug("sending an attempt failed", cause);
+        log.error("sending an attempt failed", cause);
     }
 
     private static double sinceArrivalMs(PendingRequest<?, ?> request, double instantMs) {
--- a/edge/src/main/java/lemonrail/exchange/ResponseDelivery.java
+++ b/edge/src/main/java/lemonrail/exchange/ResponseDelivery.java
@@ -66,7 +66,7 @@
         request.markConcluded(outcome);
         log.requestConcluded(request, outcome);
         if (clock.now() > request.deadlineMs()) {
-            metrics.answeredLate();
+            metrics.onLateResponse();
             log.lateResponse(request, outcome);
         }
         request.cancelDecisionTimeout();
--- a/edge/src/main/java/lemonrail/http1/HttpServer.java
+++ b/edge/src/main/java/lemonrail/http1/HttpServer.java
@@ -182,7 +182,7 @@
     private void updateAccepting() {
         boolean accepting = connections.excess() < OVERFLOW_CONNECTIONS;
         if (!accepting) {
-            log.trouble(
+            log.warnRateLimited(
                     "accept_paused",
                     "no more connections are accepted",
                     connections.size() + " are open",
@@ -243,7 +243,7 @@
 
     /** Logs that a client has sent what cannot be served, or not in time. */
     void logRequestError(ClientMessage.RequestError error) {
-        log.trouble(
+        log.warnRateLimited(
                 "client_refused",
                 "a client is refused",
                 error.status().code() + " " + error.reason(),
@@ -254,7 +254,7 @@
     /** Logs an error on a client's connection, unless it comes from the network. */
     void logConnectionError(Throwable cause) {
         if (!(cause instanceof IOException)) {
-            log.bug("connection of a client", cause);
+            log.error("connection of a client", cause);
         }
     }
 }
--- a/edge/src/main/java/lemonrail/http1/PendingResponse.java
+++ b/edge/src/main/java/lemonrail/http1/PendingResponse.java
@@ -64,7 +64,7 @@
     void onRequestRead() {
         if (isCounted() && !finished && !countedInFlight) {
             countedInFlight = true;
-            metrics.taken();
+            metrics.onRequestStarted();
         }
     }
 
@@ -75,19 +75,19 @@
 
     /** Notes that the response breaks off before its end. */
     void onTruncated() {
-        finish(Metrics.Ending.ERROR);
+        finish(Metrics.Outcome.ERROR);
     }
 
-    private void finish(Metrics.Ending ending) {
+    private void finish(Metrics.Outcome ending) {
         if (finished) {
             return;
         }
         finished = true;
         if (countedInFlight) {
-            metrics.ended();
+            metrics.onRequestEnded();
         }
         if (ending != null && isCounted()) {
-            metrics.replied(requestClass, ending);
+            metrics.onResponse(requestClass, ending);
         }
     }
 
@@ -95,13 +95,13 @@
         return requestClass != RequestHeadMapper.UNKNOWN_CLASS;
     }
 
-    private static Metrics.Ending ending(HttpResponseStatus status) {
+    private static Metrics.Outcome ending(HttpResponseStatus status) {
         if (status.equals(HttpResponseStatus.OK)) {
-            return Metrics.Ending.SUCCESS;
+            return Metrics.Outcome.SUCCESS;
         }
         boolean overload = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                 || status.equals(HttpResponseStatus.TOO_MANY_REQUESTS);
-        return overload ? Metrics.Ending.OVERLOAD : Metrics.Ending.ERROR;
+        return overload ? Metrics.Outcome.OVERLOAD : Metrics.Outcome.ERROR;
     }
 
     /** Returns the id of a request that is still in progress at the dispatcher, else null. */
--- a/edge/src/main/java/lemonrail/http1/UpstreamConnection.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnection.java
@@ -138,7 +138,7 @@
             channel.close();
             return;
         }
-        context.metrics().dispatched();
+        context.metrics().onDispatch();
         reader.expectResponse();
         sent.onRequestWritten();
     }
@@ -270,7 +270,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             // A reset is reported as the attempt's outcome; anything else is a fault of this program.
             if (!(cause instanceof IOException)) {
-                log.bug("connection to an endpoint", cause);
+                log.error("connection to an endpoint", cause);
             }
             close();
         }
--- a/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
@@ -80,7 +80,7 @@
         if (decision instanceof ConnectDecision.Reuse reuse) {
             reuse.connection().startNext(attempt);
         } else if (decision instanceof ConnectDecision.Refuse refuse) {
-            log.trouble("no_connection", "no connection", refuse.reason(), "endpoint", endpointId);
+            log.warnRateLimited("no_connection", "no connection", refuse.reason(), "endpoint", endpointId);
             attempt.finish(AttemptOutcome.CONNECT_ERROR, null);
         } else {
             connect(endpoint, attempt);
--- a/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
+++ b/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
@@ -83,7 +83,7 @@
     }
 
     private void logFailure(IOException cause) {
-        log.trouble("sibling_lock_failed", "cannot detect other processes of this sidecar", cause);
+        log.warnRateLimited("sibling_lock_failed", "cannot detect other processes of this sidecar", cause);
     }
 
     /** Releases the lock. */
--- a/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
@@ -27,10 +27,10 @@
     private static final String SMUGGLED_REQUEST =
             "GET /api HTTP/1.1\r\nX-Request-Id: hidden\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\nHost: a\r\n\r\n";
 
-    private Rig rig;
+    private SidecarFixture rig;
 
-    private Rig start(Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
+    private SidecarFixture start(StubEndpoint... endpoints) throws IOException {
+        rig = new SidecarFixture(endpoints);
         return rig.start();
     }
 
@@ -39,11 +39,11 @@
         rig.close();
     }
 
-    private static Fake good() throws IOException {
-        return Fake.answering(200, "", "served");
+    private static StubEndpoint good() throws IOException {
+        return StubEndpoint.respondingWith(200, "", "served");
     }
 
-    private static void assertClosed(Wire client) throws IOException {
+    private static void assertClosed(HttpTestConnection client) throws IOException {
         try {
             client.read();
         } catch (EOFException | SocketException e) {
@@ -59,7 +59,7 @@
     void silentConnectionIsClosed() throws Exception {
         start(good());
         long startNs = System.nanoTime();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.awaitEnd();
         }
         assertTrue((System.nanoTime() - startNs) / 1e6 < MAX_DURATION_MS);
@@ -76,7 +76,7 @@
     void stalledRequestTimesOut(String part) throws Exception {
         start(good());
         long startNs = System.nanoTime();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             assertEquals(408, client.send(part).read().status());
             assertClosed(client);
         }
@@ -88,7 +88,7 @@
     void tricklingRequestTimesOut() throws Exception {
         start(good());
         long startNs = System.nanoTime();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             assertEquals(
                     200, client.send(rig.request("read", DEADLINE_MS)).read().status());
             client.send("POST /api HTTP/1.1\r\n");
@@ -132,7 +132,7 @@
         start(good());
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\n";
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             assertEquals(
                     400, client.send(head + framing + SMUGGLED_REQUEST).read().status());
             assertClosed(client);
@@ -145,7 +145,7 @@
     @ValueSource(strings = {"X-Request-Id: twice", "X-Class: order", "X-Deadline-Ms: 9"})
     void repeatedHeaderIsAnError(String again) throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             String request = rig.request("read", DEADLINE_MS).replace("Host:", again + "\r\nHost:");
             assertEquals(400, client.send(request + SMUGGLED_REQUEST).read().status());
             assertClosed(client);
@@ -159,13 +159,13 @@
     @Test
     void bodyTooLargeIsRejectedByItsHead() throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 62914560\r\n\r\n");
             client.send("x".repeat(100_000));
             assertEquals(413, client.read().status());
             assertClosed(client);
         }
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             assertEquals(
                     400,
                     client.send("POST /api HTTP/1.1\r\nHost: a\r\n"
@@ -181,7 +181,7 @@
     @Test
     void endlessHeadIsCutShort() throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             client.send("GET /api HTTP/1.1\r\n" + "X-Pad: pppppppppppppppppp\r\n".repeat(2000));
             assertEquals(431, client.read().status());
             assertClosed(client);
@@ -194,23 +194,23 @@
     @Test
     void tooManyPipelinedRequestsEndTheConnection() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new Fake((wire, request) -> {
+        start(new StubEndpoint((wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", request.headers().get("x-request-id"));
+            StubEndpoint.respond(wire, 200, "", request.headers().get("x-request-id"));
         }));
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 300; i++) {
                 all.append(rig.request("read", DEADLINE_MS));
             }
             client.send(all.toString());
-            Rig.await("the first is forwarded", () -> rig.attempts() > 0);
+            SidecarFixture.await("the first is forwarded", () -> rig.attempts() > 0);
             // Once another client has its response, the whole first read has been handled.
             assertEquals(503, rig.ask("order", DEADLINE_MS).status(), "the load balancer rejects it");
             release.countDown();
             int sent = 0;
             for (int i = 0; i < 8; i++) {
-                Wire.Message answer = client.read();
+                HttpTestConnection.Message answer = client.read();
                 sent += i == sent && answer.status() == 200 ? 1 : 0;
                 assertEquals(i < sent ? 200 : 503, answer.status());
                 assertEquals(i < sent ? "r" + i : "refused\n", answer.body());
@@ -225,11 +225,11 @@
     /** Silent connections must not take the place of those with requests. */
     @Test
     void connectionsWithoutRequestsAreEvictedFirst() throws Exception {
-        rig = new Rig(good());
+        rig = new SidecarFixture(good());
         rig.sockets = 1;
         rig.start();
-        List<Wire> silent = new ArrayList<>();
-        try (Wire usual = rig.client()) {
+        List<HttpTestConnection> silent = new ArrayList<>();
+        try (HttpTestConnection usual = rig.client()) {
             assertEquals(
                     200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
             for (int i = 0; i < 40; i++) {
@@ -240,7 +240,7 @@
                     200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
             assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         }
-        for (Wire client : silent) {
+        for (HttpTestConnection client : silent) {
             client.close();
         }
     }
@@ -249,11 +249,11 @@
     @Test
     void drainClosesConnectionsWithHalfARequest() throws Exception {
         start(good());
-        try (Wire half = rig.client().send("POST /api HTTP/1.1\r\n");
-                Wire behind = rig.client()) {
+        try (HttpTestConnection half = rig.client().send("POST /api HTTP/1.1\r\n");
+                HttpTestConnection behind = rig.client()) {
             behind.send(rig.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
             assertNotEquals(0, behind.read().status());
-            Thread drain = new Thread(rig.sidecar::terminate);
+            Thread drain = new Thread(rig.sidecar::shutdownGracefully);
             drain.start();
             half.awaitEnd();
             behind.awaitEnd();
--- a/edge/src/test/java/lemonrail/assembly/EventLoopStallTest.java
+++ b/edge/src/test/java/lemonrail/assembly/EventLoopStallTest.java
@@ -37,13 +37,13 @@
     private static final long SEED = 24;
 
     /** Creates an endpoint that reads requests and never responds. */
-    private static Fake hung() throws IOException {
-        return new Fake((Wire wire, Wire.Message request) -> wire.awaitEnd());
+    private static StubEndpoint hung() throws IOException {
+        return new StubEndpoint((HttpTestConnection wire, HttpTestConnection.Message request) -> wire.awaitEnd());
     }
 
     /** Returns the time until the final response, in milliseconds from when the request is sent. */
-    private static double responseTimeMs(Rig rig, int clientTimeoutMs) throws IOException {
-        try (Wire wire = rig.client()) {
+    private static double responseTimeMs(SidecarFixture rig, int clientTimeoutMs) throws IOException {
+        try (HttpTestConnection wire = rig.client()) {
             String request = rig.request("read", clientTimeoutMs);
             long sent = System.nanoTime();
             wire.send(request).read();
@@ -60,12 +60,12 @@
     }
 
     /** Blocks the event loop for the given time, from when its tasks so far have run. */
-    private static Future<?> scheduleStall(Rig rig, int ms) {
+    private static Future<?> scheduleStall(SidecarFixture rig, int ms) {
         return rig.sidecar.loop().submit(() -> pause(ms));
     }
 
     /** Blocks the event loop for the given time. It is blocked when this returns. */
-    private static void startStall(Rig rig, int ms) throws InterruptedException {
+    private static void startStall(SidecarFixture rig, int ms) throws InterruptedException {
         CountDownLatch started = new CountDownLatch(1);
         rig.sidecar.loop().execute(() -> {
             started.countDown();
@@ -83,7 +83,7 @@
     }
 
     /** Sends concurrent requests and returns how many get their response after the client timeout. */
-    private static int countLateResponses(Rig rig, int clientTimeoutMs) throws Exception {
+    private static int countLateResponses(SidecarFixture rig, int clientTimeoutMs) throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(REQUESTS);
         try {
             List<Future<Double>> responseTimes = new ArrayList<>();
@@ -103,12 +103,12 @@
     /** Guards against an attempt that times out only at its client's deadline. */
     @Test
     void failureArrivesBeforeClientDeadline() throws Exception {
-        Fake first = hung();
-        Fake second = hung();
-        try (Rig rig = new Rig(first, second).start()) {
+        StubEndpoint first = hung();
+        StubEndpoint second = hung();
+        try (SidecarFixture rig = new SidecarFixture(first, second).start()) {
             int late = countLateResponses(rig, STALLED_CLIENT_TIMEOUT_MS);
             assertTrue(late <= REQUESTS / TOLERATED_LATE_FRACTION, late + " of " + REQUESTS + " were late");
-            for (Wire.Message request : first.requests) {
+            for (HttpTestConnection.Message request : first.requests) {
                 long sentDeadlineMs = Long.parseLong(request.headers().get("x-deadline-ms"));
                 assertTrue(
                         sentDeadlineMs < STALLED_CLIENT_TIMEOUT_MS, "an attempt timeout of " + sentDeadlineMs + " ms");
@@ -119,9 +119,9 @@
     /** Guards against a deadline that counts from when a request is read, though it arrived long before. */
     @Test
     void attemptDeadlineExcludesTimeInReceiveQueue() throws Exception {
-        Fake endpoint = Fake.answering(200, "", "ok");
-        try (Rig rig = new Rig(endpoint).start();
-                Wire wire = rig.client()) {
+        StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "ok");
+        try (SidecarFixture rig = new SidecarFixture(endpoint).start();
+                HttpTestConnection wire = rig.client()) {
             wire.send(rig.request("read", CLIENT_TIMEOUT_MS)).read();
             startStall(rig, STALL_MS);
             wire.send(rig.request("read", CLIENT_TIMEOUT_MS)).read();
@@ -136,9 +136,9 @@
     /** Guards against work for clients that have timed out: the request is not forwarded. */
     @Test
     void requestReadAfterItsDeadlineIsRejected() throws Exception {
-        Fake endpoint = Fake.answering(200, "", "ok");
-        try (Rig rig = new Rig(endpoint).start();
-                Wire wire = rig.client()) {
+        StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "ok");
+        try (SidecarFixture rig = new SidecarFixture(endpoint).start();
+                HttpTestConnection wire = rig.client()) {
             wire.send(rig.request("read", CLIENT_TIMEOUT_MS)).read();
             startStall(rig, 2 * CLIENT_TIMEOUT_MS);
             assertEquals(
@@ -151,19 +151,19 @@
     /** Guards against late responses that operators cannot trace. */
     @Test
     void lateResponseIsCountedAndLogged() throws Exception {
-        Fake endpoint = hung();
-        try (Rig rig = new Rig(endpoint).start();
-                Wire client = rig.client()) {
-            endpoint.script = (wire, request) -> {
+        StubEndpoint endpoint = hung();
+        try (SidecarFixture rig = new SidecarFixture(endpoint).start();
+                HttpTestConnection client = rig.client()) {
+            endpoint.requestHandler = (wire, request) -> {
                 // The response and the attempt timeout both wait for the loop, which is blocked before either exists.
                 startStall(rig, STALLED_CLIENT_TIMEOUT_MS + CLIENT_TIMEOUT_MS);
-                Fake.answer(wire, 200, "", "late");
+                StubEndpoint.respond(wire, 200, "", "late");
             };
             client.send(rig.request("read", STALLED_CLIENT_TIMEOUT_MS)).read();
-            Rig.await(
+            SidecarFixture.await(
                     "the late response is logged",
                     () -> rig.logged().contains("a response was given after its client's deadline"));
-            assertTrue(rig.operate("GET", "/v1/metrics").body().contains("edge_gw.answers_late=1"));
+            assertTrue(rig.callAdmin("GET", "/v1/metrics").body().contains("edge_gw.answers_late=1"));
         }
     }
 
@@ -172,7 +172,9 @@
     void failuresArriveBeforeClientDeadlineDuringRandomStalls() throws Exception {
         SplittableRandom random = new SplittableRandom(SEED);
         AtomicBoolean over = new AtomicBoolean();
-        try (Rig rig = new Rig(hung(), hung(), Fake.answering(503, "X-Not-Run: 1\r\n", "full")).start()) {
+        try (SidecarFixture rig = new SidecarFixture(
+                        hung(), hung(), StubEndpoint.respondingWith(503, "X-Not-Run: 1\r\n", "full"))
+                .start()) {
             // The longest stall comes first, as the reserve follows the lag that was measured.
             scheduleStall(rig, LONGEST_STALL_MS).get();
             Thread stalls = new Thread(() -> {
@@ -192,14 +194,14 @@
     /** Guards against a deadline sent as if the connection had been established at once. */
     @Test
     void attemptDeadlineExcludesConnectTime() throws Exception {
-        try (LateFake late = new LateFake();
-                Rig rig = new Rig()) {
+        try (LateStubEndpoint late = new LateStubEndpoint();
+                SidecarFixture rig = new SidecarFixture()) {
             rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
             rig.start();
-            try (Wire wire = rig.client()) {
+            try (HttpTestConnection wire = rig.client()) {
                 wire.send(rig.request("read", STALLED_CLIENT_TIMEOUT_MS));
-                Rig.await("an attempt waits for its connection", () -> rig.inHand() == 1);
+                SidecarFixture.await("an attempt waits for its connection", () -> rig.openRequests() == 1);
                 late.release();
                 assertEquals(200, wire.read().status());
             }
--- a/edge/src/test/java/lemonrail/assembly/ReconnectFloodTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReconnectFloodTest.java
@@ -39,44 +39,44 @@
     /** Requests of returning clients that the load balancer may reject, as it lacks capacity for all. */
     private static final int MAX_REJECTED = RETURNING_IN_FLOOD * ROUNDS / 10;
 
-    private Rig rig;
-    private final List<Wire> clients = new ArrayList<>();
+    private SidecarFixture rig;
+    private final List<HttpTestConnection> clients = new ArrayList<>();
 
     @AfterEach
     void stop() throws IOException {
-        for (Wire client : clients) {
+        for (HttpTestConnection client : clients) {
             client.close();
         }
         rig.close();
     }
 
-    private void start(int sockets, Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
+    private void start(int sockets, StubEndpoint... endpoints) throws IOException {
+        rig = new SidecarFixture(endpoints);
         rig.sockets = sockets;
         rig.start();
     }
 
-    private static Fake good() throws IOException {
-        return Fake.answering(200, "", "served");
+    private static StubEndpoint good() throws IOException {
+        return StubEndpoint.respondingWith(200, "", "served");
     }
 
-    private Wire client() throws IOException {
-        Wire client = rig.client();
+    private HttpTestConnection client() throws IOException {
+        HttpTestConnection client = rig.client();
         clients.add(client);
         return client;
     }
 
-    private Wire.Message request(Wire client) throws IOException {
+    private HttpTestConnection.Message request(HttpTestConnection client) throws IOException {
         return client.send(rig.request("read", DEADLINE_MS)).read();
     }
 
-    private void assertServed(Wire client, String which) throws IOException {
+    private void assertServed(HttpTestConnection client, String which) throws IOException {
         assertEquals(200, request(client).status(), which);
     }
 
     /** Returns a client that has sent a second request on its connection. */
-    private Wire returningClient() throws IOException {
-        Wire client = client();
+    private HttpTestConnection returningClient() throws IOException {
+        HttpTestConnection client = client();
         assertServed(client, "first");
         assertServed(client, "again");
         return client;
@@ -88,11 +88,11 @@
     @Test
     void newClientsDoNotEvictReturningOnes() throws Exception {
         start(1, good());
-        List<Wire> known = List.of(returningClient(), returningClient());
+        List<HttpTestConnection> known = List.of(returningClient(), returningClient());
         for (int i = 0; i < 5 * MAX_CONNECTIONS; i++) {
             assertServed(client(), "newcomer " + i);
         }
-        for (Wire client : known) {
+        for (HttpTestConnection client : known) {
             assertServed(client, "known");
         }
     }
@@ -120,10 +120,10 @@
         for (int i = 0; i < RETURNING; i++) {
             returningClient();
         }
-        try (Rig other = new Rig(good())) {
+        try (SidecarFixture other = new SidecarFixture(good())) {
             other.folder = rig.folder;
             other.start();
-            Rig.await("the limits are shared", () -> rig.logged().contains("the limits are shared"));
+            SidecarFixture.await("the limits are shared", () -> rig.logged().contains("the limits are shared"));
             assertServed(client(), "newcomer");
         }
     }
@@ -132,21 +132,21 @@
     @Test
     void clientThatIsNeverIdleIsDisconnectedForANewOne() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Fake.Script held = (wire, request) -> {
+        StubEndpoint.RequestHandler held = (wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "served");
+            StubEndpoint.respond(wire, 200, "", "served");
         };
-        start(1, new Fake(held), new Fake(held), new Fake(held));
+        start(1, new StubEndpoint(held), new StubEndpoint(held), new StubEndpoint(held));
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             client().send(rig.request("read", DEADLINE_MS));
         }
-        Rig.await("all are in flight", () -> rig.attempts() == MAX_CONNECTIONS);
-        Wire newcomer = client();
+        SidecarFixture.await("all are in flight", () -> rig.attempts() == MAX_CONNECTIONS);
+        HttpTestConnection newcomer = client();
         rig.settle();
         release.countDown();
-        List<Wire> kept = new ArrayList<>();
-        for (Wire client : clients.subList(0, MAX_CONNECTIONS)) {
-            Wire.Message answer = client.read();
+        List<HttpTestConnection> kept = new ArrayList<>();
+        for (HttpTestConnection client : clients.subList(0, MAX_CONNECTIONS)) {
+            HttpTestConnection.Message answer = client.read();
             assertEquals(200, answer.status());
             if ("close".equals(answer.headers().get("connection"))) {
                 client.close();
@@ -173,7 +173,7 @@
     private void flood(int number, boolean persistent, AtomicBoolean over, AtomicInteger responses) {
         int sent = 0;
         while (!over.get()) {
-            try (Wire client = rig.client()) {
+            try (HttpTestConnection client = rig.client()) {
                 do {
                     client.send("GET /api HTTP/1.1\r\nX-Request-Id: f" + number + "-" + sent++
                                     + "\r\nX-Class: read\r\nHost: x\r\nX-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n")
--- a/edge/src/test/java/lemonrail/control/ControlNodeTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeTest.java
@@ -461,10 +461,10 @@
                         Nodes.anyPort(),
                         null,
                         List.of(nodes.node("w1").asPeer()),
-                        ControlConfig.MOST_WATCHERS,
-                        ControlConfig.ANSWER_GAP_MS,
+                        ControlConfig.DEFAULT_MAX_WATCHERS,
+                        ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                         folder,
-                        LogSettings.USUAL),
+                        LogSettings.DEFAULT),
                 new TextSink(System.err));
         nodes.all.add(again);
         again.open();
@@ -481,10 +481,10 @@
                         Nodes.anyPort(),
                         null,
                         List.of(nodes.node("w1").asPeer()),
-                        ControlConfig.MOST_WATCHERS,
-                        ControlConfig.ANSWER_GAP_MS,
+                        ControlConfig.DEFAULT_MAX_WATCHERS,
+                        ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                         folder,
-                        LogSettings.USUAL),
+                        LogSettings.DEFAULT),
                 new TextSink(System.err));
         nodes.all.add(alone);
         long began = System.nanoTime();
@@ -521,10 +521,10 @@
                                     .filter(other -> other != node)
                                     .map(ControlNode::asPeer)
                                     .toList(),
-                            ControlConfig.MOST_WATCHERS,
-                            ControlConfig.ANSWER_GAP_MS,
+                            ControlConfig.DEFAULT_MAX_WATCHERS,
+                            ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                             folder,
-                            LogSettings.USUAL),
+                            LogSettings.DEFAULT),
                     new TextSink(System.err));
             nodes.all.add(fresh);
             again.add(fresh);
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -74,7 +74,7 @@
                     channel.writeAndFlush(frame).addListener(done -> {
                         written = done.isSuccess();
                         if (written && listener != null) {
-                            context.metrics().dispatched();
+                            context.metrics().onDispatch();
                             listener.onRequestWritten();
                         }
                     });
