--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -242,7 +242,7 @@
     public void reject(String id, double retryAfterMs) {
         PendingRequest<M, A> request = requests.findUnconcluded(id);
         if (request != null) {
-            responses.shed(request, retryAfterMs);
+            responses.reject(request, retryAfterMs);
         }
     }
 
--- a/edge/src/main/java/lemonrail/exchange/RequestOutcome.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestOutcome.java
@@ -8,8 +8,8 @@
     STREAMING("streaming"),
     /** An endpoint rejected it as invalid. */
     REJECTED_BY_ENDPOINT("rejected"),
-    /** The balancer shed it before it was executed. */
-    SHED("refused"),
+    /** The balancer rejected it; sending it again is harmless. */
+    REJECTED("refused"),
     /** The balancer gave it up. */
     FAILED("failed"),
     /** The dispatcher gave it up without the balancer. */
--- a/edge/src/main/java/lemonrail/exchange/ResponseDelivery.java
+++ b/edge/src/main/java/lemonrail/exchange/ResponseDelivery.java
@@ -35,8 +35,8 @@
     }
 
     /** Rejects a request that was not executed. */
-    void shed(PendingRequest<M, A> request, double retryAfterMs) {
-        conclude(request, RequestOutcome.SHED);
+    void reject(PendingRequest<M, A> request, double retryAfterMs) {
+        conclude(request, RequestOutcome.REJECTED);
         request.sink().rejected(retryAfterMs);
     }
 
--- a/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
+++ b/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
@@ -54,7 +54,7 @@
     private final Clock clock;
     private final ConnectionTimer timer;
     private final LingeringClose lingeringClose;
-    private final RequestDeadline requestDeadline = new RequestDeadline();
+    private final RequestReadTimeout requestReadTimeout = new RequestReadTimeout();
     private RequestState requestState = RequestState.CONNECTED;
     private InputState inputState = InputState.FORWARDED;
     /** What is held back, or null. */
@@ -82,14 +82,14 @@
 
     private void startRequestTimeout(ChannelHandlerContext ctx) {
         graceUsed = false;
-        requestDeadline.start(clock.now());
-        timer.start(RequestDeadline.MAX_HEAD_MS, () -> checkRequestTimeout(ctx));
+        requestReadTimeout.start(clock.now());
+        timer.start(RequestReadTimeout.MAX_HEAD_MS, () -> checkRequestTimeout(ctx));
     }
 
     private void checkRequestTimeout(ChannelHandlerContext ctx) {
-        double remainingMs = requestDeadline.remainingMs(clock.now());
-        if (requestDeadline.isPaused()) {
-            timer.start(RequestDeadline.MIN_BODY_MS, () -> checkRequestTimeout(ctx));
+        double remainingMs = requestReadTimeout.remainingMs(clock.now());
+        if (requestReadTimeout.isPaused()) {
+            timer.start(RequestReadTimeout.MIN_BODY_MS, () -> checkRequestTimeout(ctx));
         } else if (remainingMs > 0) {
             timer.start((int) Math.ceil(remainingMs), () -> checkRequestTimeout(ctx));
         } else if (useGrace()) {
@@ -153,7 +153,7 @@
         if (wasIdle) {
             startRequestTimeout(ctx);
         }
-        requestDeadline.onBytesRead(input.readableBytes());
+        requestReadTimeout.onBytesRead(input.readableBytes());
         ctx.fireChannelRead(input);
     }
 
@@ -203,22 +203,22 @@
 
     /** Notes that a head is whole and its body is still to come. */
     void onHeadRead() {
-        requestDeadline.onHeadRead(clock.now());
+        requestReadTimeout.onHeadRead(clock.now());
     }
 
     /** Notes that the sidecar stops or resumes reading a body. */
     void onBodyReading(boolean reading) {
         if (reading) {
-            requestDeadline.resume(clock.now());
+            requestReadTimeout.resume(clock.now());
         } else {
-            requestDeadline.pause(clock.now());
+            requestReadTimeout.pause(clock.now());
         }
     }
 
     /** Notes that a request is whole: no time limit until it is responded to. */
     void onRequestRead() {
         requestState = RequestState.RESPONDING;
-        requestDeadline.onRequestRead();
+        requestReadTimeout.onRequestRead();
         timer.cancel();
     }
 
@@ -237,8 +237,8 @@
             requestState = RequestState.IDLE;
             graceUsed = false;
             timer.start(MAX_IDLE_MS, this::closeIdle);
-        } else if (requestDeadline.isInBody()) {
-            requestDeadline.allowBodyTime(clock.now());
+        } else if (requestReadTimeout.isInBody()) {
+            requestReadTimeout.allowBodyTime(clock.now());
             checkRequestTimeout(ctx);
         } else {
             startRequestTimeout(ctx);
--- a/edge/src/main/java/lemonrail/http1/RequestDeadline.java
+++ b/edge/src/main/java/lemonrail/http1/RequestReadTimeout.java
@@ -5,7 +5,7 @@
  * keeps up a minimum rate. Time in which the body is not read does not count. All times are in milliseconds of
  * the event loop's clock.
  */
-final class RequestDeadline {
+final class RequestReadTimeout {
 
     /** From the first byte to the end of a head, and from the connect to the first byte. */
     static final int MAX_HEAD_MS = 2500;
