--- a/edge/src/main/java/lemonrail/assembly/Sidecar.java
+++ b/edge/src/main/java/lemonrail/assembly/Sidecar.java
@@ -31,6 +31,7 @@
 import lemonrail.core.policy.BoxcarLoadBalancer;
 import lemonrail.discovery.ControlClient;
 import lemonrail.discovery.DiscoveryClient;
+import lemonrail.discovery.SettingsOutcome;
 import lemonrail.exchange.Downstream;
 import lemonrail.exchange.EventLoopContext;
 import lemonrail.exchange.Protocol;
@@ -228,11 +229,11 @@
                 : new ControlClient(loop, clock, config.control(), config.names(), config.seed(), log);
         connect(protocol, half);
         if (discovery != null) {
-            discovery.listen(exchange);
+            discovery.setListener(exchange);
         }
         if (control != null) {
-            control.listen(exchange);
-            control.takeSettings(this::takeSettings);
+            control.setListener(exchange);
+            control.setSettingsHandler(this::takeSettings);
         }
         adminServer = new AdminServer(loop, Sockets.BUFFERS, new Controls(), log.in("admin")::bug);
         metrics.gauge("log_dropped", sink::dropped);
@@ -243,8 +244,8 @@
             int bound = i;
             metrics.gauge("loop_late.over_" + boundsMs[i] + "ms", () -> lag.timesOver(bound));
         }
-        metrics.gauge("targets", suspensions::listed);
-        metrics.gauge("targets_disabled", () -> suspensions.listedSuspended() + exchange.ejectedEndpoints());
+        metrics.gauge("targets", suspensions::listedCount);
+        metrics.gauge("targets_disabled", () -> suspensions.listedSuspendedCount() + exchange.ejectedEndpoints());
         loop.scheduleWithFixedDelay(this::lookRound, LOOK_ROUND_MS, LOOK_ROUND_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -279,16 +280,16 @@
     }
 
     /** Takes the control nodes' settings document up, or goes back to the file's own; null, or why not. */
-    private String takeSettings(String text) {
+    private SettingsOutcome takeSettings(String text) {
         try {
             BalancerSettings next = text == null ? config.settings() : SettingsDocument.over(config.settings(), text);
             if (!exchange.settings(next)) {
-                return "the decider of this edge takes no settings while it runs";
+                return new SettingsOutcome.Rejected("the decider of this edge takes no settings while it runs");
             }
             inForce = next;
-            return null;
+            return new SettingsOutcome.Applied();
         } catch (IllegalArgumentException e) {
-            return e.getMessage();
+            return new SettingsOutcome.Rejected(e.getMessage());
         }
     }
 
@@ -390,12 +391,12 @@
         EdgeConfig now = next.config();
         if (discovery != null && now.discovery() != null) {
             log.info("config_reloaded", "configuration read again: discovery is at " + now.discovery());
-            discovery.move(now.discovery());
+            discovery.moveTo(now.discovery());
         } else {
             log.info("config_reloaded", "configuration read again");
         }
         if (discovery == null && control == null) {
-            exchange.listed(now.known());
+            exchange.onEndpointList(now.known());
         }
         now.logging().levels().forEach(sink::level);
         List<String> kept = unchangeable(next.values());
@@ -559,7 +560,7 @@
         }
 
         private Verdict change(String word, String endpoint, Change change) {
-            if (!suspensions.knows(endpoint)) {
+            if (!suspensions.isKnown(endpoint)) {
                 return Verdict.UNKNOWN_ENDPOINT;
             }
             try {
--- a/edge/src/main/java/lemonrail/cli/ConfigurationSummary.java
+++ b/edge/src/main/java/lemonrail/cli/ConfigurationSummary.java
@@ -22,21 +22,21 @@
                 + (config.admin() == null
                         ? ", without an operators' door"
                         : ", operators call " + plain(config.admin())));
-        long ready = config.known().servers().stream()
+        long ready = config.known().endpoints().stream()
                 .filter(server -> server.state() == EndpointState.READY)
                 .count();
         lines.add("  it would send to "
                 + (config.control() != null
                         ? "what "
-                                + config.control().addresses().size() + " control nodes and "
-                                + config.control().fallbacks().size() + " fallbacks list of "
+                                + config.control().regionNodes().size() + " control nodes and "
+                                + config.control().fallbackNodes().size() + " fallbacks list of "
                                 + (config.control().services().isEmpty()
                                         ? "all services"
                                         : config.control().services())
                         : config.discovery() == null
-                                ? ready + " of " + config.known().servers().size() + " fixed endpoints"
+                                ? ready + " of " + config.known().endpoints().size() + " fixed endpoints"
                                 : "what discovery at " + plain(config.discovery()) + " lists, and start from "
-                                        + config.known().servers().size() + " known endpoints"));
+                                        + config.known().endpoints().size() + " known endpoints"));
         for (RequestClass kind : config.settings().classes()) {
             lines.add("  class " + kind.name() + ": "
                     + switch (kind.idempotency()) {
--- a/edge/src/main/java/lemonrail/config/EdgeConfig.java
+++ b/edge/src/main/java/lemonrail/config/EdgeConfig.java
@@ -41,7 +41,7 @@
         EndpointList known,
         BalancerSettings settings,
         LogSettings logging,
-        ControlClient.Plan control) {
+        ControlClient.Subscription control) {
 
     /** A file of this edge's own, which its next process finds as well. */
     public Path kept(String what) {
--- a/edge/src/main/java/lemonrail/config/EdgeConfigReader.java
+++ b/edge/src/main/java/lemonrail/config/EdgeConfigReader.java
@@ -51,7 +51,7 @@
         TableReader list = document.one(Schema.LIST);
         InetSocketAddress discovery = list.get(Schema.DISCOVERY);
         Double discoveryWaitMs = list.get(Schema.DISCOVERY_WAIT);
-        ControlClient.Plan control = control(list, name, discoveryWaitMs);
+        ControlClient.Subscription control = control(list, name, discoveryWaitMs);
         if (document.has(Schema.PEERS)) {
             document.wrong(Schema.PEERS.name(), null, "goes into a control node's file");
         }
@@ -128,7 +128,7 @@
     }
 
     /** The control nodes to watch at, or null where there are none. */
-    private static ControlClient.Plan control(TableReader list, String name, Double waitMs) {
+    private static ControlClient.Subscription control(TableReader list, String name, Double waitMs) {
         List<InetSocketAddress> nodes = list.get(Schema.NODES);
         List<InetSocketAddress> fallbacks = list.get(Schema.FALLBACKS);
         List<String> services = list.get(Schema.SERVICES);
@@ -144,7 +144,7 @@
         if (list.has(Schema.DISCOVERY)) {
             list.contradicts(Schema.NODES, "takes the place of discovery.address: one of the two must go");
         }
-        return new ControlClient.Plan(
+        return new ControlClient.Subscription(
                 name,
                 nodes,
                 fallbacks == null ? List.of() : fallbacks,
--- a/edge/src/main/java/lemonrail/config/PlatformFile.java
+++ b/edge/src/main/java/lemonrail/config/PlatformFile.java
@@ -11,6 +11,9 @@
 import java.util.Map;
 import lemonrail.core.SettingsReader;
 import lemonrail.discovery.EndpointList;
+import lemonrail.discovery.EndpointListReader;
+import lemonrail.discovery.SocketAddressReader;
+import lemonrail.json.InvalidFieldException;
 import lemonrail.json.Json;
 import lemonrail.logging.LogSettings;
 
@@ -35,13 +38,13 @@
             throw whole(0, "GW_CONFIG names a file that is not there");
         }
         try {
-            if (!(Json.value(bytes) instanceof Map<?, ?> config)) {
+            if (!(Json.parse(bytes) instanceof Map<?, ?> config)) {
                 throw whole(1, "it holds no JSON object");
             }
             return of(config);
         } catch (JsonProcessingException e) {
             throw whole(e.getLocation().getLineNr(), "it is not JSON: " + e.getOriginalMessage());
-        } catch (EndpointList.BadField e) {
+        } catch (InvalidFieldException e) {
             throw new ConfigException(List.of(
                     new ConfigProblem(file, JsonLines.line(bytes, e.field()), e.field(), e.value(), e.getMessage())));
         } catch (IllegalArgumentException e) {
@@ -63,9 +66,9 @@
                 words("settings.azs", settings.get("azs")), words("settings.models", settings.get("models")));
         return new EdgeConfig(
                 String.valueOf(config.get("name")),
-                List.of(EndpointList.address("listen", config.get("listen"))),
+                List.of(SocketAddressReader.read("listen", config.get("listen"))),
                 adminAddress(config.get("mgmt")),
-                EndpointList.address("discovery", config.get("discovery")),
+                SocketAddressReader.read("discovery", config.get("discovery")),
                 discoveryWaitMs(),
                 folder(environment),
                 seed(config.get("seed")),
@@ -73,7 +76,7 @@
                 (int) positive("limits.sockets", limit(config, "sockets")),
                 positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")),
                 names,
-                EndpointList.of(object("known", config.get("known")), names),
+                EndpointListReader.read(object("known", config.get("known")), names),
                 SettingsReader.settings(settings),
                 LogSettings.USUAL,
                 null);
@@ -86,9 +89,9 @@
     private InetSocketAddress adminAddress(Object value) {
         String variable = environment.getOrDefault(ADMIN_VARIABLE, "");
         if (value != null) {
-            return EndpointList.address("mgmt", value);
+            return SocketAddressReader.read("mgmt", value);
         }
-        return variable.isBlank() ? null : EndpointList.address(ADMIN_VARIABLE, variable);
+        return variable.isBlank() ? null : SocketAddressReader.read(ADMIN_VARIABLE, variable);
     }
 
     /** Read like the key of the operators' file, whose reader is loaded only where the variable is set. */
@@ -116,7 +119,7 @@
         try {
             return Long.parseUnsignedLong(value instanceof String text ? text : "", 16);
         } catch (NumberFormatException e) {
-            throw EndpointList.bad("seed", value);
+            throw new InvalidFieldException("seed", value);
         }
     }
 
@@ -124,7 +127,7 @@
         if (value instanceof Double number && number > 0) {
             return number;
         }
-        throw EndpointList.bad(field, value);
+        throw new InvalidFieldException(field, value);
     }
 
     @SuppressWarnings("unchecked")
@@ -132,12 +135,12 @@
         if (value instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw EndpointList.bad(field, value);
+        throw new InvalidFieldException(field, value);
     }
 
     private static List<String> words(String field, Object value) {
         if (!(value instanceof List<?> list)) {
-            throw EndpointList.bad(field, value);
+            throw new InvalidFieldException(field, value);
         }
         List<String> words = new ArrayList<>();
         for (Object word : list) {
--- a/edge/src/main/java/lemonrail/config/PlatformValues.java
+++ b/edge/src/main/java/lemonrail/config/PlatformValues.java
@@ -43,7 +43,11 @@
             all.put("tenants." + tenant.name(), tenant.requestsPerSecond() + " a second");
         }
         for (EndpointList.Entry entry : config.known().entries()) {
-            all.add("endpoints." + entry.server().id(), entry.address(), all.json + " (until discovery speaks)", true);
+            all.add(
+                    "endpoints." + entry.endpoint().id(),
+                    entry.address(),
+                    all.json + " (until discovery speaks)",
+                    true);
         }
         all.put("limits.memory", (long) config.memoryMb() + "MiB");
         all.put("limits.descriptors", config.sockets());
--- a/edge/src/main/java/lemonrail/control/ConfigurationChange.java
+++ b/edge/src/main/java/lemonrail/control/ConfigurationChange.java
@@ -1,54 +1,51 @@
 package lemonrail.control;
 
+import lemonrail.core.replication.ReplicatedStore;
 import lemonrail.core.replication.VersionedEntry;
 
 /**
- * A change of an operator's, checked.
+ * A validated change of an operator.
  *
- * @param topic the service, or that of a settings document
- * @param body what is said, empty where the thing is gone
- * @param asOfMs the time that it stands for, or {@link Long#MAX_VALUE} for now
+ * @param topic the service, or the topic of a settings document
+ * @param id the endpoint, or the document's name
+ * @param removed whether the entry is removed
+ * @param body the new content, empty for a removal
+ * @param asOfMs the time that the change stands for, {@link ReplicatedStore#AS_OF_NOW} for the present
  */
 public record ConfigurationChange(String topic, String id, boolean removed, String body, long asOfMs) {
 
-    /** An endpoint of a service, in the platform's form as JSON; what is bad names the field. */
+    /**
+     * Adds or updates an endpoint.
+     *
+     * @param json the endpoint in the platform's form
+     * @throws IllegalArgumentException if a field is invalid, naming it
+     */
     public static ConfigurationChange endpoint(String service, String id, byte[] json) {
+        String topic = EntryNames.require("service", service);
         return new ConfigurationChange(
-                EntryCodec.word("service", service),
-                id,
-                false,
-                EntryCodec.endpoint(id, EntryCodec.object(json)),
-                Long.MAX_VALUE);
+                topic, id, false, EndpointBody.encode(id, EntryCodec.parseObject(json)), ReplicatedStore.AS_OF_NOW);
     }
 
-    /** An endpoint is no more. */
-    public static ConfigurationChange endpointGone(String service, String id) {
-        return new ConfigurationChange(
-                EntryCodec.word("service", service), EntryCodec.word("id", id), true, "", Long.MAX_VALUE);
+    /** Removes an endpoint. */
+    public static ConfigurationChange removeEndpoint(String service, String id) {
+        String topic = EntryNames.require("service", service);
+        return new ConfigurationChange(topic, EntryNames.require("id", id), true, "", ReplicatedStore.AS_OF_NOW);
     }
 
-    /** A settings document. */
+    /** Adds or updates a settings document. */
     public static ConfigurationChange settings(String name, String text) {
-        return new ConfigurationChange(
-                VersionedEntry.SETTINGS_TOPIC_PREFIX + EntryCodec.word("settings", name),
-                name,
-                false,
-                EntryCodec.document(text),
-                Long.MAX_VALUE);
+        String topic = VersionedEntry.settingsTopic(EntryNames.require("settings", name));
+        return new ConfigurationChange(topic, name, false, EntryCodec.requireDocument(text), ReplicatedStore.AS_OF_NOW);
     }
 
-    /** A settings document is no more. */
-    public static ConfigurationChange settingsGone(String name) {
-        return new ConfigurationChange(
-                VersionedEntry.SETTINGS_TOPIC_PREFIX + EntryCodec.word("settings", name),
-                name,
-                true,
-                "",
-                Long.MAX_VALUE);
+    /** Removes a settings document. */
+    public static ConfigurationChange removeSettings(String name) {
+        String topic = VersionedEntry.settingsTopic(EntryNames.require("settings", name));
+        return new ConfigurationChange(topic, name, true, "", ReplicatedStore.AS_OF_NOW);
     }
 
-    /** The same for what was so at an earlier time. */
-    public ConfigurationChange asOf(long ms) {
-        return new ConfigurationChange(topic, id, removed, body, ms);
+    /** Returns the same change on behalf of a given time. */
+    public ConfigurationChange asOf(long timeMs) {
+        return new ConfigurationChange(topic, id, removed, body, timeMs);
     }
 }
--- a/edge/src/main/java/lemonrail/control/ControlAdminApi.java
+++ b/edge/src/main/java/lemonrail/control/ControlAdminApi.java
@@ -5,7 +5,6 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Supplier;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -16,18 +15,22 @@
 import lemonrail.config.ConfigProblem;
 import lemonrail.config.SettingsDocument;
 import lemonrail.core.replication.MergeOutcome;
+import lemonrail.core.replication.ReplicatedStore;
 import lemonrail.core.replication.VersionedEntry;
 import lemonrail.json.Json;
 
-/** The operators' calls at a control node: which is which, and what each does. */
+/** Maps the requests of the admin API of a control node to its operations. */
 final class ControlAdminApi implements AdminHandlers {
 
-    static final int MOST_BODY_BYTES = 4 * EntryCodec.MOST_DOCUMENT;
+    /** A document may need several bytes a character. */
+    static final int MAX_BODY_BYTES = 4 * EntryCodec.MAX_DOCUMENT_CHARS;
 
-    private static final Pattern SERVICE = Pattern.compile("/v1/services/([^/]+)/endpoints");
-    private static final Pattern ENDPOINT =
+    private static final Pattern SERVICE_PATH = Pattern.compile("/v1/services/([^/]+)/endpoints");
+    private static final Pattern ENDPOINT_PATH =
             Pattern.compile("/v1/services/([^/]+)/endpoints/([^/]+)(/drain|/activate)?");
-    private static final Pattern SETTINGS = Pattern.compile("/v1/settings/([^/]+)");
+    private static final Pattern SETTINGS_PATH = Pattern.compile("/v1/settings/([^/]+)");
+    private static final String DRAIN_ACTION = "/drain";
+    private static final String AS_OF_PARAMETER = "as_of_ms";
 
     private final ControlNode node;
 
@@ -37,9 +40,9 @@
 
     @Override
     public AdminResponse answer(HttpMethod method, String uri, byte[] body) {
-        QueryStringDecoder call = new QueryStringDecoder(uri);
+        QueryStringDecoder query = new QueryStringDecoder(uri);
         try {
-            return route(method, call.path(), asOf(call), body);
+            return route(method, query.path(), asOfMs(query), body);
         } catch (ConfigException e) {
             return AdminResponse.of(
                     HttpResponseStatus.BAD_REQUEST,
@@ -51,77 +54,84 @@
         }
     }
 
-    private static long asOf(QueryStringDecoder call) {
-        List<String> given = call.parameters().get("as_of_ms");
-        return given == null ? Long.MAX_VALUE : Long.parseLong(given.get(0));
+    private static long asOfMs(QueryStringDecoder query) {
+        List<String> values = query.parameters().get(AS_OF_PARAMETER);
+        return values == null ? ReplicatedStore.AS_OF_NOW : Long.parseLong(values.get(0));
     }
 
     private AdminResponse route(HttpMethod method, String path, long asOfMs, byte[] body) {
-        Matcher endpoint = ENDPOINT.matcher(path);
+        Matcher endpoint = ENDPOINT_PATH.matcher(path);
         if (endpoint.matches()) {
-            return endpoint(method, endpoint.group(1), endpoint.group(2), endpoint.group(3), asOfMs, body);
+            String service = endpoint.group(1);
+            String id = endpoint.group(2);
+            String action = endpoint.group(3);
+            return action == null
+                    ? handleEndpoint(method, service, id, asOfMs, body)
+                    : handleEndpointAction(method, service, id, action, asOfMs);
         }
-        Matcher settings = SETTINGS.matcher(path);
+        Matcher settings = SETTINGS_PATH.matcher(path);
         if (settings.matches()) {
-            return settings(method, settings.group(1), asOfMs, body);
+            return handleSettings(method, settings.group(1), asOfMs, body);
         }
-        Matcher service = SERVICE.matcher(path);
+        Matcher service = SERVICE_PATH.matcher(path);
         if (service.matches()) {
-            return only(
-                    HttpMethod.GET,
-                    method,
-                    () -> new AdminResponse(
-                            HttpResponseStatus.OK,
-                            "{" + EntryCodec.lists(node.items(EntryCodec.word("service", service.group(1)))) + "}\n",
-                            null));
+            return only(HttpMethod.GET, method, () -> listEndpoints(service.group(1)));
         }
         return switch (path) {
-            case "/v1/readyz" ->
-                only(
-                        HttpMethod.GET,
-                        method,
-                        () -> node.isReady()
-                                ? AdminResponse.of(HttpResponseStatus.OK, "ready")
-                                : AdminResponse.of(
-                                        HttpResponseStatus.SERVICE_UNAVAILABLE, "no other node has been heard yet"));
-            case "/v1/control" ->
-                only(HttpMethod.GET, method, () -> AdminResponse.of(HttpResponseStatus.OK, Json.text(node.status())));
-            case "/v1/metrics" -> only(HttpMethod.GET, method, this::figures);
-            case "/v1/control/begin" ->
-                only(HttpMethod.PUT, method, () -> {
-                    node.begin();
-                    return AdminResponse.of(HttpResponseStatus.OK, "begun");
-                });
+            case "/v1/readyz" -> only(HttpMethod.GET, method, this::readiness);
+            case "/v1/control" -> only(HttpMethod.GET, method, this::status);
+            case "/v1/metrics" -> only(HttpMethod.GET, method, this::metrics);
+            case "/v1/control/begin" -> only(HttpMethod.PUT, method, this::bootstrap);
             default -> AdminResponse.of(HttpResponseStatus.NOT_FOUND, "unknown path");
         };
     }
 
-    private static AdminResponse only(HttpMethod taken, HttpMethod method, Supplier<AdminResponse> call) {
-        return taken.equals(method)
-                ? call.get()
+    private static AdminResponse only(HttpMethod allowed, HttpMethod method, Supplier<AdminResponse> handler) {
+        return allowed.equals(method)
+                ? handler.get()
                 : new AdminResponse(
-                        HttpResponseStatus.METHOD_NOT_ALLOWED, "this path takes " + taken + " only\n", taken);
-    }
-
-    private AdminResponse endpoint(
-            HttpMethod method, String service, String id, String then, long asOfMs, byte[] body) {
-        VersionedEntry item = node.item(service, id);
-        boolean there = item != null && !item.removed();
-        if (then != null) {
-            String state = then.equals("/drain") ? "terminating" : "in_service";
-            return only(
-                    HttpMethod.PUT,
-                    method,
-                    () -> !there
-                            ? unknown()
-                            : put(new ConfigurationChange(
-                                    service, id, false, EntryCodec.withState(item, state), asOfMs)));
-        }
+                        HttpResponseStatus.METHOD_NOT_ALLOWED, "this path takes " + allowed + " only\n", allowed);
+    }
+
+    private AdminResponse listEndpoints(String service) {
+        List<VersionedEntry> entries = node.liveEntries(EntryNames.require("service", service));
+        return new AdminResponse(HttpResponseStatus.OK, "{" + EntryCodec.encodeEntries(entries) + "}\n", null);
+    }
+
+    private AdminResponse readiness() {
+        return node.isReady()
+                ? AdminResponse.of(HttpResponseStatus.OK, "ready")
+                : AdminResponse.of(HttpResponseStatus.SERVICE_UNAVAILABLE, "no other node has been heard yet");
+    }
+
+    private AdminResponse status() {
+        return AdminResponse.of(HttpResponseStatus.OK, Json.text(node.status().toJson()));
+    }
+
+    private AdminResponse bootstrap() {
+        node.bootstrap();
+        return AdminResponse.of(HttpResponseStatus.OK, "begun");
+    }
+
+    private AdminResponse handleEndpointAction(
+            HttpMethod method, String service, String id, String action, long asOfMs) {
+        VersionedEntry entry = node.entry(service, id);
+        String state = action.equals(DRAIN_ACTION) ? EndpointBody.STATE_DRAINING : EndpointBody.STATE_READY;
+        return only(
+                HttpMethod.PUT,
+                method,
+                () -> isLive(entry)
+                        ? put(new ConfigurationChange(service, id, false, EndpointBody.withState(entry, state), asOfMs))
+                        : notFound());
+    }
+
+    private AdminResponse handleEndpoint(HttpMethod method, String service, String id, long asOfMs, byte[] body) {
         if (method.equals(HttpMethod.GET)) {
-            return there ? AdminResponse.of(HttpResponseStatus.OK, item.body()) : unknown();
+            VersionedEntry entry = node.entry(service, id);
+            return isLive(entry) ? AdminResponse.of(HttpResponseStatus.OK, entry.body()) : notFound();
         }
         if (method.equals(HttpMethod.DELETE)) {
-            return put(ConfigurationChange.endpointGone(service, id).asOf(asOfMs));
+            return put(ConfigurationChange.removeEndpoint(service, id).asOf(asOfMs));
         }
         return only(
                 HttpMethod.PUT,
@@ -129,13 +139,17 @@
                 () -> put(ConfigurationChange.endpoint(service, id, body).asOf(asOfMs)));
     }
 
-    private AdminResponse settings(HttpMethod method, String name, long asOfMs, byte[] body) {
+    private static boolean isLive(VersionedEntry entry) {
+        return entry != null && !entry.removed();
+    }
+
+    private AdminResponse handleSettings(HttpMethod method, String name, long asOfMs, byte[] body) {
         if (method.equals(HttpMethod.GET)) {
-            String text = node.get(VersionedEntry.SETTINGS_TOPIC_PREFIX + name, name);
-            return text == null ? unknown() : new AdminResponse(HttpResponseStatus.OK, text, null);
+            String text = node.liveBody(VersionedEntry.settingsTopic(name), name);
+            return text == null ? notFound() : new AdminResponse(HttpResponseStatus.OK, text, null);
         }
         if (method.equals(HttpMethod.DELETE)) {
-            return put(ConfigurationChange.settingsGone(name).asOf(asOfMs));
+            return put(ConfigurationChange.removeSettings(name).asOf(asOfMs));
         }
         return only(HttpMethod.PUT, method, () -> {
             String text = new String(body, StandardCharsets.UTF_8);
@@ -144,52 +158,43 @@
         });
     }
 
-    private static AdminResponse unknown() {
+    private static AdminResponse notFound() {
         return AdminResponse.of(HttpResponseStatus.NOT_FOUND, "there is no such thing");
     }
 
     private AdminResponse put(ConfigurationChange change) {
-        MergeOutcome taken = node.put(change);
-        return switch (taken) {
-            case APPLIED ->
-                AdminResponse.of(
-                        HttpResponseStatus.OK,
-                        "accepted "
-                                + node.item(change.topic(), change.id())
-                                        .timestamp()
-                                        .encode());
+        MergeOutcome outcome = node.put(change);
+        return switch (outcome) {
+            case APPLIED -> AdminResponse.of(HttpResponseStatus.OK, "accepted " + timestampOf(change));
             case ALREADY_KNOWN ->
-                change.removed() ? unknown() : AdminResponse.of(HttpResponseStatus.OK, "known already");
+                change.removed() ? notFound() : AdminResponse.of(HttpResponseStatus.OK, "known already");
             case SUPERSEDED ->
-                AdminResponse.of(
-                        HttpResponseStatus.CONFLICT,
-                        "a newer word is known: "
-                                + node.item(change.topic(), change.id())
-                                        .timestamp()
-                                        .encode());
+                AdminResponse.of(HttpResponseStatus.CONFLICT, "a newer word is known: " + timestampOf(change));
             default -> AdminResponse.of(HttpResponseStatus.INSUFFICIENT_STORAGE, "there are too many items");
         };
     }
 
-    private AdminResponse figures() {
-        List<Long> figures = node.figures();
-        List<String> names = List.of("connections", "waiting", "answers", "answer_bytes", "slow_closed", "texts_made");
+    private String timestampOf(ConfigurationChange change) {
+        return node.entry(change.topic(), change.id()).timestamp().encode();
+    }
+
+    private AdminResponse metrics() {
+        WatchCounters counters = node.watchCounters();
+        ControlNodeStatus status = node.status();
         StringBuilder text = new StringBuilder();
-        for (int i = 0; i < names.size(); i++) {
-            text.append("control.")
-                    .append(names.get(i))
-                    .append('=')
-                    .append(figures.get(i))
-                    .append('\n');
-        }
-        Map<String, Object> status = node.status();
-        for (String name : List.of("items", "removed", "age_ms")) {
-            text.append("control.")
-                    .append(name)
-                    .append('=')
-                    .append(status.get(name))
-                    .append('\n');
-        }
+        appendMetric(text, "connections", counters.connections());
+        appendMetric(text, "waiting", counters.waiting());
+        appendMetric(text, "answers", counters.responses());
+        appendMetric(text, "answer_bytes", counters.responseBytes());
+        appendMetric(text, "slow_closed", counters.slowClosed());
+        appendMetric(text, "texts_made", counters.encodedBodies());
+        appendMetric(text, "items", status.entryCount());
+        appendMetric(text, "removed", status.tombstoneCount());
+        appendMetric(text, "age_ms", status.replicationAgeMs());
         return new AdminResponse(HttpResponseStatus.OK, text.toString(), null);
     }
+
+    private static void appendMetric(StringBuilder text, String name, long value) {
+        text.append("control.").append(name).append('=').append(value).append('\n');
+    }
 }
--- a/edge/src/main/java/lemonrail/control/PeerReplicator.java
+++ b/edge/src/main/java/lemonrail/control/PeerReplicator.java
@@ -2,7 +2,6 @@
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
-import java.util.Map;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import lemonrail.config.ControlConfig.Peer;
@@ -10,59 +9,62 @@
 import lemonrail.logging.EventLog;
 import lemonrail.time.Clock;
 
-/** Watches another node, call after call, by the platform's protocol. */
+/** Replicates from one peer by watching it, request after request. Belongs to the event loop. */
 final class PeerReplicator {
 
-    /** How long a call waits for news, and how much more is silence. */
+    /** How long a request waits for an update at the peer. */
     private static final int WAIT_MS = 1_000;
+    /** The additional time until a response is overdue. */
+    private static final int RESPONSE_GRACE_MS = 1_000;
 
-    private static final int SILENCE_MS = 1_000;
-    private static final int CONNECT_MS = 1_000;
-    /** The pause after a failure, with its spread. */
-    private static final int LEAST_PAUSE_MS = 100;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    /** The range of the random backoff after a failure. */
+    private static final int MIN_BACKOFF_MS = 100;
 
-    private static final int MOST_PAUSE_MS = 400;
-    private static final int MOST_BODY = 32 * 1024 * 1024;
+    private static final int MAX_BACKOFF_MS = 400;
+    private static final int MAX_RESPONSE_BYTES = 32 * 1024 * 1024;
+    private static final int STATUS_OK = 200;
+    /** Any negative version makes the next request ask for a full snapshot. */
+    private static final long NO_VERSION = -1;
 
-    /** Who hears of the answers. */
+    /** Receives the peer's responses. */
     interface Listener {
-        /** Takes an answer in; an exception fails the watch, which then asks for everything. */
-        void heard(PeerReplicator from, Map<?, ?> answer);
+        /** Merges a response; an exception fails the watch, and the next request asks for a full snapshot. */
+        void onPeerResponse(Peer peer, PeerResponse response);
     }
 
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
-    private final String own;
+    private final String ownName;
     private final Peer peer;
     private final Listener listener;
-    private final WatchClient link;
-    private Future<?> retry;
+    private final WatchClient client;
+    private Future<?> pendingRetry;
     private boolean stopped = true;
-    private String boot = "";
-    private long version = -1;
-    private double heardAt;
-    private boolean everHeard;
-    /** What the other node last said of its watchers, or null. */
-    private Object watching;
-
-    PeerReplicator(EventLoop loop, Clock clock, EventLog log, String own, Peer peer, Listener listener) {
+    private String bootId = "";
+    private long version = NO_VERSION;
+    private double lastResponseAtMs;
+    private boolean reached;
+    private Object watcherSummary;
+
+    PeerReplicator(EventLoop loop, Clock clock, EventLog log, String ownName, Peer peer, Listener listener) {
         this.loop = loop;
         this.clock = clock;
         this.log = log;
-        this.own = own;
+        this.ownName = ownName;
         this.peer = peer;
         this.listener = listener;
-        heardAt = clock.now();
-        link = new WatchClient(loop, CONNECT_MS, MOST_BODY, new WatchClient.Listener() {
+        lastResponseAtMs = clock.now();
+        client = new WatchClient(loop, CONNECT_TIMEOUT_MS, MAX_RESPONSE_BYTES, new WatchClient.Listener() {
             @Override
-            public void answered(int status, byte[] body) {
-                take(status, body);
+            public void onResponse(int status, byte[] body) {
+                handleResponse(status, body);
             }
 
             @Override
-            public void failed(Object why) {
-                fail(why);
+            public void onFailure(Object reason) {
+                handleFailure(reason);
             }
         });
     }
@@ -71,83 +73,82 @@
         return peer;
     }
 
-    /** Since this node was last heard, or since the start where it never was. */
+    /** Returns the time since the peer's last response, or since the start if there was none. */
     double ageMs() {
-        return clock.now() - heardAt;
+        return clock.now() - lastResponseAtMs;
     }
 
-    boolean wasHeard() {
-        return everHeard;
+    boolean wasReached() {
+        return reached;
     }
 
-    Object watching() {
-        return watching;
+    PeerStatus status() {
+        return new PeerStatus(peer.name(), peer.region(), reached, (long) ageMs(), watcherSummary);
     }
 
+    /** Starts the watch; one that runs goes on. */
     void start() {
         if (stopped) {
             stopped = false;
-            ask();
+            sendRequest();
         }
     }
 
     void stop() {
         stopped = true;
-        if (retry != null) {
-            retry.cancel(false);
-            retry = null;
+        if (pendingRetry != null) {
+            pendingRetry.cancel(false);
+            pendingRetry = null;
         }
-        link.end();
+        client.close();
     }
 
-    private void ask() {
-        link.call(
-                peer.address(),
-                "/registry/instances?peer=" + own
-                        + (version < 0 ? "" : "&index=" + version + "&wait=" + WAIT_MS + "&from=" + boot),
-                WAIT_MS + SILENCE_MS);
+    private void sendRequest() {
+        String resumption = version < 0 ? "" : "&index=" + version + "&wait=" + WAIT_MS + "&from=" + bootId;
+        client.send(peer.address(), "/registry/instances?peer=" + ownName + resumption, WAIT_MS + RESPONSE_GRACE_MS);
     }
 
-    private void fail(Object why) {
-        link.end();
-        log.trouble("peer_failed", "node " + peer.name() + " is not heard", why, "node", peer.name());
-        retry = loop.schedule(
+    private void handleFailure(Object reason) {
+        client.close();
+        log.trouble("peer_failed", "node " + peer.name() + " is not reached", reason, "node", peer.name());
+        pendingRetry = loop.schedule(
                 () -> {
-                    retry = null;
-                    ask();
+                    pendingRetry = null;
+                    sendRequest();
                 },
-                ThreadLocalRandom.current().nextLong(LEAST_PAUSE_MS, MOST_PAUSE_MS),
+                ThreadLocalRandom.current().nextLong(MIN_BACKOFF_MS, MAX_BACKOFF_MS),
                 TimeUnit.MILLISECONDS);
     }
 
-    private void take(int status, byte[] body) {
-        if (status != 200) {
-            fail("status " + status);
+    private void handleResponse(int status, byte[] body) {
+        if (status != STATUS_OK) {
+            handleFailure("status " + status);
             return;
         }
         try {
-            take(EntryCodec.object(body));
+            merge(PeerResponse.decode(body, this::logInvalidEntry));
         } catch (RuntimeException e) {
             if (!(e instanceof IllegalArgumentException)) {
-                log.bug("an answer of node " + peer.name(), e);
+                log.bug("a response of node " + peer.name(), e);
             }
-            // What was skipped must come again: the next call asks for everything.
-            version = -1;
-            fail(e.getMessage());
+            // What was skipped must be sent again.
+            version = NO_VERSION;
+            handleFailure(e.getMessage());
             return;
         }
-        ask();
+        sendRequest();
     }
 
-    private void take(Map<?, ?> answer) {
-        if (!(answer.get("version") instanceof Double told) || !(answer.get("node") instanceof String node)) {
-            throw new IllegalArgumentException("it is no control node");
-        }
-        listener.heard(this, answer);
-        boot = node;
-        version = told.longValue();
-        heardAt = clock.now();
-        everHeard = true;
-        watching = answer.get("watching");
+    private void logInvalidEntry(String problem) {
+        log.trouble("item_unreadable", "an entry of node " + peer.name() + " is left out", problem);
+    }
+
+    private void merge(PeerResponse response) {
+        listener.onPeerResponse(peer, response);
+        bootId = response.bootId();
+        version = response.version();
+        lastResponseAtMs = clock.now();
+        reached = true;
+        watcherSummary = response.watcherSummary();
     }
 }
--- a/edge/src/main/java/lemonrail/control/SnapshotFile.java
+++ b/edge/src/main/java/lemonrail/control/SnapshotFile.java
@@ -5,47 +5,49 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import lemonrail.core.replication.HybridTimestamp;
+import java.util.OptionalLong;
 import lemonrail.core.replication.ReplicatedStore;
 import lemonrail.core.replication.VersionedEntry;
 import lemonrail.json.Json;
 
-/** What a node knows, kept for its next start, in the form in which nodes tell each other. */
+/** A node's entries on disk, in the form in which nodes exchange them, with the time of the snapshot. */
 final class SnapshotFile {
 
+    private static final String PERSISTED_AT_FIELD = "kept_ms";
+
     private final Path file;
 
     SnapshotFile(Path file) {
         this.file = file;
     }
 
-    /** Writes all that is known; a reader finds the old file or the new one. */
-    void write(ReplicatedStore state, long nowMs) throws IOException {
-        Map<String, Object> heard = new LinkedHashMap<>();
-        for (Map.Entry<String, HybridTimestamp> entry :
-                state.acknowledgedVersions().entrySet()) {
-            heard.put(entry.getKey(), entry.getValue().encode());
-        }
-        String text = "{\"kept_ms\":" + nowMs + ",\"heard\":" + Json.text(heard) + ","
-                + EntryCodec.lists(state.allEntries()) + "}";
+    /** Writes all entries; a concurrent reader finds the old file or the new one. */
+    void write(ReplicatedStore store, long nowMs) throws IOException {
+        String text = "{\"" + PERSISTED_AT_FIELD + "\":" + nowMs
+                + ",\"heard\":" + Json.text(EntryCodec.encodeVersions(store.acknowledgedVersions()))
+                + "," + EntryCodec.encodeEntries(store.allEntries()) + "}";
         Path next = file.resolveSibling(file.getFileName() + ".next");
         Files.write(next, text.getBytes(StandardCharsets.UTF_8));
         Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Takes in what was kept, and tells when; below 0 if there is nothing. A bad file is an exception. */
-    long read(ReplicatedStore state, long nowMs) throws IOException {
+    /**
+     * Merges all entries into a store.
+     *
+     * @return the time of the snapshot, empty if there is no file
+     * @throws IllegalArgumentException if the content is invalid
+     */
+    OptionalLong read(ReplicatedStore store, long nowMs) throws IOException {
         if (!Files.exists(file)) {
-            return -1;
+            return OptionalLong.empty();
         }
-        Map<?, ?> kept = EntryCodec.object(Files.readAllBytes(file));
-        List<VersionedEntry> items = EntryCodec.items(kept, why -> {
-            throw new IllegalArgumentException(file + ": " + why);
+        Map<?, ?> snapshot = EntryCodec.parseObject(Files.readAllBytes(file));
+        List<VersionedEntry> entries = EntryCodec.decodeEntries(snapshot, problem -> {
+            throw new IllegalArgumentException(file + ": " + problem);
         });
-        state.mergeAll(nowMs, items, EntryCodec.heard(kept), "");
-        return kept.get("kept_ms") instanceof Double ms ? ms.longValue() : 0;
+        store.mergeAll(nowMs, entries, EntryCodec.decodeVersions(snapshot), "");
+        return OptionalLong.of(snapshot.get(PERSISTED_AT_FIELD) instanceof Double timeMs ? timeMs.longValue() : 0);
     }
 }
--- a/edge/src/main/java/lemonrail/control/WatchConnection.java
+++ b/edge/src/main/java/lemonrail/control/WatchConnection.java
@@ -15,316 +15,198 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.QueryStringDecoder;
-import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.TimeUnit;
-import lemonrail.core.replication.ReplicatedStore;
-import lemonrail.core.replication.VersionedEntry;
 
 /**
- * One connection of a watcher or another node: one call in hand, answered at once where there is news, and
- * else when there is or its wait is over.
+ * One connection of a watcher or a peer: it admits requests, hands them to its session and writes the
+ * responses. A client must read a response before its next request. Belongs to the event loop.
  */
-final class WatchConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
+final class WatchConnection extends SimpleChannelInboundHandler<FullHttpRequest> implements WatchSession.Responder {
 
-    /** Between two answers with news to another node. */
-    private static final double PEER_GAP_MS = 20;
-    /** What a head has beside the call's path, about. */
-    private static final int HEAD_BYTES = 80;
+    private static final String WATCH_PATH = "/registry/instances";
+    /** What a request's or response's head has besides its path, for {@link WatchObserver}. */
+    private static final int ESTIMATED_HEAD_BYTES = 80;
 
     private final WatchServer server;
-    private final WatchContext shared;
+    private final WatchContext context;
     private final SocketChannel channel;
-    private WatchRequest call;
-    /** The version that the call in hand has all up to. */
-    private long since;
-    /** Its digest has been found equal, or the whole list was sent. */
-    private boolean settled;
-
-    private String name = "";
+    private final WatchSession session;
+    private String watcherName = "";
     private String peer = "";
     private boolean keepAlive;
-    private Future<?> end;
-    private Future<?> paced;
-    private double nextAnswerAt;
-    private double lastActive;
-    private double untakenSince;
-    private long unwritten;
-    private int callBytes;
+    private double lastActiveAtMs;
+    /** Bytes of the response that is being written, 0 if there is none. */
+    private long unwrittenBytes;
+    /** When the write of the last response started, 0 if it is complete. */
+    private double writeStartedAtMs;
 
-    WatchConnection(WatchServer server, WatchContext shared, SocketChannel channel) {
+    WatchConnection(WatchServer server, WatchContext context, SocketChannel channel) {
         this.server = server;
-        this.shared = shared;
+        this.context = context;
         this.channel = channel;
-        lastActive = shared.clock().now();
+        session = new WatchSession(context, this);
+        lastActiveAtMs = context.clock().now();
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        server.opened(this);
+        server.onOpened(this);
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        lastActive = shared.clock().now();
-        if (call != null || unwritten > 0) {
-            server.closeSlow(this, "it calls before it has its answer");
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest httpRequest) {
+        lastActiveAtMs = context.clock().now();
+        if (session.isRequestInProgress() || unwrittenBytes > 0) {
+            server.closeSlow(this, "it sent a request before it had read the last response");
             return;
         }
-        keepAlive = HttpUtil.isKeepAlive(request);
-        callBytes = request.uri().length() + HEAD_BYTES;
-        QueryStringDecoder query = new QueryStringDecoder(request.uri());
-        if (request.decoderResult().isFailure()) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "malformed call");
-        } else if (!query.path().equals("/registry/instances")) {
-            refuse(HttpResponseStatus.NOT_FOUND, "unknown path");
-        } else if (!request.method().equals(HttpMethod.GET)) {
-            refuse(HttpResponseStatus.METHOD_NOT_ALLOWED, "this path takes GET only");
+        keepAlive = HttpUtil.isKeepAlive(httpRequest);
+        QueryStringDecoder query = new QueryStringDecoder(httpRequest.uri());
+        if (httpRequest.decoderResult().isFailure()) {
+            respondWithError(HttpResponseStatus.BAD_REQUEST, "malformed call");
+        } else if (!query.path().equals(WATCH_PATH)) {
+            respondWithError(HttpResponseStatus.NOT_FOUND, "unknown path");
+        } else if (!httpRequest.method().equals(HttpMethod.GET)) {
+            respondWithError(HttpResponseStatus.METHOD_NOT_ALLOWED, "this path takes GET only");
         } else {
-            try {
-                take(WatchRequest.of(query));
-            } catch (IllegalArgumentException e) {
-                refuse(HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
-            }
+            parseAndStart(query, httpRequest.uri().length() + ESTIMATED_HEAD_BYTES);
         }
     }
 
-    private void take(WatchRequest asked) {
-        peer = asked.peer();
-        if (asked.isOfPeer() && shared.node().isCut(peer)) {
-            channel.close();
-            return;
-        }
-        if (!shared.store().isReady() && !(asked.isOfPeer() && shared.node().tellsPeers())) {
-            refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready: no other node has been heard yet");
-            return;
-        }
-        if (!asked.isOfPeer() && server.isFull()) {
-            refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many watchers");
-            return;
-        }
-        if (asked.word() != null) {
-            name = asked.word().watcher();
-            server.passed(name, asked.digest(), callBytes, 0);
-            shared.inForce().onReport((long) shared.clock().now(), asked.word());
-        }
-        call = asked;
-        if (asked.isOfPeer()) {
-            takePeer();
-        } else {
-            takeWatcher();
+    private void parseAndStart(QueryStringDecoder query, int requestBytes) {
+        try {
+            start(WatchRequest.parse(query), requestBytes);
+        } catch (IllegalArgumentException e) {
+            respondWithError(HttpResponseStatus.BAD_REQUEST, String.valueOf(e.getMessage()));
         }
     }
 
-    private void takePeer() {
-        if (call.index() < 0 || !call.from().equals(shared.boot())) {
-            answer(shared.answers().toPeer(shared.store().allEntries(), true, head()));
+    private void start(WatchRequest request, int requestBytes) {
+        peer = request.peer();
+        if (request.isFromPeer() && context.node().isPartitioned(peer)) {
+            channel.close();
             return;
         }
-        since = call.index();
-        if (shared.store().entriesForPeerSince(peer, since).isEmpty()) {
-            await();
-        } else {
-            news();
-        }
-    }
-
-    private void takeWatcher() {
-        List<String> topics = shared.topics(call);
-        if (call.index() < 0 || (call.digest() == null && !settled)) {
-            whole(topics);
+        boolean servesBeforeReady = request.isFromPeer() && context.node().servesPeersUntilReady();
+        if (!context.store().isReady() && !servesBeforeReady) {
+            respondWithError(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready: no other node has been heard yet");
             return;
         }
-        since = call.from().equals(shared.boot()) || settled
-                ? call.index()
-                : ReplicatedStore.rewind(call.index(), WatchServer.OVERLAP_MS);
-        if (!settled && shared.store().digest(topics) == call.digest()) {
-            settled = true;
-            since = shared.store().currentVersion((long) shared.clock().now());
+        if (!request.isFromPeer() && server.isFull()) {
+            respondWithError(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many watchers");
+            return;
         }
-        if (shared.store().hasNewer(topics, since)) {
-            news();
-        } else if (settled) {
-            await();
-        } else {
-            whole(topics);
+        if (request.report() != null) {
+            watcherName = request.report().watcher();
+            server.onRequest(watcherName, request.digest(), requestBytes);
+            context.appliedVersions().onReport((long) context.clock().now(), request.report());
         }
+        session.start(request);
     }
 
-    private void whole(List<String> topics) {
-        settled = true;
-        answer(shared.answers().toWatcher(topics, true, -1, head()));
-    }
-
-    private Map<String, Object> head() {
-        return shared.node().head(call);
+    void onTopicsChanged(Set<String> topics) {
+        session.onTopicsChanged(topics);
     }
 
-    /** Something has arrived in these topics. */
-    void changed(Set<String> topics) {
-        if (call != null && isAbout(topics)) {
-            news();
-        }
-    }
-
-    /** The other node that asks, or empty. */
+    /** Returns the name of the peer at the other end, empty if it is none. */
     String peer() {
         return peer;
     }
 
-    /** Whether an answer has waited to be taken for longer than this. */
-    boolean isUntakenFor(double ms) {
-        return untakenSince > 0 && shared.clock().now() - untakenSince > ms;
+    /** Returns the watcher's name, empty if it has not given one. */
+    String watcherName() {
+        return watcherName;
     }
 
-    /** Whether it has had no call in hand, and nothing has passed on it, for longer than this. */
-    boolean isIdleFor(double ms) {
-        return call == null && shared.clock().now() - lastActive > ms;
+    /** Returns whether a response has been waiting to be written for longer than this. */
+    boolean isWritingForLongerThan(double ms) {
+        return writeStartedAtMs > 0 && context.clock().now() - writeStartedAtMs > ms;
     }
 
-    /** The watcher's name, or empty where it has not told one. */
-    String name() {
-        return name;
+    /** Returns whether it has had no request in progress and no traffic for longer than this. */
+    boolean isIdleForLongerThan(double ms) {
+        return !session.isRequestInProgress() && context.clock().now() - lastActiveAtMs > ms;
     }
 
     void close() {
         channel.close();
     }
 
-    /** Closes at once, with what the other side has not taken. */
+    /** Closes at once, discarding what is not written. */
     void reset() {
         channel.config().setSoLinger(0);
         channel.close();
     }
 
-    private void await() {
-        server.waits(this);
-        end = shared.loop().schedule(this::give, call.waitMs(), TimeUnit.MILLISECONDS);
-    }
-
-    private boolean isAbout(Set<String> topics) {
-        return call.isOfPeer()
-                || topics.stream()
-                        .anyMatch(topic -> call.topics().contains(topic)
-                                || (call.all() && !topic.startsWith(VersionedEntry.SETTINGS_TOPIC_PREFIX)));
-    }
-
-    /** There is something to tell: now, or once the gap since the last answer is over. */
-    private void news() {
-        double inMs = nextAnswerAt - shared.clock().now();
-        if (inMs <= 0) {
-            if (call.isOfPeer()
-                    && shared.store().entriesForPeerSince(peer, since).isEmpty()) {
-                return;
-            }
-            give();
-        } else if (paced == null) {
-            paced = shared.loop()
-                    .schedule(
-                            () -> {
-                                paced = null;
-                                give();
-                            },
-                            (long) (inMs * 1e6),
-                            TimeUnit.NANOSECONDS);
-        }
-    }
-
-    private void give() {
-        if (call == null) {
-            return;
-        }
-        ByteBuf text;
-        boolean news;
-        if (call.isOfPeer()) {
-            List<VersionedEntry> items = shared.store().entriesForPeerSince(peer, since);
-            news = !items.isEmpty();
-            text = shared.answers().toPeer(items, false, head());
-        } else {
-            List<String> topics = shared.topics(call);
-            news = shared.store().hasNewer(topics, since);
-            text = shared.answers().toWatcher(topics, false, since, head());
-        }
-        if (news) {
-            nextAnswerAt = shared.clock().now() + (call.isOfPeer() ? PEER_GAP_MS : shared.gapMs());
-        }
-        answer(text);
+    @Override
+    public void onWaiting() {
+        server.onWaiting(this);
     }
 
-    private void refuse(HttpResponseStatus status, String why) {
-        write(status, Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8));
+    @Override
+    public void respond(ByteBuf body) {
+        server.onSuccess();
+        write(HttpResponseStatus.OK, body);
     }
 
-    private void answer(ByteBuf text) {
-        server.answered();
-        write(HttpResponseStatus.OK, text);
+    private void respondWithError(HttpResponseStatus status, String reason) {
+        write(status, Unpooled.copiedBuffer(reason + "\n", StandardCharsets.UTF_8));
     }
 
-    private void write(HttpResponseStatus status, ByteBuf text) {
-        done();
-        int size = text.readableBytes();
-        server.written(size);
-        server.passed(name, null, 0, size + HEAD_BYTES);
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text);
+    private void write(HttpResponseStatus status, ByteBuf body) {
+        endRequest();
+        int bodyBytes = body.readableBytes();
+        server.onResponse(watcherName, bodyBytes, bodyBytes + ESTIMATED_HEAD_BYTES);
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         response.headers()
-                .set(HttpHeaderNames.CONTENT_LENGTH, size)
-                .set(HttpHeaderNames.CONTENT_TYPE, status.code() == 200 ? "application/json" : "text/plain");
+                .set(HttpHeaderNames.CONTENT_LENGTH, bodyBytes)
+                .set(
+                        HttpHeaderNames.CONTENT_TYPE,
+                        status.equals(HttpResponseStatus.OK) ? "application/json" : "text/plain");
         HttpUtil.setKeepAlive(response, keepAlive);
-        unwritten = size;
+        unwrittenBytes = bodyBytes;
         ChannelFuture written = channel.writeAndFlush(response);
         if (written.isDone()) {
-            written(written);
+            onWritten(written);
             return;
         }
-        untakenSince = shared.clock().now();
-        written.addListener(done -> written(written));
-        server.untaken(this, size);
+        writeStartedAtMs = context.clock().now();
+        written.addListener(done -> onWritten(written));
+        server.onWriteStarted(this, bodyBytes);
     }
 
-    private void written(ChannelFuture written) {
-        taken();
-        lastActive = shared.clock().now();
+    private void onWritten(ChannelFuture written) {
+        endWrite();
+        lastActiveAtMs = context.clock().now();
         if (!written.isSuccess() || !keepAlive) {
             channel.close();
         }
     }
 
-    /** Nothing of an answer waits to be taken any more. */
-    private void taken() {
-        server.taken(this, unwritten);
-        unwritten = 0;
-        untakenSince = 0;
+    private void endWrite() {
+        server.onWriteEnded(this, unwrittenBytes);
+        unwrittenBytes = 0;
+        writeStartedAtMs = 0;
     }
 
-    /** No call is in hand from here on. */
-    private void done() {
-        call = null;
-        server.waitsNoMore(this);
-        if (end != null) {
-            end.cancel(false);
-            end = null;
-        }
-        if (paced != null) {
-            paced.cancel(false);
-            paced = null;
-        }
+    private void endRequest() {
+        server.onWaitingEnded(this);
+        session.end();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        server.closed(this);
-        done();
-        taken();
+        server.onClosed(this);
+        endRequest();
+        endWrite();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            shared.log().bug("a watcher's connection", cause);
+            context.log().bug("a watcher's connection", cause);
         }
         ctx.close();
     }
--- a/edge/src/main/java/lemonrail/control/WatchContext.java
+++ b/edge/src/main/java/lemonrail/control/WatchContext.java
@@ -5,38 +5,35 @@
 import java.util.List;
 import lemonrail.core.replication.AppliedVersions;
 import lemonrail.core.replication.ReplicatedStore;
-import lemonrail.core.replication.VersionedEntry;
 import lemonrail.logging.EventLog;
 import lemonrail.time.Clock;
 
 /**
  * What all watches of a node share.
  *
- * @param boot of this node: versions are its own
- * @param mostWatchers connections of watchers beyond which calls are turned away
- * @param gapMs between two answers with news to one watcher
+ * @param bootId identifies this process; versions of another one must be converted
+ * @param maxWatchers watcher connections beyond which requests are rejected
+ * @param responseGapMs the minimum time between two updates to one watcher
  */
 record WatchContext(
         EventLoop loop,
         Clock clock,
         EventLog log,
         ReplicatedStore store,
-        AppliedVersions inForce,
+        AppliedVersions appliedVersions,
         WatchServer.Node node,
-        String boot,
-        int mostWatchers,
-        double gapMs,
-        WatchResponseCache answers) {
+        String bootId,
+        int maxWatchers,
+        double responseGapMs,
+        WatchResponseCache responses) {
 
-    /** The topics that a call is about. */
-    List<String> topics(WatchRequest call) {
-        if (!call.all()) {
-            return call.topics();
+    /** Returns the topics of a request; one for all services means those that exist now. */
+    List<String> topics(WatchRequest request) {
+        if (!request.allServices()) {
+            return request.topics();
         }
-        List<String> all = new ArrayList<>(call.topics());
-        store.topics().stream()
-                .filter(topic -> !topic.startsWith(VersionedEntry.SETTINGS_TOPIC_PREFIX))
-                .forEach(all::add);
-        return all;
+        List<String> topics = new ArrayList<>(request.topics());
+        store.topics().stream().filter(WatchRequest::isServiceTopic).forEach(topics::add);
+        return topics;
     }
 }
--- a/edge/src/main/java/lemonrail/control/WatchObserver.java
+++ b/edge/src/main/java/lemonrail/control/WatchObserver.java
@@ -1,15 +1,15 @@
 package lemonrail.control;
 
-/** Sees what passes between a node and its watchers, on the node's thread, as experiments measure it. */
+/** Observes the traffic between a node and its watchers, on the node's event loop, for measurements. */
 public interface WatchObserver {
 
     /**
-     * A call has come or an answer has gone out.
+     * A request has arrived, or a response has been written.
      *
-     * @param watcher its name, empty where it tells none
-     * @param digest over what it held as it called, null where it tells none and with answers
-     * @param calledBytes of the call, headers counted by their usual size; 0 with an answer
-     * @param answeredBytes the same of the answer
+     * @param watcher its name, empty if it gives none
+     * @param digest the digest over its entries at its request; null if it gives none, and for responses
+     * @param requestBytes the size of the request, with an estimate for the headers; 0 for a response
+     * @param responseBytes the same for a response; 0 for a request
      */
-    void passed(String watcher, Long digest, int calledBytes, int answeredBytes);
+    void onTraffic(String watcher, Long digest, int requestBytes, int responseBytes);
 }
--- a/edge/src/main/java/lemonrail/control/WatchRequest.java
+++ b/edge/src/main/java/lemonrail/control/WatchRequest.java
@@ -4,92 +4,104 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
 import lemonrail.core.replication.HybridTimestamp;
 import lemonrail.core.replication.VersionedEntry;
 import lemonrail.core.replication.WatcherReport;
 
 /**
- * A call of a watch, as its query says.
+ * One request of a watch, as its query says.
  *
- * @param topics what is wanted by name, sorted
- * @param all whether all services are wanted, as none was named
- * @param index the version that the watcher knows, or below 0 where it wants the whole list
- * @param waitMs how long to wait for news
- * @param from the boot that told that version, or empty
- * @param digest of what the watcher holds, or null where it tells none
- * @param peer the node that asks, or empty where a sidecar does
- * @param word who asks and what is in force there, or null where it doesn't say
+ * @param topics the topics named, sorted
+ * @param allServices whether all services are watched, as none is named
+ * @param version the version to resume from, negative to request a full snapshot
+ * @param waitMs how long to wait for an update
+ * @param bootId identifies the process that the version is of, or empty
+ * @param digest the digest over the watcher's entries, or null if it gives none
+ * @param peer the name of the requesting node, empty for a sidecar
+ * @param report what the watcher reports of itself, or null
  */
 record WatchRequest(
         List<String> topics,
-        boolean all,
-        long index,
+        boolean allServices,
+        long version,
         long waitMs,
-        String from,
+        String bootId,
         Long digest,
         String peer,
-        WatcherReport word) {
+        WatcherReport report) {
 
-    private static final long MOST_WAIT_MS = 60_000;
-    private static final int MOST_TOPICS = 256;
-    private static final int MOST_WHY = 200;
+    private static final long NO_VERSION = -1;
+    private static final long MAX_WAIT_MS = 60_000;
+    private static final int MAX_TOPICS = 256;
+    private static final int MAX_REASON_CHARS = 200;
+    private static final int HEXADECIMAL = 16;
 
-    /** Reads a query; what is bad is an exception that names the parameter. */
-    static WatchRequest of(QueryStringDecoder query) {
-        Map<String, List<String>> given = query.parameters();
-        TreeSet<String> topics = new TreeSet<>();
-        for (String several : given.getOrDefault("service", List.of())) {
-            for (String service : several.split(",")) {
-                topics.add(EntryCodec.word("service", service));
-            }
-        }
-        boolean all = topics.isEmpty();
-        String document = first(given, "settings", "");
+    /**
+     * Parses a query.
+     *
+     * @throws IllegalArgumentException if a parameter is invalid, naming it
+     */
+    static WatchRequest parse(QueryStringDecoder query) {
+        Map<String, List<String>> parameters = query.parameters();
+        Set<String> topics = services(parameters);
+        boolean allServices = topics.isEmpty();
+        String document = first(parameters, "settings", "");
         if (!document.isEmpty()) {
-            topics.add(VersionedEntry.SETTINGS_TOPIC_PREFIX + EntryCodec.word("settings", document));
+            topics.add(VersionedEntry.settingsTopic(EntryNames.require("settings", document)));
         }
-        if (topics.size() > MOST_TOPICS) {
-            throw new IllegalArgumentException("there may be " + MOST_TOPICS + " topics at most");
+        if (topics.size() > MAX_TOPICS) {
+            throw new IllegalArgumentException("there may be " + MAX_TOPICS + " topics at most");
         }
-        String digest = first(given, "digest", null);
-        String peer = first(given, "peer", "");
+        String digest = first(parameters, "digest", null);
+        String peer = first(parameters, "peer", "");
         return new WatchRequest(
                 new ArrayList<>(topics),
-                all,
-                number(given, "index", -1),
-                Math.min(MOST_WAIT_MS, number(given, "wait", 0)),
-                first(given, "from", ""),
-                digest == null ? null : Long.valueOf(Long.parseUnsignedLong(digest, 16)),
-                peer.isEmpty() ? "" : EntryCodec.word("peer", peer),
-                word(given, document));
+                allServices,
+                number(parameters, "index", NO_VERSION),
+                Math.min(MAX_WAIT_MS, number(parameters, "wait", 0)),
+                first(parameters, "from", ""),
+                digest == null ? null : Long.valueOf(Long.parseUnsignedLong(digest, HEXADECIMAL)),
+                peer.isEmpty() ? "" : EntryNames.require("peer", peer),
+                report(parameters, document));
     }
 
-    private static WatcherReport word(Map<String, List<String>> given, String document) {
-        String name = first(given, "name", "");
+    private static Set<String> services(Map<String, List<String>> parameters) {
+        Set<String> services = new TreeSet<>();
+        for (String list : parameters.getOrDefault("service", List.of())) {
+            for (String service : list.split(",")) {
+                services.add(EntryNames.require("service", service));
+            }
+        }
+        return services;
+    }
+
+    private static WatcherReport report(Map<String, List<String>> parameters, String document) {
+        String name = first(parameters, "name", "");
         if (name.isEmpty()) {
             return null;
         }
-        String inForce = first(given, "inforce", "");
-        String refused = first(given, "refused", "");
-        String why = first(given, "why", "");
+        String applied = first(parameters, "inforce", "");
+        String rejected = first(parameters, "refused", "");
+        String reason = first(parameters, "why", "");
         return new WatcherReport(
-                EntryCodec.word("name", name),
+                EntryNames.require("name", name),
                 document,
-                inForce.isEmpty() ? HybridTimestamp.NONE : HybridTimestamp.parse(inForce),
-                refused.isEmpty() ? null : HybridTimestamp.parse(refused),
-                why.substring(0, Math.min(MOST_WHY, why.length())));
+                applied.isEmpty() ? HybridTimestamp.NONE : HybridTimestamp.parse(applied),
+                rejected.isEmpty() ? null : HybridTimestamp.parse(rejected),
+                reason.substring(0, Math.min(MAX_REASON_CHARS, reason.length())));
     }
 
-    private static String first(Map<String, List<String>> given, String name, String absent) {
-        List<String> values = given.get(name);
-        return values == null || values.isEmpty() ? absent : values.get(0);
+    private static String first(Map<String, List<String>> parameters, String name, String defaultValue) {
+        List<String> values = parameters.get(name);
+        return values == null || values.isEmpty() ? defaultValue : values.get(0);
     }
 
-    private static long number(Map<String, List<String>> given, String name, long absent) {
-        String text = first(given, name, null);
+    private static long number(Map<String, List<String>> parameters, String name, long defaultValue) {
+        String text = first(parameters, name, null);
         if (text == null) {
-            return absent;
+            return defaultValue;
         }
         long number = Long.parseLong(text);
         if (number < 0) {
@@ -98,7 +110,26 @@
         return number;
     }
 
-    boolean isOfPeer() {
+    static boolean isServiceTopic(String topic) {
+        return !VersionedEntry.isSettingsTopic(topic);
+    }
+
+    /** Returns whether another node sent it, which replicates all topics. */
+    boolean isFromPeer() {
         return !peer.isEmpty();
     }
+
+    /** Returns whether it asks for a full snapshot. */
+    boolean wantsFullSnapshot() {
+        return version < 0;
+    }
+
+    /** Returns whether a change of these topics concerns it. */
+    boolean watchesAnyOf(Set<String> changedTopics) {
+        return isFromPeer() || changedTopics.stream().anyMatch(this::watches);
+    }
+
+    private boolean watches(String topic) {
+        return topics.contains(topic) || (allServices && isServiceTopic(topic));
+    }
 }
--- a/edge/src/main/java/lemonrail/control/WatchResponseCache.java
+++ b/edge/src/main/java/lemonrail/control/WatchResponseCache.java
@@ -6,87 +6,102 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import lemonrail.core.replication.HybridTimestamp;
 import lemonrail.core.replication.ReplicatedStore;
 import lemonrail.core.replication.VersionedEntry;
 import lemonrail.json.Json;
 
 /**
- * The texts of answers. What watchers of the same topics lack alike is put into words once, and its bytes are
- * shared by all of them.
+ * Encodes watch responses. Watchers of the same topics that lack the same entries share the bytes, which are
+ * encoded once. Belongs to the event loop.
  */
 final class WatchResponseCache {
 
-    /** Texts that are kept for further watchers, and their bytes at most. */
-    private static final int MOST_TEXTS = 256;
+    private static final int MAX_BODIES = 256;
+    private static final long MAX_BYTES = 8L << 20;
+    private static final int INITIAL_CAPACITY = 16;
+    private static final float LOAD_FACTOR = 0.75f;
 
-    private static final long MOST_BYTES = 8L << 20;
+    /**
+     * What makes two bodies equal.
+     *
+     * @param lastKnownArrival the last arrival that the watcher has, 0 for a full snapshot
+     * @param lastArrival the last arrival in the topics
+     */
+    private record Key(List<String> topics, boolean full, long lastKnownArrival, long lastArrival) {}
 
-    /** What makes two texts the same: the topics, what the watcher has, and what is the newest there. */
-    private record Lack(List<String> topics, boolean full, long known, long newest) {}
+    private final ReplicatedStore store;
+    /** In the order of use, the least recently used first. */
+    private final LinkedHashMap<Key, byte[]> bodies = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
-    private final ReplicatedStore state;
-    private final LinkedHashMap<Lack, byte[]> texts = new LinkedHashMap<>(16, 0.75f, true);
-    private long bytes;
-    private long made;
+    private long cachedBytes;
+    private long encodedBodies;
 
-    WatchResponseCache(ReplicatedStore state) {
-        this.state = state;
+    WatchResponseCache(ReplicatedStore store) {
+        this.store = store;
     }
 
-    /** An answer to a sidecar: the whole list, or what is newer than a version. */
-    ByteBuf toWatcher(List<String> topics, boolean full, long since, Map<String, Object> head) {
-        head.put("full", full);
-        if (full) {
-            head.put("heard", heard());
+    /** Returns a response to a sidecar with all live entries of the topics. */
+    ByteBuf fullSnapshot(List<String> topics, WatchResponseHead head) {
+        Key key = new Key(topics, true, 0, store.lastArrival(topics, Long.MAX_VALUE));
+        byte[] body = bodies.get(key);
+        if (body == null) {
+            body = encode(store.liveEntries(topics));
+            add(key, body);
         }
-        long newest = state.lastArrival(topics, Long.MAX_VALUE);
-        Lack lack = new Lack(topics, full, full ? 0 : state.lastArrival(topics, since), newest);
-        byte[] text = texts.get(lack);
-        if (text == null) {
-            text = bytes(full ? state.liveEntries(topics) : state.entriesSince(topics, since));
-            keep(lack, text);
+        return join(headWithVersions(head, true), body);
+    }
+
+    /** Returns a response to a sidecar with what has arrived in the topics after a version. */
+    ByteBuf delta(List<String> topics, long sinceVersion, WatchResponseHead head) {
+        long lastKnownArrival = store.lastArrival(topics, sinceVersion);
+        Key key = new Key(topics, false, lastKnownArrival, store.lastArrival(topics, Long.MAX_VALUE));
+        byte[] body = bodies.get(key);
+        if (body == null) {
+            body = encode(store.entriesSince(topics, sinceVersion));
+            add(key, body);
         }
-        return join(head, text);
+        return join(head(head, false), body);
     }
 
-    /** An answer to another node. */
-    ByteBuf toPeer(List<VersionedEntry> items, boolean full, Map<String, Object> head) {
-        head.put("full", full);
-        head.put("heard", heard());
-        return join(head, bytes(items));
+    /** Returns a response to a peer. */
+    ByteBuf toPeer(List<VersionedEntry> entries, boolean full, WatchResponseHead head) {
+        return join(headWithVersions(head, full), encode(entries));
     }
 
-    /** How often items were put into words. */
-    long made() {
-        return made;
+    /** Returns how many bodies were encoded, the other responses having shared them. */
+    long encodedBodies() {
+        return encodedBodies;
     }
 
-    private Map<String, Object> heard() {
-        Map<String, Object> heard = new LinkedHashMap<>();
-        for (Map.Entry<String, HybridTimestamp> entry :
-                state.acknowledgedVersions().entrySet()) {
-            heard.put(entry.getKey(), entry.getValue().encode());
-        }
-        return heard;
+    private static Map<String, Object> head(WatchResponseHead head, boolean full) {
+        Map<String, Object> json = head.toJson();
+        json.put("full", full);
+        return json;
+    }
+
+    private Map<String, Object> headWithVersions(WatchResponseHead head, boolean full) {
+        Map<String, Object> json = head(head, full);
+        json.put("heard", EntryCodec.encodeVersions(store.acknowledgedVersions()));
+        return json;
     }
 
-    private byte[] bytes(List<VersionedEntry> items) {
-        made++;
-        return ("," + EntryCodec.lists(items) + "}").getBytes(StandardCharsets.UTF_8);
+    private byte[] encode(List<VersionedEntry> entries) {
+        encodedBodies++;
+        return ("," + EntryCodec.encodeEntries(entries) + "}").getBytes(StandardCharsets.UTF_8);
     }
 
-    private void keep(Lack lack, byte[] text) {
-        texts.put(lack, text);
-        bytes += text.length;
-        while (texts.size() > MOST_TEXTS || (bytes > MOST_BYTES && texts.size() > 1)) {
-            Lack oldest = texts.keySet().iterator().next();
-            bytes -= texts.remove(oldest).length;
+    private void add(Key key, byte[] body) {
+        bodies.put(key, body);
+        cachedBytes += body.length;
+        while (bodies.size() > MAX_BODIES || (cachedBytes > MAX_BYTES && bodies.size() > 1)) {
+            Key leastRecentlyUsed = bodies.keySet().iterator().next();
+            cachedBytes -= bodies.remove(leastRecentlyUsed).length;
         }
     }
 
-    private static ByteBuf join(Map<String, Object> head, byte[] text) {
+    /** Joins the head, without its closing brace, and the shared body. */
+    private static ByteBuf join(Map<String, Object> head, byte[] body) {
         byte[] start = Json.text(head).getBytes(StandardCharsets.UTF_8);
-        return Unpooled.wrappedBuffer(Unpooled.wrappedBuffer(start, 0, start.length - 1), Unpooled.wrappedBuffer(text));
+        return Unpooled.wrappedBuffer(Unpooled.wrappedBuffer(start, 0, start.length - 1), Unpooled.wrappedBuffer(body));
     }
 }
--- a/edge/src/main/java/lemonrail/control/WatchServer.java
+++ b/edge/src/main/java/lemonrail/control/WatchServer.java
@@ -2,93 +2,78 @@
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import lemonrail.core.replication.AppliedVersions;
-import lemonrail.core.replication.ReplicatedStore;
-import lemonrail.logging.EventLog;
 import lemonrail.net.HttpListener;
 import lemonrail.net.Sockets;
-import lemonrail.time.Clock;
 
 /**
- * Serves watches: one call in hand on a connection, answered at once where there is news, and else when there
- * is or its wait is over. What a watcher doesn't take in time ends its connection, so that it holds up
- * nobody and no memory.
+ * Serves watches to sidecars and peers. It tracks the connections and bounds their number and the bytes that
+ * wait to be written: a client that reads too slowly is disconnected. Belongs to the event loop.
  */
 final class WatchServer {
 
-    /** Versions of another boot are moved back by this: news takes that long from node to node at most. */
-    static final long OVERLAP_MS = 10_000;
-    /** An answer must be taken within this time, and a connection without a call for longer is closed. */
-    static final long TAKEN_MS = 5_000;
+    /** Versions of another process are moved back by this: the longest time of replication between nodes. */
+    static final long VERSION_OVERLAP_MS = 10_000;
+    /** A response must be written within this time. */
+    static final long WRITE_TIMEOUT_MS = 5_000;
 
-    private static final long IDLE_MS = 65_000;
-    private static final long SWEEP_MS = 500;
-    /** Connections beyond the watchers' for other nodes and calls that are turned away. */
-    private static final int SPARE_CONNECTIONS = 64;
-    /** Answers that connections have not taken yet, in bytes; beyond it the longest at it is closed. */
-    private static final long MOST_UNTAKEN_BYTES = 64L << 20;
+    private static final long IDLE_TIMEOUT_MS = 65_000;
+    private static final long SWEEP_INTERVAL_MS = 500;
+    /** Connections beyond the watchers', for peers and for requests that are rejected. */
+    private static final int EXTRA_CONNECTIONS = 64;
+    /** The bound on bytes that wait to be written; beyond it the connection that waits longest is closed. */
+    private static final long MAX_UNWRITTEN_BYTES = 64L << 20;
 
     private static final int BACKLOG = 1024;
-    private static final int MOST_LINE_BYTES = 16 * 1024;
-    private static final int MOST_HEAD_BYTES = 8 * 1024;
-    private static final int MOST_CHUNK_BYTES = 4 * 1024;
-    private static final int MOST_BODY_BYTES = 1024;
+    private static final int MAX_LINE_BYTES = 16 * 1024;
+    private static final int MAX_HEAD_BYTES = 8 * 1024;
+    private static final int MAX_CHUNK_BYTES = 4 * 1024;
+    private static final int MAX_BODY_BYTES = 1024;
 
-    /** What the node adds to each answer, and who may not be answered. */
+    /** The node that is served. */
     interface Node {
-        /** The fields that tell which node answers and how old its knowledge is. */
-        Map<String, Object> head(WatchRequest call);
+        /** Returns the fields that the node adds to a response. */
+        WatchResponseHead responseHead(WatchRequest request);
 
-        /** Whether other nodes may be told what was kept, though sidecars are not yet. */
-        boolean tellsPeers();
+        /** Returns whether peers are served before the node is ready, with the entries of its snapshot. */
+        boolean servesPeersUntilReady();
 
-        /** Whether nothing passes between this node and another: tests and trials cut them apart. */
-        boolean isCut(String peer);
+        /** Returns whether nothing may be exchanged with a peer, as tests and experiments set it. */
+        boolean isPartitioned(String peer);
     }
 
-    private final WatchContext shared;
+    private final WatchContext context;
     private final Set<WatchConnection> connections = new LinkedHashSet<>();
-    /** Connections whose last answer has not gone to the system whole, the longest at it first. */
-    private final Set<WatchConnection> untaken = new LinkedHashSet<>();
-
+    /** Connections whose last response is not written completely, the one that waits longest first. */
+    private final Set<WatchConnection> unwritten = new LinkedHashSet<>();
+    /** Connections whose request waits for an update. */
     private final Set<WatchConnection> waiting = new LinkedHashSet<>();
-    private WatchObserver observer = (name, digest, calledBytes, answeredBytes) -> {};
-    private long untakenBytes;
-    private long answered;
+
+    private WatchObserver observer = (watcher, digest, requestBytes, responseBytes) -> {};
+    private long unwrittenBytes;
+    private long responses;
     private long slowClosed;
-    private long bytes;
+    private long responseBytes;
     private Channel listener;
     private Future<?> sweeping;
 
-    WatchServer(
-            EventLoop loop,
-            Clock clock,
-            EventLog log,
-            ReplicatedStore state,
-            AppliedVersions inForce,
-            Node node,
-            String boot,
-            int mostWatchers,
-            double gapMs) {
-        shared = new WatchContext(
-                loop, clock, log, state, inForce, node, boot, mostWatchers, gapMs, new WatchResponseCache(state));
+    WatchServer(WatchContext context) {
+        this.context = context;
     }
 
     ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = new HttpListener(
-                        BACKLOG, MOST_LINE_BYTES, MOST_HEAD_BYTES, MOST_CHUNK_BYTES, MOST_BODY_BYTES)
-                .bind(shared.loop(), Sockets.BUFFERS, address, accepted -> new WatchConnection(this, shared, accepted));
+        HttpListener http = new HttpListener(BACKLOG, MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES, MAX_BODY_BYTES);
+        ChannelFuture bound = http.bind(
+                context.loop(), Sockets.BUFFERS, address, accepted -> new WatchConnection(this, context, accepted));
         listener = bound.channel();
-        sweeping = shared.loop().scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweeping = context.loop()
+                .scheduleWithFixedDelay(
+                        this::closeSlowAndIdle, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         return bound;
     }
 
@@ -96,28 +81,27 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Connections that are open, calls that wait, answers given, their bytes, connections closed as slow. */
-    List<Long> figures() {
-        return List.of(
-                (long) connections.size(),
-                (long) waiting.size(),
-                answered,
-                bytes,
+    WatchCounters counters() {
+        return new WatchCounters(
+                connections.size(),
+                waiting.size(),
+                responses,
+                responseBytes,
                 slowClosed,
-                shared.answers().made());
+                context.responses().encodedBodies());
     }
 
-    void observe(WatchObserver seeing) {
-        observer = seeing;
+    void setObserver(WatchObserver newObserver) {
+        observer = newObserver;
     }
 
-    /** Something has arrived in these topics. */
-    void changed(Set<String> topics) {
-        new ArrayList<>(waiting).forEach(connection -> connection.changed(topics));
+    /** Notifies the waiting requests that entries of these topics have arrived. */
+    void onTopicsChanged(Set<String> topics) {
+        new ArrayList<>(waiting).forEach(connection -> connection.onTopicsChanged(topics));
     }
 
-    /** Closes all connections with another node. */
-    void cut(String peer) {
+    /** Closes all connections of a peer. */
+    void closePeerConnections(String peer) {
         new ArrayList<>(connections)
                 .stream().filter(connection -> connection.peer().equals(peer)).forEach(WatchConnection::close);
     }
@@ -132,77 +116,87 @@
         new ArrayList<>(connections).forEach(WatchConnection::close);
     }
 
-    private void sweep() {
+    private void closeSlowAndIdle() {
         for (WatchConnection connection : new ArrayList<>(connections)) {
-            if (connection.isUntakenFor(TAKEN_MS)) {
-                closeSlow(connection, "an answer was not taken in time");
-            } else if (connection.isIdleFor(IDLE_MS)) {
+            if (connection.isWritingForLongerThan(WRITE_TIMEOUT_MS)) {
+                closeSlow(connection, "a response was not read in time");
+            } else if (connection.isIdleForLongerThan(IDLE_TIMEOUT_MS)) {
                 connection.close();
             }
         }
     }
 
-    /** Closes a connection that holds things up. */
-    void closeSlow(WatchConnection connection, String why) {
+    /** Closes the connection of a client that is too slow or out of turn. */
+    void closeSlow(WatchConnection connection, String reason) {
         slowClosed++;
-        shared.log().trouble("watcher_closed", "a watcher's connection was closed", why, "watcher", connection.name());
+        context.log()
+                .trouble(
+                        "watcher_closed",
+                        "a watcher's connection was closed",
+                        reason,
+                        "watcher",
+                        connection.watcherName());
         connection.reset();
     }
 
-    // ---- what connections tell ----
-
-    void opened(WatchConnection connection) {
+    void onOpened(WatchConnection connection) {
         connections.add(connection);
-        if (connections.size() > shared.mostWatchers() + SPARE_CONNECTIONS) {
-            shared.log().trouble("watchers_full", "a connection was turned away", "there are too many");
+        if (connections.size() > context.maxWatchers() + EXTRA_CONNECTIONS) {
+            context.log().trouble("watchers_full", "a connection was rejected", "there are too many");
             connection.close();
         }
     }
 
-    void closed(WatchConnection connection) {
+    void onClosed(WatchConnection connection) {
         connections.remove(connection);
     }
 
-    /** Whether there are more connections than are kept for watchers. */
+    /** Returns whether there are more connections than watchers are permitted. */
     boolean isFull() {
-        return connections.size() > shared.mostWatchers();
+        return connections.size() > context.maxWatchers();
     }
 
-    /** A call waits for news. */
-    void waits(WatchConnection connection) {
+    void onWaiting(WatchConnection connection) {
         waiting.add(connection);
     }
 
-    void waitsNoMore(WatchConnection connection) {
+    void onWaitingEnded(WatchConnection connection) {
         waiting.remove(connection);
     }
 
-    /** A watcher has called, or was answered. */
-    void passed(String name, Long digest, int calledBytes, int answeredBytes) {
-        observer.passed(name, digest, calledBytes, answeredBytes);
+    void onRequest(String watcher, Long digest, int requestBytes) {
+        observer.onTraffic(watcher, digest, requestBytes, 0);
     }
 
-    void answered() {
-        answered++;
+    /** Counts a successful response. */
+    void onSuccess() {
+        responses++;
     }
 
-    void written(int size) {
-        bytes += size;
+    /**
+     * Counts the bytes of any response.
+     *
+     * @param bodyBytes the size of its body
+     * @param totalBytes the same with an estimate for the headers
+     */
+    void onResponse(String watcher, int bodyBytes, int totalBytes) {
+        responseBytes += bodyBytes;
+        observer.onTraffic(watcher, null, 0, totalBytes);
     }
 
-    /** An answer has not gone to the system whole; where too much waits so, the longest at it is closed. */
-    void untaken(WatchConnection connection, int size) {
-        untaken.add(connection);
-        untakenBytes += size;
-        while (untakenBytes > MOST_UNTAKEN_BYTES && !untaken.isEmpty()) {
-            closeSlow(untaken.iterator().next(), "too much waits to be taken");
+    /** Tracks a response that could not be written at once, and closes connections while there are too many. */
+    void onWriteStarted(WatchConnection connection, int bodyBytes) {
+        unwritten.add(connection);
+        unwrittenBytes += bodyBytes;
+        while (unwrittenBytes > MAX_UNWRITTEN_BYTES && !unwritten.isEmpty()) {
+            closeSlow(unwritten.iterator().next(), "too many bytes wait to be written");
         }
     }
 
-    /** Nothing of an answer of this size waits any more. */
-    void taken(WatchConnection connection, long size) {
-        if (untaken.remove(connection)) {
-            untakenBytes -= size;
+    /** Ends the tracking of a response, written or failed. */
+    void onWriteEnded(WatchConnection connection, long bodyBytes) {
+        if (unwritten.remove(connection)) {
+            unwrittenBytes -= bodyBytes;
         }
     }
 }
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -1,27 +1,6 @@
 package lemonrail.discovery;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.SocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -29,263 +8,205 @@
 import java.util.concurrent.TimeUnit;
 import lemonrail.core.WatchSchedule;
 import lemonrail.logging.EventLog;
-import lemonrail.net.Sockets;
 
 /**
- * Watches the list of endpoints, call after call. A watch that is broken is opened anew after a pause,
- * whether lists are pushed or asked for, as one clock runs for what it misses. There is one watch at a time,
- * and one pause: who asks for a watch meanwhile ends the pause.
+ * Watches the endpoint list at the platform's discovery, request after request. There is one request at a
+ * time. After a failure the watch resumes after a backoff, which {@link #watch} cuts short. Belongs to the event
+ * loop.
  */
 public final class DiscoveryClient {
 
-    private static final int MOST_BODY = 4 * 1024 * 1024;
-    /** A busy loop may have read nothing for longer than a limit: at its end it gets so long to do it. */
-    private static final int READ_FIRST_MS = 10;
+    private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
+    /** After a time limit a busy event loop gets this long to read what has arrived meanwhile. */
+    private static final int READ_GRACE_MS = 10;
 
-    /** What comes of the watch. */
-    public interface Listener {
-        /** Called on the event loop with each list or change that has arrived. */
-        void listed(EndpointList list);
+    private static final int STATUS_OK = 200;
+    private static final double NANOS_PER_MS = 1e6;
+
+    /** The phases of a request, each of which has a time limit. */
+    private enum Phase {
+        CONNECTING("no connection in time"),
+        WAITING_FOR_RESPONSE("no answer in time"),
+        RECEIVING_RESPONSE("no whole answer in time");
+
+        private final String timeoutReason;
+
+        Phase(String timeoutReason) {
+            this.timeoutReason = timeoutReason;
+        }
     }
 
     private final EventLoop loop;
     private final EndpointList.Names names;
-    private final WatchSchedule pace;
+    private final WatchSchedule schedule;
     private final EventLog log;
-    private final Bootstrap bootstrap;
-    private Listener listener;
+    private final HttpGetClient http;
+    private EndpointListListener listener;
     private InetSocketAddress address;
-    /** What is known of the list at this address; none calls for the whole of it. */
+    /** The version of the list at this address; empty to request a full snapshot. */
     private OptionalLong version;
 
-    private Channel channel;
-    /** A call is on its way, though it may still wait for its connection. */
-    private boolean calling;
-    /** Ends a call that gets no connection, or no answer, or not the rest of it. */
-    private Future<?> limit;
-    /** When an answer that has begun must be whole, by {@link System#nanoTime}; 0 before it begins. */
-    private long wholeByNs;
-    /** Opens the watch anew after a failure. */
-    private Future<?> retry;
+    private Phase phase = Phase.CONNECTING;
+    private Future<?> phaseTimeout;
+    /** When the response must be complete, by {@link System#nanoTime}; valid while it is received. */
+    private long responseDeadlineNs;
 
+    private Future<?> pendingRetry;
     private boolean closed;
 
-    /** A client of the discovery at this address, where the list of the known version is from. */
+    /**
+     * Creates a client, which watches from the first {@link #watch} on.
+     *
+     * @param address of the discovery
+     * @param knownVersion the version of the list that is known already
+     */
     public DiscoveryClient(
             EventLoop loop,
             InetSocketAddress address,
             EndpointList.Names names,
-            long known,
-            WatchSchedule pace,
+            long knownVersion,
+            WatchSchedule schedule,
             EventLog log) {
         this.loop = loop;
         this.address = address;
         this.names = names;
-        this.version = OptionalLong.of(known);
-        this.pace = pace;
+        version = OptionalLong.of(knownVersion);
+        this.schedule = schedule;
         this.log = log.in("discovery");
-        bootstrap = new Bootstrap()
-                .group(loop)
-                .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0)
-                .handler(new ChannelInitializer<SocketChannel>() {
+        http = new HttpGetClient(
+                loop, HttpGetClient.NO_CONNECT_TIMEOUT, MAX_RESPONSE_BYTES, new HttpGetClient.Listener() {
+                    @Override
+                    public String onConnected() {
+                        return startWaiting();
+                    }
+
+                    @Override
+                    public void onBytesReceived() {
+                        restartReceiveTimeout();
+                    }
+
+                    @Override
+                    public void onResponse(int status, byte[] body) {
+                        cancelPhaseTimeout();
+                        handleResponse(status, body);
+                    }
+
                     @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline()
-                                .addLast(
-                                        new Pieces(),
-                                        new HttpClientCodec(),
-                                        new HttpObjectAggregator(MOST_BODY),
-                                        new Calls());
+                    public void onFailure(Object reason) {
+                        handleFailure(reason);
                     }
                 });
     }
 
-    /** Who hears of lists. */
-    public void listen(Listener hearer) {
-        listener = hearer;
+    /** Sets the receiver of the endpoint lists. */
+    public void setListener(EndpointListListener newListener) {
+        listener = newListener;
     }
 
     /**
-     * Goes on at another address, at once and without a word of failure. Versions are counted anew there,
-     * so it is asked for the whole list.
+     * Continues at another address, at once and without a failure. Its versions are unrelated, so a full
+     * snapshot is requested.
      */
-    public void move(InetSocketAddress to) {
-        if (to.equals(address)) {
+    public void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = to;
+        address = newAddress;
         version = OptionalLong.empty();
-        // How often the old address failed says nothing of the new one.
-        pace.answered();
-        callEnded();
-        dropConnection();
+        // The failures of the old address say nothing of the new one.
+        schedule.answered();
+        cancelPhaseTimeout();
+        http.close();
         watch();
     }
 
-    /** Starts a watch; one that is on goes on, and its next answer serves for both. */
+    /** Starts a request unless one is in flight; a pending backoff ends. */
     public void watch() {
-        if (calling || closed) {
+        if (http.isInFlight() || closed) {
             return;
         }
-        calling = true;
-        if (retry != null) {
-            retry.cancel(false);
-            retry = null;
+        cancelRetry();
+        if (!http.isConnectedTo(address)) {
+            enterPhase(Phase.CONNECTING, WatchSchedule.silenceMs());
         }
-        if (channel != null && channel.isActive()) {
-            ask();
-            return;
-        }
-        limit("no connection in time", WatchSchedule.silenceMs());
-        ChannelFuture connecting = bootstrap.connect(address);
-        channel = connecting.channel();
-        connecting.addListener(connected -> {
-            if (connecting.channel() != channel) {
-                return;
-            }
-            if (connected.isSuccess()) {
-                ask();
-            } else {
-                fail(connected.cause());
-            }
-        });
+        http.send(address);
     }
 
-    /** Ends the watch for good; whoever asks for one from here on gets none. */
+    /** Ends the watch for good. */
     public void close() {
         closed = true;
-        callEnded();
-        dropConnection();
-        if (retry != null) {
-            retry.cancel(false);
-            retry = null;
-        }
-    }
-
-    private void ask() {
-        int waitMs = version.isPresent() ? pace.waitMs() : 0;
-        wholeByNs = 0;
-        // Counted from here: at the start the loop may be busy for long between a call's connection and it.
-        limit("no answer in time", waitMs + WatchSchedule.silenceMs());
-        FullHttpRequest call = new DefaultFullHttpRequest(
-                HttpVersion.HTTP_1_1,
-                HttpMethod.GET,
-                "/registry/instances"
-                        + (version.isPresent() ? "?index=" + version.getAsLong() + "&wait=" + waitMs : ""),
-                Unpooled.EMPTY_BUFFER);
-        call.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
-        channel.writeAndFlush(call);
+        cancelPhaseTimeout();
+        http.close();
+        cancelRetry();
     }
 
-    private void limit(String why, int ms) {
-        if (limit != null) {
-            limit.cancel(false);
+    private void cancelRetry() {
+        if (pendingRetry != null) {
+            pendingRetry.cancel(false);
+            pendingRetry = null;
         }
-        limit = loop.schedule(
-                () -> {
-                    limit = loop.schedule(() -> fail(why), READ_FIRST_MS, TimeUnit.MILLISECONDS);
-                },
-                ms,
-                TimeUnit.MILLISECONDS);
     }
 
-    private void fail(Object why) {
-        dropConnection();
-        if (callEnded()) {
-            log.trouble("discovery_failed", "discovery failed", why, "address", address);
-            retry = loop.schedule(this::watch, (long) (pace.failed() * 1e6), TimeUnit.NANOSECONDS);
-        }
+    /** Returns the request's URI. Its time limit starts only now: the connect may have taken long. */
+    private String startWaiting() {
+        int waitMs = version.isPresent() ? schedule.waitMs() : 0;
+        enterPhase(Phase.WAITING_FOR_RESPONSE, waitMs + WatchSchedule.silenceMs());
+        String resumption = version.isPresent() ? "?index=" + version.getAsLong() + "&wait=" + waitMs : "";
+        return "/registry/instances" + resumption;
     }
 
-    private void dropConnection() {
-        if (channel != null) {
-            Channel dropped = channel;
-            channel = null;
-            dropped.close();
+    /** Each part of a response must follow soon, and all of it be there by its deadline. */
+    private void restartReceiveTimeout() {
+        long nowNs = System.nanoTime();
+        if (phase != Phase.RECEIVING_RESPONSE) {
+            responseDeadlineNs = nowNs + TimeUnit.MILLISECONDS.toNanos(WatchSchedule.answerMs());
         }
+        long untilDeadlineMs = TimeUnit.NANOSECONDS.toMillis(responseDeadlineNs - nowNs);
+        enterPhase(Phase.RECEIVING_RESPONSE, (int) Math.min(WatchSchedule.silenceMs(), untilDeadlineMs));
     }
 
-    /** No call is out from here on; true if one was. */
-    private boolean callEnded() {
-        boolean called = calling;
-        calling = false;
-        if (limit != null) {
-            limit.cancel(false);
-            limit = null;
-        }
-        return called;
+    private void enterPhase(Phase next, int timeoutMs) {
+        phase = next;
+        cancelPhaseTimeout();
+        phaseTimeout = loop.schedule(this::startReadGrace, timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Sees that an answer comes, of which each piece must come soon, and all of it in time. */
-    private final class Pieces extends ChannelInboundHandlerAdapter {
+    private void startReadGrace() {
+        phaseTimeout = loop.schedule(() -> http.fail(phase.timeoutReason), READ_GRACE_MS, TimeUnit.MILLISECONDS);
+    }
 
-        @Override
-        public void channelRead(ChannelHandlerContext ctx, Object piece) {
-            if (ctx.channel() == channel && limit != null) {
-                long now = System.nanoTime();
-                if (wholeByNs == 0) {
-                    wholeByNs = now + TimeUnit.MILLISECONDS.toNanos(WatchSchedule.answerMs());
-                }
-                limit("no whole answer in time", (int)
-                        Math.min(WatchSchedule.silenceMs(), TimeUnit.NANOSECONDS.toMillis(wholeByNs - now)));
-            }
-            ctx.fireChannelRead(piece);
+    private void cancelPhaseTimeout() {
+        if (phaseTimeout != null) {
+            phaseTimeout.cancel(false);
+            phaseTimeout = null;
         }
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpResponse> {
-
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (ctx.channel() != channel || limit == null) {
-                ctx.close();
-                return;
-            }
-            if (answer.decoderResult().isFailure()) {
-                fail(answer.decoderResult().cause());
-                return;
-            }
-            if (answer.status().code() != 200) {
-                fail("status " + answer.status().code());
-                return;
-            }
-            EndpointList list;
-            try {
-                list = EndpointList.parse(ByteBufUtil.getBytes(answer.content()), names);
-            } catch (IOException | IllegalArgumentException e) {
-                fail(e.getMessage());
-                return;
-            }
-            callEnded();
-            pace.answered();
-            boolean restarted = !list.full() && version.isPresent() && list.version() < version.getAsLong();
-            // Versions are counted anew: changes since another count's version would not be all there are.
-            version = restarted ? OptionalLong.empty() : OptionalLong.of(list.version());
-            if (!HttpUtil.isKeepAlive(answer)) {
-                channel = null;
-                ctx.close();
-            }
-            // The next call goes out first: it must come soon after the answer for the watch to go on.
-            watch();
-            listener.listed(list);
-        }
+    private void handleFailure(Object reason) {
+        cancelPhaseTimeout();
+        http.close();
+        log.trouble("discovery_failed", "discovery failed", reason, "address", address);
+        pendingRetry = loop.schedule(this::watch, (long) (schedule.failed() * NANOS_PER_MS), TimeUnit.NANOSECONDS);
+    }
 
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            if (ctx.channel() == channel) {
-                fail("the connection ended");
-            }
+    private void handleResponse(int status, byte[] body) {
+        if (status != STATUS_OK) {
+            handleFailure("status " + status);
+            return;
         }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (ctx.channel() == channel) {
-                fail(cause);
-            }
-            ctx.close();
+        EndpointList list;
+        try {
+            list = EndpointListReader.parse(body, names);
+        } catch (IOException | IllegalArgumentException e) {
+            handleFailure(e.getMessage());
+            return;
         }
+        schedule.answered();
+        boolean versionsRestarted = !list.full() && version.isPresent() && list.version() < version.getAsLong();
+        // A delta since another sequence's version may lack changes.
+        version = versionsRestarted ? OptionalLong.empty() : OptionalLong.of(list.version());
+        // The next request goes out first: discovery expects it soon after its response.
+        watch();
+        listener.onEndpointList(list);
     }
 }
--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -24,8 +24,8 @@
 import lemonrail.core.balancer.LoadReport;
 import lemonrail.core.balancer.Request;
 import lemonrail.core.balancer.RequestClass;
-import lemonrail.discovery.DiscoveryClient;
 import lemonrail.discovery.EndpointList;
+import lemonrail.discovery.EndpointListListener;
 import lemonrail.logging.EventLog;
 import lemonrail.metrics.Metrics;
 import lemonrail.streaming.BodyPipe;
@@ -41,8 +41,7 @@
  * @param <M> the protocol's requests
  * @param <A> the protocol's answers
  */
-public final class RequestDispatcher<M extends ProtocolRequest, A>
-        implements LoadBalancerHost, DiscoveryClient.Listener {
+public final class RequestDispatcher<M extends ProtocolRequest, A> implements LoadBalancerHost, EndpointListListener {
 
     /** So long after its deadline a request that nothing has concluded fails. */
     private static final double OVERDUE_MS = 5;
@@ -233,14 +232,14 @@
     }
 
     @Override
-    public void listed(EndpointList list) {
+    public void onEndpointList(EndpointList list) {
         tellList(list.full() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list);
     }
 
     private void tellList(EndpointUpdateKind kind, EndpointList list) {
         listed |= !list.entries().isEmpty();
         endpoints.update(list);
-        List<Endpoint> shown = suspensions.show(kind, list.servers());
+        List<Endpoint> shown = suspensions.applyUpdate(kind, list.endpoints());
         limitAttemptsAtLeavingEndpoints(kind, shown);
         raise(null, now -> module.onEndpointUpdate(now, kind, shown));
     }
@@ -265,7 +264,7 @@
 
     /** Operators see these endpoints otherwise now: the module hears of them as of any news. */
     public void retell(Collection<String> ids) {
-        List<Endpoint> shown = suspensions.shown(ids);
+        List<Endpoint> shown = suspensions.visibleEndpoints(ids);
         if (!shown.isEmpty()) {
             limitAttemptsAtLeavingEndpoints(EndpointUpdateKind.DELTA, shown);
             raise(null, now -> module.onEndpointUpdate(now, EndpointUpdateKind.DELTA, shown));
--- a/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
@@ -145,7 +145,7 @@
     public void update(EndpointList list) {
         if (list.full()) {
             Set<String> named = new HashSet<>();
-            list.entries().forEach(entry -> named.add(entry.server().id()));
+            list.entries().forEach(entry -> named.add(entry.endpoint().id()));
             for (String id : List.copyOf(endpoints.keySet())) {
                 if (!named.contains(id)) {
                     forget(id);
@@ -153,16 +153,16 @@
             }
         }
         for (EndpointList.Entry entry : list.entries()) {
-            String id = entry.server().id();
-            if (entry.server().state() == EndpointState.GONE) {
+            String id = entry.endpoint().id();
+            if (entry.endpoint().state() == EndpointState.GONE) {
                 forget(id);
                 continue;
             }
             Endpoint endpoint = endpoints.computeIfAbsent(id, k -> new Endpoint());
-            if (!entry.address().equals(endpoint.address) || entry.server().startedMs() != endpoint.startedMs) {
+            if (!entry.address().equals(endpoint.address) || entry.endpoint().startedMs() != endpoint.startedMs) {
                 retire(endpoint);
             }
-            endpoint.startedMs = entry.server().startedMs();
+            endpoint.startedMs = entry.endpoint().startedMs();
             settleAddress(endpoint, entry.address());
         }
     }
--- a/edge/src/main/java/lemonrail/http1/Warmup.java
+++ b/edge/src/main/java/lemonrail/http1/Warmup.java
@@ -212,8 +212,8 @@
             return;
         }
         if (rounds == CHANGE_BEFORE) {
-            exchange.listed(list(EndpointUpdateKind.DELTA, EndpointState.DRAINING));
-            exchange.listed(list(EndpointUpdateKind.DELTA, EndpointState.READY));
+            exchange.onEndpointList(list(EndpointUpdateKind.DELTA, EndpointState.DRAINING));
+            exchange.onEndpointList(list(EndpointUpdateKind.DELTA, EndpointState.READY));
         }
         if (client == null || !client.isActive()) {
             connect();
--- a/edge/src/main/java/lemonrail/json/Json.java
+++ b/edge/src/main/java/lemonrail/json/Json.java
@@ -12,80 +12,99 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as plain values: objects as maps, arrays as lists, numbers as {@link Double}. */
+/** Reads and writes JSON as plain values: objects as maps, arrays as lists, numbers as {@link Double}. */
 public final class Json {
 
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private Json() {}
 
-    /** Reads one value from these bytes, or null where they hold none. */
-    public static Object value(byte[] json) throws IOException {
-        try (JsonParser in = FACTORY.createParser(json)) {
-            return in.nextToken() == null ? null : value(in);
+    /** Parses one value, or returns null if the bytes hold none. */
+    public static Object parse(byte[] json) throws IOException {
+        try (JsonParser parser = FACTORY.createParser(json)) {
+            return parser.nextToken() == null ? null : parse(parser);
         }
     }
 
-    /** Reads the value that the parser stands at. */
-    public static Object value(JsonParser in) throws IOException {
-        JsonToken token = in.currentToken();
+    /** Parses the value that starts at the parser's current token. */
+    public static Object parse(JsonParser parser) throws IOException {
+        JsonToken token = parser.currentToken();
         if (token == JsonToken.START_OBJECT) {
-            Map<String, Object> map = new LinkedHashMap<>();
-            while (in.nextToken() != JsonToken.END_OBJECT) {
-                String name = in.currentName();
-                in.nextToken();
-                map.put(name, value(in));
-            }
-            return map;
+            return parseObject(parser);
         }
         if (token == JsonToken.START_ARRAY) {
-            List<Object> list = new ArrayList<>();
-            while (in.nextToken() != JsonToken.END_ARRAY) {
-                list.add(value(in));
-            }
-            return list;
+            return parseArray(parser);
         }
         if (token.isNumeric()) {
-            return in.getDoubleValue();
+            return parser.getDoubleValue();
         }
-        return token == JsonToken.VALUE_NULL ? null : token.isBoolean() ? (Object) in.getBooleanValue() : in.getText();
+        if (token.isBoolean()) {
+            return parser.getBooleanValue();
+        }
+        return token == JsonToken.VALUE_NULL ? null : parser.getText();
+    }
+
+    private static Map<String, Object> parseObject(JsonParser parser) throws IOException {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            fields.put(name, parse(parser));
+        }
+        return fields;
+    }
+
+    private static List<Object> parseArray(JsonParser parser) throws IOException {
+        List<Object> elements = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            elements.add(parse(parser));
+        }
+        return elements;
     }
 
-    /** Writes a value as text: maps, lists, whole numbers and others, text, truth values and null. */
+    /** Returns a value as JSON: a map, a list, a number, a boolean, null, or anything else as a string. */
     public static String text(Object value) {
         StringWriter text = new StringWriter();
-        try (JsonGenerator out = FACTORY.createGenerator(text)) {
-            write(out, value);
+        try (JsonGenerator generator = FACTORY.createGenerator(text)) {
+            write(generator, value);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return text.toString();
     }
 
-    private static void write(JsonGenerator out, Object value) throws IOException {
-        if (value instanceof Map<?, ?> map) {
-            out.writeStartObject();
-            for (Map.Entry<?, ?> field : map.entrySet()) {
-                out.writeFieldName(String.valueOf(field.getKey()));
-                write(out, field.getValue());
-            }
-            out.writeEndObject();
-        } else if (value instanceof List<?> list) {
-            out.writeStartArray();
-            for (Object element : list) {
-                write(out, element);
-            }
-            out.writeEndArray();
+    private static void write(JsonGenerator generator, Object value) throws IOException {
+        if (value instanceof Map<?, ?> fields) {
+            writeObject(generator, fields);
+        } else if (value instanceof List<?> elements) {
+            writeArray(generator, elements);
         } else if (value instanceof Integer || value instanceof Long) {
-            out.writeNumber(((Number) value).longValue());
+            generator.writeNumber(((Number) value).longValue());
         } else if (value instanceof Number number) {
-            out.writeNumber(number.doubleValue());
-        } else if (value instanceof Boolean truth) {
-            out.writeBoolean(truth);
+            generator.writeNumber(number.doubleValue());
+        } else if (value instanceof Boolean flag) {
+            generator.writeBoolean(flag);
         } else if (value == null) {
-            out.writeNull();
+            generator.writeNull();
         } else {
-            out.writeString(value.toString());
+            generator.writeString(value.toString());
+        }
+    }
+
+    private static void writeObject(JsonGenerator generator, Map<?, ?> fields) throws IOException {
+        generator.writeStartObject();
+        for (Map.Entry<?, ?> field : fields.entrySet()) {
+            generator.writeFieldName(String.valueOf(field.getKey()));
+            write(generator, field.getValue());
+        }
+        generator.writeEndObject();
+    }
+
+    private static void writeArray(JsonGenerator generator, List<?> elements) throws IOException {
+        generator.writeStartArray();
+        for (Object element : elements) {
+            write(generator, element);
         }
+        generator.writeEndArray();
     }
 }
--- a/edge/src/main/java/lemonrail/net/HttpListener.java
+++ b/edge/src/main/java/lemonrail/net/HttpListener.java
@@ -15,17 +15,17 @@
 import java.util.function.Function;
 
 /**
- * How to listen for HTTP calls that are handled whole, and how large they may be.
+ * Opens HTTP listeners whose requests are aggregated, and bounds the size of the requests.
  *
- * @param backlog connections that may wait to be accepted
- * @param mostLineBytes of a call's first line
- * @param mostHeadBytes of its headers
- * @param mostChunkBytes of a part of its body
- * @param mostBodyBytes of its body
+ * @param backlog the most connections that wait to be accepted
+ * @param maxLineBytes the largest request line
+ * @param maxHeadBytes the largest headers
+ * @param maxChunkBytes the largest part of a body
+ * @param maxBodyBytes the largest body
  */
-public record HttpListener(int backlog, int mostLineBytes, int mostHeadBytes, int mostChunkBytes, int mostBodyBytes) {
+public record HttpListener(int backlog, int maxLineBytes, int maxHeadBytes, int maxChunkBytes, int maxBodyBytes) {
 
-    /** Listens at an address; each connection gets a handler of its own, which is given whole calls. */
+    /** Listens at an address. Each connection gets a handler of its own, which receives complete requests. */
     public ChannelFuture bind(
             EventLoop loop,
             ByteBufAllocator buffers,
@@ -43,8 +43,8 @@
                     protected void initChannel(SocketChannel accepted) {
                         accepted.pipeline()
                                 .addLast(
-                                        new HttpServerCodec(mostLineBytes, mostHeadBytes, mostChunkBytes),
-                                        new HttpObjectAggregator(mostBodyBytes),
+                                        new HttpServerCodec(maxLineBytes, maxHeadBytes, maxChunkBytes),
+                                        new HttpObjectAggregator(maxBodyBytes),
                                         handlers.apply(accepted));
                     }
                 })
--- a/edge/src/main/java/lemonrail/simulator/SimulatorAdapter.java
+++ b/edge/src/main/java/lemonrail/simulator/SimulatorAdapter.java
@@ -330,7 +330,7 @@
                 case "entries" -> e.entries = readEntries();
                 case "params" -> {
                     expect(in.currentToken(), JsonToken.START_OBJECT, "params");
-                    e.params = (Map<String, Object>) Json.value(in);
+                    e.params = (Map<String, Object>) Json.parse(in);
                 }
                 default -> in.skipChildren();
             }
--- a/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
+++ b/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
@@ -9,6 +9,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import java.util.function.Consumer;
 import lemonrail.core.balancer.Endpoint;
@@ -17,148 +18,175 @@
 import lemonrail.logging.EventLog;
 
 /**
- * The endpoints that operators have taken out by hand, laid over discovery's list: whatever discovery says of
- * one, the decision module is shown it as draining, so that nothing the module keeps can bring it back. Every
- * change is on disk before it is confirmed, where the sidecar's next process, or its other one, finds it.
+ * The endpoints that operators have suspended, laid over discovery's list: the load balancer sees a suspended
+ * endpoint as draining, whatever discovery reports. Each change is on disk before it is confirmed, where the
+ * sidecar's other or next process finds it. Belongs to the event loop.
  */
 public final class SuspendedEndpoints {
 
-    /** Ids remembered as listed once; as endpoints are replaced all day the oldest of them go. */
-    private static final int MOST_REMEMBERED = 4096;
-    /** Endpoints out at once; more is no work of hands. */
-    private static final int MOST_SUSPENDED = 1024;
+    /** Ids remembered as listed once; the oldest are forgotten. */
+    private static final int MAX_REMEMBERED_IDS = 4096;
+    /** Endpoints suspended at once. */
+    private static final int MAX_SUSPENDED = 1024;
 
     private final SuspensionFile file;
     private final EventLog log;
     private final Map<String, Endpoint> listed = new LinkedHashMap<>();
+    /** Ids that are or were listed, the oldest first. */
     private final Set<String> everListed = new LinkedHashSet<>();
+
     private Set<String> suspended = new LinkedHashSet<>();
-    private String complaint = "";
-    private SuspensionFile.Stamp read = SuspensionFile.Stamp.ABSENT;
+    private String lastProblem = "";
+    private SuspensionFile.FileVersion readVersion = SuspensionFile.FileVersion.ABSENT;
 
-    /** The suspensions that this file keeps, which need not be there; a damaged one counts as empty. */
-    public SuspendedEndpoints(Path kept, EventLog log) {
-        file = new SuspensionFile(kept);
+    /** Loads the suspensions of a file, which may be absent; a damaged one counts as empty. */
+    public SuspendedEndpoints(Path path, EventLog log) {
+        file = new SuspensionFile(path);
         this.log = log.in("suspension");
         refresh();
     }
 
-    /** Takes in what discovery says; returns how the module is to see it. */
-    public List<Endpoint> show(EndpointUpdateKind kind, List<Endpoint> entries) {
+    /** Applies an update of discovery, and returns its endpoints as the load balancer is to see them. */
+    public List<Endpoint> applyUpdate(EndpointUpdateKind kind, List<Endpoint> endpoints) {
         if (kind != EndpointUpdateKind.DELTA) {
             listed.clear();
         }
-        List<Endpoint> shown = new ArrayList<>(entries.size());
-        for (Endpoint entry : entries) {
-            if (entry.state() == EndpointState.GONE) {
-                listed.remove(entry.id());
+        List<Endpoint> visible = new ArrayList<>(endpoints.size());
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.state() == EndpointState.GONE) {
+                listed.remove(endpoint.id());
             } else {
-                listed.put(entry.id(), entry);
-                remember(entry.id());
+                listed.put(endpoint.id(), endpoint);
+                rememberId(endpoint.id());
             }
-            shown.add(shown(entry));
+            visible.add(asVisible(endpoint));
         }
-        return shown;
+        return visible;
     }
 
-    private void remember(String id) {
+    private void rememberId(String id) {
         everListed.remove(id);
         everListed.add(id);
-        if (everListed.size() > MOST_REMEMBERED) {
-            Iterator<String> oldest = everListed.iterator();
-            oldest.next();
-            oldest.remove();
+        if (everListed.size() > MAX_REMEMBERED_IDS) {
+            Iterator<String> oldestFirst = everListed.iterator();
+            oldestFirst.next();
+            oldestFirst.remove();
         }
     }
 
-    private Endpoint shown(Endpoint entry) {
-        return entry.state() != EndpointState.READY || !suspended.contains(entry.id())
-                ? entry
-                : entry.withState(EndpointState.DRAINING);
+    private Endpoint asVisible(Endpoint endpoint) {
+        boolean hidden = endpoint.state() == EndpointState.READY && suspended.contains(endpoint.id());
+        return hidden ? endpoint.withState(EndpointState.DRAINING) : endpoint;
     }
 
-    /** The listed ones among these, as the module is to see them now. */
-    public List<Endpoint> shown(Collection<String> ids) {
+    /** Returns those of these endpoints that are listed, as the load balancer is to see them. */
+    public List<Endpoint> visibleEndpoints(Collection<String> ids) {
         return ids.stream()
                 .map(listed::get)
-                .filter(entry -> entry != null)
-                .map(this::shown)
+                .filter(Objects::nonNull)
+                .map(this::asVisible)
                 .toList();
     }
 
-    /** Whether an endpoint of this id has been in the list, or is out by hand from before. */
-    public boolean knows(String id) {
+    /** Returns whether an endpoint of this id is or was listed, or is suspended. */
+    public boolean isKnown(String id) {
         return everListed.contains(id) || suspended.contains(id);
     }
 
-    /** How many endpoints the list has. */
-    public int listed() {
+    /** Returns the number of listed endpoints. */
+    public int listedCount() {
         return listed.size();
     }
 
-    /** How many of the listed are out by hand. */
-    public int listedSuspended() {
+    /** Returns the number of listed endpoints that are suspended. */
+    public int listedSuspendedCount() {
         return (int) suspended.stream().filter(listed::containsKey).count();
     }
 
-    /** Takes an endpoint out and keeps that on disk; returns the ids that are seen otherwise from now on. */
+    /**
+     * Suspends an endpoint and persists that.
+     *
+     * @return the ids whose suspension has changed, by another process included
+     * @throws IOException if it cannot be persisted, or too many are suspended
+     */
     public Set<String> suspend(String id) throws IOException {
-        if (suspended.size() >= MOST_SUSPENDED && !suspended.contains(id)) {
-            throw new IOException("no more than " + MOST_SUSPENDED + " endpoints may be suspended at once");
+        if (suspended.size() >= MAX_SUSPENDED && !suspended.contains(id)) {
+            throw new IOException("no more than " + MAX_SUSPENDED + " endpoints may be suspended at once");
         }
-        return change(ids -> ids.add(id));
+        return update(ids -> ids.add(id));
     }
 
-    /** Lets an endpoint serve again; returns the ids that are seen otherwise from now on. */
+    /**
+     * Resumes an endpoint and persists that.
+     *
+     * @return the ids whose suspension has changed, by another process included
+     * @throws IOException if it cannot be persisted
+     */
     public Set<String> resume(String id) throws IOException {
-        return change(ids -> ids.remove(id));
+        return update(ids -> ids.remove(id));
     }
 
-    private Set<String> change(Consumer<Set<String>> change) throws IOException {
-        Set<String> now = file.change(change);
-        read = file.stamp();
-        return adopt(now);
+    private Set<String> update(Consumer<Set<String>> change) throws IOException {
+        Set<String> ids = file.update(change);
+        readVersion = file.version();
+        return replaceSuspended(ids);
     }
 
-    /** Reads what the sidecar's other process may have written; returns the ids that this changes. */
+    /** Reads what the sidecar's other process may have written, and returns the ids that have changed. */
     public Set<String> refresh() {
         try {
-            SuspensionFile.Stamp now = file.stamp();
-            if (now.equals(read)) {
+            SuspensionFile.FileVersion version = file.version();
+            if (version.equals(readVersion)) {
                 return Set.of();
             }
-            Set<String> changed = adopt(file.read());
-            read = now;
-            List<String> out = changed.stream().filter(suspended::contains).toList();
-            List<String> back =
-                    changed.stream().filter(id -> !suspended.contains(id)).toList();
-            if (!out.isEmpty()) {
-                log.info("suspended", "suspended by another process: " + out, "by", "other_process", "endpoint", out);
-            }
-            if (!back.isEmpty()) {
-                log.info("resumed", "resumed by another process: " + back, "by", "other_process", "endpoint", back);
-            }
+            Set<String> changed = replaceSuspended(file.readIds());
+            readVersion = version;
+            logChanges(changed);
             return changed;
         } catch (IOException e) {
-            complain(e.getMessage());
+            logProblem(e.getMessage());
             return Set.of();
         }
     }
 
-    /** It is tried again each time, and told once. */
-    private void complain(String why) {
-        if (!why.equals(complaint)) {
-            log.warn("suspensions_unreadable", "suspensions stay as they were: " + why);
+    private void logChanges(Set<String> changed) {
+        List<String> nowSuspended = changed.stream().filter(suspended::contains).toList();
+        List<String> nowResumed =
+                changed.stream().filter(id -> !suspended.contains(id)).toList();
+        if (!nowSuspended.isEmpty()) {
+            log.info(
+                    "suspended",
+                    "suspended by another process: " + nowSuspended,
+                    "by",
+                    "other_process",
+                    "endpoint",
+                    nowSuspended);
+        }
+        if (!nowResumed.isEmpty()) {
+            log.info(
+                    "resumed",
+                    "resumed by another process: " + nowResumed,
+                    "by",
+                    "other_process",
+                    "endpoint",
+                    nowResumed);
+        }
+    }
+
+    /** The file is read again each time; the same problem is logged once. */
+    private void logProblem(String problem) {
+        if (!problem.equals(lastProblem)) {
+            log.warn("suspensions_unreadable", "suspensions stay as they were: " + problem);
         }
-        complaint = why;
+        lastProblem = problem;
     }
 
-    private Set<String> adopt(Set<String> now) {
+    private Set<String> replaceSuspended(Set<String> ids) {
         Set<String> changed = new LinkedHashSet<>(suspended);
-        changed.removeAll(now);
-        now.stream().filter(id -> !suspended.contains(id)).forEach(changed::add);
-        suspended = new LinkedHashSet<>(now);
-        complaint = "";
+        changed.removeAll(ids);
+        ids.stream().filter(id -> !suspended.contains(id)).forEach(changed::add);
+        suspended = new LinkedHashSet<>(ids);
+        lastProblem = "";
         return changed;
     }
 }
--- a/edge/src/main/java/lemonrail/suspension/SuspensionFile.java
+++ b/edge/src/main/java/lemonrail/suspension/SuspensionFile.java
@@ -17,49 +17,56 @@
 import java.util.function.Consumer;
 
 /**
- * The suspended endpoints on disk, one a line, between a first line that says what it is and a last one that
- * counts them, so that half a file is known for one. It is always replaced whole, by a rename; the lock
- * beside it keeps two processes of one sidecar from undoing each other's words.
+ * The ids of suspended endpoints on disk, one a line, between a header and a footer with their number, by which a
+ * truncated file is detected. The file is always replaced by a rename; a lock file keeps the two processes of one
+ * sidecar from undoing each other's changes.
  */
 final class SuspensionFile {
 
-    private static final String FIRST = "suspended endpoints";
-    private static final String LAST = "in all: ";
+    private static final String HEADER = "suspended endpoints";
+    private static final String FOOTER = "in all: ";
+    private static final int FRAME_LINES = 2;
 
-    /** What the file says is not to be trusted. */
+    /** The content of the file is not valid. */
     static final class DamagedException extends IOException {
         private static final long serialVersionUID = 1;
 
-        DamagedException(String why) {
-            super(why);
+        DamagedException(String message) {
+            super(message);
         }
     }
 
-    /** Which writing of the file it is; another one has another stamp. */
-    record Stamp(Object key, long modified, long bytes) {
-        static final Stamp ABSENT = new Stamp(null, 0, 0);
+    /** Identifies one state of the file; it differs after each change. */
+    record FileVersion(Object fileKey, long modifiedMs, long bytes) {
+        static final FileVersion ABSENT = new FileVersion(null, 0, 0);
     }
 
     private final Path file;
-    private final Path lock;
-    private final Path fresh;
+    private final Path lockFile;
+    private final Path newFile;
 
     SuspensionFile(Path file) {
         this.file = file;
-        lock = file.resolveSibling(file.getFileName() + ".lock");
-        fresh = file.resolveSibling(file.getFileName() + ".new");
+        lockFile = file.resolveSibling(file.getFileName() + ".lock");
+        newFile = file.resolveSibling(file.getFileName() + ".new");
     }
 
-    Stamp stamp() throws IOException {
+    FileVersion version() throws IOException {
         try {
-            BasicFileAttributes now = Files.readAttributes(file, BasicFileAttributes.class);
-            return new Stamp(now.fileKey(), now.lastModifiedTime().toMillis(), now.size());
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return new FileVersion(
+                    attributes.fileKey(), attributes.lastModifiedTime().toMillis(), attributes.size());
         } catch (NoSuchFileException e) {
-            return Stamp.ABSENT;
+            return FileVersion.ABSENT;
         }
     }
 
-    Set<String> read() throws IOException {
+    /**
+     * Returns the ids, none if there is no file.
+     *
+     * @throws DamagedException if the content is not valid
+     */
+    Set<String> readIds() throws IOException {
         List<String> lines;
         try {
             lines = new String(Files.readAllBytes(file), StandardCharsets.UTF_8)
@@ -68,31 +75,40 @@
         } catch (NoSuchFileException e) {
             return Set.of();
         }
-        int ids = lines.size() - 2;
-        if (ids < 0 || !lines.get(0).equals(FIRST) || !lines.get(ids + 1).equals(LAST + ids)) {
+        int idCount = lines.size() - FRAME_LINES;
+        if (idCount < 0
+                || !lines.get(0).equals(HEADER)
+                || !lines.get(idCount + 1).equals(FOOTER + idCount)) {
             throw new DamagedException(file + " is damaged");
         }
-        return new LinkedHashSet<>(lines.subList(1, ids + 1));
+        return new LinkedHashSet<>(lines.subList(1, idCount + 1));
     }
 
-    /** Changes what the file holds now, whoever wrote it; returns what it holds then. */
-    Set<String> change(Consumer<Set<String>> change) throws IOException {
-        try (FileChannel channel = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-                FileLock held = channel.lock()) {
-            Set<String> ids;
-            try {
-                ids = new LinkedHashSet<>(read());
-            } catch (DamagedException e) {
-                ids = new LinkedHashSet<>();
-            }
+    /** Changes the ids under the lock, and returns the new ones; a damaged file counts as empty. */
+    Set<String> update(Consumer<Set<String>> change) throws IOException {
+        try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileLock lock = channel.lock()) {
+            Set<String> ids = readIdsOrNone();
             change.accept(ids);
-            List<String> lines = new ArrayList<>();
-            lines.add(FIRST);
-            lines.addAll(ids);
-            lines.add(LAST + ids.size());
-            Files.write(fresh, lines);
-            Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            write(ids);
             return ids;
         }
     }
+
+    private Set<String> readIdsOrNone() throws IOException {
+        try {
+            return new LinkedHashSet<>(readIds());
+        } catch (DamagedException e) {
+            return new LinkedHashSet<>();
+        }
+    }
+
+    private void write(Set<String> ids) throws IOException {
+        List<String> lines = new ArrayList<>();
+        lines.add(HEADER);
+        lines.addAll(ids);
+        lines.add(FOOTER + ids.size());
+        Files.write(newFile, lines);
+        Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    }
 }
--- a/edge/src/test/java/lemonrail/assembly/ChurnTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ChurnTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Endpoints that come and go under ever new ids. */
+/** Endpoints that are replaced all the time, each with a new id. */
 @Timeout(60)
 class ChurnTest {
 
     private static final int DEADLINE_MS = 8000;
     private static final int ROUNDS = 200;
-    private static final int IDS_A_ROUND = 50;
+    private static final int IDS_PER_ROUND = 50;
 
     private final Fake endpoint = Fake.answering(200, "", "served");
     private final Rig rig = new Rig(endpoint);
@@ -32,25 +32,25 @@
         rig.close();
     }
 
-    private void tell(String list) throws InterruptedException {
+    private void publishList(String list) throws InterruptedException {
         int before = rig.discovery.requests.size();
         lists.add(list);
-        Rig.await("the list is taken in", () -> rig.discovery.requests.size() > before);
+        Rig.await("the list is applied", () -> rig.discovery.requests.size() > before);
     }
 
-    /** Guards against tables that grow with each id: after thousands only those that serve are known. */
+    /** Guards against tables that grow with each id: after thousands only the current ones are known. */
     @Test
-    void nothingIsKeptOfIdsThatAreGone() throws Exception {
+    void noStateIsLeftOfRemovedIds() throws Exception {
         rig.start();
         Rig.await("a watch is on", () -> rig.discovery.requests.size() == 1);
         int last = 0;
         for (int round = 0; round < ROUNDS; round++) {
             List<String> lines = new ArrayList<>();
-            for (int i = 0; i < IDS_A_ROUND; i++) {
+            for (int i = 0; i < IDS_PER_ROUND; i++) {
                 lines.add(Rig.line(last, endpoint.address(), "terminated", 0));
                 lines.add(Rig.line(++last, endpoint.address(), "in_service", 1000 + last));
             }
-            tell(Rig.list(round + 2, false, lines.toArray(String[]::new)));
+            publishList(Rig.list(round + 2, false, lines.toArray(String[]::new)));
             if (round % 20 == 0) {
                 assertEquals(200, rig.ask("read", DEADLINE_MS).status());
             }
@@ -61,9 +61,9 @@
                 rig.sidecar.loop().submit(() -> rig.sidecar.tableSizes()).get());
     }
 
-    /** Guards against calls meant for a process that is gone and made to the cold one at its address. */
+    /** Guards against requests that were meant for a former process and reach the new one at its address. */
     @Test
-    void anEndpointAtAnotherOnesAddressTakesItsPlace() throws Exception {
+    void anEndpointAtTheAddressOfAnotherReplacesIt() throws Exception {
         Fake other = Fake.answering(200, "", "other");
         try {
             rig.endpoints.add(other);
@@ -73,7 +73,7 @@
                 assertEquals(200, rig.ask("order", DEADLINE_MS).status());
             }
             // The new one drains, so nothing may go to its address, whoever had it before.
-            tell(Rig.list(2, false, Rig.line(7, endpoint.address(), "terminating", 1000)));
+            publishList(Rig.list(2, false, Rig.line(7, endpoint.address(), "terminating", 1000)));
             Rig.await("connections to the former are closed", () -> endpoint.open.get() == 0);
             int before = endpoint.requests.size();
             for (int i = 0; i < 20; i++) {
--- a/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real edges that are told their endpoints and settings by control nodes, and operators' calls there. */
+/** Real edges that get their endpoints and settings from control nodes, and the admin API there. */
 @Timeout(60)
 class ControlledEdgeTest {
 
@@ -44,9 +44,9 @@
 
     ControlledEdgeTest() throws IOException, InterruptedException {
         nodes = List.of(node("n1"), node("n2"));
-        nodes.get(0).begin();
-        nodes.get(0).watch(nodes.get(1).asPeer());
-        nodes.get(1).watch(nodes.get(0).asPeer());
+        nodes.get(0).bootstrap();
+        nodes.get(0).addPeer(nodes.get(1).asPeer());
+        nodes.get(1).addPeer(nodes.get(0).asPeer());
         Rig.await("both are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
     }
 
@@ -105,8 +105,8 @@
         return edge;
     }
 
-    /** A call of the admin API of a control node. */
-    private Wire.Message operate(int node, String method, String path, String body) throws IOException {
+    /** Sends a request to the admin API of a control node. */
+    private Wire.Message callAdminApi(int node, String method, String path, String body) throws IOException {
         try (Wire wire = Wire.to(nodes.get(node).adminAddress())) {
             return wire.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
                             + "\r\n\r\n" + body)
@@ -114,12 +114,12 @@
         }
     }
 
-    private void operated(String said, int status, Wire.Message answer) {
-        assertEquals(status, answer.status(), answer.body());
-        assertTrue(answer.body().startsWith(said), answer.body());
+    private void assertResponse(String bodyStart, int status, Wire.Message response) {
+        assertEquals(status, response.status(), response.body());
+        assertTrue(response.body().startsWith(bodyStart), response.body());
     }
 
-    private Wire.Message ask(Sidecar edge, String kind) throws IOException {
+    private Wire.Message sendRequest(Sidecar edge, String kind) throws IOException {
         try (Wire wire = Wire.to(edge.address())) {
             return wire.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" + requests++ + "\r\nX-Class: " + kind
                             + "\r\nX-Deadline-Ms: 4000\r\n\r\n")
@@ -127,10 +127,10 @@
         }
     }
 
-    private void awaitAnswer(Sidecar edge, String body) throws InterruptedException {
+    private void awaitResponse(Sidecar edge, String body) throws InterruptedException {
         Rig.await(body, () -> {
             try {
-                return ask(edge, "read").body().equals(body);
+                return sendRequest(edge, "read").body().equals(body);
             } catch (IOException e) {
                 return false;
             }
@@ -139,30 +139,32 @@
 
     @Test
     void operatorsMoveAnEdgeFromOneEndpointToAnother() throws Exception {
-        operated(
+        assertResponse(
                 "accepted",
                 200,
-                operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"" + first.address() + "\"}"));
+                callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"" + first.address() + "\"}"));
         Sidecar edge = edge("one", "read");
-        awaitAnswer(edge, "first");
-        operated(
+        awaitResponse(edge, "first");
+        assertResponse(
                 "accepted",
                 200,
-                operate(1, "PUT", "/v1/services/quote/endpoints/s2", "{\"addr\":\"" + second.address() + "\"}"));
-        // Of words at two nodes either may be at an edge first: the drain must not come before this.
-        Rig.await("the other node knows of it", () -> {
+                callAdminApi(1, "PUT", "/v1/services/quote/endpoints/s2", "{\"addr\":\"" + second.address() + "\"}"));
+        // Changes at two nodes may reach an edge in either order: the drain must not come first.
+        Rig.await("the other node has received it", () -> {
             try {
-                return operate(0, "GET", "/v1/services/quote/endpoints/s2", "").status() == 200;
+                return callAdminApi(0, "GET", "/v1/services/quote/endpoints/s2", "")
+                                .status()
+                        == 200;
             } catch (IOException e) {
                 return false;
             }
         });
-        operated("accepted", 200, operate(0, "PUT", "/v1/services/quote/endpoints/s1/drain", ""));
-        Rig.await("the drained one gets nothing new", () -> {
+        assertResponse("accepted", 200, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1/drain", ""));
+        Rig.await("the draining endpoint gets no new requests", () -> {
             int before = first.requests.size();
             try {
                 for (int i = 0; i < 5; i++) {
-                    assertEquals(200, ask(edge, "read").status());
+                    assertEquals(200, sendRequest(edge, "read").status());
                 }
             } catch (IOException e) {
                 return false;
@@ -170,38 +172,44 @@
             return first.requests.size() == before;
         });
         nodes.get(0).stop();
-        operated("accepted", 200, operate(1, "PUT", "/v1/services/quote/endpoints/s1/activate", ""));
-        operated("accepted", 200, operate(1, "DELETE", "/v1/services/quote/endpoints/s2", ""));
-        awaitAnswer(edge, "first");
+        assertResponse("accepted", 200, callAdminApi(1, "PUT", "/v1/services/quote/endpoints/s1/activate", ""));
+        assertResponse("accepted", 200, callAdminApi(1, "DELETE", "/v1/services/quote/endpoints/s2", ""));
+        awaitResponse(edge, "first");
     }
 
     @Test
-    void badCallsOfOperatorsSayWhy() throws Exception {
-        operated("field addr is missing", 400, operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{}"));
-        operated("it is no JSON", 400, operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{"));
-        operated("unknown field adr", 400, operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"adr\":\"x\"}"));
-        operated(
+    void invalidAdminRequestsAreRejectedWithAReason() throws Exception {
+        assertResponse("field addr is missing", 400, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{}"));
+        assertResponse("it is no JSON", 400, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{"));
+        assertResponse(
+                "unknown field adr", 400, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"adr\":\"x\"}"));
+        assertResponse(
                 "field state is not usable",
                 400,
-                operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"10.0.0.1:1\",\"state\":\"gone\"}"));
-        operated(
+                callAdminApi(
+                        0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"10.0.0.1:1\",\"state\":\"gone\"}"));
+        assertResponse(
                 "field service is not usable",
                 400,
-                operate(0, "PUT", "/v1/services/a%20b/endpoints/s1", "{\"addr\":\"10.0.0.1:1\"}"));
-        operated("there is no such thing", 404, operate(0, "PUT", "/v1/services/quote/endpoints/s1/drain", ""));
-        operated("this path takes PUT only", 405, operate(0, "POST", "/v1/control/begin", ""));
-        operated("unknown path", 404, operate(0, "GET", "/v1/other", ""));
-        operated("settings:1: ", 400, operate(0, "PUT", "/v1/settings/base", "[listeners]"));
-        operated("accepted", 200, operate(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"10.0.0.1:1\"}"));
-        operated(
+                callAdminApi(0, "PUT", "/v1/services/a%20b/endpoints/s1", "{\"addr\":\"10.0.0.1:1\"}"));
+        assertResponse(
+                "there is no such thing", 404, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1/drain", ""));
+        assertResponse("this path takes PUT only", 405, callAdminApi(0, "POST", "/v1/control/begin", ""));
+        assertResponse("unknown path", 404, callAdminApi(0, "GET", "/v1/other", ""));
+        assertResponse("settings:1: ", 400, callAdminApi(0, "PUT", "/v1/settings/base", "[listeners]"));
+        assertResponse(
+                "accepted",
+                200,
+                callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"10.0.0.1:1\"}"));
+        assertResponse(
                 "a newer word is known",
                 409,
-                operate(0, "PUT", "/v1/services/quote/endpoints/s1?as_of_ms=1000", "{\"addr\":\"10.0.0.2:1\"}"));
+                callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1?as_of_ms=1000", "{\"addr\":\"10.0.0.2:1\"}"));
     }
 
-    /** The document names a class that only one of the two has: the other refuses it and says so. */
+    /** The document names a class that only one of the two edges has: the other one rejects it and reports that. */
     @Test
-    void settingsAreTakenWhereTheyCanBeAndRefusalsAreSeen() throws Exception {
+    void settingsAreAppliedWherePossibleAndRejectionsAreReported() throws Exception {
         first.script = (wire, request) -> {
             Thread.sleep(600);
             Fake.answer(wire, 200, "", "first");
@@ -209,10 +217,10 @@
         nodes.get(0)
                 .put(ConfigurationChange.endpoint(
                         "quote", "s1", ("{\"addr\":\"" + first.address() + "\"}").getBytes(StandardCharsets.UTF_8)));
-        Sidecar taker = edge("taker", "read");
+        Sidecar applying = edge("taker", "read");
         edge("refuser", "write");
-        awaitAnswer(taker, "first");
-        operated("accepted", 200, operate(1, "PUT", "/v1/settings/base", """
+        awaitResponse(applying, "first");
+        assertResponse("accepted", 200, callAdminApi(1, "PUT", "/v1/settings/base", """
             [[classes]]
             name = "read"
             aim = "200ms"
@@ -223,21 +231,21 @@
             """));
         Rig.await("it is in force", () -> {
             try {
-                return ask(taker, "read").status() != 200;
+                return sendRequest(applying, "read").status() != 200;
             } catch (IOException e) {
                 return false;
             }
         });
-        Rig.await("the operators see who has refused it and why", () -> {
-            String status = Json.text(nodes.get(0).status());
+        Rig.await("operators see who has rejected it and why", () -> {
+            String status = Json.text(nodes.get(0).status().toJson());
             return status.contains("\"name\":\"refuser\"")
                     && status.contains("is unknown to this edge")
                     && !status.contains("\"name\":\"taker\"");
         });
-        operated("accepted", 200, operate(0, "DELETE", "/v1/settings/base", ""));
-        awaitAnswer(taker, "first");
-        Rig.await("no refusal stands", () -> {
-            String status = Json.text(nodes.get(0).status());
+        assertResponse("accepted", 200, callAdminApi(0, "DELETE", "/v1/settings/base", ""));
+        awaitResponse(applying, "first");
+        Rig.await("no rejection is left", () -> {
+            String status = Json.text(nodes.get(0).status().toJson());
             return !status.contains("\"refuser\",\"stamp\"") && status.contains("\"refusals\":0");
         });
     }
--- a/edge/src/test/java/lemonrail/assembly/ListPathCost.java
+++ b/edge/src/test/java/lemonrail/assembly/ListPathCost.java
@@ -25,6 +25,7 @@
 import lemonrail.core.balancer.SlowStartSettings;
 import lemonrail.core.policy.BoxcarLoadBalancer;
 import lemonrail.discovery.EndpointList;
+import lemonrail.discovery.EndpointListReader;
 import lemonrail.exchange.EventLoopContext;
 import lemonrail.exchange.RequestDispatcher;
 import lemonrail.exchange.Upstream;
@@ -40,16 +41,16 @@
 import lemonrail.time.Clock;
 
 /**
- * What a change of the list costs a sidecar from its bytes to the decider, in microseconds of processor time
- * by how many endpoints are listed; a table by {@link #main}. Each change is one entry.
- * The connection to discovery is left out: what comes on it doesn't depend on how many are listed.
+ * Measures the cost of a delta of one endpoint, from its bytes to the load balancer, in microseconds of processor
+ * time by the number of endpoints listed; {@link #main} prints a table. The connection to discovery is left out: its
+ * cost does not depend on that number.
  */
 public final class ListPathCost implements AutoCloseable {
 
     private static final ThreadMXBean CPU = ManagementFactory.getThreadMXBean();
-    private static final int[] LISTED = {10, 100, 1000, 5000};
-    private static final int STEADY = 100;
-    private static final int STORM = 1000;
+    private static final int[] LISTED_COUNTS = {10, 100, 1000, 5000};
+    private static final int STEADY_CHANGES = 100;
+    private static final int STORM_CHANGES = 1000;
     private static final EndpointList.Names NAMES =
             new EndpointList.Names(List.of("a", "b", "c", "d", "e", "f", "g"), List.of("m"));
 
@@ -57,21 +58,21 @@
     private final int listed;
     private final Upstream<RequestMessage, UpstreamResponse> upstream;
     private final SuspendedEndpoints suspensions;
-    private final RequestDispatcher<RequestMessage, UpstreamResponse> exchange;
+    private final RequestDispatcher<RequestMessage, UpstreamResponse> dispatcher;
     private final String[] states;
     private final Random random = new Random(5);
     private int version = 1;
-    private double readNs;
+    private double parseNs;
     private double upstreamNs;
-    private double shownNs;
+    private double suspensionsNs;
 
-    ListPathCost(int listed, Path kept) throws IOException {
+    ListPathCost(int listed, Path suspensionFile) throws IOException {
         this.listed = listed;
         states = new String[listed];
         Arrays.fill(states, "in_service");
         Clock clock = new Clock();
         EventLog silent = new EventLog(clock, new TextSink(new PrintStream(OutputStream.nullOutputStream())));
-        EventLoopContext shard = new EventLoopContext(
+        EventLoopContext context = new EventLoopContext(
                 group.next(),
                 clock,
                 silent,
@@ -80,10 +81,10 @@
                 new Lifecycle(() -> true),
                 settings(listed),
                 15_000);
-        upstream = new Http1Protocol().upstream(shard, 64);
-        suspensions = new SuspendedEndpoints(kept, silent);
-        exchange = new RequestDispatcher<>(
-                shard, upstream, suspensions, BoxcarLoadBalancer::new, 1, parse(all()), () -> {});
+        upstream = new Http1Protocol().upstream(context, 64);
+        suspensions = new SuspendedEndpoints(suspensionFile, silent);
+        dispatcher = new RequestDispatcher<>(
+                context, upstream, suspensions, BoxcarLoadBalancer::new, 1, parse(fullListJson()), () -> {});
     }
 
     /** Prints the table of one run. */
@@ -91,32 +92,32 @@
         Path folder = Files.createTempDirectory("list-path");
         System.out.println("listed  us/change at 20/s: all  (read, endpoints' pool, suspensions)"
                 + "  all at 500/s  us of a list of all");
-        for (int listed : LISTED) {
+        for (int listed : LISTED_COUNTS) {
             try (ListPathCost path = new ListPathCost(listed, folder.resolve("suspended-" + listed))) {
-                path.changes(STORM, 0);
-                double storm = path.changes(STORM, 2);
-                double steady = path.changes(STEADY, 50);
+                path.changes(STORM_CHANGES, 0);
+                double storm = path.changes(STORM_CHANGES, 2);
+                double steady = path.changes(STEADY_CHANGES, 50);
                 System.out.printf(
                         Locale.ROOT,
                         "%6d %22.1f  (%.1f, %.1f, %.1f) %25.1f %20.0f%n",
                         listed,
                         steady,
-                        path.readNs / 1000,
+                        path.parseNs / 1000,
                         path.upstreamNs / 1000,
-                        path.shownNs / 1000,
+                        path.suspensionsNs / 1000,
                         storm,
-                        path.whole(20));
+                        path.fullSnapshots(20));
             }
         }
     }
 
-    /** No connection is ever opened here, so the parts are called from outside their event loop. */
+    /** No connection is ever opened here, so the parts can be called from outside their event loop. */
     @Override
     public void close() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    int endpoints() {
+    int endpointCount() {
         return upstream.size();
     }
 
@@ -139,68 +140,69 @@
                 10_000);
     }
 
-    private String line(int which) {
-        return "{\"id\":\"s-" + Integer.toHexString(which * 7919 + 1) + "\",\"addr\":\"127.0." + which / 250
-                + "." + (1 + which % 250) + ":9000\",\"zone\":\""
-                + NAMES.zones().get(which % 7)
-                + "\",\"kind\":\"m\",\"cell\":0,\"state\":\"" + states[which]
+    private String endpointJson(int index) {
+        return "{\"id\":\"s-" + Integer.toHexString(index * 7919 + 1) + "\",\"addr\":\"127.0." + index / 250
+                + "." + (1 + index % 250) + ":9000\",\"zone\":\""
+                + NAMES.zones().get(index % 7)
+                + "\",\"kind\":\"m\",\"cell\":0,\"state\":\"" + states[index]
                 + "\",\"weight\":1.0,\"started_ms\":0}";
     }
 
-    private byte[] list(boolean full, List<String> lines) {
-        return ("{\"version\":" + version++ + ",\"full\":" + full + ",\"servers\":[" + String.join(",", lines) + "]}")
+    private byte[] listJson(boolean full, List<String> endpoints) {
+        return ("{\"version\":" + version++ + ",\"full\":" + full + ",\"servers\":[" + String.join(",", endpoints)
+                        + "]}")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private byte[] all() {
-        List<String> lines = new ArrayList<>();
+    private byte[] fullListJson() {
+        List<String> endpoints = new ArrayList<>();
         for (int i = 0; i < listed; i++) {
-            lines.add(line(i));
+            endpoints.add(endpointJson(i));
         }
-        return list(true, lines);
+        return listJson(true, endpoints);
     }
 
     private static EndpointList parse(byte[] json) throws IOException {
-        return EndpointList.parse(json, NAMES);
+        return EndpointListReader.parse(json, NAMES);
     }
 
-    /** Microseconds for each change, the parts of the way left in the fields. */
+    /** Returns the microseconds for each change, and leaves those of the parts in the fields. */
     double changes(int count, long everyMs) throws IOException, InterruptedException {
         double spentNs = 0;
-        readNs = 0;
+        parseNs = 0;
         upstreamNs = 0;
-        shownNs = 0;
+        suspensionsNs = 0;
         for (int i = 0; i < count; i++) {
             Thread.sleep(everyMs);
-            int which = random.nextInt(listed);
-            states[which] = states[which].equals("in_service") ? "terminating" : "in_service";
-            byte[] json = list(false, List.of(line(which)));
-            long began = CPU.getCurrentThreadCpuTime();
+            int index = random.nextInt(listed);
+            states[index] = states[index].equals("in_service") ? "terminating" : "in_service";
+            byte[] json = listJson(false, List.of(endpointJson(index)));
+            long startNs = CPU.getCurrentThreadCpuTime();
             EndpointList change = parse(json);
-            long read = CPU.getCurrentThreadCpuTime();
-            exchange.listed(change);
-            long told = CPU.getCurrentThreadCpuTime();
-            // Once more apart, which changes nothing.
+            long parsedNs = CPU.getCurrentThreadCpuTime();
+            dispatcher.onEndpointList(change);
+            long appliedNs = CPU.getCurrentThreadCpuTime();
+            // The parts again by themselves, which changes nothing.
             upstream.update(change);
-            long updated = CPU.getCurrentThreadCpuTime();
-            suspensions.show(EndpointUpdateKind.DELTA, change.servers());
-            long shown = CPU.getCurrentThreadCpuTime();
-            spentNs += told - began;
-            readNs += (read - began) / (double) count;
-            upstreamNs += (updated - told) / (double) count;
-            shownNs += (shown - updated) / (double) count;
+            long updatedNs = CPU.getCurrentThreadCpuTime();
+            suspensions.applyUpdate(EndpointUpdateKind.DELTA, change.endpoints());
+            long suspendedNs = CPU.getCurrentThreadCpuTime();
+            spentNs += appliedNs - startNs;
+            parseNs += (parsedNs - startNs) / (double) count;
+            upstreamNs += (updatedNs - appliedNs) / (double) count;
+            suspensionsNs += (suspendedNs - updatedNs) / (double) count;
         }
         return spentNs / count / 1000;
     }
 
-    /** Microseconds for each of so many whole lists in which nothing has changed, after as many more. */
-    double whole(int lists) throws IOException {
+    /** Returns the microseconds for each of some full snapshots without a change, after as many to warm up. */
+    double fullSnapshots(int lists) throws IOException {
         double spentNs = 0;
         for (int i = 0; i < 2 * lists; i++) {
-            byte[] json = all();
-            long began = CPU.getCurrentThreadCpuTime();
-            exchange.listed(parse(json));
-            spentNs += i < lists ? 0 : CPU.getCurrentThreadCpuTime() - began;
+            byte[] json = fullListJson();
+            long startNs = CPU.getCurrentThreadCpuTime();
+            dispatcher.onEndpointList(parse(json));
+            spentNs += i < lists ? 0 : CPU.getCurrentThreadCpuTime() - startNs;
         }
         return spentNs / lists / 1000;
     }
--- a/edge/src/test/java/lemonrail/assembly/ListPathTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ListPathTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The way of a long list through the sidecar: what a change costs must not grow with the list. */
+/** The path of a long endpoint list through the sidecar: the cost of a change must not grow with the list. */
 class ListPathTest {
 
     private static final ThreadMXBean CPU = ManagementFactory.getThreadMXBean();
@@ -19,38 +19,38 @@
     @TempDir
     Path folder;
 
-    private interface Work {
+    private interface Task {
         void run() throws Exception;
     }
 
-    /** Processor time, the least of several as others use the machine, too. */
-    private static double leastNs(Work work) throws Exception {
-        double least = Double.POSITIVE_INFINITY;
+    /** Returns the shortest processor time of several runs, as other processes disturb some. */
+    private static double minCpuNs(Task task) throws Exception {
+        double minNs = Double.POSITIVE_INFINITY;
         for (int i = 0; i < 6; i++) {
             long before = CPU.getCurrentThreadCpuTime();
-            work.run();
-            least = Math.min(least, (double) (CPU.getCurrentThreadCpuTime() - before));
+            task.run();
+            minNs = Math.min(minNs, (double) (CPU.getCurrentThreadCpuTime() - before));
         }
-        return least;
+        return minNs;
     }
 
-    /** Guards against a search for each address through all (before: 181 times the cost). */
+    /** Guards against a linear search for each address. */
     @Test
-    void aWholeListCostsInStepWithItsLength() throws Exception {
+    void theCostOfAFullSnapshotIsLinear() throws Exception {
         try (ListPathCost few = new ListPathCost(FEW, folder.resolve("few"));
                 ListPathCost many = new ListPathCost(MANY, folder.resolve("many"))) {
-            double ratio = leastNs(() -> many.whole(3)) / leastNs(() -> few.whole(3));
+            double ratio = minCpuNs(() -> many.fullSnapshots(3)) / minCpuNs(() -> few.fullSnapshots(3));
             assertTrue(ratio < 35, "ten times as many listed cost " + ratio + " times as much");
-            assertEquals(MANY, many.endpoints());
+            assertEquals(MANY, many.endpointCount());
         }
     }
 
-    /** Guards against a cost of each change that grows with the list (before: 20 times as much). */
+    /** Guards against a cost of each change that grows with the list. */
     @Test
-    void aChangeCostsNoMoreInALongList() throws Exception {
+    void theCostOfAChangeIsIndependentOfTheList() throws Exception {
         try (ListPathCost few = new ListPathCost(FEW, folder.resolve("few"));
                 ListPathCost many = new ListPathCost(MANY, folder.resolve("many"))) {
-            double ratio = leastNs(() -> many.changes(500, 0)) / leastNs(() -> few.changes(500, 0));
+            double ratio = minCpuNs(() -> many.changes(500, 0)) / minCpuNs(() -> few.changes(500, 0));
             assertTrue(ratio < 4, "ten times as many listed cost " + ratio + " times as much");
         }
     }
--- a/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
@@ -41,7 +41,7 @@
         assertEquals(1024, config.sockets());
         assertEquals(15_000, config.idleCloseMs());
         assertEquals(1, config.known().version());
-        assertEquals("s0", config.known().entries().get(0).server().id());
+        assertEquals("s0", config.known().entries().get(0).endpoint().id());
         assertEquals(2, config.settings().classes().size());
     }
 
--- a/edge/src/test/java/lemonrail/assembly/SuspensionTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SuspensionTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Endpoints out by hand: nothing reaches them until the call back, whatever happens in between. */
+/** Suspended endpoints get no requests until they are resumed, whatever happens in between. */
 @Timeout(60)
 class SuspensionTest {
 
@@ -46,7 +46,7 @@
         second.close();
     }
 
-    private void operate(String path) throws IOException {
+    private void putEndpoint(String path) throws IOException {
         assertEquals(200, rig.operate("PUT", "/v1/endpoints/" + path).status());
     }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    private void awaitFigure(String line) throws InterruptedException {
+    private void awaitMetric(String line) throws InterruptedException {
         Rig.await(line, () -> {
             try {
                 return rig.operate("GET", "/v1/metrics").body().contains("edge_gw." + line + "\n");
@@ -66,112 +66,114 @@
         });
     }
 
-    private void tell(int version, boolean full, String... lines) throws InterruptedException {
-        int asked = rig.discovery.requests.size();
+    private void publishList(int version, boolean full, String... lines) throws InterruptedException {
+        int requestsBefore = rig.discovery.requests.size();
         lists.add(Rig.list(version, full, lines));
-        Rig.await("the news is taken in", () -> rig.discovery.requests.size() > asked);
+        Rig.await("the list is applied", () -> rig.discovery.requests.size() > requestsBefore);
     }
 
     @Test
-    void nothingNewReachesItUntilTheCallBack() throws Exception {
+    void aSuspendedEndpointGetsNoRequestsUntilResumed() throws Exception {
         start(first, second);
-        operate("s0/suspend");
-        operate("s0/suspend");
+        putEndpoint("s0/suspend");
+        putEndpoint("s0/suspend");
         assertServedBy("second", 5);
-        awaitFigure("targets=2");
-        awaitFigure("targets_disabled=1");
-        operate("s1/suspend");
-        operate("s0/resume");
+        awaitMetric("targets=2");
+        awaitMetric("targets_disabled=1");
+        putEndpoint("s1/suspend");
+        putEndpoint("s0/resume");
         assertServedBy("first", 5);
-        operate("s1/resume");
-        awaitFigure("targets_disabled=0");
+        putEndpoint("s1/resume");
+        awaitMetric("targets_disabled=0");
     }
 
-    /** Guards against news that undo an operator's word: lists, changes, and a restart of the endpoint. */
+    /** Guards against updates that undo a suspension: full snapshots, deltas, and a restart of the endpoint. */
     @Test
-    void newsOfDiscoveryDoNotBringItBack() throws Exception {
+    void updatesOfDiscoveryDoNotResumeIt() throws Exception {
         start(first, second);
-        operate("s0/suspend");
+        putEndpoint("s0/suspend");
         String other = Rig.line(1, second.address(), "in_service", 0);
-        tell(2, false, Rig.line(0, first.address(), "in_service", 0));
+        publishList(2, false, Rig.line(0, first.address(), "in_service", 0));
         assertServedBy("second", 3);
-        tell(3, true, Rig.line(0, first.address(), "in_service", System.currentTimeMillis()), other);
+        publishList(3, true, Rig.line(0, first.address(), "in_service", System.currentTimeMillis()), other);
         assertServedBy("second", 3);
-        tell(4, false, Rig.line(0, first.address(), "terminated", 0));
-        awaitFigure("targets=1");
-        tell(5, false, Rig.line(0, first.address(), "in_service", 1000));
-        awaitFigure("targets=2");
+        publishList(4, false, Rig.line(0, first.address(), "terminated", 0));
+        awaitMetric("targets=1");
+        publishList(5, false, Rig.line(0, first.address(), "in_service", 1000));
+        awaitMetric("targets=2");
         assertServedBy("second", 3);
         assertEquals(0, first.requests.size());
-        operate("s1/suspend");
-        operate("s0/resume");
+        putEndpoint("s1/suspend");
+        putEndpoint("s0/resume");
         assertServedBy("first", 1);
     }
 
-    /** On its way back it is what discovery says: one that drains there gets nothing still. */
+    /** A resumed endpoint has the state that discovery reports: a draining one still gets no requests. */
     @Test
-    void theCallBackDoesNotOverruleDiscovery() throws Exception {
+    void resumptionDoesNotOverruleDiscovery() throws Exception {
         start(first, second);
-        operate("s0/suspend");
-        tell(2, false, Rig.line(0, first.address(), "terminating", 0));
-        operate("s0/resume");
+        putEndpoint("s0/suspend");
+        publishList(2, false, Rig.line(0, first.address(), "terminating", 0));
+        putEndpoint("s0/resume");
         assertServedBy("second", 5);
         assertEquals(0, first.requests.size());
     }
 
     @Test
-    void itOutlivesTheProcess() throws Exception {
+    void aSuspensionOutlivesTheProcess() throws Exception {
         start(first, second);
-        operate("s0/suspend");
+        putEndpoint("s0/suspend");
         rig.sidecar.stop();
         rig.start();
         assertServedBy("second", 5);
-        awaitFigure("targets_disabled=1");
-        operate("s0/resume");
-        awaitFigure("targets_disabled=0");
+        awaitMetric("targets_disabled=1");
+        putEndpoint("s0/resume");
+        awaitMetric("targets_disabled=0");
         rig.sidecar.stop();
         rig.start();
-        awaitFigure("targets_disabled=0");
+        awaitMetric("targets_disabled=0");
     }
 
-    /** Two processes of one sidecar, as in an upgrade, do by either's word. */
+    /** Two processes of one sidecar, as during an upgrade, share their suspensions. */
     @Test
-    void theOtherProcessHearsOfIt() throws Exception {
+    void theOtherProcessAppliesIt() throws Exception {
         start(first, second);
         try (Rig other = new Rig(first, second)) {
             other.folder = folder;
             other.start();
-            operate("s0/suspend");
-            Rig.await("the other heard", () -> other.logged().contains("suspended by another process: [s0]"));
+            putEndpoint("s0/suspend");
+            Rig.await(
+                    "the other process has applied it",
+                    () -> other.logged().contains("suspended by another process: [s0]"));
             for (int i = 0; i < 5; i++) {
                 assertEquals("second", other.ask("read", DEADLINE_MS).body());
             }
             assertEquals(200, other.operate("PUT", "/v1/endpoints/s0/resume").status());
-            awaitFigure("targets_disabled=0");
+            awaitMetric("targets_disabled=0");
         }
     }
 
-    /** Guards against a start that a half-written file prevents, or that trusts one. */
+    /** Guards against a start that fails because of a truncated file, or trusts one. */
     @Test
-    void aDamagedFileIsToldAndSurvived() throws Exception {
+    void aDamagedFileIsLoggedAndCountsAsEmpty() throws Exception {
         Files.writeString(folder.resolve("n0.suspended"), "suspended endpoints\ns0\n");
         start(first, second);
         assertTrue(rig.logged().contains("n0.suspended is damaged"), rig.logged());
         assertEquals(200, rig.ask("read", DEADLINE_MS).status());
-        operate("s0/suspend");
+        putEndpoint("s0/suspend");
         assertServedBy("second", 3);
         rig.sidecar.stop();
         rig.start();
-        awaitFigure("targets_disabled=1");
+        awaitMetric("targets_disabled=1");
     }
 
-    /** Where it cannot be kept it is not promised. */
+    /** A suspension that cannot be persisted is not confirmed. */
     @Test
-    void whatCannotBeSavedIsRefused() throws Exception {
+    void aSuspensionThatCannotBePersistedIsRejected() throws Exception {
         start(first, second);
         Files.createDirectory(folder.resolve("n0.suspended.new"));
         assertEquals(500, rig.operate("PUT", "/v1/endpoints/s0/suspend").status());
         assertTrue(rig.logged().contains("s0 is not suspended"), rig.logged());
-        awaitFigure("targets_disabled=0");
+        awaitMetric("targets_disabled=0");
     }
 }
