--- a/edge/src/test/java/lemonrail/assembly/WatchTest.java
+++ b/edge/src/test/java/lemonrail/assembly/WatchTest.java
@@ -27,24 +27,24 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A watch that dies in whatever way is opened anew soon, and what it missed is asked for again. */
+/** A watch that fails in whatever way resumes soon, and what it missed is requested again. */
 @Timeout(60)
 class WatchTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** What a dead watch misses binds so long after it fell silent. */
-    private static final double BINDS_MS = 6000;
-    /** Calls that fail one after another, and the least pause between two. */
-    private static final int CALLS = 30;
+    /** The time in which a change that a failed watch missed must be in force. */
+    private static final double IN_FORCE_WITHIN_MS = 6000;
+    /** Requests that fail in a row, and the shortest backoff between two. */
+    private static final int FAILED_REQUESTS = 30;
 
-    private static final double LEAST_PAUSE_MS = 50;
-    /** Longer than an answer is awaited by a rig whose calls wait for 1 s. */
+    private static final double MIN_BACKOFF_MS = 50;
+    /** Longer than the response time-out of a rig whose requests wait for 1 s. */
     private static final int BUSY_MS = 1800;
-    /** Between two pieces of an answer: each comes before the silence would be a failure. */
-    private static final int PIECE_MS = 100;
-    /** So long a connection is tried until the listener's queue counts as full. */
-    private static final int QUEUE_MS = 300;
-    /** Failures in a row until the pauses would be longer than the time in which a change binds. */
+    /** The time between two parts of a response, below the time-out for each. */
+    private static final int PART_INTERVAL_MS = 100;
+    /** A connect that takes longer shows that the accept queue is full. */
+    private static final int CONNECT_TIMEOUT_MS = 300;
+    /** Failures in a row after which an unbounded backoff would be longer than the time limit. */
     private static final int FAILURES = 7;
 
     private final Fake before = Fake.answering(200, "", "before");
@@ -52,7 +52,7 @@
     private final Rig rig = new Rig(before);
 
     WatchTest() throws IOException {
-        // The module itself would not ask again within any test.
+        // The load balancer itself would not poll again within any test.
         rig.askWithinMs = 600_000;
         rig.discoveryWaitMs = 1000;
     }
@@ -63,29 +63,29 @@
         after.close();
     }
 
-    private String news(int version) {
+    private String listWithOtherEndpoint(int version) {
         return Rig.list(version, true, Rig.line(1, after.address(), "in_service", 0))
                 .replace(",", ",\n    ")
                 .replace("{", "{\n  ");
     }
 
-    private static void die(Wire wire, String how, String news) throws IOException {
-        String head = "HTTP/1.1 200 OK\r\nContent-Length: " + news.length() + "\r\n\r\n";
-        switch (how) {
+    private static void fail(Wire wire, String failure, String list) throws IOException {
+        String head = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n";
+        switch (failure) {
             case "reset" -> wire.reset();
             case "close" -> wire.close();
             case "headers" -> wire.send(head).awaitEnd();
             case "half" ->
-                wire.send(head + news.substring(0, news.length() / 2)).awaitEnd();
-            case "cut" -> wire.send(head + news.substring(0, news.length() / 2)).close();
+                wire.send(head + list.substring(0, list.length() / 2)).awaitEnd();
+            case "cut" -> wire.send(head + list.substring(0, list.length() / 2)).close();
             case "garbage" -> wire.send("what?\r\n\r\n").awaitEnd();
-            case "unparsed" -> Fake.answer(wire, 200, "", news.replace("in_service", "who knows"));
+            case "unparsed" -> Fake.answer(wire, 200, "", list.replace("in_service", "who knows"));
             case "error" -> Fake.answer(wire, 503, "", "");
             default -> wire.awaitEnd();
         }
     }
 
-    /** Guards against trust in a dead watch, also where the module asks for lists and has its own pace. */
+    /** Guards against trust in a failed watch, also where the load balancer polls on its own schedule. */
     @ParameterizedTest
     @CsvSource({
         "silent,on_request",
@@ -102,54 +102,54 @@
         "unparsed,pushed",
         "error,on_request"
     })
-    void aWatchThatDiesIsOpenedAnew(String how, String mode) throws Exception {
+    void aFailedWatchResumes(String failure, String mode) throws Exception {
         rig.change = config -> config.replace("on_request", mode);
         rig.discovery.script = (wire, request) -> {
             if (rig.discovery.requests.size() == 1) {
-                die(wire, how, news(7));
+                fail(wire, failure, listWithOtherEndpoint(7));
             } else if (rig.discovery.requests.size() == 2) {
-                Fake.answer(wire, 200, "", news(7));
+                Fake.answer(wire, 200, "", listWithOtherEndpoint(7));
             } else {
                 wire.awaitEnd();
             }
         };
         rig.start();
-        Rig.await("it is open", () -> rig.discovery.requests.size() >= 1);
-        long dead = System.nanoTime();
+        Rig.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
+        long failedNs = System.nanoTime();
         Rig.await("the list is there", () -> rig.discovery.requests.size() >= 3);
-        assertTrue((System.nanoTime() - dead) / 1e6 < BINDS_MS);
+        assertTrue((System.nanoTime() - failedNs) / 1e6 < IN_FORCE_WITHIN_MS);
         assertEquals(
                 "GET /registry/instances?index=1&wait=100 HTTP/1.1",
                 rig.discovery.requests.get(1).line(),
-                "nothing is lost");
+                "the watch resumes from the known version");
         assertEquals(
                 "GET /registry/instances?index=7&wait=1000 HTTP/1.1",
                 rig.discovery.requests.get(2).line());
         assertEquals("after", rig.ask("order", DEADLINE_MS).body());
     }
 
-    /** Guards against watches that multiply: the module asks by its own timer, and each call fails. */
+    /** Guards against watches that multiply: the load balancer polls by its own timer, and each request fails. */
     @ParameterizedTest
     @ValueSource(strings = {"on_request", "pushed"})
-    void aPlaceThatRefusesIsAskedByOneWatchOnly(String mode) throws Exception {
+    void aFailingDiscoveryIsPolledByOneWatchOnly(String mode) throws Exception {
         rig.askWithinMs = 20;
         rig.graceMs = 0;
         rig.change = config -> config.replace("on_request", mode);
         rig.discovery.script = (wire, request) -> wire.reset();
         rig.start();
-        Rig.await("it is open", () -> rig.discovery.requests.size() >= 1);
+        Rig.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
         long began = System.nanoTime();
-        Rig.await("it is asked again and again", () -> rig.discovery.requests.size() >= CALLS);
-        assertTrue((System.nanoTime() - began) / 1e6 >= (CALLS - 3) * LEAST_PAUSE_MS, "each after a pause");
+        Rig.await("it is polled again and again", () -> rig.discovery.requests.size() >= FAILED_REQUESTS);
+        assertTrue((System.nanoTime() - began) / 1e6 >= (FAILED_REQUESTS - 3) * MIN_BACKOFF_MS, "each after a backoff");
     }
 
-    /** Guards against an old place that still speaks, and a failure's pause that still runs there. */
+    /** Guards against a former address that still responds, and a backoff that still runs there. */
     @Test
-    void theOldPlaceIsNotHeardAfterAMove() throws Exception {
+    void theFormerAddressIsIgnoredAfterAMove() throws Exception {
         CountDownLatch moved = new CountDownLatch(1);
         rig.discovery.script = (wire, request) -> {
             if (rig.discovery.requests.size() == 1) {
-                // The pause after this still runs when discovery moves.
+                // The backoff after this still runs when discovery moves.
                 wire.reset();
             } else {
                 moved.await();
@@ -162,7 +162,7 @@
             if (request.line().contains("index")) {
                 wire.awaitEnd();
             } else {
-                Fake.answer(wire, 200, "", news(3));
+                Fake.answer(wire, 200, "", listWithOtherEndpoint(3));
             }
         })) {
             Files.writeString(rig.configFile, rig.config().replace(rig.discovery.address(), next.address()));
@@ -179,171 +179,164 @@
 
     // ---- in a fleet whose size sets the wait ----
 
-    /** Told so in the settings; the wait follows from it. */
-    private void among(int instances) {
+    /** Configures the size of the fleet, which determines the wait. */
+    private void setFleetSize(int instances) {
         rig.discoveryWaitMs = 0;
         rig.graceMs = 1000;
         String count = "\"replicas-of-me\":";
         rig.change = config -> config.replace(count + "1,", count + instances + ",");
     }
 
-    /** Guards against changes that are known too late: this one is had by discovery at this time. */
-    private void isInForceInTime(long hadNs) throws Exception {
+    /** Guards against changes that are in force too late after discovery has them. */
+    private void assertInForceInTime(long availableNs) throws Exception {
         Rig.await(
                 "the list is there",
                 () -> rig.discovery.requests.stream()
                         .anyMatch(request -> request.line().contains("index=7")));
         assertEquals("after", rig.ask("order", DEADLINE_MS).body());
-        double tookMs = (System.nanoTime() - hadNs) / 1e6;
-        assertTrue(tookMs < BINDS_MS, tookMs + " ms");
+        double tookMs = (System.nanoTime() - availableNs) / 1e6;
+        assertTrue(tookMs < IN_FORCE_WITHIN_MS, tookMs + " ms");
     }
 
-    /** The change comes just as the call is made, so all of its wait is lost. */
+    /** The change is made right after the request, so that all of its wait is lost. */
     @ParameterizedTest
-    @CsvSource({
-        "silent,1",
-        "silent,2",
-        "headers,1",
-        "headers,2",
-        "half,1",
-        "pieces,1",
-        "reset,3",
-        "error,3",
-        "garbage,3"
+    @CsvSource({"silent,1", "silent,2", "headers,1", "headers,2", "half,1", "parts,1", "reset,3", "error,3", "garbage,3"
     })
-    void aLargeFleetKnowsInTimeWhatDeadWatchesMissed(String how, int calls) throws Exception {
-        among(1000);
+    void aLargeFleetLearnsInTimeWhatFailedWatchesMissed(String failure, int failures) throws Exception {
+        setFleetSize(1000);
         rig.discovery.script = (wire, request) -> {
             int call = rig.discovery.requests.size();
-            if (call > calls) {
+            if (call > failures) {
                 rig.discovery.script = (next, later) -> next.awaitEnd();
-                Fake.answer(wire, 200, "", news(7));
-            } else if (how.equals("pieces")) {
-                wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + news(7).length() + "\r\n\r\n");
-                for (char piece : news(7).toCharArray()) {
-                    wire.send(String.valueOf(piece));
-                    Thread.sleep(PIECE_MS);
+                Fake.answer(wire, 200, "", listWithOtherEndpoint(7));
+            } else if (failure.equals("parts")) {
+                wire.send("HTTP/1.1 200 OK\r\nContent-Length: "
+                        + listWithOtherEndpoint(7).length() + "\r\n\r\n");
+                for (char part : listWithOtherEndpoint(7).toCharArray()) {
+                    wire.send(String.valueOf(part));
+                    Thread.sleep(PART_INTERVAL_MS);
                 }
             } else {
-                die(wire, how, news(7));
+                fail(wire, failure, listWithOtherEndpoint(7));
             }
         };
         rig.start();
-        Rig.await("it is open", () -> rig.discovery.requests.size() >= 1);
-        isInForceInTime(System.nanoTime());
+        Rig.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
+        assertInForceInTime(System.nanoTime());
     }
 
-    /** Guards against pauses that have grown long by the time at which discovery can be reached. */
+    /** Guards against a backoff that has grown long by the time discovery can be reached. */
     @ParameterizedTest
     @ValueSource(strings = {"reset", "silent"})
-    void aLargeFleetKnowsInTimeWhatDiscoveryHasAtItsReturn(String how) throws Exception {
-        among(1000);
-        // As the pauses would have it, if nothing else bounded them: the mean up to 10 s.
+    void aLargeFleetLearnsInTimeWhatDiscoveryHasAtItsReturn(String failure) throws Exception {
+        setFleetSize(1000);
+        // Permits a mean backoff of up to 10 s, if nothing else bounds it.
         rig.graceMs = 30_000;
         CountDownLatch back = new CountDownLatch(1);
         rig.discovery.script = (wire, request) -> {
             if (back.getCount() == 0) {
                 rig.discovery.script = (next, later) -> next.awaitEnd();
-                Fake.answer(wire, 200, "", news(7));
+                Fake.answer(wire, 200, "", listWithOtherEndpoint(7));
             } else {
-                die(wire, how, news(7));
+                fail(wire, failure, listWithOtherEndpoint(7));
             }
         };
         rig.start();
-        Rig.await("it has paused for longer and longer", () -> rig.discovery.requests.size() >= FAILURES);
+        Rig.await("the backoff has grown", () -> rig.discovery.requests.size() >= FAILURES);
         back.countDown();
-        isInForceInTime(System.nanoTime());
+        assertInForceInTime(System.nanoTime());
     }
 
-    /** Guards against connections that never come up: with a full queue of the listener nothing is said. */
+    /** Guards against connects that never complete: a full accept queue drops them silently. */
     @Test
-    void aLargeFleetKnowsInTimeAfterConnectionsThatNeverCameUp() throws Exception {
-        among(1000);
+    void aLargeFleetLearnsInTimeAfterConnectsThatNeverCompleted() throws Exception {
+        setFleetSize(1000);
         List<Socket> waiting = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             assertThrows(SocketTimeoutException.class, () -> {
                 while (true) {
                     Socket one = new Socket();
                     waiting.add(one);
-                    one.connect(full.getLocalSocketAddress(), QUEUE_MS);
+                    one.connect(full.getLocalSocketAddress(), CONNECT_TIMEOUT_MS);
                 }
             });
             UnaryOperator<String> large = rig.change;
             rig.change =
                     config -> large.apply(config).replace(rig.discovery.address(), "127.0.0.1:" + full.getLocalPort());
             rig.start();
-            Rig.await("connections did not come up", () -> rig.logged().contains("discovery failed"));
+            Rig.await("connects did not complete", () -> rig.logged().contains("discovery failed"));
             long reachable = System.nanoTime();
             for (Socket one : waiting) {
                 one.close();
             }
-            List<String> asked = new CopyOnWriteArrayList<>();
-            Thread serving = new Thread(() -> serve(full, asked));
+            List<String> requestLines = new CopyOnWriteArrayList<>();
+            Thread serving = new Thread(() -> serve(full, requestLines));
             serving.setDaemon(true);
             serving.start();
-            Rig.await("the list is there", () -> asked.stream().anyMatch(line -> line.contains("index=7")));
+            Rig.await("the list is there", () -> requestLines.stream().anyMatch(line -> line.contains("index=7")));
             assertEquals("after", rig.ask("order", DEADLINE_MS).body());
             double tookMs = (System.nanoTime() - reachable) / 1e6;
-            assertTrue(tookMs < BINDS_MS, tookMs + " ms");
+            assertTrue(tookMs < IN_FORCE_WITHIN_MS, tookMs + " ms");
         }
     }
 
-    private void serve(ServerSocket listener, List<String> asked) {
+    private void serve(ServerSocket listener, List<String> requestLines) {
         while (!listener.isClosed()) {
             try (Wire wire = new Wire(listener.accept())) {
-                asked.add(wire.read().line());
-                Fake.answer(wire, 200, "", news(7));
-                asked.add(wire.read().line());
+                requestLines.add(wire.read().line());
+                Fake.answer(wire, 200, "", listWithOtherEndpoint(7));
+                requestLines.add(wire.read().line());
                 wire.awaitEnd();
             } catch (IOException e) {
-                // One that had given up, or the test is over.
+                // The client had given up, or the test is over.
                 continue;
             }
         }
     }
 
-    /** Guards against long lists that are given up as they come, and asked for again and again. */
+    /** Guards against long lists that time out while they arrive, and are requested again and again. */
     @Test
-    void aWholeListMayComeInPieces() throws Exception {
-        among(1000);
+    void aFullSnapshotMayArriveInParts() throws Exception {
+        setFleetSize(1000);
         try (Fake next = new Fake((wire, request) -> {
             if (request.line().contains("index")) {
                 wire.awaitEnd();
             } else {
-                wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + news(7).length() + "\r\n\r\n");
-                for (String part : news(7).split("(?<=,)")) {
-                    Thread.sleep(PIECE_MS);
+                wire.send("HTTP/1.1 200 OK\r\nContent-Length: "
+                        + listWithOtherEndpoint(7).length() + "\r\n\r\n");
+                for (String part : listWithOtherEndpoint(7).split("(?<=,)")) {
+                    Thread.sleep(PART_INTERVAL_MS);
                     wire.send(part);
                 }
             }
         })) {
             rig.start();
-            Rig.await("it is open", () -> rig.discovery.requests.size() >= 1);
+            Rig.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
             long moved = System.nanoTime();
             Files.writeString(
                     rig.configFile, rig.change.apply(rig.config()).replace(rig.discovery.address(), next.address()));
             rig.sidecar.reload();
             Rig.await("the list is there", () -> next.requests.size() == 2);
             assertEquals("after", rig.ask("order", DEADLINE_MS).body());
-            assertTrue((System.nanoTime() - moved) / 1e6 < BINDS_MS);
+            assertTrue((System.nanoTime() - moved) / 1e6 < IN_FORCE_WITHIN_MS);
             assertFalse(rig.logged().contains("discovery failed"), rig.logged());
         }
     }
 
-    // ---- while the loop is busy, as at a start ----
+    // ---- while the event loop is busy, as at a start ----
 
-    /** A decider that keeps the loop busy over its first request, as the warm-up does: while it reads. */
+    /** A load balancer that blocks the event loop at a request until it is released. */
     private static LoadBalancerFactory busyUntil(CountDownLatch busy, CountDownLatch release) {
         return (settings, seed, host) -> {
-            LoadBalancer decide = new BoxcarLoadBalancer(settings, seed, host);
-            Class<?>[] kinds = {LoadBalancer.class};
-            return (LoadBalancer)
-                    Proxy.newProxyInstance(LoadBalancer.class.getClassLoader(), kinds, (proxy, method, arguments) -> {
+            LoadBalancer loadBalancer = new BoxcarLoadBalancer(settings, seed, host);
+            Class<?>[] interfaces = {LoadBalancer.class};
+            return (LoadBalancer) Proxy.newProxyInstance(
+                    LoadBalancer.class.getClassLoader(), interfaces, (proxy, method, arguments) -> {
                         if (method.getName().equals("onRequest")) {
                             busy.countDown();
                             release.await();
                         }
-                        return method.invoke(decide, arguments);
+                        return method.invoke(loadBalancer, arguments);
                     });
         };
     }
@@ -352,27 +345,27 @@
         Rig.await("time", () -> System.nanoTime() - sinceNs > ms * 1_000_000L);
     }
 
-    /** Guards against an answer that has come in time, and is given up as nobody had read it. */
+    /** Guards against a time-out of a response that has arrived in time but was not read yet. */
     @Test
-    void anAnswerIsTakenThoughTheLoopWasBusyBeyondItsTime() throws Exception {
-        CountDownLatch answer = new CountDownLatch(1);
+    void aResponseIsReadThoughTheLoopWasBusyBeyondItsTimeout() throws Exception {
+        CountDownLatch respond = new CountDownLatch(1);
         rig.discovery.script = (wire, request) -> {
             if (rig.discovery.requests.size() > 1) {
                 rig.discovery.script = (next, later) -> next.awaitEnd();
-                answer.await();
-                Fake.answer(wire, 200, "", news(7));
+                respond.await();
+                Fake.answer(wire, 200, "", listWithOtherEndpoint(7));
             } else {
-                Fake.answer(wire, 200, "", news(6));
+                Fake.answer(wire, 200, "", listWithOtherEndpoint(6));
             }
         };
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         rig.start(busyUntil(busy, release));
-        Rig.await("it waits", () -> rig.discovery.requests.size() == 2);
+        Rig.await("the request waits", () -> rig.discovery.requests.size() == 2);
         try (Wire client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS));
             busy.await();
-            answer.countDown();
+            respond.countDown();
             awaitPassed(System.nanoTime(), BUSY_MS);
             release.countDown();
             Rig.await("the list is there", () -> rig.discovery.requests.size() == 3);
--- a/edge/src/test/java/lemonrail/control/ControlClientTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlClientTest.java
@@ -21,6 +21,8 @@
 import lemonrail.core.balancer.EndpointState;
 import lemonrail.discovery.ControlClient;
 import lemonrail.discovery.EndpointList;
+import lemonrail.discovery.SettingsOutcome;
+import lemonrail.json.Json;
 import lemonrail.logging.EventLog;
 import lemonrail.logging.TextSink;
 import lemonrail.time.Clock;
@@ -28,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The sidecar's watch over several nodes, on real sockets. */
+/** A sidecar's watch over several control nodes, on real sockets. */
 @Timeout(60)
 class ControlClientTest {
 
@@ -49,7 +51,7 @@
         nodes.close();
     }
 
-    private static InetSocketAddress at(ControlNode node) {
+    private static InetSocketAddress addressOf(ControlNode node) {
         return new InetSocketAddress(
                 InetAddress.getLoopbackAddress(), node.address().getPort());
     }
@@ -58,32 +60,34 @@
         client = new ControlClient(
                 loop,
                 clock,
-                new ControlClient.Plan("edge-1", addresses, fallbacks, List.of("quote"), "base", null),
+                new ControlClient.Subscription("edge-1", addresses, fallbacks, List.of("quote"), "base", null),
                 NAMES,
                 7,
                 new EventLog(clock, new TextSink(new PrintStream(nodes.log, true, StandardCharsets.UTF_8))));
-        client.listen(list -> {
+        client.setListener(list -> {
             lists.add(list);
             if (list.full()) {
                 states.clear();
             }
-            list.servers().forEach(server -> {
-                if (server.state() == EndpointState.GONE) {
-                    states.remove(server.id());
+            list.endpoints().forEach(endpoint -> {
+                if (endpoint.state() == EndpointState.GONE) {
+                    states.remove(endpoint.id());
                 } else {
-                    states.put(server.id(), server.state());
+                    states.put(endpoint.id(), endpoint.state());
                 }
             });
         });
-        client.takeSettings(text -> {
+        client.setSettingsHandler(text -> {
             documents.add(String.valueOf(text));
-            return text != null && text.contains("bad") ? "it is bad" : null;
+            return text != null && text.contains("bad")
+                    ? new SettingsOutcome.Rejected("it is bad")
+                    : new SettingsOutcome.Applied();
         });
         loop.execute(client::watch);
     }
 
     private void start(String... names) {
-        start(List.of(names).stream().map(name -> at(nodes.node(name))).toList(), List.of());
+        start(List.of(names).stream().map(name -> addressOf(nodes.node(name))).toList(), List.of());
     }
 
     private void awaitState(String id, EndpointState state) throws InterruptedException {
@@ -91,22 +95,22 @@
     }
 
     /** The node that the client watches at. */
-    private ControlNode own() throws InterruptedException {
-        List<ControlNode> own = new ArrayList<>();
+    private ControlNode watchedNode() throws InterruptedException {
+        List<ControlNode> watchedNodes = new ArrayList<>();
         Nodes.await("it watches", () -> {
-            nodes.all.stream().filter(node -> watchers(node) > 0).forEach(own::add);
-            return !own.isEmpty();
+            nodes.all.stream().filter(node -> watcherCount(node) > 0).forEach(watchedNodes::add);
+            return !watchedNodes.isEmpty();
         });
-        return own.get(0);
+        return watchedNodes.get(0);
     }
 
-    private static int watchers(ControlNode node) {
-        return (Integer) ((Map<?, ?>) node.status().get("watching")).get("watchers");
+    private static int watcherCount(ControlNode node) {
+        return node.status().watchers().watcherCount();
     }
 
     /** Guards against a sidecar that goes through its whole list for each change, or for none. */
     @Test
-    void onlyWhatHasChangedIsPassedOn() throws Exception {
+    void onlyChangesArePassedOn() throws Exception {
         nodes = Nodes.of("w1", "w2");
         for (int i = 0; i < 100; i++) {
             nodes.put("w1", "quote", "s" + i, "in_service");
@@ -119,27 +123,27 @@
         assertEquals(100, lists.get(0).entries().size());
         nodes.put("w2", "quote", "s7", "terminating");
         awaitState("s7", EndpointState.DRAINING);
-        nodes.node("w1").put(ConfigurationChange.endpointGone("quote", "s8"));
+        nodes.node("w1").put(ConfigurationChange.removeEndpoint("quote", "s8"));
         Nodes.await("it is gone", () -> !states.containsKey("s8"));
         assertEquals(3, lists.size());
         assertEquals(
                 List.of(1, 1),
                 lists.subList(1, 3).stream().map(list -> list.entries().size()).toList());
         assertTrue(lists.subList(1, 3).stream().noneMatch(EndpointList::full));
-        // An answer without news, whose wait is 2 s, is passed on to nobody.
-        long answers =
-                nodes.node("w1").figures().get(2) + nodes.node("w2").figures().get(2);
+        // A response without an update, after a wait of 2 s, is not passed on.
+        long responses = nodes.node("w1").watchCounters().responses()
+                + nodes.node("w2").watchCounters().responses();
         Nodes.await(
-                "an empty answer",
-                () -> nodes.node("w1").figures().get(2)
-                                + nodes.node("w2").figures().get(2)
-                        > answers + 10);
+                "an empty response",
+                () -> nodes.node("w1").watchCounters().responses()
+                                + nodes.node("w2").watchCounters().responses()
+                        > responses + 10);
         assertEquals(3, lists.size());
     }
 
     /** Guards against a lost node that costs its watchers the changes of seconds. */
     @Test
-    void aLostNodesWatcherGoesOnAtTheNextOne() throws Exception {
+    void aWatcherOfAFailedNodeContinuesAtTheNextOne() throws Exception {
         nodes = Nodes.of("w1", "w2", "w3");
         for (int i = 0; i < 50; i++) {
             nodes.put("w1", "quote", "s" + i, "in_service");
@@ -147,75 +151,76 @@
         nodes.awaitEqual("w1", "w2", "w3");
         start("w1", "w2", "w3");
         awaitState("s49", EndpointState.READY);
-        ControlNode own = own();
+        ControlNode watched = watchedNode();
         List<String> others = nodes.all.stream()
-                .filter(node -> node != own)
+                .filter(node -> node != watched)
                 .map(ControlNode::name)
                 .toList();
-        // It hears no more of the others, so that its watcher lacks the change as it goes to one of them.
-        others.forEach(other -> own.cut(other, true));
+        // Partitioned from the others, so that its watcher lacks the change when it moves to one of them.
+        others.forEach(other -> watched.setPartitioned(other, true));
         nodes.put(others.get(0), "quote", "s7", "terminating");
         nodes.awaitState(others.get(1), "quote", "s7", "terminating");
-        own.stop();
-        long began = System.nanoTime();
+        watched.stop();
+        long startedNs = System.nanoTime();
         awaitState("s7", EndpointState.DRAINING);
-        assertTrue((System.nanoTime() - began) / 1e6 < 3000);
-        assertEquals(2, lists.size(), "one list, and one change");
+        assertTrue((System.nanoTime() - startedNs) / 1e6 < 3000);
+        assertEquals(2, lists.size(), "one full list and one delta");
         assertEquals(1, lists.get(1).entries().size());
         assertEquals(50, states.size());
     }
 
-    /** A node's machine vanishes: its connections stay open and say nothing. */
+    /** A node's machine vanishes: its connections stay open and silent. */
     @Test
     void aSilentNodeIsLeftWithinSixSeconds() throws Exception {
         nodes = Nodes.of("w1");
         nodes.put("w1", "quote", "s1", "in_service");
         try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            InetSocketAddress gone = new InetSocketAddress(InetAddress.getLoopbackAddress(), silent.getLocalPort());
-            long began = System.nanoTime();
-            start(List.of(gone), List.of(at(nodes.node("w1"))));
+            InetSocketAddress silentAddress =
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), silent.getLocalPort());
+            long startedNs = System.nanoTime();
+            start(List.of(silentAddress), List.of(addressOf(nodes.node("w1"))));
             awaitState("s1", EndpointState.READY);
-            assertTrue((System.nanoTime() - began) / 1e6 < 3000);
+            assertTrue((System.nanoTime() - startedNs) / 1e6 < 3000);
         }
     }
 
     @Test
-    void aNodeThatHearsNothingNewIsLeftForOneThatDoes() throws Exception {
+    void aStaleNodeIsLeftForACurrentOne() throws Exception {
         nodes = Nodes.of("w1", "w2", "w3");
         nodes.put("w1", "quote", "s1", "in_service");
         nodes.awaitEqual("w1", "w2", "w3");
         start("w1", "w2", "w3");
         awaitState("s1", EndpointState.READY);
-        ControlNode own = own();
+        ControlNode watched = watchedNode();
         List<ControlNode> others =
-                nodes.all.stream().filter(node -> node != own).toList();
+                nodes.all.stream().filter(node -> node != watched).toList();
         for (ControlNode other : others) {
-            own.cut(other.name(), true);
-            other.cut(own.name(), true);
+            watched.setPartitioned(other.name(), true);
+            other.setPartitioned(watched.name(), true);
         }
         nodes.put(others.get(0).name(), "quote", "s1", "terminating");
         awaitState("s1", EndpointState.DRAINING);
         assertEquals(2, lists.size());
     }
 
-    /** Guards against an endpoint that comes back, or one that goes, as the watcher meets a node behind. */
+    /** Guards against endpoints that reappear or vanish when the watcher moves to a node that lags behind. */
     @Test
-    void aNodeThatIsBehindTakesNothingBack() throws Exception {
+    void aLaggingNodeRevertsNothing() throws Exception {
         nodes = Nodes.of("w1", "w2");
         nodes.put("w1", "quote", "s1", "in_service");
         nodes.awaitEqual("w1", "w2");
         start("w1", "w2");
         awaitState("s1", EndpointState.READY);
-        ControlNode own = own();
+        ControlNode watched = watchedNode();
         ControlNode other =
-                nodes.all.stream().filter(node -> node != own).findFirst().get();
-        own.cut(other.name(), true);
-        other.cut(own.name(), true);
-        nodes.put(own.name(), "quote", "s1", "terminating");
-        nodes.put(own.name(), "quote", "s2", "in_service");
+                nodes.all.stream().filter(node -> node != watched).findFirst().get();
+        watched.setPartitioned(other.name(), true);
+        other.setPartitioned(watched.name(), true);
+        nodes.put(watched.name(), "quote", "s1", "terminating");
+        nodes.put(watched.name(), "quote", "s2", "in_service");
         awaitState("s2", EndpointState.READY);
-        own.stop();
-        Nodes.await("it is at the other", () -> watchers(other) > 0);
+        watched.stop();
+        Nodes.await("it watches at the other", () -> watcherCount(other) > 0);
         nodes.put(other.name(), "quote", "s3", "in_service");
         awaitState("s3", EndpointState.READY);
         assertEquals(
@@ -223,44 +228,43 @@
     }
 
     @Test
-    void aNodeWithoutAWordIsLeftAndItsEmptyListTakenForNone() throws Exception {
+    void aNodeThatIsNotReadyIsLeftAndItsEmptyListIgnored() throws Exception {
         nodes = Nodes.of("w1");
         nodes.put("w1", "quote", "s1", "in_service");
         ControlNode empty = nodes.start("w2", "west");
-        start(List.of(at(empty)), List.of(at(nodes.node("w1"))));
+        start(List.of(addressOf(empty)), List.of(addressOf(nodes.node("w1"))));
         awaitState("s1", EndpointState.READY);
         assertEquals(1, lists.size());
     }
 
-    /** A document that half of the fleet refuses: the last good one stays there, and the operators see it. */
+    /** A document that half of the fleet rejects: the last good one stays in force there, and operators see it. */
     @Test
-    void badSettingsAreRefusedAndTheLastGoodOnesStay() throws Exception {
+    void badSettingsAreRejectedAndTheLastGoodOnesStay() throws Exception {
         nodes = Nodes.of("w1");
         nodes.node("w1").put(ConfigurationChange.settings("base", "good 1"));
-        Watcher taker = new Watcher("quote").to(nodes.node("w1").address());
+        Watcher other = new Watcher("quote").connectTo(nodes.node("w1").address());
         start("w1");
         Nodes.await("it is in force", () -> documents.equals(List.of("good 1")));
         nodes.node("w1").put(ConfigurationChange.settings("base", "bad 2"));
-        Nodes.await("it is refused", () -> documents.equals(List.of("good 1", "bad 2")));
-        String stamp =
-                nodes.node("w1").item("settings:base", "base").timestamp().encode();
-        taker.call(0, "&settings=base&inforce=" + stamp).take();
-        taker.close();
+        Nodes.await("it is rejected", () -> documents.equals(List.of("good 1", "bad 2")));
+        String timestamp =
+                nodes.node("w1").entry("settings:base", "base").timestamp().encode();
+        other.sendWatch(0, "&settings=base&inforce=" + timestamp).receive();
+        other.close();
         Nodes.await("the operators see it", () -> {
-            String status = lemonrail.json.Json.text(nodes.node("w1").status().get("watching"));
+            String status = Json.text(nodes.node("w1").status().watchers().toJson());
             return status.contains("\"refusals\":1,\"refused\":[{")
                     && status.contains("it is bad")
                     && status.contains("\"watchers\":2,\"oldest\":\"")
-                    && !status.contains("\"oldest\":\"" + stamp)
+                    && !status.contains("\"oldest\":\"" + timestamp)
                     && status.contains("\"oldest_at\":[\"edge-1\"]");
         });
         nodes.node("w1").put(ConfigurationChange.settings("base", "good 3"));
-        Nodes.await("the next one is taken", () -> documents.size() == 3);
+        Nodes.await("the next one is applied", () -> documents.size() == 3);
         Nodes.await(
-                "and no refusal stands",
-                () -> lemonrail.json.Json.text(nodes.node("w1").status().get("watching"))
-                        .contains("\"refusals\":0"));
-        nodes.node("w1").put(ConfigurationChange.settingsGone("base"));
+                "no rejection is left",
+                () -> Json.text(nodes.node("w1").status().watchers().toJson()).contains("\"refusals\":0"));
+        nodes.node("w1").put(ConfigurationChange.removeSettings("base"));
         Nodes.await("its own file's are back", () -> documents.size() == 4);
         assertEquals("null", documents.get(3));
         assertNull(states.get("base"));
--- a/edge/src/test/java/lemonrail/control/Nodes.java
+++ b/edge/src/test/java/lemonrail/control/Nodes.java
@@ -15,14 +15,16 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import lemonrail.config.ControlConfig;
+import lemonrail.config.ControlConfig.Peer;
 import lemonrail.core.replication.MergeOutcome;
 import lemonrail.logging.LogSettings;
+import lemonrail.logging.LogSink;
 import lemonrail.logging.TextSink;
 
-/** Control nodes on loopback that watch each other. */
+/** Control nodes on loopback that replicate from each other. */
 final class Nodes implements Closeable {
 
-    private static final long PATIENCE_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
 
     final List<ControlNode> all = new ArrayList<>();
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
@@ -31,40 +33,57 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    /** One node more, at a free port; it watches nobody yet. */
+    /** Starts a node at a free port, without peers. */
     ControlNode start(String name, String region) throws IOException {
         return start(name, region, anyPort(), null);
     }
 
-    ControlNode start(String name, String region, InetSocketAddress at, Path folder) throws IOException {
-        ControlNode node = ControlNode.create(
-                new ControlConfig(
-                        name,
-                        region,
-                        at,
-                        anyPort(),
-                        List.of(),
-                        ControlConfig.MOST_WATCHERS,
-                        ControlConfig.ANSWER_GAP_MS,
-                        folder,
-                        LogSettings.USUAL),
-                new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)));
+    ControlNode start(String name, String region, InetSocketAddress address, Path folder) throws IOException {
+        LogSink sink = new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8));
+        ControlNode node = ControlNode.create(config(name, region, address, anyPort(), List.of(), folder), sink);
         node.open();
         all.add(node);
         return node;
     }
 
-    /** Each watches each other one, and the first begins. */
+    /** Creates a node of the region "west" with peers from its start, without an admin API; it is not opened. */
+    ControlNode createWithPeers(String name, InetSocketAddress address, Path folder, List<Peer> peers) {
+        ControlNode node =
+                ControlNode.create(config(name, "west", address, null, peers, folder), new TextSink(System.err));
+        all.add(node);
+        return node;
+    }
+
+    private static ControlConfig config(
+            String name,
+            String region,
+            InetSocketAddress address,
+            InetSocketAddress admin,
+            List<Peer> peers,
+            Path folder) {
+        return new ControlConfig(
+                name,
+                region,
+                address,
+                admin,
+                peers,
+                ControlConfig.MOST_WATCHERS,
+                ControlConfig.ANSWER_GAP_MS,
+                folder,
+                LogSettings.USUAL);
+    }
+
+    /** Makes all nodes peers of each other, and bootstraps the first. */
     Nodes join() throws InterruptedException {
-        all.get(0).begin();
+        all.get(0).bootstrap();
         for (ControlNode node : all) {
             for (ControlNode other : all) {
                 if (node != other) {
-                    node.watch(other.asPeer());
+                    node.addPeer(other.asPeer());
                 }
             }
         }
-        await("all are ready", () -> all.stream().allMatch(ControlNode::isReady));
+        await("all nodes are ready", () -> all.stream().allMatch(ControlNode::isReady));
         return this;
     }
 
@@ -96,10 +115,10 @@
                                         .getBytes(StandardCharsets.UTF_8))));
     }
 
-    /** Waits until these nodes hold the same. */
+    /** Waits until these nodes have equal entries. */
     void awaitEqual(String... names) throws InterruptedException {
         await(
-                "all hold the same",
+                "all have equal entries",
                 () -> List.of(names).stream()
                                 .map(name -> node(name).digest())
                                 .distinct()
@@ -108,16 +127,16 @@
     }
 
     void awaitState(String node, String service, String id, String state) throws InterruptedException {
-        await(node + " has heard that " + id + " is " + state, () -> {
-            String body = node(node).get(service, id);
+        await(node + " has received that " + id + " is " + state, () -> {
+            String body = node(node).liveBody(service, id);
             return body != null && body.contains("\"" + state + "\"");
         });
     }
 
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+    static void await(String expectation, BooleanSupplier condition) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, what);
+            assertTrue(System.nanoTime() < deadlineNs, expectation);
             Thread.sleep(2);
         }
     }
--- a/edge/src/test/java/lemonrail/control/Watcher.java
+++ b/edge/src/test/java/lemonrail/control/Watcher.java
@@ -17,10 +17,10 @@
 import lemonrail.core.replication.WatcherReplica;
 import lemonrail.json.Json;
 
-/** A watcher that speaks call by call, and holds what it was told. */
+/** A watcher that sends its requests one by one and keeps a replica of what it receives. */
 final class Watcher implements Closeable {
 
-    private static final int PATIENCE_MS = 20_000;
+    private static final int TIMEOUT_MS = 20_000;
 
     private final String services;
     final WatcherReplica replica = new WatcherReplica();
@@ -28,32 +28,32 @@
     private Socket socket;
     private InputStream in;
     long version = -1;
-    String from = "";
+    String bootId = "";
     int status;
     boolean full;
     long bytes;
-    Map<?, ?> answer;
+    Map<?, ?> response;
     String text = "";
 
-    /** A watcher of these services, or all where none are given. */
+    /** Creates a watcher of these services, or of all if none are given. */
     Watcher(String services) {
         this.services = services;
     }
 
-    /** Goes to this node, with all that it knows. */
-    Watcher to(InetSocketAddress node) throws IOException {
-        return to(node, 0);
+    /** Connects to a node and keeps the replica. */
+    Watcher connectTo(InetSocketAddress node) throws IOException {
+        return connectTo(node, 0);
     }
 
-    /** The same with so many bytes that the system takes before they are read; 0 for as many as it likes. */
-    Watcher to(InetSocketAddress node, int receiveBytes) throws IOException {
+    /** The same with a socket receive buffer of this size; 0 for the default. */
+    Watcher connectTo(InetSocketAddress node, int receiveBytes) throws IOException {
         close();
         socket = new Socket();
         if (receiveBytes > 0) {
             socket.setReceiveBufferSize(receiveBytes);
         }
         socket.connect(node);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
         return this;
@@ -64,27 +64,27 @@
         return this;
     }
 
-    /** Sends a call with what is known. */
-    Watcher call(int waitMs, String more) throws IOException {
+    /** Sends a request that resumes from the known version. */
+    Watcher sendWatch(int waitMs, String moreParameters) throws IOException {
         return get("/registry/instances?name=w1" + (services.isEmpty() ? "" : "&service=" + services)
-                + (version < 0 ? "" : "&index=" + version + "&wait=" + waitMs + "&from=" + from) + "&digest="
-                + Long.toHexString(replica.digest()) + more);
+                + (version < 0 ? "" : "&index=" + version + "&wait=" + waitMs + "&from=" + bootId) + "&digest="
+                + Long.toHexString(replica.digest()) + moreParameters);
     }
 
     Watcher get(String uri) throws IOException {
         return send("GET " + uri + " HTTP/1.1\r\nHost: control\r\n\r\n");
     }
 
-    /** Calls and takes the answer in. */
+    /** Sends a request and applies the response. */
     Watcher watch(int waitMs) throws IOException {
-        return call(waitMs, "").take();
+        return sendWatch(waitMs, "").receive();
     }
 
-    /** Calls until the endpoint is in this state, or gone where it is null; the answers that it took. */
+    /** Watches until the endpoint is in this state, or absent if it is null; returns the number of responses. */
     int watchUntil(String id, String state) throws IOException {
-        for (int answers = 0; answers < 100; answers++) {
+        for (int responses = 0; responses < 100; responses++) {
             if (java.util.Objects.equals(state, states.get(id))) {
-                return answers;
+                return responses;
             }
             watch(1000);
         }
@@ -92,10 +92,10 @@
     }
 
     Watcher read() throws IOException {
-        String first = line();
+        String first = readLine();
         status = Integer.parseInt(first.split(" ")[1]);
         int length = 0;
-        for (String line = line(); !line.isEmpty(); line = line()) {
+        for (String line = readLine(); !line.isEmpty(); line = readLine()) {
             if (line.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")) {
                 length = Integer.parseInt(line.substring(line.indexOf(':') + 1).trim());
             }
@@ -109,44 +109,44 @@
         return this;
     }
 
-    /** Reads an answer and holds what it says. */
-    Watcher take() throws IOException {
+    /** Reads a response and applies it to the replica. */
+    Watcher receive() throws IOException {
         read();
         if (status != 200) {
             return this;
         }
-        answer = (Map<?, ?>) Json.value(text.getBytes(StandardCharsets.UTF_8));
-        version = ((Double) answer.get("version")).longValue();
-        from = (String) answer.get("node");
-        full = (Boolean) answer.get("full");
-        List<WatcherReplica.Key> named = new ArrayList<>();
-        for (Object each : (List<?>) answer.get("servers")) {
+        response = (Map<?, ?>) Json.parse(text.getBytes(StandardCharsets.UTF_8));
+        version = ((Double) response.get("version")).longValue();
+        bootId = (String) response.get("node");
+        full = (Boolean) response.get("full");
+        List<WatcherReplica.Key> listed = new ArrayList<>();
+        for (Object each : (List<?>) response.get("servers")) {
             Map<?, ?> line = (Map<?, ?>) each;
-            boolean gone = "terminated".equals(line.get("state"));
+            boolean removed = "terminated".equals(line.get("state"));
             WatcherReplica.Key key = new WatcherReplica.Key((String) line.get("service"), (String) line.get("id"));
-            if (replica.apply(key, HybridTimestamp.parse((String) line.get("stamp")), gone)) {
+            if (replica.apply(key, HybridTimestamp.parse((String) line.get("stamp")), removed)) {
                 states.put(key.id(), (String) line.get("state"));
                 states.values().removeIf("terminated"::equals);
             }
-            named.add(key);
+            listed.add(key);
         }
-        for (Object each : (List<?>) answer.get("settings")) {
+        for (Object each : (List<?>) response.get("settings")) {
             Map<?, ?> line = (Map<?, ?>) each;
             WatcherReplica.Key key = new WatcherReplica.Key("settings:" + line.get("name"), (String) line.get("name"));
             replica.apply(key, HybridTimestamp.parse((String) line.get("stamp")), (Boolean) line.get("gone"));
-            named.add(key);
+            listed.add(key);
         }
         if (full) {
-            replica.retainListed(named, EntryCodec.heard(answer)).forEach(key -> states.remove(key.id()));
+            replica.retainListed(listed, EntryCodec.decodeVersions(response)).forEach(key -> states.remove(key.id()));
         }
         return this;
     }
 
-    int listed() {
-        return ((List<?>) answer.get("servers")).size();
+    int listedEndpoints() {
+        return ((List<?>) response.get("servers")).size();
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
@@ -160,7 +160,7 @@
     }
 
     /** Waits until the node has closed the connection. */
-    void awaitEnd() throws IOException {
+    void awaitClose() throws IOException {
         try {
             while (in.read() >= 0) {
                 continue;
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -126,10 +126,10 @@
             addresses.clear();
         }
         for (EndpointList.Entry entry : list.entries()) {
-            if (entry.server().state() == EndpointState.GONE) {
-                addresses.remove(entry.server().id());
+            if (entry.endpoint().state() == EndpointState.GONE) {
+                addresses.remove(entry.endpoint().id());
             } else {
-                addresses.put(entry.server().id(), entry.address());
+                addresses.put(entry.endpoint().id(), entry.address());
             }
         }
     }
--- a/edge/src/test/java/lemonrail/logging/LogTest.java
+++ b/edge/src/test/java/lemonrail/logging/LogTest.java
@@ -47,7 +47,7 @@
         log.in("http1").debug("unseen", "not at this level");
         log.in("http1").trouble("client_refused", "a client is refused", "400 no", "status", 400);
         assertEquals(2, lines().size());
-        Map<?, ?> first = (Map<?, ?>) Json.value(lines().get(0).getBytes(StandardCharsets.UTF_8));
+        Map<?, ?> first = (Map<?, ?>) Json.parse(lines().get(0).getBytes(StandardCharsets.UTF_8));
         assertEquals(
                 List.of("ts", "level", "logger", "event", "request_id", "attempt", "took_ms", "outcome", "message"),
                 List.copyOf(first.keySet()));
@@ -55,7 +55,7 @@
         assertEquals("lemonrail.exchange", first.get("logger"));
         assertEquals(1.235, first.get("took_ms"));
         assertEquals("an \"attempt\"\nended", first.get("message"));
-        Map<?, ?> second = (Map<?, ?>) Json.value(lines().get(1).getBytes(StandardCharsets.UTF_8));
+        Map<?, ?> second = (Map<?, ?>) Json.parse(lines().get(1).getBytes(StandardCharsets.UTF_8));
         assertEquals(400.0, second.get("status"));
         assertEquals("warn", second.get("level"));
     }
--- a/lab/src/main/java/lemonrail/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ControlPlane.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import lemonrail.config.EdgeConfig;
-import lemonrail.discovery.DiscoveryClient;
+import lemonrail.discovery.EndpointListListener;
 import lemonrail.logging.EventLog;
 
 /**
@@ -66,7 +66,7 @@
     /** The watch of a hollow sidecar; used on its loop. */
     interface Watch {
         /** Who hears of lists. */
-        void listen(DiscoveryClient.Listener listener);
+        void listen(EndpointListListener listener);
 
         /** Starts it; one that is on goes on. */
         void watch();
--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -88,13 +88,13 @@
     }
 
     private void take(EndpointList news) {
-        exchange.listed(news);
+        exchange.onEndpointList(news);
         long now = System.nanoTime();
         synchronized (told) {
             if (news.full()) {
                 wholeLists++;
                 Set<String> named = new HashSet<>();
-                news.entries().forEach(entry -> named.add(entry.server().id()));
+                news.entries().forEach(entry -> named.add(entry.endpoint().id()));
                 told.forEach((id, words) -> {
                     if (!named.contains(id) && !words.get(words.size() - 1).gone) {
                         words.add(new Told(now, 0, true));
@@ -102,7 +102,7 @@
                 });
             }
             for (EndpointList.Entry entry : news.entries()) {
-                Endpoint server = entry.server();
+                Endpoint server = entry.endpoint();
                 told.computeIfAbsent(server.id(), id -> new ArrayList<>(2))
                         .add(new Told(now, server.weight(), server.state() == EndpointState.GONE));
             }
@@ -156,8 +156,8 @@
 
     /** Whether the decider's list is this one; to be asked on its loop. */
     boolean knows(Map<String, EndpointEntry> lines) {
-        List<Endpoint> shown = suspensions.shown(lines.keySet());
-        return suspensions.listed() == lines.size()
+        List<Endpoint> shown = suspensions.visibleEndpoints(lines.keySet());
+        return suspensions.listedCount() == lines.size()
                 && endpoints.size() == lines.size()
                 && shown.size() == lines.size()
                 && shown.stream().allMatch(server -> {
--- a/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
@@ -24,7 +24,8 @@
 import lemonrail.control.ControlNode;
 import lemonrail.core.replication.MergeOutcome;
 import lemonrail.discovery.ControlClient;
-import lemonrail.discovery.DiscoveryClient;
+import lemonrail.discovery.EndpointListListener;
+import lemonrail.discovery.SettingsOutcome;
 import lemonrail.lab.host.SidecarHost;
 import lemonrail.logging.EventLog;
 import lemonrail.logging.LogSettings;
@@ -86,7 +87,7 @@
             for (int i = 0; i < count; i++) {
                 open(i, true);
             }
-            nodes.get(0).begin();
+            nodes.get(0).bootstrap();
             await("all nodes are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -130,9 +131,9 @@
                 sink);
         node.open();
         Traffic own = nodeTraffic.get(i);
-        node.observe((watcher, digest, called, answered) -> saw(own, watcher, digest, called + answered));
+        node.setWatchObserver((watcher, digest, called, answered) -> saw(own, watcher, digest, called + answered));
         nodes.set(i, node);
-        loops.set(i, new LoopWatch(node.loop()));
+        loops.set(i, new LoopWatch(node.eventLoop()));
         up.set(i, true);
     }
 
@@ -187,13 +188,13 @@
         return ports.size();
     }
 
-    private ControlClient.Plan plan(String name, String list, int node) {
+    private ControlClient.Subscription plan(String name, String list, int node) {
         List<InetSocketAddress> own = new ArrayList<>();
         List<InetSocketAddress> others = new ArrayList<>();
         for (int i = 0; i < ports.size(); i++) {
             (region(i) == region(node) ? own : others).add(at(i));
         }
-        return new ControlClient.Plan(name, own, others, List.of(list), DOCUMENT, null);
+        return new ControlClient.Subscription(name, own, others, List.of(list), DOCUMENT, null);
     }
 
     @Override
@@ -203,14 +204,14 @@
             name = "hollow-" + watches++;
         }
         ControlClient client = new ControlClient(loop, new Clock(), plan(name, list, node), config.names(), seed, log);
-        client.takeSettings(text -> {
+        client.setSettingsHandler(text -> {
             if (text != null) {
                 SettingsDocument.over(config.settings(), text);
                 synchronized (settingsTold) {
                     settingsTold.add(System.nanoTime());
                 }
             }
-            return null;
+            return new SettingsOutcome.Applied();
         });
         return new NodesWatch(client);
     }
@@ -218,8 +219,8 @@
     /** The edge's own client; it needs no word of where else to go. */
     private record NodesWatch(ControlClient client) implements Watch {
         @Override
-        public void listen(DiscoveryClient.Listener listener) {
-            client.listen(listener);
+        public void listen(EndpointListListener listener) {
+            client.setListener(listener);
         }
 
         @Override
@@ -243,7 +244,7 @@
         synchronized (traffic) {
             lists.put(group, list);
         }
-        ControlClient.Plan plan = plan(group, list, node);
+        ControlClient.Subscription plan = plan(group, list, node);
         return Files.writeString(place.folder().resolve("edge.toml"), """
             name = "%s"
             state-dir = "%s"
@@ -274,8 +275,8 @@
                         group,
                         place.folder(),
                         text(place.listen()),
-                        texts(plan.addresses()),
-                        texts(plan.fallbacks()),
+                        texts(plan.regionNodes()),
+                        texts(plan.fallbackNodes()),
                         list,
                         DOCUMENT,
                         place.zones().stream().map(zone -> "\"" + zone + "\"").collect(Collectors.joining(", ")),
@@ -315,7 +316,7 @@
 
     private static ConfigurationChange change(String list, EndpointEntry line) {
         return line.state() == EndpointEntry.State.TERMINATED
-                ? ConfigurationChange.endpointGone(list, line.id())
+                ? ConfigurationChange.removeEndpoint(list, line.id())
                 : ConfigurationChange.endpoint(list, line.id(), line.json().getBytes(StandardCharsets.UTF_8));
     }
 
@@ -344,7 +345,7 @@
         }
         long began = System.nanoTime();
         nodes.get(node).put(ConfigurationChange.settings(DOCUMENT, "[[classes]]\nname = \"read\"\naim = \"450ms\"\n"));
-        String stamp = nodes.get(node).stamp("settings:" + DOCUMENT, DOCUMENT);
+        String stamp = nodes.get(node).encodedTimestamp("settings:" + DOCUMENT, DOCUMENT);
         List<Double> tookMs = new ArrayList<>();
         while (!inForce(stamp) && System.nanoTime() - began < mostMs * 1e6) {
             TimeUnit.MILLISECONDS.sleep(LOOK_MS);
@@ -361,12 +362,9 @@
     /** Whether each watcher at each node has said that it has this document in force. */
     private boolean inForce(String stamp) {
         return nodes.stream().allMatch(node -> {
-            Map<?, ?> watching = (Map<?, ?>) node.status().get("watching");
-            return ((List<?>) watching.get("settings"))
-                    .stream()
-                            .map(each -> (Map<?, ?>) each)
-                            .allMatch(each -> stamp.equals(each.get("oldest"))
-                                    && each.get("refusals").equals(0));
+            return node.status().watchers().documents().stream()
+                    .allMatch(document ->
+                            stamp.equals(document.oldestApplied().encode()) && document.rejectionCount() == 0);
         });
     }
 
@@ -396,8 +394,8 @@
 
     @Override
     public void cut(int one, int other, boolean apart) {
-        nodes.get(one).cut("control-" + other, apart);
-        nodes.get(other).cut("control-" + one, apart);
+        nodes.get(one).setPartitioned("control-" + other, apart);
+        nodes.get(other).setPartitioned("control-" + one, apart);
     }
 
     @Override
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
@@ -11,6 +11,7 @@
 import lemonrail.config.EdgeConfig;
 import lemonrail.core.WatchSchedule;
 import lemonrail.discovery.DiscoveryClient;
+import lemonrail.discovery.EndpointListListener;
 import lemonrail.logging.EventLog;
 
 /** Today's way: one registry, whose one address each sidecar has from its file; settings are files. */
@@ -77,8 +78,8 @@
     /** The edge's own client, at one of two addresses of the list. */
     private record RegistryWatch(DiscoveryClient client, InetSocketAddress other) implements Watch {
         @Override
-        public void listen(DiscoveryClient.Listener listener) {
-            client.listen(listener);
+        public void listen(EndpointListListener listener) {
+            client.setListener(listener);
         }
 
         @Override
@@ -88,7 +89,7 @@
 
         @Override
         public void elsewhere() {
-            client.move(other);
+            client.moveTo(other);
         }
 
         @Override
