--- a/edge/src/main/java/lemonrail/control/ControlAdminApi.java
+++ b/edge/src/main/java/lemonrail/control/ControlAdminApi.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public AdminResponse answer(HttpMethod method, String uri, byte[] body) {
+    public AdminResponse handle(HttpMethod method, String uri, byte[] body) {
         QueryStringDecoder query = new QueryStringDecoder(uri);
         try {
             return route(method, query.path(), asOfMs(query), body);
--- a/edge/src/main/java/lemonrail/control/ControlNode.java
+++ b/edge/src/main/java/lemonrail/control/ControlNode.java
@@ -61,7 +61,7 @@
         store = new ReplicatedStore(config.name(), Bounds.DEFAULT, startedAtMs);
         String bootId = config.name() + "-" + Long.toString(startedAtMs, Character.MAX_RADIX);
         peers = new PeerMembership(loop, clock, log, config.name(), config.region(), this::onPeerResponse);
-        snapshots = new SnapshotPersister(config.kept(), store, clock, log, startedAtMs);
+        snapshots = new SnapshotPersister(config.snapshotFile(), store, clock, log, startedAtMs);
         reporter = new NodeStatusReporter(config, bootId, clock, store, peers, snapshots, appliedVersions);
         watchServer = new WatchServer(new WatchContext(
                 loop,
@@ -71,11 +71,11 @@
                 appliedVersions,
                 reporter,
                 bootId,
-                config.mostWatchers(),
-                config.answerGapMs(),
+                config.maxWatchers(),
+                config.responseIntervalMs(),
                 new WatchResponseCache(store)));
         adminServer = new AdminServer(
-                loop, Sockets.BUFFERS, new ControlAdminApi(this), ControlAdminApi.MAX_BODY_BYTES, log::bug);
+                loop, Sockets.BUFFERS, new ControlAdminApi(this), ControlAdminApi.MAX_BODY_BYTES, log::error);
     }
 
     /** Creates a node with this configuration, which listens from {@link #open} on. */
@@ -215,7 +215,7 @@
             log.info("ready", "ready with " + store.liveCount() + " entries from " + peer.name());
         }
         if (result.rejectedCount() > 0) {
-            log.trouble(
+            log.warnRateLimited(
                     "items_refused",
                     "entries of node " + peer.name() + " were rejected",
                     result.rejectedCount(),
@@ -232,7 +232,7 @@
             store.expireTombstones(nowMs());
             snapshots.persistIfDue();
         } catch (RuntimeException e) {
-            log.bug("maintenance of the store failed", e);
+            log.error("maintenance of the store failed", e);
         }
     }
 
--- a/edge/src/main/java/lemonrail/control/PeerReplicator.java
+++ b/edge/src/main/java/lemonrail/control/PeerReplicator.java
@@ -110,7 +110,7 @@
 
     private void handleFailure(Object reason) {
         client.close();
-        log.trouble("peer_failed", "node " + peer.name() + " is not reached", reason, "node", peer.name());
+        log.warnRateLimited("peer_failed", "node " + peer.name() + " is not reached", reason, "node", peer.name());
         pendingRetry = loop.schedule(
                 () -> {
                     pendingRetry = null;
@@ -129,7 +129,7 @@
             merge(PeerResponse.decode(body, this::logInvalidEntry));
         } catch (RuntimeException e) {
             if (!(e instanceof IllegalArgumentException)) {
-                log.bug("a response of node " + peer.name(), e);
+                log.error("a response of node " + peer.name(), e);
             }
             // What was skipped must be sent again.
             version = NO_VERSION;
@@ -140,7 +140,7 @@
     }
 
     private void logInvalidEntry(String problem) {
-        log.trouble("item_unreadable", "an entry of node " + peer.name() + " is left out", problem);
+        log.warnRateLimited("item_unreadable", "an entry of node " + peer.name() + " is left out", problem);
     }
 
     private void merge(PeerResponse response) {
--- a/edge/src/main/java/lemonrail/control/SnapshotPersister.java
+++ b/edge/src/main/java/lemonrail/control/SnapshotPersister.java
@@ -89,7 +89,7 @@
             changed = false;
             persistedAtMs = nowMs();
         } catch (IOException e) {
-            log.trouble("snapshot_failed", "the snapshot was not written", e.getMessage());
+            log.warnRateLimited("snapshot_failed", "the snapshot was not written", e.getMessage());
         }
     }
 
--- a/edge/src/main/java/lemonrail/control/WatchConnection.java
+++ b/edge/src/main/java/lemonrail/control/WatchConnection.java
@@ -206,7 +206,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            context.log().bug("a watcher's connection", cause);
+            context.log().error("a watcher's connection", cause);
         }
         ctx.close();
     }
--- a/edge/src/main/java/lemonrail/control/WatchServer.java
+++ b/edge/src/main/java/lemonrail/control/WatchServer.java
@@ -130,7 +130,7 @@
     void closeSlow(WatchConnection connection, String reason) {
         slowClosed++;
         context.log()
-                .trouble(
+                .warnRateLimited(
                         "watcher_closed",
                         "a watcher's connection was closed",
                         reason,
@@ -142,7 +142,7 @@
     void onOpened(WatchConnection connection) {
         connections.add(connection);
         if (connections.size() > context.maxWatchers() + EXTRA_CONNECTIONS) {
-            context.log().trouble("watchers_full", "a connection was rejected", "there are too many");
+            context.log().warnRateLimited("watchers_full", "a connection was rejected", "there are too many");
             connection.close();
         }
     }
--- a/edge/src/main/java/lemonrail/discovery/ControlClient.java
+++ b/edge/src/main/java/lemonrail/discovery/ControlClient.java
@@ -180,7 +180,7 @@
 
     private void handleFailure(Object reason) {
         client.close();
-        log.trouble("discovery_failed", "discovery failed", reason, "address", selector.currentNode());
+        log.warnRateLimited("discovery_failed", "discovery failed", reason, "address", selector.currentNode());
         double backoffMs = selector.onFailure(clock.now());
         pendingRetry = loop.schedule(
                 () -> {
@@ -206,7 +206,7 @@
             return;
         } catch (RuntimeException e) {
             // Any other failure must not end the watch.
-            log.bug("a response of a control node", e);
+            log.error("a response of a control node", e);
             handleFailure(e);
             return;
         }
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -114,7 +114,7 @@
         address = newAddress;
         version = OptionalLong.empty();
         // The failures of the old address say nothing of the new one.
-        schedule.answered();
+        schedule.onResponse();
         cancelPhaseTimeout();
         http.close();
         watch();
@@ -127,7 +127,7 @@
         }
         cancelRetry();
         if (!http.isConnectedTo(address)) {
-            enterPhase(Phase.CONNECTING, WatchSchedule.silenceMs());
+            enterPhase(Phase.CONNECTING, WatchSchedule.silenceTimeoutMs());
         }
         http.send(address);
     }
@@ -150,7 +150,7 @@
     /** Returns the request's URI. Its time limit starts only now: the connect may have taken long. */
     private String startWaiting() {
         int waitMs = version.isPresent() ? schedule.waitMs() : 0;
-        enterPhase(Phase.WAITING_FOR_RESPONSE, waitMs + WatchSchedule.silenceMs());
+        enterPhase(Phase.WAITING_FOR_RESPONSE, waitMs + WatchSchedule.silenceTimeoutMs());
         String resumption = version.isPresent() ? "?index=" + version.getAsLong() + "&wait=" + waitMs : "";
         return "/registry/instances" + resumption;
     }
@@ -159,10 +159,10 @@
     private void restartReceiveTimeout() {
         long nowNs = System.nanoTime();
         if (phase != Phase.RECEIVING_RESPONSE) {
-            responseDeadlineNs = nowNs + TimeUnit.MILLISECONDS.toNanos(WatchSchedule.answerMs());
+            responseDeadlineNs = nowNs + TimeUnit.MILLISECONDS.toNanos(WatchSchedule.responseTimeoutMs());
         }
         long untilDeadlineMs = TimeUnit.NANOSECONDS.toMillis(responseDeadlineNs - nowNs);
-        enterPhase(Phase.RECEIVING_RESPONSE, (int) Math.min(WatchSchedule.silenceMs(), untilDeadlineMs));
+        enterPhase(Phase.RECEIVING_RESPONSE, (int) Math.min(WatchSchedule.silenceTimeoutMs(), untilDeadlineMs));
     }
 
     private void enterPhase(Phase next, int timeoutMs) {
@@ -185,8 +185,8 @@
     private void handleFailure(Object reason) {
         cancelPhaseTimeout();
         http.close();
-        log.trouble("discovery_failed", "discovery failed", reason, "address", address);
-        pendingRetry = loop.schedule(this::watch, (long) (schedule.failed() * NANOS_PER_MS), TimeUnit.NANOSECONDS);
+        log.warnRateLimited("discovery_failed", "discovery failed", reason, "address", address);
+        pendingRetry = loop.schedule(this::watch, (long) (schedule.onFailure() * NANOS_PER_MS), TimeUnit.NANOSECONDS);
     }
 
     private void handleResponse(int status, byte[] body) {
@@ -201,7 +201,7 @@
             handleFailure(e.getMessage());
             return;
         }
-        schedule.answered();
+        schedule.onResponse();
         boolean versionsRestarted = !list.full() && version.isPresent() && list.version() < version.getAsLong();
         // A delta since another sequence's version may lack changes.
         version = versionsRestarted ? OptionalLong.empty() : OptionalLong.of(list.version());
--- a/edge/src/test/java/lemonrail/assembly/ClientsThatLeaveTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientDisconnectTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A request whose client has left is not sent on any more, whether or not what runs may be called off. */
+/** A request whose client has disconnected is not forwarded, whether or not attempts in flight may be cancelled. */
 @Timeout(60)
-class ClientsThatLeaveTest {
+class ClientDisconnectTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** What takes longer has waited for the deadline. */
+    /** Anything slower has waited for the deadline. */
     private static final double SOON_MS = DEADLINE_MS / 2.0;
 
     private static final int BURST = 3;
-    /** More than the module lets through at once, so that others are refused before they leave. */
+    /** More than the balancer admits at once, so that some are rejected before they disconnect. */
     private static final int MANY = 40;
-    /** What is read behind as many requests as may be in hand on one connection, and more than that. */
+    /** What is read behind as many requests as may be in flight on one connection, and more than that. */
     private static final int BEHIND_BYTES = 10_000;
 
     private static final int FAR_BEHIND_BYTES = 100_000;
@@ -34,14 +34,14 @@
     private static final int MOST_AHEAD = 8;
     private static final int MOST_BYTES = 32 * 1024 * 1024;
 
-    private Rig rig;
+    private SidecarFixture rig;
 
     @AfterEach
     void stop() throws IOException {
         rig.close();
     }
 
-    private static void leave(Wire client, boolean byReset) throws IOException {
+    private static void disconnect(HttpTestConnection client, boolean byReset) throws IOException {
         if (byReset) {
             client.reset();
         } else {
@@ -51,9 +51,9 @@
 
     private void awaitKnown() throws InterruptedException {
         long left = System.nanoTime();
-        Rig.await("it is known that the clients have gone", () -> {
+        SidecarFixture.await("it is known that the clients have gone", () -> {
             try {
-                return rig.operate("GET", "/v1/metrics").body().contains("concurrent=0");
+                return rig.callAdmin("GET", "/v1/metrics").body().contains("concurrent=0");
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -61,104 +61,108 @@
         assertTrue((System.nanoTime() - left) / 1e6 < SOON_MS, "long before their deadlines");
     }
 
-    /** Guards against work for nobody: the connection comes up after its clients have gone. */
+    /** Guards against attempts whose connection is established after the client has disconnected. */
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void whatWaitsForAConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
-        try (LateFake late = new LateFake()) {
-            rig = new Rig();
+    void attemptAwaitingItsConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
+        try (LateStubEndpoint late = new LateStubEndpoint()) {
+            rig = new SidecarFixture();
             rig.cancel = mayCancel;
             rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
             rig.start();
-            List<Wire> clients = new ArrayList<>();
+            List<HttpTestConnection> clients = new ArrayList<>();
             for (int i = 0; i < BURST; i++) {
                 clients.add(rig.client().send(rig.request("order", DEADLINE_MS)));
             }
-            Rig.await("all wait for their connections", () -> rig.inHand() == BURST);
-            for (Wire client : clients) {
-                leave(client, byReset);
+            SidecarFixture.await("all wait for their connections", () -> rig.openRequests() == BURST);
+            for (HttpTestConnection client : clients) {
+                disconnect(client, byReset);
             }
             awaitKnown();
             late.release();
-            Rig.await("nothing is out any more", () -> rig.inHand() == 0);
+            SidecarFixture.await("nothing is out any more", () -> rig.openRequests() == 0);
             assertEquals(0, late.asked.get());
             assertEquals("late", rig.ask("order", DEADLINE_MS).body(), "the endpoint is reached from now on");
-            assertEquals(1, late.asked.get(), "by who still waits alone");
+            assertEquals(1, late.asked.get(), "only by the client that still waits");
         }
     }
 
-    /** The same with many of them at once, of which only so many are let through. */
+    /** The same with many clients at once, of which the balancer admits a part. */
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void ofManyThatLeaveAtOnceNoneIsSent(boolean mayCancel, boolean byReset) throws Exception {
-        try (LateFake late = new LateFake()) {
-            rig = new Rig();
+    void noAttemptIsSentWhenManyClientsDisconnect(boolean mayCancel, boolean byReset) throws Exception {
+        try (LateStubEndpoint late = new LateStubEndpoint()) {
+            rig = new SidecarFixture();
             rig.cancel = mayCancel;
             rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + Rig.line(0, late.address(), "in_service", 0) + "]");
+                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
             rig.start();
-            List<Wire> clients = new ArrayList<>();
+            List<HttpTestConnection> clients = new ArrayList<>();
             for (int i = 0; i < MANY; i++) {
                 clients.add(rig.client().send(rig.request("read", DEADLINE_MS)));
             }
-            Rig.await("some wait for their connections", () -> rig.inHand() > 0);
+            SidecarFixture.await("some wait for their connections", () -> rig.openRequests() > 0);
             rig.settle();
-            for (Wire client : clients) {
-                leave(client, byReset);
+            for (HttpTestConnection client : clients) {
+                disconnect(client, byReset);
             }
             awaitKnown();
             late.release();
-            Rig.await("nothing is out any more", () -> rig.inHand() == 0);
+            SidecarFixture.await("nothing is out any more", () -> rig.openRequests() == 0);
             assertEquals("late", rig.ask("order", DEADLINE_MS).body(), "the endpoint is reached from now on");
-            assertEquals(1, late.asked.get(), "by who still waits alone");
+            assertEquals(1, late.asked.get(), "only by the client that still waits");
         }
     }
 
-    /** Guards against a repeat for nobody: its connection comes up after the client has gone. */
+    /** Guards against a retry whose connection is established after the client has disconnected. */
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void aRepeatThatWaitsForAConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
+    void retryAwaitingItsConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         CountDownLatch failing = new CountDownLatch(BURST);
-        try (LateFake late = new LateFake()) {
-            Fake first = new Fake((wire, request) -> {
+        try (LateStubEndpoint late = new LateStubEndpoint()) {
+            StubEndpoint first = new StubEndpoint((wire, request) -> {
                 failing.countDown();
                 told.countDown();
-                Rig.await("the list is there", () -> rig.discovery.requests.size() == 2);
+                SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() == 2);
                 failing.await();
-                Fake.answer(wire, 503, "X-Not-Run: 1\r\n", "");
+                StubEndpoint.respond(wire, 503, "X-Not-Run: 1\r\n", "");
             });
-            rig = new Rig(first);
+            rig = new SidecarFixture(first);
             rig.cancel = mayCancel;
-            rig.discovery.script = (wire, request) -> {
+            rig.discovery.requestHandler = (wire, request) -> {
                 if (rig.discovery.requests.size() > 1) {
                     wire.awaitEnd();
                 }
                 told.await();
-                Fake.answer(wire, 200, "", Rig.list(2, false, Rig.line(1, late.address(), "in_service", 0)));
+                StubEndpoint.respond(
+                        wire,
+                        200,
+                        "",
+                        SidecarFixture.list(2, false, SidecarFixture.line(1, late.address(), "in_service", 0)));
             };
             rig.start();
-            List<Wire> clients = new ArrayList<>();
+            List<HttpTestConnection> clients = new ArrayList<>();
             for (int i = 0; i < BURST; i++) {
                 clients.add(rig.client().send(rig.request("order", DEADLINE_MS)));
             }
-            Rig.await("their first attempts have failed", () -> rig.attempts() == BURST);
+            SidecarFixture.await("their first attempts have failed", () -> rig.attempts() == BURST);
             rig.settle();
-            Rig.await("some wait for a second connection", () -> rig.inHand() > 0);
-            for (Wire client : clients) {
-                leave(client, byReset);
+            SidecarFixture.await("some wait for a second connection", () -> rig.openRequests() > 0);
+            for (HttpTestConnection client : clients) {
+                disconnect(client, byReset);
             }
             awaitKnown();
             late.release();
-            Rig.await("nothing is out any more", () -> rig.inHand() == 0);
+            SidecarFixture.await("nothing is out any more", () -> rig.openRequests() == 0);
             rig.settle();
             assertEquals(0, late.asked.get());
             assertEquals(BURST, rig.attempts());
         }
     }
 
-    /** Guards against a repeat for nobody: the attempt fails after the client has gone. */
+    /** Guards against a retry of an attempt that fails after the client has disconnected. */
     @ParameterizedTest
     @CsvSource({
         "true,true,500",
@@ -170,35 +174,36 @@
         "false,true,0",
         "false,false,0"
     })
-    void whatFailsLaterIsNotTriedAgain(boolean mayCancel, boolean byReset, int status) throws Exception {
+    void attemptThatFailsAfterTheDisconnectIsNotRetried(boolean mayCancel, boolean byReset, int status)
+            throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Fake.Script failing = (wire, request) -> {
+        StubEndpoint.RequestHandler failing = (wire, request) -> {
             release.await();
             if (status == 0) {
                 wire.reset();
             } else {
-                Fake.answer(wire, status, status == 503 ? "X-Not-Run: 1\r\n" : "", "");
+                StubEndpoint.respond(wire, status, status == 503 ? "X-Not-Run: 1\r\n" : "", "");
             }
         };
-        rig = new Rig(new Fake(failing), new Fake(failing));
+        rig = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
         rig.cancel = mayCancel;
         rig.start();
-        List<Wire> clients = new ArrayList<>();
+        List<HttpTestConnection> clients = new ArrayList<>();
         for (int i = 0; i < BURST; i++) {
             clients.add(rig.client().send(rig.request("read", DEADLINE_MS)));
         }
-        Rig.await("they are out", () -> rig.attempts() == BURST);
-        for (Wire client : clients) {
-            leave(client, byReset);
+        SidecarFixture.await("they are out", () -> rig.attempts() == BURST);
+        for (HttpTestConnection client : clients) {
+            disconnect(client, byReset);
         }
         awaitKnown();
         release.countDown();
-        Rig.await("nothing is owed any more", () -> rig.inHand() == 0);
+        SidecarFixture.await("nothing is owed any more", () -> rig.openRequests() == 0);
         rig.settle();
         assertEquals(BURST, rig.attempts());
     }
 
-    /** Guards against repeats for who has gone unnoticed behind what came after the requests in hand. */
+    /** Guards against retries for a client whose disconnect is hidden behind unread input. */
     @ParameterizedTest
     @CsvSource({
         "0,false",
@@ -212,117 +217,118 @@
         NOISE_BYTES + ",false",
         NOISE_BYTES + ",true"
     })
-    void whoGoesBehindMoreThanIsTakenIsNoticed(int behindBytes, boolean byReset) throws Exception {
+    void disconnectBehindUnreadInputIsNoticed(int behindBytes, boolean byReset) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Fake.Script failing = (wire, request) -> {
+        StubEndpoint.RequestHandler failing = (wire, request) -> {
             release.await();
-            Fake.answer(wire, 500, "", "");
+            StubEndpoint.respond(wire, 500, "", "");
         };
-        rig = new Rig(new Fake(failing), new Fake(failing));
+        rig = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
         rig.cancel = false;
         rig.start();
-        Wire client = rig.client();
+        HttpTestConnection client = rig.client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < MOST_AHEAD; i++) {
             all.append(rig.request("read", DEADLINE_MS));
         }
         client.send(all.toString());
-        Rig.await("those that may be are out", () -> rig.attempts() > 0 && rig.attempts() == rig.inHand());
+        SidecarFixture.await(
+                "those that may be are out", () -> rig.attempts() > 0 && rig.attempts() == rig.openRequests());
         rig.settle();
         int out = rig.attempts();
         String more = rig.request("read", DEADLINE_MS);
         client.send(more.repeat(behindBytes / more.length()));
         rig.settle();
-        leave(client, byReset);
+        disconnect(client, byReset);
         awaitKnown();
         release.countDown();
-        Rig.await("nothing is owed any more", () -> rig.inHand() == 0);
+        SidecarFixture.await("nothing is owed any more", () -> rig.openRequests() == 0);
         rig.settle();
         assertEquals(out, rig.attempts());
     }
 
-    /** The same for one that has not taken an answer: it is not read, as nothing more is written to it. */
+    /** The same for a client that has not read a response: it is not read either, as its write buffer is full. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whoGoesWithAnAnswerUntakenIsNoticed(boolean byReset) throws Exception {
+    void disconnectWithAnUnreadResponseIsNoticed(boolean byReset) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch begun = new CountDownLatch(1);
-        Fake.Script script = (wire, request) -> {
+        StubEndpoint.RequestHandler script = (wire, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
                 wire.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
                 begun.countDown();
                 wire.send("x".repeat(MOST_BYTES));
             }
             release.await();
-            Fake.answer(wire, 500, "", "");
+            StubEndpoint.respond(wire, 500, "", "");
         };
-        rig = new Rig(new Fake(script), new Fake(script));
+        rig = new SidecarFixture(new StubEndpoint(script), new StubEndpoint(script));
         rig.cancel = false;
         rig.start();
-        Wire client = rig.client();
+        HttpTestConnection client = rig.client();
         client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS));
         begun.await();
-        Rig.await("the second is out", () -> rig.attempts() == 2);
+        SidecarFixture.await("the second is out", () -> rig.attempts() == 2);
         rig.settle();
-        leave(client, byReset);
+        disconnect(client, byReset);
         awaitKnown();
         release.countDown();
-        Rig.await("nothing is owed any more", () -> rig.inHand() == 0);
+        SidecarFixture.await("nothing is owed any more", () -> rig.openRequests() == 0);
         rig.settle();
         assertEquals(2, rig.attempts());
     }
 
-    /** Guards against clients that send much and go: who is not read is not noticed to have gone. */
+    /** Guards against unnoticed disconnects of clients with so many requests that they are not read. */
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 8, 9, 300})
-    void whoSendsMuchAndGoesIsNoticed(int requests) throws Exception {
-        Fake hung = new Fake((wire, request) -> wire.awaitEnd());
-        rig = new Rig(hung);
+    void disconnectAfterManyRequestsIsNoticed(int requests) throws Exception {
+        StubEndpoint hung = new StubEndpoint((wire, request) -> wire.awaitEnd());
+        rig = new SidecarFixture(hung);
         rig.start();
         long left;
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
                 all.append(rig.request("read", DEADLINE_MS));
             }
             client.send(all.toString());
-            Rig.await("the first is out", () -> rig.attempts() > 0);
+            SidecarFixture.await("the first is out", () -> rig.attempts() > 0);
             left = System.nanoTime();
         }
-        Rig.await("its attempts are called off", () -> hung.open.get() == 0 && rig.inHand() == 0);
+        SidecarFixture.await("its attempts are called off", () -> hung.open.get() == 0 && rig.openRequests() == 0);
         assertTrue((System.nanoTime() - left) / 1e6 < SOON_MS);
     }
 
-    /** Guards against a good request's answer that is lost to what its client sends behind it. */
+    /** Guards against a response that is lost because of what its client sends after the request. */
     @Test
-    void whatComesBehindARequestDoesNotCutItsAnswer() throws Exception {
+    void inputBehindARequestDoesNotTruncateItsResponse() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        rig = new Rig(new Fake((wire, request) -> {
+        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
             release.await();
-            Fake.answer(wire, 200, "", "served");
+            StubEndpoint.respond(wire, 200, "", "served");
         }));
         rig.start();
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             Thread noise = new Thread(() -> {
                 try {
                     client.send(rig.request("order", DEADLINE_MS) + "no request\r\n\r\n");
                     client.send("x".repeat(1 << 20));
                 } catch (IOException e) {
-                    // It is not all read, and need not be.
+                    // Not all of it is read, nor need it be.
                     return;
                 }
             });
             noise.setDaemon(true);
             noise.start();
-            Rig.await("it is out", () -> rig.attempts() == 1);
+            SidecarFixture.await("it is out", () -> rig.attempts() == 1);
             assertEquals(200, release(client, release).status());
         }
     }
 
-    private Wire.Message release(Wire client, CountDownLatch held) throws Exception {
-        // Others are served meanwhile, so all that is ever read of the noise has been.
+    private HttpTestConnection.Message release(HttpTestConnection client, CountDownLatch held) throws Exception {
+        // Others have been served meanwhile, so all that is ever read of this input has been.
         for (int i = 0; i < BURST; i++) {
-            try (Wire other = rig.client()) {
+            try (HttpTestConnection other = rig.client()) {
                 assertEquals(
                         404,
                         other.send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
@@ -36,8 +36,8 @@
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final TextSink sink = new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8));
-    private final Fake first = Fake.answering(200, "", "first");
-    private final Fake second = Fake.answering(200, "", "second");
+    private final StubEndpoint first = StubEndpoint.respondingWith(200, "", "first");
+    private final StubEndpoint second = StubEndpoint.respondingWith(200, "", "second");
     private final List<ControlNode> nodes;
     private final List<Sidecar> edges = new java.util.ArrayList<>();
     private int requests;
@@ -47,7 +47,7 @@
         nodes.get(0).bootstrap();
         nodes.get(0).addPeer(nodes.get(1).asPeer());
         nodes.get(1).addPeer(nodes.get(0).asPeer());
-        Rig.await("both are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
+        SidecarFixture.await("both are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
     }
 
     private ControlNode node(String name) throws IOException {
@@ -59,10 +59,10 @@
                         any,
                         any,
                         List.of(),
-                        ControlConfig.MOST_WATCHERS,
-                        ControlConfig.ANSWER_GAP_MS,
+                        ControlConfig.DEFAULT_MAX_WATCHERS,
+                        ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                         null,
-                        LogSettings.USUAL),
+                        LogSettings.DEFAULT),
                 sink);
         node.open();
         return node;
@@ -99,28 +99,29 @@
                                 .collect(Collectors.joining(", ")),
                         kind));
         TomlFile source = new TomlFile(file, Map.of());
-        Sidecar edge = Sidecar.create(new Http1Protocol(), source, source.load(), sink);
+        Sidecar edge = new SidecarBuilder(new Http1Protocol(), source, source.load(), sink).build();
         edges.add(edge);
-        edge.open();
+        edge.start();
         return edge;
     }
 
     /** Sends a request to the admin API of a control node. */
-    private Wire.Message callAdminApi(int node, String method, String path, String body) throws IOException {
-        try (Wire wire = Wire.to(nodes.get(node).adminAddress())) {
+    private HttpTestConnection.Message callAdminApi(int node, String method, String path, String body)
+            throws IOException {
+        try (HttpTestConnection wire = HttpTestConnection.to(nodes.get(node).adminAddress())) {
             return wire.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
                             + "\r\n\r\n" + body)
                     .read();
         }
     }
 
-    private void assertResponse(String bodyStart, int status, Wire.Message response) {
+    private void assertResponse(String bodyStart, int status, HttpTestConnection.Message response) {
         assertEquals(status, response.status(), response.body());
         assertTrue(response.body().startsWith(bodyStart), response.body());
     }
 
-    private Wire.Message sendRequest(Sidecar edge, String kind) throws IOException {
-        try (Wire wire = Wire.to(edge.address())) {
+    private HttpTestConnection.Message sendRequest(Sidecar edge, String kind) throws IOException {
+        try (HttpTestConnection wire = HttpTestConnection.to(edge.address())) {
             return wire.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" + requests++ + "\r\nX-Class: " + kind
                             + "\r\nX-Deadline-Ms: 4000\r\n\r\n")
                     .read();
@@ -128,7 +129,7 @@
     }
 
     private void awaitResponse(Sidecar edge, String body) throws InterruptedException {
-        Rig.await(body, () -> {
+        SidecarFixture.await(body, () -> {
             try {
                 return sendRequest(edge, "read").body().equals(body);
             } catch (IOException e) {
@@ -150,7 +151,7 @@
                 200,
                 callAdminApi(1, "PUT", "/v1/services/quote/endpoints/s2", "{\"addr\":\"" + second.address() + "\"}"));
         // Changes at two nodes may reach an edge in either order: the drain must not come first.
-        Rig.await("the other node has received it", () -> {
+        SidecarFixture.await("the other node has received it", () -> {
             try {
                 return callAdminApi(0, "GET", "/v1/services/quote/endpoints/s2", "")
                                 .status()
@@ -160,7 +161,7 @@
             }
         });
         assertResponse("accepted", 200, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1/drain", ""));
-        Rig.await("the draining endpoint gets no new requests", () -> {
+        SidecarFixture.await("the draining endpoint gets no new requests", () -> {
             int before = first.requests.size();
             try {
                 for (int i = 0; i < 5; i++) {
@@ -210,9 +211,9 @@
     /** The document names a class that only one of the two edges has: the other one rejects it and reports that. */
     @Test
     void settingsAreAppliedWherePossibleAndRejectionsAreReported() throws Exception {
-        first.script = (wire, request) -> {
+        first.requestHandler = (wire, request) -> {
             Thread.sleep(600);
-            Fake.answer(wire, 200, "", "first");
+            StubEndpoint.respond(wire, 200, "", "first");
         };
         nodes.get(0)
                 .put(ConfigurationChange.endpoint(
@@ -229,14 +230,14 @@
             [limits]
             attempts = 1
             """));
-        Rig.await("it is in force", () -> {
+        SidecarFixture.await("it is in force", () -> {
             try {
                 return sendRequest(applying, "read").status() != 200;
             } catch (IOException e) {
                 return false;
             }
         });
-        Rig.await("operators see who has rejected it and why", () -> {
+        SidecarFixture.await("operators see who has rejected it and why", () -> {
             String status = Json.text(nodes.get(0).status().toJson());
             return status.contains("\"name\":\"refuser\"")
                     && status.contains("is unknown to this edge")
@@ -244,7 +245,7 @@
         });
         assertResponse("accepted", 200, callAdminApi(0, "DELETE", "/v1/settings/base", ""));
         awaitResponse(applying, "first");
-        Rig.await("no rejection is left", () -> {
+        SidecarFixture.await("no rejection is left", () -> {
             String status = Json.text(nodes.get(0).status().toJson());
             return !status.contains("\"refuser\",\"stamp\"") && status.contains("\"refusals\":0");
         });
--- a/edge/src/test/java/lemonrail/assembly/FleetSizeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/FleetSizeTest.java
@@ -13,12 +13,12 @@
     private static final int VERSION = 7;
     private static final int DEADLINE_MS = 9000;
 
-    private Rig rig;
-    private Fake last;
+    private SidecarFixture fixture;
+    private StubEndpoint last;
 
     @AfterEach
     void close() throws Exception {
-        rig.close();
+        fixture.close();
         last.close();
     }
 
@@ -28,36 +28,38 @@
     }
 
     private String list() {
-        return Rig.list(
+        return SidecarFixture.list(
                 VERSION,
                 true,
                 IntStream.range(0, SIZE)
-                        .mapToObj(number -> Rig.line(number, address(number), "in_service", 0))
+                        .mapToObj(number -> SidecarFixture.line(number, address(number), "in_service", 0))
                         .toArray(String[]::new));
     }
 
     /** Guards against entries that are lost at the end of a list, and a bound on those out by hand. */
     @Test
-    void theLastOfAllServesWhileTheOthersAreOutByHand() throws Exception {
-        last = Fake.answering(200, "", "the last");
-        rig = new Rig();
-        rig.change = config -> config.replace(
+    void lastEndpointServesWhileAllOthersAreSuspended() throws Exception {
+        last = StubEndpoint.respondingWith(200, "", "the last");
+        fixture = new SidecarFixture();
+        fixture.change = config -> config.replace(
                 "\"replicas-of-me\":1,\"slot-no\":0", "\"replicas-of-me\":" + SIZE + ",\"slot-no\":" + (SIZE - 1));
-        rig.discovery.script = (wire, request) -> {
-            rig.discovery.script = (next, later) -> next.awaitEnd();
-            Fake.answer(wire, 200, "", list());
+        fixture.discovery.requestHandler = (wire, request) -> {
+            fixture.discovery.requestHandler = (next, later) -> next.awaitEnd();
+            StubEndpoint.respond(wire, 200, "", list());
         };
-        rig.start();
-        Rig.await(
+        fixture.start();
+        SidecarFixture.await(
                 "the list is there",
-                () -> rig.discovery.requests.stream()
+                () -> fixture.discovery.requests.stream()
                         .anyMatch(request -> request.line().contains("index=" + VERSION)));
         for (int number = 0; number < SIZE - 1; number++) {
             String id = "s" + number;
             assertEquals(
-                    200, rig.operate("PUT", "/v1/endpoints/" + id + "/suspend").status(), id);
+                    200,
+                    fixture.callAdmin("PUT", "/v1/endpoints/" + id + "/suspend").status(),
+                    id);
         }
-        assertEquals("the last", rig.ask("read", DEADLINE_MS).body());
+        assertEquals("the last", fixture.ask("read", DEADLINE_MS).body());
         assertEquals(1, last.requests.size(), "calls that it got");
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/ListPathCost.java
+++ b/edge/src/test/java/lemonrail/assembly/ListPathCost.java
@@ -81,7 +81,7 @@
                 new Lifecycle(() -> true),
                 settings(listed),
                 15_000);
-        upstream = new Http1Protocol().upstream(context, 64);
+        upstream = new Http1Protocol().createUpstream(context, 64);
         suspensions = new SuspendedEndpoints(suspensionFile, silent);
         dispatcher = new RequestDispatcher<>(
                 context, upstream, suspensions, BoxcarLoadBalancer::new, 1, parse(fullListJson()), () -> {});
@@ -118,7 +118,7 @@
     }
 
     int endpointCount() {
-        return upstream.size();
+        return upstream.endpointCount();
     }
 
     private static BalancerSettings settings(int balancers) {
@@ -183,7 +183,7 @@
             dispatcher.onEndpointList(change);
             long appliedNs = CPU.getCurrentThreadCpuTime();
             // The parts again by themselves, which changes nothing.
-            upstream.update(change);
+            upstream.updateEndpoints(change);
             long updatedNs = CPU.getCurrentThreadCpuTime();
             suspensions.applyUpdate(EndpointUpdateKind.DELTA, change.endpoints());
             long suspendedNs = CPU.getCurrentThreadCpuTime();
--- a/edge/src/test/java/lemonrail/assembly/SpoiltAnswerTest.java
+++ b/edge/src/test/java/lemonrail/assembly/MalformedResponseTest.java
@@ -10,26 +10,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Endpoints that answer badly: no client is served with anything but the answer made for its request. */
+/** Endpoints that send malformed responses: a client only ever gets the response to its own request. */
 @Timeout(60)
-class SpoiltAnswerTest {
+class MalformedResponseTest {
 
     private static final int DEADLINE_MS = 8000;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
-    private Rig rig;
+    private SidecarFixture rig;
 
     @AfterEach
     void stop() throws IOException {
         rig.close();
     }
 
-    private void start(Fake.Script script) throws IOException {
-        rig = new Rig(new Fake(script));
+    private void start(StubEndpoint.RequestHandler script) throws IOException {
+        rig = new SidecarFixture(new StubEndpoint(script));
         rig.start();
     }
 
-    /** The request has run, so one that may not run twice fails, at once, and the connection goes. */
+    /** The request has run, so a non-idempotent one fails at once, and the connection is closed. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -51,18 +51,19 @@
                 OK + "lonely\r\nContent-Length: 5\r\n\r\nhello",
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
             })
-    void aSpoiltAnswerIsAFailedAttemptAtOnce(String answer) throws Exception {
-        start((wire, request) -> wire.send(answer).awaitEnd());
-        long began = System.nanoTime();
+    void malformedResponseFailsTheAttemptAtOnce(String response) throws Exception {
+        start((wire, request) -> wire.send(response).awaitEnd());
+        long startNs = System.nanoTime();
         assertEquals(502, rig.ask("order", DEADLINE_MS).status());
-        assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "at once");
-        Rig.await("the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+        assertTrue((System.nanoTime() - startNs) / 1e6 < DEADLINE_MS / 2.0, "at once");
+        SidecarFixture.await(
+                "the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
         assertEquals(1, rig.attempts());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {OK + "%sX-Pad: pppppppppppppppppppp\r\n", "%sHTTP/1.1 103 Early Hints\r\n\r\n"})
-    void anAnswerWithoutEndIsCutShort(String pattern) throws Exception {
+    void endlessHeadIsCutShort(String pattern) throws Exception {
         String[] parts = pattern.split("%s");
         start((wire, request) -> {
             wire.send(parts[0]);
@@ -71,7 +72,8 @@
             }
         });
         assertEquals(502, rig.ask("order", DEADLINE_MS).status());
-        Rig.await("the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+        SidecarFixture.await(
+                "the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
     }
 
     @ParameterizedTest
@@ -82,9 +84,9 @@
                 OK + "X-Load: {\"\r\n",
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK
             })
-    void aGoodAnswerWithMoreInItsHeadServes(String head) throws Exception {
+    void wellFormedResponseWithUnusualHeadIsServed(String head) throws Exception {
         start((wire, request) -> wire.send(head + "Content-Length: 5\r\n\r\nhello"));
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
                         "hello",
@@ -95,7 +97,7 @@
         assertEquals(1, rig.endpoints.get(0).connections.get(), "and its connection is kept");
     }
 
-    /** Guards against a second copy, noise or half a line that becomes the next request's answer. */
+    /** A second copy, noise or half a line must not become the response to the next request. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -105,45 +107,45 @@
                 "HTTP/1.1 100 Continue\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nX-"
             })
-    void whatComesBehindAnAnswerIsNeverTheNextOne(String behind) throws Exception {
+    void strayBytesAreNeverTheNextResponse(String strayBytes) throws Exception {
         start((wire, request) -> {
             String id = request.headers().get("x-request-id");
-            String answer = OK + "Content-Length: " + id.length() + "\r\n\r\n" + id;
-            wire.send(answer + (behind.equals("copy") ? answer : behind));
+            String response = OK + "Content-Length: " + id.length() + "\r\n\r\n" + id;
+            wire.send(response + (strayBytes.equals("copy") ? response : strayBytes));
         });
-        try (Wire client = rig.client()) {
+        try (HttpTestConnection client = rig.client()) {
             for (int i = 0; i < 10; i++) {
-                Wire.Message answer =
+                HttpTestConnection.Message response =
                         client.send(rig.request("order", DEADLINE_MS)).read();
-                assertEquals(200, answer.status());
-                assertEquals("r" + i, answer.body());
+                assertEquals(200, response.status());
+                assertEquals("r" + i, response.body());
                 rig.settle();
             }
         }
         assertEquals(10, rig.endpoints.get(0).connections.get(), "none is used again");
     }
 
-    /** Guards against the same a moment later, when the connection has been put aside. */
+    /** The same when the bytes arrive later, on an idle connection. */
     @Test
-    void anIdleConnectionOnWhichHalfALineComesIsClosed() throws Exception {
+    void strayBytesOnAnIdleConnectionCloseIt() throws Exception {
         start((wire, request) -> {
-            Fake.answer(wire, 200, "", request.headers().get("x-request-id"));
+            StubEndpoint.respond(wire, 200, "", request.headers().get("x-request-id"));
             Thread.sleep(30);
             wire.send("x");
         });
         for (int i = 0; i < 3; i++) {
             assertEquals("r" + i, rig.ask("order", DEADLINE_MS).body());
-            Rig.await("it is closed", () -> rig.endpoints.get(0).open.get() == 0);
+            SidecarFixture.await("it is closed", () -> rig.endpoints.get(0).open.get() == 0);
         }
     }
 
-    /** Guards against endpoints put out of use by what clients sent: the request alone is at fault. */
+    /** An endpoint must not be ejected for client errors, which only the request is to blame for. */
     @Test
-    void aRequestThatAnEndpointTurnsAwaySaysNothingOfIt() throws Exception {
+    void clientErrorsDoNotEjectTheEndpoint() throws Exception {
         start((wire, request) ->
-                Fake.answer(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
+                StubEndpoint.respond(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
         for (int i = 0; i < 20; i++) {
-            try (Wire client = rig.client()) {
+            try (HttpTestConnection client = rig.client()) {
                 String bad = rig.request("order", DEADLINE_MS).replace("Host:", "X-Note: bad\r\nHost:");
                 assertEquals(400, client.send(bad).read().status());
             }
--- /dev/null
+++ b/edge/src/test/java/lemonrail/assembly/ReconnectFloodTest.java
@@ -0,0 +1,223 @@
+package lemonrail.assembly;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Hundreds of clients connect, send requests and reconnect: returning clients are still served. */
+@Timeout(90)
+class ReconnectFloodTest {
+
+    private static final int DEADLINE_MS = 4000;
+    /** The bound on connections where hardly any descriptor is left, and how many of them are reserved. */
+    private static final int MAX_CONNECTIONS = 8;
+
+    private static final int RESERVED = 4;
+    private static final int DESCRIPTORS = 256;
+    private static final int FLOOD_CLIENTS = 300;
+    /** Descriptors for all returning clients, and for few of them once they are split with another process. */
+    private static final int SHARED_DESCRIPTORS = 512;
+
+    private static final int RETURNING = 110;
+    /** Responses that the flood gets before the returning clients' requests are counted. */
+    private static final int FLOOD_RESPONSES_BEFORE_COUNT = 1000;
+    /** They send in turn, so that neither is idle for the 5 s after which a connection is closed. */
+    private static final int RETURNING_IN_FLOOD = 2;
+
+    private static final int ROUNDS = 30;
+    /** Requests of returning clients that the load balancer may reject, as it lacks capacity for all. */
+    private static final int MAX_REJECTED = RETURNING_IN_FLOOD * ROUNDS / 10;
+
+    private SidecarFixture rig;
+    private final List<HttpTestConnection> clients = new ArrayList<>();
+
+    @AfterEach
+    void stop() throws IOException {
+        for (HttpTestConnection client : clients) {
+            client.close();
+        }
+        rig.close();
+    }
+
+    private void start(int sockets, StubEndpoint... endpoints) throws IOException {
+        rig = new SidecarFixture(endpoints);
+        rig.sockets = sockets;
+        rig.start();
+    }
+
+    private static StubEndpoint good() throws IOException {
+        return StubEndpoint.respondingWith(200, "", "served");
+    }
+
+    private HttpTestConnection client() throws IOException {
+        HttpTestConnection client = rig.client();
+        clients.add(client);
+        return client;
+    }
+
+    private HttpTestConnection.Message request(HttpTestConnection client) throws IOException {
+        return client.send(rig.request("read", DEADLINE_MS)).read();
+    }
+
+    private void assertServed(HttpTestConnection client, String which) throws IOException {
+        assertEquals(200, request(client).status(), which);
+    }
+
+    /** Returns a client that has sent a second request on its connection. */
+    private HttpTestConnection returningClient() throws IOException {
+        HttpTestConnection client = client();
+        assertServed(client, "first");
+        assertServed(client, "again");
+        return client;
+    }
+
+    // ---- one after the other ----
+
+    /** New clients with one request each must not evict the connections that have been idle the longest. */
+    @Test
+    void newClientsDoNotEvictReturningOnes() throws Exception {
+        start(1, good());
+        List<HttpTestConnection> known = List.of(returningClient(), returningClient());
+        for (int i = 0; i < 5 * MAX_CONNECTIONS; i++) {
+            assertServed(client(), "newcomer " + i);
+        }
+        for (HttpTestConnection client : known) {
+            assertServed(client, "known");
+        }
+    }
+
+    /** Returning clients must not keep all others out: a part of the connections is never reserved. */
+    @Test
+    void returningClientsKeepOnlyTheReservedConnections() throws Exception {
+        start(1, good());
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
+            returningClient();
+        }
+        assertServed(client(), "newcomer");
+        clients.get(RESERVED).awaitEnd();
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
+            if (i != RESERVED) {
+                assertServed(clients.get(i), "returning " + i);
+            }
+        }
+    }
+
+    /** Reserved connections must not fill the smaller bound of an upgrade. */
+    @Test
+    void reservedConnectionsShrinkWithTheBound() throws Exception {
+        start(SHARED_DESCRIPTORS, good());
+        for (int i = 0; i < RETURNING; i++) {
+            returningClient();
+        }
+        try (SidecarFixture other = new SidecarFixture(good())) {
+            other.folder = rig.folder;
+            other.start();
+            SidecarFixture.await("the limits are shared", () -> rig.logged().contains("the limits are shared"));
+            assertServed(client(), "newcomer");
+        }
+    }
+
+    /** Clients that are never idle must still make room for others. */
+    @Test
+    void clientThatIsNeverIdleIsDisconnectedForANewOne() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        StubEndpoint.RequestHandler held = (wire, request) -> {
+            release.await();
+            StubEndpoint.respond(wire, 200, "", "served");
+        };
+        start(1, new StubEndpoint(held), new StubEndpoint(held), new StubEndpoint(held));
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
+            client().send(rig.request("read", DEADLINE_MS));
+        }
+        SidecarFixture.await("all are in flight", () -> rig.attempts() == MAX_CONNECTIONS);
+        HttpTestConnection newcomer = client();
+        rig.settle();
+        release.countDown();
+        List<HttpTestConnection> kept = new ArrayList<>();
+        for (HttpTestConnection client : clients.subList(0, MAX_CONNECTIONS)) {
+            HttpTestConnection.Message answer = client.read();
+            assertEquals(200, answer.status());
+            if ("close".equals(answer.headers().get("connection"))) {
+                client.close();
+            } else {
+                kept.add(client);
+            }
+        }
+        assertEquals(MAX_CONNECTIONS - 1, kept.size(), "one place is needed");
+        // By the second response, everything that arrived before is handled.
+        for (int i = 0; i < 2; i++) {
+            assertEquals(
+                    404,
+                    kept.get(0)
+                            .send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n")
+                            .read()
+                            .status());
+        }
+        assertServed(newcomer, "over the bound when it connected");
+    }
+
+    // ---- all at once ----
+
+    /** Sends requests until the flood is over, on persistent connections or on a new one each. */
+    private void flood(int number, boolean persistent, AtomicBoolean over, AtomicInteger responses) {
+        int sent = 0;
+        while (!over.get()) {
+            try (HttpTestConnection client = rig.client()) {
+                do {
+                    client.send("GET /api HTTP/1.1\r\nX-Request-Id: f" + number + "-" + sent++
+                                    + "\r\nX-Class: read\r\nHost: x\r\nX-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n")
+                            .read();
+                    responses.incrementAndGet();
+                } while (persistent && !over.get());
+            } catch (IOException e) {
+                // The connection has been closed: reconnect at once.
+                continue;
+            }
+        }
+    }
+
+    /** A flood must not have the connections of returning clients closed before their responses. */
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void returningClientsAreServedInAReconnectFlood(boolean persistent) throws Exception {
+        start(DESCRIPTORS, good(), good(), good());
+        for (int i = 0; i < RETURNING_IN_FLOOD; i++) {
+            returningClient();
+        }
+        AtomicBoolean over = new AtomicBoolean();
+        AtomicInteger responses = new AtomicInteger();
+        List<Thread> flooding = new ArrayList<>();
+        for (int i = 0; i < FLOOD_CLIENTS; i++) {
+            int number = i;
+            flooding.add(new Thread(() -> flood(number, persistent, over, responses)));
+            flooding.get(i).start();
+        }
+        try {
+            // They go on sending meanwhile, as idle connections are closed.
+            for (int i = 0; responses.get() <= FLOOD_RESPONSES_BEFORE_COUNT; i++) {
+                request(clients.get(i % RETURNING_IN_FLOOD));
+            }
+            int rejected = 0;
+            for (int i = 0; i < RETURNING_IN_FLOOD * ROUNDS; i++) {
+                rejected += request(clients.get(i % RETURNING_IN_FLOOD)).status() == 200 ? 0 : 1;
+            }
+            assertTrue(rejected <= MAX_REJECTED, rejected + " of " + RETURNING_IN_FLOOD * ROUNDS + " rejected");
+        } finally {
+            over.set(true);
+            for (Thread each : flooding) {
+                each.join();
+            }
+        }
+    }
+}
--- a/edge/src/test/java/lemonrail/assembly/SmallHeapTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SmallHeapTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Bodies and answers that are larger than the heap of the process they go through, several at once. */
+/** Request and response bodies larger than the heap of the process that forwards them, several at once. */
 @Timeout(60)
 class SmallHeapTest {
 
@@ -29,17 +29,19 @@
     Path folder;
 
     private final AtomicInteger received = new AtomicInteger();
-    private final Rig rig = new Rig(new Fake((Fake.Reader) this::serve), new Fake((Fake.Reader) this::serve));
-    private Served served;
+    private final SidecarFixture rig = new SidecarFixture(
+            new StubEndpoint((StubEndpoint.ConnectionHandler) this::serve),
+            new StubEndpoint((StubEndpoint.ConnectionHandler) this::serve));
+    private SidecarChildProcess served;
 
     SmallHeapTest() throws IOException {
-        // The fakes stand before each test.
+        // The fakes are created before each test.
     }
 
     @BeforeEach
     void start() throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), rig.config());
-        served = Served.start(file, folder, "-Xmx20m", "-XX:MaxDirectMemorySize=8m");
+        served = SidecarChildProcess.start(file, folder, "-Xmx20m", "-XX:MaxDirectMemorySize=8m");
     }
 
     @AfterEach
@@ -48,9 +50,9 @@
         rig.close();
     }
 
-    /** Takes a large body without keeping it, and gives a large answer. */
-    private void serve(Wire wire) throws IOException {
-        Wire.Message head = wire.readHead();
+    /** Reads a large body without keeping it, and sends a large response. */
+    private void serve(HttpTestConnection wire) throws IOException {
+        HttpTestConnection.Message head = wire.readHead();
         int left = Integer.parseInt(head.headers().getOrDefault("content-length", "0"));
         while (left > 0) {
             long skipped = wire.in.skip(left);
@@ -68,7 +70,7 @@
     }
 
     @Test
-    void theyPassThroughWhole() throws Exception {
+    void largeBodiesAreForwardedWhole() throws Exception {
         List<Thread> clients = new ArrayList<>();
         AtomicInteger whole = new AtomicInteger();
         for (int i = 0; i < CLIENTS; i++) {
@@ -84,19 +86,19 @@
         assertEquals(CLIENTS, whole.get(), "" + served.log);
         assertEquals(CLIENTS, received.get());
         assertTrue(served.process.isAlive());
-        assertFalse(served.said("OutOfMemory"), "" + served.log);
+        assertFalse(served.hasLogged("OutOfMemory"), "" + served.log);
     }
 
     private void ask(String head, AtomicInteger whole) {
-        try (Wire client = Wire.to(served.address())) {
+        try (HttpTestConnection client = HttpTestConnection.to(served.address())) {
             client.socket.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
             client.socket.getOutputStream().write(new byte[BYTES]);
-            Wire.Message answer = client.read();
-            if (answer.status() == 200 && answer.bytes().length == BYTES) {
+            HttpTestConnection.Message response = client.read();
+            if (response.status() == 200 && response.bytes().length == BYTES) {
                 whole.incrementAndGet();
             }
         } catch (IOException e) {
-            // It counts as not whole, which the test sees.
+            // Not counted as whole.
             return;
         }
     }
--- a/edge/src/test/java/lemonrail/assembly/StartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StartTest.java
@@ -28,13 +28,14 @@
             implements Protocol<M, A> {
 
         @Override
-        public Upstream<M, A> upstream(EventLoopContext shard, int mostConnections) {
-            return protocol.upstream(shard, mostConnections);
+        public Upstream<M, A> createUpstream(EventLoopContext shard, int mostConnections) {
+            return protocol.createUpstream(shard, mostConnections);
         }
 
         @Override
-        public Downstream front(EventLoopContext shard, RequestDispatcher<M, A> exchange, int mostConnections) {
-            return protocol.front(shard, exchange, mostConnections);
+        public Downstream createDownstream(
+                EventLoopContext shard, RequestDispatcher<M, A> exchange, int mostConnections) {
+            return protocol.createDownstream(shard, exchange, mostConnections);
         }
 
         @Override
@@ -44,8 +45,8 @@
         }
 
         @Override
-        public int overflow() {
-            return protocol.overflow();
+        public int overflowConnections() {
+            return protocol.overflowConnections();
         }
     }
 
@@ -65,14 +66,14 @@
 
     /** Guards against requests that wait in the listener's queue while the start keeps the loop busy. */
     @Test
-    void noClientIsLetInBeforeTheSidecarIsWarm() throws Exception {
+    void refusesClientsBeforeWarmUpIsDone() throws Exception {
         int port = freePort();
         AtomicBoolean letIn = new AtomicBoolean();
-        try (Rig rig = new Rig(Fake.answering(200, "", "ok"))) {
-            rig.change =
+        try (SidecarFixture fixture = new SidecarFixture(StubEndpoint.respondingWith(200, "", "ok"))) {
+            fixture.change =
                     config -> config.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
-            rig.protocol = new Watched<>(new Http1Protocol(), port, letIn);
-            rig.start();
+            fixture.protocol = new Watched<>(new Http1Protocol(), port, letIn);
+            fixture.start();
             assertFalse(letIn.get(), "a client was let in during the warm-up");
             assertTrue(lets(port), "a client is let in once the sidecar serves");
         }
--- a/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A new version under load: two real processes at one address, of which the older one leaves. */
+/** An upgrade under load: two real processes share one address, and the older one stops. */
 @Timeout(60)
 class UpgradeTest {
 
@@ -31,14 +31,15 @@
     Path folder;
 
     private final List<Process> processes = new ArrayList<>();
-    private final Rig rig = new Rig(Fake.answering(200, "", "first"), Fake.answering(200, "", "second"));
-    /** Bound but deaf: it keeps the port for the processes, which share it. */
+    private final SidecarFixture rig = new SidecarFixture(
+            StubEndpoint.respondingWith(200, "", "first"), StubEndpoint.respondingWith(200, "", "second"));
+    /** Bound but not listening: it reserves the port for the processes, which share it. */
     private SocketChannel place;
 
     private InetSocketAddress address;
 
     UpgradeTest() throws IOException {
-        // The fakes stand before each test.
+        // SidecarFixture and endpoints are created for each test.
     }
 
     @BeforeEach
@@ -56,19 +57,19 @@
         rig.close();
     }
 
-    private Served serve() throws Exception {
+    private SidecarChildProcess serve() throws Exception {
         Path file = Files.writeString(
                 folder.resolve("config.json"),
                 rig.config()
                         .replace(
                                 "\"listen\":\"127.0.0.1:0\"",
                                 "\"listen\":\"127.0.0.1:" + address.getPort() + "\",\"mgmt\":\"127.0.0.1:0\""));
-        Served served = Served.start(file, folder);
+        SidecarChildProcess served = SidecarChildProcess.start(file, folder);
         processes.add(served.process);
         return served;
     }
 
-    /** Asks again and again; a connection that has ended between requests is replaced, as clients do. */
+    /** Sends requests one after another, and reconnects as clients do if the connection was closed between requests. */
     private final class Client extends Thread {
         private final AtomicBoolean on;
         private final AtomicInteger served;
@@ -86,14 +87,15 @@
         public void run() {
             try {
                 while (on.get()) {
-                    try (Wire wire = Wire.to(address)) {
+                    try (HttpTestConnection wire = HttpTestConnection.to(address)) {
                         boolean kept = true;
                         while (on.get() && kept) {
                             String request;
                             synchronized (rig) {
                                 request = rig.request("read", DEADLINE_MS);
                             }
-                            Wire.Message answer = wire.send(request).read();
+                            HttpTestConnection.Message answer =
+                                    wire.send(request).read();
                             if (answer.status() != 200) {
                                 troubles.add(answer.line());
                             }
@@ -109,8 +111,8 @@
     }
 
     @Test
-    void noRequestIsLostOnTheWay() throws Exception {
-        Served old = serve();
+    void noRequestIsLostDuringAnUpgrade() throws Exception {
+        SidecarChildProcess old = serve();
         AtomicBoolean on = new AtomicBoolean(true);
         AtomicInteger served = new AtomicInteger();
         List<String> troubles = new CopyOnWriteArrayList<>();
@@ -119,15 +121,15 @@
             clients.add(new Client(on, served, troubles));
             clients.get(i).start();
         }
-        Rig.await("clients are served", () -> served.get() > CLIENTS);
-        Served fresh = serve();
+        SidecarFixture.await("clients are served", () -> served.get() > CLIENTS);
+        SidecarChildProcess fresh = serve();
         old.awaitLine("another process of this sidecar runs");
         old.process.toHandle().destroy();
         assertEquals(0, old.process.waitFor(), "" + old.log);
         old.awaitLine("stopping, another process goes on");
         old.awaitLine("all connections are done with");
         int before = served.get();
-        Rig.await("the new one serves", () -> served.get() > before + CLIENTS);
+        SidecarFixture.await("the new one serves", () -> served.get() > before + CLIENTS);
         on.set(false);
         for (Client client : clients) {
             client.join();
@@ -136,16 +138,16 @@
         fresh.awaitLine("the only process of this sidecar from now on");
     }
 
-    /** Guards against a new version that sends to an endpoint which operators took out before it started. */
+    /** Guards against a new process that uses an endpoint which operators suspended before it started. */
     @Test
-    void suspensionsGoOver() throws Exception {
+    void suspensionsAreHandedOver() throws Exception {
         Files.writeString(folder.resolve("n0.suspended"), "suspended endpoints\ns0\nin all: 1\n");
-        Served old = serve();
+        SidecarChildProcess old = serve();
         serve();
         old.process.toHandle().destroy();
         old.process.waitFor();
         for (int i = 0; i < CLIENTS; i++) {
-            try (Wire wire = Wire.to(address)) {
+            try (HttpTestConnection wire = HttpTestConnection.to(address)) {
                 assertEquals(
                         "second",
                         wire.send(rig.request("read", DEADLINE_MS)).read().body());
--- a/edge/src/test/java/lemonrail/assembly/WatchTest.java
+++ b/edge/src/test/java/lemonrail/assembly/WatchTest.java
@@ -47,9 +47,9 @@
     /** Failures in a row after which an unbounded backoff would be longer than the time limit. */
     private static final int FAILURES = 7;
 
-    private final Fake before = Fake.answering(200, "", "before");
-    private final Fake after = Fake.answering(200, "", "after");
-    private final Rig rig = new Rig(before);
+    private final StubEndpoint before = StubEndpoint.respondingWith(200, "", "before");
+    private final StubEndpoint after = StubEndpoint.respondingWith(200, "", "after");
+    private final SidecarFixture rig = new SidecarFixture(before);
 
     WatchTest() throws IOException {
         // The load balancer itself would not poll again within any test.
@@ -64,12 +64,12 @@
     }
 
     private String listWithOtherEndpoint(int version) {
-        return Rig.list(version, true, Rig.line(1, after.address(), "in_service", 0))
+        return SidecarFixture.list(version, true, SidecarFixture.line(1, after.address(), "in_service", 0))
                 .replace(",", ",\n    ")
                 .replace("{", "{\n  ");
     }
 
-    private static void fail(Wire wire, String failure, String list) throws IOException {
+    private static void fail(HttpTestConnection wire, String failure, String list) throws IOException {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n";
         switch (failure) {
             case "reset" -> wire.reset();
@@ -79,8 +79,8 @@
                 wire.send(head + list.substring(0, list.length() / 2)).awaitEnd();
             case "cut" -> wire.send(head + list.substring(0, list.length() / 2)).close();
             case "garbage" -> wire.send("what?\r\n\r\n").awaitEnd();
-            case "unparsed" -> Fake.answer(wire, 200, "", list.replace("in_service", "who knows"));
-            case "error" -> Fake.answer(wire, 503, "", "");
+            case "unparsed" -> StubEndpoint.respond(wire, 200, "", list.replace("in_service", "who knows"));
+            case "error" -> StubEndpoint.respond(wire, 503, "", "");
             default -> wire.awaitEnd();
         }
     }
@@ -104,19 +104,19 @@
     })
     void aFailedWatchResumes(String failure, String mode) throws Exception {
         rig.change = config -> config.replace("on_request", mode);
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             if (rig.discovery.requests.size() == 1) {
                 fail(wire, failure, listWithOtherEndpoint(7));
             } else if (rig.discovery.requests.size() == 2) {
-                Fake.answer(wire, 200, "", listWithOtherEndpoint(7));
+                StubEndpoint.respond(wire, 200, "", listWithOtherEndpoint(7));
             } else {
                 wire.awaitEnd();
             }
         };
         rig.start();
-        Rig.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
+        SidecarFixture.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
         long failedNs = System.nanoTime();
-        Rig.await("the list is there", () -> rig.discovery.requests.size() >= 3);
+        SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() >= 3);
         assertTrue((System.nanoTime() - failedNs) / 1e6 < IN_FORCE_WITHIN_MS);
         assertEquals(
                 "GET /registry/instances?index=1&wait=100 HTTP/1.1",
@@ -135,11 +135,11 @@
         rig.askWithinMs = 20;
         rig.graceMs = 0;
         rig.change = config -> config.replace("on_request", mode);
-        rig.discovery.script = (wire, request) -> wire.reset();
+        rig.discovery.requestHandler = (wire, request) -> wire.reset();
         rig.start();
-        Rig.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
+        SidecarFixture.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
         long began = System.nanoTime();
-        Rig.await("it is polled again and again", () -> rig.discovery.requests.size() >= FAILED_REQUESTS);
+        SidecarFixture.await("it is polled again and again", () -> rig.discovery.requests.size() >= FAILED_REQUESTS);
         assertTrue((System.nanoTime() - began) / 1e6 >= (FAILED_REQUESTS - 3) * MIN_BACKOFF_MS, "each after a backoff");
     }
 
@@ -147,27 +147,31 @@
     @Test
     void theFormerAddressIsIgnoredAfterAMove() throws Exception {
         CountDownLatch moved = new CountDownLatch(1);
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             if (rig.discovery.requests.size() == 1) {
                 // The backoff after this still runs when discovery moves.
                 wire.reset();
             } else {
                 moved.await();
-                Fake.answer(wire, 200, "", Rig.list(99, true, Rig.line(0, before.address(), "in_service", 0)));
+                StubEndpoint.respond(
+                        wire,
+                        200,
+                        "",
+                        SidecarFixture.list(99, true, SidecarFixture.line(0, before.address(), "in_service", 0)));
             }
         };
         rig.start();
-        Rig.await("the watch has failed", () -> rig.logged().contains("discovery failed"));
-        try (Fake next = new Fake((wire, request) -> {
+        SidecarFixture.await("the watch has failed", () -> rig.logged().contains("discovery failed"));
+        try (StubEndpoint next = new StubEndpoint((wire, request) -> {
             if (request.line().contains("index")) {
                 wire.awaitEnd();
             } else {
-                Fake.answer(wire, 200, "", listWithOtherEndpoint(3));
+                StubEndpoint.respond(wire, 200, "", listWithOtherEndpoint(3));
             }
         })) {
             Files.writeString(rig.configFile, rig.config().replace(rig.discovery.address(), next.address()));
             rig.sidecar.reload();
-            Rig.await("the list is there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the list is there", () -> next.requests.size() == 2);
             moved.countDown();
             for (int i = 0; i < 3; i++) {
                 assertEquals("after", rig.ask("order", DEADLINE_MS).body());
@@ -189,7 +193,7 @@
 
     /** Guards against changes that are in force too late after discovery has them. */
     private void assertInForceInTime(long availableNs) throws Exception {
-        Rig.await(
+        SidecarFixture.await(
                 "the list is there",
                 () -> rig.discovery.requests.stream()
                         .anyMatch(request -> request.line().contains("index=7")));
@@ -204,11 +208,11 @@
     })
     void aLargeFleetLearnsInTimeWhatFailedWatchesMissed(String failure, int failures) throws Exception {
         setFleetSize(1000);
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             int call = rig.discovery.requests.size();
             if (call > failures) {
-                rig.discovery.script = (next, later) -> next.awaitEnd();
-                Fake.answer(wire, 200, "", listWithOtherEndpoint(7));
+                rig.discovery.requestHandler = (next, later) -> next.awaitEnd();
+                StubEndpoint.respond(wire, 200, "", listWithOtherEndpoint(7));
             } else if (failure.equals("parts")) {
                 wire.send("HTTP/1.1 200 OK\r\nContent-Length: "
                         + listWithOtherEndpoint(7).length() + "\r\n\r\n");
@@ -221,7 +225,7 @@
             }
         };
         rig.start();
-        Rig.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
+        SidecarFixture.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
         assertInForceInTime(System.nanoTime());
     }
 
@@ -233,16 +237,16 @@
         // Permits a mean backoff of up to 10 s, if nothing else bounds it.
         rig.graceMs = 30_000;
         CountDownLatch back = new CountDownLatch(1);
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             if (back.getCount() == 0) {
-                rig.discovery.script = (next, later) -> next.awaitEnd();
-                Fake.answer(wire, 200, "", listWithOtherEndpoint(7));
+                rig.discovery.requestHandler = (next, later) -> next.awaitEnd();
+                StubEndpoint.respond(wire, 200, "", listWithOtherEndpoint(7));
             } else {
                 fail(wire, failure, listWithOtherEndpoint(7));
             }
         };
         rig.start();
-        Rig.await("the backoff has grown", () -> rig.discovery.requests.size() >= FAILURES);
+        SidecarFixture.await("the backoff has grown", () -> rig.discovery.requests.size() >= FAILURES);
         back.countDown();
         assertInForceInTime(System.nanoTime());
     }
@@ -264,7 +268,7 @@
             rig.change =
                     config -> large.apply(config).replace(rig.discovery.address(), "127.0.0.1:" + full.getLocalPort());
             rig.start();
-            Rig.await("connects did not complete", () -> rig.logged().contains("discovery failed"));
+            SidecarFixture.await("connects did not complete", () -> rig.logged().contains("discovery failed"));
             long reachable = System.nanoTime();
             for (Socket one : waiting) {
                 one.close();
@@ -273,7 +277,8 @@
             Thread serving = new Thread(() -> serve(full, requestLines));
             serving.setDaemon(true);
             serving.start();
-            Rig.await("the list is there", () -> requestLines.stream().anyMatch(line -> line.contains("index=7")));
+            SidecarFixture.await(
+                    "the list is there", () -> requestLines.stream().anyMatch(line -> line.contains("index=7")));
             assertEquals("after", rig.ask("order", DEADLINE_MS).body());
             double tookMs = (System.nanoTime() - reachable) / 1e6;
             assertTrue(tookMs < IN_FORCE_WITHIN_MS, tookMs + " ms");
@@ -282,9 +287,9 @@
 
     private void serve(ServerSocket listener, List<String> requestLines) {
         while (!listener.isClosed()) {
-            try (Wire wire = new Wire(listener.accept())) {
+            try (HttpTestConnection wire = new HttpTestConnection(listener.accept())) {
                 requestLines.add(wire.read().line());
-                Fake.answer(wire, 200, "", listWithOtherEndpoint(7));
+                StubEndpoint.respond(wire, 200, "", listWithOtherEndpoint(7));
                 requestLines.add(wire.read().line());
                 wire.awaitEnd();
             } catch (IOException e) {
@@ -298,7 +303,7 @@
     @Test
     void aFullSnapshotMayArriveInParts() throws Exception {
         setFleetSize(1000);
-        try (Fake next = new Fake((wire, request) -> {
+        try (StubEndpoint next = new StubEndpoint((wire, request) -> {
             if (request.line().contains("index")) {
                 wire.awaitEnd();
             } else {
@@ -311,12 +316,12 @@
             }
         })) {
             rig.start();
-            Rig.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
+            SidecarFixture.await("the watch is open", () -> rig.discovery.requests.size() >= 1);
             long moved = System.nanoTime();
             Files.writeString(
                     rig.configFile, rig.change.apply(rig.config()).replace(rig.discovery.address(), next.address()));
             rig.sidecar.reload();
-            Rig.await("the list is there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the list is there", () -> next.requests.size() == 2);
             assertEquals("after", rig.ask("order", DEADLINE_MS).body());
             assertTrue((System.nanoTime() - moved) / 1e6 < IN_FORCE_WITHIN_MS);
             assertFalse(rig.logged().contains("discovery failed"), rig.logged());
@@ -342,33 +347,33 @@
     }
 
     private static void awaitPassed(long sinceNs, int ms) throws InterruptedException {
-        Rig.await("time", () -> System.nanoTime() - sinceNs > ms * 1_000_000L);
+        SidecarFixture.await("time", () -> System.nanoTime() - sinceNs > ms * 1_000_000L);
     }
 
     /** Guards against a time-out of a response that has arrived in time but was not read yet. */
     @Test
     void aResponseIsReadThoughTheLoopWasBusyBeyondItsTimeout() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
-        rig.discovery.script = (wire, request) -> {
+        rig.discovery.requestHandler = (wire, request) -> {
             if (rig.discovery.requests.size() > 1) {
-                rig.discovery.script = (next, later) -> next.awaitEnd();
+                rig.discovery.requestHandler = (next, later) -> next.awaitEnd();
                 respond.await();
-                Fake.answer(wire, 200, "", listWithOtherEndpoint(7));
+                StubEndpoint.respond(wire, 200, "", listWithOtherEndpoint(7));
             } else {
-                Fake.answer(wire, 200, "", listWithOtherEndpoint(6));
+                StubEndpoint.respond(wire, 200, "", listWithOtherEndpoint(6));
             }
         };
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         rig.start(busyUntil(busy, release));
-        Rig.await("the request waits", () -> rig.discovery.requests.size() == 2);
-        try (Wire client = rig.client()) {
+        SidecarFixture.await("the request waits", () -> rig.discovery.requests.size() == 2);
+        try (HttpTestConnection client = rig.client()) {
             client.send(rig.request("read", DEADLINE_MS));
             busy.await();
             respond.countDown();
             awaitPassed(System.nanoTime(), BUSY_MS);
             release.countDown();
-            Rig.await("the list is there", () -> rig.discovery.requests.size() == 3);
+            SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() == 3);
             assertEquals(200, client.read().status());
         }
         assertEquals(1, rig.discovery.connections.get());
--- a/edge/src/test/java/lemonrail/control/Nodes.java
+++ b/edge/src/test/java/lemonrail/control/Nodes.java
@@ -67,10 +67,10 @@
                 address,
                 admin,
                 peers,
-                ControlConfig.MOST_WATCHERS,
-                ControlConfig.ANSWER_GAP_MS,
+                ControlConfig.DEFAULT_MAX_WATCHERS,
+                ControlConfig.DEFAULT_RESPONSE_INTERVAL_MS,
                 folder,
-                LogSettings.USUAL);
+                LogSettings.DEFAULT);
     }
 
     /** Makes all nodes peers of each other, and bootstraps the first. */
--- a/edge/src/test/java/lemonrail/frames/Frame.java
+++ b/edge/src/test/java/lemonrail/frames/Frame.java
@@ -10,18 +10,18 @@
 import java.util.List;
 
 /**
- * What the test's protocol puts on the wire: a length, a letter and a text. Requests are {@code Q}; answers
- * are {@code S} served, {@code N} not run, {@code E} error, {@code B} bad request, and to clients {@code R}
- * refused and {@code F} failed.
+ * A frame of the test protocol: a length, a letter and a text. Requests are {@code Q}; responses are {@code S} served,
+ * {@code N} not executed, {@code E} error, {@code B} bad request, and to clients also {@code R} rejected and {@code F}
+ * failed.
  */
 record Frame(char kind, String text) {
 
-    private static final int MOST_BYTES = 64 * 1024;
+    private static final int MAX_BYTES = 64 * 1024;
     private static final int LENGTH_BYTES = 4;
 
     static void addTo(ChannelPipeline pipeline) {
         pipeline.addLast(
-                new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                new LengthFieldBasedFrameDecoder(MAX_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                 new LengthFieldPrepender(LENGTH_BYTES),
                 new Codec());
     }
--- a/edge/src/test/java/lemonrail/frames/FrameFront.java
+++ b/edge/src/test/java/lemonrail/frames/FrameDownstream.java
@@ -21,94 +21,95 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * Clients of the test's protocol: one request at a time on a connection, as {@code id|class|deadline|text}.
+ * The client side of the test protocol: one request at a time on a connection, as {@code id|class|timeout|text}.
  */
-final class FrameFront implements Downstream {
+final class FrameDownstream implements Downstream {
 
-    private final EventLoopContext shard;
-    private final RequestDispatcher<FrameMessage, Frame> exchange;
+    private final EventLoopContext context;
+    private final RequestDispatcher<FrameRequest, Frame> dispatcher;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private int most;
+    private int maxConnections;
     private Channel listener;
-    private boolean leaving;
-    private double endsAt = Double.POSITIVE_INFINITY;
+    private boolean closeAfterResponse;
+    private double latestDeadlineMs = Double.POSITIVE_INFINITY;
 
-    FrameFront(EventLoopContext shard, RequestDispatcher<FrameMessage, Frame> exchange, int most) {
-        this.shard = shard;
-        this.exchange = exchange;
-        this.most = most;
+    FrameDownstream(EventLoopContext context, RequestDispatcher<FrameRequest, Frame> dispatcher, int maxConnections) {
+        this.context = context;
+        this.dispatcher = dispatcher;
+        this.maxConnections = maxConnections;
     }
 
     private final class Connection extends SimpleChannelInboundHandler<Frame> implements ResponseSink<Frame> {
         private Channel channel;
-        private String open;
+        private String requestId;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
             connections.add(this);
-            if (connections.size() > most) {
-                answer(new Frame('R', "0"));
+            if (connections.size() > maxConnections) {
+                respond(new Frame('R', "0"));
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Frame frame) {
             String[] parts = frame.text().split("\\|", 4);
-            int kind = shard.settings().classes().stream()
+            int kind = context.settings().classes().stream()
                     .map(c -> c.name())
                     .toList()
                     .indexOf(parts[1]);
-            if (open != null || kind < 0 || exchange.has(parts[0])) {
-                answer(new Frame('B', "no request"));
+            if (requestId != null || kind < 0 || dispatcher.isInFlight(parts[0])) {
+                respond(new Frame('B', "no request"));
                 return;
             }
-            open = parts[0];
-            double now = shard.clock().now();
-            exchange.request(
-                    new Request(open, kind, 0, Math.min(endsAt, now + Double.parseDouble(parts[2])), false),
-                    new FrameMessage(open, parts[3]),
+            requestId = parts[0];
+            double now = context.clock().now();
+            dispatcher.dispatch(
+                    new Request(
+                            requestId, kind, 0, Math.min(latestDeadlineMs, now + Double.parseDouble(parts[2])), false),
+                    new FrameRequest(requestId, parts[3]),
                     this);
         }
 
-        private void answer(Frame frame) {
-            open = null;
+        private void respond(Frame frame) {
+            requestId = null;
             ChannelFuture written = channel.writeAndFlush(frame);
-            if (leaving) {
+            if (closeAfterResponse) {
                 written.addListener(ChannelFutureListener.CLOSE);
             }
         }
 
         @Override
-        public void served(Frame answer) {
-            answer(answer);
+        public void served(Frame response) {
+            respond(response);
         }
 
         @Override
-        public void streaming(Frame beginning, BodyPipe body) {
+        public void streamStarted(Frame head, BodyPipe body) {
             throw new IllegalStateException("this protocol has no large answers");
         }
 
         @Override
-        public void turnedAway(Frame answer) {
-            answer(answer);
+        public void rejectedByEndpoint(Frame response) {
+            respond(response);
         }
 
         @Override
-        public void refused(double coolDownMs) {
-            answer(new Frame('R', String.valueOf(coolDownMs)));
+        public void rejected(double retryAfterMs) {
+            respond(new Frame('R', String.valueOf(retryAfterMs)));
         }
 
         @Override
         public void failed() {
-            answer(new Frame('F', ""));
+            respond(new Frame('F', ""));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
-            if (open != null) {
-                exchange.clientGone(open);
+            if (requestId != null) {
+                dispatcher.onClientDisconnected(requestId);
             }
         }
 
@@ -121,7 +122,7 @@
     @Override
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
-                .group(shard.loop())
+                .group(context.loop())
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -136,13 +137,13 @@
     }
 
     @Override
-    public void bound(int connectionsAtOnce) {
-        most = connectionsAtOnce;
+    public void setMaxConnections(int maximum) {
+        maxConnections = maximum;
     }
 
     @Override
-    public void endAfter(double leftMs) {
-        endsAt = shard.clock().now() + leftMs;
+    public void capDeadlines(double remainingMs) {
+        latestDeadlineMs = context.clock().now() + remainingMs;
     }
 
     @Override
@@ -151,37 +152,37 @@
     }
 
     @Override
-    public void leave() {
+    public void releaseAddress() {
         closeListener();
-        leaving = true;
+        closeAfterResponse = true;
     }
 
     @Override
-    public void finish() {
-        leaving = true;
+    public void closeAfterResponses() {
+        closeAfterResponse = true;
         List.copyOf(connections).stream()
-                .filter(connection -> connection.open == null)
+                .filter(connection -> connection.requestId == null)
                 .forEach(connection -> connection.channel.close());
     }
 
     @Override
-    public void drain() {
-        finish();
+    public void startDraining() {
+        closeAfterResponses();
     }
 
     @Override
-    public void activate() {
-        leaving = false;
+    public void stopDraining() {
+        closeAfterResponse = false;
     }
 
     @Override
     public void close() {
         closeListener();
-        finish();
+        closeAfterResponses();
     }
 
     @Override
-    public boolean isEmpty() {
+    public boolean hasNoConnections() {
         return connections.isEmpty();
     }
 }
--- a/edge/src/test/java/lemonrail/frames/FrameMessage.java
+++ b/edge/src/test/java/lemonrail/frames/FrameRequest.java
@@ -3,16 +3,16 @@
 import lemonrail.exchange.ProtocolRequest;
 import lemonrail.streaming.BodyPipe;
 
-/** A request of the test's protocol: its id and a text. */
-record FrameMessage(String id, String text) implements ProtocolRequest {
+/** A request of the test protocol. */
+record FrameRequest(String id, String text) implements ProtocolRequest {
 
     @Override
-    public int heldBytes() {
+    public int bufferedBytes() {
         return text.length();
     }
 
     @Override
-    public BodyPipe rest() {
+    public BodyPipe remainingBody() {
         return null;
     }
 }
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -18,39 +18,39 @@
 import lemonrail.exchange.EventLoopContext;
 import lemonrail.exchange.Upstream;
 
-/** A connection for each attempt, which is closed with it. */
-final class FrameUpstream implements Upstream<FrameMessage, Frame> {
+/** The endpoint side of the test protocol: each attempt has a connection, which is closed with it. */
+final class FrameUpstream implements Upstream<FrameRequest, Frame> {
 
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final EventLoopContext shard;
-    private int most;
-    private int open;
+    private final EventLoopContext context;
+    private int maxConnections;
+    private int openConnections;
 
-    FrameUpstream(EventLoopContext shard, int most) {
-        this.shard = shard;
-        this.most = most;
+    FrameUpstream(EventLoopContext context, int maxConnections) {
+        this.context = context;
+        this.maxConnections = maxConnections;
     }
 
     private final class Attempt extends SimpleChannelInboundHandler<Frame> implements Upstream.Attempt {
-        private final FrameMessage message;
-        private final double waitMs;
-        private Ending<Frame> ending;
+        private final FrameRequest request;
+        private final double timeoutMs;
+        private AttemptListener<Frame> listener;
         private Channel channel;
         private boolean written;
 
-        Attempt(FrameMessage message, double waitMs, Ending<Frame> ending) {
-            this.message = message;
-            this.waitMs = waitMs;
-            this.ending = ending;
+        Attempt(FrameRequest request, double timeoutMs, AttemptListener<Frame> listener) {
+            this.request = request;
+            this.timeoutMs = timeoutMs;
+            this.listener = listener;
         }
 
         void open(InetSocketAddress address) {
-            open++;
+            openConnections++;
             ChannelFuture connecting = new Bootstrap()
-                    .group(shard.loop())
+                    .group(context.loop())
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
-                            shard.settings().limits().connectTimeoutMs())
+                            context.settings().limits().connectTimeoutMs())
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel fresh) {
@@ -61,21 +61,21 @@
                     .connect(address);
             channel = connecting.channel();
             channel.closeFuture().addListener(closed -> {
-                open--;
-                end(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
+                openConnections--;
+                finish(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
             });
             connecting.addListener(up -> {
                 if (!up.isSuccess()) {
-                    end(AttemptOutcome.CONNECT_ERROR, null);
-                } else if (ending != null && !ending.mayBegin()) {
+                    finish(AttemptOutcome.CONNECT_ERROR, null);
+                } else if (listener != null && !listener.mayStart()) {
                     channel.close();
-                } else if (ending != null) {
-                    Frame request = new Frame('Q', message.id() + "|" + (long) waitMs + "|" + message.text());
-                    channel.writeAndFlush(request).addListener(done -> {
+                } else if (listener != null) {
+                    Frame frame = new Frame('Q', request.id() + "|" + (long) timeoutMs + "|" + request.text());
+                    channel.writeAndFlush(frame).addListener(done -> {
                         written = done.isSuccess();
-                        if (written && ending != null) {
-                            shard.metrics().dispatched();
-                            ending.written();
+                        if (written && listener != null) {
+                            context.metrics().onDispatch();
+                            listener.onRequestWritten();
                         }
                     });
                 }
@@ -83,34 +83,34 @@
         }
 
         @Override
-        public boolean mayHaveRun() {
+        public boolean mayHaveExecuted() {
             return written;
         }
 
         @Override
-        public boolean giveUp() {
-            ending = null;
+        public boolean cancel() {
+            listener = null;
             channel.close();
             return written;
         }
 
-        private void end(AttemptOutcome outcome, Frame answer) {
-            Ending<Frame> told = ending;
-            ending = null;
-            if (told != null) {
-                told.ended(outcome, answer);
+        private void finish(AttemptOutcome outcome, Frame response) {
+            AttemptListener<Frame> notified = listener;
+            listener = null;
+            if (notified != null) {
+                notified.onFinished(outcome, response);
             }
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, Frame answer) {
-            AttemptOutcome outcome = switch (answer.kind()) {
+        protected void channelRead0(ChannelHandlerContext ctx, Frame response) {
+            AttemptOutcome outcome = switch (response.kind()) {
                 case 'S' -> AttemptOutcome.OK;
                 case 'N' -> AttemptOutcome.QUEUE_FULL;
                 case 'B' -> AttemptOutcome.IGNORED;
                 default -> AttemptOutcome.FAILED;
             };
-            end(outcome, answer);
+            finish(outcome, response);
             ctx.close();
         }
 
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public void update(EndpointList list) {
+    public void updateEndpoints(EndpointList list) {
         if (list.full()) {
             addresses.clear();
         }
@@ -135,11 +135,12 @@
     }
 
     @Override
-    public Upstream.Attempt send(String server, FrameMessage message, double waitMs, Ending<Frame> ending) {
-        Attempt attempt = new Attempt(message, waitMs, ending);
-        InetSocketAddress address = addresses.get(server);
-        if (address == null || open >= most) {
-            attempt.end(AttemptOutcome.CONNECT_ERROR, null);
+    public Upstream.Attempt startAttempt(
+            String endpoint, FrameRequest request, double timeoutMs, AttemptListener<Frame> listener) {
+        Attempt attempt = new Attempt(request, timeoutMs, listener);
+        InetSocketAddress address = addresses.get(endpoint);
+        if (address == null || openConnections >= maxConnections) {
+            attempt.finish(AttemptOutcome.CONNECT_ERROR, null);
         } else {
             attempt.open(address);
         }
@@ -147,17 +148,17 @@
     }
 
     @Override
-    public void disconnect(String server) {
-        // No connection is ever idle.
+    public void closeIdleConnections(String endpoint) {
+        // Connections are never idle.
     }
 
     @Override
-    public void bound(int connections) {
-        most = connections;
+    public void setMaxConnections(int connections) {
+        maxConnections = connections;
     }
 
     @Override
-    public int size() {
+    public int endpointCount() {
         return addresses.size();
     }
 
--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -78,9 +78,9 @@
                 new Lifecycle(() -> true),
                 config.settings(),
                 config.idleCloseMs());
-        suspensions = new SuspendedEndpoints(config.kept("hollow"), log);
+        suspensions = new SuspendedEndpoints(config.stateFile("hollow"), log);
         watch = plane.watch(loop, config, log, seed, list, node);
-        endpoints = new Http1Protocol().upstream(shard, CONNECTIONS);
+        endpoints = new Http1Protocol().createUpstream(shard, CONNECTIONS);
         // Set before the exchange begins the watch.
         watch.listen(this::take);
         exchange = new RequestDispatcher<>(
@@ -158,7 +158,7 @@
     boolean knows(Map<String, EndpointEntry> lines) {
         List<Endpoint> shown = suspensions.visibleEndpoints(lines.keySet());
         return suspensions.listedCount() == lines.size()
-                && endpoints.size() == lines.size()
+                && endpoints.endpointCount() == lines.size()
                 && shown.size() == lines.size()
                 && shown.stream().allMatch(server -> {
                     EndpointEntry line = lines.get(server.id());
@@ -185,7 +185,7 @@
     /** Nobody reads what a thousand of them would say. */
     private static final class Silence implements LogSink {
         @Override
-        public boolean takes(Severity severity, String logger) {
+        public boolean isEnabled(Severity severity, String logger) {
             return false;
         }
 
@@ -195,7 +195,7 @@
         }
 
         @Override
-        public void level(String logger, Severity severity) {
+        public void setLevel(String logger, Severity severity) {
             throw new IllegalStateException("nothing is wanted here");
         }
 
