--- a/edge/src/main/java/lemonrail/assembly/ActiveSettings.java
+++ b/edge/src/main/java/lemonrail/assembly/ActiveSettings.java
@@ -2,6 +2,7 @@
 
 import lemonrail.config.SettingsDocument;
 import lemonrail.core.balancer.BalancerSettings;
+import lemonrail.discovery.SettingsOutcome;
 import lemonrail.exchange.RequestDispatcher;
 
 /**
@@ -24,18 +25,18 @@
      * Applies a settings document as a whole or not at all.
      *
      * @param document in the operators' form, or null to return to the configured settings
-     * @return null, or why the document was not applied
      */
-    String apply(String document) {
+    SettingsOutcome apply(String document) {
         try {
             BalancerSettings next = document == null ? configured : SettingsDocument.over(configured, document);
             if (!dispatcher.updateSettings(next)) {
-                return "the load balancer of this edge does not accept settings at run time";
+                return new SettingsOutcome.Rejected(
+                        "the load balancer of this edge does not accept settings at run time");
             }
             active = next;
-            return null;
+            return new SettingsOutcome.Applied();
         } catch (IllegalArgumentException e) {
-            return e.getMessage();
+            return new SettingsOutcome.Rejected(e.getMessage());
         }
     }
 
--- a/edge/src/main/java/lemonrail/assembly/ConfigurationReloader.java
+++ b/edge/src/main/java/lemonrail/assembly/ConfigurationReloader.java
@@ -114,12 +114,12 @@
         EdgeConfig config = next.config();
         if (targets.discovery() != null && config.discovery() != null) {
             log.info("config_reloaded", "configuration read again: discovery is at " + config.discovery());
-            targets.discovery().move(config.discovery());
+            targets.discovery().moveTo(config.discovery());
         } else {
             log.info("config_reloaded", "configuration read again");
         }
         if (targets.fixedEndpoints()) {
-            targets.dispatcher().listed(config.known());
+            targets.dispatcher().onEndpointList(config.known());
         }
         config.logging().levels().forEach(targets.sink()::setLevel);
         logRestartKeys(next);
--- a/edge/src/main/java/lemonrail/assembly/SidecarAdminOperations.java
+++ b/edge/src/main/java/lemonrail/assembly/SidecarAdminOperations.java
@@ -74,7 +74,7 @@
     }
 
     private Result changeSuspension(String event, String endpoint, SuspensionChange change) {
-        if (!suspensions.knows(endpoint)) {
+        if (!suspensions.isKnown(endpoint)) {
             return Result.UNKNOWN_ENDPOINT;
         }
         try {
--- a/edge/src/main/java/lemonrail/assembly/SidecarBuilder.java
+++ b/edge/src/main/java/lemonrail/assembly/SidecarBuilder.java
@@ -204,11 +204,11 @@
             RequestDispatcher<?, ?> dispatcher,
             ActiveSettings settings) {
         if (discovery != null) {
-            discovery.listen(dispatcher);
+            discovery.setListener(dispatcher);
         }
         if (control != null) {
-            control.listen(dispatcher);
-            control.takeSettings(settings::apply);
+            control.setListener(dispatcher);
+            control.setSettingsHandler(settings::apply);
         }
     }
 
@@ -233,7 +233,7 @@
             int bound = i;
             metrics.gauge("loop_late.over_" + boundsMs[i] + "ms", () -> lag.countAbove(bound));
         }
-        metrics.gauge("targets", suspensions::listed);
-        metrics.gauge("targets_disabled", () -> suspensions.listedSuspended() + dispatcher.ejectedEndpoints());
+        metrics.gauge("targets", suspensions::listedCount);
+        metrics.gauge("targets_disabled", () -> suspensions.listedSuspendedCount() + dispatcher.ejectedEndpoints());
     }
 }
--- a/edge/src/main/java/lemonrail/cli/ConfigurationSummary.java
+++ b/edge/src/main/java/lemonrail/cli/ConfigurationSummary.java
@@ -45,7 +45,7 @@
     }
 
     private static String endpoints(EdgeConfig config) {
-        int known = config.known().servers().size();
+        int known = config.known().endpoints().size();
         if (config.control() != null) {
             return controlNodes(config.control());
         }
@@ -53,17 +53,17 @@
             return "what discovery at " + address(config.discovery()) + " lists, and start from " + known
                     + " known endpoints";
         }
-        long ready = config.known().servers().stream()
+        long ready = config.known().endpoints().stream()
                 .filter(endpoint -> endpoint.state() == EndpointState.READY)
                 .count();
         return ready + " of " + known + " fixed endpoints";
     }
 
-    private static String controlNodes(ControlClient.Plan plan) {
+    private static String controlNodes(ControlClient.Subscription plan) {
         String services =
                 plan.services().isEmpty() ? "all services" : plan.services().toString();
-        return "what " + plan.addresses().size() + " control nodes and "
-                + plan.fallbacks().size() + " fallbacks list of " + services;
+        return "what " + plan.regionNodes().size() + " control nodes and "
+                + plan.fallbackNodes().size() + " fallbacks list of " + services;
     }
 
     private static String requestClass(RequestClass requestClass) {
--- a/edge/src/main/java/lemonrail/config/DiscoveryTable.java
+++ b/edge/src/main/java/lemonrail/config/DiscoveryTable.java
@@ -48,11 +48,11 @@
     }
 
     /** Returns the plan to watch control nodes, or null where none are given. */
-    ControlClient.Plan toControlPlan(String name) {
+    ControlClient.Subscription toControlPlan(String name) {
         if (nodes == null) {
             return null;
         }
-        return new ControlClient.Plan(
+        return new ControlClient.Subscription(
                 name,
                 nodes,
                 fallbacks == null ? List.of() : fallbacks,
--- a/edge/src/main/java/lemonrail/config/EdgeConfig.java
+++ b/edge/src/main/java/lemonrail/config/EdgeConfig.java
@@ -41,7 +41,7 @@
         EndpointList known,
         BalancerSettings settings,
         LogSettings logging,
-        ControlClient.Plan control) {
+        ControlClient.Subscription control) {
 
     /** Returns the path of a state file of this edge, which outlives the process. */
     public Path stateFile(String kind) {
--- a/edge/src/main/java/lemonrail/config/PlatformFile.java
+++ b/edge/src/main/java/lemonrail/config/PlatformFile.java
@@ -11,6 +11,9 @@
 import java.util.Map;
 import lemonrail.core.SettingsReader;
 import lemonrail.discovery.EndpointList;
+import lemonrail.discovery.EndpointListReader;
+import lemonrail.discovery.SocketAddressReader;
+import lemonrail.json.InvalidFieldException;
 import lemonrail.json.Json;
 import lemonrail.logging.LogSettings;
 
@@ -44,13 +47,13 @@
             throw problem(0, "GW_CONFIG names a file that is not there");
         }
         try {
-            if (!(Json.value(bytes) instanceof Map<?, ?> json)) {
+            if (!(Json.parse(bytes) instanceof Map<?, ?> json)) {
                 throw problem(1, "it holds no JSON object");
             }
             return edgeConfig(json);
         } catch (JsonProcessingException e) {
             throw problem(e.getLocation().getLineNr(), "it is not JSON: " + e.getOriginalMessage());
-        } catch (EndpointList.BadField e) {
+        } catch (InvalidFieldException e) {
             int line = JsonLines.lineOf(bytes, e.field());
             throw new ConfigException(new ConfigProblem(file, line, e.field(), e.value(), e.getMessage()));
         } catch (IllegalArgumentException e) {
@@ -72,9 +75,9 @@
                 words("settings.azs", settings.get("azs")), words("settings.models", settings.get("models")));
         return new EdgeConfig(
                 String.valueOf(json.get("name")),
-                List.of(EndpointList.address("listen", json.get("listen"))),
+                List.of(SocketAddressReader.read("listen", json.get("listen"))),
                 adminAddress(json.get("mgmt")),
-                EndpointList.address("discovery", json.get("discovery")),
+                SocketAddressReader.read("discovery", json.get("discovery")),
                 discoveryWaitMs(),
                 stateFolder(environment),
                 seed(json.get("seed")),
@@ -82,7 +85,7 @@
                 (int) positive("limits.sockets", limit(json, "sockets")),
                 positive("settings.limits.idle-close-ms", attemptLimits.get("idle-close-ms")),
                 names,
-                EndpointList.of(object("known", json.get("known")), names),
+                EndpointListReader.read(object("known", json.get("known")), names),
                 SettingsReader.read(settings),
                 LogSettings.DEFAULT,
                 null);
@@ -91,10 +94,10 @@
     /** Rules may be left out; the problem of one that is given names the platform's key. */
     private static void checkRules(Map<String, Object> rules) {
         if (rules.get("fall-ms") instanceof Double windowMs && windowMs <= 0) {
-            throw EndpointList.bad("settings.rules.fall-ms", windowMs);
+            throw new InvalidFieldException("settings.rules.fall-ms", windowMs);
         }
         if (rules.get("drain-grace-ms") instanceof Double graceMs && graceMs < 0) {
-            throw EndpointList.bad("settings.rules.drain-grace-ms", graceMs);
+            throw new InvalidFieldException("settings.rules.drain-grace-ms", graceMs);
         }
     }
 
@@ -105,9 +108,9 @@
     private InetSocketAddress adminAddress(Object value) {
         String variable = environment.getOrDefault(ADMIN_VARIABLE, "");
         if (value != null) {
-            return EndpointList.address("mgmt", value);
+            return SocketAddressReader.read("mgmt", value);
         }
-        return variable.isBlank() ? null : EndpointList.address(ADMIN_VARIABLE, variable);
+        return variable.isBlank() ? null : SocketAddressReader.read(ADMIN_VARIABLE, variable);
     }
 
     /** Parsed like the key of the operators' file; its schema is loaded only if the variable is set. */
@@ -132,7 +135,7 @@
         try {
             return Long.parseUnsignedLong(value instanceof String text ? text : "", 16);
         } catch (NumberFormatException e) {
-            throw EndpointList.bad("seed", value);
+            throw new InvalidFieldException("seed", value);
         }
     }
 
@@ -140,7 +143,7 @@
         if (value instanceof Double number && number > 0) {
             return number;
         }
-        throw EndpointList.bad(field, value);
+        throw new InvalidFieldException(field, value);
     }
 
     @SuppressWarnings("unchecked")
@@ -148,12 +151,12 @@
         if (value instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw EndpointList.bad(field, value);
+        throw new InvalidFieldException(field, value);
     }
 
     private static List<String> words(String field, Object value) {
         if (!(value instanceof List<?> list)) {
-            throw EndpointList.bad(field, value);
+            throw new InvalidFieldException(field, value);
         }
         List<String> words = new ArrayList<>();
         for (Object word : list) {
--- a/edge/src/main/java/lemonrail/config/PlatformValues.java
+++ b/edge/src/main/java/lemonrail/config/PlatformValues.java
@@ -54,7 +54,7 @@
             put("tenants." + tenant.name(), tenant.requestsPerSecond() + " a second");
         }
         for (EndpointList.Entry entry : config.known().entries()) {
-            add("endpoints." + entry.server().id(), entry.address(), json + " (until discovery speaks)", true);
+            add("endpoints." + entry.endpoint().id(), entry.address(), json + " (until discovery speaks)", true);
         }
     }
 
--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -10,8 +10,8 @@
 import lemonrail.core.balancer.LoadBalancerFactory;
 import lemonrail.core.balancer.LoadBalancerHost;
 import lemonrail.core.balancer.Request;
-import lemonrail.discovery.DiscoveryClient;
 import lemonrail.discovery.EndpointList;
+import lemonrail.discovery.EndpointListListener;
 import lemonrail.logging.EventLog;
 import lemonrail.suspension.SuspendedEndpoints;
 import lemonrail.time.Clock;
@@ -24,8 +24,7 @@
  * @param <M> the protocol's requests
  * @param <A> the protocol's responses
  */
-public final class RequestDispatcher<M extends ProtocolRequest, A>
-        implements LoadBalancerHost, DiscoveryClient.Listener {
+public final class RequestDispatcher<M extends ProtocolRequest, A> implements LoadBalancerHost, EndpointListListener {
 
     private final Clock clock;
     private final EventLog log;
@@ -203,19 +202,19 @@
     // ---- events of discovery ----
 
     @Override
-    public void listed(EndpointList list) {
+    public void onEndpointList(EndpointList list) {
         updateEndpoints(list.full() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, list);
     }
 
     private void updateEndpoints(EndpointUpdateKind kind, EndpointList list) {
         hasEndpoints |= !list.entries().isEmpty();
         upstream.updateEndpoints(list);
-        notifyOfEndpoints(kind, suspensions.show(kind, list.servers()));
+        notifyOfEndpoints(kind, suspensions.applyUpdate(kind, list.endpoints()));
     }
 
     /** Notifies the balancer of endpoints whose suspension has begun or ended. */
     public void refreshEndpoints(Collection<String> ids) {
-        List<Endpoint> update = suspensions.shown(ids);
+        List<Endpoint> update = suspensions.visibleEndpoints(ids);
         if (!update.isEmpty()) {
             notifyOfEndpoints(EndpointUpdateKind.DELTA, update);
         }
--- a/edge/src/main/java/lemonrail/http1/EndpointDirectory.java
+++ b/edge/src/main/java/lemonrail/http1/EndpointDirectory.java
@@ -38,8 +38,8 @@
             removeUnlisted(list);
         }
         for (EndpointList.Entry entry : list.entries()) {
-            if (entry.server().state() == EndpointState.GONE) {
-                remove(entry.server().id());
+            if (entry.endpoint().state() == EndpointState.GONE) {
+                remove(entry.endpoint().id());
             } else {
                 put(entry);
             }
@@ -48,7 +48,7 @@
 
     private void removeUnlisted(EndpointList snapshot) {
         Set<String> listed = new HashSet<>();
-        snapshot.entries().forEach(entry -> listed.add(entry.server().id()));
+        snapshot.entries().forEach(entry -> listed.add(entry.endpoint().id()));
         for (String endpointId : List.copyOf(byId.keySet())) {
             if (!listed.contains(endpointId)) {
                 remove(endpointId);
@@ -58,8 +58,8 @@
 
     private void put(EndpointList.Entry entry) {
         EndpointConnections endpoint =
-                byId.computeIfAbsent(entry.server().id(), unknownId -> new EndpointConnections());
-        endpoint.updateProcess(entry.address(), entry.server().startedMs());
+                byId.computeIfAbsent(entry.endpoint().id(), unknownId -> new EndpointConnections());
+        endpoint.updateProcess(entry.address(), entry.endpoint().startedMs());
         assignAddress(endpoint, entry.address());
     }
 
--- a/edge/src/main/java/lemonrail/http1/WarmUp.java
+++ b/edge/src/main/java/lemonrail/http1/WarmUp.java
@@ -212,8 +212,8 @@
             return;
         }
         if (requestNumber == LIST_CHANGE_BEFORE) {
-            dispatcher.listed(endpointList(EndpointUpdateKind.DELTA, EndpointState.DRAINING));
-            dispatcher.listed(endpointList(EndpointUpdateKind.DELTA, EndpointState.READY));
+            dispatcher.onEndpointList(endpointList(EndpointUpdateKind.DELTA, EndpointState.DRAINING));
+            dispatcher.onEndpointList(endpointList(EndpointUpdateKind.DELTA, EndpointState.READY));
         }
         if (client.isConnected()) {
             send();
--- a/edge/src/main/java/lemonrail/simulator/EventReader.java
+++ b/edge/src/main/java/lemonrail/simulator/EventReader.java
@@ -88,7 +88,7 @@
     @SuppressWarnings("unchecked")
     private Map<String, Object> readSettings() throws IOException {
         in.expect(JsonToken.START_OBJECT, "params");
-        return (Map<String, Object>) Json.value(in.parser());
+        return (Map<String, Object>) Json.parse(in.parser());
     }
 
     private SimulatorEvent toEvent() {
