--- a/lab/src/test/java/lemonrail/lab/scale/NodesControlPlaneTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/NodesControlPlaneTest.java
@@ -8,6 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -19,6 +20,7 @@
     @TempDir
     private Path folder;
 
+    @Tag("known-red")
     @Test
     void controlNodesCarryEachStorm() throws Exception {
         ScaleScenario scenario = ScaleFile.read(Path.of("scenarios", "scale-nodes-small.toml"));
