--- a/core/src/main/java/lemonrail/core/AdmissionRate.java
+++ b/core/src/main/java/lemonrail/core/AdmissionRate.java
@@ -1,18 +1,19 @@
 package lemonrail.core;
 
 /**
- * The fraction of recently forwarded requests that were served. It is weighted by requests and not by time, so that
- * the mean over many processes with little traffic is close to the fraction over all their requests.
+ * Estimates the fraction of recently forwarded requests that were served. A recorded request loses weight with each
+ * later request, not with time, so that the mean of the estimates of many low-traffic processes is close to the
+ * fraction over all their requests.
  */
 public final class AdmissionRate {
 
-    /** The fraction of its weight that a request loses with each later one. */
+    /** The fraction of its weight that a recorded request loses with each later request. */
     private static final double DECAY_PER_REQUEST = 1.0 / 32;
 
     private double forwarded;
     private double served;
 
-    /** Records a request; one that was not forwarded to any endpoint does not count. */
+    /** Records a request. Requests that were not forwarded to any endpoint are ignored. */
     public void recordRequest(boolean wasForwarded) {
         if (wasForwarded) {
             forwarded += 1 - DECAY_PER_REQUEST * forwarded;
@@ -26,9 +27,9 @@
     }
 
     /**
-     * Returns the fraction served, from 0 to 1.
+     * Returns the estimated fraction of forwarded requests that were served, from 0 to 1.
      *
-     * @param prior the estimate to use as long as few requests are known
+     * @param prior the estimate before any request is recorded; its influence falls with each recorded request
      */
     public double estimate(double prior) {
         return Math.min(1, (served + prior) / (forwarded + 1));
--- a/core/src/main/java/lemonrail/core/ConnectFailureRate.java
+++ b/core/src/main/java/lemonrail/core/ConnectFailureRate.java
@@ -1,16 +1,18 @@
 package lemonrail.core;
 
 /**
- * How often connects fail at endpoints that are healthy. Failures count only once a later connect to the same
- * endpoint has succeeded, so that failures at dead endpoints are not taken for chance.
+ * Estimates how often connects to healthy endpoints fail by chance. Failures are counted only once a later connect to
+ * the same endpoint has succeeded, so that failures at dead endpoints are not attributed to chance.
  */
 public final class ConnectFailureRate {
 
-    /** Weight of a new connect in the moving average. */
+    /** Weight of a new connect in the moving average of the failure rate. */
     private static final double SMOOTHING_FACTOR = 1.0 / 16;
-    /** Consecutive failures that are less probable than this are not chance. */
+    /** Consecutive failures are attributed to chance only if their probability is above this. */
     private static final double MIN_CHANCE_PROBABILITY = 0.05;
-    /** More consecutive failures than this mean that the endpoint was away; the rest is not counted. */
+    /**
+     * Failures counted of one series. A longer series means that the endpoint was unavailable, so the rest is ignored.
+     */
     private static final int MAX_COUNTED_FAILURES = 2;
 
     private double failureRate;
@@ -23,7 +25,7 @@
         failureRate -= SMOOTHING_FACTOR * failureRate;
     }
 
-    /** Returns whether this many consecutive failures at one endpoint may well be chance. */
+    /** Returns whether this many consecutive connect failures at one endpoint are probable even if it is healthy. */
     public boolean isProbablyChance(int consecutiveFailures) {
         return Math.pow(failureRate, consecutiveFailures) > MIN_CHANCE_PROBABILITY;
     }
--- a/core/src/main/java/lemonrail/core/LatencyEstimator.java
+++ b/core/src/main/java/lemonrail/core/LatencyEstimator.java
@@ -9,11 +9,11 @@
     private static final double SMOOTHING_FACTOR = 1.0 / 32;
     /** The fraction of samples that exceed the tail time. */
     private static final double TAIL_FRACTION = 0.03;
-    /** The logarithmic step by which the tail time moves. */
+    /** The step by which a sample moves the natural logarithm of the tail time. */
     private static final double TAIL_STEP = 0.1;
-    /** The number of samples in each mean that the base time is taken from. */
+    /** The number of responses in each mean from which the base time is derived. */
     private static final int SAMPLES_PER_MEAN = 16;
-    /** The factor by which the base time may rise with each such mean. */
+    /** The maximum factor by which the base time rises with each such mean. */
     private static final double MAX_BASE_RISE = 1.02;
     /** Initial typical time, as a divisor of the latency objective. */
     private static final double INITIAL_TYPICAL_DIVISOR = 4;
@@ -33,12 +33,12 @@
         tailMs = requestClass.latencyObjectiveMs();
     }
 
-    /** Changes the class's deadline; the estimates stay. */
+    /** Changes the class's deadline. The estimates are kept. */
     public void setDeadlineMs(double newDeadlineMs) {
         deadlineMs = newDeadlineMs;
     }
 
-    /** Records the elapsed time of an attempt, whether or not a response came. */
+    /** Records the elapsed time of an attempt, with or without a response. */
     public void recordElapsed(double elapsedMs) {
         double step = elapsedMs > tailMs ? TAIL_STEP * (1 - TAIL_FRACTION) : -TAIL_STEP * TAIL_FRACTION;
         tailMs = Math.min(deadlineMs, tailMs * Math.exp(step));
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Returns the mean response time. */
+    /** Returns the moving average of the response time. */
     public double typicalMs() {
         return typicalMs;
     }
--- a/core/src/main/java/lemonrail/core/LoadSheddingReport.java
+++ b/core/src/main/java/lemonrail/core/LoadSheddingReport.java
@@ -2,7 +2,10 @@
 
 import java.util.function.Consumer;
 
-/** Counts rejections, full queues and ejections, and logs them in one line at most every ten seconds. */
+/**
+ * Counts rejected requests, full endpoint queues and ejections, and logs the counts in one line at most every ten
+ * seconds.
+ */
 public final class LoadSheddingReport {
 
     private static final double INTERVAL_MS = 10_000;
@@ -28,12 +31,12 @@
     }
 
     /**
-     * Logs what was counted since the last interval, if one has passed and anything was counted.
+     * Logs the counts and resets them, if the report interval has passed. Logs nothing if all counts are 0.
      *
      * @param tier this balancer's tier
-     * @param concurrencyLimit the present limit of requests in flight
-     * @param unhealthyEndpoints the endpoints that are ejected or probing now
-     * @param readyEndpoints the endpoints that are listed as ready
+     * @param concurrencyLimit the current limit of requests in flight
+     * @param unhealthyEndpoints the number of endpoints that are ejected or probing
+     * @param readyEndpoints the number of endpoints that are listed as ready
      */
     public void logIfDue(
             double nowMs,
@@ -48,9 +51,10 @@
         nextReportMs = nowMs + INTERVAL_MS;
         if (rejectedRequests + fullQueues + ejections > 0) {
             log.accept("tier " + tier + ": " + rejectedRequests + " requests rejected at a concurrency limit of "
-                    + Math.round(concurrencyLimit) + ", " + fullQueues + " attempts met a full queue, " + ejections
+                    + Math.round(concurrencyLimit) + ", " + fullQueues + " attempts rejected by a full endpoint queue, "
+                    + ejections
                     + " ejections; " + unhealthyEndpoints + " of " + readyEndpoints
-                    + " endpoints ejected or probing now");
+                    + " ready endpoints are ejected or probing");
         }
         rejectedRequests = 0;
         fullQueues = 0;
--- a/core/src/main/java/lemonrail/core/RingPlacement.java
+++ b/core/src/main/java/lemonrail/core/RingPlacement.java
@@ -7,15 +7,18 @@
 import java.util.function.ToDoubleFunction;
 import java.util.function.ToIntFunction;
 
-/** Places weighted members on a ring, the same in every process that has the same members. */
+/** Places weighted members on a ring. All processes with the same members compute the same places. */
 public final class RingPlacement {
 
-    /** A large odd number: each ring's power of it puts the members into another order. */
+    /**
+     * A large odd number. Each ring multiplies the hashes by its own power of it, so that each ring has a different
+     * order.
+     */
     private static final long RING_MULTIPLIER = 0x9E3779B1L;
 
     private static final long ORDER_MASK = 0xffffffffL;
 
-    /** The weights of the members of a group. */
+    /** The total weight of a group's members, and the weight of those that are already placed. */
     private static final class GroupWeights {
         private double total;
         private double placed;
@@ -23,7 +26,10 @@
 
     private RingPlacement() {}
 
-    /** Returns the order of a member with this hash on the ring of this number; ring 0 has the order of hashes. */
+    /**
+     * Returns the sort key of a member with this hash on the given ring. On ring 0 members are in the order of their
+     * hashes.
+     */
     public static long order(long hash, int ring) {
         long multiplier = 1;
         for (int i = ring; i > 0; i--) {
@@ -33,13 +39,14 @@
     }
 
     /**
-     * Computes each member's place, above 0 and at most 1, which falls in the given order. Within a group the arcs
-     * between members are as wide as their weights; places by hash alone would make them very unequal.
+     * Computes each member's place, above 0 and at most 1, in descending order. Within a group the arc from a member to
+     * the next one is proportional to the member's weight. Places taken from the hashes alone would give very unequal
+     * arcs.
      *
      * @param membersInOrder the members, in their order on the ring
-     * @param group the group of a member
-     * @param weight the weight of a member
-     * @param setPlace takes each member and its place
+     * @param group returns the group of a member
+     * @param weight returns the weight of a member
+     * @param setPlace receives each member and its place
      */
     public static <T> void place(
             List<T> membersInOrder, ToIntFunction<T> group, ToDoubleFunction<T> weight, ObjDoubleConsumer<T> setPlace) {
--- a/core/src/main/java/lemonrail/core/SettingsReader.java
+++ b/core/src/main/java/lemonrail/core/SettingsReader.java
@@ -12,15 +12,15 @@
 import lemonrail.core.balancer.TenantQuota;
 
 /**
- * Reads the platform's settings object into {@link BalancerSettings}. This is the one place that knows the platform's
- * field names; unknown fields are ignored. Objects are maps, arrays are lists and numbers are {@link Double}.
+ * Reads the platform's settings object into {@link BalancerSettings}. No other class knows the platform's field names.
+ * Unknown fields are ignored. Objects are maps, arrays are lists and numbers are {@link Double}.
  */
 public final class SettingsReader {
 
     private SettingsReader() {}
 
     /**
-     * Reads the settings that the balancer needs.
+     * Reads the settings that the balancer needs; absent fields get default values.
      *
      * @throws IllegalArgumentException naming the setting that is missing, of the wrong type or out of range
      */
@@ -56,85 +56,86 @@
         return weightKind.equals("nominal") || weightKind.equals("rough");
     }
 
-    private static RequestClass requestClass(Map<String, Object> from) {
+    private static RequestClass requestClass(Map<String, Object> fields) {
         return new RequestClass(
-                text(from, "name", ""),
-                number(from, "slo-ms", 0),
-                number(from, "hard-limit-ms", 0),
-                number(from, "worth", 1),
-                number(from, "late-worth", 0),
-                idempotency(text(from, "effect", "once")),
-                deduplicationScope(text(from, "group", "all")),
-                number(from, "memory-span-ms", 0),
-                flag(from, "stream"));
+                text(fields, "name", ""),
+                number(fields, "slo-ms", 0),
+                number(fields, "hard-limit-ms", 0),
+                number(fields, "worth", 1),
+                number(fields, "late-worth", 0),
+                idempotency(text(fields, "effect", "once")),
+                deduplicationScope(text(fields, "group", "all")),
+                number(fields, "memory-span-ms", 0),
+                flag(fields, "stream"));
     }
 
-    private static TenantQuota tenantQuota(Map<String, Object> from) {
-        return new TenantQuota(text(from, "name", ""), number(from, "allowance-per-s", 0), number(from, "share", 0));
+    private static TenantQuota tenantQuota(Map<String, Object> fields) {
+        return new TenantQuota(
+                text(fields, "name", ""), number(fields, "allowance-per-s", 0), number(fields, "share", 0));
     }
 
-    private static AttemptLimits attemptLimits(Map<String, Object> from) {
+    private static AttemptLimits attemptLimits(Map<String, Object> fields) {
         return new AttemptLimits(
-                (int) number(from, "try-limit", 1),
-                flag(from, "parallel-tries"),
-                flag(from, "cancel"),
-                number(from, "max-retry-after-ms", 0),
-                number(from, "dial-timeout-ms", 250));
+                (int) number(fields, "try-limit", 1),
+                flag(fields, "parallel-tries"),
+                flag(fields, "cancel"),
+                number(fields, "max-retry-after-ms", 0),
+                number(fields, "dial-timeout-ms", 250));
     }
 
-    private static SlowStartSettings slowStart(Map<String, Object> from) {
+    private static SlowStartSettings slowStart(Map<String, Object> fields) {
         return new SlowStartSettings(
-                number(from, "cold-share", 1),
-                number(from, "cold-ms", 0),
-                number(from, "tip-multiple", 1),
-                number(from, "fall-ms", 1000));
+                number(fields, "cold-share", 1),
+                number(fields, "cold-ms", 0),
+                number(fields, "tip-multiple", 1),
+                number(fields, "fall-ms", 1000));
     }
 
-    private static Idempotency idempotency(String word) {
-        return switch (word) {
+    private static Idempotency idempotency(String value) {
+        return switch (value) {
             case "repeatable" -> Idempotency.IDEMPOTENT;
             case "by_key" -> Idempotency.KEYED;
             case "once" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw new IllegalArgumentException("setting classes[].effect is unknown: " + word);
+            default -> throw new IllegalArgumentException("setting classes[].effect has an unknown value: " + value);
         };
     }
 
-    private static DeduplicationScope deduplicationScope(String word) {
-        return switch (word) {
+    private static DeduplicationScope deduplicationScope(String value) {
+        return switch (value) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw new IllegalArgumentException("setting classes[].group is unknown: " + word);
+            default -> throw new IllegalArgumentException("setting classes[].group has an unknown value: " + value);
         };
     }
 
-    private static double number(Map<String, Object> from, String name, double absent) {
-        Object value = from.get(name);
+    private static double number(Map<String, Object> fields, String name, double defaultValue) {
+        Object value = fields.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof Double number) {
             return number;
         }
-        throw new IllegalArgumentException("setting " + name + " should be a number but is " + value);
+        throw new IllegalArgumentException("setting " + name + " must be a number but is " + value);
     }
 
-    private static String text(Map<String, Object> from, String name, String absent) {
-        Object value = from.get(name);
-        return value == null ? absent : value.toString();
+    private static String text(Map<String, Object> fields, String name, String defaultValue) {
+        Object value = fields.get(name);
+        return value == null ? defaultValue : value.toString();
     }
 
-    private static boolean flag(Map<String, Object> from, String name) {
-        return Boolean.TRUE.equals(from.get(name));
+    private static boolean flag(Map<String, Object> fields, String name) {
+        return Boolean.TRUE.equals(fields.get(name));
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> map(Map<String, Object> from, String name) {
-        return from.get(name) instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
+    private static Map<String, Object> map(Map<String, Object> fields, String name) {
+        return fields.get(name) instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Map<String, Object>> maps(Map<String, Object> from, String name) {
-        return from.get(name) instanceof List<?> list ? (List<Map<String, Object>>) list : List.of();
+    private static List<Map<String, Object>> maps(Map<String, Object> fields, String name) {
+        return fields.get(name) instanceof List<?> list ? (List<Map<String, Object>>) list : List.of();
     }
 }
--- a/core/src/main/java/lemonrail/core/StableHash.java
+++ b/core/src/main/java/lemonrail/core/StableHash.java
@@ -1,11 +1,11 @@
 package lemonrail.core;
 
-/** A hash of names that is the same in every process and version. */
+/** A string hash that is the same in every process and in every version of this project. */
 public final class StableHash {
 
     private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
     private static final int FNV_PRIME = 0x01000193;
-    /** Multiplier of the final mix, which spreads similar names. */
+    /** Multiplier of the final mixing step, which gives similar names very different hashes. */
     private static final int MIX_MULTIPLIER = 0x7feb352d;
 
     private static final long UNSIGNED_INT_MASK = 0xffffffffL;
--- a/core/src/main/java/lemonrail/core/TokenBucket.java
+++ b/core/src/main/java/lemonrail/core/TokenBucket.java
@@ -15,13 +15,13 @@
         this.burstCapacity = burstCapacity;
     }
 
-    /** Changes rate and burst capacity; the tokens in the bucket stay. */
+    /** Changes rate and burst capacity. The tokens in the bucket are kept. */
     public void setRate(double newTokensPerMs, double newBurstCapacity) {
         tokensPerMs = newTokensPerMs;
         burstCapacity = newBurstCapacity;
     }
 
-    /** Takes a token and returns whether there was one. */
+    /** Takes a token if one is available, and returns whether it did. */
     public boolean tryTake(double nowMs) {
         tokens = refilledAtMs == 0
                 ? burstCapacity
--- a/core/src/main/java/lemonrail/core/WatchSchedule.java
+++ b/core/src/main/java/lemonrail/core/WatchSchedule.java
@@ -3,47 +3,51 @@
 import java.util.SplittableRandom;
 
 /**
- * Schedules the watch calls to discovery: how long each waits for a change, its timeouts, and the backoff after a
- * failure. A change must take effect within 6 s after discovery had it and could be reached, whatever failed before.
- * A watch that has fallen silent is noticed only by its timeout, so at any fleet size the longest wait and all that may
- * follow it have to fit. Times are in milliseconds, each the longest:
+ * Schedules the watch calls to discovery: how long each call waits for a change, its timeouts, and the backoff after a
+ * failure. A change must take effect within 6 s after discovery has received it and can be reached, whatever calls
+ * failed before. Only its timeout reveals a watch call that gets no response. Therefore the longest wait and all
+ * failures that may follow it must fit into this time at any fleet size. Each time below, in milliseconds, is the
+ * maximum:
  *
  * <pre>
- * the watch falls silent at its start, when the change comes     wait 3000 + silence 500
+ * the watch hangs from its start, when the change arrives        wait 3000 + silence 500
  * backoff after the first failure                                150
- * the next call, which hardly waits                              response at once   = 3650
- * if that one fails too: timeout, second backoff                 100 + 500 + 300    = 4550
- * if the next one fails too                                      100 + 500 + 600    = 5750
- * or its response comes, but in pieces                           2000               = 5650
+ * the next call, with a very short wait                          response at once   = 3650
+ * if that call fails too: timeout, second backoff                100 + 500 + 300    = 4550
+ * if the next call fails too                                     100 + 500 + 600    = 5750
+ * or if the first response arrives, but in several parts         2000               = 5650
  * </pre>
  *
- * <p>A call that gets no connection takes no longer than one that gets no response. A process in backoff when discovery
- * returns calls it at most 1.5 s later.
+ * <p>A call that gets no connection takes no longer than one that gets no response. A process that is in backoff when
+ * discovery becomes reachable again calls it at most 1.5 s later.
  *
- * <p>The wait is 10 ms per process of the fleet, so that the fleet makes about 100 calls a second, and 3 s at most:
- * from 300 processes on each makes a third of a call a second.
+ * <p>The wait is 10 ms per process of the fleet, so that the fleet makes about 100 calls per second, but at most 3 s.
+ * From 300 processes on, each process therefore makes a third of a call per second.
  */
 public final class WatchSchedule {
 
-    /** The longest wait of a call, as computed above. */
+    /** The longest time that a call waits for a change, from the worst case above. */
     public static final int MAX_WAIT_MS = 3_000;
-    /** How long a call waits for a change, unless the fleet would make too many calls. */
+    /** The time that a call waits for a change, in a fleet so small that it does not make too many calls. */
     private static final int DEFAULT_WAIT_MS = 1_000;
-    /** Calls of the whole fleet without changes, as long as the wait is below its maximum. */
+    /** Calls of the complete fleet when nothing changes, while the wait is below its maximum. */
     private static final int FLEET_CALLS_PER_SECOND = 100;
-    /** No connection, or after the wait no (further) piece of a response, for this time is a failure. */
+    /**
+     * A call fails if it has no connection, or after its wait no first or further part of a response, for this time.
+     */
     private static final int SILENCE_TIMEOUT_MS = 500;
-    /** The wait of a call after a failed one: it is to show soon whether discovery responds. */
+    /** The wait of a call after a failed one. It is short, so that it soon shows whether discovery responds again. */
     private static final int WAIT_AFTER_FAILURE_MS = 100;
-    /** A response that has begun must be complete within this time. */
+    /** A response must be complete within this time after its first part. */
     private static final int RESPONSE_TIMEOUT_MS = 2_000;
-    /** The mean backoff after a first failure; it doubles with each further one. */
+    /** The mean backoff after the first failure. It doubles with each further failure. */
     private static final double INITIAL_BACKOFF_MS = 100;
 
     private static final double MAX_BACKOFF_MS = 1_000;
     /**
-     * The mean backoff is also at most this fraction of the drain grace, so that with its jitter none takes more than
-     * half of it: a process in backoff learns of a drain only at the end of its backoff.
+     * The mean backoff is also limited to this fraction of the drain grace period, so that no backoff, with jitter,
+     * takes more than half of that period. The reason is that a process in backoff learns of a drain only when its
+     * backoff ends.
      */
     private static final double MAX_DRAIN_GRACE_FRACTION = 1.0 / 3;
 
@@ -53,13 +57,13 @@
     private final double maxBackoffMs;
     private final SplittableRandom random;
     private double backoffMs = INITIAL_BACKOFF_MS;
-    private boolean hasFailed;
+    private boolean lastCallFailed;
 
     /**
-     * Creates a schedule whose calls wait for a given time.
+     * Creates a schedule whose calls wait for the given time.
      *
      * @param waitMs at most {@link #MAX_WAIT_MS}
-     * @param drainGraceMs the time in which requests to a draining endpoint must cease
+     * @param drainGraceMs the time after which no more requests may go to a draining endpoint
      * @param seed the seed of the backoff's jitter
      */
     public WatchSchedule(int waitMs, double drainGraceMs, long seed) {
@@ -68,39 +72,44 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Creates the schedule of one of this many processes that watch the same list. */
+    /** Creates the schedule of one process in a fleet of this many processes that watch the same endpoint list. */
     public static WatchSchedule ofFleet(int processes, double drainGraceMs, long seed) {
         long fleetWaitMs = processes * 1000L / FLEET_CALLS_PER_SECOND;
         int waitMs = (int) Math.max(DEFAULT_WAIT_MS, Math.min(MAX_WAIT_MS, fleetWaitMs));
         return new WatchSchedule(waitMs, drainGraceMs, seed);
     }
 
-    /** Returns how long the next call asks discovery to wait for a change. */
+    /** Returns how long discovery is to wait for a change before it responds to the next call. */
     public int waitMs() {
-        return hasFailed ? Math.min(WAIT_AFTER_FAILURE_MS, waitMs) : waitMs;
+        return lastCallFailed ? Math.min(WAIT_AFTER_FAILURE_MS, waitMs) : waitMs;
     }
 
-    /** Returns the timeout of a connect, and of the first and each further piece of a response without a wait. */
+    /**
+     * Returns the timeout of a connect, and of the first and each further part of a response; the wait is not included.
+     */
     public static int silenceTimeoutMs() {
         return SILENCE_TIMEOUT_MS;
     }
 
-    /** Returns the timeout of the rest of a response once its first piece has come. */
+    /** Returns the time within which a response must be complete after its first part. */
     public static int responseTimeoutMs() {
         return RESPONSE_TIMEOUT_MS;
     }
 
-    /** Takes in that a response has come. */
+    /** Records a response, which resets wait and backoff. */
     public void onResponse() {
-        hasFailed = false;
+        lastCallFailed = false;
         backoffMs = INITIAL_BACKOFF_MS;
     }
 
-    /** Takes in that a call has failed, and returns the backoff, with jitter as others fail at the same time. */
+    /**
+     * Records a failed call and returns the backoff before the next one. It has jitter, because the calls of other
+     * processes fail at the same time.
+     */
     public double onFailure() {
-        hasFailed = true;
-        double withJitterMs = backoffMs * (MIN_JITTER + random.nextDouble());
+        lastCallFailed = true;
+        double jitteredBackoffMs = backoffMs * (MIN_JITTER + random.nextDouble());
         backoffMs = Math.min(maxBackoffMs, 2 * backoffMs);
-        return withJitterMs;
+        return jitteredBackoffMs;
     }
 }
--- a/core/src/main/java/lemonrail/core/balancer/AttemptLimits.java
+++ b/core/src/main/java/lemonrail/core/balancer/AttemptLimits.java
@@ -1,13 +1,13 @@
 package lemonrail.core.balancer;
 
 /**
- * The bounds that the site sets to attempts.
+ * The platform's limits on attempts.
  *
- * @param maxAttempts the most attempts a request may have, at least 1
+ * @param maxAttempts the maximum number of attempts per request, at least 1
  * @param parallelAttempts whether a request may have two attempts in flight
  * @param cancel whether an attempt in flight may be cancelled
  * @param maxRetryAfterMs the longest Retry-After that a rejection may carry
- * @param connectTimeoutMs the time after which a connect has failed
+ * @param connectTimeoutMs the time after which a connect counts as failed
  */
 public record AttemptLimits(
         int maxAttempts, boolean parallelAttempts, boolean cancel, double maxRetryAfterMs, double connectTimeoutMs) {
@@ -18,10 +18,10 @@
      * @throws IllegalArgumentException naming the value that is out of range
      */
     public AttemptLimits {
-        Checks.positive("limits.tries", maxAttempts);
-        Checks.finite("limits.maxCoolDown", maxRetryAfterMs);
-        Checks.finite("limits.connectTimeout", connectTimeoutMs);
-        Checks.notNegative("limits.maxCoolDown", maxRetryAfterMs);
-        Checks.positive("limits.connectTimeout", connectTimeoutMs);
+        Checks.requirePositive("limits.tries", maxAttempts);
+        Checks.requireFinite("limits.maxCoolDown", maxRetryAfterMs);
+        Checks.requireFinite("limits.connectTimeout", connectTimeoutMs);
+        Checks.requireNonNegative("limits.maxCoolDown", maxRetryAfterMs);
+        Checks.requirePositive("limits.connectTimeout", connectTimeoutMs);
     }
 }
--- a/core/src/main/java/lemonrail/core/balancer/AttemptOutcome.java
+++ b/core/src/main/java/lemonrail/core/balancer/AttemptOutcome.java
@@ -8,9 +8,9 @@
     FAILED,
     /** The endpoint rejected the request without running it. */
     QUEUE_FULL,
-    /** No response came in time; the request may have run, or may run yet. */
+    /** No response arrived in time; the request may have run, or may still run. */
     TIMED_OUT,
-    /** No connection came up, or it broke before the request was written. */
+    /** No connection was established, or it broke before the request was written. */
     CONNECT_ERROR,
     /** The connection broke after the request was written; it may have run. */
     RESET,
--- a/core/src/main/java/lemonrail/core/balancer/AttemptResult.java
+++ b/core/src/main/java/lemonrail/core/balancer/AttemptResult.java
@@ -8,10 +8,10 @@
  * @param endpoint the endpoint's id
  * @param outcome how the attempt ended
  * @param durationMs the time from the start of the attempt to its end
- * @param connectMs the part of it until the request was written, which the connection took and not the endpoint;
- *     0 if a connection stood or the host does not know
- * @param concluded whether the client has had its final response
- * @param replayable whether the host still has the request whole and could send it again
+ * @param connectMs the part of the duration until the request was written, spent on connecting and not at the endpoint;
+ *     0 if a connection was already open or the host does not know
+ * @param concluded whether the client has received its final response
+ * @param replayable whether the host still has the complete request and can send it again
  * @param load the endpoint's load report
  */
 public record AttemptResult(
@@ -25,7 +25,9 @@
         boolean replayable,
         LoadReport load) {
 
-    /** Creates the result of an attempt whose request the host still has whole, on a connection that stood. */
+    /**
+     * Creates the result of an attempt on a connection that was already open, whose request the host still has in full.
+     */
     public AttemptResult(
             String request,
             int attempt,
@@ -43,16 +45,16 @@
      * @throws IllegalArgumentException naming the value that is missing or out of range
      */
     public AttemptResult {
-        Checks.given("finished.request", request);
-        Checks.given("finished.outcome", outcome);
-        Checks.notNegative("finished.attempt", attempt);
-        Checks.notNegative("finished.took", durationMs);
-        Checks.finite("finished.took", durationMs);
-        Checks.notNegative("finished.connect", connectMs);
-        Checks.finite("finished.connect", connectMs);
+        Checks.requireNonNull("finished.request", request);
+        Checks.requireNonNull("finished.outcome", outcome);
+        Checks.requireNonNegative("finished.attempt", attempt);
+        Checks.requireNonNegative("finished.took", durationMs);
+        Checks.requireFinite("finished.took", durationMs);
+        Checks.requireNonNegative("finished.connect", connectMs);
+        Checks.requireFinite("finished.connect", connectMs);
     }
 
-    /** Returns how long the endpoint itself had the request, in milliseconds. */
+    /** Returns the time from the writing of the request to the end of the attempt, in milliseconds. */
     public double endpointTimeMs() {
         return Math.max(0, durationMs - connectMs);
     }
--- a/core/src/main/java/lemonrail/core/balancer/DrainSettings.java
+++ b/core/src/main/java/lemonrail/core/balancer/DrainSettings.java
@@ -1,9 +1,10 @@
 package lemonrail.core.balancer;
 
 /**
- * The site's rule on draining endpoints.
+ * The settings for draining endpoints.
  *
- * @param graceMs how long after it was notified of a drain a balancer may still send requests to the endpoint
+ * @param graceMs how long a balancer may still send requests to an endpoint after it has been notified of the
+ *     endpoint's drain
  */
 public record DrainSettings(double graceMs) {
 
@@ -13,6 +14,6 @@
      * @throws IllegalArgumentException if it is below 0
      */
     public DrainSettings {
-        Checks.notNegative("rules.drainGrace", graceMs);
+        Checks.requireNonNegative("rules.drainGrace", graceMs);
     }
 }
--- a/core/src/main/java/lemonrail/core/balancer/Endpoint.java
+++ b/core/src/main/java/lemonrail/core/balancer/Endpoint.java
@@ -4,12 +4,12 @@
  * One entry of the endpoint list.
  *
  * @param id the endpoint's id, unique in the list
- * @param zone the zone it stands in
- * @param kind its kind of machine
- * @param cell its cell within the zone
- * @param startedMs when its process started, on the host's clock; 0 for the distant past
- * @param state the state in which it is listed
- * @param weight its capacity relative to other endpoints; 0 if not given
+ * @param zone the number of its zone
+ * @param kind the number of its machine type
+ * @param cell the number of its cell
+ * @param startedMs when its process started, on the host's clock; 0 if that was long ago
+ * @param state its state in the endpoint list
+ * @param weight its capacity relative to other endpoints; 0 if unknown
  */
 public record Endpoint(String id, int zone, int kind, int cell, double startedMs, EndpointState state, double weight) {
 
@@ -19,15 +19,15 @@
      * @throws IllegalArgumentException naming the value that is missing or out of range
      */
     public Endpoint {
-        Checks.given("server.id", id);
-        Checks.given("server.state", state);
-        Checks.finite("server.started", startedMs);
-        Checks.finite("server.weight", weight);
-        Checks.notNegative("server.weight", weight);
+        Checks.requireNonNull("server.id", id);
+        Checks.requireNonNull("server.state", state);
+        Checks.requireFinite("server.started", startedMs);
+        Checks.requireFinite("server.weight", weight);
+        Checks.requireNonNegative("server.weight", weight);
     }
 
-    /** Returns the same endpoint in another state. */
-    public Endpoint withState(EndpointState other) {
-        return new Endpoint(id, zone, kind, cell, startedMs, other, weight);
+    /** Returns a copy of this endpoint in the given state. */
+    public Endpoint withState(EndpointState newState) {
+        return new Endpoint(id, zone, kind, cell, startedMs, newState, weight);
     }
 }
--- a/core/src/main/java/lemonrail/core/balancer/EndpointState.java
+++ b/core/src/main/java/lemonrail/core/balancer/EndpointState.java
@@ -1,6 +1,6 @@
 package lemonrail.core.balancer;
 
-/** The state in which discovery lists an endpoint. */
+/** The state of an endpoint in the endpoint list. */
 public enum EndpointState {
     GONE,
     READY,
--- a/core/src/main/java/lemonrail/core/balancer/EndpointUpdateKind.java
+++ b/core/src/main/java/lemonrail/core/balancer/EndpointUpdateKind.java
@@ -1,13 +1,13 @@
 package lemonrail.core.balancer;
 
-/** What an endpoint update consists of. */
+/** The kind of an update of the endpoint list. */
 public enum EndpointUpdateKind {
-    /** A full list that the host had cached from an earlier process. */
+    /** A full list that the host stored during an earlier run. */
     CACHED,
-    /** A full list: endpoints that it does not name are gone. */
+    /** A full list. Endpoints that it does not contain are gone. */
     SNAPSHOT,
-    /** Changed endpoints only. */
+    /** Only the endpoints that have changed. */
     DELTA,
-    /** Nothing: discovery could not be reached. */
+    /** No entries, because discovery could not be reached. */
     FAILED
 }
--- a/core/src/main/java/lemonrail/core/balancer/Idempotency.java
+++ b/core/src/main/java/lemonrail/core/balancer/Idempotency.java
@@ -1,6 +1,6 @@
 package lemonrail.core.balancer;
 
-/** Whether a request that may have run once already may be sent again. */
+/** Whether a request that may already have run may be sent again. */
 public enum Idempotency {
     /** May be sent again to any endpoint at any time. */
     IDEMPOTENT,
--- a/core/src/main/java/lemonrail/core/balancer/LoadBalancer.java
+++ b/core/src/main/java/lemonrail/core/balancer/LoadBalancer.java
@@ -4,30 +4,31 @@
 
 /**
  * Chooses an endpoint for each attempt, admits or rejects requests and decides on retries. It acts through its
- * {@link LoadBalancerHost}. Each method is called on the event loop, with the host's clock, which never runs backwards.
+ * {@link LoadBalancerHost}. All methods are called on the event loop. Their {@code nowMs} is the time on the host's
+ * monotonic clock.
  */
 public interface LoadBalancer {
 
-    /** Takes in an update of the endpoint list. */
+    /** Applies an update of the endpoint list. */
     void onEndpointUpdate(double nowMs, EndpointUpdateKind kind, List<Endpoint> entries);
 
     /**
-     * Takes in a request from a client, to which the balancer now owes one final response.
+     * Handles a request from a client, which must get exactly one final response.
      *
      * @throws IllegalArgumentException if the request's class or tenant is unknown, or its id is in flight already
      */
     void onRequest(double nowMs, Request request);
 
-    /** Notes that a streamed response has begun; it is the final one. */
+    /** Handles the start of a streamed response, which is the request's final response. */
     void onResponseStreamStarted(double nowMs, String request, int attempt);
 
-    /** Takes in the result of an attempt. */
+    /** Handles the result of an attempt. */
     void onAttemptFinished(double nowMs, AttemptResult result);
 
-    /** Notes that the client of a request has gone: it is owed no response. */
+    /** Handles the loss of a request's client. The request no longer needs a response. */
     void onRequestCancelled(double nowMs, String request);
 
-    /** Notes that a timer set by {@link LoadBalancerHost#startTimer} is due. */
+    /** Handles the expiry of a timer set by {@link LoadBalancerHost#startTimer}. */
     void onTimer(double nowMs, long name);
 
     /** Returns whether {@link #onSettings} has any effect. */
@@ -36,12 +37,13 @@
     }
 
     /**
-     * Adopts changed settings and keeps what was learned. They differ from those before at most in objectives,
-     * deadlines and weights of the classes, requests per second of the tenants, attempts and Retry-After.
+     * Applies changed settings and keeps the collected statistics. Only these values may differ from the previous
+     * settings: latency objectives, deadlines and weights of the classes, requests per second of the tenants, maximum
+     * attempts and maximum Retry-After.
      */
     default void onSettings(double nowMs, BalancerSettings settings) {}
 
-    /** Returns how many endpoints listed as ready get fewer or no requests because of their failures. */
+    /** Returns the number of ready endpoints that get fewer or no requests because of their failures. */
     default int ejectedEndpoints(double nowMs) {
         return 0;
     }
--- a/core/src/main/java/lemonrail/core/balancer/LoadReport.java
+++ b/core/src/main/java/lemonrail/core/balancer/LoadReport.java
@@ -1,12 +1,12 @@
 package lemonrail.core.balancer;
 
 /**
- * What an endpoint reported of its load with a response.
+ * The load that an endpoint reported with a response.
  *
- * @param inFlight its requests in flight; negative if it reported none
+ * @param inFlight the number of requests in flight at the endpoint; negative if it was not reported
  */
 public record LoadReport(double inFlight) {
 
-    /** No report. */
+    /** The report of an endpoint that reported no load. */
     public static final LoadReport NONE = new LoadReport(-1);
 }
--- a/core/src/main/java/lemonrail/core/balancer/Request.java
+++ b/core/src/main/java/lemonrail/core/balancer/Request.java
@@ -6,8 +6,8 @@
  * @param id unique among the requests in flight
  * @param requestClass index of its class in the settings
  * @param tenant index of its tenant in the settings
- * @param deadlineMs when the client gives up, on the host's clock
- * @param retriedByClient whether the client says that it has sent the request before
+ * @param deadlineMs when the client stops waiting, on the host's clock
+ * @param retriedByClient whether the client marked the request as a retry
  */
 public record Request(String id, int requestClass, int tenant, double deadlineMs, boolean retriedByClient) {
 
@@ -17,7 +17,7 @@
      * @throws IllegalArgumentException naming the value that is missing or out of range
      */
     public Request {
-        Checks.given("request.id", id);
-        Checks.finite("request.deadline", deadlineMs);
+        Checks.requireNonNull("request.id", id);
+        Checks.requireFinite("request.deadline", deadlineMs);
     }
 }
--- a/core/src/main/java/lemonrail/core/balancer/SlowStartSettings.java
+++ b/core/src/main/java/lemonrail/core/balancer/SlowStartSettings.java
@@ -1,12 +1,12 @@
 package lemonrail.core.balancer;
 
 /**
- * The site's rule on endpoints that have just started.
+ * The settings for endpoints that have just started.
  *
- * @param initialFraction the fraction of its full load that an endpoint can take at its start, above 0
- * @param durationMs how long an endpoint warms up; 0 if it does not
- * @param overloadMultiple an endpoint fails at this multiple of the load that it can take
- * @param overloadWindowMs the time over which that load is counted
+ * @param initialFraction the fraction of its full load that an endpoint can take when it has just started, above 0
+ * @param durationMs the length of an endpoint's warm-up; 0 for no warm-up
+ * @param overloadMultiple the multiple of the load that an endpoint can take at which it fails
+ * @param overloadWindowMs the time over which that load is measured
  */
 public record SlowStartSettings(
         double initialFraction, double durationMs, double overloadMultiple, double overloadWindowMs) {
@@ -17,18 +17,18 @@
      * @throws IllegalArgumentException naming the value that is out of range
      */
     public SlowStartSettings {
-        Checks.positive("rules.coldShare", initialFraction);
-        Checks.finite("rules.coldShare", initialFraction);
-        Checks.notNegative("rules.coldMs", durationMs);
-        Checks.finite("rules.coldMs", durationMs);
-        Checks.positive("rules.tipMultiple", overloadMultiple);
-        Checks.positive("rules.fallMs", overloadWindowMs);
+        Checks.requirePositive("rules.coldShare", initialFraction);
+        Checks.requireFinite("rules.coldShare", initialFraction);
+        Checks.requireNonNegative("rules.coldMs", durationMs);
+        Checks.requireFinite("rules.coldMs", durationMs);
+        Checks.requirePositive("rules.tipMultiple", overloadMultiple);
+        Checks.requirePositive("rules.fallMs", overloadWindowMs);
     }
 
     /**
-     * Returns the fraction of its full load that an endpoint can take now, which grows linearly from its start.
+     * Returns the fraction of its full load that an endpoint can take now. It grows linearly during the warm-up.
      *
-     * @param startedMs when the endpoint started; 0 or less for the distant past
+     * @param startedMs when the endpoint started; 0 or less if that was long ago
      */
     public double warmUpFraction(double nowMs, double startedMs) {
         return startedMs <= 0 || durationMs <= 0 || nowMs - startedMs >= durationMs
--- a/core/src/main/java/lemonrail/core/balancer/TenantQuota.java
+++ b/core/src/main/java/lemonrail/core/balancer/TenantQuota.java
@@ -4,7 +4,7 @@
  * A tenant's quota.
  *
  * @param name the tenant's name in the settings
- * @param requestsPerSecond the requests a second that are within quota, over all balancers
+ * @param requestsPerSecond the rate of requests that is within quota, over all balancers
  * @param share the tenant's share of the service
  */
 public record TenantQuota(String name, double requestsPerSecond, double share) {
@@ -15,8 +15,8 @@
      * @throws IllegalArgumentException naming the value that is out of range
      */
     public TenantQuota {
-        Checks.notNegative("tenants[].allowance", requestsPerSecond);
-        Checks.finite("tenants[].allowance", requestsPerSecond);
-        Checks.notNegative("tenants[].share", share);
+        Checks.requireNonNegative("tenants[].allowance", requestsPerSecond);
+        Checks.requireFinite("tenants[].allowance", requestsPerSecond);
+        Checks.requireNonNegative("tenants[].share", share);
     }
 }
--- a/core/src/main/java/lemonrail/core/balancer/package-info.java
+++ b/core/src/main/java/lemonrail/core/balancer/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The API between a load balancer and its host: settings, endpoints, requests and outcomes, the events that go in
- * ({@link lemonrail.core.balancer.LoadBalancer}) and the actions that come out
- * ({@link lemonrail.core.balancer.LoadBalancerHost}). Times are milliseconds on the host's monotonic clock, whose
- * zero has no meaning; durations are milliseconds too. Everything here is called on one thread, the event loop's.
+ * The API between a load balancer and its host: settings, endpoints, requests and outcomes, the events that the host
+ * reports ({@link lemonrail.core.balancer.LoadBalancer}) and the actions that the balancer takes
+ * ({@link lemonrail.core.balancer.LoadBalancerHost}). Times are in milliseconds on the host's monotonic clock, which
+ * has an arbitrary origin; durations are in milliseconds too. All calls are made on the event loop's thread.
  */
 package lemonrail.core.balancer;
--- a/core/src/main/java/lemonrail/core/package-info.java
+++ b/core/src/main/java/lemonrail/core/package-info.java
@@ -1,2 +1,5 @@
-/** Statistics and small algorithms that the decisions share, and the reader of the settings. No I/O, no clock. */
+/**
+ * Statistics and algorithms that the balancer's policy classes share, and the settings reader. Nothing here does I/O or
+ * reads a clock.
+ */
 package lemonrail.core;
--- a/core/src/main/java/lemonrail/core/policy/AdmissionController.java
+++ b/core/src/main/java/lemonrail/core/policy/AdmissionController.java
@@ -4,8 +4,8 @@
 import lemonrail.core.balancer.RequestClass;
 
 /**
- * Decides which requests are admitted. Only the first tier sheds load: rejecting a request at a lower tier would waste
- * the work already done for it.
+ * Decides which requests are admitted. Only the first tier sheds load, because rejecting a request at a lower tier
+ * would waste the work already done for it.
  */
 final class AdmissionController {
 
@@ -13,7 +13,10 @@
     private static final double PRIORITY_RESERVE = 0.2;
     /** The fraction of the limit that requests over their tenant's quota may use. */
     private static final double OVER_QUOTA_FRACTION = 0.6;
-    /** Requests over quota need this many requests in flight below their limit: a burst would fill a small limit. */
+    /**
+     * A request over quota is admitted only if the requests in flight are more than this below its limit. Otherwise a
+     * burst of such requests would fill a small limit.
+     */
     private static final double OVER_QUOTA_MARGIN = 0.5;
     /** No request over quota is admitted for this time after one within quota was rejected. */
     private static final double WITHIN_QUOTA_PRECEDENCE_MS = 1000;
@@ -30,7 +33,7 @@
         onSettings(settings);
     }
 
-    /** Adopts changed priority weights. */
+    /** Applies changed priority weights. */
     void onSettings(BalancerSettings changed) {
         settings = changed;
         double highest = settings.classes().stream()
@@ -40,25 +43,25 @@
         highestPriorityWeight = highest > 0 ? highest : 1;
     }
 
-    /** Takes in the end of an attempt; {@code durationMs} is the time that the endpoint had it. */
+    /** Records the end of an attempt; {@code durationMs} is the time that it spent at the endpoint. */
     void onAttemptFinished(double nowMs, double durationMs) {
         lastAttemptEndMs = nowMs;
         lastAttemptDurationMs = durationMs;
     }
 
-    /** Takes in that a request was rejected by this decision. */
+    /** Records that a request was rejected with this decision. */
     void onRejected(double nowMs, AdmissionDecision decision) {
         if (decision == AdmissionDecision.REJECTED_WITHIN_QUOTA) {
             lastRejectionWithinQuotaMs = nowMs;
         }
     }
 
-    /** Returns whether a request within quota was rejected a short time ago. */
+    /** Returns whether a request within quota was rejected recently. */
     boolean hasRecentlyRejectedWithinQuota(double nowMs) {
         return nowMs - lastRejectionWithinQuotaMs < WITHIN_QUOTA_PRECEDENCE_MS;
     }
 
-    /** Decides on a request; nothing changes by it. */
+    /** Decides whether a request is admitted, without a change of state. */
     AdmissionDecision decide(double nowMs, RequestClass requestClass, boolean isWithinQuota) {
         if (hasCapacity(nowMs, requestClass, isWithinQuota)) {
             return AdmissionDecision.ADMITTED;
@@ -74,10 +77,10 @@
         if (!isWithinQuota) {
             return !hasRecentlyRejectedWithinQuota(nowMs) && limit.inFlight() < classLimit - OVER_QUOTA_MARGIN;
         }
-        return classLimit >= 1 ? limit.inFlight() < classLimit : isPaced(nowMs, classLimit);
+        return classLimit >= 1 ? limit.inFlight() < classLimit : isAdmittedByPacing(nowMs, classLimit);
     }
 
-    /** Returns the part of the limit that the request may use, in requests in flight. */
+    /** Returns the part of the concurrency limit that the request may use, in requests in flight. */
     private double classLimit(RequestClass requestClass, boolean isWithinQuota) {
         double quotaFraction = isWithinQuota ? 1 : OVER_QUOTA_FRACTION;
         double relativeWeight = requestClass.priorityWeight() / highestPriorityWeight;
@@ -85,10 +88,10 @@
     }
 
     /**
-     * Paces requests where the limit is below one: a request is admitted if none is in flight and enough time has
-     * passed since the last one for the mean in flight to stay at the limit.
+     * Returns whether a request is admitted at a limit below one, where requests are paced: none may be in flight, and
+     * the time since the last one must be long enough to keep the mean number in flight at the limit.
      */
-    private boolean isPaced(double nowMs, double classLimit) {
+    private boolean isAdmittedByPacing(double nowMs, double classLimit) {
         double idleTimeMs = lastAttemptDurationMs * (1 / classLimit - 1);
         return limit.inFlight() == 0 && nowMs >= lastAttemptEndMs + idleTimeMs;
     }
--- a/core/src/main/java/lemonrail/core/policy/AttemptTimeoutPolicy.java
+++ b/core/src/main/java/lemonrail/core/policy/AttemptTimeoutPolicy.java
@@ -5,12 +5,12 @@
 import lemonrail.core.balancer.Idempotency;
 
 /**
- * Decides how long to wait for an attempt: a hung endpoint must not use up all of a request's time while another could
- * serve it.
+ * Decides how long to wait for an attempt, so that a hung endpoint does not use up all of a request's time while
+ * another endpoint could serve it.
  */
 final class AttemptTimeoutPolicy {
 
-    /** The timeout of an attempt that could be repeated, as a multiple of its class's tail latency. */
+    /** The timeout of an attempt that may be followed by a retry, as a multiple of its class's tail latency. */
     private static final double ATTEMPT_TIMEOUT_TAIL_MULTIPLE = 1.5;
 
     private AttemptLimits limits;
@@ -19,7 +19,7 @@
         onSettings(settings);
     }
 
-    /** Adopts changed bounds of attempts. */
+    /** Applies changed limits on attempts. */
     void onSettings(BalancerSettings changed) {
         limits = changed.limits();
     }
@@ -29,12 +29,12 @@
         double remainingMs = request.usefulUntilMs() - nowMs;
         double attemptTimeoutMs =
                 Math.max(request.latency().tailMs() * ATTEMPT_TIMEOUT_TAIL_MULTIPLE, limits.connectTimeoutMs());
-        boolean isTimeForRetry =
+        boolean leavesTimeForRetry =
                 remainingMs - attemptTimeoutMs > request.latency().typicalMs();
-        return mayRepeat(request) && isTimeForRetry ? attemptTimeoutMs : remainingMs;
+        return mayRetry(request) && leavesTimeForRetry ? attemptTimeoutMs : remainingMs;
     }
 
-    private boolean mayRepeat(InFlightRequest request) {
+    private boolean mayRetry(InFlightRequest request) {
         return request.requestClass().idempotency() != Idempotency.NON_IDEMPOTENT
                 && request.attempts().size() + 1 < limits.maxAttempts();
     }
--- a/core/src/main/java/lemonrail/core/policy/BoxcarLoadBalancer.java
+++ b/core/src/main/java/lemonrail/core/policy/BoxcarLoadBalancer.java
@@ -17,10 +17,10 @@
 import lemonrail.core.balancer.Request;
 
 /**
- * A load balancer after Boxcar. It has a bounded pool of ranked slots on endpoints: each request uses the free slot of
- * lowest rank, a failed attempt discards its slot and the request is retried on the next best one, and requests that
- * find no slot are rejected. This class only routes events to the rules, which are listed in docs/DECISIONS.md. It is
- * used by one thread and has no clock: time comes with the events.
+ * A load balancer with the Boxcar design: a bounded pool of ranked slots on endpoints. Each request uses the free slot
+ * of lowest rank, a failed attempt discards its slot and is retried on the next one, and requests without a usable slot
+ * are rejected. This class only passes events to the policy classes, whose rules docs/DECISIONS.md lists. Not
+ * thread-safe; each event passes the current time.
  */
 public final class BoxcarLoadBalancer implements LoadBalancer {
 
@@ -52,7 +52,7 @@
     private BalancerSettings settings;
     private double nextBackgroundRoundMs;
 
-    /** Creates a balancer that knows its settings and nothing else; it acts through {@code host}. */
+    /** Creates a balancer that has no endpoints yet. It acts through {@code host}. */
     public BoxcarLoadBalancer(BalancerSettings settings, long seed, LoadBalancerHost host) {
         this.settings = settings;
         this.host = host;
@@ -96,12 +96,12 @@
         }
     }
 
-    /** Returns how many requests have no final response yet or still have an attempt in flight. */
+    /** Returns the number of requests without a final response or with an attempt in flight. */
     public int requestsInFlight() {
         return requests.size();
     }
 
-    /** Returns how many endpoints are known, those among them that are gone but have attempts in flight. */
+    /** Returns the number of known endpoints, including those that are gone but have attempts in flight. */
     int knownEndpoints() {
         return endpoints.all().size();
     }
@@ -117,7 +117,7 @@
     public void onRequest(double nowMs, Request newRequest) {
         settings.check(newRequest);
         if (requests.containsKey(newRequest.id())) {
-            throw new IllegalArgumentException("request " + newRequest.id() + " is in flight already");
+            throw new IllegalArgumentException("request " + newRequest.id() + " is already in flight");
         }
         runBackgroundRoundIfDue(nowMs);
         int requestClass = newRequest.requestClass();
@@ -143,13 +143,13 @@
         return decision.isAdmitted();
     }
 
-    /** Starts an attempt on the best slot for the request; returns false if it may use none. */
+    /** Starts an attempt on the best slot for the request; returns false if it may use no slot. */
     private boolean startAttempt(double nowMs, InFlightRequest request) {
         Slot slot = slotSelector.choose(nowMs, request);
         if (slot == null) {
             return false;
         }
-        pool.adopt(nowMs, slot);
+        pool.addIfCandidate(nowMs, slot);
         double timeoutMs = attemptTimeoutPolicy.timeoutMs(nowMs, request);
         request.onAttemptStarted(nowMs, slot);
         slot.onAttemptStarted();
@@ -166,11 +166,11 @@
         } else {
             host.fail(request.id());
         }
-        forgetIfOver(request);
+        removeIfComplete(request);
     }
 
-    private void forgetIfOver(InFlightRequest request) {
-        if (request.isOver()) {
+    private void removeIfComplete(InFlightRequest request) {
+        if (request.isComplete()) {
             requests.remove(request.id());
         }
     }
@@ -184,18 +184,18 @@
             return;
         }
         request.onAttemptFinished(attempt, result.outcome());
-        learnLatency(nowMs, request, attempt, result);
-        learnLoad(nowMs, request, attempt, result);
+        recordLatency(nowMs, request, attempt, result);
+        recordLoad(nowMs, request, attempt, result);
         release(nowMs, attempt.slot(), result.outcome(), OutlierDetector.isFailure(request, result));
         if (result.concluded()) {
             request.markResponded();
         } else if (!request.isResponded() && !retry(nowMs, request, result)) {
             giveUp(request);
         }
-        forgetIfOver(request);
+        removeIfComplete(request);
     }
 
-    private void learnLatency(double nowMs, InFlightRequest request, Attempt attempt, AttemptResult result) {
+    private void recordLatency(double nowMs, InFlightRequest request, Attempt attempt, AttemptResult result) {
         double elapsedMs = result.endpointTimeMs();
         boolean isOk = result.outcome() == AttemptOutcome.OK;
         if (isOk || result.outcome() == AttemptOutcome.TIMED_OUT) {
@@ -208,7 +208,7 @@
         }
     }
 
-    private void learnLoad(double nowMs, InFlightRequest request, Attempt attempt, AttemptResult result) {
+    private void recordLoad(double nowMs, InFlightRequest request, Attempt attempt, AttemptResult result) {
         admissionController.onAttemptFinished(nowMs, result.endpointTimeMs());
         EndpointRecord endpoint = attempt.endpoint();
         if (!OverloadSignal.isInformative(result.outcome(), outlierDetector.isHung(nowMs, endpoint))) {
@@ -230,23 +230,23 @@
             limit.onAttemptReleased();
         }
         slot.onAttemptFinished();
-        if (endpoint.isForgotten()) {
+        if (endpoint.isRemoved()) {
             return;
         }
         outlierDetector.onAttemptFinished(nowMs, slot, outcome, isFailure);
         if (slot.isDiscarded() && endpoint.isUnused()) {
             host.closeIdleConnections(endpoint.id());
-            endpoints.forgetIfGone(nowMs, endpoint);
+            endpoints.removeIfGone(nowMs, endpoint);
         }
     }
 
-    /** Retries the request if the policy says so; returns false if it may not or there is no slot. */
+    /** Retries the request if the policy allows it; returns whether an attempt was started. */
     private boolean retry(double nowMs, InFlightRequest request, AttemptResult result) {
         if (retryPolicy.decide(nowMs, request, result) != RetryDecision.RETRY) {
             return false;
         }
-        // The token is spent even if no slot is free then.
-        retryBudget.spend();
+        // The token is used even if no slot is usable.
+        retryBudget.takeToken();
         return startAttempt(nowMs, request);
     }
 
@@ -277,7 +277,7 @@
         if (settings.limits().cancel()) {
             cancelAttempts(request);
         }
-        forgetIfOver(request);
+        removeIfComplete(request);
     }
 
     private void cancelAttempts(InFlightRequest request) {
@@ -305,13 +305,13 @@
         listPoller.onTimer(name);
     }
 
-    /** Updates what changes with time, then refills the pool; with the first event after each interval. */
+    /** Updates time-dependent state and refills the pool, on the first event after each interval. */
     private void runBackgroundRoundIfDue(double nowMs) {
         if (nowMs < nextBackgroundRoundMs) {
             return;
         }
         nextBackgroundRoundMs = nowMs + backgroundIntervalMs;
-        endpoints.settle(nowMs);
+        endpoints.assignPlaces(nowMs);
         zoneAffinity.onBackgroundRound(nowMs, backgroundIntervalMs);
         logLoadSheddingIfDue(nowMs);
         outlierDetector.onBackgroundRound(nowMs);
@@ -330,7 +330,7 @@
                 host::log);
     }
 
-    /** An endpoint that has just become warm may have more slots than one, whatever its cost. */
+    /** An endpoint that has just become warm is always updated, as it may now have more than one slot. */
     private void updateRankCost(double nowMs, EndpointRecord endpoint) {
         if (slowStart.isWarmingUp(nowMs, endpoint)) {
             pool.updateRankCostIfChanged(nowMs, endpoint);
--- a/core/src/main/java/lemonrail/core/policy/CandidateSlots.java
+++ b/core/src/main/java/lemonrail/core/policy/CandidateSlots.java
@@ -8,8 +8,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The slots that the pool could take next, at most one an endpoint. Slots of the own zone and of other zones are in
- * lists of their own, each sorted by rank.
+ * The slots that the pool may add next, at most one per endpoint. Slots of the own zone and of other zones are in
+ * separate lists, each sorted by rank.
  */
 final class CandidateSlots {
 
@@ -23,7 +23,10 @@
         slot.endpoint().setCandidate(slot);
     }
 
-    /** Removes the endpoint's candidate, if it has one. Its rank must be the one that it was added with. */
+    /**
+     * Removes the endpoint's candidate, if it has one. It is found by its rank, which must not have changed since it
+     * was added.
+     */
     void remove(EndpointRecord endpoint) {
         Slot slot = endpoint.candidate();
         if (slot != null) {
@@ -62,7 +65,7 @@
         return order.compare(other, one) < 0 ? other : one;
     }
 
-    /** Gives all candidates new ranks. */
+    /** Updates the ranks of all candidates. */
     void rerank(ToDoubleFunction<Slot> rank) {
         for (List<Slot> candidates : List.of(ownZone, otherZones)) {
             candidates.forEach(slot -> slot.setRank(rank.applyAsDouble(slot)));
--- a/core/src/main/java/lemonrail/core/policy/ConcurrencyLimit.java
+++ b/core/src/main/java/lemonrail/core/policy/ConcurrencyLimit.java
@@ -5,17 +5,17 @@
 import lemonrail.core.balancer.BalancerSettings;
 
 /**
- * The adaptive limit of requests in flight at all endpoints together: it decreases by a factor while responses take
- * too much of the latency headroom, and else increases slowly while it is in use.
+ * The adaptive limit of requests in flight at all endpoints together. It decreases by a factor while responses use too
+ * much of the latency headroom, and otherwise increases slowly while it is in use.
  */
 final class ConcurrencyLimit {
 
-    /** Requests in flight per endpoint, of all balancers together, that the limit starts from. */
+    /** The initial limit, in requests in flight per endpoint from all balancers together. */
     static final double INITIAL_REQUESTS_PER_ENDPOINT = 4;
 
-    /** Requests in flight per endpoint, of all balancers together, that the limit never falls below. */
+    /** The minimum limit, in requests in flight per endpoint from all balancers together. */
     private static final double MIN_REQUESTS_PER_ENDPOINT = 1;
-    /** What a background round leaves of the remembered peak. */
+    /** The factor by which the recent peak of requests in flight decays in a background round. */
     private static final double PEAK_DECAY = 0.996;
 
     private static final double DECREASE_FACTOR = 0.85;
@@ -29,7 +29,7 @@
     private int inFlight;
     private double peakInFlight;
     private double limit;
-    /** The capacity that the limit was last sized for, as a number of warm endpoints. */
+    /** The capacity to which the limit was last scaled, as a number of warm endpoints. */
     private double capacity;
 
     private double nextDecreaseMs;
@@ -40,24 +40,26 @@
         this.ranking = ranking;
     }
 
-    /** Returns the limit, in requests in flight; below 1 it stands for a rate, see {@link AdmissionController}. */
+    /**
+     * Returns the limit, in requests in flight; below 1 it limits the request rate, see {@link AdmissionController}.
+     */
     double current() {
         return limit;
     }
 
-    /** Returns the attempts in flight at all endpoints, without those whose response is being streamed. */
+    /** Returns the number of attempts in flight, without those whose response is being streamed. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Scales the limit to a changed capacity, which is a number of warm endpoints. */
+    /** Scales the limit to a changed capacity, given as a number of warm endpoints. */
     void onCapacityChanged(double newCapacity) {
         if (limit == 0) {
             double initial = INITIAL_REQUESTS_PER_ENDPOINT * newCapacity / balancers;
             limit = Math.min(SlotPool.MAX_SLOTS, Math.max(1, initial));
             fastGrowthUntilLimit = FAST_GROWTH_MULTIPLE * limit;
         } else if (capacity > 0 && newCapacity > 0) {
-            // What was learned holds per endpoint: fewer or cold ones must not get the requests of all.
+            // The limit was learned per endpoint, so fewer or cold endpoints must not get the requests of all.
             limit = Math.min(SlotPool.MAX_SLOTS, limit * newCapacity / capacity);
             fastGrowthUntilLimit *= newCapacity / capacity;
         }
@@ -69,12 +71,12 @@
         peakInFlight = Math.max(peakInFlight, inFlight);
     }
 
-    /** Takes in that an attempt no longer occupies its endpoint: it has ended, or its response is streamed. */
+    /** Records that an attempt no longer occupies its endpoint, because it ended or its response is being streamed. */
     void onAttemptReleased() {
         inFlight--;
     }
 
-    /** Returns the recent peak of attempts in flight, then lets it decay; called in each background round. */
+    /** Returns the recent peak of attempts in flight, and then decays it; called in each background round. */
     double takePeakInFlight() {
         double peak = peakInFlight;
         peakInFlight = Math.max(inFlight, peakInFlight * PEAK_DECAY);
@@ -82,7 +84,7 @@
     }
 
     /**
-     * Moves the limit by the result of an attempt; called before the attempt is released.
+     * Adjusts the limit after an attempt has ended; called before the attempt is released.
      *
      * @param ratio the attempt's queueing delay ratio, from {@link OverloadSignal}
      * @param isDemandAboveLimit whether requests within quota were rejected recently
@@ -106,8 +108,8 @@
     }
 
     /**
-     * Returns whether the request was lost rather than slow: it timed out, but its endpoint has responded to others
-     * since, without queueing.
+     * Returns whether the request was lost rather than slow: it timed out, but its endpoint has responded to other
+     * requests since then, without queueing.
      */
     private boolean isLostRequest(Attempt attempt, AttemptResult result) {
         EndpointRecord endpoint = attempt.endpoint();
@@ -117,21 +119,23 @@
                 && endpoint.inFlight() <= Math.max(1, limit / ranking.readyEndpoints());
     }
 
-    /** A lost request tells no more about load than the endpoint's responses do. */
+    /**
+     * Returns the ratio to record for a lost request, which says no more about load than the endpoint's responses do.
+     */
     private static double lostRequestRatio(Attempt attempt, double ratio) {
         return Math.min(ratio, attempt.endpoint().statistics().queueingDelayRatio());
     }
 
     private void decrease() {
-        limit = Math.max(partOf(MIN_REQUESTS_PER_ENDPOINT), Math.min(limit, peakInFlight + 1) * DECREASE_FACTOR);
-        // Where balancers outnumber endpoints, responses from before the decrease may cause another.
+        limit = Math.max(shareOf(MIN_REQUESTS_PER_ENDPOINT), Math.min(limit, peakInFlight + 1) * DECREASE_FACTOR);
+        // Where balancers outnumber endpoints there is no reset: responses from before the decrease may cause another.
         if (growthFactor() >= 1) {
             overloadSignal.resetTo(threshold());
         }
     }
 
     private void increase(boolean isDemandAboveLimit) {
-        // Where balancers are few, the requests of one that drains come at once: slow steps would reject many.
+        // With few balancers, the requests of a draining balancer arrive all at once, and slow steps would reject many.
         boolean mayCatchUp = growthFactor() == 1 && isDemandAboveLimit;
         boolean isFast = (limit < fastGrowthUntilLimit || mayCatchUp) && isHeadroomAmple();
         double step = (isFast ? 1 : 1 / limit) * growthFactor();
@@ -147,17 +151,20 @@
         return overloadSignal.meanRatio() > threshold() / 2;
     }
 
-    /** The threshold follows the initial limit where the limit was decreased below it. */
+    /** Returns the threshold for the limit, or for the initial limit if the limit is lower. */
     private double threshold() {
-        return OverloadSignal.threshold(Math.max(limit, partOf(INITIAL_REQUESTS_PER_ENDPOINT)));
+        return OverloadSignal.threshold(Math.max(limit, shareOf(INITIAL_REQUESTS_PER_ENDPOINT)));
     }
 
-    /** Returns this balancer's part of so many requests in flight per endpoint. */
-    private double partOf(double requestsPerEndpoint) {
+    /** Returns this balancer's share of the given number of requests in flight per endpoint. */
+    private double shareOf(double requestsPerEndpoint) {
         return requestsPerEndpoint * capacity / balancers;
     }
 
-    /** Scales steps so that all balancers together grow by one request per endpoint, however many they are. */
+    /**
+     * Returns the factor for growth steps that lets all balancers together, whatever their number, add one request per
+     * endpoint.
+     */
     private double growthFactor() {
         return Math.min(1, (double) ranking.readyEndpoints() / balancers);
     }
--- a/core/src/main/java/lemonrail/core/policy/EndpointHealth.java
+++ b/core/src/main/java/lemonrail/core/policy/EndpointHealth.java
@@ -1,13 +1,13 @@
 package lemonrail.core.policy;
 
-/** What outlier detection has learned of one endpoint: failures, health state and backoff. */
+/** The outlier detection state of one endpoint: failures, health state and backoff. */
 final class EndpointHealth {
 
     /** Weight of a new outcome in the failure rate. */
     private static final double SMOOTHING_FACTOR = 1.0 / 4;
-    /** The failure count stops growing here, which bounds the ejection time. */
+    /** The maximum of the failure count, which bounds the ejection time. */
     private static final int MAX_CONSECUTIVE_FAILURES = 5;
-    /** A probing endpoint needs 2 to the power of its failures successes, at most 2 to the power of this. */
+    /** The maximum n: a probing endpoint needs 2^n successes, where n is its number of consecutive failures. */
     private static final int MAX_PROBE_EXPONENT = 3;
 
     /** Whether it is ejected or probing. */
@@ -33,7 +33,7 @@
         return outlier;
     }
 
-    /** Returns whether it gets no new slots now, because it was ejected or because its queue was full. */
+    /** Returns whether it gets no new slots now, after an ejection, a full queue or an isolated connect failure. */
     boolean isBackingOff(double nowMs) {
         return nowMs < backoffUntilMs;
     }
@@ -53,14 +53,14 @@
         return failureRate;
     }
 
-    /** Records a failure that chance does not explain: the endpoint becomes or stays an outlier. */
+    /** Records a failure that is not attributed to chance. The endpoint becomes or stays an outlier. */
     void recordFailure() {
         consecutiveFailures = Math.min(consecutiveFailures + 1, MAX_CONSECUTIVE_FAILURES);
         successfulProbes = 0;
         outlier = true;
     }
 
-    /** Records a success; a probing endpoint becomes healthy by enough of them. */
+    /** Records a success. A probing endpoint becomes healthy after enough successes. */
     void recordSuccess() {
         failureRate -= SMOOTHING_FACTOR * failureRate;
         if (!outlier) {
@@ -86,7 +86,7 @@
         consecutiveConnectFailures = 0;
     }
 
-    /** Makes the endpoint healthy without regard to its outcomes so far. */
+    /** Makes the endpoint healthy whatever its previous outcomes. The count of failed connects in a row is kept. */
     void reset() {
         outlier = false;
         consecutiveFailures = 0;
--- a/core/src/main/java/lemonrail/core/policy/EndpointListPoller.java
+++ b/core/src/main/java/lemonrail/core/policy/EndpointListPoller.java
@@ -36,14 +36,14 @@
         consecutiveFailures = 0;
     }
 
-    /** Polls the list if the timer is this poller's. */
+    /** Polls the list if the expired timer is this poller's. */
     void onTimer(long name) {
         if (name == POLL_TIMER) {
             host.pollEndpoints();
         }
     }
 
-    /** The delay is random so that balancers which start or fail together do not poll together. */
+    /** Schedules a poll after a random delay, so that balancers that start or fail together do not poll together. */
     private void schedule(double maxDelayMs) {
         host.startTimer(random.nextDouble() * maxDelayMs, POLL_TIMER);
     }
--- a/core/src/main/java/lemonrail/core/policy/EndpointRecord.java
+++ b/core/src/main/java/lemonrail/core/policy/EndpointRecord.java
@@ -5,8 +5,8 @@
 import lemonrail.core.balancer.EndpointState;
 
 /**
- * One endpoint: its entry in the endpoint list, its place on the ring and its use by this balancer. What is learned
- * of it stands apart, in {@link EndpointHealth} and {@link EndpointStatistics}.
+ * One endpoint: its entry in the endpoint list, its place on the ring and its use by this balancer. Its measurements
+ * are kept separately in {@link EndpointHealth} and {@link EndpointStatistics}.
  */
 final class EndpointRecord {
 
@@ -15,16 +15,16 @@
     private final EndpointHealth health = new EndpointHealth();
     private final EndpointStatistics statistics = new EndpointStatistics();
 
-    private Endpoint listed;
+    private Endpoint listEntry;
     private boolean ready;
-    /** Whether the balancer has dropped it; results of its attempts only free what they held. */
-    private boolean forgotten;
+    /** Whether the balancer has removed it. Results of its remaining attempts then only release their slots. */
+    private boolean removed;
 
     private boolean onRing;
     private long ringOrder;
     private double place = Double.NaN;
 
-    /** One bit for each number of a slot in the pool. */
+    /** A bit set of the numbers of its slots in the pool. */
     private long slotsInPool;
 
     private Slot candidate;
@@ -32,9 +32,9 @@
     /** The factor by which its slots' ranks are multiplied. */
     private double rankCost = 1;
 
-    EndpointRecord(Endpoint listed) {
-        this.id = listed.id();
-        this.listed = listed;
+    EndpointRecord(Endpoint listEntry) {
+        this.id = listEntry.id();
+        this.listEntry = listEntry;
         this.hash = StableHash.of(id);
     }
 
@@ -55,32 +55,32 @@
     }
 
     /** Returns its entry in the endpoint list. */
-    Endpoint listed() {
-        return listed;
+    Endpoint listEntry() {
+        return listEntry;
     }
 
-    /** Returns whether it is listed as ready; false before the first call of {@link #setListed}. */
+    /** Returns whether it is listed as ready; false before the first call of {@link #setListEntry}. */
     boolean isReady() {
         return ready;
     }
 
-    void setListed(Endpoint entry) {
-        listed = entry;
+    void setListEntry(Endpoint entry) {
+        listEntry = entry;
         ready = entry.state() == EndpointState.READY;
         if (!ready) {
             place = Double.NaN;
         }
     }
 
-    boolean isForgotten() {
-        return forgotten;
+    boolean isRemoved() {
+        return removed;
     }
 
-    void markForgotten() {
-        forgotten = true;
+    void markRemoved() {
+        removed = true;
     }
 
-    /** Returns whether it is on the ring: it is ready, or was so when places were last settled. */
+    /** Returns whether it is on the ring: it is ready, or was ready at the last placement. */
     boolean isOnRing() {
         return onRing;
     }
@@ -147,7 +147,7 @@
         candidate = slot;
     }
 
-    /** Returns its attempts in flight, without those whose response is being streamed. */
+    /** Returns the number of its attempts in flight, without those whose response is being streamed. */
     int inFlight() {
         return inFlight;
     }
@@ -160,7 +160,7 @@
         inFlight--;
     }
 
-    /** Returns whether the balancer neither holds a slot on it nor awaits a response from it. */
+    /** Returns whether the balancer has no slot on it and awaits no response from it. */
     boolean isUnused() {
         return slotsInPool == 0 && inFlight == 0;
     }
--- a/core/src/main/java/lemonrail/core/policy/EndpointStatistics.java
+++ b/core/src/main/java/lemonrail/core/policy/EndpointStatistics.java
@@ -1,22 +1,22 @@
 package lemonrail.core.policy;
 
-/** What an endpoint's response times say about its speed and its load. */
+/** Speed and load of an endpoint, estimated from its response times. */
 final class EndpointStatistics {
 
     /** Weight of a new sample in the latency ratio and the response interval. */
     private static final double SMOOTHING_FACTOR = 1.0 / 12;
     /** Weight of a new sample in the queueing delay ratio. */
     private static final double QUEUEING_DELAY_SMOOTHING_FACTOR = 1.0 / 4;
-    /** Samples above this ratio count as this: more would rest on too few samples. */
+    /** The maximum sample. Without it a few samples could determine the ratio. */
     private static final double MAX_LATENCY_RATIO = 8;
     /** An endpoint is hung after this many mean response intervals without a response. */
     private static final double HUNG_INTERVALS = 4;
 
     private double latencyRatio = 1;
     private double queueingDelayRatio;
-    /** When it last responded; 0 before. */
+    /** When it last responded; 0 before its first response. */
     private double lastResponseMs;
-    /** Mean time between two of its responses to this balancer; 0 before the second. */
+    /** Mean time between two of its responses to this balancer; 0 before the second response. */
     private double responseIntervalMs;
 
     /** Records the elapsed time of an attempt, with or without a response, against the class's typical time. */
--- a/core/src/main/java/lemonrail/core/policy/EndpointTable.java
+++ b/core/src/main/java/lemonrail/core/policy/EndpointTable.java
@@ -11,50 +11,52 @@
 import lemonrail.core.balancer.EndpointState;
 import lemonrail.core.balancer.EndpointUpdateKind;
 
-/** The known endpoints. It takes in updates of the endpoint list and notifies the rules of what has changed. */
+/** The known endpoints. Applies updates of the endpoint list, and notifies the policy classes of changes. */
 final class EndpointTable {
 
     /**
-     * The most endpoints that are placed anew for one change of the list. While changes come faster than that, places
-     * are settled once for many of them, as the cost is that of the whole list.
+     * The maximum number of endpoints that are placed again per change of the list. While changes to a longer list
+     * follow each other quickly, it is placed once for several of them, because each placement costs time in proportion
+     * to the complete list.
      */
-    private static final int MAX_ENDPOINTS_SETTLED_PER_CHANGE = 32;
+    private static final int MAX_ENDPOINTS_PLACED_PER_CHANGE = 32;
 
     private final SlotRanking ranking;
     private final SlowStart slowStart;
     private final SlotPool pool;
     private final OutlierDetector outlierDetector;
-    private final double settleIntervalMs;
+    private final double placementIntervalMs;
     private final Map<String, EndpointRecord> endpoints = new LinkedHashMap<>();
-    private double nextSettleMs;
+    private double nextPlacementMs;
 
     EndpointTable(
             SlotRanking ranking,
             SlowStart slowStart,
             SlotPool pool,
             OutlierDetector outlierDetector,
-            double settleIntervalMs) {
+            double placementIntervalMs) {
         this.ranking = ranking;
         this.slowStart = slowStart;
         this.pool = pool;
         this.outlierDetector = outlierDetector;
-        this.settleIntervalMs = settleIntervalMs;
+        this.placementIntervalMs = placementIntervalMs;
     }
 
-    /** Returns all known endpoints, those among them that are gone but still have attempts in flight. */
+    /** Returns all known endpoints, including those that are gone but still have attempts in flight. */
     Collection<EndpointRecord> all() {
         return Collections.unmodifiableCollection(endpoints.values());
     }
 
-    /** Takes in a full list or a delta. */
+    /** Applies a full list or a delta. */
     void onUpdate(double nowMs, EndpointUpdateKind kind, List<Endpoint> entries) {
         if (kind != EndpointUpdateKind.DELTA) {
             removeMissing(nowMs, entries);
         }
         entries.forEach(entry -> update(nowMs, entry));
-        boolean isCheap = ranking.unsettledChanges() * MAX_ENDPOINTS_SETTLED_PER_CHANGE >= ranking.readyEndpoints();
-        if (nowMs >= nextSettleMs || isCheap) {
-            settle(nowMs);
+        boolean isPlacementCheap =
+                ranking.pendingPlaceChanges() * MAX_ENDPOINTS_PLACED_PER_CHANGE >= ranking.readyEndpoints();
+        if (nowMs >= nextPlacementMs || isPlacementCheap) {
+            assignPlaces(nowMs);
         }
     }
 
@@ -62,7 +64,7 @@
         Set<String> listedIds = entries.stream().map(Endpoint::id).collect(Collectors.toSet());
         List.copyOf(endpoints.values()).stream()
                 .filter(endpoint -> !listedIds.contains(endpoint.id()))
-                .forEach(endpoint -> update(nowMs, endpoint.listed().withState(EndpointState.GONE)));
+                .forEach(endpoint -> update(nowMs, endpoint.listEntry().withState(EndpointState.GONE)));
     }
 
     private void update(double nowMs, Endpoint entry) {
@@ -70,58 +72,58 @@
         if (endpoint == null && entry.state() == EndpointState.GONE) {
             return;
         }
-        if (endpoint != null && entry.startedMs() != endpoint.listed().startedMs()) {
-            // A new process: nothing learned of the previous one counts, nor do the results of its attempts.
+        if (endpoint != null && entry.startedMs() != endpoint.listEntry().startedMs()) {
+            // A new process: neither the previous process's statistics nor the results of its attempts apply to it.
             pool.discardAll(endpoint);
-            forget(nowMs, endpoint);
+            remove(nowMs, endpoint);
             endpoint = null;
         }
         if (endpoint == null) {
             endpoint = new EndpointRecord(entry);
             endpoints.put(entry.id(), endpoint);
         }
-        adoptEntry(nowMs, endpoint, entry);
-        forgetIfGone(nowMs, endpoint);
+        applyEntry(nowMs, endpoint, entry);
+        removeIfGone(nowMs, endpoint);
     }
 
-    private void adoptEntry(double nowMs, EndpointRecord endpoint, Endpoint entry) {
+    private void applyEntry(double nowMs, EndpointRecord endpoint, Endpoint entry) {
         boolean isReady = entry.state() == EndpointState.READY;
-        if (isReady && endpoint.listed().state() != EndpointState.READY) {
-            // Back from draining, for example after maintenance: its earlier results no longer count.
+        if (isReady && endpoint.listEntry().state() != EndpointState.READY) {
+            // Back from draining, for example after maintenance: its earlier results no longer apply.
             outlierDetector.reset(endpoint);
         }
-        ranking.onListed(endpoint, entry);
-        slowStart.onListed(nowMs, endpoint);
+        ranking.onEntryUpdated(endpoint, entry);
+        slowStart.onEntryUpdated(nowMs, endpoint);
         if (!isReady) {
             pool.discardAll(endpoint);
         }
         pool.updateRankCost(nowMs, endpoint);
     }
 
-    /** Gives ready endpoints their places and slots their ranks, if the list has changed any of them. */
-    void settle(double nowMs) {
-        if (ranking.unsettledChanges() > 0) {
-            ranking.settle();
-            pool.onPlacesSettled(nowMs);
-            nextSettleMs = nowMs + settleIntervalMs;
+    /** Updates the places of ready endpoints and the ranks of slots, if changes of the list affect any of them. */
+    void assignPlaces(double nowMs) {
+        if (ranking.pendingPlaceChanges() > 0) {
+            ranking.assignPlaces();
+            pool.onPlacesAssigned(nowMs);
+            nextPlacementMs = nowMs + placementIntervalMs;
         }
     }
 
-    /** Forgets an endpoint that has left the list once no attempt is in flight there. */
-    void forgetIfGone(double nowMs, EndpointRecord endpoint) {
-        if (endpoint.listed().state() == EndpointState.GONE && endpoint.inFlight() == 0) {
-            forget(nowMs, endpoint);
+    /** Removes an endpoint that is gone from the list once it has no attempt in flight. */
+    void removeIfGone(double nowMs, EndpointRecord endpoint) {
+        if (endpoint.listEntry().state() == EndpointState.GONE && endpoint.inFlight() == 0) {
+            remove(nowMs, endpoint);
         }
     }
 
-    /** Drops all that is known of the endpoint; results of its attempts then only free what they held. */
-    private void forget(double nowMs, EndpointRecord endpoint) {
-        ranking.onListed(endpoint, endpoint.listed().withState(EndpointState.GONE));
+    /** Removes the endpoint and its statistics. Results of its remaining attempts then only release their slots. */
+    private void remove(double nowMs, EndpointRecord endpoint) {
+        ranking.onEntryUpdated(endpoint, endpoint.listEntry().withState(EndpointState.GONE));
         outlierDetector.reset(endpoint);
-        endpoint.markForgotten();
+        endpoint.markRemoved();
         pool.updateCandidate(nowMs, endpoint);
         endpoints.remove(endpoint.id());
-        outlierDetector.forget(endpoint);
-        slowStart.forget(endpoint);
+        outlierDetector.remove(endpoint);
+        slowStart.remove(endpoint);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/FinalResponse.java
+++ b/core/src/main/java/lemonrail/core/policy/FinalResponse.java
@@ -1,9 +1,9 @@
 package lemonrail.core.policy;
 
-/** The final response of a request that cannot be served. */
+/** The final response to a request that cannot be served. */
 enum FinalResponse {
-    /** Safe to send again, after a delay. */
+    /** The client may safely send the request again after a delay. */
     REJECT,
-    /** Nothing is said about whether the request ran. */
+    /** The response does not say whether the request ran. */
     FAIL
 }
--- a/core/src/main/java/lemonrail/core/policy/GiveUpPolicy.java
+++ b/core/src/main/java/lemonrail/core/policy/GiveUpPolicy.java
@@ -2,10 +2,10 @@
 
 import lemonrail.core.balancer.BalancerSettings;
 
-/** Decides how a request that cannot be served is answered. */
+/** Decides on the final response to a request that cannot be served. */
 final class GiveUpPolicy {
 
-    /** The Retry-After of a rejection, as a fraction of the longest that is allowed. */
+    /** The Retry-After of a rejection, as a fraction of the maximum allowed. */
     private static final double RETRY_AFTER_FRACTION = 0.25;
 
     private double maxRetryAfterMs;
@@ -14,12 +14,12 @@
         onSettings(settings);
     }
 
-    /** Adopts a changed bound of Retry-After. */
+    /** Applies a changed maximum of Retry-After. */
     void onSettings(BalancerSettings changed) {
         maxRetryAfterMs = changed.limits().maxRetryAfterMs();
     }
 
-    /** Decides: a request is rejected if it has certainly not run, or may run again; else it fails. */
+    /** Returns {@code REJECT} for a request that has certainly not run or may run again, {@code FAIL} for any other. */
     FinalResponse decide(InFlightRequest request) {
         boolean hasCertainlyNotRun = request.firstPossibleExecution() == null && request.attemptsInFlight() == 0;
         return hasCertainlyNotRun || request.requestClass().mayRejectAfterExecution()
@@ -27,7 +27,10 @@
                 : FinalResponse.FAIL;
     }
 
-    /** Returns the Retry-After of a rejection. Each carries one, though few clients may obey it: it costs nothing. */
+    /**
+     * Returns the Retry-After of a rejection in milliseconds. Every rejection carries one, although few clients may
+     * respect it, because it costs nothing.
+     */
     double retryAfterMs() {
         return maxRetryAfterMs * RETRY_AFTER_FRACTION;
     }
--- a/core/src/main/java/lemonrail/core/policy/InFlightRequest.java
+++ b/core/src/main/java/lemonrail/core/policy/InFlightRequest.java
@@ -8,10 +8,10 @@
 import lemonrail.core.balancer.Request;
 import lemonrail.core.balancer.RequestClass;
 
-/** A request that has no final response yet, or has attempts in flight. */
+/** A request without a final response or with attempts in flight. */
 final class InFlightRequest {
 
-    /** Where late responses are worth nothing, a request ends at this fraction of its latency objective. */
+    /** If late responses have no value, a request ends at this fraction of its latency objective. */
     private static final double OBJECTIVE_FRACTION = 0.99;
 
     private final Request request;
@@ -23,7 +23,7 @@
     private boolean responded;
     private Attempt firstPossibleExecution;
 
-    /** Creates a request that has just come; {@code latency} is its class's estimator. */
+    /** Creates a request that has just arrived; {@code latency} is its class's estimator. */
     InFlightRequest(double nowMs, Request request, RequestClass requestClass, LatencyEstimator latency) {
         this.request = request;
         this.requestClass = requestClass;
@@ -49,7 +49,7 @@
         return latency;
     }
 
-    /** Returns when a response stops being worth waiting for. */
+    /** Returns the time after which a response has no value. */
     double usefulUntilMs() {
         return usefulUntilMs;
     }
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Returns the first attempt that the endpoint may have executed, or null. A keyed request may be repeated only
-     * within that attempt's deduplication scope and window.
+     * Returns the first attempt that its endpoint may have executed, or null if there is none. A keyed request may be
+     * repeated only within that attempt's deduplication scope and window.
      */
     Attempt firstPossibleExecution() {
         return firstPossibleExecution;
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Returns whether the client has its final response or has gone. */
+    /** Returns whether the client has received its final response or has disconnected. */
     boolean isResponded() {
         return responded;
     }
@@ -107,8 +107,8 @@
         responded = true;
     }
 
-    /** Returns whether the client has its final response and no attempt is in flight. */
-    boolean isOver() {
+    /** Returns whether the client needs no response any more and no attempt is in flight. */
+    boolean isComplete() {
         return responded && attemptsInFlight == 0;
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/OutlierDetector.java
+++ b/core/src/main/java/lemonrail/core/policy/OutlierDetector.java
@@ -10,21 +10,23 @@
 import lemonrail.core.balancer.BalancerSettings;
 
 /**
- * Ejects endpoints whose attempts fail, and lets them back in by probes. Its states are {@link HealthState}: a failure
- * ejects, the end of the ejection time starts probing, and enough successes in a row make the endpoint healthy.
+ * Ejects endpoints whose attempts fail, and readmits them by probes. An endpoint's state is a {@link HealthState}: a
+ * failure ejects it, the end of the ejection time starts probing, and enough successes in a row make it healthy.
  */
 final class OutlierDetector {
 
-    /** Errors count as chance up to this failure rate of an endpoint. */
+    /** Errors of an endpoint are attributed to chance up to this failure rate. */
     private static final double MAX_CHANCE_FAILURE_RATE = 0.4;
     /** Backoff after a full queue, as a multiple of the connect timeout. */
     private static final double QUEUE_FULL_BACKOFF_CONNECT_TIMEOUTS = 1;
-    /** Backoff after one failed connect beside open connections, as a multiple of the connect timeout. */
+    /**
+     * Backoff after a single failed connect to an endpoint with open connections, as a multiple of the connect timeout.
+     */
     private static final double ISOLATED_FAILURE_BACKOFF_CONNECT_TIMEOUTS = 2;
 
     /** What the result of an attempt says about its endpoint. */
     private enum Evidence {
-        /** A failed connect of a kind that healthy endpoints have too. */
+        /** A failed connect that healthy endpoints have too. */
         CONNECT_FAILURE_BY_CHANCE,
         /** A first failed connect while other connections to the endpoint are open. */
         ISOLATED_CONNECT_FAILURE,
@@ -57,12 +59,15 @@
         connectTimeoutMs = settings.limits().connectTimeoutMs();
     }
 
-    /** Returns how many endpoints are ejected or probing. */
+    /** Returns the number of endpoints that are ejected or probing. */
     int outliers() {
         return outliers;
     }
 
-    /** Returns whether a result counts against the endpoint: a timeout does only if the attempt was a long one. */
+    /**
+     * Returns whether a result counts against the endpoint. A timeout does so only if the attempt lasted at least the
+     * class's tail latency.
+     */
     static boolean isFailure(InFlightRequest request, AttemptResult result) {
         return switch (result.outcome()) {
             case FAILED, CONNECT_ERROR, RESET -> true;
@@ -78,7 +83,7 @@
                 && (health.state(nowMs) != HealthState.HEALTHY || (!endpoint.hasSlots() && health.isBackingOff(nowMs)));
     }
 
-    /** Learns an endpoint's speed from the elapsed time of an attempt, with or without a response. */
+    /** Updates an endpoint's speed with the elapsed time of an attempt, with or without a response. */
     void onElapsed(double nowMs, EndpointRecord endpoint, LatencyEstimator classLatency, double elapsedMs) {
         if (!slowStart.isWarmingUp(nowMs, endpoint)) {
             endpoint.statistics().recordElapsed(elapsedMs, classLatency.typicalMs());
@@ -87,7 +92,7 @@
     }
 
     /**
-     * Takes in the end of an attempt on this slot.
+     * Handles the end of an attempt on this slot.
      *
      * @param isFailure see {@link #isFailure}
      */
@@ -153,7 +158,10 @@
         };
     }
 
-    /** Where many balancers share few endpoints no failure counts as chance: all their connects need backoff. */
+    /**
+     * Returns whether the endpoint's connect failures are attributed to chance. Where many balancers share few
+     * endpoints none are, because the connects of all these balancers need backoff.
+     */
     private boolean isConnectFailureByChance(EndpointRecord endpoint) {
         return connectFailureRate.isProbablyChance(endpoint.health().consecutiveConnectFailures())
                 && ranking.readyEndpoints() * ConcurrencyLimit.INITIAL_REQUESTS_PER_ENDPOINT >= ranking.balancers();
@@ -163,12 +171,15 @@
         return slot.endpoint().health().consecutiveConnectFailures() == 1 && pool.hasOtherConnectedSlot(slot);
     }
 
-    /** If more than half of all endpoints are outliers, the cause is shared: ejecting more would leave none. */
+    /**
+     * Returns whether more than half of all endpoints are outliers. The cause is then a shared one, and ejecting more
+     * endpoints would leave none.
+     */
     private boolean isFailureShared() {
         return outliers * 2 > ranking.readyEndpoints();
     }
 
-    /** Returns whether the endpoint is hung; an overloaded one is slow, but does respond. */
+    /** Returns whether the endpoint is hung. An overloaded endpoint is not: it is slow but responds. */
     boolean isHung(double nowMs, EndpointRecord endpoint) {
         return endpoint.statistics().isSilent(nowMs) && !isFailureShared();
     }
@@ -183,14 +194,20 @@
         pool.updateCandidate(nowMs, endpoint);
     }
 
-    /** A single error of a healthy endpoint may be chance; a timeout or a failed connect seldom is. */
+    /**
+     * Returns whether the failure is attributed to chance. A single error of a healthy endpoint may be, but a timeout
+     * or a failed connect seldom happens by chance.
+     */
     private static boolean isFailureByChance(EndpointRecord endpoint, AttemptOutcome outcome, double failureRate) {
         return !endpoint.health().isOutlier()
                 && (outcome == AttemptOutcome.FAILED || outcome == AttemptOutcome.RESET)
                 && failureRate <= MAX_CHANCE_FAILURE_RATE;
     }
 
-    /** The ejection time doubles with each consecutive failure; from the second on all slots are discarded. */
+    /**
+     * Ejects the endpoint for a time that doubles with each consecutive failure. From the second failure on, all its
+     * slots are discarded.
+     */
     private void eject(double nowMs, EndpointRecord endpoint) {
         EndpointHealth health = endpoint.health();
         if (!health.isOutlier()) {
@@ -221,16 +238,16 @@
         }
     }
 
-    /** Lets endpoints whose backoff is over get slots again; called in each background round. */
+    /** Allows new slots on endpoints whose backoff has ended; called in each background round. */
     void onBackgroundRound(double nowMs) {
-        List<EndpointRecord> over = backingOff.stream()
+        List<EndpointRecord> ended = backingOff.stream()
                 .filter(endpoint -> !endpoint.health().isBackingOff(nowMs))
                 .toList();
-        backingOff.removeAll(over);
-        over.forEach(endpoint -> pool.updateCandidate(nowMs, endpoint));
+        backingOff.removeAll(ended);
+        ended.forEach(endpoint -> pool.updateCandidate(nowMs, endpoint));
     }
 
-    /** Makes the endpoint healthy: its results so far no longer count. */
+    /** Makes the endpoint healthy and resets its statistics. */
     void reset(EndpointRecord endpoint) {
         if (endpoint.health().isOutlier()) {
             outliers--;
@@ -239,7 +256,7 @@
         endpoint.statistics().reset();
     }
 
-    void forget(EndpointRecord endpoint) {
+    void remove(EndpointRecord endpoint) {
         backingOff.remove(endpoint);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/RetryBudget.java
+++ b/core/src/main/java/lemonrail/core/policy/RetryBudget.java
@@ -1,18 +1,18 @@
 package lemonrail.core.policy;
 
 /**
- * The budget of retries for all requests together. Retries would else amplify an overload, and multiply from tier to
+ * The retry budget of all requests together. Without it retries would amplify an overload and multiply from tier to
  * tier.
  */
 final class RetryBudget {
 
     private static final double TOKENS_PER_REQUEST = 0.2;
-    /** Tokens that may be saved up, for the moment when many endpoints fail. */
+    /** The maximum number of saved tokens, for moments when many endpoints fail. */
     private static final double BURST_CAPACITY = 10;
 
     private double tokens = BURST_CAPACITY;
 
-    /** Adds a request's part. */
+    /** Adds the part of a token that each request contributes. */
     void onRequest() {
         tokens = Math.min(BURST_CAPACITY, tokens + TOKENS_PER_REQUEST);
     }
@@ -21,8 +21,8 @@
         return tokens >= 1;
     }
 
-    /** Spends the token of one retry. */
-    void spend() {
+    /** Takes the token for one retry. */
+    void takeToken() {
         tokens--;
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/RetryDecision.java
+++ b/core/src/main/java/lemonrail/core/policy/RetryDecision.java
@@ -3,7 +3,7 @@
 /** Whether a request is sent again after an attempt has failed, or why it is not. */
 enum RetryDecision {
     RETRY,
-    /** The host no longer has the whole request. */
+    /** The host no longer has the complete request. */
     NOT_REPLAYABLE,
     /** Another attempt may still succeed. */
     ATTEMPT_IN_FLIGHT,
--- a/core/src/main/java/lemonrail/core/policy/RetryPolicy.java
+++ b/core/src/main/java/lemonrail/core/policy/RetryPolicy.java
@@ -4,10 +4,10 @@
 import lemonrail.core.balancer.AttemptResult;
 import lemonrail.core.balancer.BalancerSettings;
 
-/** Decides whether a request is sent again. Where it may go then is decided by {@link SlotEligibility}. */
+/** Decides whether a request is sent again. {@link SlotEligibility} decides which slots a retry may use. */
 final class RetryPolicy {
 
-    /** A retry needs this fraction of the typical response time to be left. */
+    /** A retry needs at least this fraction of the typical response time. */
     private static final double MIN_TIME_LEFT_FRACTION = 0.5;
     /** The fraction of the deduplication window in which a keyed request may be sent again. */
     private static final double DEDUPLICATION_WINDOW_FRACTION = 0.9;
@@ -20,12 +20,15 @@
         onSettings(settings);
     }
 
-    /** Adopts a changed bound of attempts. */
+    /** Applies a changed maximum of attempts. */
     void onSettings(BalancerSettings changed) {
         maxAttempts = changed.limits().maxAttempts();
     }
 
-    /** Decides after an attempt of a request without final response has ended; nothing changes by it. */
+    /**
+     * Decides whether a request without a final response is sent again after an attempt has ended, without a change of
+     * state.
+     */
     RetryDecision decide(double nowMs, InFlightRequest request, AttemptResult result) {
         if (!result.replayable()) {
             return RetryDecision.NOT_REPLAYABLE;
--- a/core/src/main/java/lemonrail/core/policy/Slot.java
+++ b/core/src/main/java/lemonrail/core/policy/Slot.java
@@ -3,11 +3,11 @@
 /** A slot: the right to have one attempt in flight at one endpoint. Slots are ordered by rank. */
 final class Slot implements Comparable<Slot> {
 
-    /** What the slot is used for. */
+    /** The current use of the slot. */
     private enum Use {
         FREE,
         AWAITING_RESPONSE,
-        /** The endpoint has done its work: only the connection is in use. */
+        /** The endpoint has processed the request; only the connection is in use. */
         STREAMING_RESPONSE
     }
 
@@ -19,7 +19,7 @@
     private boolean connected;
     private boolean discarded;
 
-    /** Creates a free slot; {@code offeredInOwnZone} tells whether its endpoint is in the balancer's zone now. */
+    /** Creates a free slot; {@code offeredInOwnZone} says whether its endpoint is currently in the balancer's zone. */
     Slot(EndpointRecord endpoint, int number, boolean offeredInOwnZone) {
         this.endpoint = endpoint;
         this.number = number;
--- a/core/src/main/java/lemonrail/core/policy/SlotEligibility.java
+++ b/core/src/main/java/lemonrail/core/policy/SlotEligibility.java
@@ -3,12 +3,12 @@
 import lemonrail.core.balancer.BalancerSettings;
 import lemonrail.core.balancer.Idempotency;
 
-/** Decides which slots may be used: by the pool at all, and by one request. */
+/** Decides which slots the pool may add and which slots a request may use. */
 final class SlotEligibility {
 
-    /** Slots on one endpoint; the bit mask in {@link EndpointRecord} has no room for more. */
+    /** The maximum number of slots on one endpoint, which the bit set in {@link EndpointRecord} limits. */
     private static final int MAX_SLOTS_PER_ENDPOINT = 62;
-    /** While responses are slow, no endpoint may take more than this multiple of what the limit stands for. */
+    /** While responses are slow, an endpoint gets at most this multiple of its share of the concurrency limit. */
     private static final double MAX_LOAD_MULTIPLE = 2;
 
     private final BalancerSettings settings;
@@ -26,9 +26,9 @@
                 .anyMatch(requestClass -> requestClass.idempotency() != Idempotency.NON_IDEMPOTENT);
     }
 
-    /** Returns whether the pool may take one more slot on the endpoint. */
+    /** Returns whether the pool may add one more slot on the endpoint. */
     boolean mayAddSlot(double nowMs, EndpointRecord endpoint) {
-        if (endpoint.isForgotten() || !endpoint.isReady() || !endpoint.hasPlace()) {
+        if (endpoint.isRemoved() || !endpoint.isReady() || !endpoint.hasPlace()) {
             return false;
         }
         EndpointHealth health = endpoint.health();
@@ -55,14 +55,17 @@
         return isProbeToAvoid(request, endpoint) || request.hasTried(endpoint);
     }
 
-    /** A request that cannot be repeated must not be the probe, if there are classes that can. */
+    /** A request that must not be repeated should not be a probe if other classes can be repeated. */
     private boolean isProbeToAvoid(InFlightRequest request, EndpointRecord endpoint) {
         return endpoint.health().isOutlier()
                 && request.requestClass().idempotency() == Idempotency.NON_IDEMPOTENT
                 && hasRepeatableClass;
     }
 
-    /** Prevents a cascade: while responses are slow, requests that leave one endpoint must not overload the next. */
+    /**
+     * Prevents a cascade of overload: while responses are slow, requests that avoid one endpoint must not overload the
+     * next.
+     */
     private boolean wouldSpreadOverload(Slot slot) {
         if (settings.tier() != 0 || !limit.isHeadroomHalfUsed()) {
             return false;
@@ -79,6 +82,6 @@
                 || request.requestClass().idempotency() != Idempotency.KEYED
                 || request.requestClass()
                         .deduplicationScope()
-                        .includesBoth(first.endpoint().listed(), endpoint.listed());
+                        .includesBoth(first.endpoint().listEntry(), endpoint.listEntry());
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/SlotPool.java
+++ b/core/src/main/java/lemonrail/core/policy/SlotPool.java
@@ -5,24 +5,24 @@
 import java.util.function.Predicate;
 import lemonrail.core.balancer.LoadBalancerHost;
 
-/** The bounded pool of slots that requests use, and the candidates that it grows by. */
+/** The bounded pool of slots that requests use, and the candidates that may be added to it. */
 final class SlotPool {
 
-    /** The most slots in a pool, whatever the fleet's size. */
+    /** The maximum number of slots in a pool, for any fleet size. */
     static final int MAX_SLOTS = 1024;
-    /** The fewest slots that the pool aims for. */
+    /** The minimum of the pool's target size. */
     private static final int MIN_SLOTS = 4;
-    /** Slots aimed for, as a multiple of the recent peak of requests in flight. */
+    /** The pool's target size, as a multiple of the recent peak of requests in flight. */
     private static final double PEAK_MULTIPLE = 1.25;
-    /** The least factor by which an endpoint's cost multiplies its ranks. */
+    /** The minimum cost of an endpoint, by which its ranks are multiplied. */
     private static final double MIN_RANK_COST = 0.6;
-    /** Ranks follow an endpoint's cost once it has changed by this factor. */
+    /** Ranks are updated once an endpoint's cost has changed by this factor. */
     private static final double RANK_COST_STEP = 1.1;
     /** Weight of a new connect in the connect failure rate. */
     private static final double CONNECT_SMOOTHING_FACTOR = 1.0 / 4;
-    /** What a background round leaves of the connect failure rate. */
+    /** The factor by which the connect failure rate decays in a background round. */
     private static final double CONNECT_FAILURE_DECAY = 0.99;
-    /** Rounds of ranks by which unconnected slots rank behind connected ones if all connects fail. */
+    /** The penalty of unconnected slots if all connects fail, in rounds of ranks. A round is one rank per balancer. */
     private static final double UNCONNECTED_PENALTY_ROUNDS = 4;
 
     private final SlotRanking ranking;
@@ -31,7 +31,7 @@
     private final LoadBalancerHost host;
     private final List<Slot> slots = new ArrayList<>();
     private final CandidateSlots candidates = new CandidateSlots();
-    /** The recent fraction of failures among attempts that had to connect. */
+    /** The recent fraction of failed connects among attempts that had to connect. */
     private double connectFailureRate;
 
     SlotPool(SlotRanking ranking, SlotEligibility eligibility, ZoneAffinity zoneAffinity, LoadBalancerHost host) {
@@ -41,7 +41,9 @@
         this.host = host;
     }
 
-    /** Returns the first usable free slot of the pool, else the first usable candidate, or null if none. */
+    /**
+     * Returns the best usable free slot of the pool, or else the best usable candidate, or null if there is neither.
+     */
     Slot firstUsable(Predicate<Slot> usable) {
         Slot best = null;
         for (Slot slot : slots) {
@@ -59,7 +61,7 @@
         return candidates.first(this::compare);
     }
 
-    /** The order in which requests use slots. */
+    /** Compares slots by the order in which requests use them. */
     private int compare(Slot one, Slot other) {
         int order = Double.compare(effectiveRank(one), effectiveRank(other));
         return order != 0 ? order : one.compareTo(other);
@@ -72,7 +74,7 @@
         return slot.rank() + zoneAffinity.rankPenalty(slot.endpoint()) + connectPenalty;
     }
 
-    /** Takes in the result of an attempt that had to connect. */
+    /** Records whether an attempt that had to connect failed to do so. */
     void onConnect(boolean failed) {
         connectFailureRate += CONNECT_SMOOTHING_FACTOR * ((failed ? 1 : 0) - connectFailureRate);
     }
@@ -83,8 +85,8 @@
                 .anyMatch(other -> other != slot && other.endpoint() == slot.endpoint() && other.isConnected());
     }
 
-    /** Takes the slot into the pool if it is a candidate; the endpoint's next slot becomes one. */
-    void adopt(double nowMs, Slot slot) {
+    /** Adds the slot to the pool if it is a candidate. The endpoint's next slot then becomes its candidate. */
+    void addIfCandidate(double nowMs, Slot slot) {
         EndpointRecord endpoint = slot.endpoint();
         if (endpoint.candidate() == slot) {
             candidates.remove(endpoint);
@@ -94,7 +96,7 @@
         }
     }
 
-    /** Discards a slot; with an endpoint's last one its idle connections are closed. */
+    /** Discards a slot, and closes the endpoint's idle connections if it is unused then. */
     void discard(Slot slot) {
         if (slot.isDiscarded()) {
             return;
@@ -113,7 +115,10 @@
         List.copyOf(slots).stream().filter(slot -> slot.endpoint() == endpoint).forEach(this::discard);
     }
 
-    /** Makes the endpoint's lowest free slot its candidate if the pool may take one more, else removes it. */
+    /**
+     * Makes the endpoint's lowest free slot number its candidate if the pool may add one more slot, or removes its
+     * candidate.
+     */
     void updateCandidate(double nowMs, EndpointRecord endpoint) {
         candidates.remove(endpoint);
         if (eligibility.mayAddSlot(nowMs, endpoint)) {
@@ -126,9 +131,9 @@
     /** Adopts the endpoint's latency ratio as its cost if it has changed by more than the step. */
     void updateRankCostIfChanged(double nowMs, EndpointRecord endpoint) {
         double cost = rankCost(endpoint);
-        double present = endpoint.rankCost();
-        boolean isNearPresent = cost < present * RANK_COST_STEP && cost > present / RANK_COST_STEP;
-        if (!isNearPresent) {
+        double currentCost = endpoint.rankCost();
+        boolean isNearCurrentCost = cost < currentCost * RANK_COST_STEP && cost > currentCost / RANK_COST_STEP;
+        if (!isNearCurrentCost) {
             updateRankCost(nowMs, endpoint);
         }
     }
@@ -148,8 +153,8 @@
         return Math.max(MIN_RANK_COST, endpoint.statistics().latencyRatio());
     }
 
-    /** Computes all ranks anew after places were settled, and the candidates of endpoints without one. */
-    void onPlacesSettled(double nowMs) {
+    /** Updates all ranks after a placement, and the candidates of endpoints without one. */
+    void onPlacesAssigned(double nowMs) {
         slots.forEach(slot -> slot.setRank(ranking.rank(slot)));
         candidates.rerank(ranking::rank);
         ranking.ring().stream()
@@ -158,34 +163,34 @@
     }
 
     /**
-     * Refills or shrinks the pool to the size that the recent peak of requests in flight needs, and replaces free
-     * slots by candidates that come before them.
+     * Grows or shrinks the pool to the size needed for the recent peak of requests in flight, and replaces free slots
+     * by better candidates.
      */
     void refill(double nowMs, double peakInFlight) {
         connectFailureRate *= CONNECT_FAILURE_DECAY;
-        double size = Math.min(MAX_SLOTS, Math.max(MIN_SLOTS, Math.ceil(peakInFlight * PEAK_MULTIPLE)));
-        while (slots.size() < size && firstCandidate() != null) {
-            adopt(nowMs, firstCandidate());
+        double targetSize = Math.min(MAX_SLOTS, Math.max(MIN_SLOTS, Math.ceil(peakInFlight * PEAK_MULTIPLE)));
+        while (slots.size() < targetSize && firstCandidate() != null) {
+            addIfCandidate(nowMs, firstCandidate());
         }
-        for (Slot worst = lastFree(); worst != null; worst = lastFree()) {
-            boolean isOversized = slots.size() > size;
-            if (!isOversized && !hasCandidateBefore(worst)) {
+        for (Slot worst = worstFreeSlot(); worst != null; worst = worstFreeSlot()) {
+            boolean isOversized = slots.size() > targetSize;
+            if (!isOversized && !hasBetterCandidate(worst)) {
                 return;
             }
             discard(worst);
             updateCandidate(nowMs, worst.endpoint());
             if (!isOversized) {
-                adopt(nowMs, firstCandidate());
+                addIfCandidate(nowMs, firstCandidate());
             }
         }
     }
 
-    private boolean hasCandidateBefore(Slot slot) {
+    private boolean hasBetterCandidate(Slot slot) {
         Slot candidate = firstCandidate();
         return candidate != null && compare(candidate, slot) < 0;
     }
 
-    private Slot lastFree() {
+    private Slot worstFreeSlot() {
         return slots.stream().filter(Slot::isFree).max(this::compare).orElse(null);
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/SlotRanking.java
+++ b/core/src/main/java/lemonrail/core/policy/SlotRanking.java
@@ -10,15 +10,15 @@
 import lemonrail.core.balancer.EndpointState;
 
 /**
- * Ranks slots, and gives ready endpoints the places on the ring that ranks rest on. All balancers with the same list
- * compute the same places, and each starts at another point of the ring, so that together they spread their requests
- * evenly without talking to each other.
+ * Ranks slots, and assigns ready endpoints the places on the ring from which ranks are computed. All balancers with the
+ * same list compute the same places, and each starts at a different point of the ring, so that together they spread
+ * their requests evenly without communication.
  */
 final class SlotRanking {
 
-    /** An endpoint of twice the cost moves back by this part of a round of ranks. */
+    /** Rounds of ranks by which an endpoint moves back per unit of cost above 1. A round is one rank per balancer. */
     private static final double ROUNDS_PER_EXCESS_COST = 0.5;
-    /** Moves ranks off 0, so that an endpoint's cost moves its first slot too. */
+    /** An offset that keeps ranks above 0, so that an endpoint's cost also affects its first slot. */
     private static final double RANK_OFFSET = 0.5;
 
     private final int balancers;
@@ -26,11 +26,11 @@
     private final int zone;
     private final boolean weighted;
 
-    /** The ready endpoints and those that were ready when places were last settled, in the order of then. */
+    /** The ready endpoints and those that were ready at the last placement, in ring order as of that placement. */
     private final List<EndpointRecord> ring = new ArrayList<>();
 
     private double meanWeight = 1;
-    private int unsettledChanges;
+    private int pendingPlaceChanges;
     private int readyEndpoints;
     private int readyInOwnZone;
 
@@ -41,22 +41,22 @@
         weighted = settings.weighted();
     }
 
-    /** Returns how many balancers call the same endpoints. */
+    /** Returns the number of balancers that send requests to the same endpoints. */
     int balancers() {
         return balancers;
     }
 
-    /** Returns how many changes of the list wait for {@link #settle}. */
-    int unsettledChanges() {
-        return unsettledChanges;
+    /** Returns the number of changes of the list since the last {@link #assignPlaces} that affect places. */
+    int pendingPlaceChanges() {
+        return pendingPlaceChanges;
     }
 
-    /** Returns how many endpoints are listed as ready. */
+    /** Returns the number of endpoints that are listed as ready. */
     int readyEndpoints() {
         return readyEndpoints;
     }
 
-    /** Returns how many ready endpoints of the own zone there were when places were last settled. */
+    /** Returns the number of ready endpoints in the own zone at the last placement. */
     int readyInOwnZone() {
         return readyInOwnZone;
     }
@@ -65,13 +65,16 @@
         return Collections.unmodifiableList(ring);
     }
 
-    /** Takes in an endpoint's new entry; it counts as ready at once, its place changes with {@link #settle}. */
-    void onListed(EndpointRecord endpoint, Endpoint entry) {
-        if (movesPlaces(endpoint, entry)) {
-            unsettledChanges++;
+    /**
+     * Applies an endpoint's new entry. Its readiness changes immediately, its place only with the next
+     * {@link #assignPlaces}.
+     */
+    void onEntryUpdated(EndpointRecord endpoint, Endpoint entry) {
+        if (changesPlaces(endpoint, entry)) {
+            pendingPlaceChanges++;
         }
         readyEndpoints -= endpoint.isReady() ? 1 : 0;
-        endpoint.setListed(entry);
+        endpoint.setListEntry(entry);
         readyEndpoints += endpoint.isReady() ? 1 : 0;
         if (endpoint.isReady() && !endpoint.isOnRing()) {
             endpoint.setOnRing(true);
@@ -79,18 +82,18 @@
         }
     }
 
-    private static boolean movesPlaces(EndpointRecord endpoint, Endpoint entry) {
+    private static boolean changesPlaces(EndpointRecord endpoint, Endpoint entry) {
         boolean becomesReady = entry.state() == EndpointState.READY;
         if (endpoint.isReady() != becomesReady) {
             return true;
         }
-        Endpoint before = endpoint.listed();
+        Endpoint before = endpoint.listEntry();
         return becomesReady && (entry.weight() != before.weight() || entry.zone() != before.zone());
     }
 
-    /** Gives each ready endpoint its place. */
-    void settle() {
-        unsettledChanges = 0;
+    /** Assigns each ready endpoint its place. */
+    void assignPlaces() {
+        pendingPlaceChanges = 0;
         readyInOwnZone = 0;
         ring.forEach(endpoint -> endpoint.setOnRing(endpoint.isReady()));
         ring.removeIf(endpoint -> !endpoint.isReady());
@@ -98,28 +101,31 @@
         double weightSum = 0;
         for (EndpointRecord endpoint : ring) {
             readyInOwnZone += isInOtherZone(endpoint) ? 0 : 1;
-            weightSum += endpoint.listed().weight();
+            weightSum += endpoint.listEntry().weight();
             endpoint.setRingOrder(RingPlacement.order(endpoint.hash(), ringNumber));
         }
         meanWeight = readyEndpoints == 0 || weightSum <= 0 ? 1 : weightSum / readyEndpoints;
-        // The ring is nearly in order from the last time, which makes this sort fast.
+        // The ring is nearly in order from the previous placement, which makes this sort fast.
         ring.sort(Comparator.comparingLong(EndpointRecord::ringOrder).thenComparing(EndpointRecord::id));
         RingPlacement.place(
                 ring,
-                endpoint -> endpoint.listed().zone(),
+                endpoint -> endpoint.listEntry().zone(),
                 this::relativeWeight,
                 (endpoint, place) -> endpoint.setPlace(balancers * place));
     }
 
     /**
-     * Returns which ring this balancer uses. Where balancers outnumber endpoints there are several, so that balancers
-     * that leave a full endpoint do not all go on to the same next one.
+     * Returns the number of the ring that this balancer uses. Where balancers outnumber endpoints there are several
+     * rings, so that balancers that leave a full endpoint do not all move to the same next one.
      */
     private int ringNumber() {
         return balancerIndex % Integer.highestOneBit(Math.max(1, balancers / Math.max(1, readyEndpoints)));
     }
 
-    /** Returns the rank that slots are used by: the ideal rank, raised by the endpoint's cost. */
+    /**
+     * Returns the rank that determines the order in which slots are used: the ideal rank adjusted by the endpoint's
+     * cost.
+     */
     double rank(Slot slot) {
         double cost = slot.endpoint().rankCost();
         return (idealRank(slot) + RANK_OFFSET) * cost + Math.max(0, cost - 1) * balancers * ROUNDS_PER_EXCESS_COST;
@@ -134,13 +140,13 @@
                 + (balancerIndex + slot.endpoint().place()) % balancers;
     }
 
-    /** Returns the endpoint's weight relative to the mean; 1 if weights do not count. */
+    /** Returns the endpoint's weight relative to the mean; 1 if weights are not used or the endpoint has none. */
     double relativeWeight(EndpointRecord endpoint) {
-        double weight = endpoint.listed().weight();
+        double weight = endpoint.listEntry().weight();
         return weighted && weight > 0 ? weight / meanWeight : 1;
     }
 
     boolean isInOtherZone(EndpointRecord endpoint) {
-        return endpoint.listed().zone() != zone;
+        return endpoint.listEntry().zone() != zone;
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/TenantQuotas.java
+++ b/core/src/main/java/lemonrail/core/policy/TenantQuotas.java
@@ -3,10 +3,10 @@
 import lemonrail.core.TokenBucket;
 import lemonrail.core.balancer.BalancerSettings;
 
-/** This balancer's part of each tenant's quota. Quotas apply on the first tier only. */
+/** This balancer's share of each tenant's quota. Quotas apply on the first tier only. */
 final class TenantQuotas {
 
-    /** Seconds of a tenant's quota that a burst may use at once. */
+    /** The burst capacity of a tenant, as seconds of its quota. */
     private static final double BURST_SECONDS = 2;
 
     private static final double MS_PER_SECOND = 1000;
@@ -22,7 +22,7 @@
         onSettings(settings);
     }
 
-    /** Adopts changed quotas; tokens that are saved up stay. */
+    /** Applies changed quotas. Saved tokens are kept. */
     void onSettings(BalancerSettings changed) {
         settings = changed;
         for (int tenant = 0; tenant < buckets.length; tenant++) {
--- a/core/src/main/java/lemonrail/core/policy/ZoneAffinity.java
+++ b/core/src/main/java/lemonrail/core/policy/ZoneAffinity.java
@@ -2,16 +2,19 @@
 
 import lemonrail.core.balancer.BalancerSettings;
 
-/** Decides how far slots of other zones rank behind those of the own zone. */
+/** Computes the penalty by which slots of other zones rank behind those of the own zone. */
 final class ZoneAffinity {
 
-    /** Other zones' slots rank behind as many of the own zone's as this multiple of the typical demand needs. */
+    /** Slots of other zones rank behind the own zone's slots for this multiple of the typical demand. */
     private static final double DEMAND_MULTIPLE = 3;
-    /** Affinity shrinks while the own zone's queueing delay ratio is higher by this multiple of the crossing cost. */
+    /**
+     * Affinity decreases while the queueing delay ratio of the own zone exceeds that of other zones by this multiple of
+     * the cross-zone cost.
+     */
     private static final double CROSSING_COST_MULTIPLE = 6;
-    /** The factor by which affinity shrinks in a background round. */
+    /** The factor by which affinity decreases in a background round. */
     private static final double STRENGTH_DECREASE_FACTOR = 0.7;
-    /** The amount by which it grows in any other. */
+    /** The amount by which affinity increases in any other background round. */
     private static final double STRENGTH_INCREASE = 0.02;
     /** The number of background rounds over which the typical demand is averaged. */
     private static final double AVERAGING_ROUNDS = 200;
@@ -23,13 +26,13 @@
     private final double crossZoneCost;
     private final SlotRanking ranking;
     private double lastRoundMs;
-    /** The sum of the base times of the requests that came since the last round. */
+    /** The sum of the base times of the requests that arrived since the last round. */
     private double demandMs;
-    /** The typical number of requests in flight, as their base times make it. */
+    /** The typical number of requests in flight, computed from their base times. */
     private double typicalRequestsInFlight;
-    /** Added to the rank of other zones' slots. */
+    /** The penalty that is added to the ranks of other zones' slots. */
     private double rankPenalty;
-    /** From 0, no affinity, to 1. */
+    /** The strength of affinity, from 0 for none to 1. */
     private double strength = 1;
 
     private double ownZoneQueueingDelayRatio;
@@ -40,17 +43,17 @@
         this.ranking = ranking;
     }
 
-    /** Returns what is added to the ranks of this endpoint's slots; 0 in the own zone. */
+    /** Returns the penalty that is added to the ranks of this endpoint's slots; 0 in the own zone. */
     double rankPenalty(EndpointRecord endpoint) {
         return ranking.isInOtherZone(endpoint) ? rankPenalty : 0;
     }
 
-    /** Takes in a request; {@code baseMs} is its class's response time without queueing. */
+    /** Records a request; {@code baseMs} is its class's response time without queueing. */
     void onRequest(double baseMs) {
         demandMs += baseMs;
     }
 
-    /** Takes in the queueing delay ratio of an attempt at this endpoint. */
+    /** Records the queueing delay ratio of an attempt at this endpoint. */
     void onQueueingDelay(EndpointRecord endpoint, double ratio) {
         if (ranking.isInOtherZone(endpoint)) {
             otherZonesQueueingDelayRatio += SMOOTHING_FACTOR * (ratio - otherZonesQueueingDelayRatio);
@@ -79,17 +82,20 @@
         double requestsInFlight = demandMs / Math.max(elapsedMs, 1);
         demandMs = 0;
         boolean isFirst = typicalRequestsInFlight == 0;
-        // A sudden burst must not pass for typical: it counts for twice the typical demand at most.
-        double counted = isFirst ? requestsInFlight : Math.min(requestsInFlight, 2 * typicalRequestsInFlight + 1);
+        // A sudden burst must not count as typical demand, so it counts as at most twice the typical demand plus one.
+        double countedRequests =
+                isFirst ? requestsInFlight : Math.min(requestsInFlight, 2 * typicalRequestsInFlight + 1);
         double weight = isFirst ? FIRST_DEMAND_WEIGHT : rounds / AVERAGING_ROUNDS;
-        typicalRequestsInFlight += weight * (counted - typicalRequestsInFlight);
+        typicalRequestsInFlight += weight * (countedRequests - typicalRequestsInFlight);
     }
 
     private void updateStrength(double rounds) {
-        boolean crossingPays =
+        boolean isCrossingWorthwhile =
                 ownZoneQueueingDelayRatio > otherZonesQueueingDelayRatio + CROSSING_COST_MULTIPLE * crossZoneCost;
-        strength = crossingPays ? strength * STRENGTH_DECREASE_FACTOR : Math.min(1, strength + STRENGTH_INCREASE);
-        // Other zones are known only by requests sent there: without any, they are taken to be idle again.
+        strength =
+                isCrossingWorthwhile ? strength * STRENGTH_DECREASE_FACTOR : Math.min(1, strength + STRENGTH_INCREASE);
+        // The load of other zones is known only from requests sent there. Without any, they are gradually assumed to be
+        // idle.
         otherZonesQueueingDelayRatio *= 1 - rounds / AVERAGING_ROUNDS;
     }
 }
--- a/core/src/main/java/lemonrail/core/policy/package-info.java
+++ b/core/src/main/java/lemonrail/core/policy/package-info.java
@@ -1,2 +1,5 @@
-/** The load balancer: every decision on a request, one class a rule. No I/O, no clock, no threads. */
+/**
+ * The load balancer: all decisions on requests, with one class per rule. Nothing here does I/O, reads a clock or uses
+ * threads.
+ */
 package lemonrail.core.policy;
--- a/core/src/main/java/lemonrail/core/replication/AppliedVersions.java
+++ b/core/src/main/java/lemonrail/core/replication/AppliedVersions.java
@@ -10,15 +10,15 @@
 import java.util.stream.Stream;
 
 /**
- * The watchers of one node, the settings version that each applies, and which versions were rejected and why.
- * Not thread-safe; times are in milliseconds.
+ * Tracks the watchers of one control node: the settings version that each applies, and the versions that were rejected
+ * with the reasons. Not thread-safe; times are in milliseconds.
  */
 public final class AppliedVersions {
 
-    /** A watcher without a request for this long is forgotten: three times the longest watch. */
+    /** A watcher that sends no request for this long is dropped. The time is three times the longest watch. */
     public static final long WATCHER_TIMEOUT_MS = 180_000;
 
-    /** The most watchers that a summary names, for each list. */
+    /** The maximum number of watchers in each list of a summary. */
     private static final int MAX_NAMES = 8;
 
     private static final int MAX_WATCHERS = 8192;
@@ -26,11 +26,11 @@
     /**
      * One document's state at the watchers of a node.
      *
-     * @param watchers how many follow it
+     * @param watchers the number of watchers that follow the document
      * @param oldestApplied the lowest version applied by any of them
-     * @param oldestWatchers some of those that apply it
-     * @param rejectionCount how many have rejected a newer version than they apply
-     * @param rejections the reports of some of them
+     * @param oldestWatchers the names of some watchers that apply the lowest version
+     * @param rejectionCount the number of watchers that rejected a newer version than they apply
+     * @param rejections the reports of some of these watchers
      */
     public record Summary(
             String document,
@@ -46,10 +46,10 @@
         }
     }
 
-    /** The last report of each watcher, the oldest first. */
+    /** The last report of each watcher, oldest first. */
     private final LinkedHashMap<String, TimedReport> reports = new LinkedHashMap<>();
 
-    /** Records a watcher's report, and forgets watchers that are silent or in excess. */
+    /** Records a watcher's report, and drops watchers that have timed out or exceed the maximum number. */
     public void onReport(long nowMs, WatcherReport report) {
         reports.remove(report.watcher());
         reports.put(report.watcher(), new TimedReport(report, nowMs));
@@ -67,7 +67,7 @@
         return (int) activeReports(nowMs).count();
     }
 
-    /** Returns a summary for each document that is followed, by name. */
+    /** Returns a summary for each document that watchers follow, sorted by name. */
     public List<Summary> summaries(long nowMs) {
         Map<String, List<WatcherReport>> byDocument = new TreeMap<>();
         activeReports(nowMs)
@@ -76,7 +76,7 @@
                         .computeIfAbsent(report.document(), name -> new ArrayList<>())
                         .add(report));
         List<Summary> summaries = new ArrayList<>();
-        byDocument.forEach((document, ofDocument) -> summaries.add(summarize(document, ofDocument)));
+        byDocument.forEach((document, documentReports) -> summaries.add(summarize(document, documentReports)));
         return summaries;
     }
 
--- a/core/src/main/java/lemonrail/core/replication/HybridLogicalClock.java
+++ b/core/src/main/java/lemonrail/core/replication/HybridLogicalClock.java
@@ -1,6 +1,8 @@
 package lemonrail.core.replication;
 
-/** A hybrid logical clock: close to wall-clock time, and each reading above all earlier and observed ones. */
+/**
+ * A hybrid logical clock. It stays close to wall-clock time, and each reading is above all earlier and observed ones.
+ */
 final class HybridLogicalClock {
 
     private final String origin;
@@ -22,7 +24,7 @@
         return new HybridTimestamp(timeMs, counter, origin);
     }
 
-    /** Advances the clock to a timestamp of another node. */
+    /** Advances the clock to a timestamp of another node, if that is ahead. */
     void observe(HybridTimestamp timestamp) {
         boolean isAhead =
                 timestamp.timeMs() > timeMs || (timestamp.timeMs() == timeMs && timestamp.counter() > counter);
--- a/core/src/main/java/lemonrail/core/replication/HybridTimestamp.java
+++ b/core/src/main/java/lemonrail/core/replication/HybridTimestamp.java
@@ -12,20 +12,20 @@
  */
 public record HybridTimestamp(long timeMs, int counter, String origin) implements Comparable<HybridTimestamp> {
 
-    /** Lower than all others. */
+    /** The lowest timestamp, which stands for no version. */
     public static final HybridTimestamp NONE = new HybridTimestamp(0, 0, "");
 
-    /** Suffix of the origin of a backdated write, which is outside its node's sequence. */
+    /** Suffix of the origin of a backdated write, which does not belong to its node's sequence of timestamps. */
     private static final String BACKDATED_SUFFIX = "~";
 
     private static final int ENCODED_PARTS = 3;
 
-    /** Returns the timestamp of a write that a node has accepted on behalf of an earlier time. */
+    /** Returns the timestamp of a write that a node has accepted with an earlier time. */
     static HybridTimestamp backdated(long timeMs, String origin) {
         return new HybridTimestamp(timeMs, 0, origin + BACKDATED_SUFFIX);
     }
 
-    /** Returns whether the write was backdated, so that later writes of its node do not acknowledge it. */
+    /** Returns whether the write was backdated. Later writes of its node then do not acknowledge it. */
     boolean isBackdated() {
         return origin.endsWith(BACKDATED_SUFFIX);
     }
@@ -33,7 +33,7 @@
     /**
      * Returns whether a replica with this acknowledged version vector has received this version.
      *
-     * @param acknowledgedVersions for each node the timestamp up to which all its writes were received
+     * @param acknowledgedVersions for each node, the timestamp up to which all its writes were received
      */
     boolean isAcknowledgedBy(Map<String, HybridTimestamp> acknowledgedVersions) {
         return !isBackdated() && compareTo(acknowledgedVersions.getOrDefault(origin, NONE)) <= 0;
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Reads the form of {@link #encode()}.
+     * Parses the form that {@link #encode()} returns.
      *
      * @throws IllegalArgumentException if the text is not a timestamp
      */
@@ -76,8 +76,8 @@
                 }
             }
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("no stamp: " + text, e);
+            throw new IllegalArgumentException("invalid hybrid timestamp: " + text, e);
         }
-        throw new IllegalArgumentException("no stamp: " + text);
+        throw new IllegalArgumentException("invalid hybrid timestamp: " + text);
     }
 }
--- a/core/src/main/java/lemonrail/core/replication/MergeOutcome.java
+++ b/core/src/main/java/lemonrail/core/replication/MergeOutcome.java
@@ -6,11 +6,11 @@
     APPLIED,
     /** The same version, or a removal of an absent entry: nothing changed. */
     ALREADY_KNOWN,
-    /** A newer version, or a forgotten removal, wins: nothing changed. */
+    /** A newer version, or a removal whose tombstone was dropped, wins: nothing changed. */
     SUPERSEDED,
     /** Rejected: the timestamp is too far ahead of the local clock. */
     CLOCK_AHEAD,
-    /** Rejected: a bound of the store is reached. */
+    /** Rejected: the store has reached one of its bounds. */
     STORE_FULL;
 
     /** Returns whether the version was rejected by a bound, not by a newer version. */
--- a/core/src/main/java/lemonrail/core/replication/MergeResult.java
+++ b/core/src/main/java/lemonrail/core/replication/MergeResult.java
@@ -3,10 +3,10 @@
 import java.util.Set;
 
 /**
- * What the merge of another node's entries has changed.
+ * The result of merging another node's entries.
  *
  * @param changedTopics the topics with applied entries
- * @param appliedCount how many entries were applied
- * @param rejectedCount how many entries were rejected by a bound of the store
+ * @param appliedCount the number of entries that were applied
+ * @param rejectedCount the number of entries that were rejected, see {@link MergeOutcome#isRejected}
  */
 public record MergeResult(Set<String> changedTopics, int appliedCount, int rejectedCount) {}
--- a/core/src/main/java/lemonrail/core/replication/NodeSelector.java
+++ b/core/src/main/java/lemonrail/core/replication/NodeSelector.java
@@ -5,16 +5,17 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects the control node that a watcher watches at. It fails over to the next node when one fails or lags
- * behind, and returns to the preferred node after a randomized time. Not thread-safe; times are in
- * milliseconds.
+ * Selects the control node that a watcher uses. It fails over to the next node when the current one fails or is stale,
+ * and returns to the preferred node after a randomized time. Not thread-safe; times are in milliseconds.
  */
 public final class NodeSelector {
 
     /** A node that has received nothing from its peers for this long is considered stale. */
     static final double STALE_AFTER_MS = 5_000;
 
-    /** The mean time between two moves away from stale nodes: where all are stale, moving does not help. */
+    /**
+     * The mean time between two moves away from stale nodes. If all nodes are stale, moving more often does not help.
+     */
     private static final double STALE_MOVE_INTERVAL_MS = 30_000;
 
     /** The range of times after which a watcher returns to its preferred node. */
@@ -23,8 +24,8 @@
     static final double MAX_RETURN_MS = 60_000;
 
     /**
-     * The range of times after which a watcher at another region's node probes its own region. It is shorter:
-     * if the regions are partitioned, that node receives no updates of the watcher's region.
+     * The range of times after which a watcher at another region's node probes its own region. It is shorter because
+     * that node receives no updates of the watcher's region while the regions are partitioned.
      */
     static final double MIN_REGION_PROBE_MS = 5_000;
 
@@ -37,7 +38,7 @@
 
     private static final double MIN_JITTER_FACTOR = 0.5;
 
-    /** Where the watcher is. */
+    /** Which kind of node the watcher uses. */
     private enum State {
         /** At the first node of its order. */
         AT_PREFERRED_NODE,
@@ -49,7 +50,7 @@
         PROBING_OWN_REGION
     }
 
-    private final List<String> order = new ArrayList<>();
+    private final List<String> nodeOrder = new ArrayList<>();
     private final SplittableRandom random;
     private final int ownRegionCount;
     private State state = State.AT_PREFERRED_NODE;
@@ -67,30 +68,30 @@
      * Creates a selector at the watcher's preferred node.
      *
      * @param watcher the watcher's name, which determines its order of the nodes
-     * @param regionNodes the nodes of its region
-     * @param fallbackNodes nodes of other regions, tried after all of its region have failed
-     * @param seed of the random times
+     * @param regionNodes the nodes of the watcher's region
+     * @param fallbackNodes the nodes of other regions, tried after all nodes of the watcher's region have failed
+     * @param seed the seed of the random times
      * @throws IllegalArgumentException if there is no node
      */
     public NodeSelector(String watcher, List<String> regionNodes, List<String> fallbackNodes, long seed) {
-        order.addAll(RendezvousOrder.order(watcher, regionNodes));
-        ownRegionCount = order.size();
+        nodeOrder.addAll(RendezvousOrder.order(watcher, regionNodes));
+        ownRegionCount = nodeOrder.size();
         RendezvousOrder.order(watcher, fallbackNodes).stream()
-                .filter(node -> !order.contains(node))
-                .forEach(order::add);
-        if (order.isEmpty()) {
-            throw new IllegalArgumentException("there must be a node to watch");
+                .filter(node -> !nodeOrder.contains(node))
+                .forEach(nodeOrder::add);
+        if (nodeOrder.isEmpty()) {
+            throw new IllegalArgumentException("at least one node to watch is required");
         }
         random = new SplittableRandom(seed);
     }
 
-    /** Returns the node to watch at. */
+    /** Returns the node that the watcher should use. */
     public String currentNode() {
-        return order.get(currentIndex);
+        return nodeOrder.get(currentIndex);
     }
 
     /**
-     * Handles a failure of the current node: another one is current from now on.
+     * Handles a failure of the current node, and selects another node.
      *
      * @return the backoff in milliseconds before the next attempt, 0 for none
      */
@@ -102,11 +103,13 @@
         }
         failOver(nowMs);
         consecutiveFailures++;
-        boolean allNodesFailed = consecutiveFailures % order.size() == 0;
+        boolean allNodesFailed = consecutiveFailures % nodeOrder.size() == 0;
         return allNodesFailed ? nextBackoffMs() : 0;
     }
 
-    /** Jittered: when all nodes fail, other watchers see the same at the same instant. */
+    /**
+     * Returns the next backoff with jitter, because when all nodes fail, other watchers notice it at the same moment.
+     */
     private double nextBackoffMs() {
         double jitteredMs = jitter(backoffMs);
         backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
@@ -117,7 +120,7 @@
      * Handles a response of the current node.
      *
      * @param replicationAgeMs the time since that node received anything from a peer
-     * @return whether another node is current from now on
+     * @return whether another node was selected
      */
     public boolean onResponse(double nowMs, double replicationAgeMs) {
         consecutiveFailures = 0;
@@ -126,7 +129,7 @@
             moveTo(currentIndex);
             scheduleReturn(nowMs);
         }
-        if (replicationAgeMs > STALE_AFTER_MS && nowMs >= nextStaleMoveAtMs && order.size() > 1) {
+        if (replicationAgeMs > STALE_AFTER_MS && nowMs >= nextStaleMoveAtMs && nodeOrder.size() > 1) {
             nextStaleMoveAtMs = nowMs + jitter(STALE_MOVE_INTERVAL_MS);
             failOver(nowMs);
             return true;
@@ -156,7 +159,7 @@
         if (state == State.AT_PREFERRED_NODE) {
             scheduleReturn(nowMs);
         }
-        moveTo((currentIndex + 1) % order.size());
+        moveTo((currentIndex + 1) % nodeOrder.size());
         if (currentIndex == ownRegionCount) {
             scheduleRegionProbe(nowMs);
         }
--- a/core/src/main/java/lemonrail/core/replication/RendezvousOrder.java
+++ b/core/src/main/java/lemonrail/core/replication/RendezvousOrder.java
@@ -5,19 +5,19 @@
 import lemonrail.core.StableHash;
 
 /**
- * Rendezvous (highest random weight) hashing of watchers to control nodes. Each watcher has an order of its own,
- * so that watchers are spread evenly over the nodes, and those of a failed node evenly over the others.
+ * Rendezvous (highest random weight) hashing of watchers to control nodes. Each watcher has its own order of nodes, so
+ * that watchers are spread evenly over the nodes, and the watchers of a failed node evenly over the other nodes.
  */
 public final class RendezvousOrder {
 
     private RendezvousOrder() {}
 
-    /** Returns the distinct nodes by falling weight for this watcher, ties by name. */
+    /** Returns the distinct nodes by descending weight for this watcher, and by name for equal weights. */
     public static List<String> order(String watcher, List<String> nodes) {
-        Comparator<String> byFallingWeight = Comparator.comparingLong(node -> -weight(watcher, node));
+        Comparator<String> byDescendingWeight = Comparator.comparingLong(node -> -weight(watcher, node));
         return nodes.stream()
                 .distinct()
-                .sorted(byFallingWeight.thenComparing(Comparator.naturalOrder()))
+                .sorted(byDescendingWeight.thenComparing(Comparator.naturalOrder()))
                 .toList();
     }
 
--- a/core/src/main/java/lemonrail/core/replication/ReplicatedStore.java
+++ b/core/src/main/java/lemonrail/core/replication/ReplicatedStore.java
@@ -13,27 +13,28 @@
 import java.util.TreeSet;
 
 /**
- * The replicated entries of one control node. Of two versions of an entry the one with the higher timestamp
- * wins, in whatever order and by whatever node they arrive. Not thread-safe; callers pass the time, in
- * milliseconds of Unix time.
+ * The replicated entries of one control node. Of two versions of an entry the one with the higher timestamp wins,
+ * whatever the order in which and the nodes from which they arrive. Not thread-safe; callers pass the current Unix time
+ * in milliseconds.
  */
 public final class ReplicatedStore {
 
-    /** The time of a write that stands for the present. */
+    /** The as-of time of a write that takes effect at the current time. */
     public static final long AS_OF_NOW = Long.MAX_VALUE;
 
     /**
      * The bounds of a store.
      *
-     * @param maxTopics services and settings documents
-     * @param maxEntries live entries in all topics
-     * @param maxTombstones removals that are remembered, the oldest being forgotten first
-     * @param tombstoneRetentionMs how long a removal is remembered at most
-     * @param maxClockAheadMs a timestamp further ahead of the local clock is rejected
+     * @param maxTopics the maximum number of services and settings documents
+     * @param maxEntries the maximum number of live entries in all topics
+     * @param maxTombstones the maximum number of tombstones; the oldest is dropped first
+     * @param tombstoneRetentionMs the maximum time for which a tombstone is kept
+     * @param maxClockAheadMs the maximum time by which a timestamp may be ahead of the local clock without being
+     *     rejected
      */
     public record Bounds(
             int maxTopics, int maxEntries, int maxTombstones, long tombstoneRetentionMs, long maxClockAheadMs) {
-        /** Twenty times the endpoints of the target; removals of a day. */
+        /** Entries for twenty times the target number of endpoints, and tombstones kept for one day. */
         public static final Bounds DEFAULT = new Bounds(1024, 20_000, 16_384, 86_400_000, 60_000);
     }
 
@@ -49,7 +50,7 @@
     private final Map<String, Topic> topics = new HashMap<>();
     private final ArrivalIndex arrivals;
     private final Tombstones tombstones;
-    /** For each node the timestamp up to which all its writes have been received. */
+    /** For each node, the timestamp up to which all its writes have been received. */
     private final Map<String, HybridTimestamp> acknowledgedVersions = new TreeMap<>();
 
     private int liveCount;
@@ -58,7 +59,7 @@
     /**
      * Creates an empty store that is not ready.
      *
-     * @param origin the name of the node, which marks its writes
+     * @param origin the name of the node, which is part of the timestamps of its writes
      */
     public ReplicatedStore(String origin, Bounds bounds, long nowMs) {
         this.origin = origin;
@@ -73,7 +74,7 @@
         return ready;
     }
 
-    /** Declares the content complete; it may be served and written from now on. */
+    /** Marks the content as complete. It may be served and written from then on. */
     public void markReady() {
         ready = true;
     }
@@ -88,15 +89,15 @@
     }
 
     /**
-     * Writes an entry on behalf of an earlier time, as for a change that is repeated at another node. Its
-     * timestamp is of that time and outside this node's sequence.
+     * Writes an entry with an earlier time, for example when a change is repeated at another node. The timestamp then
+     * has that earlier time and does not belong to this node's sequence.
      *
-     * @param asOfMs the time that the write stands for; from {@code nowMs} on it is a current one
+     * @param asOfMs the time of the write; if it is not before {@code nowMs}, the current time is used
      * @throws IllegalStateException if the store is not ready
      */
     public MergeOutcome writeAsOf(long nowMs, long asOfMs, String topic, String id, boolean removed, String body) {
         if (!ready) {
-            throw new IllegalStateException("not ready: no other node has been heard yet");
+            throw new IllegalStateException("store is not ready: no state has been received from another node yet");
         }
         boolean backdated = asOfMs < nowMs;
         HybridTimestamp timestamp = backdated ? HybridTimestamp.backdated(asOfMs, origin) : clock.tick(nowMs);
@@ -105,9 +106,9 @@
         if (stored != null && timestamp.compareTo(stored.entry().timestamp()) <= 0) {
             return entry.equals(stored.entry()) ? MergeOutcome.ALREADY_KNOWN : MergeOutcome.SUPERSEDED;
         }
-        // A backdated removal is stored even if the entry is unknown: an older version may still arrive.
-        boolean alreadyAbsent = stored == null ? !backdated : stored.isRemoved();
-        if (removed && alreadyAbsent) {
+        // A backdated removal is stored even if the entry is unknown, because an older version may still arrive.
+        boolean isAlreadyAbsent = stored == null ? !backdated : stored.isRemoved();
+        if (removed && isAlreadyAbsent) {
             return MergeOutcome.ALREADY_KNOWN;
         }
         if (!hasCapacityFor(stored, topic, removed)) {
@@ -129,11 +130,11 @@
     }
 
     /**
-     * Merges the entries of one response of another node. Until this store is ready they are numbered by their
-     * timestamps: no version has been given out yet, and watchers that resume from another node's version then
-     * lack little.
+     * Merges the entries of one response from another node. Until this store is ready their arrival numbers are derived
+     * from their timestamps. That is possible because no version has been given out yet, and it means that watchers
+     * that resume from another node's version miss few entries.
      *
-     * @param entries of the response, in any order
+     * @param entries the entries of the response, in any order
      * @param peerAcknowledgedVersions that node's acknowledged version vector
      * @param peer that node's name, empty for a snapshot
      */
@@ -145,11 +146,12 @@
         Set<String> changedTopics = new TreeSet<>();
         int appliedCount = 0;
         int rejectedCount = 0;
-        List<VersionedEntry> ordered = new ArrayList<>(entries);
-        // By timestamp: a later entry of a node acknowledges its earlier ones, which would look forgotten.
-        ordered.sort(Comparator.comparing(VersionedEntry::timestamp));
+        List<VersionedEntry> entriesByTimestamp = new ArrayList<>(entries);
+        // Sorted by timestamp, because a later entry of a node acknowledges its earlier ones, which would then be taken
+        // for removed entries.
+        entriesByTimestamp.sort(Comparator.comparing(VersionedEntry::timestamp));
         long arrivalByTime = 0;
-        for (VersionedEntry entry : ordered) {
+        for (VersionedEntry entry : entriesByTimestamp) {
             arrivalByTime = Math.max(
                     arrivalByTime + 1,
                     ArrivalIndex.firstVersionAt(entry.timestamp().timeMs()));
@@ -188,7 +190,7 @@
                 return comparison == 0 ? MergeOutcome.ALREADY_KNOWN : MergeOutcome.SUPERSEDED;
             }
         } else if (timestamp.isAcknowledgedBy(acknowledgedVersions)) {
-            // It was received and is absent: it has been removed, and the tombstone is forgotten.
+            // The version was received before and is absent now: it has been removed, and its tombstone was dropped.
             return MergeOutcome.SUPERSEDED;
         }
         if (!hasCapacityFor(stored, entry.topic(), entry.removed())) {
@@ -225,7 +227,7 @@
         for (Optional<StoredEntry> excess = tombstones.oldestInExcess();
                 excess.isPresent();
                 excess = tombstones.oldestInExcess()) {
-            forget(excess.get());
+            dropTombstone(excess.get());
         }
     }
 
@@ -239,7 +241,7 @@
         }
     }
 
-    private void forget(StoredEntry tombstone) {
+    private void dropTombstone(StoredEntry tombstone) {
         String topicName = tombstone.entry().topic();
         Topic topic = topics.get(topicName);
         unindex(topic, tombstone);
@@ -249,12 +251,12 @@
         }
     }
 
-    /** Forgets the removals whose retention is over. */
+    /** Drops the tombstones whose retention time has passed. */
     public void expireTombstones(long nowMs) {
         for (Optional<StoredEntry> expired = tombstones.oldestExpired(nowMs);
                 expired.isPresent();
                 expired = tombstones.oldestExpired(nowMs)) {
-            forget(expired.get());
+            dropTombstone(expired.get());
         }
     }
 
@@ -263,22 +265,22 @@
         return arrivals.currentVersion(nowMs);
     }
 
-    /** Returns a version moved back by a time, for one that another node has given out. */
+    /** Returns the version moved back by the given time, for a version that another node has given out. */
     public static long rewind(long version, long byMs) {
         return ArrivalIndex.rewind(version, byMs);
     }
 
-    /** Returns the last arrival in these topics at or below a version, 0 if there is none. */
+    /** Returns the last arrival in these topics at or below the version, or 0 if there is none. */
     public long lastArrival(Collection<String> topicNames, long version) {
         return arrivals.lastArrival(topicNames, version);
     }
 
-    /** Returns whether anything arrived in these topics after a version. */
+    /** Returns whether any entry arrived in these topics after the version. */
     public boolean hasNewer(Collection<String> topicNames, long version) {
         return lastArrival(topicNames, Long.MAX_VALUE) > version;
     }
 
-    /** Returns what arrived in these topics after a version, removals included, in the order of arrival. */
+    /** Returns the entries that arrived in these topics after the version, including removals, in order of arrival. */
     public List<VersionedEntry> entriesSince(Collection<String> topicNames, long version) {
         return arrivals.arrivedSince(topicNames, version).stream()
                 .map(StoredEntry::entry)
@@ -292,12 +294,12 @@
                 .toList();
     }
 
-    /** Returns all entries, removals included, in the order of arrival: the full snapshot for a node. */
+    /** Returns all entries, including removals, in order of arrival. They are the full snapshot for another node. */
     public List<VersionedEntry> allEntries() {
         return arrivals.all().stream().map(StoredEntry::entry).toList();
     }
 
-    /** Returns what arrived in all topics after a version, except for what this peer has sent. */
+    /** Returns the entries that arrived in all topics after the version, except those that this peer has sent. */
     public List<VersionedEntry> entriesForPeerSince(String peer, long version) {
         return arrivals.arrivedSince(version).stream()
                 .filter(stored -> !stored.receivedFrom().equals(peer))
@@ -305,7 +307,7 @@
                 .toList();
     }
 
-    /** Returns the winning version of an entry, which may be a removal; null if there is none. */
+    /** Returns the winning version of an entry, which may be a removal, or null if there is none. */
     public VersionedEntry get(String topic, String id) {
         StoredEntry stored = stored(topic, id);
         return stored == null ? null : stored.entry();
@@ -321,7 +323,7 @@
         return sum;
     }
 
-    /** Returns the acknowledged version vector: for each node the timestamp of its last write received. */
+    /** Returns the acknowledged version vector: for each node, the timestamp of the last write received. */
     public Map<String, HybridTimestamp> acknowledgedVersions() {
         return new LinkedHashMap<>(acknowledgedVersions);
     }
@@ -336,7 +338,7 @@
         return liveCount;
     }
 
-    /** Returns the number of removals that are remembered. */
+    /** Returns the number of tombstones. */
     public int tombstoneCount() {
         return tombstones.size();
     }
--- a/core/src/main/java/lemonrail/core/replication/StoredEntry.java
+++ b/core/src/main/java/lemonrail/core/replication/StoredEntry.java
@@ -4,8 +4,8 @@
  * An entry as one node stores it.
  *
  * @param entry the winning version
- * @param arrival its number in the node's order of arrival, see {@link ArrivalIndex}
- * @param receivedFrom the node that sent it, empty for a local write
+ * @param arrival its arrival number at this node, see {@link ArrivalIndex}
+ * @param receivedFrom the node from which it was received; empty for a local write
  */
 record StoredEntry(VersionedEntry entry, long arrival, String receivedFrom) {
 
--- a/core/src/main/java/lemonrail/core/replication/Tombstones.java
+++ b/core/src/main/java/lemonrail/core/replication/Tombstones.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The removals that a node remembers, bounded in number and age; the oldest arrival is forgotten first. */
+/** The tombstones of one node, bounded in number and age. The one that arrived first is dropped first. */
 final class Tombstones {
 
     private final int maxCount;
@@ -27,12 +27,12 @@
         return byArrival.size();
     }
 
-    /** Returns the oldest tombstone while there are more than the bound. */
+    /** Returns the oldest tombstone if there are more than the maximum. */
     Optional<StoredEntry> oldestInExcess() {
         return byArrival.size() > maxCount ? oldest() : Optional.empty();
     }
 
-    /** Returns the oldest tombstone if its retention is over. */
+    /** Returns the oldest tombstone if its retention time has passed. */
     Optional<StoredEntry> oldestExpired(long nowMs) {
         return oldest().filter(tombstone -> tombstone.entry().timestamp().timeMs() < nowMs - retentionMs);
     }
--- a/core/src/main/java/lemonrail/core/replication/VersionedEntry.java
+++ b/core/src/main/java/lemonrail/core/replication/VersionedEntry.java
@@ -16,7 +16,7 @@
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
-    /** Separates hashed texts: no UTF-16 unit has this value. */
+    /** The terminator between hashed texts. No UTF-16 unit has this value. */
     private static final long TEXT_END = 0x10000;
 
     /** Returns the topic of a settings document. */
@@ -34,12 +34,12 @@
         return isSettingsTopic(topic);
     }
 
-    /** Returns this entry's term of a digest, which is the sum over all live entries. */
+    /** Returns this entry's contribution to a digest, which is the sum over all live entries. */
     long digest() {
         return digest(topic, id, timestamp);
     }
 
-    /** Returns an entry's term of a digest: 64 bits, equal in every process. */
+    /** Returns an entry's contribution to a digest: a 64-bit hash that is the same in every process. */
     static long digest(String topic, String id, HybridTimestamp timestamp) {
         long hash = FNV_OFFSET_BASIS;
         hash = addText(hash, topic);
@@ -49,7 +49,7 @@
         return mix(hash + timestamp.counter());
     }
 
-    /** 64-bit FNV-1a over the text's UTF-16 units and a terminator. */
+    /** Continues a 64-bit FNV-1a hash over the text's UTF-16 units and a terminator. */
     private static long addText(long start, String text) {
         long hash = start;
         for (int i = 0; i < text.length(); i++) {
@@ -58,7 +58,7 @@
         return (hash ^ TEXT_END) * FNV_PRIME;
     }
 
-    /** The finalizer of SplitMix64. */
+    /** Returns the value after the SplitMix64 finalizer. */
     private static long mix(long value) {
         long z = value + 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/core/src/main/java/lemonrail/core/replication/WatcherReplica.java
+++ b/core/src/main/java/lemonrail/core/replication/WatcherReplica.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 
 /**
- * A watcher's replica of its topics, reduced to the timestamps. They tell updates from what is known already,
- * also after a move to a node that has received less.
+ * A watcher's replica of its topics, which holds only the entries' timestamps. They distinguish updates from known
+ * versions, also after a move to a node that has received fewer versions.
  */
 public final class WatcherReplica {
 
-    /** The removals that are remembered; the oldest is forgotten first. */
+    /** The maximum number of tombstones. The oldest is dropped first. */
     static final int MAX_TOMBSTONES = 4096;
 
     /** Identifies an entry. */
@@ -34,7 +34,7 @@
     /**
      * Applies one version of an entry.
      *
-     * @return whether it wins and changes what the watcher sees; a removal of an absent entry does not
+     * @return whether the version wins and changes the live entries; a removal of an absent entry does not change them
      */
     public boolean apply(Key key, HybridTimestamp timestamp, boolean removed) {
         HybridTimestamp known = live.getOrDefault(key, tombstones.get(key));
@@ -45,7 +45,7 @@
         if (previous != null) {
             digest -= digestOf(key, previous);
         }
-        // Removed first, so that a repeated removal becomes the youngest.
+        // Removed before it is added again, so that a repeated removal becomes the newest.
         tombstones.remove(key);
         if (removed) {
             tombstones.put(key, timestamp);
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Drops what a full snapshot does not contain and its node has received; what that node has not received
-     * yet stays.
+     * Drops entries that a full snapshot does not contain although its node has received them. Entries that the node
+     * has not received yet are kept.
      *
      * @param listed the entries of the snapshot
      * @param acknowledgedVersions the node's acknowledged version vector
@@ -68,8 +68,8 @@
         Set<Key> present = Set.copyOf(listed);
         List<Key> dropped = new ArrayList<>();
         live.forEach((key, timestamp) -> {
-            boolean receivedByNode = timestamp.isBackdated() || timestamp.isAcknowledgedBy(acknowledgedVersions);
-            if (!present.contains(key) && receivedByNode) {
+            boolean wasReceivedByNode = timestamp.isBackdated() || timestamp.isAcknowledgedBy(acknowledgedVersions);
+            if (!present.contains(key) && wasReceivedByNode) {
                 dropped.add(key);
             }
         });
@@ -81,7 +81,7 @@
         return VersionedEntry.digest(key.topic(), key.id(), timestamp);
     }
 
-    /** Returns the digest over all live entries, as the nodes calculate it. */
+    /** Returns the digest over all live entries, computed as the control nodes do. */
     public long digest() {
         return digest;
     }
--- a/core/src/main/java/lemonrail/core/replication/package-info.java
+++ b/core/src/main/java/lemonrail/core/replication/package-info.java
@@ -1,2 +1,4 @@
-/** The replicated state of control nodes and of their watchers. No I/O, no clock, no threads. */
+/**
+ * The replicated state of control nodes and of their watchers. Nothing here does I/O, reads a clock or uses threads.
+ */
 package lemonrail.core.replication;
--- a/core/src/test/java/lemonrail/core/AdmissionRateTest.java
+++ b/core/src/test/java/lemonrail/core/AdmissionRateTest.java
@@ -10,7 +10,7 @@
 class AdmissionRateTest {
 
     @Test
-    void estimateIsThePriorAtFirst() {
+    void estimateIsPriorBeforeAnyRequest() {
         assertEquals(0.3, new AdmissionRate().estimate(0.3));
     }
 
@@ -24,29 +24,31 @@
     }
 
     @Test
-    void estimateFollowsTheRecentRate() {
+    void estimateFollowsRecentRate() {
         AdmissionRate rate = new AdmissionRate();
         for (int i = 0; i < 500; i++) {
             rate.recordRequest(true);
             rate.recordServed();
         }
-        assertTrue(rate.estimate(0) > 0.96 && rate.estimate(1) <= 1, "all served " + rate.estimate(0));
+        assertTrue(
+                rate.estimate(0) > 0.96 && rate.estimate(1) <= 1,
+                "estimate with all requests served: " + rate.estimate(0));
         for (int i = 0; i < 500; i++) {
             rate.recordRequest(true);
             if (i % 5 == 0) {
                 rate.recordServed();
             }
         }
-        assertEquals(0.2, rate.estimate(0), 0.05, "one in five");
+        assertEquals(0.2, rate.estimate(0), 0.05, "estimate with one in five requests served");
         for (int i = 0; i < 500; i++) {
             rate.recordRequest(true);
         }
-        assertEquals(0, rate.estimate(0), 0.001, "none");
+        assertEquals(0, rate.estimate(0), 0.001, "estimate with no request served");
     }
 
-    /** Guards against balancers with little traffic that each overestimate the rate. */
+    /** Guards against low-traffic balancers that each overestimate the rate. */
     @Test
-    void meanOverManyEstimatorsWithLittleTrafficIsCloseToTheRate() {
+    void meanOfLowTrafficEstimatesIsCloseToRate() {
         SplittableRandom random = new SplittableRandom(5);
         int processes = 1000;
         double sum = 0;
@@ -60,6 +62,6 @@
             }
             sum += rate.estimate(0);
         }
-        assertTrue(sum / processes > 0.05 && sum / processes < 1.0 / 6, "mean " + sum / processes);
+        assertTrue(sum / processes > 0.05 && sum / processes < 1.0 / 6, "mean estimate " + sum / processes);
     }
 }
--- a/core/src/test/java/lemonrail/core/ConnectFailureRateTest.java
+++ b/core/src/test/java/lemonrail/core/ConnectFailureRateTest.java
@@ -6,28 +6,32 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Checks which failed connects count as chance. */
+/** Checks which failed connects are attributed to chance. */
 class ConnectFailureRateTest {
 
-    /** Guards against servers that are ejectedEndpoints by chance, and against dead ones that pass for chance. */
+    /**
+     * Guards against the ejection of healthy endpoints for random connect failures, and against dead endpoints whose
+     * failures are attributed to chance.
+     */
     @Test
-    void failedConnectsAreChanceWhereHealthyEndpointsHaveThemToo() {
-        ConnectFailureRate calm = new ConnectFailureRate();
-        calm.recordSuccess(0);
-        assertFalse(calm.isProbablyChance(1), "none fails where all is well");
-        ConnectFailureRate late = new ConnectFailureRate();
+    void connectFailuresAreAttributedToChanceUpToTheRateOfHealthyEndpoints() {
+        ConnectFailureRate withoutFailures = new ConnectFailureRate();
+        withoutFailures.recordSuccess(0);
+        assertFalse(withoutFailures.isProbablyChance(1), "one failure, at a rate of 0");
+        ConnectFailureRate withFailures = new ConnectFailureRate();
         Random random = new Random(5);
         for (int i = 0; i < 200; i++) {
-            int failed = 0;
+            int precedingFailures = 0;
             while (random.nextInt(3) == 0) {
-                failed++;
+                precedingFailures++;
             }
-            late.recordSuccess(failed);
+            withFailures.recordSuccess(precedingFailures);
         }
-        assertTrue(late.isProbablyChance(1), "one in three fails");
-        assertFalse(late.isProbablyChance(4), "four in a row are beyond that");
-        ConnectFailureRate back = new ConnectFailureRate();
-        back.recordSuccess(9);
-        assertFalse(back.isProbablyChance(2), "a server that was away for a while makes no others' failures chance");
+        assertTrue(withFailures.isProbablyChance(1), "one failure, at a rate of one in three");
+        assertFalse(withFailures.isProbablyChance(4), "four failures in a row, at a rate of one in three");
+        ConnectFailureRate afterOutage = new ConnectFailureRate();
+        afterOutage.recordSuccess(9);
+        assertFalse(
+                afterOutage.isProbablyChance(2), "an endpoint that was unavailable does not raise the rate for others");
     }
 }
--- a/core/src/test/java/lemonrail/core/LatencyEstimatorTest.java
+++ b/core/src/test/java/lemonrail/core/LatencyEstimatorTest.java
@@ -12,22 +12,22 @@
 class LatencyEstimatorTest {
 
     @Test
-    void estimatesStartFromTheClassAndFollowResponses() {
-        LatencyEstimator times = new LatencyEstimator(
+    void estimatesStartFromClassAndFollowResponses() {
+        LatencyEstimator estimator = new LatencyEstimator(
                 new RequestClass("read", 1000, 3000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
-        assertEquals(250, times.typicalMs());
-        assertEquals(250, times.baseMs());
-        assertEquals(1000, times.tailMs());
+        assertEquals(250, estimator.typicalMs());
+        assertEquals(250, estimator.baseMs());
+        assertEquals(1000, estimator.tailMs());
         for (int i = 0; i < 2000; i++) {
-            times.recordElapsed(i % 50 == 0 ? 400 : 100);
-            times.recordResponse(100);
+            estimator.recordElapsed(i % 50 == 0 ? 400 : 100);
+            estimator.recordResponse(100);
         }
-        assertEquals(100, times.typicalMs(), 0.1);
-        assertEquals(100, times.baseMs(), 0.1);
-        assertTrue(times.tailMs() > 100 && times.tailMs() < 450, "" + times.tailMs());
+        assertEquals(100, estimator.typicalMs(), 0.1);
+        assertEquals(100, estimator.baseMs(), 0.1);
+        assertTrue(estimator.tailMs() > 100 && estimator.tailMs() < 450, "" + estimator.tailMs());
         for (int i = 0; i < 500; i++) {
-            times.recordElapsed(9000);
+            estimator.recordElapsed(9000);
         }
-        assertEquals(3000, times.tailMs(), "no more than the deadline");
+        assertEquals(3000, estimator.tailMs(), "the tail time is at most the deadline");
     }
 }
--- a/core/src/test/java/lemonrail/core/RingPlacementTest.java
+++ b/core/src/test/java/lemonrail/core/RingPlacementTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void eachRingHasItsOwnOrder() {
+    void ringsHaveDifferentOrders() {
         List<Long> hashes =
                 IntStream.range(0, 50).mapToObj(i -> StableHash.of("s" + i)).toList();
         assertEquals(
--- a/core/src/test/java/lemonrail/core/TokenBucketTest.java
+++ b/core/src/test/java/lemonrail/core/TokenBucketTest.java
@@ -9,7 +9,7 @@
 class TokenBucketTest {
 
     @Test
-    void bucketHoldsUpToItsBurstCapacity() {
+    void bucketRefillsUpToItsBurstCapacity() {
         TokenBucket bucket = new TokenBucket(0.01, 3);
         for (int i = 0; i < 3; i++) {
             assertTrue(bucket.tryTake(1000));
--- a/core/src/test/java/lemonrail/core/balancer/DeduplicationScopeTest.java
+++ b/core/src/test/java/lemonrail/core/balancer/DeduplicationScopeTest.java
@@ -10,7 +10,7 @@
 class DeduplicationScopeTest {
 
     @Test
-    void deduplicationScopeCoversAZoneOrACell() {
+    void scopeIncludesEndpointsOfSameZoneOrCell() {
         Endpoint one = new Endpoint("one", 1, 0, 7, 0, EndpointState.READY, 1);
         Endpoint other = new Endpoint("other", 1, 0, 8, 0, EndpointState.READY, 1);
         assertTrue(DeduplicationScope.ALL.includesBoth(one, other));
--- a/core/src/test/java/lemonrail/core/policy/AdmissionTest.java
+++ b/core/src/test/java/lemonrail/core/policy/AdmissionTest.java
@@ -1,6 +1,6 @@
 package lemonrail.core.policy;
 
-import static lemonrail.core.policy.LoadPatterns.forwardedInASecond;
+import static lemonrail.core.policy.LoadPatterns.countForwardedInOneSecond;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,88 +13,98 @@
 class AdmissionTest {
 
     @Test
-    void fullPoolRejectsRequestsAndKeepsNoQueue() {
-        Fixture f = Fixture.of(1, 0, 1).list(Fixture.endpoints(32));
+    void fullPoolRejectsRequestsWithoutQueueing() {
+        Fixture f = Fixture.of(1, 0, 1).setEndpoints(Fixture.endpoints(32));
         for (int i = 0; i < 1068; i++) {
-            f.request(Fixture.IDEMPOTENT);
+            f.sendRequest(Fixture.IDEMPOTENT);
         }
         assertEquals(1024, f.host.started.size());
         assertEquals(44, f.host.rejected.size());
-        f.finish(f.host.started.get(0), AttemptOutcome.OK, 10);
-        assertEquals(1024, f.host.started.size(), "a rejected request must not be sent later");
+        f.finishAttempt(f.host.started.get(0), AttemptOutcome.OK, 10);
+        assertEquals(1024, f.host.started.size(), "a rejected request is not started later");
     }
 
     @Test
     void requestIsRejectedWithoutEndpoints() {
-        Fixture f = Fixture.of(1, 0, 0).list(List.of());
-        f.request(Fixture.NON_IDEMPOTENT);
+        Fixture f = Fixture.of(1, 0, 0).setEndpoints(List.of());
+        f.sendRequest(Fixture.NON_IDEMPOTENT);
         assertEquals(List.of("r0"), f.host.rejected);
     }
 
-    /** Guards against overload that cannot be shed where balancers outnumber what endpoints can serve (i190c84). */
+    /**
+     * Guards against overload that cannot be shed because the endpoints can serve fewer requests at once than there are
+     * balancers (i190c84).
+     */
     @Test
     void limitBelowOneRequestPacesRequests() {
-        Fixture f = Fixture.of(100, 0, 0).list(Fixture.endpoints(10));
-        int quick = forwardedInASecond(f, 100);
-        forwardedInASecond(f, 900);
+        Fixture f = Fixture.of(100, 0, 0).setEndpoints(Fixture.endpoints(10));
+        int forwardedBefore = countForwardedInOneSecond(f, 100);
+        countForwardedInOneSecond(f, 900);
         for (int i = 0; i < 30; i++) {
-            forwardedInASecond(f, 900);
+            countForwardedInOneSecond(f, 900);
         }
-        int slow = forwardedInASecond(f, 100);
-        assertTrue(quick >= 8, quick + " while all is well");
-        assertTrue(slow <= 2, slow + " after half a minute of slow responses");
+        int forwardedAfter = countForwardedInOneSecond(f, 100);
+        assertTrue(forwardedBefore >= 8, forwardedBefore + " of 10 requests forwarded while responses are fast");
+        assertTrue(
+                forwardedAfter <= 2,
+                forwardedAfter + " of 10 requests forwarded after half a minute of slow responses");
     }
 
-    /** Guards against wasting the work that higher tiers have already done. */
+    /** Guards against wasting work that earlier tiers have already done. */
     @Test
     void lowerTiersDoNotShedLoad() {
-        Fixture f = Fixture.of(10, 0, 1).list(Fixture.endpoints(20));
+        Fixture f = Fixture.of(10, 0, 1).setEndpoints(Fixture.endpoints(20));
         for (int i = 0; i < 100; i++) {
-            f.request(Fixture.IDEMPOTENT);
+            f.sendRequest(Fixture.IDEMPOTENT);
         }
         assertEquals(100, f.host.started.size());
     }
 
-    /** Guards against a tenant's burst: requests over its quota are rejected first. */
+    /** Guards against a burst of one tenant: requests over its quota are rejected first. */
     @Test
     void requestsOverQuotaAreRejectedFirst() {
         Fixture f = new Fixture(Fixture.settings(
                 10, 0, 0, true, new TenantQuota("flood", 10, 0.1), new TenantQuota("calm", 1000, 0.9)));
-        f.list(Fixture.endpoints(20));
+        f.setEndpoints(Fixture.endpoints(20));
         for (int i = 0; i < 50; i++) {
-            f.request(Fixture.IDEMPOTENT, 0);
+            f.sendRequest(Fixture.IDEMPOTENT, 0);
         }
-        int flooded = f.host.started.size();
+        int startedOverQuota = f.host.started.size();
         for (int i = 0; i < 50; i++) {
-            f.request(Fixture.IDEMPOTENT, 1);
+            f.sendRequest(Fixture.IDEMPOTENT, 1);
         }
-        assertTrue(flooded < f.host.started.size(), "capacity is left for the tenant within its quota");
+        assertTrue(startedOverQuota < f.host.started.size(), "the tenant within its quota gets the remaining capacity");
         assertEquals(8, f.host.started.size());
     }
 
-    /** Guards against requests over quota that take a small limit's only slot whenever it falls free (h430bb6). */
+    /**
+     * Guards against requests over quota that use the only slot of a small limit whenever it becomes free (h430bb6).
+     */
     @Test
     void requestsOverQuotaDoNotUseUpASmallLimit() {
         Fixture f = new Fixture(
                 Fixture.settings(10, 0, 0, true, new TenantQuota("flood", 0, 0.1), new TenantQuota("calm", 1000, 0.9)));
-        f.list(Fixture.endpoints(4));
-        f.request(Fixture.IDEMPOTENT, 0);
-        f.now += 10;
+        f.setEndpoints(Fixture.endpoints(4));
+        f.sendRequest(Fixture.IDEMPOTENT, 0);
+        f.nowMs += 10;
         for (int i = 0; i < 20; i++) {
-            f.request(Fixture.IDEMPOTENT, 0);
+            f.sendRequest(Fixture.IDEMPOTENT, 0);
         }
-        assertTrue(f.host.started.size() <= 1, "the flood got " + f.host.started.size());
-        f.request(Fixture.IDEMPOTENT, 1);
-        assertEquals("r21", f.host.last().request());
-        f.request(Fixture.IDEMPOTENT, 1);
+        assertTrue(f.host.started.size() <= 1, "started requests over quota: " + f.host.started.size());
+        f.sendRequest(Fixture.IDEMPOTENT, 1);
+        assertEquals("r21", f.host.lastAttempt().request());
+        f.sendRequest(Fixture.IDEMPOTENT, 1);
         assertEquals(
                 List.of("r22"),
                 f.host.rejected.subList(f.host.rejected.size() - 1, f.host.rejected.size()),
-                "the limit is full");
-        f.finish(f.host.last(), AttemptOutcome.OK, 10);
-        f.now += 500;
-        int before = f.host.started.size();
-        f.request(Fixture.IDEMPOTENT, 0);
-        assertEquals(before, f.host.started.size(), "a request within its quota was rejected just now");
+                "the limit is reached");
+        f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.OK, 10);
+        f.nowMs += 500;
+        int startedBefore = f.host.started.size();
+        f.sendRequest(Fixture.IDEMPOTENT, 0);
+        assertEquals(
+                startedBefore,
+                f.host.started.size(),
+                "no request over quota is admitted shortly after one within quota was rejected");
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/BadInputTest.java
+++ b/core/src/test/java/lemonrail/core/policy/BadInputTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Checks that bad input is rejected with the name and value of the field, and changes nothing. */
+/** Checks that invalid input is rejected with the field's name and value, and changes nothing. */
 class BadInputTest {
 
     private static void assertRejected(String field, Object value, Executable action) {
@@ -33,42 +33,44 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
-    void numbersOutOfRangeAreNamed(double bad) {
+    void messageNamesNumberOutOfRange(double invalidValue) {
         assertRejected(
                 "classes[].aim",
-                bad,
+                invalidValue,
                 () -> new RequestClass(
-                        "c", bad, 1000, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+                        "c", invalidValue, 1000, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
         assertRejected(
                 "classes[].deadline",
-                bad,
+                invalidValue,
                 () -> new RequestClass(
-                        "c", 100, bad, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+                        "c", 100, invalidValue, 1, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
         assertRejected(
                 "classes[].worth",
-                bad,
+                invalidValue,
                 () -> new RequestClass(
-                        "c", 100, 1000, bad, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
-        assertRejected("limits.connectTimeout", bad, () -> new AttemptLimits(3, true, true, 2000, bad));
-        assertRejected("limits.maxCoolDown", bad, () -> new AttemptLimits(3, true, true, bad, 200));
-        assertRejected("rules.coldShare", bad, () -> new SlowStartSettings(bad, 8000, 3, 1000));
-        assertRejected("rules.coldMs", bad, () -> new SlowStartSettings(0.3, bad, 3, 1000));
+                        "c", 100, 1000, invalidValue, 0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+        assertRejected(
+                "limits.connectTimeout", invalidValue, () -> new AttemptLimits(3, true, true, 2000, invalidValue));
+        assertRejected("limits.maxCoolDown", invalidValue, () -> new AttemptLimits(3, true, true, invalidValue, 200));
+        assertRejected("rules.coldShare", invalidValue, () -> new SlowStartSettings(invalidValue, 8000, 3, 1000));
+        assertRejected("rules.coldMs", invalidValue, () -> new SlowStartSettings(0.3, invalidValue, 3, 1000));
         assertRejected("rules.drainGrace", -1, () -> new DrainSettings(-1));
-        assertRejected("rules.askWithin", bad, () -> Fixture.settingsPolledWithin(bad));
-        assertRejected("tenants[].allowance", bad, () -> new TenantQuota("t", bad, 1));
-        assertRejected("server.weight", bad, () -> new Endpoint("s", 0, 0, 0, 0, EndpointState.READY, bad));
+        assertRejected("rules.askWithin", invalidValue, () -> Fixture.settingsWithPollInterval(invalidValue));
+        assertRejected("tenants[].allowance", invalidValue, () -> new TenantQuota("t", invalidValue, 1));
+        assertRejected(
+                "server.weight", invalidValue, () -> new Endpoint("s", 0, 0, 0, 0, EndpointState.READY, invalidValue));
         assertRejected(
                 "finished.took",
-                bad,
-                () -> new AttemptResult("r", 0, "s", AttemptOutcome.OK, bad, true, LoadReport.NONE));
+                invalidValue,
+                () -> new AttemptResult("r", 0, "s", AttemptOutcome.OK, invalidValue, true, LoadReport.NONE));
         assertRejected(
                 "finished.connect",
-                bad,
-                () -> new AttemptResult("r", 0, "s", AttemptOutcome.OK, 5, bad, true, true, LoadReport.NONE));
+                invalidValue,
+                () -> new AttemptResult("r", 0, "s", AttemptOutcome.OK, 5, invalidValue, true, true, LoadReport.NONE));
     }
 
     @Test
-    void missingValuesAreNamed() {
+    void messageNamesMissingValue() {
         assertRejected("request.id", null, () -> new Request(null, 0, 0, 1000, false));
         assertRejected("request.deadline", Double.NaN, () -> new Request("r", 0, 0, Double.NaN, false));
         assertRejected("finished.outcome", null, () -> new AttemptResult("r", 0, "s", null, 5, true, LoadReport.NONE));
@@ -81,30 +83,32 @@
     }
 
     @Test
-    void badRequestChangesNothing() {
-        Fixture f = Fixture.of(10, 0, 0).list(Fixture.endpoints(3));
-        String first = f.request(Fixture.IDEMPOTENT);
-        f.now += 60_000;
-        List<String> before = List.copyOf(f.host.all);
-        assertRejected("class", 9, () -> f.balancer.onRequest(f.now, new Request("x", 9, 0, f.now + 100, false)));
-        assertRejected("tenant", 5, () -> f.balancer.onRequest(f.now, new Request("x", 0, 5, f.now + 100, false)));
+    void invalidRequestChangesNothing() {
+        Fixture f = Fixture.of(10, 0, 0).setEndpoints(Fixture.endpoints(3));
+        String firstRequest = f.sendRequest(Fixture.IDEMPOTENT);
+        f.nowMs += 60_000;
+        List<String> actionsBefore = List.copyOf(f.host.actions);
+        assertRejected("class", 9, () -> f.balancer.onRequest(f.nowMs, new Request("x", 9, 0, f.nowMs + 100, false)));
+        assertRejected("tenant", 5, () -> f.balancer.onRequest(f.nowMs, new Request("x", 0, 5, f.nowMs + 100, false)));
         assertRejected(
-                first, "in flight", () -> f.balancer.onRequest(f.now, new Request(first, 0, 0, f.now + 100, false)));
-        assertEquals(before, f.host.all);
+                firstRequest,
+                "in flight",
+                () -> f.balancer.onRequest(f.nowMs, new Request(firstRequest, 0, 0, f.nowMs + 100, false)));
+        assertEquals(actionsBefore, f.host.actions);
         assertEquals(1, f.balancer.requestsInFlight());
     }
 
     @Test
-    void extremeFleetsAreServedOrRejected() {
+    void fleetsOfExtremeSizeAreServedOrRejected() {
         for (List<Endpoint> list :
                 List.of(List.<Endpoint>of(), List.of(Fixture.endpoint("d", 0, 0, EndpointState.DRAINING)))) {
-            Fixture f = Fixture.of(1, 0, 0).list(list);
-            String rejected = f.request(Fixture.NON_IDEMPOTENT);
-            assertEquals(List.of(rejected), f.host.rejected);
+            Fixture f = Fixture.of(1, 0, 0).setEndpoints(list);
+            String rejectedRequest = f.sendRequest(Fixture.NON_IDEMPOTENT);
+            assertEquals(List.of(rejectedRequest), f.host.rejected);
             assertTrue(f.host.started.isEmpty());
         }
-        Fixture many = Fixture.of(5000, 4999, 0).list(Fixture.endpoints(1));
-        many.request(Fixture.NON_IDEMPOTENT);
-        assertEquals("s0", many.host.last().endpoint());
+        Fixture manyBalancers = Fixture.of(5000, 4999, 0).setEndpoints(Fixture.endpoints(1));
+        manyBalancers.sendRequest(Fixture.NON_IDEMPOTENT);
+        assertEquals("s0", manyBalancers.host.lastAttempt().endpoint());
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/ConnectFailureTest.java
+++ b/core/src/test/java/lemonrail/core/policy/ConnectFailureTest.java
@@ -10,98 +10,112 @@
 import lemonrail.core.balancer.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** Checks what failed connects do to their endpoint. */
+/** Checks the effect of failed connects on their endpoint. */
 class ConnectFailureTest {
 
-    /** So many requests on each of three endpoints: all get a response but the last on the lowest-ranked one. */
-    private static RecordingHost.StartedAttempt allRespondedButOne(Fixture f, int each) {
-        f.list(Fixture.endpoints(3));
-        for (int i = 0; i < 3 * each; i++) {
-            f.request(Fixture.IDEMPOTENT);
+    /**
+     * Sends {@code requestsPerEndpoint} requests to each of three endpoints. All get a response, except the last one on
+     * the endpoint of lowest rank, which is returned.
+     */
+    private static RecordingHost.StartedAttempt finishAllAttemptsExceptOne(Fixture f, int requestsPerEndpoint) {
+        f.setEndpoints(Fixture.endpoints(3));
+        for (int i = 0; i < 3 * requestsPerEndpoint; i++) {
+            f.sendRequest(Fixture.IDEMPOTENT);
         }
-        String lowest = f.host.started.get(0).endpoint();
-        RecordingHost.StartedAttempt left = f.host.started.get(3 * each - 3);
-        assertEquals(lowest, left.endpoint());
-        for (RecordingHost.StartedAttempt sent : List.copyOf(f.host.started)) {
-            if (!sent.equals(left)) {
-                f.finish(sent, AttemptOutcome.OK, 10);
+        String lowestRankedEndpoint = f.host.started.get(0).endpoint();
+        RecordingHost.StartedAttempt unfinishedAttempt = f.host.started.get(3 * requestsPerEndpoint - 3);
+        assertEquals(lowestRankedEndpoint, unfinishedAttempt.endpoint());
+        for (RecordingHost.StartedAttempt attempt : List.copyOf(f.host.started)) {
+            if (!attempt.equals(unfinishedAttempt)) {
+                f.finishAttempt(attempt, AttemptOutcome.OK, 10);
             }
         }
-        return left;
+        return unfinishedAttempt;
     }
 
-    private static void connectFails(Fixture f, RecordingHost.StartedAttempt sent) {
+    private static void failConnect(Fixture f, RecordingHost.StartedAttempt attempt) {
         f.balancer.onAttemptFinished(
-                f.now,
+                f.nowMs,
                 new AttemptResult(
-                        sent.request(),
-                        sent.attempt(),
-                        sent.endpoint(),
+                        attempt.request(),
+                        attempt.attempt(),
+                        attempt.endpoint(),
                         AttemptOutcome.CONNECT_ERROR,
                         200,
                         true,
                         LoadReport.NONE));
     }
 
-    /** Guards against slow or failing handshakes taken for dead endpoints (incident i190c84). */
+    /** Guards against taking endpoints with slow or failing connection handshakes for dead ones (incident i190c84). */
     @Test
-    void failedConnectsLeaveOpenConnectionsInUse() {
+    void failedConnectsKeepOpenConnectionsInUse() {
         Fixture f = Fixture.of(1, 0, 1);
-        RecordingHost.StartedAttempt left = allRespondedButOne(f, 2);
-        connectFails(f, left);
-        f.request(Fixture.IDEMPOTENT);
-        f.finish(f.host.last(), AttemptOutcome.OK, 10);
-        f.now += 1500;
+        RecordingHost.StartedAttempt unfinishedAttempt = finishAllAttemptsExceptOne(f, 2);
+        failConnect(f, unfinishedAttempt);
+        f.sendRequest(Fixture.IDEMPOTENT);
+        f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.OK, 10);
+        f.nowMs += 1500;
         for (int i = 0; i < 6; i++) {
-            f.request(Fixture.IDEMPOTENT);
+            f.sendRequest(Fixture.IDEMPOTENT);
         }
-        RecordingHost.StartedAttempt again = f.host.last();
-        assertEquals(left.endpoint(), again.endpoint(), "the slot without a connection comes last");
-        connectFails(f, again);
+        RecordingHost.StartedAttempt reconnect = f.host.lastAttempt();
+        assertEquals(
+                unfinishedAttempt.endpoint(),
+                reconnect.endpoint(),
+                "the slot without a connection has the highest rank");
+        failConnect(f, reconnect);
         assertEquals(List.of(), f.host.closed);
-        f.finish(f.host.started.get(f.host.started.size() - 6), AttemptOutcome.OK, 10);
-        f.request(Fixture.NON_IDEMPOTENT);
-        assertEquals(left.endpoint(), f.host.last().endpoint(), "a request that must not run twice goes there");
+        f.finishAttempt(f.host.started.get(f.host.started.size() - 6), AttemptOutcome.OK, 10);
+        f.sendRequest(Fixture.NON_IDEMPOTENT);
+        assertEquals(
+                unfinishedAttempt.endpoint(),
+                f.host.lastAttempt().endpoint(),
+                "a non-idempotent request uses the open connection");
     }
 
-    /** A connect that fails again before any response counts against the endpoint after all. */
+    /** A second connect failure before any response counts against the endpoint. */
     @Test
-    void endpointThatOnlyFailsConnectsIsEjected() {
+    void endpointWithRepeatedConnectFailuresIsEjected() {
         Fixture f = Fixture.of(1, 0, 1);
-        RecordingHost.StartedAttempt left = allRespondedButOne(f, 3);
-        connectFails(f, left);
-        int before = f.host.started.size();
+        RecordingHost.StartedAttempt unfinishedAttempt = finishAllAttemptsExceptOne(f, 3);
+        failConnect(f, unfinishedAttempt);
+        int startedBefore = f.host.started.size();
         for (int i = 0; i < 4; i++) {
-            f.request(Fixture.IDEMPOTENT);
+            f.sendRequest(Fixture.IDEMPOTENT);
         }
-        connectFails(f, f.host.last());
-        f.now += 1500;
-        f.finish(f.host.started.get(before), AttemptOutcome.OK, 10);
-        f.request(Fixture.NON_IDEMPOTENT);
-        assertTrue(!f.host.last().endpoint().equals(left.endpoint()), "not trusted any more");
+        failConnect(f, f.host.lastAttempt());
+        f.nowMs += 1500;
+        f.finishAttempt(f.host.started.get(startedBefore), AttemptOutcome.OK, 10);
+        f.sendRequest(Fixture.NON_IDEMPOTENT);
+        assertTrue(
+                !f.host.lastAttempt().endpoint().equals(unfinishedAttempt.endpoint()),
+                "no request goes to the ejected endpoint");
     }
 
-    /** Guards against ejections by chance, where a third of all connections come up too late, at any endpoint. */
+    /** Guards against ejections by chance when a third of the connects to all endpoints are too slow. */
     @Test
-    void connectsThatFailByChanceEjectFewEndpoints() {
-        Fixture f = Fixture.of(3, 0, 1).list(Fixture.endpoints(4));
+    void randomConnectFailuresEjectFewEndpoints() {
+        Fixture f = Fixture.of(3, 0, 1).setEndpoints(Fixture.endpoints(4));
         Random random = new Random(11);
-        int ejectedEndpoints = 0;
+        int ejectedObservations = 0;
         int rounds = 600;
         for (int round = 0; round < rounds; round++) {
-            f.now += 50;
-            f.request(Fixture.IDEMPOTENT);
-            ejectedEndpoints += round < 100 ? 0 : f.balancer.ejectedEndpoints(f.now);
-            int sent;
+            f.nowMs += 50;
+            f.sendRequest(Fixture.IDEMPOTENT);
+            ejectedObservations += round < 100 ? 0 : f.balancer.ejectedEndpoints(f.nowMs);
+            int startedBefore;
             do {
-                sent = f.host.started.size();
-                boolean late = random.nextInt(3) == 0;
-                f.now += late ? 200 : 20;
-                f.finish(f.host.last(), late ? AttemptOutcome.CONNECT_ERROR : AttemptOutcome.OK, late ? 200 : 20);
-            } while (f.host.started.size() > sent);
+                startedBefore = f.host.started.size();
+                boolean isLate = random.nextInt(3) == 0;
+                f.nowMs += isLate ? 200 : 20;
+                f.finishAttempt(
+                        f.host.lastAttempt(),
+                        isLate ? AttemptOutcome.CONNECT_ERROR : AttemptOutcome.OK,
+                        isLate ? 200 : 20);
+            } while (f.host.started.size() > startedBefore);
         }
         assertTrue(
-                ejectedEndpoints < 4 * (rounds - 100) / 10,
-                ejectedEndpoints + " of " + 4 * (rounds - 100) + " are avoided");
+                ejectedObservations < 4 * (rounds - 100) / 10,
+                ejectedObservations + " of " + 4 * (rounds - 100) + " observations of an endpoint found it ejected");
     }
 }
