--- a/core/src/test/java/lemonrail/core/policy/Fixture.java
+++ b/core/src/test/java/lemonrail/core/policy/Fixture.java
@@ -18,33 +18,39 @@
 import lemonrail.core.balancer.SlowStartSettings;
 import lemonrail.core.balancer.TenantQuota;
 
-/** A balancer with a recording host and a clock set by hand. */
+/** A balancer with a recording host and a manually advanced clock. */
 final class Fixture {
 
     static final int IDEMPOTENT = 0;
     static final int NON_IDEMPOTENT = 1;
-    static final int BY_CELL = 2;
+    static final int KEYED_BY_CELL = 2;
 
     final RecordingHost host = new RecordingHost();
     final BoxcarLoadBalancer balancer;
-    double now = 1_000_000;
-    private int requests;
+    double nowMs = 1_000_000;
+    private int requestCount;
 
     Fixture(BalancerSettings settings) {
         balancer = new BoxcarLoadBalancer(settings, 7, host);
     }
 
-    static BalancerSettings settings(int balancers, int own, int tier, boolean parallel, TenantQuota... tenants) {
-        return settings(balancers, own, tier, parallel, 10_000, tenants);
+    static BalancerSettings settings(
+            int balancers, int balancerIndex, int tier, boolean parallelAttempts, TenantQuota... tenants) {
+        return settings(balancers, balancerIndex, tier, parallelAttempts, 10_000, tenants);
     }
 
-    /** Returns settings whose endpoint list is polled within this time. */
-    static BalancerSettings settingsPolledWithin(double pollIntervalMs) {
+    /** Returns settings with this poll interval of the endpoint list. */
+    static BalancerSettings settingsWithPollInterval(double pollIntervalMs) {
         return settings(1, 0, 0, true, pollIntervalMs);
     }
 
     private static BalancerSettings settings(
-            int balancers, int own, int tier, boolean parallel, double pollIntervalMs, TenantQuota... tenants) {
+            int balancers,
+            int balancerIndex,
+            int tier,
+            boolean parallelAttempts,
+            double pollIntervalMs,
+            TenantQuota... tenants) {
         List<RequestClass> classes = List.of(
                 new RequestClass("read", 1000, 3000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass(
@@ -52,7 +58,7 @@
                 new RequestClass("save", 1000, 3000, 1, 0.5, Idempotency.KEYED, DeduplicationScope.CELL, 800, false));
         return new BalancerSettings(
                 balancers,
-                own,
+                balancerIndex,
                 0,
                 tier,
                 false,
@@ -61,14 +67,14 @@
                 0,
                 classes,
                 List.of(tenants),
-                new AttemptLimits(3, parallel, true, 2000, 200),
+                new AttemptLimits(3, parallelAttempts, true, 2000, 200),
                 new SlowStartSettings(0.3, 8000, 3, 1000),
                 new DrainSettings(1000),
                 pollIntervalMs);
     }
 
-    static Fixture of(int balancers, int own, int tier) {
-        return new Fixture(settings(balancers, own, tier, true));
+    static Fixture of(int balancers, int balancerIndex, int tier) {
+        return new Fixture(settings(balancers, balancerIndex, tier, true));
     }
 
     static Endpoint endpoint(String id) {
@@ -87,52 +93,52 @@
         return list;
     }
 
-    Fixture list(List<Endpoint> endpoints) {
-        balancer.onEndpointUpdate(now, EndpointUpdateKind.SNAPSHOT, endpoints);
+    Fixture setEndpoints(List<Endpoint> endpoints) {
+        balancer.onEndpointUpdate(nowMs, EndpointUpdateKind.SNAPSHOT, endpoints);
         return this;
     }
 
-    void change(Endpoint... endpoints) {
-        balancer.onEndpointUpdate(now, EndpointUpdateKind.DELTA, List.of(endpoints));
+    void updateEndpoints(Endpoint... endpoints) {
+        balancer.onEndpointUpdate(nowMs, EndpointUpdateKind.DELTA, List.of(endpoints));
     }
 
-    String request(int kind) {
-        return request(kind, 0);
+    String sendRequest(int requestClass) {
+        return sendRequest(requestClass, 0);
     }
 
-    String request(int kind, int tenant) {
-        String id = "r" + requests++;
-        balancer.onRequest(now, new Request(id, kind, tenant, now + 3000, false));
+    String sendRequest(int requestClass, int tenant) {
+        String id = "r" + requestCount++;
+        balancer.onRequest(nowMs, new Request(id, requestClass, tenant, nowMs + 3000, false));
         return id;
     }
 
-    void finish(RecordingHost.StartedAttempt sent, AttemptOutcome outcome, double tookMs) {
+    void finishAttempt(RecordingHost.StartedAttempt attempt, AttemptOutcome outcome, double durationMs) {
         balancer.onAttemptFinished(
-                now,
+                nowMs,
                 new AttemptResult(
-                        sent.request(),
-                        sent.attempt(),
-                        sent.endpoint(),
+                        attempt.request(),
+                        attempt.attempt(),
+                        attempt.endpoint(),
                         outcome,
-                        tookMs,
+                        durationMs,
                         outcome == AttemptOutcome.OK,
                         LoadReport.NONE));
     }
 
-    /** Has an endpoint fail two requests in a row, which is more than chance, and returns it. */
-    String failTwice(AttemptOutcome outcome) {
-        request(IDEMPOTENT);
-        RecordingHost.StartedAttempt first = host.last();
-        finish(first, outcome, 2);
+    /** Ejects an endpoint with two consecutive failures, which are not attributed to chance, and returns its id. */
+    String ejectByTwoFailures(AttemptOutcome outcome) {
+        sendRequest(IDEMPOTENT);
+        RecordingHost.StartedAttempt first = host.lastAttempt();
+        finishAttempt(first, outcome, 2);
         do {
-            now += 300;
-            request(IDEMPOTENT);
-        } while (!host.last().endpoint().equals(first.endpoint()));
-        finish(host.last(), outcome, 2);
+            nowMs += 300;
+            sendRequest(IDEMPOTENT);
+        } while (!host.lastAttempt().endpoint().equals(first.endpoint()));
+        finishAttempt(host.lastAttempt(), outcome, 2);
         return first.endpoint();
     }
 
-    /** The ranks that the design gives to an endpoint's first slot, worked out apart from the module. */
+    /** Returns the hash of an endpoint's id, computed independently of the code under test. */
     static long hash(String id) {
         int h = 0x811c9dc5;
         for (int i = 0; i < id.length(); i++) {
--- a/core/src/test/java/lemonrail/core/policy/FleetSizeTest.java
+++ b/core/src/test/java/lemonrail/core/policy/FleetSizeTest.java
@@ -13,40 +13,48 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Fleets of 1,024 balancers and 1,024 endpoints: no structure of the balancer is bounded below either. */
+/**
+ * Checks fleets of 1,024 balancers and 1,024 endpoints, because no bound in the balancer may be below these numbers.
+ */
 class FleetSizeTest {
 
-    private static final int SIZE = 1024;
-    /** First requests of all balancers that one endpoint gets, where each makes one and places are even. */
-    private static final int MAX_FIRST_REQUESTS = 4;
+    private static final int FLEET_SIZE = 1024;
+    /** The maximum number of first requests at one endpoint, if each balancer sends one and places are even. */
+    private static final int MAX_FIRST_REQUESTS_PER_ENDPOINT = 4;
 
-    /** Guards against a bound on the slots of a pool, or on requests in flight, below the endpoints listed. */
+    /**
+     * Guards against a bound on the slots of a pool or on requests in flight that is below the number of listed
+     * endpoints.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 1})
     void oneBalancerHasRequestsInFlightAtAllEndpoints(int tier) {
-        Fixture fixture = Fixture.of(1, 0, tier).list(Fixture.endpoints(SIZE));
-        for (int i = 0; i < SIZE; i++) {
-            fixture.request(Fixture.IDEMPOTENT);
+        Fixture fixture = Fixture.of(1, 0, tier).setEndpoints(Fixture.endpoints(FLEET_SIZE));
+        for (int i = 0; i < FLEET_SIZE; i++) {
+            fixture.sendRequest(Fixture.IDEMPOTENT);
         }
-        Set<String> used = new HashSet<>();
-        fixture.host.started.forEach(sent -> used.add(sent.endpoint()));
+        Set<String> usedEndpoints = new HashSet<>();
+        fixture.host.started.forEach(attempt -> usedEndpoints.add(attempt.endpoint()));
         assertEquals(0, fixture.host.rejected.size() + fixture.host.failed.size(), "rejected or failed");
-        assertEquals(SIZE, fixture.host.started.size(), "requests in flight");
-        assertTrue(used.size() > SIZE / 2, used.size() + " endpoints in use");
+        assertEquals(FLEET_SIZE, fixture.host.started.size(), "requests in flight");
+        assertTrue(usedEndpoints.size() > FLEET_SIZE / 2, usedEndpoints.size() + " of 1024 endpoints in use");
     }
 
-    /** Guards against balancers or endpoints that are cut off a list: each has a place of its own among all. */
+    /** Guards against a list of balancers or endpoints that is truncated. Each of them must have its own place. */
     @Test
-    void firstRequestsOfAllBalancersReachEndpointsAllOverTheList() {
-        List<Endpoint> listed = Fixture.endpoints(SIZE);
+    void firstRequestsOfAllBalancersAreSpreadOverTheList() {
+        List<Endpoint> listed = Fixture.endpoints(FLEET_SIZE);
         Map<String, Integer> requests = new HashMap<>();
-        for (int own = 0; own < SIZE; own++) {
-            Fixture fixture = Fixture.of(SIZE, own, 1).list(listed);
-            fixture.request(Fixture.IDEMPOTENT);
-            requests.merge(fixture.host.last().endpoint(), 1, Integer::sum);
+        for (int balancerIndex = 0; balancerIndex < FLEET_SIZE; balancerIndex++) {
+            Fixture fixture = Fixture.of(FLEET_SIZE, balancerIndex, 1).setEndpoints(listed);
+            fixture.sendRequest(Fixture.IDEMPOTENT);
+            requests.merge(fixture.host.lastAttempt().endpoint(), 1, Integer::sum);
         }
-        assertTrue(requests.size() > SIZE / 2, requests.size() + " endpoints got a first request");
-        int most = requests.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
-        assertTrue(most <= MAX_FIRST_REQUESTS, "first requests at one endpoint: " + most);
+        assertTrue(requests.size() > FLEET_SIZE / 2, requests.size() + " endpoints got a first request");
+        int maxRequests =
+                requests.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
+        assertTrue(
+                maxRequests <= MAX_FIRST_REQUESTS_PER_ENDPOINT,
+                "maximum of first requests at one endpoint: " + maxRequests);
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
+++ b/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
@@ -22,80 +22,87 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Checks changes of a long endpoint list: their cost, what takes effect at once, and the state they lead to. */
+/** Checks changes of a long endpoint list: their cost, their immediate effects and the resulting state. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ListChangesTest {
 
-    private static final int LISTED = 400;
-    /** Half of the connect timeout in the fixture's settings. */
-    private static final double ROUND_MS = 100;
-    /** A timer without effect: its event only shows the time. */
-    private static final long NO_TIMER = 99;
+    private static final int FLEET_SIZE = 400;
+    /** The interval of background rounds, which is half of the connect timeout in the fixture's settings. */
+    private static final double BACKGROUND_ROUND_MS = 100;
+    /** The name of a timer that has no effect beyond passing the current time. */
+    private static final long UNUSED_TIMER = 99;
 
-    private static List<String> firstEndpoints(Fixture f, int requests) {
+    private static List<String> endpointsOfRequests(Fixture f, int requests) {
         List<String> endpoints = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
-            f.request(Fixture.IDEMPOTENT);
-            endpoints.add(f.host.last().endpoint());
+            f.sendRequest(Fixture.IDEMPOTENT);
+            endpoints.add(f.host.lastAttempt().endpoint());
         }
         return endpoints;
     }
 
-    private static Fixture before(int listed) {
-        return Fixture.of(listed, 3, 1).list(ListChangeCost.fleet(listed));
+    private static Fixture balancerWith(int listed) {
+        return Fixture.of(listed, 3, 1).setEndpoints(ListChangeCost.fleet(listed));
     }
 
-    /** Returns a balancer after a change, before places are settled again. */
-    private static Fixture withUnsettledPlaces() {
-        Fixture f = before(LISTED);
-        f.now += 1000;
-        f.change(ListChangeCost.fleet(LISTED).get(7).withState(EndpointState.DRAINING));
-        firstEndpoints(f, 1);
-        f.now += 1;
+    /** Returns a balancer after a change whose effect on places is still pending. */
+    private static Fixture withPendingPlaceChange() {
+        Fixture f = balancerWith(FLEET_SIZE);
+        f.nowMs += 1000;
+        f.updateEndpoints(ListChangeCost.fleet(FLEET_SIZE).get(7).withState(EndpointState.DRAINING));
+        endpointsOfRequests(f, 1);
+        f.nowMs += 1;
         return f;
     }
 
-    private static Endpoint named(String id) {
-        return ListChangeCost.fleet(LISTED).stream()
-                .filter(s -> s.id().equals(id))
+    private static Endpoint fleetEndpoint(String id) {
+        return ListChangeCost.fleet(FLEET_SIZE).stream()
+                .filter(endpoint -> endpoint.id().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Guards against a cost of each change that grows with the list . */
+    /** Guards against a cost per change that grows with the list. */
     @Test
-    void frequentChangesCostNoMoreInALongList() {
-        double least = Double.POSITIVE_INFINITY;
+    void costOfFrequentChangesDoesNotGrowWithTheList() {
+        double minCostRatio = Double.POSITIVE_INFINITY;
         for (int i = 0; i < 3; i++) {
-            double few = ListChangeCost.change(500, 0.2, 1000);
-            double many = ListChangeCost.change(5000, 0.2, 1000);
-            least = Math.min(least, many / few);
+            double shortListCost = ListChangeCost.changeCostMicros(500, 0.2, 1000);
+            double longListCost = ListChangeCost.changeCostMicros(5000, 0.2, 1000);
+            minCostRatio = Math.min(minCostRatio, longListCost / shortListCost);
         }
-        assertTrue(least < 5, "ten times as many listed cost " + least + " times as much");
+        assertTrue(minCostRatio < 5, "cost ratio of a list ten times as long: " + minCostRatio + ", below 5 expected");
     }
 
-    /** Guards against settling after changes that move no place. */
+    /** Guards against an update of places after changes that do not affect them. */
     @Test
-    void changeThatMovesNoPlaceCostsNoMoreInALongList() {
-        double least = Double.POSITIVE_INFINITY;
+    void costOfChangeWithoutEffectOnPlacesDoesNotGrowWithTheList() {
+        double minCostRatio = Double.POSITIVE_INFINITY;
         for (int i = 0; i < 3; i++) {
-            double few = movesNoPlaceNs(500);
-            least = Math.min(least, movesNoPlaceNs(5000) / few);
+            double shortListCost = cpuTimeOfChangesWithoutEffectOnPlacesNs(500);
+            minCostRatio = Math.min(minCostRatio, cpuTimeOfChangesWithoutEffectOnPlacesNs(5000) / shortListCost);
         }
-        assertTrue(least < 5, "ten times as many listed cost " + least + " times as much");
+        assertTrue(minCostRatio < 5, "cost ratio of a list ten times as long: " + minCostRatio + ", below 5 expected");
     }
 
-    private static double movesNoPlaceNs(int listed) {
-        Fixture f = before(listed);
+    private static double cpuTimeOfChangesWithoutEffectOnPlacesNs(int listed) {
+        Fixture f = balancerWith(listed);
         List<Endpoint> fleet = ListChangeCost.fleet(listed);
-        long began = 0;
+        long startNs = 0;
         for (int i = 0; i < 1000; i++) {
-            f.now += 1000;
-            began = i == 500 ? ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() : began;
-            Endpoint was = fleet.get(i % listed);
-            f.change(new Endpoint(was.id(), was.zone(), 0, was.cell() + 1 + i, 0, EndpointState.READY, was.weight()));
+            f.nowMs += 1000;
+            startNs = i == 500 ? ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() : startNs;
+            Endpoint previous = fleet.get(i % listed);
+            f.updateEndpoints(new Endpoint(
+                    previous.id(),
+                    previous.zone(),
+                    0,
+                    previous.cell() + 1 + i,
+                    0,
+                    EndpointState.READY,
+                    previous.weight()));
         }
-        return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - began;
+        return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - startNs;
     }
 
     @ParameterizedTest
@@ -103,99 +110,104 @@
     void deltasLeadToTheSameStateAsOneSnapshot(int seed) {
         Random random = new Random(seed);
         Map<String, Endpoint> listed = new HashMap<>();
-        ListChangeCost.fleet(LISTED).forEach(endpoint -> listed.put(endpoint.id(), endpoint));
-        Fixture f = before(LISTED);
+        ListChangeCost.fleet(FLEET_SIZE).forEach(endpoint -> listed.put(endpoint.id(), endpoint));
+        Fixture f = balancerWith(FLEET_SIZE);
         for (int step = 0; step < 300; step++) {
-            f.now += random.nextInt(12);
+            f.nowMs += random.nextInt(12);
             List<Endpoint> changes = new ArrayList<>();
             for (int i = random.nextInt(random.nextInt(20) == 0 ? 60 : 3); i >= 0; i--) {
-                Endpoint was = named("s-" + Integer.toHexString(random.nextInt(LISTED) * 7919 + 1));
+                Endpoint previous = fleetEndpoint("s-" + Integer.toHexString(random.nextInt(FLEET_SIZE) * 7919 + 1));
                 changes.add(new Endpoint(
-                        was.id(),
+                        previous.id(),
                         random.nextInt(7),
                         0,
-                        was.cell(),
-                        random.nextInt(4) == 0 ? f.now - random.nextInt(1000) : 0,
+                        previous.cell(),
+                        random.nextInt(4) == 0 ? f.nowMs - random.nextInt(1000) : 0,
                         EndpointState.values()[random.nextInt(3)],
                         1 + random.nextInt(3)));
             }
             changes.forEach(endpoint -> listed.put(endpoint.id(), endpoint));
-            f.change(changes.toArray(Endpoint[]::new));
+            f.updateEndpoints(changes.toArray(Endpoint[]::new));
             if (random.nextBoolean()) {
-                f.balancer.onTimer(f.now, NO_TIMER);
+                f.balancer.onTimer(f.nowMs, UNUSED_TIMER);
             }
         }
-        f.now += ROUND_MS;
-        f.balancer.onTimer(f.now, NO_TIMER);
-        Fixture fresh = Fixture.of(LISTED, 3, 1);
-        fresh.now = f.now;
-        List<Endpoint> left = listed.values().stream()
-                .filter(s -> s.state() != EndpointState.GONE)
+        f.nowMs += BACKGROUND_ROUND_MS;
+        f.balancer.onTimer(f.nowMs, UNUSED_TIMER);
+        Fixture withSnapshot = Fixture.of(FLEET_SIZE, 3, 1);
+        withSnapshot.nowMs = f.nowMs;
+        List<Endpoint> remaining = listed.values().stream()
+                .filter(endpoint -> endpoint.state() != EndpointState.GONE)
                 .toList();
-        fresh.list(left);
-        assertEquals(firstEndpoints(fresh, 250), firstEndpoints(f, 250));
-        assertEquals(left.size(), f.balancer.knownEndpoints());
+        withSnapshot.setEndpoints(remaining);
+        assertEquals(endpointsOfRequests(withSnapshot, 250), endpointsOfRequests(f, 250));
+        assertEquals(remaining.size(), f.balancer.knownEndpoints());
     }
 
-    /** Whether an endpoint is ready counts at once. */
+    /** An endpoint's readiness takes effect immediately. */
     @ParameterizedTest
     @ValueSource(strings = {"DRAINING", "GONE"})
-    void endpointThatLeavesWhilePlacesAreUnsettledGetsNoRequests(EndpointState state) {
-        Fixture f = withUnsettledPlaces();
-        Set<String> left = new HashSet<>();
+    void endpointThatLeavesWhilePlacesArePendingGetsNoRequests(EndpointState state) {
+        Fixture f = withPendingPlaceChange();
+        Set<String> remaining = new HashSet<>();
         for (int i = 0; i < 10; i++) {
-            f.request(Fixture.IDEMPOTENT);
-            String id = f.host.last().endpoint();
-            assertFalse(left.contains(id), id + " has left");
-            left.add(id);
-            f.change(named(id).withState(state));
+            f.sendRequest(Fixture.IDEMPOTENT);
+            String id = f.host.lastAttempt().endpoint();
+            assertFalse(remaining.contains(id), id + " has left");
+            remaining.add(id);
+            f.updateEndpoints(fleetEndpoint(id).withState(state));
         }
     }
 
     @Test
-    void endpointThatComesWhilePlacesAreUnsettledServesWithinARound() {
-        Fixture f = withUnsettledPlaces();
-        String first = firstEndpoints(f, 1).get(0);
-        f.change(named(first).withState(EndpointState.DRAINING));
-        f.change(named(first));
-        f.now += ROUND_MS;
-        assertTrue(firstEndpoints(f, 250).contains(first));
+    void endpointThatIsAddedWhilePlacesArePendingIsUsedWithinARound() {
+        Fixture f = withPendingPlaceChange();
+        String first = endpointsOfRequests(f, 1).get(0);
+        f.updateEndpoints(fleetEndpoint(first).withState(EndpointState.DRAINING));
+        f.updateEndpoints(fleetEndpoint(first));
+        f.nowMs += BACKGROUND_ROUND_MS;
+        assertTrue(endpointsOfRequests(f, 250).contains(first));
     }
 
-    /** If all endpoints are replaced, the new ones must be used at once. */
+    /** If all endpoints are replaced, the new ones must be used immediately. */
     @Test
-    void replacedFleetIsServedByItsSuccessors() {
-        Fixture f = withUnsettledPlaces();
+    void newEndpointsServeRequestsAfterFleetIsReplaced() {
+        Fixture f = withPendingPlaceChange();
         List<Endpoint> changes = new ArrayList<>();
-        for (Endpoint endpoint : ListChangeCost.fleet(LISTED)) {
+        for (Endpoint endpoint : ListChangeCost.fleet(FLEET_SIZE)) {
             changes.add(endpoint.withState(EndpointState.GONE));
             changes.add(new Endpoint("n" + endpoint.id(), endpoint.zone(), 0, 0, 0, EndpointState.READY, 1));
         }
-        f.change(changes.toArray(Endpoint[]::new));
-        assertTrue(firstEndpoints(f, 100).stream().allMatch(id -> id.startsWith("n")));
+        f.updateEndpoints(changes.toArray(Endpoint[]::new));
+        assertTrue(endpointsOfRequests(f, 100).stream().allMatch(id -> id.startsWith("n")));
     }
 
-    /** New endpoints must be used at once while many leave: the remaining ones would be overloaded. */
+    /**
+     * New endpoints must be used immediately while many others leave, because the remaining ones would be overloaded.
+     */
     @Test
-    void requestsAreNotLeftToTheLastEndpointsWhileSuccessorsWait() {
-        Fixture f = withUnsettledPlaces();
-        List<Endpoint> fleet = ListChangeCost.fleet(LISTED);
-        for (int i = 2; i < LISTED; i++) {
-            f.change(fleet.get(i).withState(EndpointState.GONE));
-            f.change(new Endpoint("n" + i, i % 7, 0, 0, 0, EndpointState.READY, 1));
+    void newEndpointsAreUsedWhileMostOthersLeave() {
+        Fixture f = withPendingPlaceChange();
+        List<Endpoint> fleet = ListChangeCost.fleet(FLEET_SIZE);
+        for (int i = 2; i < FLEET_SIZE; i++) {
+            f.updateEndpoints(fleet.get(i).withState(EndpointState.GONE));
+            f.updateEndpoints(new Endpoint("n" + i, i % 7, 0, 0, 0, EndpointState.READY, 1));
         }
-        assertTrue(new HashSet<>(firstEndpoints(f, 60)).size() > 50);
+        assertTrue(new HashSet<>(endpointsOfRequests(f, 60)).size() > 50);
     }
 
-    /** Guards against a slot left in the old zone's index, which the refill then added for ever. */
+    /**
+     * Guards against a candidate that stays in the list of its previous zone, so that the refill of the pool adds it in
+     * an endless loop.
+     */
     @Test
-    void endpointMayBeListedInAnotherZone() {
+    void endpointsMoveToOtherZones() {
         assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
-            Fixture f = Fixture.of(3, 0, 1).list(Fixture.endpoints(6));
+            Fixture f = Fixture.of(3, 0, 1).setEndpoints(Fixture.endpoints(6));
             for (int i = 0; i < 6; i++) {
-                f.change(new Endpoint("s" + i, 1 + i % 2, 0, 0, 0, EndpointState.READY, 1));
-                f.now += ROUND_MS;
-                assertNotEquals(0, firstEndpoints(f, 3).size());
+                f.updateEndpoints(new Endpoint("s" + i, 1 + i % 2, 0, 0, 0, EndpointState.READY, 1));
+                f.nowMs += BACKGROUND_ROUND_MS;
+                assertNotEquals(0, endpointsOfRequests(f, 3).size());
             }
             assertEquals(18, f.host.started.size());
         });
--- a/core/src/test/java/lemonrail/core/policy/LiveSettingsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/LiveSettingsTest.java
@@ -11,22 +11,26 @@
 import lemonrail.core.balancer.TenantQuota;
 import org.junit.jupiter.api.Test;
 
-/** Checks that changed settings are adopted while requests are in flight, and that what was learned stays. */
+/** Checks that changed settings take effect while requests are in flight, and that estimates are kept. */
 class LiveSettingsTest {
 
-    private static BalancerSettings with(
-            BalancerSettings base, double latencyObjectiveMs, double deadlineMs, int tries, TenantQuota... tenants) {
+    private static BalancerSettings withChanges(
+            BalancerSettings base,
+            double latencyObjectiveMs,
+            double deadlineMs,
+            int maxAttempts,
+            TenantQuota... tenants) {
         List<RequestClass> classes = base.classes().stream()
-                .map(kind -> new RequestClass(
-                        kind.name(),
+                .map(requestClass -> new RequestClass(
+                        requestClass.name(),
                         latencyObjectiveMs,
                         deadlineMs,
-                        kind.priorityWeight(),
-                        kind.lateResponseWeight(),
-                        kind.idempotency(),
-                        kind.deduplicationScope(),
-                        kind.deduplicationWindowMs(),
-                        kind.stream()))
+                        requestClass.priorityWeight(),
+                        requestClass.lateResponseWeight(),
+                        requestClass.idempotency(),
+                        requestClass.deduplicationScope(),
+                        requestClass.deduplicationWindowMs(),
+                        requestClass.stream()))
                 .toList();
         AttemptLimits limits = base.limits();
         return new BalancerSettings(
@@ -41,7 +45,7 @@
                 classes,
                 List.of(tenants),
                 new AttemptLimits(
-                        tries,
+                        maxAttempts,
                         limits.parallelAttempts(),
                         limits.cancel(),
                         limits.maxRetryAfterMs(),
@@ -51,66 +55,67 @@
                 base.pollIntervalMs());
     }
 
-    /** A response after the objective is worth nothing here, so a request waits no longer than for that. */
+    /** A response after the objective has no value for this class, so attempts time out before the objective. */
     @Test
     void changedObjectiveAppliesToTheNextRequest() {
         BalancerSettings base = Fixture.settings(1, 0, 0, true);
-        Fixture f = new Fixture(base).list(Fixture.endpoints(1));
-        f.request(Fixture.IDEMPOTENT);
-        double before = f.host.last().timeoutMs();
-        f.finish(f.host.last(), AttemptOutcome.OK, 10);
-        f.balancer.onSettings(f.now, with(base, 400, 3000, 3));
-        f.now += 100;
-        f.request(Fixture.IDEMPOTENT);
+        Fixture f = new Fixture(base).setEndpoints(Fixture.endpoints(1));
+        f.sendRequest(Fixture.IDEMPOTENT);
+        double timeoutBeforeMs = f.host.lastAttempt().timeoutMs();
+        f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.OK, 10);
+        f.balancer.onSettings(f.nowMs, withChanges(base, 400, 3000, 3));
+        f.nowMs += 100;
+        f.sendRequest(Fixture.IDEMPOTENT);
         assertTrue(
-                before > 900 && f.host.last().timeoutMs() < 400,
-                before + " and " + f.host.last().timeoutMs());
+                timeoutBeforeMs > 900 && f.host.lastAttempt().timeoutMs() < 400,
+                timeoutBeforeMs + " ms before the change and "
+                        + f.host.lastAttempt().timeoutMs());
     }
 
     @Test
     void changedAttemptLimitAppliesToRequestsInFlight() {
         BalancerSettings base = Fixture.settings(1, 0, 0, true);
-        Fixture f = new Fixture(base).list(Fixture.endpoints(3));
-        f.request(Fixture.IDEMPOTENT);
-        f.balancer.onSettings(f.now, with(base, 1000, 3000, 1));
-        f.finish(f.host.last(), AttemptOutcome.FAILED, 2);
-        assertEquals(1, f.host.started.size(), "not sent again");
+        Fixture f = new Fixture(base).setEndpoints(Fixture.endpoints(3));
+        f.sendRequest(Fixture.IDEMPOTENT);
+        f.balancer.onSettings(f.nowMs, withChanges(base, 1000, 3000, 1));
+        f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.FAILED, 2);
+        assertEquals(1, f.host.started.size(), "no retry");
     }
 
-    /** Guards against a change of a rate that gives a flood its burst capacity again. */
+    /** Guards against a change of settings that refills the burst capacity of a tenant over its quota. */
     @Test
-    void changedQuotaKeepsItsTokens() {
+    void changeOfSettingsKeepsQuotaTokens() {
         BalancerSettings base =
                 Fixture.settings(1, 0, 0, true, new TenantQuota("flood", 10, 0.1), new TenantQuota("calm", 1000, 0.9));
-        Fixture f = new Fixture(base).list(Fixture.endpoints(20));
-        BalancerSettings same = with(base, 1000, 3000, 3, base.tenants().toArray(TenantQuota[]::new));
-        int taken = 0;
+        Fixture f = new Fixture(base).setEndpoints(Fixture.endpoints(20));
+        BalancerSettings same = withChanges(base, 1000, 3000, 3, base.tenants().toArray(TenantQuota[]::new));
+        int forwarded = 0;
         for (int i = 0; i < 60; i++) {
-            f.balancer.onSettings(f.now, same);
-            int before = f.host.started.size();
-            f.request(Fixture.IDEMPOTENT, 0);
-            taken += f.host.started.size() - before;
+            f.balancer.onSettings(f.nowMs, same);
+            int startedBefore = f.host.started.size();
+            f.sendRequest(Fixture.IDEMPOTENT, 0);
+            forwarded += f.host.started.size() - startedBefore;
         }
-        Fixture plain = new Fixture(base).list(Fixture.endpoints(20));
+        Fixture withoutChange = new Fixture(base).setEndpoints(Fixture.endpoints(20));
         for (int i = 0; i < 60; i++) {
-            plain.request(Fixture.IDEMPOTENT, 0);
+            withoutChange.sendRequest(Fixture.IDEMPOTENT, 0);
         }
-        assertEquals(plain.host.started.size(), taken);
+        assertEquals(withoutChange.host.started.size(), forwarded);
     }
 
     @Test
-    void estimatesStayWhenSettingsChange() {
+    void changeOfSettingsKeepsEstimates() {
         BalancerSettings base = Fixture.settings(1, 0, 0, true);
-        Fixture f = new Fixture(base).list(Fixture.endpoints(2));
-        Fixture other = new Fixture(base).list(Fixture.endpoints(2));
+        Fixture f = new Fixture(base).setEndpoints(Fixture.endpoints(2));
+        Fixture unchanged = new Fixture(base).setEndpoints(Fixture.endpoints(2));
         for (int i = 0; i < 200; i++) {
-            for (Fixture each : List.of(f, other)) {
-                each.now += 20;
-                each.request(Fixture.IDEMPOTENT);
-                each.finish(each.host.last(), AttemptOutcome.OK, 15);
+            for (Fixture fixture : List.of(f, unchanged)) {
+                fixture.nowMs += 20;
+                fixture.sendRequest(Fixture.IDEMPOTENT);
+                fixture.finishAttempt(fixture.host.lastAttempt(), AttemptOutcome.OK, 15);
             }
-            f.balancer.onSettings(f.now, base);
+            f.balancer.onSettings(f.nowMs, base);
         }
-        assertEquals(other.host.all, f.host.all);
+        assertEquals(unchanged.host.actions, f.host.actions);
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/LoadPatterns.java
+++ b/core/src/test/java/lemonrail/core/policy/LoadPatterns.java
@@ -3,59 +3,67 @@
 import java.util.List;
 import lemonrail.core.balancer.AttemptOutcome;
 
-/** Patterns of requests and responses that tests of the concurrency limit share. */
+/** Patterns of requests and responses for tests of the concurrency limit. */
 final class LoadPatterns {
 
     private LoadPatterns() {}
 
-    /** Returns how many requests are forwarded before the first is rejected; they are cancelled then. */
-    static int forwardedAtOnce(Fixture f) {
-        int sent = f.host.started.size();
+    /** Sends requests until one is rejected, cancels the forwarded ones and returns their number. */
+    static int countForwardedAtOnce(Fixture f) {
+        int startedBefore = f.host.started.size();
         int rejected = f.host.rejected.size();
         while (f.host.rejected.size() == rejected) {
-            f.request(Fixture.IDEMPOTENT);
+            f.sendRequest(Fixture.IDEMPOTENT);
         }
-        List<RecordingHost.StartedAttempt> out = List.copyOf(f.host.started.subList(sent, f.host.started.size()));
-        for (RecordingHost.StartedAttempt request : out) {
-            f.balancer.onRequestCancelled(f.now, request.request());
-            f.finish(request, AttemptOutcome.CANCELED, 1);
+        List<RecordingHost.StartedAttempt> attempts =
+                List.copyOf(f.host.started.subList(startedBefore, f.host.started.size()));
+        for (RecordingHost.StartedAttempt attempt : attempts) {
+            f.balancer.onRequestCancelled(f.nowMs, attempt.request());
+            f.finishAttempt(attempt, AttemptOutcome.CANCELED, 1);
         }
-        return out.size();
+        return attempts.size();
     }
 
-    /** Sends a request every 100 ms; each forwarded one gets its response, after this time, before the next comes. */
-    static int forwardedInASecond(Fixture f, double tookMs) {
-        int before = f.host.started.size();
+    /**
+     * Sends ten requests in a row and returns how many are forwarded. Each one lasts {@code responseTimeMs} before the
+     * next is sent.
+     */
+    static int countForwardedInOneSecond(Fixture f, double responseTimeMs) {
+        int startedAtFirst = f.host.started.size();
         for (int i = 0; i < 10; i++) {
-            int sent = f.host.started.size();
-            f.request(Fixture.IDEMPOTENT);
-            f.now += tookMs;
-            if (f.host.started.size() > sent) {
-                f.finish(f.host.last(), AttemptOutcome.OK, tookMs);
+            int startedBefore = f.host.started.size();
+            f.sendRequest(Fixture.IDEMPOTENT);
+            f.nowMs += responseTimeMs;
+            if (f.host.started.size() > startedBefore) {
+                f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.OK, responseTimeMs);
             }
         }
-        return f.host.started.size() - before;
+        return f.host.started.size() - startedAtFirst;
     }
 
-    static int forwardedAfterRounds(Fixture f, double tookMs, int rounds) {
-        return forwardedAfterRounds(f, tookMs, tookMs, rounds);
+    static int countForwardedAfterRounds(Fixture f, double responseTimeMs, int rounds) {
+        return countForwardedAfterRounds(f, responseTimeMs, responseTimeMs, rounds);
     }
 
-    /** Returns the requests forwarded at once in the last round; every second response takes the second time. */
-    static int forwardedAfterRounds(Fixture f, double tookMs, double otherMs, int rounds) {
-        int atOnce = 0;
+    /**
+     * Returns the number of requests that are forwarded at once in the last round. Every second response takes
+     * {@code otherResponseTimeMs}.
+     */
+    static int countForwardedAfterRounds(Fixture f, double responseTimeMs, double otherResponseTimeMs, int rounds) {
+        int forwardedInRound = 0;
         for (int round = 0; round < rounds; round++) {
-            int before = f.host.started.size();
+            int startedBefore = f.host.started.size();
             for (int i = 0; i < 60; i++) {
-                f.request(Fixture.IDEMPOTENT);
+                f.sendRequest(Fixture.IDEMPOTENT);
             }
-            List<RecordingHost.StartedAttempt> out = List.copyOf(f.host.started.subList(before, f.host.started.size()));
-            f.now += Math.max(tookMs, otherMs);
-            for (int i = 0; i < out.size(); i++) {
-                f.finish(out.get(i), AttemptOutcome.OK, i % 2 == 0 ? tookMs : otherMs);
+            List<RecordingHost.StartedAttempt> attempts =
+                    List.copyOf(f.host.started.subList(startedBefore, f.host.started.size()));
+            f.nowMs += Math.max(responseTimeMs, otherResponseTimeMs);
+            for (int i = 0; i < attempts.size(); i++) {
+                f.finishAttempt(attempts.get(i), AttemptOutcome.OK, i % 2 == 0 ? responseTimeMs : otherResponseTimeMs);
             }
-            atOnce = out.size();
+            forwardedInRound = attempts.size();
         }
-        return atOnce;
+        return forwardedInRound;
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/OutlierDetectionTest.java
+++ b/core/src/test/java/lemonrail/core/policy/OutlierDetectionTest.java
@@ -15,135 +15,147 @@
 /** Checks the ejection, probing and recovery of endpoints. */
 class OutlierDetectionTest {
 
-    /** The figure for operators: it counts ejected endpoints; one that comes back from draining is healthy. */
+    /**
+     * The number of ejected endpoints is reported to operators. An endpoint that comes back from draining is healthy.
+     */
     @Test
-    void ejectedEndpointsAreCountedUntilTheyComeBackFromDraining() {
-        Fixture f = Fixture.of(1, 0, 1).list(Fixture.endpoints(4));
-        assertEquals(0, f.balancer.ejectedEndpoints(f.now));
-        String bad = f.failTwice(AttemptOutcome.FAILED);
-        assertEquals(1, f.balancer.ejectedEndpoints(f.now));
-        f.change(Fixture.endpoint(bad, 0, 0, EndpointState.DRAINING));
-        assertEquals(0, f.balancer.ejectedEndpoints(f.now), "it is discovery that leaves it out now");
-        f.change(Fixture.endpoint(bad, 0, 0, EndpointState.READY));
-        assertEquals(0, f.balancer.ejectedEndpoints(f.now));
+    void ejectedEndpointsAreCountedUntilTheyDrain() {
+        Fixture f = Fixture.of(1, 0, 1).setEndpoints(Fixture.endpoints(4));
+        assertEquals(0, f.balancer.ejectedEndpoints(f.nowMs));
+        String ejectedEndpoint = f.ejectByTwoFailures(AttemptOutcome.FAILED);
+        assertEquals(1, f.balancer.ejectedEndpoints(f.nowMs));
+        f.updateEndpoints(Fixture.endpoint(ejectedEndpoint, 0, 0, EndpointState.DRAINING));
+        assertEquals(0, f.balancer.ejectedEndpoints(f.nowMs), "a draining endpoint does not count as ejected");
+        f.updateEndpoints(Fixture.endpoint(ejectedEndpoint, 0, 0, EndpointState.READY));
+        assertEquals(0, f.balancer.ejectedEndpoints(f.nowMs));
     }
 
     @Test
-    void failingEndpointIsEjectedThenProbedByOneRequestAtATime() {
-        Fixture f = Fixture.of(1, 0, 1).list(Fixture.endpoints(4));
-        String bad = f.failTwice(AttemptOutcome.FAILED);
-        assertNotEquals(bad, f.host.last().endpoint());
-        Set<String> used = new HashSet<>();
+    void failingEndpointIsEjectedAndThenProbedByOneRequestAtATime() {
+        Fixture f = Fixture.of(1, 0, 1).setEndpoints(Fixture.endpoints(4));
+        String ejectedEndpoint = f.ejectByTwoFailures(AttemptOutcome.FAILED);
+        assertNotEquals(ejectedEndpoint, f.host.lastAttempt().endpoint());
+        Set<String> usedEndpoints = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            f.request(Fixture.IDEMPOTENT);
-            used.add(f.host.last().endpoint());
+            f.sendRequest(Fixture.IDEMPOTENT);
+            usedEndpoints.add(f.host.lastAttempt().endpoint());
         }
-        assertFalse(used.contains(bad));
-        f.now += 5000;
-        long atOnce = 0;
+        assertFalse(usedEndpoints.contains(ejectedEndpoint));
+        f.nowMs += 5000;
+        long requestsInFlight = 0;
         for (int i = 0; i < 20; i++) {
-            f.request(Fixture.IDEMPOTENT);
-            atOnce += f.host.last().endpoint().equals(bad) ? 1 : 0;
+            f.sendRequest(Fixture.IDEMPOTENT);
+            requestsInFlight += f.host.lastAttempt().endpoint().equals(ejectedEndpoint) ? 1 : 0;
         }
-        assertTrue(atOnce <= 1, "at once " + atOnce);
+        assertTrue(requestsInFlight <= 1, "probes in flight: " + requestsInFlight);
     }
 
-    /** Guards against ejections by chance, where a few of all responses are spoilt whichever endpoint gives them. */
+    /** Guards against ejections by chance when a few of the responses of all endpoints fail. */
     @Test
-    void singleFailuresAmongManyResponsesEjectNoEndpoint() {
-        Fixture f = Fixture.of(1, 0, 1).list(Fixture.endpoints(1));
+    void singleFailuresAmongManyResponsesDoNotEjectEndpoint() {
+        Fixture f = Fixture.of(1, 0, 1).setEndpoints(Fixture.endpoints(1));
         for (int i = 0; i < 100; i++) {
-            f.request(Fixture.NON_IDEMPOTENT);
-            f.finish(f.host.last(), i % 10 == 9 ? AttemptOutcome.RESET : AttemptOutcome.OK, 20);
-            f.now += 300;
+            f.sendRequest(Fixture.NON_IDEMPOTENT);
+            f.finishAttempt(f.host.lastAttempt(), i % 10 == 9 ? AttemptOutcome.RESET : AttemptOutcome.OK, 20);
+            f.nowMs += 300;
         }
-        int before = f.host.started.size();
+        int startedBefore = f.host.started.size();
         for (int i = 0; i < 5; i++) {
-            f.request(Fixture.NON_IDEMPOTENT);
+            f.sendRequest(Fixture.NON_IDEMPOTENT);
         }
-        assertEquals(before + 5, f.host.started.size(), "it takes several requests in flight");
+        assertEquals(startedBefore + 5, f.host.started.size(), "the endpoint still gets several requests at once");
     }
 
-    /** Guards against a new process judged by the results of the previous process. */
+    /** Guards against applying the results of an earlier process to a new one with the same id. */
     @Test
-    void newProcessUnderAnOldIdStartsHealthy() {
-        Fixture f = Fixture.of(1, 0, 1).list(Fixture.endpoints(3));
+    void newProcessWithKnownIdStartsHealthy() {
+        Fixture f = Fixture.of(1, 0, 1).setEndpoints(Fixture.endpoints(3));
         for (int i = 0; i < 12; i++) {
-            f.request(Fixture.NON_IDEMPOTENT);
+            f.sendRequest(Fixture.NON_IDEMPOTENT);
         }
-        List<RecordingHost.StartedAttempt> old = f.host.started.stream()
-                .filter(sent -> sent.endpoint().equals("s0"))
+        List<RecordingHost.StartedAttempt> attemptsAtPreviousProcess = f.host.started.stream()
+                .filter(attempt -> attempt.endpoint().equals("s0"))
                 .toList();
-        assertTrue(old.size() > 2, "requests to the former process: " + old.size());
-        f.change(Fixture.endpoint("s0", 0, f.now - 60_000, EndpointState.READY));
-        old.forEach(sent -> f.finish(sent, AttemptOutcome.RESET, 5));
-        int before = f.host.started.size();
+        assertTrue(
+                attemptsAtPreviousProcess.size() > 2,
+                "attempts at the previous process: " + attemptsAtPreviousProcess.size());
+        f.updateEndpoints(Fixture.endpoint("s0", 0, f.nowMs - 60_000, EndpointState.READY));
+        attemptsAtPreviousProcess.forEach(attempt -> f.finishAttempt(attempt, AttemptOutcome.RESET, 5));
+        int startedBefore = f.host.started.size();
         for (int i = 0; i < 12; i++) {
-            f.request(Fixture.NON_IDEMPOTENT);
+            f.sendRequest(Fixture.NON_IDEMPOTENT);
         }
-        long atOnce = f.host.started.stream()
-                .skip(before)
-                .filter(sent -> sent.endpoint().equals("s0"))
+        long requestsInFlight = f.host.started.stream()
+                .skip(startedBefore)
+                .filter(attempt -> attempt.endpoint().equals("s0"))
                 .count();
-        assertTrue(atOnce > 1, "it is neither ejected nor in backoff, but takes " + atOnce);
+        assertTrue(
+                requestsInFlight > 1,
+                "endpoint neither ejected nor in backoff; its requests in flight: " + requestsInFlight);
     }
 
-    /** Guards against an overloaded tier whose endpoints are ejected one by one until none is left. */
+    /** Guards against an overloaded tier whose endpoints are ejected one by one until none remain. */
     @Test
     void fullEndpointBacksOffButIsNotEjected() {
-        Fixture f = Fixture.of(1, 0, 1).list(Fixture.endpoints(3));
-        f.request(Fixture.IDEMPOTENT);
-        String full = f.host.last().endpoint();
-        f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 2);
-        assertNotEquals(full, f.host.last().endpoint());
-        f.now += 300;
-        int before = f.host.started.size();
+        Fixture f = Fixture.of(1, 0, 1).setEndpoints(Fixture.endpoints(3));
+        f.sendRequest(Fixture.IDEMPOTENT);
+        String fullEndpoint = f.host.lastAttempt().endpoint();
+        f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.QUEUE_FULL, 2);
+        assertNotEquals(fullEndpoint, f.host.lastAttempt().endpoint());
+        f.nowMs += 300;
+        int startedBefore = f.host.started.size();
         for (int i = 0; i < 12; i++) {
-            f.request(Fixture.IDEMPOTENT);
+            f.sendRequest(Fixture.IDEMPOTENT);
         }
-        long again = f.host.started.subList(before, f.host.started.size()).stream()
-                .filter(s -> s.endpoint().equals(full))
+        long requestsAfterBackoff = f.host.started.subList(startedBefore, f.host.started.size()).stream()
+                .filter(s -> s.endpoint().equals(fullEndpoint))
                 .count();
-        assertTrue(again >= 3, "only " + again + " requests went to an endpoint that was full a while ago");
+        assertTrue(
+                requestsAfterBackoff >= 3,
+                "only " + requestsAfterBackoff + " requests went to the endpoint after its backoff");
     }
 
-    /** Guards against a hung endpoint that recovers without ever responding. */
+    /** Guards against a hung endpoint that becomes healthy without a response. */
     @Test
-    void onlyResponsesLetAnEndpointRecover() {
-        Fixture f = Fixture.of(1, 0, 1).list(Fixture.endpoints(6));
-        String bad = f.failTwice(AttemptOutcome.RESET);
-        f.now += 600;
+    void endpointRecoversOnlyByResponses() {
+        Fixture f = Fixture.of(1, 0, 1).setEndpoints(Fixture.endpoints(6));
+        String ejectedEndpoint = f.ejectByTwoFailures(AttemptOutcome.RESET);
+        f.nowMs += 600;
         for (int i = 0; i < 10; i++) {
-            f.request(Fixture.IDEMPOTENT);
+            f.sendRequest(Fixture.IDEMPOTENT);
         }
-        List<RecordingHost.StartedAttempt> probes =
-                f.host.started.stream().filter(s -> s.endpoint().equals(bad)).toList();
+        List<RecordingHost.StartedAttempt> probes = f.host.started.stream()
+                .filter(s -> s.endpoint().equals(ejectedEndpoint))
+                .toList();
         RecordingHost.StartedAttempt probe = probes.get(probes.size() - 1);
         for (int i = 0; i < 8; i++) {
-            f.finish(probe, i % 2 == 0 ? AttemptOutcome.CANCELED : AttemptOutcome.IGNORED, 1);
-            f.now += 200;
-            int before = f.host.started.size();
+            f.finishAttempt(probe, i % 2 == 0 ? AttemptOutcome.CANCELED : AttemptOutcome.IGNORED, 1);
+            f.nowMs += 200;
+            int startedBefore = f.host.started.size();
             for (int j = 0; j < 8; j++) {
-                f.request(Fixture.IDEMPOTENT);
+                f.sendRequest(Fixture.IDEMPOTENT);
             }
-            List<RecordingHost.StartedAttempt> again = f.host.started.subList(before, f.host.started.size()).stream()
-                    .filter(s -> s.endpoint().equals(bad))
-                    .toList();
-            assertTrue(again.size() <= 1, "still one request at a time, but " + again.size());
-            probe = again.isEmpty() ? probe : again.get(0);
+            List<RecordingHost.StartedAttempt> requestsAfterBackoff =
+                    f.host.started.subList(startedBefore, f.host.started.size()).stream()
+                            .filter(s -> s.endpoint().equals(ejectedEndpoint))
+                            .toList();
+            assertTrue(
+                    requestsAfterBackoff.size() <= 1,
+                    "one request at a time expected, but got " + requestsAfterBackoff.size());
+            probe = requestsAfterBackoff.isEmpty() ? probe : requestsAfterBackoff.get(0);
         }
     }
 
     @Test
-    void noEndpointIsGivenUpWhenMostFail() {
-        Fixture f = Fixture.of(1, 0, 1).list(Fixture.endpoints(4));
+    void endpointsStayInUseWhenMostFail() {
+        Fixture f = Fixture.of(1, 0, 1).setEndpoints(Fixture.endpoints(4));
         for (int i = 0; i < 100; i++) {
-            f.now += 10;
-            f.request(Fixture.IDEMPOTENT);
-            f.finish(f.host.last(), AttemptOutcome.FAILED, 2);
+            f.nowMs += 10;
+            f.sendRequest(Fixture.IDEMPOTENT);
+            f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.FAILED, 2);
         }
-        int before = f.host.started.size();
-        f.request(Fixture.IDEMPOTENT);
-        assertEquals(before + 1, f.host.started.size(), "something is still tried");
+        int startedBefore = f.host.started.size();
+        f.sendRequest(Fixture.IDEMPOTENT);
+        assertEquals(startedBefore + 1, f.host.started.size(), "an attempt is still started");
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/OverloadSignalTest.java
+++ b/core/src/test/java/lemonrail/core/policy/OverloadSignalTest.java
@@ -1,8 +1,8 @@
 package lemonrail.core.policy;
 
-import static lemonrail.core.policy.LoadPatterns.forwardedAfterRounds;
-import static lemonrail.core.policy.LoadPatterns.forwardedAtOnce;
-import static lemonrail.core.policy.LoadPatterns.forwardedInASecond;
+import static lemonrail.core.policy.LoadPatterns.countForwardedAfterRounds;
+import static lemonrail.core.policy.LoadPatterns.countForwardedAtOnce;
+import static lemonrail.core.policy.LoadPatterns.countForwardedInOneSecond;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -16,114 +16,125 @@
 /** Checks which results count as overload. */
 class OverloadSignalTest {
 
-    /** Guards against a limit that one hung endpoint takes down to a request or two, where it would stay. */
+    /** Guards against a limit that one hung endpoint decreases to a request or two, where it would stay. */
     @Test
-    void hungEndpointIsNotTakenForOverload() {
-        Fixture f = Fixture.of(2, 0, 0).list(Fixture.endpoints(4));
-        int before = forwardedAfterRounds(f, 100, 20);
-        List<RecordingHost.StartedAttempt> hung = new ArrayList<>();
-        int from = f.host.started.size();
-        for (int i = 0; i < before; i++) {
-            f.request(Fixture.IDEMPOTENT);
+    void hungEndpointDoesNotDecreaseTheLimit() {
+        Fixture f = Fixture.of(2, 0, 0).setEndpoints(Fixture.endpoints(4));
+        int limitBefore = countForwardedAfterRounds(f, 100, 20);
+        List<RecordingHost.StartedAttempt> hungAttempts = new ArrayList<>();
+        int startedBefore = f.host.started.size();
+        for (int i = 0; i < limitBefore; i++) {
+            f.sendRequest(Fixture.IDEMPOTENT);
         }
-        List<RecordingHost.StartedAttempt> sent = List.copyOf(f.host.started.subList(from, f.host.started.size()));
-        f.now += 100;
-        for (RecordingHost.StartedAttempt each : sent) {
-            if (each.endpoint().equals(sent.get(0).endpoint())) {
-                hung.add(each);
+        List<RecordingHost.StartedAttempt> attempts =
+                List.copyOf(f.host.started.subList(startedBefore, f.host.started.size()));
+        f.nowMs += 100;
+        for (RecordingHost.StartedAttempt attempt : attempts) {
+            if (attempt.endpoint().equals(attempts.get(0).endpoint())) {
+                hungAttempts.add(attempt);
             } else {
-                f.finish(each, AttemptOutcome.OK, 100);
+                f.finishAttempt(attempt, AttemptOutcome.OK, 100);
             }
         }
-        assertTrue(hung.size() >= 3, hung.size() + " requests hang");
-        for (RecordingHost.StartedAttempt each : hung) {
-            f.now += 990;
+        assertTrue(hungAttempts.size() >= 3, hungAttempts.size() + " requests are hung, at least 3 expected");
+        for (RecordingHost.StartedAttempt attempt : hungAttempts) {
+            f.nowMs += 990;
             f.balancer.onAttemptFinished(
-                    f.now,
+                    f.nowMs,
                     new AttemptResult(
-                            each.request(),
-                            each.attempt(),
-                            each.endpoint(),
+                            attempt.request(),
+                            attempt.attempt(),
+                            attempt.endpoint(),
                             AttemptOutcome.TIMED_OUT,
                             990,
                             true,
                             LoadReport.NONE));
         }
-        int after = forwardedAfterRounds(f, 100, 1);
-        assertTrue(after > before * 0.8, before + " requests in flight before the hang and " + after + " after");
+        int limitAfter = countForwardedAfterRounds(f, 100, 1);
+        assertTrue(
+                limitAfter > limitBefore * 0.8,
+                limitBefore + " requests in flight before the hang and " + limitAfter + " after");
     }
 
-    /** Guards against small limits that stay at the edge: few responses tell too late (i495c4c, ibf84fc). */
+    /**
+     * Guards against small limits that stay at the edge of overload, because their few responses show it too late
+     * (i495c4c, ibf84fc).
+     */
     @Test
     void smallLimitHasALowerThreshold() {
-        Fixture small = Fixture.of(100, 0, 0).list(Fixture.endpoints(10));
+        Fixture smallLimit = Fixture.of(100, 0, 0).setEndpoints(Fixture.endpoints(10));
         for (int i = 0; i < 3; i++) {
-            forwardedInASecond(small, 100);
+            countForwardedInOneSecond(smallLimit, 100);
         }
-        int taken = 0;
+        int forwarded = 0;
         for (int i = 0; i < 8; i++) {
-            taken = forwardedInASecond(small, 260);
+            forwarded = countForwardedInOneSecond(smallLimit, 260);
         }
-        assertTrue(taken < 10, taken + " of 10 taken at one request in flight");
-        Fixture large = Fixture.of(10, 0, 0).list(Fixture.endpoints(20));
-        forwardedAfterRounds(large, 100, 20);
-        int before = forwardedAfterRounds(large, 100, 1);
-        assertTrue(forwardedAfterRounds(large, 260, 8) >= before, "the same responses leave a larger limit alone");
+        assertTrue(forwarded < 10, forwarded + " of 10 requests forwarded at a limit of one request in flight");
+        Fixture largeLimit = Fixture.of(10, 0, 0).setEndpoints(Fixture.endpoints(20));
+        countForwardedAfterRounds(largeLimit, 100, 20);
+        int limitBefore = countForwardedAfterRounds(largeLimit, 100, 1);
+        assertTrue(
+                countForwardedAfterRounds(largeLimit, 260, 8) >= limitBefore,
+                "the same responses do not decrease a larger limit");
     }
 
-    /** Guards against a limit that uninformative results decrease again and again after a slow moment. */
+    /** Guards against a limit that uninformative results decrease repeatedly after a period of slow responses. */
     @Test
-    void resultsThatSayNothingAboutLoadLeaveTheLimit() {
+    void resultsWithoutInformationOnLoadKeepTheLimit() {
         for (AttemptOutcome outcome : List.of(
                 AttemptOutcome.CANCELED, AttemptOutcome.CONNECT_ERROR, AttemptOutcome.RESET, AttemptOutcome.FAILED)) {
-            Fixture f = Fixture.of(10, 0, 0).list(Fixture.endpoints(20));
-            forwardedAfterRounds(f, 100, 20);
-            forwardedAfterRounds(f, 900, 2);
-            int before = forwardedAtOnce(f);
+            Fixture f = Fixture.of(10, 0, 0).setEndpoints(Fixture.endpoints(20));
+            countForwardedAfterRounds(f, 100, 20);
+            countForwardedAfterRounds(f, 900, 2);
+            int limitBefore = countForwardedAtOnce(f);
             for (int i = 0; i < 20; i++) {
-                f.now += 300;
-                f.request(Fixture.NON_IDEMPOTENT);
-                RecordingHost.StartedAttempt sent = f.host.last();
-                f.balancer.onRequestCancelled(f.now, sent.request());
-                f.finish(sent, outcome, 200);
+                f.nowMs += 300;
+                f.sendRequest(Fixture.NON_IDEMPOTENT);
+                RecordingHost.StartedAttempt attempt = f.host.lastAttempt();
+                f.balancer.onRequestCancelled(f.nowMs, attempt.request());
+                f.finishAttempt(attempt, outcome, 200);
             }
-            assertTrue(forwardedAtOnce(f) >= before, "after " + outcome);
+            assertTrue(countForwardedAtOnce(f) >= limitBefore, "limit after results " + outcome);
         }
     }
 
     /**
-     * Guards against a spread of work that passes for overload where objectives are short: the limit fell to one
-     * and stayed there, and the fronts of a quiet fleet rejected most requests.
+     * Guards against taking requests of different work for overload where latency objectives are short: the limit fell
+     * to one and stayed there, and the first-tier balancers of a lightly loaded fleet rejected most requests.
      */
     @Test
-    void spreadOfWorkIsNotTakenForOverload() {
-        Fixture f = Fixture.of(10, 0, 0).list(Fixture.endpoints(20));
-        int before = forwardedAfterRounds(f, 100, 700, 20);
-        int after = forwardedAfterRounds(f, 100, 700, 60);
-        assertTrue(after >= Math.max(before, 8), before + " requests in flight, then " + after);
-        assertTrue(forwardedAfterRounds(f, 950, 60) < 8, "overload is still seen");
-        assertTrue(forwardedAfterRounds(f, 100, 700, 60) >= 8, "and over when it is");
+    void differencesInWorkDoNotDecreaseTheLimit() {
+        Fixture f = Fixture.of(10, 0, 0).setEndpoints(Fixture.endpoints(20));
+        int limitBefore = countForwardedAfterRounds(f, 100, 700, 20);
+        int limitAfter = countForwardedAfterRounds(f, 100, 700, 60);
+        assertTrue(
+                limitAfter >= Math.max(limitBefore, 8),
+                limitBefore + " requests in flight at first, then " + limitAfter);
+        assertTrue(countForwardedAfterRounds(f, 950, 60) < 8, "overload is still detected");
+        assertTrue(countForwardedAfterRounds(f, 100, 700, 60) >= 8, "the limit recovers after the overload");
     }
 
-    /** Guards against late connections that pass for overload: the connect is no work of the endpoint. */
+    /** Guards against taking slow connects for overload: the connect time is not work of the endpoint. */
     @Test
-    void slowConnectIsNotTakenForOverload() {
-        Fixture f = Fixture.of(10, 0, 0).list(Fixture.endpoints(20));
-        int before = forwardedAfterRounds(f, 100, 60);
+    void slowConnectsDoNotDecreaseTheLimit() {
+        Fixture f = Fixture.of(10, 0, 0).setEndpoints(Fixture.endpoints(20));
+        int limitBefore = countForwardedAfterRounds(f, 100, 60);
         for (int round = 0; round < 60; round++) {
-            int from = f.host.started.size();
+            int startedBefore = f.host.started.size();
             for (int i = 0; i < 60; i++) {
-                f.request(Fixture.IDEMPOTENT);
+                f.sendRequest(Fixture.IDEMPOTENT);
             }
-            List<RecordingHost.StartedAttempt> out = List.copyOf(f.host.started.subList(from, f.host.started.size()));
-            f.now += 900;
-            for (RecordingHost.StartedAttempt sent : out) {
+            List<RecordingHost.StartedAttempt> attempts =
+                    List.copyOf(f.host.started.subList(startedBefore, f.host.started.size()));
+            f.nowMs += 900;
+            for (RecordingHost.StartedAttempt attempt : attempts) {
                 f.balancer.onAttemptFinished(
-                        f.now,
+                        f.nowMs,
                         new AttemptResult(
-                                sent.request(),
-                                sent.attempt(),
-                                sent.endpoint(),
+                                attempt.request(),
+                                attempt.attempt(),
+                                attempt.endpoint(),
                                 AttemptOutcome.OK,
                                 900,
                                 800,
@@ -133,49 +144,55 @@
             }
         }
         assertTrue(
-                forwardedAtOnce(f) >= before, before + " requests in flight before, " + forwardedAtOnce(f) + " after");
+                countForwardedAtOnce(f) >= limitBefore,
+                limitBefore + " requests in flight before, " + countForwardedAtOnce(f) + " after");
     }
 
-    /** Guards against one response that took long by chance and cuts again with each quick one behind it. */
+    /**
+     * Guards against one response that is slow by chance and decreases the limit again with each fast response after
+     * it.
+     */
     @Test
     void oneSlowResponseDecreasesASmallLimitOnce() {
-        Fixture f = Fixture.of(3, 0, 0).list(Fixture.endpoints(4));
-        oneAfterAnother(f, 40, 100);
-        oneAfterAnother(f, 30, 220);
-        int before = forwardedAtOnce(f);
-        oneAfterAnother(f, 1, 1900);
-        oneAfterAnother(f, 12, 220);
-        int after = forwardedAtOnce(f);
-        assertEquals(6, before, "four requests an endpoint over three balancers");
-        assertEquals(5, after, "one cut");
+        Fixture f = Fixture.of(3, 0, 0).setEndpoints(Fixture.endpoints(4));
+        sendSequentially(f, 40, 100);
+        sendSequentially(f, 30, 220);
+        int limitBefore = countForwardedAtOnce(f);
+        sendSequentially(f, 1, 1900);
+        sendSequentially(f, 12, 220);
+        int limitAfter = countForwardedAtOnce(f);
+        assertEquals(6, limitBefore, "four requests per endpoint, divided by three balancers");
+        assertEquals(5, limitAfter, "one decrease of the limit");
     }
 
-    private static void oneAfterAnother(Fixture f, int requests, double tookMs) {
+    private static void sendSequentially(Fixture f, int requests, double responseTimeMs) {
         for (int i = 0; i < requests; i++) {
-            f.request(Fixture.IDEMPOTENT);
-            f.now += tookMs;
-            f.finish(f.host.last(), AttemptOutcome.OK, tookMs);
+            f.sendRequest(Fixture.IDEMPOTENT);
+            f.nowMs += responseTimeMs;
+            f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.OK, responseTimeMs);
         }
     }
 
-    /** Guards against requests that leave overloaded endpoints and overload the next ones in turn (i495c4c). */
+    /** Guards against requests that leave overloaded endpoints and overload one endpoint after another (i495c4c). */
     @Test
     void requestsThatLeaveFullEndpointsDoNotOverloadAllOthers() {
-        Fixture f = Fixture.of(100, 0, 0).list(Fixture.endpoints(10));
+        Fixture f = Fixture.of(100, 0, 0).setEndpoints(Fixture.endpoints(10));
         for (int i = 0; i < 3; i++) {
-            forwardedInASecond(f, 100);
+            countForwardedInOneSecond(f, 100);
         }
         for (int i = 0; i < 2; i++) {
-            f.request(Fixture.IDEMPOTENT);
+            f.sendRequest(Fixture.IDEMPOTENT);
             for (int attempt = 0; attempt < 3; attempt++) {
-                f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 1);
+                f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.QUEUE_FULL, 1);
             }
         }
-        int sent = f.host.started.size();
-        f.request(Fixture.IDEMPOTENT);
-        assertEquals(sent, f.host.started.size(), "six endpoints are full: a seventh is not tried");
-        f.now += 60_000;
-        forwardedInASecond(f, 100);
-        assertTrue(f.host.started.size() > sent, "and all is well again once they are not");
+        int startedBefore = f.host.started.size();
+        f.sendRequest(Fixture.IDEMPOTENT);
+        assertEquals(startedBefore, f.host.started.size(), "after six full endpoints a seventh is not tried");
+        f.nowMs += 60_000;
+        countForwardedInOneSecond(f, 100);
+        assertTrue(
+                f.host.started.size() > startedBefore,
+                "requests are forwarded again when the endpoints are no longer full");
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/PolicyFileTest.java
+++ b/core/src/test/java/lemonrail/core/policy/PolicyFileTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Checks that the deploy file names all files that hold decisions, and that each of them stays short. */
+/** Checks that the deploy file lists all files with policy code, and that each of these files is short. */
 class PolicyFileTest {
 
     private static final Path ROOT = Path.of("..");
@@ -29,7 +29,7 @@
     private static List<Path> listedFiles() throws IOException {
         Matcher policy = Pattern.compile("(?m)^policy = \\[(.*)]$")
                 .matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
-        assertTrue(policy.find(), "deploy/balancer.toml names its policy files");
+        assertTrue(policy.find(), "deploy/balancer.toml has a list of policy files");
         List<Path> files = new ArrayList<>();
         Matcher file = Pattern.compile("\"([^\"]+)\"").matcher(policy.group(1));
         while (file.find()) {
@@ -38,12 +38,12 @@
         return files;
     }
 
-    private static List<String> linesOf(Path file) throws IOException {
+    private static List<String> readLines(Path file) throws IOException {
         return Files.readAllLines(ROOT.resolve(file));
     }
 
     @Test
-    void everyListedFileExistsAndIsNamedOnce() throws IOException {
+    void listedFilesExistAndAreUnique() throws IOException {
         List<Path> listed = listedFiles();
         assertTrue(!listed.isEmpty(), "at least one policy file is listed");
         for (Path file : listed) {
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void everyFileOfThePolicyPackageIsListed() throws IOException {
+    void allFilesOfPolicyPackageAreListed() throws IOException {
         Set<Path> inPackage;
         try (Stream<Path> files = Files.list(ROOT.resolve(POLICY_PACKAGE))) {
             inPackage = files.map(file -> POLICY_PACKAGE.resolve(file.getFileName()))
@@ -61,26 +61,26 @@
                     .collect(Collectors.toCollection(TreeSet::new));
         }
         inPackage.removeAll(listedFiles());
-        assertEquals(Set.of(), inPackage, "files of the package that the deploy file does not list");
+        assertEquals(Set.of(), inPackage, "files of the package that are missing in the deploy file");
     }
 
     @Test
-    void noListedFileIsLongOrWide() throws IOException {
+    void listedFilesAreWithinLengthLimits() throws IOException {
         for (Path file : listedFiles()) {
-            List<String> lines = linesOf(file);
+            List<String> lines = readLines(file);
             assertTrue(lines.size() <= MAX_LINES_PER_FILE, file + " has " + lines.size() + " lines");
             assertEquals(
                     List.of(),
                     lines.stream()
                             .filter(line -> line.length() > MAX_LINE_LENGTH)
                             .toList(),
-                    "lines of " + file);
+                    "too long lines of " + file);
         }
     }
 
     @Test
-    void theFirstLinesNameTheInterfaceFile() throws IOException {
-        List<String> firstLines = linesOf(listedFiles().get(0)).subList(0, FIRST_LINES);
+    void firstLinesNameTheInterfaceFile() throws IOException {
+        List<String> firstLines = readLines(listedFiles().get(0)).subList(0, FIRST_LINES);
         assertTrue(firstLines.stream().anyMatch(line -> line.contains("LoadBalancer.java")));
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
@@ -24,20 +24,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Feeds random events to a balancer whose host checks the rules from outside, without the balancer's state. */
+/**
+ * Sends random events to a balancer. Its host checks each action against the rules, without access to the balancer's
+ * state.
+ */
 class RandomEventsTest {
 
-    /** A request as the host sees it. */
+    /** A request as observed by the host. */
     private static final class ObservedRequest {
-        final int kind;
+        final int classIndex;
         final double deadlineMs;
         final List<String> endpoints = new ArrayList<>();
         final List<Double> startedMs = new ArrayList<>();
         final List<AttemptOutcome> outcomes = new ArrayList<>();
-        boolean over;
+        boolean responded;
 
-        ObservedRequest(int kind, double deadlineMs) {
-            this.kind = kind;
+        ObservedRequest(int classIndex, double deadlineMs) {
+            this.classIndex = classIndex;
             this.deadlineMs = deadlineMs;
         }
 
@@ -61,9 +64,9 @@
         final BalancerSettings settings;
         final Map<String, ObservedRequest> observed = new HashMap<>();
         final Map<String, Endpoint> listed = new HashMap<>();
-        final List<Double> timers = new ArrayList<>();
+        final List<Double> timerDueMs = new ArrayList<>();
         final List<Long> timerNames = new ArrayList<>();
-        double now;
+        double nowMs;
         int attemptsInFlight;
 
         RuleCheckingHost(BalancerSettings settings) {
@@ -73,30 +76,34 @@
         @Override
         public void startAttempt(String requestId, String endpoint, double timeoutMs) {
             ObservedRequest request = observed.get(requestId);
-            RequestClass kind = settings.classes().get(request.kind);
-            assertFalse(request.over, "started after its final response: " + requestId);
-            assertEquals(EndpointState.READY, listed.get(endpoint).state(), "started at an endpoint that is not ready");
-            assertTrue(timeoutMs <= request.deadlineMs - now + 1e-6, "outlasts the client");
+            RequestClass requestClass = settings.classes().get(request.classIndex);
+            assertFalse(request.responded, "attempt started after the final response of request " + requestId);
+            assertEquals(
+                    EndpointState.READY,
+                    listed.get(endpoint).state(),
+                    "attempt started at an endpoint that is not ready");
+            assertTrue(
+                    timeoutMs <= request.deadlineMs - nowMs + 1e-6, "attempt timeout ends after the client's deadline");
             assertTrue(request.outcomes.size() < settings.limits().maxAttempts(), "too many attempts");
             assertTrue(
                     settings.limits().parallelAttempts() || request.attemptsInFlight() == 0, "two attempts in flight");
             int first = request.firstPossibleExecution();
             if (first >= 0) {
                 assertTrue(
-                        kind.idempotency() != Idempotency.NON_IDEMPOTENT,
-                        "a request that may have run was started again");
-                if (kind.idempotency() == Idempotency.KEYED) {
+                        requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
+                        "a non-idempotent request that may have run was retried");
+                if (requestClass.idempotency() == Idempotency.KEYED) {
                     assertEquals(
                             listed.get(request.endpoints.get(first)).cell(),
                             listed.get(endpoint).cell(),
-                            "repeat outside the deduplication scope");
+                            "retry outside the deduplication scope");
                     assertTrue(
-                            now - request.startedMs.get(first) < kind.deduplicationWindowMs(),
-                            "repeat after the deduplication window");
+                            nowMs - request.startedMs.get(first) < requestClass.deduplicationWindowMs(),
+                            "retry after the deduplication window");
                 }
             }
             request.endpoints.add(endpoint);
-            request.startedMs.add(now);
+            request.startedMs.add(nowMs);
             request.outcomes.add(null);
             attemptsInFlight++;
             assertTrue(attemptsInFlight <= 256, "more attempts in flight than the pool may hold");
@@ -106,9 +113,9 @@
         public void reject(String requestId, double retryAfterMs) {
             ObservedRequest request = observed.get(requestId);
             assertTrue(
-                    settings.classes().get(request.kind).idempotency() == Idempotency.IDEMPOTENT
+                    settings.classes().get(request.classIndex).idempotency() == Idempotency.IDEMPOTENT
                             || request.firstPossibleExecution() < 0,
-                    "rejected though it may have run");
+                    "rejected although it may have run");
             finish(request);
         }
 
@@ -118,20 +125,19 @@
         }
 
         private void finish(ObservedRequest request) {
-            assertFalse(request.over, "two final responses");
-            assertTrue(now <= request.deadlineMs, "final response too late");
-            request.over = true;
+            assertFalse(request.responded, "two final responses");
+            assertTrue(nowMs <= request.deadlineMs, "final response after the deadline");
+            request.responded = true;
         }
 
         @Override
         public void cancelAttempt(String requestId, int attempt) {
-            assertTrue(
-                    attempt < observed.get(requestId).outcomes.size(), "cancelled an attempt that was never started");
+            assertTrue(attempt < observed.get(requestId).outcomes.size(), "cancelled an attempt that was not started");
         }
 
         @Override
-        public void startTimer(double inMs, long name) {
-            timers.add(now + inMs);
+        public void startTimer(double delayMs, long name) {
+            timerDueMs.add(nowMs + delayMs);
             timerNames.add(name);
         }
 
@@ -159,85 +165,90 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void rulesHoldUnderRandomEvents(int seed) {
+    void actionsFollowRulesUnderRandomEvents(int seed) {
         Random random = new Random(seed);
         BalancerSettings settings = settings(random);
         RuleCheckingHost host = new RuleCheckingHost(settings);
-        host.now = 10_000;
+        host.nowMs = 10_000;
         BoxcarLoadBalancer balancer = new BoxcarLoadBalancer(settings, seed, host);
-        List<String> open = new ArrayList<>();
+        List<String> openRequestIds = new ArrayList<>();
         int requests = 0;
         for (int step = 0; step < 4000; step++) {
-            host.now += random.nextInt(12);
+            host.nowMs += random.nextInt(12);
             fireTimers(host, balancer);
-            endOverdue(host, balancer, open);
-            int what = random.nextInt(20);
-            if (what == 0 || step == 0) {
-                changeList(host, balancer, random, step == 0);
-            } else if (what < 9 && step < 3500) {
+            timeOutOverdueAttempts(host, balancer, openRequestIds);
+            int event = random.nextInt(20);
+            if (event == 0 || step == 0) {
+                updateEndpoints(host, balancer, random, step == 0);
+            } else if (event < 9 && step < 3500) {
                 String id = "q" + requests++;
-                int kind = random.nextInt(settings.classes().size());
-                double left = 1 + random.nextInt(3000);
-                host.observed.put(id, new ObservedRequest(kind, host.now + left));
-                open.add(id);
+                int classIndex = random.nextInt(settings.classes().size());
+                double remainingMs = 1 + random.nextInt(3000);
+                host.observed.put(id, new ObservedRequest(classIndex, host.nowMs + remainingMs));
+                openRequestIds.add(id);
                 balancer.onRequest(
-                        host.now,
+                        host.nowMs,
                         new Request(
                                 id,
-                                kind,
+                                classIndex,
                                 settings.tenants().isEmpty() ? 0 : random.nextInt(2),
-                                host.now + left,
+                                host.nowMs + remainingMs,
                                 false));
-            } else if (what < 10 && !open.isEmpty()) {
-                String id = open.get(random.nextInt(open.size()));
-                host.observed.get(id).over = true;
-                balancer.onRequestCancelled(host.now, id);
-            } else if (!open.isEmpty()) {
-                String id = open.get(random.nextInt(open.size()));
-                end(host, balancer, id, AttemptOutcome.values()[random.nextInt(8)]);
+            } else if (event < 10 && !openRequestIds.isEmpty()) {
+                String id = openRequestIds.get(random.nextInt(openRequestIds.size()));
+                host.observed.get(id).responded = true;
+                balancer.onRequestCancelled(host.nowMs, id);
+            } else if (!openRequestIds.isEmpty()) {
+                String id = openRequestIds.get(random.nextInt(openRequestIds.size()));
+                finishNextAttempt(host, balancer, id, AttemptOutcome.values()[random.nextInt(8)]);
             }
-            open.removeIf(
-                    id -> host.observed.get(id).over && host.observed.get(id).attemptsInFlight() == 0);
+            openRequestIds.removeIf(id ->
+                    host.observed.get(id).responded && host.observed.get(id).attemptsInFlight() == 0);
         }
         for (int i = 0; i < 400; i++) {
-            host.now += 50;
+            host.nowMs += 50;
             fireTimers(host, balancer);
-            endOverdue(host, balancer, open);
-            open.removeIf(
-                    id -> host.observed.get(id).over && host.observed.get(id).attemptsInFlight() == 0);
+            timeOutOverdueAttempts(host, balancer, openRequestIds);
+            openRequestIds.removeIf(id ->
+                    host.observed.get(id).responded && host.observed.get(id).attemptsInFlight() == 0);
         }
-        assertTrue(host.observed.values().stream().allMatch(c -> c.over), "a request was lost");
-        assertTrue(open.isEmpty());
+        assertTrue(host.observed.values().stream().allMatch(c -> c.responded), "a request has no final response");
+        assertTrue(openRequestIds.isEmpty());
         assertEquals(0, host.attemptsInFlight);
-        assertEquals(0, balancer.requestsInFlight(), "state is left over");
+        assertEquals(0, balancer.requestsInFlight(), "requests remain in the balancer");
     }
 
     private static void fireTimers(RuleCheckingHost host, BoxcarLoadBalancer balancer) {
-        for (int i = 0; i < host.timers.size(); i++) {
-            if (host.timers.get(i) <= host.now) {
-                host.timers.remove(i);
-                balancer.onTimer(host.now, host.timerNames.remove(i));
+        for (int i = 0; i < host.timerDueMs.size(); i++) {
+            if (host.timerDueMs.get(i) <= host.nowMs) {
+                host.timerDueMs.remove(i);
+                balancer.onTimer(host.nowMs, host.timerNames.remove(i));
                 i = -1;
             }
         }
     }
 
-    /** The host cuts attempts off at the client's deadline, within the slack that the judge allows. */
-    private static void endOverdue(RuleCheckingHost host, BoxcarLoadBalancer balancer, List<String> open) {
-        for (String id : List.copyOf(open)) {
+    /**
+     * Times out attempts at the client's deadline, as the host does. Attempts within 15 ms of the deadline are
+     * included, because the clock advances by up to 11 ms per step.
+     */
+    private static void timeOutOverdueAttempts(
+            RuleCheckingHost host, BoxcarLoadBalancer balancer, List<String> openRequestIds) {
+        for (String id : List.copyOf(openRequestIds)) {
             ObservedRequest request = host.observed.get(id);
-            if (request.deadlineMs <= host.now + 15) {
-                double now = host.now;
-                host.now = Math.min(now, request.deadlineMs);
+            if (request.deadlineMs <= host.nowMs + 15) {
+                double nowMs = host.nowMs;
+                host.nowMs = Math.min(nowMs, request.deadlineMs);
                 while (request.attemptsInFlight() > 0) {
-                    end(host, balancer, id, AttemptOutcome.TIMED_OUT);
+                    finishNextAttempt(host, balancer, id, AttemptOutcome.TIMED_OUT);
                 }
-                host.now = now;
+                host.nowMs = nowMs;
             }
         }
     }
 
-    private static void end(RuleCheckingHost host, BoxcarLoadBalancer balancer, String id, AttemptOutcome outcome) {
+    private static void finishNextAttempt(
+            RuleCheckingHost host, BoxcarLoadBalancer balancer, String id, AttemptOutcome outcome) {
         ObservedRequest request = host.observed.get(id);
         int attempt = request.outcomes.indexOf(null);
         if (attempt < 0) {
@@ -245,32 +256,34 @@
         }
         request.outcomes.set(attempt, outcome);
         host.attemptsInFlight--;
-        boolean served = outcome == AttemptOutcome.OK && !request.over;
-        boolean concluded = request.over || served;
-        request.over |= served;
+        boolean served = outcome == AttemptOutcome.OK && !request.responded;
+        boolean concluded = request.responded || served;
+        request.responded |= served;
         balancer.onAttemptFinished(
-                host.now,
+                host.nowMs,
                 new AttemptResult(
                         id,
                         attempt,
                         request.endpoints.get(attempt),
                         outcome,
-                        host.now - request.startedMs.get(attempt),
+                        host.nowMs - request.startedMs.get(attempt),
                         concluded,
                         LoadReport.NONE));
     }
 
-    private static void changeList(RuleCheckingHost host, BoxcarLoadBalancer balancer, Random random, boolean whole) {
+    private static void updateEndpoints(
+            RuleCheckingHost host, BoxcarLoadBalancer balancer, Random random, boolean isSnapshot) {
         List<Endpoint> changes = new ArrayList<>();
-        for (int i = 0; i < (whole ? 12 : 2); i++) {
-            String id = "s" + (whole ? i : random.nextInt(15));
-            EndpointState state = whole ? EndpointState.READY : EndpointState.values()[random.nextInt(3)];
-            double started = random.nextInt(4) == 0 ? host.now - random.nextInt(9000) : 0;
-            int number = Integer.parseInt(id.substring(1));
-            Endpoint endpoint = new Endpoint(id, number % 2, 0, number % 4, started, state, 1);
+        for (int i = 0; i < (isSnapshot ? 12 : 2); i++) {
+            String id = "s" + (isSnapshot ? i : random.nextInt(15));
+            EndpointState state = isSnapshot ? EndpointState.READY : EndpointState.values()[random.nextInt(3)];
+            double startedMs = random.nextInt(4) == 0 ? host.nowMs - random.nextInt(9000) : 0;
+            int endpointNumber = Integer.parseInt(id.substring(1));
+            Endpoint endpoint = new Endpoint(id, endpointNumber % 2, 0, endpointNumber % 4, startedMs, state, 1);
             changes.add(endpoint);
             host.listed.put(id, endpoint);
         }
-        balancer.onEndpointUpdate(host.now, whole ? EndpointUpdateKind.CACHED : EndpointUpdateKind.DELTA, changes);
+        balancer.onEndpointUpdate(
+                host.nowMs, isSnapshot ? EndpointUpdateKind.CACHED : EndpointUpdateKind.DELTA, changes);
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/RecordingHost.java
+++ b/core/src/test/java/lemonrail/core/policy/RecordingHost.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import lemonrail.core.balancer.LoadBalancerHost;
 
-/** A host that carries nothing out and records what it was told to do. */
+/** A host that records a balancer's actions without carrying them out. */
 final class RecordingHost implements LoadBalancerHost {
 
     /** An attempt that was started. */
@@ -18,14 +18,14 @@
     final List<String> cancelled = new ArrayList<>();
     final List<String> closed = new ArrayList<>();
     final List<String> log = new ArrayList<>();
-    /** All actions in their order, as text. */
-    final List<String> all = new ArrayList<>();
+    /** All actions in order, as text. */
+    final List<String> actions = new ArrayList<>();
 
-    final List<Double> timers = new ArrayList<>();
+    final List<Double> timerDelaysMs = new ArrayList<>();
     int polls;
     private final Map<String, Integer> attempts = new HashMap<>();
 
-    StartedAttempt last() {
+    StartedAttempt lastAttempt() {
         return started.get(started.size() - 1);
     }
 
@@ -33,43 +33,43 @@
     public void startAttempt(String request, String endpoint, double timeoutMs) {
         int attempt = attempts.merge(request, 1, Integer::sum) - 1;
         started.add(new StartedAttempt(request, attempt, endpoint, timeoutMs));
-        all.add("start " + request + " " + endpoint + " " + timeoutMs);
+        actions.add("start " + request + " " + endpoint + " " + timeoutMs);
     }
 
     @Override
     public void reject(String request, double retryAfterMs) {
         rejected.add(request);
-        all.add("reject " + request);
+        actions.add("reject " + request);
     }
 
     @Override
     public void fail(String request) {
         failed.add(request);
-        all.add("fail " + request);
+        actions.add("fail " + request);
     }
 
     @Override
     public void cancelAttempt(String request, int attempt) {
         cancelled.add(request + "#" + attempt);
-        all.add("cancel " + request + " " + attempt);
+        actions.add("cancel " + request + " " + attempt);
     }
 
     @Override
     public void startTimer(double delayMs, long name) {
-        timers.add(delayMs);
-        all.add("timer " + name);
+        timerDelaysMs.add(delayMs);
+        actions.add("timer " + name);
     }
 
     @Override
     public void closeIdleConnections(String endpoint) {
         closed.add(endpoint);
-        all.add("close " + endpoint);
+        actions.add("close " + endpoint);
     }
 
     @Override
     public void pollEndpoints() {
         polls++;
-        all.add("poll");
+        actions.add("poll");
     }
 
     @Override
--- a/core/src/test/java/lemonrail/core/policy/RetryPolicyTest.java
+++ b/core/src/test/java/lemonrail/core/policy/RetryPolicyTest.java
@@ -11,7 +11,7 @@
 import lemonrail.core.balancer.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** Checks each reason of a retry decision, and that a decision spends nothing. */
+/** Checks each retry decision, and that a decision takes no token from the retry budget. */
 class RetryPolicyTest {
 
     private static final double START_MS = 1000;
@@ -22,18 +22,18 @@
     private final RetryPolicy policy = new RetryPolicy(settings, budget);
 
     private InFlightRequest request(int requestClass) {
-        RequestClass definition = settings.classes().get(requestClass);
+        RequestClass settingsOfClass = settings.classes().get(requestClass);
         Request request = new Request("r", requestClass, 0, DEADLINE_MS, false);
-        return new InFlightRequest(START_MS, request, definition, new LatencyEstimator(definition));
+        return new InFlightRequest(START_MS, request, settingsOfClass, new LatencyEstimator(settingsOfClass));
     }
 
-    private static void attempt(InFlightRequest request) {
+    private static void startAttempt(InFlightRequest request) {
         request.onAttemptStarted(START_MS, new Slot(new EndpointRecord(Fixture.endpoint("s0")), 0, true));
     }
 
-    /** Starts an attempt, ends it with the outcome and returns the decision after it. */
+    /** Starts an attempt, ends it with the outcome and returns the retry decision. */
     private RetryDecision decideAfter(InFlightRequest request, AttemptOutcome outcome, double nowMs) {
-        attempt(request);
+        startAttempt(request);
         request.onAttemptFinished(request.attemptInFlight(request.attempts().size() - 1), outcome);
         return policy.decide(nowMs, request, result(outcome, true));
     }
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void idempotentRequestIsRetriedAndTheDecisionSpendsNothing() {
+    void idempotentRequestIsRetriedAndDecisionTakesNoToken() {
         for (int i = 0; i < 100; i++) {
             assertEquals(
                     RetryDecision.RETRY, decideAfter(request(Fixture.IDEMPOTENT), AttemptOutcome.FAILED, START_MS + 5));
@@ -51,9 +51,9 @@
     }
 
     @Test
-    void budgetIsExhaustedOnceItsTokensAreSpent() {
+    void budgetIsExhaustedOnceItsTokensAreTaken() {
         for (int i = 0; i < 10; i++) {
-            budget.spend();
+            budget.takeToken();
         }
         assertEquals(
                 RetryDecision.BUDGET_EXHAUSTED,
@@ -64,11 +64,11 @@
         assertEquals(
                 RetryDecision.RETRY,
                 decideAfter(request(Fixture.IDEMPOTENT), AttemptOutcome.FAILED, START_MS + 5),
-                "five requests or so bring a token");
+                "six requests add at least one token");
     }
 
     @Test
-    void requestThatTheHostNoLongerHasIsNotRetried() {
+    void requestThatIsNotReplayableIsNotRetried() {
         assertEquals(
                 RetryDecision.NOT_REPLAYABLE,
                 policy.decide(START_MS, request(Fixture.IDEMPOTENT), result(AttemptOutcome.FAILED, false)));
@@ -77,7 +77,7 @@
     @Test
     void requestWithAnAttemptInFlightIsNotRetried() {
         InFlightRequest request = request(Fixture.IDEMPOTENT);
-        attempt(request);
+        startAttempt(request);
         assertEquals(
                 RetryDecision.ATTEMPT_IN_FLIGHT, policy.decide(START_MS, request, result(AttemptOutcome.FAILED, true)));
     }
@@ -99,7 +99,7 @@
 
     @Test
     void requestIsNotRetriedWithLessThanHalfATypicalLatencyLeft() {
-        // Typical is a quarter of the objective of 1,000 ms at first; the request is of use for 990 ms.
+        // The initial typical latency is a quarter of the objective of 1,000 ms; a response is useful for 990 ms.
         assertEquals(
                 RetryDecision.RETRY, decideAfter(request(Fixture.IDEMPOTENT), AttemptOutcome.FAILED, START_MS + 864));
         assertEquals(
@@ -115,10 +115,11 @@
         assertEquals(
                 RetryDecision.RETRY,
                 decideAfter(request(Fixture.NON_IDEMPOTENT), AttemptOutcome.CONNECT_ERROR, START_MS));
-        // The deduplication window is 800 ms, of which 90 % are used.
-        assertEquals(RetryDecision.RETRY, decideAfter(request(Fixture.BY_CELL), AttemptOutcome.RESET, START_MS + 719));
+        // Keyed requests are retried within 90 % of the deduplication window of 800 ms.
+        assertEquals(
+                RetryDecision.RETRY, decideAfter(request(Fixture.KEYED_BY_CELL), AttemptOutcome.RESET, START_MS + 719));
         assertEquals(
                 RetryDecision.MAY_HAVE_EXECUTED,
-                decideAfter(request(Fixture.BY_CELL), AttemptOutcome.RESET, START_MS + 721));
+                decideAfter(request(Fixture.KEYED_BY_CELL), AttemptOutcome.RESET, START_MS + 721));
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/RetryTest.java
+++ b/core/src/test/java/lemonrail/core/policy/RetryTest.java
@@ -13,21 +13,21 @@
 import lemonrail.core.balancer.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** Checks which requests are retried, where, and how long an attempt may take. */
+/** Checks which requests are retried, on which endpoints, and how long an attempt may take. */
 class RetryTest {
 
-    /** A request of which too much is gone is not sent again, though it never ran; it may be rejected. */
+    /** A request that the host no longer has in full is not retried although it never ran. It may be rejected. */
     @Test
     void requestThatIsNotReplayableIsNotRetried() {
-        Fixture f = Fixture.of(1, 0, 1).list(Fixture.endpoints(2));
-        String id = f.request(Fixture.NON_IDEMPOTENT);
-        RecordingHost.StartedAttempt sent = f.host.last();
+        Fixture f = Fixture.of(1, 0, 1).setEndpoints(Fixture.endpoints(2));
+        String id = f.sendRequest(Fixture.NON_IDEMPOTENT);
+        RecordingHost.StartedAttempt attempt = f.host.lastAttempt();
         f.balancer.onAttemptFinished(
-                f.now,
+                f.nowMs,
                 new AttemptResult(
                         id,
-                        sent.attempt(),
-                        sent.endpoint(),
+                        attempt.attempt(),
+                        attempt.endpoint(),
                         AttemptOutcome.CONNECT_ERROR,
                         5,
                         5,
@@ -39,12 +39,12 @@
     }
 
     @Test
-    void retriesAreBoundedAndGoToOtherEndpoints() {
-        Fixture f = Fixture.of(2, 0, 1).list(Fixture.endpoints(6));
-        f.request(Fixture.IDEMPOTENT);
+    void retriesPerRequestAreBoundedAndUseOtherEndpoints() {
+        Fixture f = Fixture.of(2, 0, 1).setEndpoints(Fixture.endpoints(6));
+        f.sendRequest(Fixture.IDEMPOTENT);
         for (int i = 0; i < 3; i++) {
-            f.now += 5;
-            f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
+            f.nowMs += 5;
+            f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.FAILED, 5);
         }
         assertEquals(3, f.host.started.size());
         assertEquals(
@@ -57,36 +57,36 @@
     }
 
     @Test
-    void retriesOfManyRequestsAreBoundedTogether() {
-        Fixture f = Fixture.of(2, 0, 1).list(Fixture.endpoints(30));
+    void retriesOfAllRequestsTogetherAreBounded() {
+        Fixture f = Fixture.of(2, 0, 1).setEndpoints(Fixture.endpoints(30));
         int requests = 200;
         for (int i = 0; i < requests; i++) {
-            f.now += 50;
-            String id = f.request(Fixture.IDEMPOTENT);
-            for (int tries = 0;
-                    tries < 9 && f.host.last().request().equals(id) && !f.host.rejected.contains(id);
-                    tries++) {
-                f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
+            f.nowMs += 50;
+            String id = f.sendRequest(Fixture.IDEMPOTENT);
+            for (int attempts = 0;
+                    attempts < 9 && f.host.lastAttempt().request().equals(id) && !f.host.rejected.contains(id);
+                    attempts++) {
+                f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.FAILED, 5);
             }
         }
-        assertTrue(f.host.started.size() <= requests * 1.2 + 11, "sent " + f.host.started.size());
+        assertTrue(f.host.started.size() <= requests * 1.2 + 11, "started attempts: " + f.host.started.size());
     }
 
     @Test
     void nonIdempotentRequestIsNotRetriedOnceItMayHaveRun() {
-        Fixture f = Fixture.of(2, 0, 0).list(Fixture.endpoints(4));
-        f.request(Fixture.NON_IDEMPOTENT);
-        f.finish(f.host.last(), AttemptOutcome.RESET, 5);
+        Fixture f = Fixture.of(2, 0, 0).setEndpoints(Fixture.endpoints(4));
+        f.sendRequest(Fixture.NON_IDEMPOTENT);
+        f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.RESET, 5);
         assertEquals(1, f.host.started.size());
         assertEquals(List.of("r0"), f.host.failed);
         assertTrue(f.host.rejected.isEmpty());
     }
 
     @Test
-    void nonIdempotentRequestIsRetriedIfItNeverRan() {
-        Fixture f = Fixture.of(2, 0, 0).list(Fixture.endpoints(4));
-        f.request(Fixture.NON_IDEMPOTENT);
-        f.finish(f.host.last(), AttemptOutcome.CONNECT_ERROR, 5);
+    void nonIdempotentRequestIsRetriedIfItDidNotRun() {
+        Fixture f = Fixture.of(2, 0, 0).setEndpoints(Fixture.endpoints(4));
+        f.sendRequest(Fixture.NON_IDEMPOTENT);
+        f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.CONNECT_ERROR, 5);
         assertEquals(2, f.host.started.size());
     }
 
@@ -96,29 +96,31 @@
         for (int i = 0; i < 9; i++) {
             list.add(Fixture.endpoint("s" + i, i % 3, 0, EndpointState.READY));
         }
-        Fixture f = Fixture.of(2, 0, 0).list(list);
-        f.request(Fixture.BY_CELL);
-        int first = f.host.last().endpoint().charAt(1) % 3;
-        f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
+        Fixture f = Fixture.of(2, 0, 0).setEndpoints(list);
+        f.sendRequest(Fixture.KEYED_BY_CELL);
+        int firstCell = f.host.lastAttempt().endpoint().charAt(1) % 3;
+        f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.FAILED, 5);
         assertEquals(2, f.host.started.size());
-        assertEquals(first, f.host.last().endpoint().charAt(1) % 3);
-        f.now += 900;
-        f.finish(f.host.last(), AttemptOutcome.FAILED, 900);
-        assertEquals(2, f.host.started.size(), "the window is over");
+        assertEquals(firstCell, f.host.lastAttempt().endpoint().charAt(1) % 3);
+        f.nowMs += 900;
+        f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.FAILED, 900);
+        assertEquals(2, f.host.started.size(), "no retry after the deduplication window");
         assertEquals(List.of("r0"), f.host.failed, "a keyed request that may have run is not rejected");
     }
 
-    /** Guards against time spent on responses worth nothing, and the dearer failure after the objective. */
+    /**
+     * Guards against waiting for responses without value, and against a failure after the objective, which costs more.
+     */
     @Test
-    void attemptEndsBeforeTheObjectiveWhereLateResponsesAreWorthNothing() {
-        Fixture f = Fixture.of(2, 0, 0).list(Fixture.endpoints(1));
-        f.request(Fixture.IDEMPOTENT);
-        f.now += 200;
-        f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 200);
-        for (RecordingHost.StartedAttempt sent : f.host.started) {
-            assertTrue(sent.timeoutMs() < 1000, "timeout " + sent.timeoutMs());
+    void attemptEndsBeforeObjectiveIfLateResponsesHaveNoValue() {
+        Fixture f = Fixture.of(2, 0, 0).setEndpoints(Fixture.endpoints(1));
+        f.sendRequest(Fixture.IDEMPOTENT);
+        f.nowMs += 200;
+        f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.QUEUE_FULL, 200);
+        for (RecordingHost.StartedAttempt attempt : f.host.started) {
+            assertTrue(attempt.timeoutMs() < 1000, "timeout " + attempt.timeoutMs());
         }
-        f.request(Fixture.NON_IDEMPOTENT);
-        assertEquals(3000, f.host.last().timeoutMs(), "late is worth something to this class");
+        f.sendRequest(Fixture.NON_IDEMPOTENT);
+        assertEquals(3000, f.host.lastAttempt().timeoutMs(), "late responses of this class have a value");
     }
 }
--- a/core/src/test/java/lemonrail/core/policy/SlowStartTest.java
+++ b/core/src/test/java/lemonrail/core/policy/SlowStartTest.java
@@ -8,79 +8,90 @@
 import lemonrail.core.balancer.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Checks how many requests an endpoint gets during its slow start and after it. */
+/** Checks how many requests an endpoint gets during and after its slow start. */
 class SlowStartTest {
 
     private static final int LOWER_TIER = 1;
-    /** Balancers of two endpoints; one that is warming up cannot take a request from each. */
-    private static final int MANY = 1000;
-    /** Three tenths of the 500 balancers that are its even part. */
-    private static final int WARM_PART = 150;
+    /**
+     * The number of balancers for two endpoints. An endpoint that is warming up cannot take a request from each of
+     * them.
+     */
+    private static final int BALANCERS = 1000;
+    /** Three tenths of an even share, which is 500 balancers. */
+    private static final int WARM_UP_SHARE = 150;
 
     private static final int PRIOR_REQUESTS = 60;
 
-    /** Guards against an endpoint that stays at one slot after its slow start. */
+    /** Guards against an endpoint that keeps only one slot after its slow start. */
     @Test
-    void endpointGetsSeveralRequestsAtOnceOnceItIsWarm() {
+    void warmEndpointGetsSeveralRequestsAtOnce() {
         Fixture f = Fixture.of(1, 0, LOWER_TIER);
-        f.list(List.of(Fixture.endpoint("cold", 0, f.now, EndpointState.READY)));
-        f.request(Fixture.IDEMPOTENT);
-        f.request(Fixture.IDEMPOTENT);
+        f.setEndpoints(List.of(Fixture.endpoint("cold", 0, f.nowMs, EndpointState.READY)));
+        f.sendRequest(Fixture.IDEMPOTENT);
+        f.sendRequest(Fixture.IDEMPOTENT);
         assertEquals(1, f.host.started.size(), "one request at a time while it is cold");
-        f.now += 8000;
-        f.request(Fixture.IDEMPOTENT);
-        f.request(Fixture.IDEMPOTENT);
-        assertEquals(3, f.host.started.size(), "two more now that it is warm, beside the one still in flight");
+        f.nowMs += 8000;
+        f.sendRequest(Fixture.IDEMPOTENT);
+        f.sendRequest(Fixture.IDEMPOTENT);
+        assertEquals(3, f.host.started.size(), "two more once it is warm, in addition to the one in flight");
     }
 
-    /** Guards against many balancers without estimates that send a request each at once. */
+    /** Guards against many balancers without estimates that each send a request at once. */
     @Test
-    void balancersWithoutEstimatesSendLittle() {
-        int users = balancersThatUseAnEndpointWarmingUp(0, 1);
-        assertTrue(users > 0 && users <= 12, "requests in flight " + users);
+    void balancersWithoutEstimatesSendFewRequests() {
+        int requestsInFlight = requestsToEndpointWarmingUp(0, 1);
+        assertTrue(requestsInFlight > 0 && requestsInFlight <= 12, "requests in flight " + requestsInFlight);
     }
 
-    /** Guards against overload by such balancers when endpoints serve only one request in six. */
+    /** Guards against overload of an endpoint that warms up, when endpoints serve only one request in six. */
     @Test
-    void balancersOverCapacityArePacedByTheAdmissionRate() {
-        int users = balancersThatUseAnEndpointWarmingUp(PRIOR_REQUESTS, 6);
-        assertTrue(users > WARM_PART / 12 && users <= WARM_PART / 3, "requests in flight " + users);
+    void admissionRateLimitsBalancersOverCapacity() {
+        int requestsInFlight = requestsToEndpointWarmingUp(PRIOR_REQUESTS, 6);
+        assertTrue(
+                requestsInFlight > WARM_UP_SHARE / 12 && requestsInFlight <= WARM_UP_SHARE / 3,
+                "requests in flight " + requestsInFlight);
     }
 
-    /** Guards against an endpoint that is left out while it warms up, though all requests are served. */
+    /** Guards against an endpoint that is not used while it warms up, although all requests are served. */
     @Test
     void balancersWhoseRequestsAreServedUseTheWarmUpFraction() {
-        int users = balancersThatUseAnEndpointWarmingUp(PRIOR_REQUESTS, 1);
-        assertTrue(users >= WARM_PART * 9 / 10 && users <= WARM_PART * 11 / 10, "requests in flight " + users);
+        int requestsInFlight = requestsToEndpointWarmingUp(PRIOR_REQUESTS, 1);
+        assertTrue(
+                requestsInFlight >= WARM_UP_SHARE * 9 / 10 && requestsInFlight <= WARM_UP_SHARE * 11 / 10,
+                "requests in flight " + requestsInFlight);
     }
 
-    /** Returns how many balancers use an endpoint that warms up; before, one in so many requests was served. */
-    private static int balancersThatUseAnEndpointWarmingUp(int requestsBefore, int oneServedIn) {
-        int users = 0;
-        for (int own = 0; own < MANY; own++) {
-            Fixture f = Fixture.of(MANY, own, LOWER_TIER);
-            f.list(List.of(Fixture.endpoint("other"), Fixture.endpoint("warm")));
-            for (int i = 0; i < requestsBefore; i++) {
-                f.now += 300;
-                f.request(Fixture.IDEMPOTENT);
-                f.finish(f.host.last(), AttemptOutcome.OK, 10);
-                for (int unserved = 1; unserved < oneServedIn; unserved++) {
-                    f.request(Fixture.NON_IDEMPOTENT);
-                    f.finish(f.host.last(), AttemptOutcome.CANCELED, 10);
+    /**
+     * Returns the number of requests of all balancers to an endpoint that warms up, after earlier requests of which one
+     * in {@code requestsPerServed} was served.
+     */
+    private static int requestsToEndpointWarmingUp(int earlierRequests, int requestsPerServed) {
+        int requestsInFlight = 0;
+        for (int balancerIndex = 0; balancerIndex < BALANCERS; balancerIndex++) {
+            Fixture f = Fixture.of(BALANCERS, balancerIndex, LOWER_TIER);
+            f.setEndpoints(List.of(Fixture.endpoint("other"), Fixture.endpoint("warm")));
+            for (int i = 0; i < earlierRequests; i++) {
+                f.nowMs += 300;
+                f.sendRequest(Fixture.IDEMPOTENT);
+                f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.OK, 10);
+                for (int unserved = 1; unserved < requestsPerServed; unserved++) {
+                    f.sendRequest(Fixture.NON_IDEMPOTENT);
+                    f.finishAttempt(f.host.lastAttempt(), AttemptOutcome.CANCELED, 10);
                 }
             }
-            f.list(List.of(Fixture.endpoint("cold", 0, f.now, EndpointState.READY), Fixture.endpoint("warm")));
-            f.now += 100;
-            f.balancer.onTimer(f.now, 99);
-            int before = f.host.started.size();
+            f.setEndpoints(
+                    List.of(Fixture.endpoint("cold", 0, f.nowMs, EndpointState.READY), Fixture.endpoint("warm")));
+            f.nowMs += 100;
+            f.balancer.onTimer(f.nowMs, 99);
+            int startedBefore = f.host.started.size();
             for (int i = 0; i < 3; i++) {
-                f.request(Fixture.IDEMPOTENT);
+                f.sendRequest(Fixture.IDEMPOTENT);
             }
-            users += (int) f.host.started.stream()
-                    .skip(before)
+            requestsInFlight += (int) f.host.started.stream()
+                    .skip(startedBefore)
                     .filter(s -> s.endpoint().equals("cold"))
                     .count();
         }
-        return users;
+        return requestsInFlight;
     }
 }
--- a/core/src/test/java/lemonrail/core/replication/NodeSelectorTest.java
+++ b/core/src/test/java/lemonrail/core/replication/NodeSelectorTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Selection of a control node, on virtual time. */
+/** Checks the selection of a control node on virtual time. */
 class NodeSelectorTest {
 
     private static final List<String> WEST = List.of("w1", "w2", "w3");
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aFailureSelectsTheNextNodeAtOnceOwnRegionFirst() {
+    void failureSelectsNextNodeAndOwnRegionFirst() {
         NodeSelector selector = selector(1);
         List<String> selected = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -33,7 +33,7 @@
         assertEquals(Set.copyOf(WEST), Set.copyOf(selected.subList(0, 3)));
         assertEquals(Set.copyOf(EAST), Set.copyOf(selected.subList(3, 6)));
         double backoffMs = selector.onFailure(6);
-        assertTrue(backoffMs >= 50 && backoffMs <= 150, "all have failed: " + backoffMs);
+        assertTrue(backoffMs >= 50 && backoffMs <= 150, "backoff after all nodes have failed: " + backoffMs);
         assertEquals(selected.get(0), selector.currentNode());
     }
 
@@ -44,7 +44,7 @@
         for (int i = 0; i < 200; i++) {
             longestMs = Math.max(longestMs, selector.onFailure(i));
         }
-        assertTrue(longestMs > 500 && longestMs <= 1500, "longest " + longestMs);
+        assertTrue(longestMs > 500 && longestMs <= 1500, "longest backoff in ms: " + longestMs);
         selector.onResponse(300, 0);
         for (int i = 0; i < 5; i++) {
             assertEquals(0, selector.onFailure(301));
@@ -52,9 +52,9 @@
         assertTrue(selector.onFailure(301) <= 150);
     }
 
-    /** Guards against a recovered node that gets all its watchers at one instant. */
+    /** Guards against a recovered node to which all its watchers return at the same moment. */
     @Test
-    void watchersReturnSpreadOverTime() {
+    void watchersReturnAtDifferentTimes() {
         List<Double> returnTimesMs = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             NodeSelector selector = selector(i);
@@ -74,9 +74,12 @@
         assertTrue(perSecond.values().stream().allMatch(count -> count <= 30), perSecond.toString());
     }
 
-    /** Guards against watchers that stay for a minute in another region, which may lose contact with theirs. */
+    /**
+     * Guards against watchers that stay at a node of another region for a minute, as that region may be partitioned
+     * from theirs.
+     */
     @Test
-    void aWatcherInAnotherRegionProbesItsOwnSoonOneNodeAtATime() {
+    void watcherInAnotherRegionProbesOneNodeOfItsOwnAtATime() {
         NodeSelector selector = selector(1);
         for (int i = 0; i < 3; i++) {
             selector.onFailure(0);
@@ -86,12 +89,12 @@
         List<String> probed = new ArrayList<>();
         double nowMs = 0;
         for (int i = 0; i < 3; i++) {
-            double sinceMs = nowMs;
+            double previousProbeMs = nowMs;
             while (!selector.onResponse(nowMs, 0)) {
                 nowMs += 100;
             }
-            assertTrue(nowMs - sinceMs >= NodeSelector.MIN_REGION_PROBE_MS
-                    && nowMs - sinceMs <= NodeSelector.MAX_REGION_PROBE_MS + 100);
+            assertTrue(nowMs - previousProbeMs >= NodeSelector.MIN_REGION_PROBE_MS
+                    && nowMs - previousProbeMs <= NodeSelector.MAX_REGION_PROBE_MS + 100);
             probed.add(selector.currentNode());
             assertEquals(0, selector.onFailure(nowMs));
             assertEquals(fallback, selector.currentNode(), "a failed probe returns to the fallback node");
@@ -102,19 +105,20 @@
         }
         String preferred = selector.currentNode();
         assertTrue(WEST.contains(preferred));
-        assertFalse(selector.onResponse(nowMs + 1000, 0), "it stays there");
+        assertFalse(selector.onResponse(nowMs + 1000, 0), "the watcher stays after a successful probe");
         assertEquals(preferred, selector.currentNode());
     }
 
     @Test
-    void aStaleNodeIsLeftForAnother() {
+    void watcherMovesAwayFromStaleNode() {
         NodeSelector selector = selector(1);
         String preferred = selector.currentNode();
         assertFalse(selector.onResponse(0, NodeSelector.STALE_AFTER_MS));
         assertTrue(selector.onResponse(1000, NodeSelector.STALE_AFTER_MS + 1));
         assertNotEquals(preferred, selector.currentNode());
         assertFalse(
-                selector.onResponse(2000, NodeSelector.STALE_AFTER_MS + 1), "where all are stale it stays for a while");
+                selector.onResponse(2000, NodeSelector.STALE_AFTER_MS + 1),
+                "no further move for a while if all nodes are stale");
         boolean moved = false;
         for (double nowMs = 2000; nowMs < 50_000 && !moved; nowMs += 1000) {
             moved = selector.onResponse(nowMs, NodeSelector.STALE_AFTER_MS + 1);
--- a/core/src/test/java/lemonrail/core/replication/WatcherReplicaTest.java
+++ b/core/src/test/java/lemonrail/core/replication/WatcherReplicaTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The replica of a watcher, the order of nodes, and what watchers report. */
+/** Checks the replica of a watcher, timestamps, the order of nodes and the summaries of watcher reports. */
 class WatcherReplicaTest {
 
     private static final WatcherReplica.Key S1 = new WatcherReplica.Key("quote", "s1");
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void anOlderVersionIsNoUpdateNorAfterARemoval() {
+    void olderVersionIsIgnoredAlsoAfterRemoval() {
         assertTrue(replica.apply(S1, timestamp(5, "a"), false));
         assertFalse(replica.apply(S1, timestamp(5, "a"), false));
         assertFalse(replica.apply(S1, timestamp(4, "b"), false));
@@ -36,7 +36,7 @@
 
     /** Guards against a watcher that loses endpoints when it moves to a node that lags behind. */
     @Test
-    void aFullSnapshotOfALaggingNodeRemovesOnlyWhatItHasReceived() {
+    void fullSnapshotOfLaggingNodeRemovesOnlyEntriesItHasReceived() {
         replica.apply(S1, timestamp(5, "a"), false);
         replica.apply(S2, timestamp(9, "a"), false);
         assertEquals(List.of(S1), replica.retainListed(List.of(), Map.of("a", timestamp(8, "a"))));
@@ -56,11 +56,11 @@
         assertFalse(replica.apply(last, timestamp(5, "a"), false));
         assertTrue(
                 replica.apply(new WatcherReplica.Key("quote", "s0"), timestamp(5, "a"), false),
-                "the oldest is forgotten");
+                "the oldest tombstone is dropped");
     }
 
     @Test
-    void timestampsAreParsedAsTheyAreEncoded() {
+    void parsedTimestampEqualsEncodedTimestamp() {
         HybridTimestamp timestamp = new HybridTimestamp(1_790_000_000_000L, 3, "west.1");
         assertEquals(timestamp, HybridTimestamp.parse(timestamp.encode()));
     }
@@ -71,9 +71,11 @@
         assertThrows(IllegalArgumentException.class, () -> HybridTimestamp.parse(text));
     }
 
-    /** Each of six nodes gets a sixth, and a failed node's watchers go to all of the others. */
+    /**
+     * Each of six nodes is preferred by about a sixth of the watchers, and a failed node's watchers go to all others.
+     */
     @Test
-    void rendezvousOrderSpreadsWatchersOverTheNodes() {
+    void rendezvousOrderSpreadsWatchersOverNodes() {
         List<String> nodes = List.of("n1:1", "n2:1", "n3:1", "n4:1", "n5:1", "n6:1");
         Map<String, Integer> first = new HashMap<>();
         Map<String, Integer> second = new HashMap<>();
@@ -91,7 +93,7 @@
     }
 
     @Test
-    void summariesNameTheOldestAppliedVersionAndRejections() {
+    void summariesContainOldestAppliedVersionAndRejections() {
         AppliedVersions appliedVersions = new AppliedVersions();
         appliedVersions.onReport(1000, new WatcherReport("one", "base", timestamp(5, "a"), null, ""));
         appliedVersions.onReport(1000, new WatcherReport("two", "base", timestamp(7, "a"), null, ""));
--- a/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
@@ -58,7 +58,7 @@
                 "in_service|asleep|servers[].state is not usable: asleep",
                 "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is not usable: 0",
                 "\"dial-timeout-ms\":2000,||settings.limits.dial-timeout-ms is missing",
-                "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
+                "\"effect\":\"once\"|\"effect\":\"twice\"|effect has an unknown value: twice",
                 "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"
             })
     void reportsMissingAndInvalidFields(String part, String instead, String complaint) {
--- a/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
+++ b/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
@@ -188,9 +188,9 @@
             delimiter = '|',
             value = {
                 "\"replicas-of-me\":1 | \"replicas-of-me\":0 | balancers must be above 0 but is 0",
-                "\"try-limit\":3 | \"try-limit\":\"x\" | try-limit should be a number but is x",
+                "\"try-limit\":3 | \"try-limit\":\"x\" | try-limit must be a number but is x",
                 "\"hard-limit-ms\":3000 | \"hard-limit-ms\":-1 | classes[].deadline must be above 0 but is -1",
-                "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect is unknown: twice",
+                "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect has an unknown value: twice",
                 "\"cold-share\":0.3 | \"cold-share\":0 | rules.coldShare must be above 0 but is 0",
             })
     void invalidSettingIsNamedWithItsValue(String from, String to, String expected) throws IOException {
