--- a/core/src/main/java/lemonrail/core/LatencyEstimator.java
+++ b/core/src/main/java/lemonrail/core/LatencyEstimator.java
@@ -13,7 +13,7 @@
     private static final double TAIL_STEP = 0.1;
     /** The number of responses in each mean from which the base time is derived. */
     private static final int SAMPLES_PER_MEAN = 16;
-    /** The maximum factor by which the base time rises with each such mean. */
+    /** The maximum factor by which the base time rises with each of these means. */
     private static final double MAX_BASE_RISE = 1.02;
     /** Initial typical time, as a divisor of the latency objective. */
     private static final double INITIAL_TYPICAL_DIVISOR = 4;
--- a/core/src/main/java/lemonrail/core/WatchSchedule.java
+++ b/core/src/main/java/lemonrail/core/WatchSchedule.java
@@ -46,7 +46,7 @@
     private static final double MAX_BACKOFF_MS = 1_000;
     /**
      * The mean backoff is also limited to this fraction of the drain grace period, so that no backoff, with jitter,
-     * takes more than half of that period. The reason is that a process in backoff learns of a drain only when its
+     * takes more than half of that period. This is needed because a process in backoff notices a drain only when its
      * backoff ends.
      */
     private static final double MAX_DRAIN_GRACE_FRACTION = 1.0 / 3;
--- a/core/src/main/java/lemonrail/core/balancer/BalancerSettings.java
+++ b/core/src/main/java/lemonrail/core/balancer/BalancerSettings.java
@@ -67,11 +67,11 @@
      */
     public void check(Request request) {
         if (request.requestClass() < 0 || request.requestClass() >= classes.size()) {
-            throw new IllegalArgumentException("request " + request.id() + " has class index " + request.requestClass()
+            throw new IllegalArgumentException("request " + request.id() + " has class " + request.requestClass()
                     + ", but the number of classes in the settings is " + classes.size());
         }
         if (request.tenant() < 0 || request.tenant() >= Math.max(1, tenants.size())) {
-            throw new IllegalArgumentException("request " + request.id() + " has tenant index " + request.tenant()
+            throw new IllegalArgumentException("request " + request.id() + " has tenant " + request.tenant()
                     + ", but the number of tenants in the settings is " + tenants.size());
         }
     }
--- a/core/src/main/java/lemonrail/core/policy/SlotPool.java
+++ b/core/src/main/java/lemonrail/core/policy/SlotPool.java
@@ -128,7 +128,9 @@
         }
     }
 
-    /** Adopts the endpoint's latency ratio as its cost if it has changed by more than the step. */
+    /**
+     * Updates the endpoint's cost, and the ranks of its slots, if its latency ratio has changed by at least the step.
+     */
     void updateRankCostIfChanged(double nowMs, EndpointRecord endpoint) {
         double cost = rankCost(endpoint);
         double currentCost = endpoint.rankCost();
@@ -138,7 +140,10 @@
         }
     }
 
-    /** Adopts the endpoint's latency ratio as its cost: slow endpoints get fewer requests. */
+    /**
+     * Sets the endpoint's cost to its latency ratio and updates the ranks of its slots, so that slow endpoints get
+     * fewer requests.
+     */
     void updateRankCost(double nowMs, EndpointRecord endpoint) {
         endpoint.setRankCost(rankCost(endpoint));
         if (endpoint.hasSlots()) {
