--- a/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
+++ b/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
@@ -17,19 +17,19 @@
         private final String request;
         private final int tier;
         private final String endpoint;
-        private final double beganMs;
+        private final double receivedMs;
         private final double workMs;
         private final Attempt parent;
-        private double ranMs = Double.NaN;
+        private double startedMs = Double.NaN;
         private double endedMs = Double.NaN;
         private String outcome = "open";
         private int calls;
 
-        Attempt(String request, int tier, String endpoint, double beganMs, double workMs, Attempt parent) {
+        Attempt(String request, int tier, String endpoint, double receivedMs, double workMs, Attempt parent) {
             this.request = request;
             this.tier = tier;
             this.endpoint = endpoint;
-            this.beganMs = beganMs;
+            this.receivedMs = receivedMs;
             this.workMs = workMs;
             this.parent = parent;
         }
@@ -50,8 +50,8 @@
         }
 
         /** Returns when the last byte of the request arrived. */
-        public double beganMs() {
-            return beganMs;
+        public double receivedMs() {
+            return receivedMs;
         }
 
         /** Returns the requested work, in ms on a core of speed 1. */
@@ -65,8 +65,8 @@
         }
 
         /** Returns when the work began, or NaN. */
-        public double ranMs() {
-            return ranMs;
+        public double startedMs() {
+            return startedMs;
         }
 
         /** Returns when the attempt was answered or its connection closed, or NaN. */
@@ -85,7 +85,7 @@
         }
 
         void markStarted(double now) {
-            ranMs = now;
+            startedMs = now;
         }
 
         void markEnded(double now, String result) {
@@ -141,7 +141,7 @@
         sameRequest.stream().filter(other -> Double.isNaN(other.endedMs)).forEach(this::checkOverlapLater);
         sameRequest.add(attempt);
         if (route != null && now - notAcceptingSinceMs.getOrDefault(route.sidecar + " " + endpoint, now) > graceMs + SLACK_MS) {
-            violations.add("sent to " + endpoint + " after the drain grace period: " + request);
+            violations.add("sent to " + endpoint + " although it is draining or gone: " + request);
         }
         return attempt;
     }
--- a/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
@@ -31,15 +31,18 @@
 import lemonrail.lab.model.Scheduler;
 import lemonrail.lab.model.Work;
 
-/** An endpoint's model on a loopback socket: it speaks the platform's protocol. Belongs to its event loop. */
+/** Serves an endpoint model over HTTP on a loopback socket. All methods run on the event loop. */
 public final class EndpointHost implements AutoCloseable {
 
-    private static final int MOST_BODY_BYTES = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** Calls the next tier for an endpoint. */
+    /** Calls the next tier on behalf of an endpoint. */
     public interface NextTier {
-        /** One call on behalf of a request, which {@code done} hears of unless the call is dropped. */
-        Runnable call(FullHttpRequest of, AttemptRecorder.Attempt onBehalfOf, double leftMs, Consumer<Boolean> done);
+        /**
+         * Makes one call for the request {@code request}. Returns an action that drops the call; otherwise {@code done} accepts
+         * whether it was served.
+         */
+        Runnable call(FullHttpRequest request, AttemptRecorder.Attempt onBehalfOf, double leftMs, Consumer<Boolean> done);
     }
 
     private final Scheduler scheduler;
@@ -50,15 +53,15 @@
     private final AttemptRecorder recorder;
     private final Channel listener;
     private final Set<Connection> connections = new HashSet<>();
-    private NextTier next;
+    private NextTier nextTier;
 
-    /** Draws how many calls a request makes. */
+    /** Draws the number of calls that a request makes to the next tier. */
     public interface CallCount {
-        /** The next one's. */
+        /** Returns the number of calls of the next request. */
         int draw();
     }
 
-    /** Listens at a free port. */
+    /** Starts listening on a free port. */
     public EndpointHost(
             EventLoop loop,
             Scheduler scheduler,
@@ -79,11 +82,11 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline()
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
                                 .addLast(
                                         new HttpServerCodec(),
-                                        new HttpObjectAggregator(MOST_BODY_BYTES),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
                                         new Connection());
                     }
                 })
@@ -92,27 +95,27 @@
                 .channel();
     }
 
-    /** Who calls the next tier; set before the first request where there is one. */
-    public void next(NextTier caller) {
-        next = caller;
+    /** Sets the caller of the next tier; must be called before the first request unless this is the last tier. */
+    public void setNextTier(NextTier caller) {
+        nextTier = caller;
     }
 
-    /** Where it listens. */
+    /** Returns the address at which the endpoint listens. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** What it plays. */
+    /** Returns the model that the endpoint serves. */
     public EndpointModel model() {
         return model;
     }
 
-    /** Its name. */
+    /** Returns the endpoint id. */
     public String id() {
         return model.shape().id();
     }
 
-    /** All its connections are reset, as when its process dies. */
+    /** Resets all connections, as if the process had died. */
     public void reset() {
         for (Connection connection : List.copyOf(connections)) {
             connection.abort();
@@ -127,22 +130,22 @@
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private ChannelHandlerContext ctx;
-        private boolean shaken;
-        private boolean counted;
-        private Runnable first;
-        private Served work;
+        private boolean handshakeDone;
+        private boolean accepted;
+        private Runnable deferredRequest;
+        private RequestWork work;
 
         @Override
-        public void channelActive(ChannelHandlerContext active) {
-            ctx = active;
+        public void channelActive(ChannelHandlerContext activeContext) {
+            ctx = activeContext;
             connections.add(this);
-            counted = model.connect();
-            if (counted) {
+            accepted = model.connect();
+            if (accepted) {
                 model.handshake(() -> {
-                    shaken = true;
-                    if (first != null) {
-                        first.run();
-                        first = null;
+                    handshakeDone = true;
+                    if (deferredRequest != null) {
+                        deferredRequest.run();
+                        deferredRequest = null;
                     }
                 });
             } else if (!model.isSilent()) {
@@ -159,38 +162,38 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             String id = request.headers().get("X-Request-Id");
             if (id == null) {
-                answer(HttpResponseStatus.NOT_FOUND, false, "no request id");
+                respond(HttpResponseStatus.NOT_FOUND, false, "no request id");
                 return;
             }
-            String left = request.headers().get("X-Deadline-Ms");
-            double leftMs = left == null ? Double.POSITIVE_INFINITY : Double.parseDouble(left);
-            List<String> given =
+            String deadlineHeader = request.headers().get("X-Deadline-Ms");
+            double leftMs = deadlineHeader == null ? Double.POSITIVE_INFINITY : Double.parseDouble(deadlineHeader);
+            List<String> workParameter =
                     new QueryStringDecoder(request.uri()).parameters().get("work");
-            double askedMs = given == null ? 0 : Double.parseDouble(given.get(0)) * workShare;
-            AttemptRecorder.Attempt seen = recorder.recordAttempt(id, tier, id(), askedMs);
-            work = new Served(request.retain(), id, seen, askedMs, leftMs);
-            if (shaken) {
+            double requestedWorkMs = workParameter == null ? 0 : Double.parseDouble(workParameter.get(0)) * workShare;
+            AttemptRecorder.Attempt attempt = recorder.recordAttempt(id, tier, id(), requestedWorkMs);
+            work = new RequestWork(request.retain(), id, attempt, requestedWorkMs, leftMs);
+            if (handshakeDone) {
                 model.offer(work);
             } else {
-                Served held = work;
-                first = () -> model.offer(held);
+                RequestWork deferred = work;
+                deferredRequest = () -> model.offer(deferred);
             }
         }
 
-        void answer(HttpResponseStatus status, boolean notRun, String text) {
-            FullHttpResponse made = new DefaultFullHttpResponse(
+        void respond(HttpResponseStatus status, boolean notExecuted, String text) {
+            FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-            made.headers().set(HttpHeaderNames.CONTENT_LENGTH, made.content().readableBytes());
-            if (notRun) {
-                made.headers().set("X-Not-Run", "1");
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+            if (notExecuted) {
+                response.headers().set("X-Not-Run", "1");
             }
-            ctx.writeAndFlush(made);
+            ctx.writeAndFlush(response);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             connections.remove(this);
-            if (counted) {
+            if (accepted) {
                 model.disconnect();
             }
             if (work != null) {
@@ -203,30 +206,30 @@
             context.close();
         }
 
-        /** A request in this endpoint's hands. */
-        private final class Served extends Work {
+        /** Work of the request that this connection carries. */
+        private final class RequestWork extends Work {
             private final FullHttpRequest request;
             private final String id;
-            private final AttemptRecorder.Attempt seen;
-            private final double untilMs;
+            private final AttemptRecorder.Attempt attempt;
+            private final double deadlineMs;
             private Runnable dropCall;
 
-            Served(FullHttpRequest request, String id, AttemptRecorder.Attempt seen, double askedMs, double leftMs) {
-                super(request.headers().get("Idempotency-Key"), askedMs, next == null ? 0 : calls.draw());
+            RequestWork(FullHttpRequest request, String id, AttemptRecorder.Attempt attempt, double requestedWorkMs, double leftMs) {
+                super(request.headers().get("Idempotency-Key"), requestedWorkMs, nextTier == null ? 0 : calls.draw());
                 this.request = request;
                 this.id = id;
-                this.seen = seen;
-                untilMs = scheduler.nowMs() + leftMs;
+                this.attempt = attempt;
+                deadlineMs = scheduler.nowMs() + leftMs;
             }
 
             @Override
             protected void onStarted() {
-                seen.ran(scheduler.nowMs());
+                attempt.markStarted(scheduler.nowMs());
             }
 
             @Override
             protected void callNextTier(Consumer<Boolean> done) {
-                dropCall = next.call(request, seen, untilMs - scheduler.nowMs(), served -> {
+                dropCall = nextTier.call(request, attempt, deadlineMs - scheduler.nowMs(), served -> {
                     dropCall = null;
                     done.accept(served);
                 });
@@ -235,22 +238,22 @@
             @Override
             protected void onAnswered(Answer answer) {
                 work = null;
-                seen.ended(scheduler.nowMs(), answer.name().toLowerCase(Locale.ROOT));
+                attempt.markEnded(scheduler.nowMs(), answer.name().toLowerCase(Locale.ROOT));
                 request.release();
                 if (!ctx.channel().isActive() || model.isSilent()) {
                     return;
                 }
                 switch (answer) {
-                    case SERVED -> Connection.this.answer(HttpResponseStatus.OK, false, id() + " " + id);
+                    case SERVED -> Connection.this.respond(HttpResponseStatus.OK, false, id() + " " + id);
                     case ERROR ->
-                        Connection.this.answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, false, "a call failed");
-                    default -> Connection.this.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, true, "no room");
+                        Connection.this.respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, false, "a call failed");
+                    default -> Connection.this.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, true, "no room");
                 }
             }
 
             private void drop() {
                 work = null;
-                seen.ended(scheduler.nowMs(), "closed");
+                attempt.markEnded(scheduler.nowMs(), "closed");
                 model.cancel(this);
                 if (dropCall != null) {
                     dropCall.run();
--- a/lab/src/main/java/lemonrail/lab/host/EndpointTier.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointTier.java
@@ -25,7 +25,7 @@
     private final AttemptRecorder recorder;
     private final List<EndpointHost> hosts = new ArrayList<>();
     private final Map<String, EndpointHost> byId = new HashMap<>();
-    private final Map<EndpointHost, Relay> links = new HashMap<>();
+    private final Map<EndpointHost, Relay> relays = new HashMap<>();
 
     EndpointTier(
             Scenario.Tier tier,
@@ -42,7 +42,7 @@
         this.recorder = recorder;
     }
 
-    /** Opens all endpoints, each behind a relay by this link, or behind none where it is null. */
+    /** Starts all endpoints, each behind a relay that simulates {@code link}, or without a relay if that is null. */
     void open(UniformRandomProvider random, Scenario.Link link) {
         List<Rack> racks = new ArrayList<>();
         for (int i = 0; i < tier.racks(); i++) {
@@ -54,19 +54,19 @@
             hosts.add(host);
             byId.put(host.id(), host);
             if (link != null) {
-                links.put(host, new Relay(loop, host.address(), link, random));
+                relays.put(host, new Relay(loop, host.address(), link, random));
             }
             registry.set(new Registry.Entry(host.id(), Registry.State.IN_SERVICE, model.startedMs()));
         }
     }
 
-    private EndpointModel model(int place, Rack rack, UniformRandomProvider random) {
+    private EndpointModel model(int index, Rack rack, UniformRandomProvider random) {
         double speed = tier.leastSpeed() + (tier.mostSpeed() - tier.leastSpeed()) * random.nextDouble();
         EndpointModel model = new EndpointModel(
                 scheduler,
                 new EndpointShape(
-                        tier.name() + "-" + (place + 1),
-                        place % tier.racks(),
+                        tier.name() + "-" + (index + 1),
+                        index % tier.racks(),
                         tier.cores(),
                         speed,
                         tier.slots(),
@@ -102,25 +102,25 @@
         return hosts;
     }
 
-    /** The endpoint of this id, or null. */
+    /** Returns the endpoint of this id, or null. */
     EndpointHost host(String id) {
         return byId.get(id);
     }
 
-    /** Where an endpoint is reached, by its link if it has one. */
+    /** Returns the address of the endpoint's relay, or of the endpoint if it has none. */
     InetSocketAddress address(String id) {
         EndpointHost host = byId.get(id);
-        return links.containsKey(host) ? links.get(host).address() : host.address();
+        return relays.containsKey(host) ? relays.get(host).address() : host.address();
     }
 
-    /** What faults are played on. */
-    FaultPlayer.Tier forFaults() {
-        return new FaultPlayer.Tier(hosts, links::get, registry);
+    /** Returns the parts of this tier that faults act on. */
+    FaultInjector.Tier faultTargets() {
+        return new FaultInjector.Tier(hosts, relays::get, registry);
     }
 
     @Override
     public void close() {
         hosts.forEach(EndpointHost::close);
-        links.values().forEach(Relay::close);
+        relays.values().forEach(Relay::close);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/host/EventLoopScheduler.java
+++ b/lab/src/main/java/lemonrail/lab/host/EventLoopScheduler.java
@@ -6,48 +6,48 @@
 import lemonrail.lab.model.Scheduler;
 import org.HdrHistogram.Histogram;
 
-/** Real time on an event loop, by the system's monotonic clock; it keeps how late it was. */
+/** Scheduler in real time on an event loop, by the system's monotonic clock. Records how late its timers fire. */
 public final class EventLoopScheduler implements Scheduler {
 
-    private static final long MOST_MICROS = TimeUnit.HOURS.toMicros(1);
+    private static final long MAX_RECORDED_MICROS = TimeUnit.HOURS.toMicros(1);
 
     private final EventLoop loop;
-    private long beganNanos;
-    private boolean begun;
-    private final Histogram lateMicros = new Histogram(MOST_MICROS, 2);
+    private long startNanos;
+    private boolean started;
+    private final Histogram lateMicros = new Histogram(MAX_RECORDED_MICROS, 2);
 
-    /** Time that stands at 0 until it begins. */
+    /** Creates a scheduler whose time is 0 until {@link #start}. */
     public EventLoopScheduler(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** The run begins now. */
-    public void begin() {
-        beganNanos = System.nanoTime();
-        begun = true;
+    /** Starts the clock at 0 and discards the lateness recorded so far. */
+    public void start() {
+        startNanos = System.nanoTime();
+        started = true;
         lateMicros.reset();
     }
 
     @Override
     public double nowMs() {
-        return begun ? (System.nanoTime() - beganNanos) / 1e6 : 0;
+        return started ? (System.nanoTime() - startNanos) / 1e6 : 0;
     }
 
     @Override
-    public Due after(double ms, Runnable what) {
-        long nanos = (long) (Math.max(0, ms) * 1e6);
-        long dueNanos = System.nanoTime() + nanos;
-        Future<?> due = loop.schedule(
+    public ScheduledAction after(double delayMs, Runnable action) {
+        long delayNanos = (long) (Math.max(0, delayMs) * 1e6);
+        long dueNanos = System.nanoTime() + delayNanos;
+        Future<?> future = loop.schedule(
                 () -> {
-                    lateMicros.recordValue(Math.min(MOST_MICROS, Math.max(0, (System.nanoTime() - dueNanos) / 1000)));
-                    what.run();
+                    lateMicros.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, (System.nanoTime() - dueNanos) / 1000)));
+                    action.run();
                 },
-                nanos,
+                delayNanos,
                 TimeUnit.NANOSECONDS);
-        return () -> due.cancel(false);
+        return () -> future.cancel(false);
     }
 
-    /** How much later than due things happened, in microseconds. */
+    /** Returns by how much actions ran late, in microseconds. */
     public Histogram lateMicros() {
         return lateMicros;
     }
--- a/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
+++ b/lab/src/main/java/lemonrail/lab/host/FaultInjector.java
@@ -11,23 +11,23 @@
 import lemonrail.lab.scenario.Scenario.Link;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Injects the faults of a scenario: it draws the endpoints that each one affects, begins and ends them. */
-final class FaultPlayer {
+/** Injects the faults of a scenario: draws the endpoints that each fault affects, and begins and ends the fault. */
+final class FaultInjector {
 
     /** The parts of one tier that faults act on. */
-    record Tier(List<EndpointHost> endpoints, Function<EndpointHost, Relay> links, Registry registry) {}
+    record Tier(List<EndpointHost> endpoints, Function<EndpointHost, Relay> relays, Registry registry) {}
 
     private static final double DRAIN_FRACTION = 0.5;
 
     private final Scheduler scheduler;
     private final List<Tier> tiers;
     private final UniformRandomProvider random;
-    /** Of several that affect one endpoint at once, the largest applies. */
-    private final List<Slowed> slowed = new ArrayList<>();
+    /** Slowdowns in force; if several affect one endpoint, the largest applies. */
+    private final List<Slowdown> slowdowns = new ArrayList<>();
 
-    private record Slowed(EndpointHost host, Fault fault) {}
+    private record Slowdown(EndpointHost host, Fault fault) {}
 
-    FaultPlayer(Scheduler scheduler, List<Tier> tiers, UniformRandomProvider random) {
+    FaultInjector(Scheduler scheduler, List<Tier> tiers, UniformRandomProvider random) {
         this.scheduler = scheduler;
         this.tiers = tiers;
         this.random = random;
@@ -39,7 +39,7 @@
     }
 
     /** Schedules all faults; bursts are left to the arrivals. */
-    void play(List<Fault> faults) {
+    void scheduleAll(List<Fault> faults) {
         for (Fault fault : faults) {
             Tier tier = tiers.get(fault.tier());
             List<EndpointHost> affected = draw(tier, fault.share());
@@ -67,15 +67,15 @@
             case RESET, HALF_OPEN, DELAY, LOSS -> beginAtLinks(fault, tier, affected);
             case LIST_DOWN, LIST_SHRINKS, LIST_RESTARTS -> beginAtDiscovery(fault, tier, affected);
             case BURST -> {
-                // The arrivals know of it.
+                // The testbed has added bursts to the arrivals.
             }
-            default -> throw new IllegalArgumentException("no such fault: " + fault.kind());
+            default -> throw new IllegalArgumentException("unknown kind of fault: " + fault.kind());
         }
     }
 
     private void beginAtEndpoints(Fault fault, Tier tier, List<EndpointHost> affected) {
         switch (fault.kind()) {
-            case VANISH -> during(fault, affected, host -> host.model().vanish(), host -> startAgain(tier, host));
+            case VANISH -> during(fault, affected, host -> host.model().vanish(), host -> restartProcess(tier, host));
             case SLOW -> during(fault, affected, host -> slow(host, fault, true), host -> slow(host, fault, false));
             case HANG ->
                 during(
@@ -91,57 +91,57 @@
                         host -> host.model().fail(false));
             case RESTART -> restartInTurn(fault, tier, affected);
             case DRAIN -> during(fault, affected, host -> drain(tier, host), host -> endDrain(tier, host));
-            default -> throw new IllegalArgumentException("no fault of endpoints: " + fault.kind());
+            default -> throw new IllegalArgumentException("not a fault of endpoints: " + fault.kind());
         }
     }
 
     private void beginAtLinks(Fault fault, Tier tier, List<EndpointHost> affected) {
-        Function<EndpointHost, Relay> links = tier.links;
+        Function<EndpointHost, Relay> relays = tier.relays;
         switch (fault.kind()) {
             case RESET ->
                 during(
                         fault,
                         affected,
                         host -> {
-                            links.apply(host).reset();
-                            links.apply(host).resetNewAfter(fault.size());
+                            relays.apply(host).reset();
+                            relays.apply(host).resetNewAfter(fault.size());
                         },
-                        host -> links.apply(host).resetNewAfter(Double.NaN));
+                        host -> relays.apply(host).resetNewAfter(Double.NaN));
             case HALF_OPEN ->
                 during(
                         fault,
                         affected,
-                        host -> links.apply(host).freeze(),
-                        host -> links.apply(host).reset());
+                        host -> relays.apply(host).freeze(),
+                        host -> relays.apply(host).reset());
             case DELAY ->
                 during(
                         fault,
                         affected,
-                        host -> links.apply(host).delay(fault.size()),
-                        host -> links.apply(host).delay(0));
+                        host -> relays.apply(host).setExtraDelay(fault.size()),
+                        host -> relays.apply(host).setExtraDelay(0));
             case LOSS ->
                 during(
                         fault,
                         affected,
-                        host -> links.apply(host).lose(fault.size()),
-                        host -> links.apply(host).lose(0));
-            default -> throw new IllegalArgumentException("no fault of links: " + fault.kind());
+                        host -> relays.apply(host).setLoss(fault.size()),
+                        host -> relays.apply(host).setLoss(0));
+            default -> throw new IllegalArgumentException("not a fault of links: " + fault.kind());
         }
     }
 
     private void beginAtDiscovery(Fault fault, Tier tier, List<EndpointHost> affected) {
         switch (fault.kind()) {
             case LIST_DOWN -> {
-                tiers.forEach(each -> each.registry.setReachable(false));
-                scheduler.after(fault.lengthMs(), () -> tiers.forEach(each -> each.registry.setReachable(true)));
+                tiers.forEach(other -> other.registry.setReachable(false));
+                scheduler.after(fault.lengthMs(), () -> tiers.forEach(other -> other.registry.setReachable(true)));
             }
             case LIST_SHRINKS -> {
                 List<String> ids = affected.stream().map(EndpointHost::id).toList();
                 tier.registry.hide(ids, true);
                 scheduler.after(fault.lengthMs(), () -> tier.registry.hide(ids, false));
             }
-            case LIST_RESTARTS -> tiers.forEach(each -> each.registry.restart());
-            default -> throw new IllegalArgumentException("no fault of discovery: " + fault.kind());
+            case LIST_RESTARTS -> tiers.forEach(other -> other.registry.restart());
+            default -> throw new IllegalArgumentException("not a fault of discovery: " + fault.kind());
         }
     }
 
@@ -151,14 +151,14 @@
         scheduler.after(fault.lengthMs(), () -> affected.forEach(end));
     }
 
-    private void slow(EndpointHost host, Fault fault, boolean on) {
-        if (on) {
-            slowed.add(new Slowed(host, fault));
+    private void slow(EndpointHost host, Fault fault, boolean active) {
+        if (active) {
+            slowdowns.add(new Slowdown(host, fault));
         } else {
-            slowed.remove(new Slowed(host, fault));
+            slowdowns.remove(new Slowdown(host, fault));
         }
         host.model()
-                .slow(slowed.stream()
+                .slow(slowdowns.stream()
                         .filter(entry -> entry.host == host)
                         .mapToDouble(entry -> entry.fault.size())
                         .max()
@@ -166,10 +166,10 @@
     }
 
     private void restartInTurn(Fault fault, Tier tier, List<EndpointHost> affected) {
-        double eachMs = fault.lengthMs() / affected.size();
+        double intervalMs = fault.lengthMs() / affected.size();
         for (int i = 0; i < affected.size(); i++) {
             EndpointHost host = affected.get(i);
-            scheduler.after(i * eachMs, () -> restart(tier, host, eachMs));
+            scheduler.after(i * intervalMs, () -> restart(tier, host, intervalMs));
         }
     }
 
@@ -178,31 +178,31 @@
         drain(tier, host);
         scheduler.after(lengthMs * DRAIN_FRACTION, () -> {
             host.model().vanish();
-            startAgain(tier, host);
+            restartProcess(tier, host);
         });
     }
 
     private static void drain(Tier tier, EndpointHost host) {
         host.model().drain(true);
-        list(tier, host, Registry.State.TERMINATING);
+        updateRegistry(tier, host, Registry.State.TERMINATING);
     }
 
     private static void endDrain(Tier tier, EndpointHost host) {
         host.model().drain(false);
-        list(tier, host, Registry.State.IN_SERVICE);
+        updateRegistry(tier, host, Registry.State.IN_SERVICE);
     }
 
-    private void startAgain(Tier tier, EndpointHost host) {
+    private void restartProcess(Tier tier, EndpointHost host) {
         host.reset();
         start(tier, host);
     }
 
     private void start(Tier tier, EndpointHost host) {
         host.model().start();
-        list(tier, host, Registry.State.IN_SERVICE);
+        updateRegistry(tier, host, Registry.State.IN_SERVICE);
     }
 
-    private static void list(Tier tier, EndpointHost host, Registry.State state) {
+    private static void updateRegistry(Tier tier, EndpointHost host, Registry.State state) {
         tier.registry.set(new Registry.Entry(host.id(), state, host.model().startedMs()));
     }
 }
--- a/lab/src/main/java/lemonrail/lab/host/ProcessUsage.java
+++ b/lab/src/main/java/lemonrail/lab/host/ProcessUsage.java
@@ -11,34 +11,34 @@
 import java.util.stream.Stream;
 
 /**
- * What a process has used so far, as the Linux kernel tells it from outside (proc(5)).
+ * Resource usage of a process since its start, as the Linux kernel reports it in {@code /proc} (proc(5)).
  *
- * @param statMs processor time of the process in ms, from {@code /proc/PID/stat}, to 10 ms
- * @param threads the same by thread, from {@code /proc/PID/task/TID}, to a microsecond; what threads used
- *     that have ended is not in it
+ * @param statMs processor time of the process in ms, from {@code /proc/PID/stat}, with a resolution of 10 ms
+ * @param threads usage by thread, from {@code /proc/PID/task/TID}, with a resolution of a microsecond; threads that
+ *     have ended are not included
  * @param residentMb resident memory in MiB
  * @param descriptors open file descriptors
  */
 public record ProcessUsage(double statMs, Map<String, Threads> threads, double residentMb, int descriptors) {
 
-    /** What a thread is there for. */
+    /** Purpose of a thread. */
     public enum Kind {
-        /** The event loop, which carries the calls. */
+        /** The event loop, which serves the requests. */
         LOOP,
         /** The JVM's compilers. */
         COMPILER,
-        /** The JVM's own work, garbage collection and periodic tasks. */
+        /** The JVM's own threads, for garbage collection and periodic tasks. */
         VM,
-        /** All else, such as the log's writer. */
+        /** All other threads, such as the log writer. */
         OTHER
     }
 
     /**
-     * A thread, or several of one kind together.
+     * Usage of a thread, or the sum of several threads of one kind.
      *
      * @param ranMs processor time in ms
-     * @param waitedMs time in ms in which they could have run but had no processor
-     * @param wakeups how often they gave up the processor of themselves, and so were woken again
+     * @param waitedMs time in ms for which the threads were runnable but had no processor
+     * @param wakeups number of voluntary context switches, after each of which a thread had to be woken
      */
     public record Threads(Kind kind, double ranMs, double waitedMs, long wakeups) {
         private static Threads none(Kind kind) {
@@ -56,77 +56,77 @@
         }
     }
 
-    /** No process, of which nothing is known. */
+    /** Usage of no process: everything is unknown. */
     public static final ProcessUsage NONE = new ProcessUsage(Double.NaN, Map.of(), Double.NaN, 0);
 
-    /** Ticks of {@code /proc/PID/stat}, which Linux shows as 100 a second whatever it counts by itself. */
+    /** Clock tick of {@code /proc/PID/stat}: Linux reports 100 ticks per second, whatever its internal timer rate. */
     private static final double TICK_MS = 10;
 
-    private static final int USER_TICKS = 11;
-    private static final double NANOS = 1e6;
-    private static final double KILO = 1024;
+    private static final int USER_TICKS_FIELD = 11;
+    private static final double NANOS_PER_MS = 1e6;
+    private static final double KIB_PER_MIB = 1024;
 
-    /** Reads it of a process that runs. */
+    /** Reads the usage of a running process. */
     public static ProcessUsage of(long pid) throws IOException {
         Path process = folder(pid);
         String stat = Files.readString(process.resolve("stat"));
-        // The name may hold blanks and brackets; what follows its last bracket does not.
+        // The process name may contain spaces and parentheses; the fields after the last parenthesis do not.
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        double statMs = TICK_MS * (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[USER_TICKS + 1]));
+        double statMs = TICK_MS * (Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[USER_TICKS_FIELD + 1]));
         Map<String, Threads> threads = new HashMap<>();
-        for (Path task : list(process.resolve("task"))) {
+        for (Path task : listFiles(process.resolve("task"))) {
             try {
-                threads.put(pid + "/" + task.getFileName(), thread(task));
+                threads.put(pid + "/" + task.getFileName(), readThread(task));
             } catch (IOException e) {
-                // The thread has ended meanwhile.
+                // The thread has ended since the directory was listed.
                 continue;
             }
         }
         return new ProcessUsage(
-                statMs, threads, residentMb(pid), list(process.resolve("fd")).size());
+                statMs, threads, residentMb(pid), listFiles(process.resolve("fd")).size());
     }
 
     private static Path folder(long pid) {
         return Path.of("/proc", String.valueOf(pid));
     }
 
-    /** Resident memory of a process in MiB. */
+    /** Returns the resident memory of a process in MiB, or NaN if the kernel does not report it. */
     public static double residentMb(long pid) throws IOException {
-        return number(folder(pid).resolve("status"), "VmRSS:") / KILO;
+        return readNumber(folder(pid).resolve("status"), "VmRSS:") / KIB_PER_MIB;
     }
 
-    /** Its share of memory in MiB, where what several processes map is shared out among them. */
+    /** Returns the proportional set size in MiB, in which memory shared by several processes is divided among them. */
     public static double proportionalMb(long pid) throws IOException {
-        return number(folder(pid).resolve("smaps_rollup"), "Pss:") / KILO;
+        return readNumber(folder(pid).resolve("smaps_rollup"), "Pss:") / KIB_PER_MIB;
     }
 
-    private static List<Path> list(Path folder) throws IOException {
+    private static List<Path> listFiles(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return new ArrayList<>(files.toList());
         }
     }
 
-    /** Returns what a thread of this name does. */
-    public static Kind kind(String thread) {
-        if (thread.startsWith("sidecar-") || thread.startsWith("multiThreadIoEv")) {
+    /** Returns the kind of a thread of this name. */
+    public static Kind kind(String name) {
+        if (name.startsWith("sidecar-") || name.startsWith("multiThreadIoEv")) {
             return Kind.LOOP;
         }
-        if (thread.startsWith("C1 ") || thread.startsWith("C2 ") || thread.startsWith("Sweeper")) {
+        if (name.startsWith("C1 ") || name.startsWith("C2 ") || name.startsWith("Sweeper")) {
             return Kind.COMPILER;
         }
-        return thread.startsWith("VM ") || thread.startsWith("GC ") ? Kind.VM : Kind.OTHER;
+        return name.startsWith("VM ") || name.startsWith("GC ") ? Kind.VM : Kind.OTHER;
     }
 
-    private static Threads thread(Path task) throws IOException {
+    private static Threads readThread(Path task) throws IOException {
         String[] nanos = Files.readString(task.resolve("schedstat")).trim().split(" ");
         return new Threads(
                 kind(Files.readString(task.resolve("comm")).trim()),
-                Long.parseLong(nanos[0]) / NANOS,
-                Long.parseLong(nanos[1]) / NANOS,
-                (long) number(task.resolve("status"), "voluntary_ctxt_switches:"));
+                Long.parseLong(nanos[0]) / NANOS_PER_MS,
+                Long.parseLong(nanos[1]) / NANOS_PER_MS,
+                (long) readNumber(task.resolve("status"), "voluntary_ctxt_switches:"));
     }
 
-    private static double number(Path file, String key) throws IOException {
+    private static double readNumber(Path file, String key) throws IOException {
         for (String line : Files.readAllLines(file)) {
             if (line.startsWith(key)) {
                 return Double.parseDouble(line.substring(key.length())
@@ -138,14 +138,14 @@
         return Double.NaN;
     }
 
-    /** What threads of a kind have used. */
+    /** Returns the summed usage of all threads of a kind. */
     public Threads of(Kind kind) {
         return threads.values().stream()
                 .filter(thread -> thread.kind == kind)
                 .reduce(Threads.none(kind), Threads::plus);
     }
 
-    /** Processor time of all threads in ms. */
+    /** Returns the processor time of all threads in ms, or NaN if nothing is known of threads. */
     public double cpuMs() {
         return threads.isEmpty()
                 ? Double.NaN
@@ -153,31 +153,32 @@
     }
 
     /**
-     * Processor time of the process in ms: its threads' where that is more than what the process's own count
-     * has come to, in its coarse steps, or all there is where the system tells nothing of threads.
+     * Returns the processor time of the process in ms: the larger of the process's own count, which has a coarse
+     * resolution, and the sum over its threads, which leaves out threads that have ended. Returns the former if
+     * nothing is known of threads.
      */
     public double processMs() {
         return threads.isEmpty() ? statMs : Math.max(statMs, cpuMs());
     }
 
-    /** The same with the threads that have ended since then, as they were last seen: no sum of them falls. */
-    public ProcessUsage remembering(ProcessUsage before) {
+    /** Returns this usage plus the threads of {@code before} that have ended since, so that sums never decrease. */
+    public ProcessUsage includingEndedThreads(ProcessUsage before) {
         Map<String, Threads> all = new HashMap<>(before.threads);
         all.putAll(threads);
         return new ProcessUsage(statMs, all, residentMb, descriptors);
     }
 
-    /** How long threads could have run but had no processor, in ms. */
+    /** Returns the time in ms for which threads were runnable but had no processor. */
     public double waitedMs() {
         return threads.values().stream().mapToDouble(Threads::waitedMs).sum();
     }
 
-    /** How often threads were woken. */
+    /** Returns the number of times that threads were woken. */
     public long wakeups() {
         return threads.values().stream().mapToLong(Threads::wakeups).sum();
     }
 
-    /** What has been used since then; memory and descriptors are those of now. */
+    /** Returns the usage since {@code before}; memory and descriptors are the present ones. */
     public ProcessUsage since(ProcessUsage before) {
         Map<String, Threads> used = new HashMap<>();
         threads.forEach(
@@ -185,7 +186,7 @@
         return new ProcessUsage(statMs - before.statMs, used, residentMb, descriptors);
     }
 
-    /** Two processes, or two times of one, together; memory is the most of both. */
+    /** Returns the sum of two processes or of two intervals; memory and descriptors are the maximum of both. */
     public ProcessUsage plus(ProcessUsage more) {
         Map<String, Threads> all = new HashMap<>(threads);
         more.threads.forEach((id, thread) -> all.merge(id, thread, Threads::plus));
--- a/lab/src/main/java/lemonrail/lab/host/Relay.java
+++ b/lab/src/main/java/lemonrail/lab/host/Relay.java
@@ -24,30 +24,30 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A poor link: a TCP relay between two parties that delays, narrows, splits, stalls, cuts or resets what
- * passes, both ways. What is sent keeps its order. Belongs to its event loop.
+ * Simulates a poor link as a TCP relay. In both directions it can delay data, limit bandwidth, split data into
+ * chunks, stall, and close or reset connections. Data keeps its order. All methods run on the event loop.
  */
 public final class Relay implements AutoCloseable {
 
-    /** After so long a sender's system repeats a lost segment; RFC 6298 has a longer least time-out. */
-    static final double REPEAT_MS = 200;
-    /** Bytes on their way each way; beyond it the sender is not read. */
-    private static final int MOST_HELD_BYTES = 256 * 1024;
+    /** Extra delay of a lost chunk, as if its sender retransmitted it; RFC 6298 has a longer minimum timeout. */
+    static final double RETRANSMIT_MS = 200;
+    /** Maximum bytes buffered in each direction; beyond it the relay does not read from the sender. */
+    private static final int MAX_BUFFERED_BYTES = 256 * 1024;
 
-    private static final double NANOS = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     private final EventLoop loop;
     private final InetSocketAddress target;
     private final UniformRandomProvider random;
     private final Channel listener;
-    private final Set<Pair> pairs = new HashSet<>();
+    private final Set<Connection> connections = new HashSet<>();
     private final Link link;
-    private double moreDelayMs;
+    private double extraDelayMs;
     private double lossShare;
     private boolean stalled;
     private double resetAfterMs = Double.NaN;
 
-    /** A relay at a free port to this target. */
+    /** Starts a relay on a free port that forwards to {@code target}. */
     public Relay(EventLoop loop, InetSocketAddress target, Link link, UniformRandomProvider random) {
         this.loop = loop;
         this.target = target;
@@ -60,8 +60,8 @@
                 .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        pairs.add(new Pair(fresh));
+                    protected void initChannel(SocketChannel inbound) {
+                        connections.add(new Connection(inbound));
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -69,52 +69,52 @@
                 .channel();
     }
 
-    /** Where it listens. */
+    /** Returns the address at which the relay listens. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** So much more delay each way from now on. */
-    public void delay(double moreMs) {
-        moreDelayMs = moreMs;
+    /** Adds {@code delayMs} to the link's delay in each direction; replaces an earlier extra delay. */
+    public void setExtraDelay(double delayMs) {
+        extraDelayMs = delayMs;
     }
 
-    /** So large a share of the pieces is lost and comes after a repeat. */
-    public void lose(double share) {
+    /** Sets the fraction of chunks that are lost and arrive late, after a simulated retransmission. */
+    public void setLoss(double share) {
         lossShare = share;
     }
 
-    /** Nothing passes any more, or all again; what came meanwhile is passed on then. */
-    public void stall(boolean now) {
-        stalled = now;
-        if (!now) {
-            List.copyOf(pairs).forEach(Pair::resume);
+    /** Stops forwarding while keeping connections open, or resumes it with the data that arrived meanwhile. */
+    public void setStalled(boolean stall) {
+        stalled = stall;
+        if (!stall) {
+            List.copyOf(connections).forEach(Connection::resume);
         }
     }
 
-    /** The connections that are open stay so, and never carry anything again. */
+    /** Stops forwarding on all present connections for good, without closing them. */
     public void freeze() {
-        pairs.forEach(pair -> pair.frozen = true);
+        connections.forEach(connection -> connection.frozen = true);
     }
 
     /** Resets all connections. */
     public void reset() {
-        List.copyOf(pairs).forEach(Pair::abort);
+        List.copyOf(connections).forEach(Connection::abort);
     }
 
-    /** Ends all connections after what has passed so far, as a cut in the middle does. */
+    /** Closes all connections at once, so that data not yet forwarded is lost. */
     public void cut() {
-        List.copyOf(pairs).forEach(Pair::end);
+        List.copyOf(connections).forEach(Connection::end);
     }
 
-    /** Each new connection is reset after so long; NaN for never. */
-    public void resetNewAfter(double ms) {
-        resetAfterMs = ms;
+    /** Resets each new connection after {@code afterMs}; NaN stops doing so. */
+    public void resetNewAfter(double afterMs) {
+        resetAfterMs = afterMs;
     }
 
-    /** Connections that pass it now. */
+    /** Returns the number of open connections. */
     public int size() {
-        return pairs.size();
+        return connections.size();
     }
 
     @Override
@@ -123,178 +123,178 @@
         reset();
     }
 
-    private final class Pair {
-        private final Channel near;
-        private final Channel far;
-        private final Way out;
-        private final Way back;
+    private final class Connection {
+        private final Channel inbound;
+        private final Channel outbound;
+        private final Direction forward;
+        private final Direction backward;
         private boolean frozen;
 
-        Pair(Channel near) {
-            this.near = near;
-            out = new Way(this);
-            back = new Way(this);
-            near.pipeline().addLast(out);
-            var coming = new Bootstrap()
+        Connection(Channel inbound) {
+            this.inbound = inbound;
+            forward = new Direction(this);
+            backward = new Direction(this);
+            inbound.pipeline().addLast(forward);
+            var connecting = new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.AUTO_READ, false)
-                    .handler(back)
+                    .handler(backward)
                     .connect(target);
-            far = coming.channel();
-            out.to = far;
-            back.to = near;
-            coming.addListener(up -> {
-                if (up.isSuccess()) {
-                    near.read();
-                    far.read();
+            outbound = connecting.channel();
+            forward.destination = outbound;
+            backward.destination = inbound;
+            connecting.addListener(connected -> {
+                if (connected.isSuccess()) {
+                    inbound.read();
+                    outbound.read();
                 } else {
                     abort();
                 }
             });
             if (!Double.isNaN(resetAfterMs)) {
-                loop.schedule(this::abort, (long) (resetAfterMs * NANOS), TimeUnit.NANOSECONDS);
+                loop.schedule(this::abort, (long) (resetAfterMs * NANOS_PER_MS), TimeUnit.NANOSECONDS);
             }
         }
 
         void abort() {
-            for (Channel side : List.of(near, far)) {
+            for (Channel side : List.of(inbound, outbound)) {
                 if (side.isOpen()) {
                     side.config().setOption(ChannelOption.SO_LINGER, 0);
                     side.close();
                 }
             }
-            forget();
+            discard();
         }
 
-        private void forget() {
-            out.drop();
-            back.drop();
-            pairs.remove(this);
+        private void discard() {
+            forward.drop();
+            backward.drop();
+            connections.remove(this);
         }
 
         void end() {
-            near.close();
-            far.close();
-            forget();
+            inbound.close();
+            outbound.close();
+            discard();
         }
 
         void resume() {
-            out.pump();
-            back.pump();
+            forward.forwardDue();
+            backward.forwardDue();
         }
     }
 
     /** One direction of a connection. */
-    private final class Way extends ChannelInboundHandlerAdapter {
+    private final class Direction extends ChannelInboundHandlerAdapter {
 
-        /** Bytes and when they arrive, or the end where there are none. */
-        private record Piece(ByteBuf bytes, long atNanos) {}
+        /** Data and its arrival time; null data stands for the end of the stream. */
+        private record Chunk(ByteBuf bytes, long arrivalNanos) {}
 
-        private final Pair pair;
-        private final Deque<Piece> held = new ArrayDeque<>();
-        private Channel to;
-        private int heldBytes;
-        private long lastNanos = System.nanoTime();
-        private boolean armed;
+        private final Connection connection;
+        private final Deque<Chunk> buffer = new ArrayDeque<>();
+        private Channel destination;
+        private int bufferedBytes;
+        private long lastArrivalNanos = System.nanoTime();
+        private boolean timerSet;
 
-        Way(Pair pair) {
-            this.pair = pair;
+        Direction(Connection connection) {
+            this.connection = connection;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf bytes = (ByteBuf) message;
-            if (pair.frozen) {
+            if (connection.frozen) {
                 bytes.release();
                 return;
             }
-            int most = link.pieceBytes() > 0 ? link.pieceBytes() : bytes.readableBytes();
+            int maxChunkBytes = link.pieceBytes() > 0 ? link.pieceBytes() : bytes.readableBytes();
             while (bytes.isReadable()) {
-                hold(bytes.readRetainedSlice(Math.min(most, bytes.readableBytes())));
+                enqueue(bytes.readRetainedSlice(Math.min(maxChunkBytes, bytes.readableBytes())));
             }
             bytes.release();
-            if (heldBytes < MOST_HELD_BYTES) {
+            if (bufferedBytes < MAX_BUFFERED_BYTES) {
                 ctx.read();
             }
-            pump();
+            forwardDue();
         }
 
-        private void hold(ByteBuf piece) {
-            double ms = link.delayMs()
-                    + moreDelayMs
+        private void enqueue(ByteBuf chunk) {
+            double delayMs = link.delayMs()
+                    + extraDelayMs
                     + link.jitterMs() * random.nextDouble()
-                    + (lossShare > 0 && random.nextDouble() < lossShare ? REPEAT_MS : 0);
-            long at = Math.max(lastNanos, System.nanoTime() + (long) (ms * NANOS));
+                    + (lossShare > 0 && random.nextDouble() < lossShare ? RETRANSMIT_MS : 0);
+            long arrivalNanos = Math.max(lastArrivalNanos, System.nanoTime() + (long) (delayMs * NANOS_PER_MS));
             if (link.bytesPerMs() > 0) {
-                at += (long) (piece.readableBytes() / link.bytesPerMs() * NANOS);
+                arrivalNanos += (long) (chunk.readableBytes() / link.bytesPerMs() * NANOS_PER_MS);
             }
-            lastNanos = at;
-            heldBytes += piece.readableBytes();
-            held.add(new Piece(piece, at));
+            lastArrivalNanos = arrivalNanos;
+            bufferedBytes += chunk.readableBytes();
+            buffer.add(new Chunk(chunk, arrivalNanos));
         }
 
-        void pump() {
-            if (armed || stalled || pair.frozen) {
+        void forwardDue() {
+            if (timerSet || stalled || connection.frozen) {
                 return;
             }
-            while (!held.isEmpty()) {
-                long inNanos = held.peek().atNanos - System.nanoTime();
+            while (!buffer.isEmpty()) {
+                long inNanos = buffer.peek().arrivalNanos - System.nanoTime();
                 if (inNanos > 0) {
-                    armed = true;
+                    timerSet = true;
                     loop.schedule(
                             () -> {
-                                armed = false;
-                                pump();
+                                timerSet = false;
+                                forwardDue();
                             },
                             inNanos,
                             TimeUnit.NANOSECONDS);
                     return;
                 }
-                pass(held.poll());
+                forwardChunk(buffer.poll());
             }
         }
 
-        private void pass(Piece piece) {
-            if (piece.bytes == null) {
-                pair.end();
+        private void forwardChunk(Chunk chunk) {
+            if (chunk.bytes == null) {
+                connection.end();
                 return;
             }
-            int size = piece.bytes.readableBytes();
-            to.writeAndFlush(piece.bytes);
-            boolean waited = heldBytes >= MOST_HELD_BYTES;
-            heldBytes -= size;
-            if (waited && heldBytes < MOST_HELD_BYTES) {
-                (to == pair.far ? pair.near : pair.far).read();
+            int size = chunk.bytes.readableBytes();
+            destination.writeAndFlush(chunk.bytes);
+            boolean wasFull = bufferedBytes >= MAX_BUFFERED_BYTES;
+            bufferedBytes -= size;
+            if (wasFull && bufferedBytes < MAX_BUFFERED_BYTES) {
+                (destination == connection.outbound ? connection.inbound : connection.outbound).read();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (!pair.frozen) {
-                // The end travels behind the last bytes.
-                held.add(new Piece(
+            if (!connection.frozen) {
+                // The end of the stream arrives after the last bytes.
+                buffer.add(new Chunk(
                         null,
-                        Math.max(lastNanos, System.nanoTime() + (long) ((link.delayMs() + moreDelayMs) * NANOS))));
-                pump();
+                        Math.max(lastArrivalNanos, System.nanoTime() + (long) ((link.delayMs() + extraDelayMs) * NANOS_PER_MS))));
+                forwardDue();
             }
         }
 
-        /** Nothing more passes. */
+        /** Discards all buffered data. */
         private void drop() {
-            held.forEach(piece -> {
-                if (piece.bytes != null) {
-                    piece.bytes.release();
+            buffer.forEach(chunk -> {
+                if (chunk.bytes != null) {
+                    chunk.bytes.release();
                 }
             });
-            held.clear();
+            buffer.clear();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A reset on one side is a reset on the other.
-            pair.abort();
+            // A reset on one side resets the other as well.
+            connection.abort();
         }
     }
 }
--- a/lab/src/main/java/lemonrail/lab/host/RequestMessages.java
+++ b/lab/src/main/java/lemonrail/lab/host/RequestMessages.java
@@ -11,7 +11,7 @@
 import java.util.Locale;
 import lemonrail.lab.model.ClientRequest;
 
-/** The requests that clients and endpoints send to sidecars, as HTTP messages. */
+/** HTTP requests that clients and endpoints send to sidecars. */
 final class RequestMessages {
 
     private static final String ID = "X-Request-Id";
@@ -22,14 +22,14 @@
 
     private RequestMessages() {}
 
-    /** What a client asks; {@code tenant} is null where there are none. */
-    static FullHttpRequest of(
-            ClientRequest clientRequest, String id, String className, String tenant, double patienceMs) {
-        FullHttpRequest request = message(
+    /** Returns the request of one try of a client; {@code tenant} is null if the scenario has no tenants. */
+    static FullHttpRequest forClient(
+            ClientRequest clientRequest, String id, String className, String tenant, double timeoutMs) {
+        FullHttpRequest request = createMessage(
                 clientRequest.key() == null ? HttpMethod.GET : HttpMethod.POST,
                 String.format(Locale.ROOT, "/api?work=%.3f", clientRequest.workMs()),
                 id,
-                patienceMs);
+                timeoutMs);
         request.headers().set(CLASS, className);
         if (clientRequest.key() != null) {
             request.headers().set(KEY, clientRequest.key());
@@ -40,35 +40,35 @@
         return request;
     }
 
-    /** The call, by its number from 1, that an endpoint makes for a request which it has. */
-    static FullHttpRequest onBehalfOf(FullHttpRequest of, String id, int number, double leftMs) {
-        FullHttpRequest request = message(of.method(), of.uri(), id, leftMs);
-        for (String kept : List.of(CLASS, TENANT)) {
-            if (of.headers().contains(kept)) {
-                request.headers().set(kept, of.headers().get(kept));
+    /** Returns the call to the next tier that an endpoint makes for {@code parent}; calls are numbered from 1. */
+    static FullHttpRequest forNextTier(FullHttpRequest parent, String id, int number, double deadlineMs) {
+        FullHttpRequest request = createMessage(parent.method(), parent.uri(), id, deadlineMs);
+        for (String header : List.of(CLASS, TENANT)) {
+            if (parent.headers().contains(header)) {
+                request.headers().set(header, parent.headers().get(header));
             }
         }
-        String key = of.headers().get(KEY);
+        String key = parent.headers().get(KEY);
         if (key != null) {
-            // The calls of one request are things of their own; the same call of its repeat is not.
+            // Each call of a request gets its own key, but the same call of a repeated request gets the same key again.
             request.headers().set(KEY, key + "." + number);
         }
         return request;
     }
 
-    private static FullHttpRequest message(HttpMethod method, String uri, String id, double waitMs) {
+    private static FullHttpRequest createMessage(HttpMethod method, String uri, String id, double deadlineMs) {
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, uri, Unpooled.EMPTY_BUFFER);
         request.headers()
                 .set(HttpHeaderNames.HOST, "lab")
                 .set(ID, id)
-                .set(DEADLINE, (long) waitMs)
+                .set(DEADLINE, (long) deadlineMs)
                 .set(HttpHeaderNames.CONTENT_LENGTH, 0);
         return request;
     }
 
-    /** When a refusal lets its client come again, in ms; NaN where it does not say. */
-    static double retryAfterMs(FullHttpResponse answer) {
-        String text = answer == null ? null : answer.headers().get("Retry-After");
+    /** Returns Retry-After of a response in ms, or NaN if the response is null or has no valid value. */
+    static double retryAfterMs(FullHttpResponse response) {
+        String text = response == null ? null : response.headers().get("Retry-After");
         try {
             return text == null ? Double.NaN : Double.parseDouble(text) * 1000;
         } catch (NumberFormatException e) {
--- a/lab/src/main/java/lemonrail/lab/host/ResponseRules.java
+++ b/lab/src/main/java/lemonrail/lab/host/ResponseRules.java
@@ -41,7 +41,7 @@
             double timeoutMs) {
         List<AttemptRecorder.Attempt> attempts = recorder.attemptsOf(id);
         if (end == ClientRequest.End.GIVEN_UP) {
-            recorder.recordViolation("no response within " + Math.round(scheduler.nowMs() - sentMs) + " of " + Math.round(timeoutMs)
+            recorder.recordViolation("no response after " + Math.round(scheduler.nowMs() - sentMs) + " ms, allowed " + Math.round(timeoutMs)
                     + " ms: " + id);
         } else if (end == ClientRequest.End.LOST && linkIsPlain) {
             recorder.recordViolation("connection ended before the response was complete: " + id);
@@ -50,7 +50,7 @@
         }
         if (end == ClientRequest.End.REFUSED
                 && !requestClass.mayRejectAfterExecution()
-                && attempts.stream().anyMatch(attempt -> !Double.isNaN(attempt.ranMs()))) {
+                && attempts.stream().anyMatch(attempt -> !Double.isNaN(attempt.startedMs()))) {
             recorder.recordViolation("rejected although an attempt may have run: " + id);
         }
         if (attempts.size() > maxAttempts) {
--- a/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
@@ -21,37 +21,37 @@
 import lemonrail.http1.Http1Protocol;
 import lemonrail.logging.TextSink;
 
-/** One sidecar: in this process, or a process of its own. */
+/** A sidecar that runs in this process or in a child process. */
 public interface SidecarHost extends AutoCloseable {
 
-    /** Asks all sidecars whether they are ready. */
+    /** HTTP client for the readiness checks of all sidecars. */
     HttpClient CLIENT = HttpClient.newHttpClient();
-    /** How long a sidecar may take until it is ready. */
+    /** Maximum time from the start of a sidecar until it is ready. */
     int READY_MS = 30_000;
 
-    /** Where its callers connect. */
+    /** Returns the address at which the sidecar accepts requests. */
     InetSocketAddress address();
 
-    /** Processor time that it has used, in ms; NaN where it shares a process. */
+    /** Returns the processor time used so far in ms, or NaN if the sidecar runs in this process. */
     double cpuMs();
 
-    /** Its resident memory in MiB; NaN where it shares a process. */
+    /** Returns the resident memory in MiB, or NaN if the sidecar runs in this process. */
     double residentMb() throws IOException;
 
-    /** Whether it has ended by itself. */
+    /** Returns whether the sidecar's process has ended by itself. */
     boolean hasCrashed();
 
-    /** Ends it at once, as a kill does. */
+    /** Ends the sidecar at once, as SIGKILL does. */
     @Override
     void close();
 
-    /** A sidecar of this process; it is ready when this returns. */
-    static SidecarHost inside(Path file, Map<String, String> environment, LoadBalancerFactory decider, Path log)
+    /** Starts a sidecar in this process; it is ready when this method returns. */
+    static SidecarHost startInProcess(Path file, Map<String, String> environment, LoadBalancerFactory balancer, Path log)
             throws IOException {
         ConfigSource source = ConfigSource.of(file, environment);
         PrintStream out = new PrintStream(Files.newOutputStream(log));
         Sidecar sidecar = new SidecarBuilder(new Http1Protocol(), source, source.load(), new TextSink(out))
-                .loadBalancer(decider)
+                .loadBalancer(balancer)
                 .build();
         sidecar.start();
         return new SidecarHost() {
@@ -83,8 +83,8 @@
         };
     }
 
-    /** A sidecar in a process of its own, which has been started and may not be ready yet. */
-    static SidecarHost process(Path jar, Path file, Map<String, String> environment, InetSocketAddress at, Path log)
+    /** Starts a sidecar in a child process, which may not be ready yet when this method returns. */
+    static SidecarHost startProcess(Path jar, Path file, Map<String, String> environment, InetSocketAddress address, Path log)
             throws IOException {
         ProcessBuilder builder = ChildProcess.java("-jar", jar.toString(), "serve", "--config", file.toString())
                 .redirectErrorStream(true)
@@ -94,7 +94,7 @@
         return new SidecarHost() {
             @Override
             public InetSocketAddress address() {
-                return at;
+                return address;
             }
 
             @Override
@@ -119,9 +119,9 @@
         };
     }
 
-    /** Waits until a sidecar says that it is ready. */
+    /** Waits until the sidecar's health check reports that it is ready. Throws IOException if it exits or times out. */
     default void awaitReady() throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
         URI ready = URI.create("http://" + address().getAddress().getHostAddress() + ":"
                 + address().getPort() + "/health/ready");
         HttpRequest request =
@@ -133,17 +133,17 @@
                 }
             } catch (IOException e) {
                 if (hasCrashed()) {
-                    throw new IOException("a sidecar has ended while starting", e);
+                    throw new IOException("sidecar process exited before it was ready", e);
                 }
             }
-            if (System.nanoTime() > until) {
-                throw new IOException("a sidecar is not ready after " + READY_MS + " ms");
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IOException("sidecar not ready after " + READY_MS + " ms");
             }
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
 
-    /** A port that was free a moment ago. */
+    /** Returns a loopback address whose port was free at the time of the call. */
     static InetSocketAddress freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) socket.getLocalSocketAddress();
--- a/lab/src/main/java/lemonrail/lab/host/Testbed.java
+++ b/lab/src/main/java/lemonrail/lab/host/Testbed.java
@@ -63,14 +63,14 @@
     private final EventLoop loop = (EventLoop) group.next();
     private final EventLoopScheduler scheduler = new EventLoopScheduler(loop);
     private final AttemptRecorder recorder;
-    private final AnswerRules answers;
+    private final ResponseRules answers;
     private final List<EndpointTier> tiers = new ArrayList<>();
     private final Map<String, SidecarHost> sidecars = new LinkedHashMap<>();
     private final List<AutoCloseable> parts = new ArrayList<>();
     private final List<ClientPool> pools = new ArrayList<>();
     private final List<String> names = new ArrayList<>();
     private Clients clients;
-    private FaultPlayer faults;
+    private FaultInjector faults;
     private double cpuBeganMs;
     private double cpuMs;
 
@@ -84,7 +84,7 @@
         this.folder = Files.createDirectories(folder);
         settings = EdgeSettings.load(scenario.edge(), variant.set());
         recorder = new AttemptRecorder(scheduler, settings.drain().graceMs(), linkMs());
-        answers = new AnswerRules(
+        answers = new ResponseRules(
                 scheduler,
                 recorder,
                 settings.limits().maxAttempts(),
@@ -129,7 +129,7 @@
         double worse = scenario.faults().stream()
                 .mapToDouble(fault -> fault.kind() == Fault.Kind.DELAY
                         ? fault.size()
-                        : fault.kind() == Fault.Kind.LOSS ? Relay.REPEAT_MS : 0)
+                        : fault.kind() == Fault.Kind.LOSS ? Relay.RETRANSMIT_MS : 0)
                 .sum();
         return link.delayMs() + link.jitterMs() + worse;
     }
@@ -144,7 +144,7 @@
     }
 
     private void endpoints() {
-        boolean relays = FaultPlayer.needLinks(scenario.faults(), scenario.endpointLink());
+        boolean relays = FaultInjector.needLinks(scenario.faults(), scenario.endpointLink());
         for (int i = 0; i < scenario.tiers().size(); i++) {
             Scenario.Discovery how = scenario.discovery();
             Registry registry = new Registry(
@@ -154,8 +154,8 @@
             tiers.add(tier);
             tier.open(random("tier " + i), relays ? scenario.endpointLink() : null);
         }
-        faults = new FaultPlayer(
-                scheduler, tiers.stream().map(EndpointTier::forFaults).toList(), random("faults"));
+        faults = new FaultInjector(
+                scheduler, tiers.stream().map(EndpointTier::faultTargets).toList(), random("faults"));
     }
 
     private InetSocketAddress sidecar(int tier, int number, int count) throws IOException {
@@ -184,9 +184,9 @@
         Map<String, String> environment = EdgeSettings.environment(variant.set());
         Path log = folder.resolve(name + ".log");
         SidecarHost host = process
-                ? SidecarHost.process(
+                ? SidecarHost.startProcess(
                         variant.jar() == null ? builds.jar() : variant.jar(), file, environment, listen, log)
-                : SidecarHost.inside(file, environment, variant.decider(), log);
+                : SidecarHost.startInProcess(file, environment, variant.decider(), log);
         sidecars.put(name, host);
         return host.address();
     }
@@ -202,7 +202,7 @@
                     scenario.tiers().get(tier - 1).slots());
             parts.add(pool);
             UniformRandomProvider random = random("calls of " + name);
-            above.get(i).next((of, onBehalfOf, leftMs, done) -> call(pool, name, random, of, onBehalfOf, leftMs, done));
+            above.get(i).setNextTier((of, onBehalfOf, leftMs, done) -> call(pool, name, random, of, onBehalfOf, leftMs, done));
         }
     }
 
@@ -219,7 +219,7 @@
             return () -> {};
         }
         String id = Long.toHexString(random.nextLong());
-        FullHttpRequest request = RequestMessages.onBehalfOf(of, id, onBehalfOf.nextCall(), leftMs);
+        FullHttpRequest request = RequestMessages.forNextTier(of, id, onBehalfOf.nextCall(), leftMs);
         recorder.recordSent(id, sidecar, onBehalfOf);
         double sentMs = scheduler.nowMs();
         RequestClass kind =
@@ -274,7 +274,7 @@
                     double sentMs = scheduler.nowMs();
                     RequestClass kind = classes.get(places.get(clientRequest.requestClass()));
                     FullHttpRequest request =
-                            RequestMessages.of(clientRequest, id, kind.name(), tenantName(clientRequest), patienceMs);
+                            RequestMessages.forClient(clientRequest, id, kind.name(), tenantName(clientRequest), patienceMs);
                     pools.get(to).send(request, patienceMs + slackMs(), (end, answer) -> {
                         answers.check(id, kind, end, answer, sentMs, patienceMs);
                         reply.ended(
@@ -302,8 +302,8 @@
     public RunResult play(Consumer<Supplier<List<ClientRequest>>> each) {
         cpuBeganMs = cpu();
         loop.submit(() -> {
-                    scheduler.begin();
-                    faults.play(scenario.faults());
+                    scheduler.start();
+                    faults.scheduleAll(scenario.faults());
                     clients.start();
                 })
                 .syncUninterruptibly();
@@ -408,7 +408,7 @@
             ClientRequest clientRequest = byTry.get(root.request());
             if (clientRequest != null
                     && clientRequest.key() != null
-                    && !Double.isNaN(attempt.ranMs())
+                    && !Double.isNaN(attempt.startedMs())
                     && ran.merge(attempt.request(), 1, Integer::sum) == 2) {
                 broken.add("ran twice: " + attempt.request());
             }
--- a/lab/src/main/java/lemonrail/lab/report/RunFolder.java
+++ b/lab/src/main/java/lemonrail/lab/report/RunFolder.java
@@ -154,10 +154,10 @@
                         result.recorder().sidecar(attempt.request()),
                         attempt.tier() + 1,
                         attempt.endpoint(),
-                        ms(attempt.beganMs()),
-                        ms(attempt.ranMs()),
+                        ms(attempt.receivedMs()),
+                        ms(attempt.startedMs()),
                         ms(attempt.endedMs()),
-                        attempt.end(),
+                        attempt.outcome(),
                         ms(attempt.workMs()),
                         attempt.parent() == null ? "" : attempt.parent().request());
             }
--- a/lab/src/main/java/lemonrail/lab/report/Scorer.java
+++ b/lab/src/main/java/lemonrail/lab/report/Scorer.java
@@ -150,7 +150,7 @@
                 .forEach(clientRequest -> micros.recordValue(
                         Math.min(MOST_MICROS, (long) ((clientRequest.servedMs() - clientRequest.arrivedMs()) * 1000))));
         long attempts = run.recorder().attempts().stream()
-                .filter(attempt -> attempt.tier() == 0 && attempt.beganMs() >= warmMs)
+                .filter(attempt -> attempt.tier() == 0 && attempt.receivedMs() >= warmMs)
                 .count();
         return new Verdict(
                 service,
@@ -220,7 +220,7 @@
                         .forEach(each -> served.add(each.id())));
         double wasted = 0;
         for (AttemptRecorder.Attempt attempt : run.recorder().attempts()) {
-            if (!Double.isNaN(attempt.ranMs()) && attempt.beganMs() >= warmMs && !useful(attempt, served)) {
+            if (!Double.isNaN(attempt.startedMs()) && attempt.receivedMs() >= warmMs && !useful(attempt, served)) {
                 wasted += attempt.workMs();
             }
         }
--- a/lab/src/main/java/lemonrail/lab/scale/RealSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RealSidecar.java
@@ -72,7 +72,7 @@
     @Override
     public double cpuMs() {
         try {
-            usage = ProcessUsage.of(child.process().pid()).remembering(usage);
+            usage = ProcessUsage.of(child.process().pid()).includingEndedThreads(usage);
             return usage.processMs();
         } catch (IOException e) {
             return Double.NaN;
--- a/lab/src/test/java/lemonrail/lab/host/ProcessUsageTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/ProcessUsageTest.java
@@ -21,14 +21,14 @@
     void aThreadThatHasEndedCountsAsLastSeen() {
         ProcessUsage before = new ProcessUsage(10, Map.of("1/1", ran(5), "1/2", ran(8)), 40, 9);
         ProcessUsage now = new ProcessUsage(20, Map.of("1/1", ran(6), "1/3", ran(1)), 41, 8);
-        ProcessUsage all = now.remembering(before);
+        ProcessUsage all = now.includingEndedThreads(before);
         assertEquals(6 + 8 + 1, all.cpuMs(), EXACT);
         assertEquals(41, all.residentMb(), EXACT);
         assertEquals(20, all.processMs(), EXACT, "the process's own count is ahead");
         assertEquals(
                 6 + 8 + 1 + 30,
                 new ProcessUsage(20, Map.of("1/4", ran(30)), 41, 8)
-                        .remembering(all)
+                        .includingEndedThreads(all)
                         .processMs(),
                 EXACT,
                 "its threads are ahead");
--- a/lab/src/test/java/lemonrail/lab/host/RelayTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/RelayTest.java
@@ -93,7 +93,7 @@
         long began = System.nanoTime();
         near.getOutputStream().write(1);
         far.getInputStream().read();
-        now(() -> relay.delay(100));
+        now(() -> relay.setExtraDelay(100));
         far.getOutputStream().write(1);
         near.getInputStream().read();
         assertTrue(System.nanoTime() - began >= 219_000_000L, "60 one way and 160 the other");
@@ -111,7 +111,7 @@
     @Test
     void whatIsLostComesLater() throws IOException {
         join(PLAIN);
-        now(() -> relay.lose(1));
+        now(() -> relay.setLoss(1));
         long began = System.nanoTime();
         near.getOutputStream().write(1);
         assertEquals(1, far.getInputStream().read());
@@ -121,11 +121,11 @@
     @Test
     void stalledItHoldsAllUntilItGoesOn() throws IOException {
         join(PLAIN);
-        now(() -> relay.stall(true));
+        now(() -> relay.setStalled(true));
         near.getOutputStream().write(7);
         far.setSoTimeout(200);
         assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
-        now(() -> relay.stall(false));
+        now(() -> relay.setStalled(false));
         far.setSoTimeout(LONG_MS);
         assertEquals(7, far.getInputStream().read());
     }
