--- a/lab/src/main/java/lemonrail/lab/Demo.java
+++ b/lab/src/main/java/lemonrail/lab/Demo.java
@@ -120,7 +120,7 @@
                 "an edge at %s:%d before %d stand-in endpoints, its log in %s%n",
                 testbed.address().getAddress().getHostAddress(),
                 testbed.address().getPort(),
-                testbed.standings().size(),
+                testbed.endpointStatuses().size(),
                 scratch.path());
         beganNanos = System.nanoTime();
         shownNanos = beganNanos;
@@ -141,15 +141,15 @@
         }
         shownNanos += SECOND_NANOS;
         List<ClientRequest> clientRequests = asked.get();
-        List<Testbed.Standing> standings = testbed.standings();
+        List<Testbed.EndpointStatus> endpointStatuses = testbed.endpointStatuses();
         long seconds = Math.round((System.nanoTime() - beganNanos) / 1e9);
         long served = count(clientRequests, ClientRequest.End.SERVED);
         long refused = count(clientRequests, ClientRequest.End.REFUSED);
         long failed = count(clientRequests, ClientRequest.End.FAILED);
-        int attempts = standings.stream().mapToInt(Testbed.Standing::attempts).sum();
+        int attempts = endpointStatuses.stream().mapToInt(Testbed.EndpointStatus::attempts).sum();
         if (!terminal) {
             StringBuilder each = new StringBuilder();
-            standings.forEach(
+            endpointStatuses.forEach(
                     of -> each.append(String.format(Locale.ROOT, "  %s %d%s", of.id(), of.attempts(), word(of))));
             out.printf(
                     Locale.ROOT,
@@ -176,15 +176,15 @@
                     refused,
                     failed,
                     attempts);
-            standings.forEach(
+            endpointStatuses.forEach(
                     of -> out.printf(Locale.ROOT, "%-14s %8d requests%s%n", of.id(), of.attempts(), word(of)));
-            lines = 2 + standings.size();
+            lines = 2 + endpointStatuses.size();
         }
         out.flush();
     }
 
-    private static String word(Testbed.Standing of) {
-        return of.trouble().isEmpty() ? "" : " (" + of.trouble() + ")";
+    private static String word(Testbed.EndpointStatus of) {
+        return of.fault().isEmpty() ? "" : " (" + of.fault() + ")";
     }
 
     private void finish(RunResult run) {
--- a/lab/src/main/java/lemonrail/lab/decider/Deciders.java
+++ b/lab/src/main/java/lemonrail/lab/decider/Deciders.java
@@ -1,4 +1,4 @@
-package lemonrail.lab.factory;
+package lemonrail.lab.decider;
 
 import java.util.Locale;
 import lemonrail.core.balancer.LoadBalancerFactory;
--- a/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
@@ -39,10 +39,10 @@
     /** Calls the next tier on behalf of an endpoint. */
     public interface NextTier {
         /**
-         * Makes one call for the request {@code request}. Returns an action that drops the call; otherwise {@code done} accepts
+         * Makes one call for {@code request}. Returns an action that drops the call; otherwise {@code done} accepts
          * whether it was served.
          */
-        Runnable call(FullHttpRequest request, AttemptRecorder.Attempt onBehalfOf, double leftMs, Consumer<Boolean> done);
+        Runnable call(FullHttpRequest request, AttemptRecorder.Attempt parent, double leftMs, Consumer<Boolean> done);
     }
 
     private final Scheduler scheduler;
--- a/lab/src/main/java/lemonrail/lab/host/Testbed.java
+++ b/lab/src/main/java/lemonrail/lab/host/Testbed.java
@@ -35,21 +35,21 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A scenario on loopback sockets: endpoints and discovery as models, a real sidecar before each caller of a
- * tier, clients in an open loop. All models live on one event loop.
+ * Runs a scenario on loopback sockets: models of endpoints and discovery, a real sidecar for each caller of a tier,
+ * and clients in an open loop. All models run on one event loop.
  */
 public final class Testbed implements AutoCloseable {
 
-    /** A sidecar may answer by so much later than its client gives up, before a rule is broken. */
+    /** Time after a client's deadline within which a response does not yet violate a rule. */
     static final double ANSWER_SLACK_MS = 50;
 
-    private static final int LOOK_MS = 100;
-    /** A request and its answer together are not larger than this. */
-    private static final double MESSAGE_BYTES = 1024;
-    /** How long the last answers are waited for, beyond the longest deadline. */
-    private static final double END_SLACK_MS = 1500;
+    private static final int POLL_INTERVAL_MS = 100;
+    /** Upper bound of the size of a request and its response together. */
+    private static final double MAX_MESSAGE_BYTES = 1024;
+    /** Time to wait for the last responses, beyond the longest deadline. */
+    private static final double COMPLETION_TIMEOUT_MS = 1500;
 
-    /** Builds of the edge that sidecars of their own processes run. */
+    /** Build of the edge that sidecars in child processes run, unless their variant has its own. */
     public record Builds(Path jar) {}
 
     private final Scenario scenario;
@@ -63,18 +63,18 @@
     private final EventLoop loop = (EventLoop) group.next();
     private final EventLoopScheduler scheduler = new EventLoopScheduler(loop);
     private final AttemptRecorder recorder;
-    private final ResponseRules answers;
+    private final ResponseRules responseRules;
     private final List<EndpointTier> tiers = new ArrayList<>();
     private final Map<String, SidecarHost> sidecars = new LinkedHashMap<>();
-    private final List<AutoCloseable> parts = new ArrayList<>();
-    private final List<ClientPool> pools = new ArrayList<>();
-    private final List<String> names = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
+    private final List<ClientPool> clientPools = new ArrayList<>();
+    private final List<String> clientSidecarNames = new ArrayList<>();
     private Clients clients;
-    private FaultInjector faults;
-    private double cpuBeganMs;
+    private FaultInjector faultInjector;
+    private double startCpuMs;
     private double cpuMs;
 
-    /** Sets a testbed up and starts its sidecars; {@code folder} keeps their files and logs. */
+    /** Starts endpoints, discovery and sidecars; {@code folder} receives the files and logs of the sidecars. */
     public Testbed(Scenario scenario, Scenario.Variant variant, long seed, Builds builds, Path folder)
             throws IOException, InterruptedException {
         this.scenario = scenario;
@@ -83,8 +83,8 @@
         this.builds = builds;
         this.folder = Files.createDirectories(folder);
         settings = EdgeSettings.load(scenario.edge(), variant.set());
-        recorder = new AttemptRecorder(scheduler, settings.drain().graceMs(), linkMs());
-        answers = new ResponseRules(
+        recorder = new AttemptRecorder(scheduler, settings.drain().graceMs(), maxLinkDifferenceMs());
+        responseRules = new ResponseRules(
                 scheduler,
                 recorder,
                 settings.limits().maxAttempts(),
@@ -98,77 +98,77 @@
     }
 
     private void start() throws IOException, InterruptedException {
-        endpoints();
-        int front = scenario.sidecars().front();
-        for (int i = 0; i < front; i++) {
-            InetSocketAddress at = sidecar(0, i, front);
+        startEndpoints();
+        int count = scenario.sidecars().front();
+        for (int i = 0; i < count; i++) {
+            InetSocketAddress address = startSidecar(0, i, count);
             if (!scenario.clientLink().isPlain()) {
-                Relay relay = new Relay(loop, at, scenario.clientLink(), random("client link"));
-                parts.add(relay);
-                at = relay.address();
+                Relay relay = new Relay(loop, address, scenario.clientLink(), random("client link"));
+                resources.add(relay);
+                address = relay.address();
             }
-            pools.add(new ClientPool(loop, at, Math.max(1, scenario.load().connections() / front)));
-            names.add(name(0, i));
+            clientPools.add(new ClientPool(loop, address, Math.max(1, scenario.load().connections() / count)));
+            clientSidecarNames.add(sidecarName(0, i));
         }
         for (int tier = 1; tier < tiers.size(); tier++) {
-            chain(tier);
+            startSidecarsForCalls(tier);
         }
         for (SidecarHost sidecar : sidecars.values()) {
             sidecar.awaitReady();
         }
-        loop.submit(this::load).syncUninterruptibly();
+        loop.submit(this::createClients).syncUninterruptibly();
     }
 
-    private static String name(int tier, int number) {
+    private static String sidecarName(int tier, int number) {
         return "sidecar-" + (tier + 1) + "-" + (number + 1);
     }
 
-    /** By how much one link to an endpoint may be slower than another. */
-    private double linkMs() {
+    /** Returns the maximum difference in ms between the delays of two links to endpoints, faults included. */
+    private double maxLinkDifferenceMs() {
         Scenario.Link link = scenario.endpointLink();
-        double worse = scenario.faults().stream()
+        double faultDelayMs = scenario.faults().stream()
                 .mapToDouble(fault -> fault.kind() == Fault.Kind.DELAY
                         ? fault.size()
                         : fault.kind() == Fault.Kind.LOSS ? Relay.RETRANSMIT_MS : 0)
                 .sum();
-        return link.delayMs() + link.jitterMs() + worse;
+        return link.delayMs() + link.jitterMs() + faultDelayMs;
     }
 
-    private <T> T on(Callable<T> what) {
-        return loop.submit(what).syncUninterruptibly().getNow();
+    private <T> T callOnLoop(Callable<T> task) {
+        return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    /** A random source of its own for each purpose, so that one more draw here changes nothing there. */
+    /** Returns a separate random source for each purpose, so that an extra draw for one does not change the others. */
     private UniformRandomProvider random(String purpose) {
         return RandomSource.XO_SHI_RO_256_PP.create(seed * 1_000_003L + purpose.hashCode());
     }
 
-    private void endpoints() {
+    private void startEndpoints() {
         boolean relays = FaultInjector.needLinks(scenario.faults(), scenario.endpointLink());
         for (int i = 0; i < scenario.tiers().size(); i++) {
-            Scenario.Discovery how = scenario.discovery();
+            Scenario.Discovery discovery = scenario.discovery();
             Registry registry = new Registry(
-                    scheduler, random("registry " + i), how.pushes(), how.pollMs(), how.leastLagMs(), how.mostLagMs());
+                    scheduler, random("registry " + i), discovery.pushes(), discovery.pollMs(), discovery.leastLagMs(), discovery.mostLagMs());
             EndpointTier tier = new EndpointTier(scenario.tiers().get(i), i, loop, scheduler, registry, recorder);
-            parts.add(tier);
+            resources.add(tier);
             tiers.add(tier);
             tier.open(random("tier " + i), relays ? scenario.endpointLink() : null);
         }
-        faults = new FaultInjector(
+        faultInjector = new FaultInjector(
                 scheduler, tiers.stream().map(EndpointTier::faultTargets).toList(), random("faults"));
     }
 
-    private InetSocketAddress sidecar(int tier, int number, int count) throws IOException {
-        String name = name(tier, number);
-        EndpointTier endpoints = tiers.get(tier);
-        Registry.Agent source = on(() -> endpoints
+    private InetSocketAddress startSidecar(int tier, int number, int count) throws IOException {
+        String name = sidecarName(tier, number);
+        EndpointTier endpointTier = tiers.get(tier);
+        Registry.Agent registryAgent = callOnLoop(() -> endpointTier
                 .registry()
-                .agent(line -> recorder.recordNotification(name, line.id(), line.state() == Registry.State.IN_SERVICE)));
-        AgentHost agent = new AgentHost(loop, source, endpoints::host, endpoints::address, System.currentTimeMillis());
-        parts.add(agent);
-        boolean process = scenario.sidecars().ownProcess();
+                .agent(entry -> recorder.recordNotification(name, entry.id(), entry.state() == Registry.State.IN_SERVICE)));
+        AgentHost agent = new AgentHost(loop, registryAgent, endpointTier::host, endpointTier::address, System.currentTimeMillis());
+        resources.add(agent);
+        boolean ownProcess = scenario.sidecars().ownProcess();
         InetSocketAddress listen =
-                process ? SidecarHost.freePort() : new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+                ownProcess ? SidecarHost.freePort() : new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         Path file = EdgeFiles.write(
                 scenario.edge(),
                 folder,
@@ -183,7 +183,7 @@
                         scenario.tiers().get(tier).cold()));
         Map<String, String> environment = EdgeSettings.environment(variant.set());
         Path log = folder.resolve(name + ".log");
-        SidecarHost host = process
+        SidecarHost host = ownProcess
                 ? SidecarHost.startProcess(
                         variant.jar() == null ? builds.jar() : variant.jar(), file, environment, listen, log)
                 : SidecarHost.startInProcess(file, environment, variant.decider(), log);
@@ -191,27 +191,27 @@
         return host.address();
     }
 
-    /** Gives each endpoint of the tier above a sidecar of its own for its calls. */
-    private void chain(int tier) throws IOException {
-        List<EndpointHost> above = tiers.get(tier - 1).hosts();
-        for (int i = 0; i < above.size(); i++) {
-            String name = name(tier, i);
+    /** Starts a sidecar for each endpoint of the tier above {@code tier}, for its calls to this tier. */
+    private void startSidecarsForCalls(int tier) throws IOException {
+        List<EndpointHost> callers = tiers.get(tier - 1).hosts();
+        for (int i = 0; i < callers.size(); i++) {
+            String name = sidecarName(tier, i);
             ClientPool pool = new ClientPool(
                     loop,
-                    sidecar(tier, i, above.size()),
+                    startSidecar(tier, i, callers.size()),
                     scenario.tiers().get(tier - 1).slots());
-            parts.add(pool);
+            resources.add(pool);
             UniformRandomProvider random = random("calls of " + name);
-            above.get(i).setNextTier((of, onBehalfOf, leftMs, done) -> call(pool, name, random, of, onBehalfOf, leftMs, done));
+            callers.get(i).setNextTier((parentRequest, parent, leftMs, done) -> callNextTier(pool, name, random, parentRequest, parent, leftMs, done));
         }
     }
 
-    private Runnable call(
+    private Runnable callNextTier(
             ClientPool pool,
             String sidecar,
             UniformRandomProvider random,
-            FullHttpRequest of,
-            AttemptRecorder.Attempt onBehalfOf,
+            FullHttpRequest parentRequest,
+            AttemptRecorder.Attempt parent,
             double leftMs,
             Consumer<Boolean> done) {
         if (leftMs < 1) {
@@ -219,13 +219,13 @@
             return () -> {};
         }
         String id = Long.toHexString(random.nextLong());
-        FullHttpRequest request = RequestMessages.forNextTier(of, id, onBehalfOf.nextCall(), leftMs);
-        recorder.recordSent(id, sidecar, onBehalfOf);
+        FullHttpRequest request = RequestMessages.forNextTier(parentRequest, id, parent.nextCall(), leftMs);
+        recorder.recordSent(id, sidecar, parent);
         double sentMs = scheduler.nowMs();
-        RequestClass kind =
-                settings.classes().get(classNames().indexOf(of.headers().get("X-Class")));
-        return pool.send(request, leftMs + ANSWER_SLACK_MS, (end, answer) -> {
-            answers.check(id, kind, end, answer, sentMs, leftMs);
+        RequestClass requestClass =
+                settings.classes().get(classNames().indexOf(parentRequest.headers().get("X-Class")));
+        return pool.send(request, leftMs + ANSWER_SLACK_MS, (end, response) -> {
+            responseRules.check(id, requestClass, end, response, sentMs, leftMs);
             done.accept(end == ClientRequest.End.SERVED);
         })::abandon;
     }
@@ -234,17 +234,17 @@
         return settings.classes().stream().map(RequestClass::name).toList();
     }
 
-    private void load() {
+    private void createClients() {
         List<RequestClass> classes = settings.classes();
-        List<Clients.ClassProfile> kinds = new ArrayList<>();
-        List<Integer> places = new ArrayList<>();
+        List<Clients.ClassProfile> profiles = new ArrayList<>();
+        List<Integer> classIndexes = new ArrayList<>();
         for (Scenario.Requests requests : scenario.requests()) {
-            int place = classNames().indexOf(requests.className());
-            RequestClass kind = classes.get(place);
-            places.add(place);
-            kinds.add(new Clients.ClassProfile(
-                    kind.deadlineMs(),
-                    kind.idempotency() != Idempotency.IDEMPOTENT,
+            int index = classNames().indexOf(requests.className());
+            RequestClass requestClass = classes.get(index);
+            classIndexes.add(index);
+            profiles.add(new Clients.ClassProfile(
+                    requestClass.deadlineMs(),
+                    requestClass.idempotency() != Idempotency.IDEMPOTENT,
                     requests.share(),
                     requests.workMs()));
         }
@@ -255,11 +255,11 @@
         scenario.faults().stream()
                 .filter(fault -> fault.kind() == Fault.Kind.BURST)
                 .forEach(fault -> arrivals.addBurst(fault.beginMs(), fault.lengthMs(), fault.size()));
-        UniformRandomProvider dealt = random("front");
+        UniformRandomProvider sidecarChoice = random("front");
         clients = new Clients(
                 scheduler,
                 new Clients.Settings(
-                        kinds,
+                        profiles,
                         shares,
                         scenario.retrying(),
                         scenario.patience().least(),
@@ -268,91 +268,97 @@
                 arrivals,
                 scenario.load().lengthMs(),
                 random("clients"),
-                (clientRequest, id, patienceMs, reply) -> {
-                    int to = dealt.nextInt(pools.size());
-                    recorder.recordSent(id, names.get(to), null);
+                (clientRequest, id, timeoutMs, reply) -> {
+                    int target = sidecarChoice.nextInt(clientPools.size());
+                    recorder.recordSent(id, clientSidecarNames.get(target), null);
                     double sentMs = scheduler.nowMs();
-                    RequestClass kind = classes.get(places.get(clientRequest.requestClass()));
+                    RequestClass requestClass = classes.get(classIndexes.get(clientRequest.requestClass()));
                     FullHttpRequest request =
-                            RequestMessages.forClient(clientRequest, id, kind.name(), tenantName(clientRequest), patienceMs);
-                    pools.get(to).send(request, patienceMs + slackMs(), (end, answer) -> {
-                        answers.check(id, kind, end, answer, sentMs, patienceMs);
+                            RequestMessages.forClient(clientRequest, id, requestClass.name(), tenantName(clientRequest), timeoutMs);
+                    clientPools.get(target).send(request, timeoutMs + slackMs(), (end, response) -> {
+                        responseRules.check(id, requestClass, end, response, sentMs, timeoutMs);
                         reply.ended(
-                                end, answer == null ? 0 : answer.status().code(), RequestMessages.retryAfterMs(answer));
+                                end, response == null ? 0 : response.status().code(), RequestMessages.retryAfterMs(response));
                     });
                 });
     }
 
-    /** The tenant's name, or null where the scenario has no tenants. */
+    /** Returns the name of the request's tenant, or null if the scenario has no tenants. */
     private String tenantName(ClientRequest clientRequest) {
         return scenario.tenants().isEmpty()
                 ? null
                 : scenario.tenants().get(clientRequest.tenant()).name();
     }
 
-    /** A sidecar counts from when a request has come: the way there and back is not its own doing. */
+    /**
+     * Returns the tolerance in ms for responses to clients. A sidecar's deadline counts from the arrival of the
+     * request, so the time on the client's link in both directions is added.
+     */
     private double slackMs() {
         Scenario.Link link = scenario.clientLink();
         return ANSWER_SLACK_MS
                 + 2 * (link.delayMs() + link.jitterMs())
-                + (link.bytesPerMs() > 0 ? MESSAGE_BYTES / link.bytesPerMs() : 0);
+                + (link.bytesPerMs() > 0 ? MAX_MESSAGE_BYTES / link.bytesPerMs() : 0);
     }
 
-    /** Plays to the end, or until this thread is interrupted; {@code each} may look at what was asked. */
-    public RunResult play(Consumer<Supplier<List<ClientRequest>>> each) {
-        cpuBeganMs = cpu();
+    /**
+     * Runs the scenario to its end, or until this thread is interrupted. {@code progress} is called regularly with a
+     * supplier of the requests so far.
+     */
+    public RunResult play(Consumer<Supplier<List<ClientRequest>>> progress) {
+        startCpuMs = sidecarCpuMs();
         loop.submit(() -> {
                     scheduler.start();
-                    faults.scheduleAll(scenario.faults());
+                    faultInjector.scheduleAll(scenario.faults());
                     clients.start();
                 })
                 .syncUninterruptibly();
-        double mostMs = scenario.load().lengthMs()
-                + END_SLACK_MS
-                + (1 + scenario.retrying().maxRetries()) * longestMs();
-        boolean whole = true;
+        double maxDurationMs = scenario.load().lengthMs()
+                + COMPLETION_TIMEOUT_MS
+                + (1 + scenario.retrying().maxRetries()) * longestDeadlineMs();
+        boolean complete = true;
         try {
-            while (!on(clients::isFinished) && scheduler.nowMs() < mostMs) {
-                TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-                each.accept(() -> on(() -> List.copyOf(clients.requests())));
+            while (!callOnLoop(clients::isFinished) && scheduler.nowMs() < maxDurationMs) {
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
+                progress.accept(() -> callOnLoop(() -> List.copyOf(clients.requests())));
             }
         } catch (InterruptedException e) {
-            whole = false;
+            complete = false;
             endEarly();
         }
-        cpuMs = cpu() - cpuBeganMs;
-        boolean ended = whole;
-        return on(() -> run(ended));
+        cpuMs = sidecarCpuMs() - startCpuMs;
+        boolean ranToEnd = complete;
+        return callOnLoop(() -> createResult(ranToEnd));
     }
 
-    /** What is under way still has its answers. */
+    /** Sends no more requests and waits for the responses of those in flight. */
     private void endEarly() {
         loop.submit(clients::stop).syncUninterruptibly();
-        double untilMs = scheduler.nowMs() + END_SLACK_MS + longestMs();
-        while (!on(clients::isFinished) && scheduler.nowMs() < untilMs) {
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(LOOK_MS));
+        double deadlineMs = scheduler.nowMs() + COMPLETION_TIMEOUT_MS + longestDeadlineMs();
+        while (!callOnLoop(clients::isFinished) && scheduler.nowMs() < deadlineMs) {
+            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(POLL_INTERVAL_MS));
         }
     }
 
-    private double longestMs() {
+    private double longestDeadlineMs() {
         return settings.classes().stream()
                 .mapToDouble(RequestClass::deadlineMs)
                 .max()
                 .orElse(0);
     }
 
-    /** How it stands: an endpoint of the first tier, what it was sent and what is wrong with it. */
-    public record Standing(String id, int attempts, String trouble) {}
+    /** Status of an endpoint of the first tier; {@code fault} names its present fault or is empty. */
+    public record EndpointStatus(String id, int attempts, String fault) {}
 
-    /** How the endpoints of the first tier stand now. */
-    public List<Standing> standings() {
-        return on(() -> {
+    /** Returns the present status of the endpoints of the first tier. */
+    public List<EndpointStatus> endpointStatuses() {
+        return callOnLoop(() -> {
             Map<String, Integer> counts = new HashMap<>();
             recorder.attempts().stream()
                     .filter(attempt -> attempt.tier() == 0)
                     .forEach(attempt -> counts.merge(attempt.endpoint(), 1, Integer::sum));
             return tiers.get(0).hosts().stream()
-                    .map(host -> new Standing(
+                    .map(host -> new EndpointStatus(
                             host.id(),
                             counts.getOrDefault(host.id(), 0),
                             host.model().faultName()))
@@ -360,72 +366,72 @@
         });
     }
 
-    /** Where clients connect, at the first sidecar. */
+    /** Returns the address of the first sidecar. */
     public InetSocketAddress address() {
         return sidecars.values().iterator().next().address();
     }
 
-    private double cpu() {
+    private double sidecarCpuMs() {
         return sidecars.values().stream().mapToDouble(SidecarHost::cpuMs).sum();
     }
 
-    private RunResult run(boolean whole) {
-        List<String> broken = new ArrayList<>(recorder.violations());
-        ranTwice(broken);
-        pushedOver(broken);
-        crashed(broken);
+    private RunResult createResult(boolean complete) {
+        List<String> violations = new ArrayList<>(recorder.violations());
+        addRepeatedExecutions(violations);
+        addOverloadedEndpoints(violations);
+        addCrashedSidecars(violations);
         return new RunResult(
                 scenario,
                 variant,
                 seed,
                 settings,
-                whole,
+                complete,
                 clients.requests(),
                 recorder,
                 nodes(),
-                broken,
+                violations,
                 new RunResult.Lateness(
                         scheduler.lateMicros().getValueAtPercentile(99) / 1e3,
                         scheduler.lateMicros().getMaxValue() / 1e3,
                         clients.meanLateMs(),
                         clients.maxLateMs(),
-                        pools.stream().mapToLong(ClientPool::waited).sum()),
-                pools.stream().mapToInt(ClientPool::maxOpen).sum(),
+                        clientPools.stream().mapToLong(ClientPool::waited).sum()),
+                clientPools.stream().mapToInt(ClientPool::maxOpen).sum(),
                 cpuMs);
     }
 
-    /** Adds the requests with a key that endpoints ran more than once. */
-    private void ranTwice(List<String> broken) {
-        Map<String, Integer> ran = new HashMap<>();
-        Map<String, ClientRequest> byTry = new HashMap<>();
+    /** Adds a violation for each request with an idempotency key that endpoints executed more than once. */
+    private void addRepeatedExecutions(List<String> violations) {
+        Map<String, Integer> executions = new HashMap<>();
+        Map<String, ClientRequest> requestByTry = new HashMap<>();
         clients.requests()
-                .forEach(clientRequest -> clientRequest.tries().forEach(each -> byTry.put(each.id(), clientRequest)));
+                .forEach(clientRequest -> clientRequest.tries().forEach(each -> requestByTry.put(each.id(), clientRequest)));
         for (AttemptRecorder.Attempt attempt : recorder.attempts()) {
             AttemptRecorder.Attempt root = attempt;
             while (root.parent() != null) {
                 root = root.parent();
             }
-            ClientRequest clientRequest = byTry.get(root.request());
+            ClientRequest clientRequest = requestByTry.get(root.request());
             if (clientRequest != null
                     && clientRequest.key() != null
                     && !Double.isNaN(attempt.startedMs())
-                    && ran.merge(attempt.request(), 1, Integer::sum) == 2) {
-                broken.add("ran twice: " + attempt.request());
+                    && executions.merge(attempt.request(), 1, Integer::sum) == 2) {
+                violations.add("executed twice: " + attempt.request());
             }
         }
     }
 
-    private void pushedOver(List<String> broken) {
+    private void addOverloadedEndpoints(List<String> violations) {
         tiers.stream()
                 .flatMap(tier -> tier.hosts().stream())
                 .filter(host -> host.model().hasCollapsed())
-                .forEach(host -> broken.add("pushed over while cold: " + host.id()));
+                .forEach(host -> violations.add("overloaded while cold: " + host.id()));
     }
 
-    private void crashed(List<String> broken) {
+    private void addCrashedSidecars(List<String> violations) {
         sidecars.forEach((name, sidecar) -> {
             if (sidecar.hasCrashed()) {
-                broken.add("ended by itself: " + name);
+                violations.add("sidecar exited: " + name);
             }
         });
     }
@@ -449,12 +455,12 @@
     public void close() {
         sidecars.values().forEach(SidecarHost::close);
         loop.submit(() -> {
-                    for (ClientPool pool : pools) {
+                    for (ClientPool pool : clientPools) {
                         pool.close();
                     }
-                    for (AutoCloseable part : parts) {
+                    for (AutoCloseable resource : resources) {
                         try {
-                            part.close();
+                            resource.close();
                         } catch (Exception e) {
                             throw new IllegalStateException(e);
                         }
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
@@ -179,10 +179,10 @@
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-version"), folder);
         ScaleResults results = ScaleRun.play(
                 scenario, ends, folder, "test", RegistryControlPlane::new, new PrintWriter(new StringWriter()));
-        assertEquals("a sidecar has ended while starting", results.cutShort());
+        assertEquals("sidecar process exited before it was ready", results.cutShort());
         assertFalse(results.passes());
         results.keep(folder.resolve("kept"));
         String table = Files.readString(folder.resolve("kept").resolve("table.md"));
-        assertTrue(table.contains("**Cut short**: a sidecar has ended while starting."), table);
+        assertTrue(table.contains("**Cut short**: sidecar process exited before it was ready."), table);
     }
 }
