--- a/lab/src/main/java/lemonrail/lab/Demo.java
+++ b/lab/src/main/java/lemonrail/lab/Demo.java
@@ -146,7 +146,9 @@
         long served = count(clientRequests, ClientRequest.End.SERVED);
         long refused = count(clientRequests, ClientRequest.End.REFUSED);
         long failed = count(clientRequests, ClientRequest.End.FAILED);
-        int attempts = endpointStatuses.stream().mapToInt(Testbed.EndpointStatus::attempts).sum();
+        int attempts = endpointStatuses.stream()
+                .mapToInt(Testbed.EndpointStatus::attempts)
+                .sum();
         if (!terminal) {
             StringBuilder each = new StringBuilder();
             endpointStatuses.forEach(
--- a/lab/src/main/java/lemonrail/lab/decider/BaselineLoadBalancer.java
+++ b/lab/src/main/java/lemonrail/lab/decider/BaselineLoadBalancer.java
@@ -117,7 +117,10 @@
         return switch (rule) {
             case RANDOM -> candidates.get(random.nextInt(candidates.size()));
             case ROUND_ROBIN -> candidates.get(Math.floorMod(nextIndex++, candidates.size()));
-            case TWO_CHOICES -> lessLoaded(candidates.get(random.nextInt(candidates.size())), candidates.get(random.nextInt(candidates.size())));
+            case TWO_CHOICES ->
+                lessLoaded(
+                        candidates.get(random.nextInt(candidates.size())),
+                        candidates.get(random.nextInt(candidates.size())));
             case LEAST_OUTSTANDING -> {
                 int startIndex = random.nextInt(candidates.size());
                 String best = candidates.get(startIndex);
@@ -130,7 +133,9 @@
     }
 
     private String lessLoaded(String first, String second) {
-        return outstandingAttempts.getOrDefault(second, 0) < outstandingAttempts.getOrDefault(first, 0) ? second : first;
+        return outstandingAttempts.getOrDefault(second, 0) < outstandingAttempts.getOrDefault(first, 0)
+                ? second
+                : first;
     }
 
     private void conclude(PendingRequest pending) {
@@ -147,7 +152,8 @@
 
     @Override
     public void onAttemptFinished(double now, AttemptResult finished) {
-        outstandingAttempts.merge(finished.endpoint(), -1, (count, change) -> count + change > 0 ? count + change : null);
+        outstandingAttempts.merge(
+                finished.endpoint(), -1, (count, change) -> count + change > 0 ? count + change : null);
         PendingRequest pending = pendingRequests.get(finished.request());
         if (pending == null) {
             return;
--- a/lab/src/main/java/lemonrail/lab/host/AgentHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/AgentHost.java
@@ -65,7 +65,10 @@
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new RequestHandler());
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        new RequestHandler());
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -96,7 +99,9 @@
                     .put("cell", endpoints.apply(entry.id()).model().shape().rack())
                     .put("state", entry.state().name().toLowerCase(Locale.ROOT))
                     .put("weight", 1.0)
-                    .put("started_ms", Double.isInfinite(entry.startedMs()) ? 0 : Math.round(unixMs + entry.startedMs()));
+                    .put(
+                            "started_ms",
+                            Double.isInfinite(entry.startedMs()) ? 0 : Math.round(unixMs + entry.startedMs()));
         }
         return list;
     }
@@ -114,17 +119,20 @@
                         Long.parseLong(parameters.get("index").get(0)),
                         Double.parseDouble(
                                 parameters.getOrDefault("wait", List.of("0")).get(0)),
-                        response -> write(ctx, HttpResponseStatus.OK, json(response).toString()));
+                        response ->
+                                write(ctx, HttpResponseStatus.OK, json(response).toString()));
             } else {
-                agent.fetchAll(
-                        response -> write(ctx, HttpResponseStatus.OK, json(response).toString()));
+                agent.fetchAll(response ->
+                        write(ctx, HttpResponseStatus.OK, json(response).toString()));
             }
         }
 
         private void write(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
             FullHttpResponse httpResponse = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-            httpResponse.headers().set(HttpHeaderNames.CONTENT_LENGTH, httpResponse.content().readableBytes());
+            httpResponse
+                    .headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, httpResponse.content().readableBytes());
             ctx.writeAndFlush(httpResponse);
         }
 
--- a/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
+++ b/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
@@ -140,7 +140,8 @@
         List<Attempt> sameRequest = byRequest.computeIfAbsent(request, id -> new ArrayList<>(1));
         sameRequest.stream().filter(other -> Double.isNaN(other.endedMs)).forEach(this::checkOverlapLater);
         sameRequest.add(attempt);
-        if (route != null && now - notAcceptingSinceMs.getOrDefault(route.sidecar + " " + endpoint, now) > graceMs + SLACK_MS) {
+        if (route != null
+                && now - notAcceptingSinceMs.getOrDefault(route.sidecar + " " + endpoint, now) > graceMs + SLACK_MS) {
             violations.add("sent to " + endpoint + " although it is draining or gone: " + request);
         }
         return attempt;
--- a/lab/src/main/java/lemonrail/lab/host/ChildProcess.java
+++ b/lab/src/main/java/lemonrail/lab/host/ChildProcess.java
@@ -13,7 +13,7 @@
 
     private static final int EXIT_TIMEOUT_S = 5;
 
-    /** Returns a builder of a Java process, with the garbage collector and heap size that the edge is normally run with. */
+    /** Returns a builder of a Java process, with the collector and heap size that the edge normally runs with. */
     public static ProcessBuilder java(String... arguments) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC", "-Xmx160m"));
--- a/lab/src/main/java/lemonrail/lab/host/ClientPool.java
+++ b/lab/src/main/java/lemonrail/lab/host/ClientPool.java
@@ -126,8 +126,8 @@
                         return;
                     }
                     if (lateNanos > MAX_TIMER_LATE_NANOS) {
-                        // The event loop was busy and has not read what arrived meanwhile, which is not the sidecar's fault.
-                        // The timeout is extended by the time that the timer was late.
+                        // The event loop was busy and has not read what arrived meanwhile. That is not the sidecar's
+                        // fault, so the timeout is extended by the time that the timer was late.
                         scheduleTimeout(call, lateNanos);
                         return;
                     }
@@ -194,7 +194,8 @@
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel newChannel) {
-                            newChannel.pipeline()
+                            newChannel
+                                    .pipeline()
                                     .addLast(
                                             new ChannelInboundHandlerAdapter() {
                                                 @Override
@@ -272,8 +273,8 @@
             call = null;
             if (interrupted != null && !interrupted.finished) {
                 if (reused && !responseStarted && !interrupted.resent) {
-                    // The server may have closed the idle connection before the request arrived, so it is resent once on a
-                    // new connection.
+                    // The server may have closed the idle connection before the request arrived, so it is resent
+                    // once on a new connection.
                     interrupted.resent = true;
                     open++;
                     new Connection(interrupted);
--- a/lab/src/main/java/lemonrail/lab/host/EdgeFiles.java
+++ b/lab/src/main/java/lemonrail/lab/host/EdgeFiles.java
@@ -51,7 +51,9 @@
                 .put("number", place.number)
                 .put("tier", place.tier);
         if (place.cold.warmMs() > 0) {
-            getOrCreateTable(root, "cold-start").put("share", place.cold.share()).put("duration", place.cold.warmMs() + "ms");
+            getOrCreateTable(root, "cold-start")
+                    .put("share", place.cold.share())
+                    .put("duration", place.cold.warmMs() + "ms");
         }
         Path file = folder.resolve(place.name + ".toml");
         Files.writeString(file, TOML.writeValueAsString(root));
--- a/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointHost.java
@@ -183,7 +183,8 @@
         void respond(HttpResponseStatus status, boolean notExecuted, String text) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
             if (notExecuted) {
                 response.headers().set("X-Not-Run", "1");
             }
@@ -214,7 +215,12 @@
             private final double deadlineMs;
             private Runnable dropCall;
 
-            RequestWork(FullHttpRequest request, String id, AttemptRecorder.Attempt attempt, double requestedWorkMs, double leftMs) {
+            RequestWork(
+                    FullHttpRequest request,
+                    String id,
+                    AttemptRecorder.Attempt attempt,
+                    double requestedWorkMs,
+                    double leftMs) {
                 super(request.headers().get("Idempotency-Key"), requestedWorkMs, nextTier == null ? 0 : calls.draw());
                 this.request = request;
                 this.id = id;
--- a/lab/src/main/java/lemonrail/lab/host/EventLoopScheduler.java
+++ b/lab/src/main/java/lemonrail/lab/host/EventLoopScheduler.java
@@ -39,7 +39,8 @@
         long dueNanos = System.nanoTime() + delayNanos;
         Future<?> future = loop.schedule(
                 () -> {
-                    lateMicros.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, (System.nanoTime() - dueNanos) / 1000)));
+                    lateMicros.recordValue(
+                            Math.min(MAX_RECORDED_MICROS, Math.max(0, (System.nanoTime() - dueNanos) / 1000)));
                     action.run();
                 },
                 delayNanos,
--- a/lab/src/main/java/lemonrail/lab/host/ProcessUsage.java
+++ b/lab/src/main/java/lemonrail/lab/host/ProcessUsage.java
@@ -72,7 +72,8 @@
         String stat = Files.readString(process.resolve("stat"));
         // The process name may contain spaces and parentheses; the fields after the last parenthesis do not.
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        double statMs = TICK_MS * (Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[USER_TICKS_FIELD + 1]));
+        double statMs =
+                TICK_MS * (Long.parseLong(fields[USER_TICKS_FIELD]) + Long.parseLong(fields[USER_TICKS_FIELD + 1]));
         Map<String, Threads> threads = new HashMap<>();
         for (Path task : listFiles(process.resolve("task"))) {
             try {
@@ -83,7 +84,10 @@
             }
         }
         return new ProcessUsage(
-                statMs, threads, residentMb(pid), listFiles(process.resolve("fd")).size());
+                statMs,
+                threads,
+                residentMb(pid),
+                listFiles(process.resolve("fd")).size());
     }
 
     private static Path folder(long pid) {
--- a/lab/src/main/java/lemonrail/lab/host/Relay.java
+++ b/lab/src/main/java/lemonrail/lab/host/Relay.java
@@ -276,7 +276,9 @@
                 // The end of the stream arrives after the last bytes.
                 buffer.add(new Chunk(
                         null,
-                        Math.max(lastArrivalNanos, System.nanoTime() + (long) ((link.delayMs() + extraDelayMs) * NANOS_PER_MS))));
+                        Math.max(
+                                lastArrivalNanos,
+                                System.nanoTime() + (long) ((link.delayMs() + extraDelayMs) * NANOS_PER_MS))));
                 forwardDue();
             }
         }
--- a/lab/src/main/java/lemonrail/lab/host/ResponseRules.java
+++ b/lab/src/main/java/lemonrail/lab/host/ResponseRules.java
@@ -41,8 +41,8 @@
             double timeoutMs) {
         List<AttemptRecorder.Attempt> attempts = recorder.attemptsOf(id);
         if (end == ClientRequest.End.GIVEN_UP) {
-            recorder.recordViolation("no response after " + Math.round(scheduler.nowMs() - sentMs) + " ms, allowed " + Math.round(timeoutMs)
-                    + " ms: " + id);
+            recorder.recordViolation("no response after " + Math.round(scheduler.nowMs() - sentMs) + " ms, allowed "
+                    + Math.round(timeoutMs) + " ms: " + id);
         } else if (end == ClientRequest.End.LOST && linkIsPlain) {
             recorder.recordViolation("connection ended before the response was complete: " + id);
         } else if (end == ClientRequest.End.SERVED) {
--- a/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
+++ b/lab/src/main/java/lemonrail/lab/host/SidecarHost.java
@@ -46,8 +46,8 @@
     void close();
 
     /** Starts a sidecar in this process; it is ready when this method returns. */
-    static SidecarHost startInProcess(Path file, Map<String, String> environment, LoadBalancerFactory balancer, Path log)
-            throws IOException {
+    static SidecarHost startInProcess(
+            Path file, Map<String, String> environment, LoadBalancerFactory balancer, Path log) throws IOException {
         ConfigSource source = ConfigSource.of(file, environment);
         PrintStream out = new PrintStream(Files.newOutputStream(log));
         Sidecar sidecar = new SidecarBuilder(new Http1Protocol(), source, source.load(), new TextSink(out))
@@ -84,7 +84,8 @@
     }
 
     /** Starts a sidecar in a child process, which may not be ready yet when this method returns. */
-    static SidecarHost startProcess(Path jar, Path file, Map<String, String> environment, InetSocketAddress address, Path log)
+    static SidecarHost startProcess(
+            Path jar, Path file, Map<String, String> environment, InetSocketAddress address, Path log)
             throws IOException {
         ProcessBuilder builder = ChildProcess.java("-jar", jar.toString(), "serve", "--config", file.toString())
                 .redirectErrorStream(true)
--- a/lab/src/main/java/lemonrail/lab/host/Testbed.java
+++ b/lab/src/main/java/lemonrail/lab/host/Testbed.java
@@ -107,7 +107,8 @@
                 resources.add(relay);
                 address = relay.address();
             }
-            clientPools.add(new ClientPool(loop, address, Math.max(1, scenario.load().connections() / count)));
+            clientPools.add(
+                    new ClientPool(loop, address, Math.max(1, scenario.load().connections() / count)));
             clientSidecarNames.add(sidecarName(0, i));
         }
         for (int tier = 1; tier < tiers.size(); tier++) {
@@ -148,7 +149,12 @@
         for (int i = 0; i < scenario.tiers().size(); i++) {
             Scenario.Discovery discovery = scenario.discovery();
             Registry registry = new Registry(
-                    scheduler, random("registry " + i), discovery.pushes(), discovery.pollMs(), discovery.leastLagMs(), discovery.mostLagMs());
+                    scheduler,
+                    random("registry " + i),
+                    discovery.pushes(),
+                    discovery.pollMs(),
+                    discovery.leastLagMs(),
+                    discovery.mostLagMs());
             EndpointTier tier = new EndpointTier(scenario.tiers().get(i), i, loop, scheduler, registry, recorder);
             resources.add(tier);
             tiers.add(tier);
@@ -163,8 +169,10 @@
         EndpointTier endpointTier = tiers.get(tier);
         Registry.Agent registryAgent = callOnLoop(() -> endpointTier
                 .registry()
-                .agent(entry -> recorder.recordNotification(name, entry.id(), entry.state() == Registry.State.IN_SERVICE)));
-        AgentHost agent = new AgentHost(loop, registryAgent, endpointTier::host, endpointTier::address, System.currentTimeMillis());
+                .agent(entry ->
+                        recorder.recordNotification(name, entry.id(), entry.state() == Registry.State.IN_SERVICE)));
+        AgentHost agent = new AgentHost(
+                loop, registryAgent, endpointTier::host, endpointTier::address, System.currentTimeMillis());
         resources.add(agent);
         boolean ownProcess = scenario.sidecars().ownProcess();
         InetSocketAddress listen =
@@ -202,7 +210,9 @@
                     scenario.tiers().get(tier - 1).slots());
             resources.add(pool);
             UniformRandomProvider random = random("calls of " + name);
-            callers.get(i).setNextTier((parentRequest, parent, leftMs, done) -> callNextTier(pool, name, random, parentRequest, parent, leftMs, done));
+            callers.get(i)
+                    .setNextTier((parentRequest, parent, leftMs, done) ->
+                            callNextTier(pool, name, random, parentRequest, parent, leftMs, done));
         }
     }
 
@@ -222,8 +232,8 @@
         FullHttpRequest request = RequestMessages.forNextTier(parentRequest, id, parent.nextCall(), leftMs);
         recorder.recordSent(id, sidecar, parent);
         double sentMs = scheduler.nowMs();
-        RequestClass requestClass =
-                settings.classes().get(classNames().indexOf(parentRequest.headers().get("X-Class")));
+        RequestClass requestClass = settings.classes()
+                .get(classNames().indexOf(parentRequest.headers().get("X-Class")));
         return pool.send(request, leftMs + ANSWER_SLACK_MS, (end, response) -> {
             responseRules.check(id, requestClass, end, response, sentMs, leftMs);
             done.accept(end == ClientRequest.End.SERVED);
@@ -273,12 +283,14 @@
                     recorder.recordSent(id, clientSidecarNames.get(target), null);
                     double sentMs = scheduler.nowMs();
                     RequestClass requestClass = classes.get(classIndexes.get(clientRequest.requestClass()));
-                    FullHttpRequest request =
-                            RequestMessages.forClient(clientRequest, id, requestClass.name(), tenantName(clientRequest), timeoutMs);
+                    FullHttpRequest request = RequestMessages.forClient(
+                            clientRequest, id, requestClass.name(), tenantName(clientRequest), timeoutMs);
                     clientPools.get(target).send(request, timeoutMs + slackMs(), (end, response) -> {
                         responseRules.check(id, requestClass, end, response, sentMs, timeoutMs);
                         reply.ended(
-                                end, response == null ? 0 : response.status().code(), RequestMessages.retryAfterMs(response));
+                                end,
+                                response == null ? 0 : response.status().code(),
+                                RequestMessages.retryAfterMs(response));
                     });
                 });
     }
@@ -405,7 +417,8 @@
         Map<String, Integer> executions = new HashMap<>();
         Map<String, ClientRequest> requestByTry = new HashMap<>();
         clients.requests()
-                .forEach(clientRequest -> clientRequest.tries().forEach(each -> requestByTry.put(each.id(), clientRequest)));
+                .forEach(clientRequest ->
+                        clientRequest.tries().forEach(each -> requestByTry.put(each.id(), clientRequest)));
         for (AttemptRecorder.Attempt attempt : recorder.attempts()) {
             AttemptRecorder.Attempt root = attempt;
             while (root.parent() != null) {
--- a/lab/src/main/java/lemonrail/lab/load/BaselineServers.java
+++ b/lab/src/main/java/lemonrail/lab/load/BaselineServers.java
@@ -34,7 +34,8 @@
 
     private BaselineServers() {}
 
-    private static InetSocketAddress bind(EventLoopGroup group, ChannelInitializer<SocketChannel> initializer, boolean autoRead) {
+    private static InetSocketAddress bind(
+            EventLoopGroup group, ChannelInitializer<SocketChannel> initializer, boolean autoRead) {
         return (InetSocketAddress) new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
--- a/lab/src/main/java/lemonrail/lab/load/Loads.java
+++ b/lab/src/main/java/lemonrail/lab/load/Loads.java
@@ -98,7 +98,8 @@
                 finished.await((long) plan.warmUpMs(), TimeUnit.MILLISECONDS);
                 watcher.measurementStarted();
                 finished.await((long) (plan.lengthMs() - plan.warmUpMs()) - END_NOTICE_MS, TimeUnit.MILLISECONDS);
-                watcher.measurementEnding(loop.submit(load::sent).syncUninterruptibly().getNow());
+                watcher.measurementEnding(
+                        loop.submit(load::sent).syncUninterruptibly().getNow());
             }
             finished.await();
         } catch (InterruptedException e) {
--- a/lab/src/main/java/lemonrail/lab/model/Clients.java
+++ b/lab/src/main/java/lemonrail/lab/model/Clients.java
@@ -81,7 +81,8 @@
         this.scheduler = scheduler;
         this.settings = settings;
         classShares = settings.classes.stream().mapToDouble(ClassProfile::share).toArray();
-        tenantShares = settings.tenantShares.stream().mapToDouble(share -> share).toArray();
+        tenantShares =
+                settings.tenantShares.stream().mapToDouble(share -> share).toArray();
         this.arrivals = arrivals;
         this.lengthMs = lengthMs;
         this.random = random;
@@ -118,7 +119,12 @@
         ClassProfile profile = settings.classes.get(requestClass);
         double workMs = profile.workMs * (settings.exponentialWork ? -Math.log1p(-random.nextDouble()) : 1);
         ClientRequest request = new ClientRequest(
-                requests.size(), atMs, requestClass, tenant, workMs, profile.keyed ? Long.toHexString(random.nextLong()) : null);
+                requests.size(),
+                atMs,
+                requestClass,
+                tenant,
+                workMs,
+                profile.keyed ? Long.toHexString(random.nextLong()) : null);
         requests.add(request);
         openRequests++;
         attempt(request, 0);
@@ -142,7 +148,8 @@
     private void attempt(ClientRequest request, int number) {
         String id = Long.toHexString(random.nextLong());
         double timeoutMs = settings.classes.get(request.requestClass()).deadlineMs
-                * (settings.minTimeoutFraction + (settings.maxTimeoutFraction - settings.minTimeoutFraction) * random.nextDouble());
+                * (settings.minTimeoutFraction
+                        + (settings.maxTimeoutFraction - settings.minTimeoutFraction) * random.nextDouble());
         // The time of a first try counts from when it was due, even if the generator sent it later.
         double sentMs = number == 0 ? request.arrivedMs() : scheduler.nowMs();
         sender.send(request, id, timeoutMs, (end, status, retryAfterMs) -> {
@@ -158,7 +165,8 @@
                 return;
             }
             double ownWaitMs = settings.retrying.waitMs * Math.pow(settings.retrying.growth, number);
-            double retryWaitMs = settings.retrying.honorsRetryAfter && !Double.isNaN(retryAfterMs) ? retryAfterMs : ownWaitMs;
+            double retryWaitMs =
+                    settings.retrying.honorsRetryAfter && !Double.isNaN(retryAfterMs) ? retryAfterMs : ownWaitMs;
             scheduler.after(retryWaitMs, () -> attempt(request, number + 1));
         });
     }
--- a/lab/src/main/java/lemonrail/lab/model/EndpointModel.java
+++ b/lab/src/main/java/lemonrail/lab/model/EndpointModel.java
@@ -252,7 +252,8 @@
         }
         double progress = Math.min(1, (atMs - startedMs) / cold.warmMs());
         if (cold.by() == EndpointShape.Warming.WORK) {
-            progress = Math.max(progress, Math.min(1, workSinceStartMs / (cold.warmMs() * shape.cores() * shape.speed())));
+            progress =
+                    Math.max(progress, Math.min(1, workSinceStartMs / (cold.warmMs() * shape.cores() * shape.speed())));
         }
         return cold.share() + (1 - cold.share()) * progress;
     }
@@ -435,7 +436,9 @@
                                                 ? "draining"
                                                 : slowness > 1
                                                         ? "slow"
-                                                        : isCrowded() ? "crowded" : capacityFraction() < 1 ? "cold" : "";
+                                                        : isCrowded()
+                                                                ? "crowded"
+                                                                : capacityFraction() < 1 ? "cold" : "";
     }
 
     /** Returns whether the endpoint is silent: it neither receives nor sends. */
--- a/lab/src/main/java/lemonrail/lab/model/Registry.java
+++ b/lab/src/main/java/lemonrail/lab/model/Registry.java
@@ -114,7 +114,8 @@
                 hidden.remove(id);
             }
             if (entry != null) {
-                agents.forEach(agent -> agent.receive(hide ? new Entry(id, State.TERMINATED, entry.startedMs()) : entry));
+                agents.forEach(
+                        agent -> agent.receive(hide ? new Entry(id, State.TERMINATED, entry.startedMs()) : entry));
             }
         }
     }
--- a/lab/src/test/java/lemonrail/lab/model/ModelsTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/ModelsTest.java
@@ -40,8 +40,8 @@
     }
 
     private Clients clients(Retrying retrying, List<Double> sent, ClientRequest.End... ends) {
-        Clients.Settings shape =
-                new Clients.Settings(List.of(new ClassProfile(1000, true, 1, 10)), List.of(1.0), retrying, 0.5, 1, false);
+        Clients.Settings shape = new Clients.Settings(
+                List.of(new ClassProfile(1000, true, 1, 10)), List.of(1.0), retrying, 0.5, 1, false);
         int[] tries = new int[1];
         return new Clients(
                 scheduler,
