--- a/edge/src/main/java/lemonrail/json/InvalidFieldException.java
+++ b/edge/src/main/java/lemonrail/json/InvalidFieldException.java
@@ -1,6 +1,6 @@
 package lemonrail.json;
 
-/** A field of a JSON document that is missing or has no usable value. */
+/** Thrown if a field of a JSON document is missing or has an invalid value. */
 public final class InvalidFieldException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1;
@@ -11,11 +11,11 @@
     /**
      * Creates an exception for a field.
      *
-     * @param field its path in the document
-     * @param value what it holds, null if it is missing
+     * @param field the path of the field in the document
+     * @param value the value of the field, or null if the field is missing
      */
     public InvalidFieldException(String field, Object value) {
-        super("field " + field + (value == null ? " is missing" : " is not usable: " + value));
+        super("field " + field + (value == null ? " is missing" : " is invalid: " + value));
         this.field = field;
         this.value = value == null ? null : String.valueOf(value);
     }
--- a/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
@@ -185,12 +185,12 @@
         assertResponse(
                 "unknown field adr", 400, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"adr\":\"x\"}"));
         assertResponse(
-                "field state is not usable",
+                "field state is invalid",
                 400,
                 callAdminApi(
                         0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"10.0.0.1:1\",\"state\":\"gone\"}"));
         assertResponse(
-                "field service is not usable",
+                "field service is invalid",
                 400,
                 callAdminApi(0, "PUT", "/v1/services/a%20b/endpoints/s1", "{\"addr\":\"10.0.0.1:1\"}"));
         assertResponse(
--- a/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
@@ -51,15 +51,15 @@
             delimiter = '|',
             value = {
                 "\"listen\":\"127.0.0.1:0\",||listen is missing",
-                "127.0.0.1:0|localhost:0|listen is not usable: localhost:0",
-                "127.0.0.1:0|127.0.0.1:70000|listen is not usable: 127.0.0.1:70000",
-                "8c1f30d27a5be964|zz|seed is not usable: zz",
-                "\"sockets\":1024|\"sockets\":-1|limits.sockets is not usable: -1",
-                "in_service|asleep|servers[].state is not usable: asleep",
-                "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is not usable: 0",
+                "127.0.0.1:0|localhost:0|listen is invalid: localhost:0",
+                "127.0.0.1:0|127.0.0.1:70000|listen is invalid: 127.0.0.1:70000",
+                "8c1f30d27a5be964|zz|seed is invalid: zz",
+                "\"sockets\":1024|\"sockets\":-1|limits.sockets is invalid: -1",
+                "in_service|asleep|servers[].state is invalid: asleep",
+                "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is invalid: 0",
                 "\"dial-timeout-ms\":2000,||settings.limits.dial-timeout-ms is missing",
                 "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
-                "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"
+                "\"azs\":[\"a\"]|\"azs\":5|settings.azs is invalid: 5"
             })
     void reportsMissingAndInvalidFields(String part, String instead, String complaint) {
         IllegalArgumentException e =
--- a/edge/src/test/java/lemonrail/assembly/ReloadTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReloadTest.java
@@ -100,7 +100,7 @@
         fixture.start();
         SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
         reloadFor("nowhere");
-        SidecarFixture.await("it is told", () -> fixture.logged().contains("field discovery is not usable: nowhere"));
+        SidecarFixture.await("it is told", () -> fixture.logged().contains("field discovery is invalid: nowhere"));
         Files.writeString(fixture.configFile, "{");
         fixture.sidecar.reload();
         SidecarFixture.await("it is told", () -> fixture.logged().contains("is not JSON"));
--- a/edge/src/test/java/lemonrail/cli/MainTest.java
+++ b/edge/src/test/java/lemonrail/cli/MainTest.java
@@ -177,7 +177,7 @@
             List<String> lines = log.lines().toList();
             assertEquals(
                     List.of("lemonrail: " + folder.resolve("config.json")
-                            + ":2: limits.sockets = many: field limits.sockets is not usable: many"),
+                            + ":2: limits.sockets = many: field limits.sockets is invalid: many"),
                     lines);
             assertEquals(2, process.waitFor());
         } finally {
