--- a/edge/src/main/java/lemonrail/assembly/SidecarBuilder.java
+++ b/edge/src/main/java/lemonrail/assembly/SidecarBuilder.java
@@ -121,7 +121,7 @@
                 new GracefulShutdown(loop, log, context.lifecycle(), listeners, dispatcher, siblingLock);
         AdminServer adminServer = new AdminServer(
                 loop,
-                Sockets.BUFFERS,
+                Sockets.BUFFER_ALLOCATOR,
                 new SidecarAdminOperations(context, sink, suspensions, dispatcher, listeners),
                 log.in("admin")::error);
         registerGauges(context, suspensions, dispatcher);
--- a/edge/src/main/java/lemonrail/control/ControlNode.java
+++ b/edge/src/main/java/lemonrail/control/ControlNode.java
@@ -75,7 +75,7 @@
                 config.responseIntervalMs(),
                 new WatchResponseCache(store)));
         adminServer = new AdminServer(
-                loop, Sockets.BUFFERS, new ControlAdminApi(this), ControlAdminApi.MAX_BODY_BYTES, log::error);
+                loop, Sockets.BUFFER_ALLOCATOR, new ControlAdminApi(this), ControlAdminApi.MAX_BODY_BYTES, log::error);
     }
 
     /** Creates a node with this configuration, which listens from {@link #open} on. */
--- a/edge/src/main/java/lemonrail/control/WatchServer.java
+++ b/edge/src/main/java/lemonrail/control/WatchServer.java
@@ -69,7 +69,10 @@
     ChannelFuture listen(InetSocketAddress address) {
         HttpListener http = new HttpListener(BACKLOG, MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES, MAX_BODY_BYTES);
         ChannelFuture bound = http.bind(
-                context.loop(), Sockets.BUFFERS, address, accepted -> new WatchConnection(this, context, accepted));
+                context.loop(),
+                Sockets.BUFFER_ALLOCATOR,
+                address,
+                accepted -> new WatchConnection(this, context, accepted));
         listener = bound.channel();
         sweeping = context.loop()
                 .scheduleWithFixedDelay(
--- a/edge/src/main/java/lemonrail/discovery/HttpGetClient.java
+++ b/edge/src/main/java/lemonrail/discovery/HttpGetClient.java
@@ -66,7 +66,7 @@
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
+                .option(ChannelOption.ALLOCATOR, Sockets.BUFFER_ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
                 .handler(new ChannelInitializer<SocketChannel>() {
--- a/edge/src/main/java/lemonrail/exchange/AttemptRunner.java
+++ b/edge/src/main/java/lemonrail/exchange/AttemptRunner.java
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Starts the next attempt. It finishes at once where no time is left, the request is concluded or it has had the
-     * most attempts.
+     * Starts the next attempt of a request. The attempt finishes at once if no time is left, the request is concluded
+     * or it has used up its maximum number of attempts.
      *
-     * @param timeoutMs the attempt timeout, or 0 for all the time that is left
+     * @param timeoutMs the attempt timeout, in milliseconds, or 0 to use all the time that is left
      */
     void start(PendingRequest<M, A> request, String endpoint, double timeoutMs) {
         double nowMs = nowMs();
@@ -84,7 +84,8 @@
             attempt.setUpstreamAttempt(upstream.startAttempt(
                     attempt.endpoint(), request.message(), timeoutMs, new Listener(request, attempt, timeoutMs)));
         } catch (RuntimeException e) {
-            // How far it came is unknown, so it may have been executed; the balancer must learn of its end.
+            // Some of the request may have been written, so it may have been executed. The balancer must be notified
+            // that the attempt has ended.
             log.sendingFailed(e);
             finish(request, attempt, AttemptOutcome.RESET);
         }
@@ -94,7 +95,10 @@
         attempt.setTimeout(timers.schedule(timeoutMs, () -> cancel(request, attempt, AttemptOutcome.TIMED_OUT)));
     }
 
-    /** Cancels attempts that have not been written whole: nobody waits for them, and they have not been executed. */
+    /**
+     * Cancels the attempts whose request has not been written completely. They have not been executed, and their result
+     * is no longer needed.
+     */
     void cancelUnwritten(PendingRequest<M, A> request) {
         for (PendingAttempt attempt : List.copyOf(request.attempts())) {
             if (!attempt.isFinished() && !attempt.upstreamAttempt().mayHaveExecuted()) {
@@ -104,19 +108,20 @@
     }
 
     /**
-     * Stops waiting for an attempt; does nothing if it has finished.
+     * Cancels an attempt; does nothing if it has finished.
      *
-     * @param outcome its outcome if it may have been executed; otherwise a timeout counts as a connect error
+     * @param outcome the reported outcome. If the endpoint cannot have executed the attempt, every outcome except a
+     *     cancellation is reported as a connect error
      */
     void cancel(PendingRequest<M, A> request, PendingAttempt attempt, AttemptOutcome outcome) {
         if (attempt.isFinished()) {
             return;
         }
-        // Cutting a streamed response leads back to onClientDisconnected, which must not cancel this attempt again.
+        // Cutting off a streamed response calls onClientDisconnected, which must not cancel this attempt again.
         request.stopStreaming(attempt);
         boolean mayHaveExecuted = attempt.upstreamAttempt().cancel();
-        boolean keepsOutcome = mayHaveExecuted || outcome == AttemptOutcome.CANCELED;
-        finish(request, attempt, keepsOutcome ? outcome : AttemptOutcome.CONNECT_ERROR);
+        boolean keepOutcome = mayHaveExecuted || outcome == AttemptOutcome.CANCELED;
+        finish(request, attempt, keepOutcome ? outcome : AttemptOutcome.CONNECT_ERROR);
     }
 
     private void finish(PendingRequest<M, A> request, PendingAttempt attempt, AttemptOutcome outcome) {
@@ -157,7 +162,7 @@
         return context.clock().now();
     }
 
-    /** Turns the progress of one attempt into responses and results. */
+    /** Handles the progress of one attempt: forwards its response and reports its result. */
     private final class Listener implements Upstream.AttemptListener<A> {
         private final PendingRequest<M, A> request;
         private final PendingAttempt attempt;
@@ -189,21 +194,24 @@
             attempt.cancelTimeout();
             attempt.markFirstBytes(nowMs());
             if (request.isConcluded()) {
-                // Nobody waits for it any more, and more of it would only be dropped.
+                // The final response has already been decided, so this response would only be discarded.
                 body.close();
                 context.loop().execute(() -> cancel(request, attempt, AttemptOutcome.CANCELED));
                 return;
             }
-            responses.streaming(request);
+            responses.concludeStreaming(request);
             request.startStreaming(attempt);
             progress.watchResponse(attempt, body, () -> cancelStalledResponse(body));
             events.add(
                     request,
                     (balancer, nowMs) -> balancer.onResponseStreamStarted(nowMs, request.id(), attempt.number()));
-            request.sink().streamStarted(head, body);
+            request.sink().onStreamStarted(head, body);
         }
 
-        /** Cancels a response of which nothing moves: by the endpoint's fault, or else by the client's. */
+        /**
+         * Cancels a stalled response. The attempt times out if the endpoint has stopped sending, and is cancelled if
+         * the client has stopped reading.
+         */
         private void cancelStalledResponse(BodyPipe body) {
             cancel(request, attempt, body.isDrained() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELED);
         }
@@ -219,12 +227,12 @@
             }
         }
 
-        /** Forwards a response unless the balancer is to decide whether to retry. */
+        /** Forwards a response that is final; after other outcomes, the balancer decides whether to retry. */
         private void forwardFinalResponse(AttemptOutcome outcome, A response) {
             if (outcome == AttemptOutcome.OK) {
-                responses.served(request, response);
+                responses.deliverResponse(request, response);
             } else if (outcome == AttemptOutcome.IGNORED) {
-                responses.rejectedByEndpoint(request, response);
+                responses.deliverEndpointRejection(request, response);
             }
         }
     }
--- a/edge/src/main/java/lemonrail/exchange/BalancerEventQueue.java
+++ b/edge/src/main/java/lemonrail/exchange/BalancerEventQueue.java
@@ -8,27 +8,27 @@
 import lemonrail.time.Clock;
 
 /**
- * Delivers events to the balancer in their order. An event that is added while another is being delivered waits, so the
- * balancer is never called from within its own call.
+ * Delivers events to the balancer in the order in which they were added. An event that is added during the delivery of
+ * another one is queued, so the balancer is never called re-entrantly.
  *
  * @param <M> the protocol's requests
  * @param <A> the protocol's responses
  */
 final class BalancerEventQueue<M extends ProtocolRequest, A> {
 
-    /** An event, with the time of its delivery. */
+    /** A call to the balancer. */
     @FunctionalInterface
     interface Event {
         void deliver(LoadBalancer balancer, double nowMs);
     }
 
-    private record Queued<M extends ProtocolRequest, A>(PendingRequest<M, A> request, Event event) {}
+    private record QueuedEvent<M extends ProtocolRequest, A>(PendingRequest<M, A> request, Event event) {}
 
     private final LoadBalancer balancer;
     private final Clock clock;
     private final EventLog log;
     private final Consumer<PendingRequest<M, A>> afterRequestEvent;
-    private final Deque<Queued<M, A>> queue = new ArrayDeque<>();
+    private final Deque<QueuedEvent<M, A>> queue = new ArrayDeque<>();
     private boolean delivering;
 
     /**
@@ -44,20 +44,23 @@
         this.afterRequestEvent = afterRequestEvent;
     }
 
-    /** Adds an event that concerns no single request. */
+    /** Adds an event that concerns no particular request. */
     void add(Event event) {
         add(null, event);
     }
 
-    /** Adds an event that concerns a request. It is delivered before this returns unless another is being delivered. */
+    /**
+     * Adds an event that concerns a request. It is delivered before this method returns, unless the delivery of another
+     * event is in progress.
+     */
     void add(PendingRequest<M, A> request, Event event) {
-        queue.add(new Queued<>(request, event));
+        queue.add(new QueuedEvent<>(request, event));
         if (delivering) {
             return;
         }
         delivering = true;
         try {
-            for (Queued<M, A> next = queue.poll(); next != null; next = queue.poll()) {
+            for (QueuedEvent<M, A> next = queue.poll(); next != null; next = queue.poll()) {
                 deliver(next.request(), next.event());
             }
         } finally {
@@ -69,7 +72,7 @@
         try {
             event.deliver(balancer, clock.now());
         } catch (RuntimeException e) {
-            log.error("the load balancer failed", e);
+            log.error("the load balancer threw an exception", e);
             if (request != null) {
                 request.markBalancerFailed();
             }
--- a/edge/src/main/java/lemonrail/exchange/EventLoopContext.java
+++ b/edge/src/main/java/lemonrail/exchange/EventLoopContext.java
@@ -9,11 +9,11 @@
 import lemonrail.time.Clock;
 
 /**
- * What all parts on one event loop share. The parts are used on this loop only.
+ * The objects that all components on one event loop share. They are used on this event loop only.
  *
- * @param clock the clock of this loop
- * @param bufferBudget bounds the body bytes that all connections together hold
- * @param settings the settings at the start; {@link RequestDispatcher#settings} returns those in force
+ * @param clock the clock of this event loop
+ * @param bufferBudget bounds the total size of the body bytes buffered by all connections
+ * @param settings the settings at the start; {@link RequestDispatcher#settings} returns the current ones
  * @param endpointIdleTimeoutMs the time, in milliseconds, after which endpoints may close an idle connection
  */
 public record EventLoopContext(
--- a/edge/src/main/java/lemonrail/exchange/EventLoopTimers.java
+++ b/edge/src/main/java/lemonrail/exchange/EventLoopTimers.java
@@ -4,7 +4,7 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Timers of one event loop, by milliseconds with fractions. */
+/** Schedules tasks on one event loop, with delays in fractional milliseconds. */
 final class EventLoopTimers {
 
     private static final double NANOS_PER_MS = 1e6;
--- a/edge/src/main/java/lemonrail/exchange/PendingAttempt.java
+++ b/edge/src/main/java/lemonrail/exchange/PendingAttempt.java
@@ -2,15 +2,21 @@
 
 import io.netty.util.concurrent.Future;
 
-/** One attempt of a request and its progress. Times are in milliseconds, instants on the host's clock. */
+/**
+ * One attempt of a request and its progress. Times are in milliseconds; points in time are those of the event loop's
+ * {@link lemonrail.time.Clock}.
+ */
 final class PendingAttempt {
 
-    /** The value of a duration whose end has not been reached. */
+    /** The value of a duration that has not ended yet. */
     private static final double NOT_REACHED = -1;
 
     private final int number;
     private final String endpoint;
-    /** A retry of a keyed request is not started later, as endpoints may have forgotten its key by then. */
+    /**
+     * The latest time at which a retry of a keyed request may start; endpoints may have discarded its idempotency key
+     * by then.
+     */
     private final double retryWindowEndMs;
 
     private double startedMs;
@@ -36,22 +42,24 @@
         return endpoint;
     }
 
-    /** Returns when the endpoint could start work: after the upload of a large body. */
+    /** Returns when the attempt started; for a large request body, when its upload was complete. */
     double startedMs() {
         return startedMs;
     }
 
-    /** Returns how long it took until the request was written, or a negative value if it has not been. */
+    /**
+     * Returns the time from the start until the request was written, or a negative value if it has not been written.
+     */
     double connectMs() {
         return connectMs;
     }
 
-    /** Returns the time to the first bytes of a streamed response, else to now. */
+    /** Returns the time from the start to the first bytes of a streamed response, or to now if there are none. */
     double durationMs(double nowMs) {
         return firstBytesMs >= 0 ? firstBytesMs : nowMs - startedMs;
     }
 
-    /** Returns the part of a duration that passed before the request was written. */
+    /** Returns how much of the given duration passed before the request was written. */
     double connectPartMs(double durationMs) {
         return connectMs >= 0 ? Math.min(connectMs, durationMs) : durationMs;
     }
@@ -64,7 +72,10 @@
         return upstreamAttempt;
     }
 
-    /** Sets the timer that ends the attempt or checks its progress; the previous one must be over or cancelled. */
+    /**
+     * Sets the timer that ends the attempt or checks its progress; the previous timer must have fired or been
+     * cancelled.
+     */
     void setTimeout(Future<?> timeout) {
         this.timeout = timeout;
     }
@@ -79,7 +90,7 @@
         connectMs = nowMs - startedMs;
     }
 
-    /** Measures from now on, as the upload of a large body takes none of the endpoint's time. */
+    /** Restarts the measurement, because the upload of a large body does not count as the endpoint's time. */
     void restartAfterUpload(double nowMs) {
         startedMs = nowMs;
         connectMs = 0;
@@ -89,12 +100,12 @@
         firstBytesMs = nowMs - startedMs;
     }
 
-    /** Forbids writing the request later than this, as the endpoint is leaving. */
+    /** Limits the time at which the request may be written, because the endpoint is draining or gone. */
     void limitStart(double latestMs) {
         latestStartMs = Math.min(latestStartMs, latestMs);
     }
 
-    /** Lifts the limit: the endpoint is ready again. */
+    /** Lifts the limit of {@link #limitStart}, because the endpoint is ready again. */
     void liftStartLimit() {
         latestStartMs = Double.POSITIVE_INFINITY;
     }
--- a/edge/src/main/java/lemonrail/exchange/PendingRequest.java
+++ b/edge/src/main/java/lemonrail/exchange/PendingRequest.java
@@ -6,21 +6,21 @@
 import lemonrail.core.balancer.Request;
 
 /**
- * A request in flight: until its final response is given and all its attempts have finished. Times are in milliseconds,
- * instants on the host's clock.
+ * A request that is in flight, which means that its final response has not been given or some of its attempts have not
+ * finished. Times are in milliseconds; points in time are those of the event loop's {@link lemonrail.time.Clock}.
  *
  * @param <M> the protocol's requests
  * @param <A> the protocol's responses
  */
 final class PendingRequest<M extends ProtocolRequest, A> {
 
-    /** Most requests have one attempt, or one retry. */
-    private static final int USUAL_ATTEMPTS = 2;
+    /** Initial list capacity; most requests have one attempt, some have one retry. */
+    private static final int INITIAL_ATTEMPT_CAPACITY = 2;
 
     private final Request request;
     private final M message;
     private final ResponseSink<A> sink;
-    private final List<PendingAttempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    private final List<PendingAttempt> attempts = new ArrayList<>(INITIAL_ATTEMPT_CAPACITY);
     private final double clientTimeoutMs;
     private final double maxQueueDelayMs;
 
@@ -38,9 +38,9 @@
     /**
      * Creates a request without attempts.
      *
-     * @param request with the client's deadline
-     * @param nowMs when it was read
-     * @param maxQueueDelayMs the longest that it may have waited to be read
+     * @param request the request, with the client's deadline
+     * @param nowMs when the request was read
+     * @param maxQueueDelayMs the longest time that the request may have waited to be read
      */
     PendingRequest(Request request, M message, ResponseSink<A> sink, double nowMs, double maxQueueDelayMs) {
         this.request = request;
@@ -59,7 +59,9 @@
         return request.requestClass();
     }
 
-    /** Returns the request as the balancer sees it, with the deadline by which the final response is due. */
+    /**
+     * Returns the request to pass to the balancer, with the time at which the final response is due as its deadline.
+     */
     Request forBalancer(double responseDueMs) {
         return new Request(
                 request.id(), request.requestClass(), request.tenant(), responseDueMs, request.retriedByClient());
@@ -73,12 +75,12 @@
         return sink;
     }
 
-    /** Returns how long the client waits, counted from when the request was read. */
+    /** Returns how long the client waits, measured from the time at which the request was read. */
     double clientTimeoutMs() {
         return clientTimeoutMs;
     }
 
-    /** Returns the longest that the request may have waited to be read. */
+    /** Returns the longest time that the request may have waited to be read. */
     double maxQueueDelayMs() {
         return maxQueueDelayMs;
     }
@@ -92,7 +94,10 @@
         this.deadlineMs = deadlineMs;
     }
 
-    /** Returns when endpoints may have forgotten the request's key; infinite before its first attempt. */
+    /**
+     * Returns the latest time at which a retry may start, because endpoints may have discarded the request's
+     * idempotency key by then; infinite before the first attempt of a keyed request and for all other requests.
+     */
     double retryWindowEndMs() {
         return retryWindowEndMs;
     }
@@ -115,11 +120,14 @@
         return outcome != null;
     }
 
-    void markConcluded(RequestOutcome how) {
-        outcome = how;
+    void markConcluded(RequestOutcome outcome) {
+        this.outcome = outcome;
     }
 
-    /** Returns whether the balancer has thrown an exception over this request, so that no decision can be expected. */
+    /**
+     * Returns whether the balancer has thrown an exception while handling this request, so that it may never make a
+     * decision.
+     */
     boolean hasBalancerFailed() {
         return balancerFailed;
     }
@@ -128,7 +136,7 @@
         balancerFailed = true;
     }
 
-    /** Returns all attempts by number, the finished ones included. */
+    /** Returns all attempts in the order of their numbers, including finished ones. */
     List<PendingAttempt> attempts() {
         return attempts;
     }
@@ -141,7 +149,7 @@
         return attempt;
     }
 
-    /** Notes that the balancer learns now of an attempt's result. */
+    /** Notes that the result of an attempt is being reported to the balancer. */
     void markAttemptReported() {
         inFlightAttempts--;
     }
@@ -162,7 +170,7 @@
         streamingAttempt = attempt;
     }
 
-    /** Ends streaming if the response of this attempt is being forwarded. */
+    /** Ends streaming if it is this attempt whose response is being forwarded. */
     void stopStreaming(PendingAttempt attempt) {
         if (streamingAttempt == attempt) {
             streamingAttempt = null;
--- a/edge/src/main/java/lemonrail/exchange/ProtocolRequest.java
+++ b/edge/src/main/java/lemonrail/exchange/ProtocolRequest.java
@@ -4,18 +4,19 @@
 
 /**
  * A request in its protocol's form, forwarded unchanged from a {@link Downstream} to an {@link Upstream} of the same
- * protocol. A large body is split: the request holds its first part, which can be sent again, and a pipe brings the
- * rest, which can be read only once. The {@link RequestDispatcher} closes the pipe when the final response is given.
+ * protocol. A large body is split: the request itself contains the first part, which can be sent again, and a pipe
+ * carries the rest, which can be read only once. The {@link RequestDispatcher} closes the pipe when the final response
+ * is given.
  */
 public interface ProtocolRequest {
 
-    /** Returns the body bytes that are held in memory while the request is in flight. */
+    /** Returns the number of body bytes that are kept in memory while the request is in flight. */
     int bufferedBytes();
 
-    /** Returns the pipe that brings the rest of a large body, or null if the request is held whole. */
+    /** Returns the pipe that carries the rest of a large body, or null if the request contains its complete body. */
     BodyPipe remainingBody();
 
-    /** Returns whether a part of the body has not been received from the client yet. */
+    /** Returns whether part of the body has not been received from the client yet. */
     default boolean isBodyArriving() {
         BodyPipe remainingBody = remainingBody();
         return remainingBody != null && !remainingBody.isComplete();
--- a/edge/src/main/java/lemonrail/exchange/RequestDeadlines.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDeadlines.java
@@ -13,16 +13,19 @@
 import lemonrail.time.Clock;
 
 /**
- * The times by which a request's response is due and its attempts must have started. Times are in milliseconds,
- * instants on the host's clock.
+ * Computes when the response to a request is due and until when its attempts may start. Times are in milliseconds;
+ * points in time are those of the event loop's {@link Clock}.
  */
 final class RequestDeadlines {
 
-    /** A request that is not concluded so long after its response was due is abandoned. */
+    /** A request without a final response is abandoned this long after the response was due. */
     private static final double DECISION_GRACE_MS = 5;
-    /** The part of the drain grace in which attempts at a leaving endpoint may still start. */
+    /** The fraction of the drain grace period during which attempts at a draining endpoint may still start. */
     private static final double DRAIN_GRACE_FRACTION = 0.5;
-    /** The part of the deduplication window in which a retry may start, as it takes a while to arrive. */
+    /**
+     * The fraction of the deduplication window in which a retry may start. The rest of the window allows for the time
+     * that the retry takes to reach the endpoint.
+     */
     private static final double RETRY_WINDOW_FRACTION = 0.95;
 
     private final Clock clock;
@@ -35,8 +38,8 @@
 
     /**
      * Returns when the final response must be written for the client to receive it in time. Time is reserved for the
-     * network and for the event loop's recent lag: an attempt that timed out at the client's deadline itself would
-     * always be reported too late.
+     * network and for the event loop's recent lag: if an attempt timed out only at the client's deadline, the client
+     * would always be notified too late.
      */
     double responseDueMs(PendingRequest<?, ?> request) {
         return request.deadlineMs() - reserveMs(request);
@@ -47,27 +50,30 @@
                 request.clientTimeoutMs(), clock.lag().recentMaxLagMs());
     }
 
-    /** Returns how long an attempt that starts now may take; for a body still arriving, counted from its end. */
+    /**
+     * Returns how long an attempt that starts now may take. If the request body is still arriving, the time is measured
+     * from the end of the body.
+     */
     double remainingMs(PendingRequest<?, ?> request, double nowMs) {
         return request.message().isBodyArriving()
                 ? request.clientTimeoutMs() - reserveMs(request)
                 : responseDueMs(request) - nowMs;
     }
 
-    /** Counts the client's time from now, as the rest of a large body has been received. */
+    /** Restarts the client's timeout, because the rest of a large request body has just been received. */
     void restart(PendingRequest<?, ?> request) {
         request.setDeadlineMs(clock.now() - clock.maxQueueDelayMs() + request.clientTimeoutMs());
     }
 
-    /** Runs {@code onTimeout} shortly after the response was due, unless the request is concluded before. */
+    /** Runs {@code onTimeout} shortly after the response is due, unless the request is concluded before then. */
     void startDecisionTimeout(PendingRequest<?, ?> request, Runnable onTimeout) {
         double delayMs = responseDueMs(request) - clock.now() + DECISION_GRACE_MS;
         request.setDecisionTimeout(timers.schedule(delayMs, onTimeout));
     }
 
     /**
-     * Returns until when the next attempt may start. The retries of a keyed request must arrive within the
-     * deduplication window, which counts from its first attempt.
+     * Returns the latest time at which the next attempt may start. The retries of a keyed request must arrive within
+     * the deduplication window, which begins at the first attempt.
      */
     double nextAttemptWindowEndMs(PendingRequest<?, ?> request, RequestClass requestClass, double nowMs) {
         if (requestClass.idempotency() == Idempotency.KEYED
@@ -79,8 +85,8 @@
     }
 
     /**
-     * Limits when attempts that wait for a connection may start, as far as their endpoints are leaving by an update,
-     * and lifts the limit for endpoints that are ready again.
+     * Applies an endpoint update to attempts that wait for a connection: limits their start time if their endpoint is
+     * draining or gone, and lifts the limit if it is ready again.
      */
     <M extends ProtocolRequest, A> void limitStartsAtLeavingEndpoints(
             Collection<PendingRequest<M, A>> requests,
@@ -89,11 +95,11 @@
             DrainSettings drain) {
         Map<String, EndpointState> states = new HashMap<>();
         update.forEach(endpoint -> states.put(endpoint.id(), endpoint.state()));
-        EndpointState unlisted = kind == EndpointUpdateKind.DELTA ? null : EndpointState.GONE;
+        EndpointState unlistedState = kind == EndpointUpdateKind.DELTA ? null : EndpointState.GONE;
         double latestStartMs = clock.now() + DRAIN_GRACE_FRACTION * drain.graceMs();
         for (PendingRequest<M, A> request : requests) {
             for (PendingAttempt attempt : request.attempts()) {
-                EndpointState state = states.getOrDefault(attempt.endpoint(), unlisted);
+                EndpointState state = states.getOrDefault(attempt.endpoint(), unlistedState);
                 if (state == EndpointState.READY) {
                     attempt.liftStartLimit();
                 } else if (state != null) {
--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -18,8 +18,8 @@
 
 /**
  * Connects the client side and the endpoint side of a protocol through a load balancer: it carries out the balancer's
- * decisions, notifies it of what happens, and sees to it that each request gets one final response. It knows nothing of
- * the protocol. All methods are called on the event loop.
+ * decisions, notifies the balancer of events, and ensures that each request gets exactly one final response. It is
+ * independent of the protocol. All methods are called on the event loop.
  *
  * @param <M> the protocol's requests
  * @param <A> the protocol's responses
@@ -44,12 +44,12 @@
     private boolean hasEndpoints;
 
     /**
-     * Creates a dispatcher with a balancer of its own, and starts polling the endpoint list.
+     * Creates a dispatcher with its own balancer, and starts polling the endpoint list.
      *
      * @param balancerFactory creates the balancer
-     * @param seed for the balancer's random numbers
+     * @param seed the seed of the balancer's random numbers
      * @param cachedEndpoints the last known endpoint list, which may be outdated
-     * @param startPolling starts polling the endpoint list, unless that is on already
+     * @param startPolling starts polling the endpoint list; does nothing if polling has already started
      */
     public RequestDispatcher(
             EventLoopContext context,
@@ -71,21 +71,21 @@
         requests = new RequestTable<>(context.bufferBudget());
         responses = new ResponseDelivery<>(clock, requestLog, context.metrics());
         balancer = balancerFactory.create(settings, seed, this);
-        events = new BalancerEventQueue<>(balancer, clock, log, this::settle);
+        events = new BalancerEventQueue<>(balancer, clock, log, this::removeIfFinished);
         attempts = new AttemptRunner<>(
                 context, upstream, this::settings, events, responses, deadlines, timers, requestLog);
         updateEndpoints(EndpointUpdateKind.CACHED, cachedEndpoints);
         startPolling.run();
     }
 
-    // ---- state, for the assembly and the client side ----
+    // ---- state, read by the assembly and the client side ----
 
-    /** Returns whether an endpoint list has named an endpoint yet. */
+    /** Returns whether any endpoint list so far contained an endpoint. */
     public boolean hasEndpoints() {
         return hasEndpoints;
     }
 
-    /** Returns the settings in force. */
+    /** Returns the current settings. */
     public BalancerSettings settings() {
         return settings;
     }
@@ -95,20 +95,21 @@
         return requests.size();
     }
 
-    /** Returns whether a request of this id is in flight. */
+    /** Returns whether a request with this id is in flight. */
     public boolean isInFlight(String id) {
         return requests.contains(id);
     }
 
-    /** Returns how many endpoints get no or fewer requests by the balancer's own decision. */
+    /** Returns how many endpoints the balancer has ejected, so that they get no or fewer requests. */
     public int ejectedEndpoints() {
         return balancer.ejectedEndpoints(clock.now());
     }
 
     /**
-     * Adopts settings that differ in what may change while requests are in flight.
+     * Replaces the settings. The new settings may differ from the old ones only in values that may change while
+     * requests are in flight.
      *
-     * @return false if the balancer cannot adopt settings; they stay as they are
+     * @return false if the balancer does not support changed settings; the old ones then stay in effect
      */
     public boolean updateSettings(BalancerSettings changed) {
         if (!balancer.supportsSettingsUpdate()) {
@@ -119,9 +120,9 @@
         return true;
     }
 
-    // ---- events of clients ----
+    // ---- client events ----
 
-    /** Takes in a client's request; the sink gets its one final response, possibly before this returns. */
+    /** Dispatches a client's request. The sink receives the final response, possibly before this method returns. */
     public void dispatch(Request details, M message, ResponseSink<A> sink) {
         PendingRequest<M, A> request =
                 new PendingRequest<>(details, message, sink, clock.now(), clock.maxQueueDelayMs());
@@ -133,7 +134,7 @@
         events.add(request, (loadBalancer, nowMs) -> loadBalancer.onRequest(nowMs, forBalancer));
     }
 
-    /** Notes that the rest of a large body has been received: the client's time counts from now on. */
+    /** Handles the receipt of the rest of a large request body; the client's timeout starts now. */
     public void onRequestBodyReceived(String id) {
         PendingRequest<M, A> request = requests.findUnconcluded(id);
         if (request != null) {
@@ -142,18 +143,21 @@
         }
     }
 
-    /** Notes that the client of a request has disconnected before its response was written whole. */
+    /** Handles the disconnect of a client before the response to its request was written completely. */
     public void onClientDisconnected(String id) {
         PendingRequest<M, A> request = requests.find(id);
         if (request != null && request.isStreaming()) {
             attempts.cancel(request, request.streamingAttempt(), AttemptOutcome.CANCELED);
         } else if (request != null && !request.isConcluded()) {
-            responses.clientDisconnected(request);
+            responses.concludeDisconnected(request);
             releaseFromBalancer(request);
         }
     }
 
-    /** Gives up all requests as the process ends. Each client is sent its response, or sees its streamed one cut. */
+    /**
+     * Abandons all requests because the process is ending. Each client gets an error response, or has its streamed
+     * response cut off.
+     */
     public void abandonAll() {
         for (PendingRequest<M, A> request : requests.snapshot()) {
             if (request.isStreaming()) {
@@ -176,18 +180,24 @@
     }
 
     private void abandon(PendingRequest<M, A> request) {
-        responses.abandoned(request);
+        responses.abandon(request);
         releaseFromBalancer(request);
     }
 
-    /** Notifies the balancer that it owes a request nothing any more, and cancels what has not been executed of it. */
+    /**
+     * Notifies the balancer that a request needs no further decisions, and cancels its attempts that have not been
+     * executed.
+     */
     private void releaseFromBalancer(PendingRequest<M, A> request) {
         events.add(request, (loadBalancer, nowMs) -> loadBalancer.onRequestCancelled(nowMs, request.id()));
         attempts.cancelUnwritten(request);
     }
 
-    /** Abandons a request that the balancer failed on, and removes one that is over. */
-    private void settle(PendingRequest<M, A> request) {
+    /**
+     * Removes a request that is concluded and has no attempts in flight. If the balancer threw an exception while
+     * handling it, the request is abandoned first.
+     */
+    private void removeIfFinished(PendingRequest<M, A> request) {
         if (request.hasInFlightAttempts()) {
             return;
         }
@@ -199,7 +209,7 @@
         }
     }
 
-    // ---- events of discovery ----
+    // ---- discovery events ----
 
     @Override
     public void onEndpointList(EndpointList list) {
@@ -212,7 +222,7 @@
         notifyOfEndpoints(kind, suspensions.applyUpdate(kind, list.endpoints()));
     }
 
-    /** Notifies the balancer of endpoints whose suspension has begun or ended. */
+    /** Notifies the balancer of endpoints that have been suspended or resumed. */
     public void refreshEndpoints(Collection<String> ids) {
         List<Endpoint> update = suspensions.visibleEndpoints(ids);
         if (!update.isEmpty()) {
@@ -225,7 +235,7 @@
         events.add((loadBalancer, nowMs) -> loadBalancer.onEndpointUpdate(nowMs, kind, update));
     }
 
-    // ---- decisions of the balancer ----
+    // ---- balancer decisions ----
 
     @Override
     public void startAttempt(String id, String endpoint, double timeoutMs) {
@@ -249,7 +259,7 @@
     public void fail(String id) {
         PendingRequest<M, A> request = requests.findUnconcluded(id);
         if (request != null) {
-            responses.failed(request);
+            responses.fail(request);
         }
     }
 
--- a/edge/src/main/java/lemonrail/exchange/RequestLog.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestLog.java
@@ -9,10 +9,10 @@
 import lemonrail.logging.EventLog;
 import lemonrail.time.Clock;
 
-/** The log events about single requests and attempts. */
+/** Writes the log events for individual requests and attempts. */
 final class RequestLog {
 
-    /** The value of a time that has not been reached. */
+    /** Logged in place of a time that has not been reached. */
     private static final double NOT_REACHED = -1;
 
     private final EventLog log;
@@ -62,11 +62,11 @@
         }
     }
 
-    /** Says where the time of a request went whose final response is given after its client's deadline. */
+    /** Logs a final response that was given after the client's deadline, with the times that show what delayed it. */
     void lateResponse(PendingRequest<?, ?> request, RequestOutcome outcome) {
         double lateMs = clock.now() - request.deadlineMs();
         List<PendingAttempt> attempts = request.attempts();
-        PendingAttempt last = attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
+        PendingAttempt lastAttempt = attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
         log.warnRateLimited(
                 "late_response",
                 "a response was given after its client's deadline",
@@ -84,24 +84,28 @@
                 "attempts",
                 attempts.size(),
                 "last_endpoint",
-                last == null ? "none" : last.endpoint(),
+                lastAttempt == null ? "none" : lastAttempt.endpoint(),
                 "last_sent_ms",
-                last == null ? NOT_REACHED : sinceArrivalMs(request, last.startedMs()),
+                lastAttempt == null ? NOT_REACHED : sinceArrivalMs(request, lastAttempt.startedMs()),
                 "last_connect_ms",
-                last == null ? NOT_REACHED : last.connectMs(),
+                lastAttempt == null ? NOT_REACHED : lastAttempt.connectMs(),
                 "loop_late_ms",
                 clock.lag().recentMaxLagMs());
     }
 
     void decisionTimeout(PendingRequest<?, ?> request) {
         log.warnRateLimited(
-                "decision_timeout", "no decision by the deadline", request.id(), "request_id", request.id());
+                "decision_timeout",
+                "the load balancer made no decision by the deadline; abandoning the request",
+                request.id(),
+                "request_id",
+                request.id());
     }
 
     void unknownAttempt(String requestId) {
         log.warnRateLimited(
                 "unknown_attempt",
-                "an attempt was started for a request that is not in flight",
+                "ignoring an attempt that the load balancer started for a request that is not in flight",
                 requestId,
                 "request_id",
                 requestId);
@@ -116,16 +120,16 @@
     }
 
     private void debug(String event, PendingRequest<?, ?> request, Object... fields) {
-        List<Object> all = new ArrayList<>(List.of(
+        List<Object> allFields = new ArrayList<>(List.of(
                 "request_id",
                 request.id(),
                 "class",
                 settings.get().classes().get(request.requestClass()).name()));
-        all.addAll(List.of(fields));
+        allFields.addAll(List.of(fields));
         StringBuilder line = new StringBuilder(event);
-        for (int i = 0; i + 1 < all.size(); i += 2) {
-            line.append(' ').append(all.get(i)).append('=').append(all.get(i + 1));
+        for (int i = 0; i + 1 < allFields.size(); i += 2) {
+            line.append(' ').append(allFields.get(i)).append('=').append(allFields.get(i + 1));
         }
-        log.debug(event, line.toString(), all.toArray());
+        log.debug(event, line.toString(), allFields.toArray());
     }
 }
--- a/edge/src/main/java/lemonrail/exchange/RequestOutcome.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestOutcome.java
@@ -1,20 +1,20 @@
 package lemonrail.exchange;
 
-/** How a request was concluded. */
+/** The way in which a request was concluded. */
 enum RequestOutcome {
-    /** An endpoint served it. */
+    /** An endpoint served the request. */
     SERVED("served"),
-    /** The head of a large response was forwarded; its body follows. */
+    /** The head of a large response was forwarded, and its body is being streamed. */
     STREAMING("streaming"),
-    /** An endpoint rejected it as invalid. */
+    /** An endpoint rejected the request as invalid. */
     REJECTED_BY_ENDPOINT("rejected"),
-    /** The balancer rejected it; sending it again is harmless. */
+    /** The balancer rejected the request without executing it, so the client can safely retry. */
     REJECTED("refused"),
-    /** The balancer gave it up. */
+    /** The balancer failed the request. */
     FAILED("failed"),
-    /** The dispatcher gave it up without the balancer. */
+    /** The dispatcher failed the request without a decision of the balancer. */
     ABANDONED("abandoned"),
-    /** Its client disconnected first. */
+    /** The client disconnected before the final response. */
     CLIENT_DISCONNECTED("client_gone");
 
     private final String logName;
--- a/edge/src/main/java/lemonrail/exchange/RequestTable.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestTable.java
@@ -7,7 +7,7 @@
 import lemonrail.streaming.BufferBudget;
 
 /**
- * The requests in flight, by id. Their buffered bytes count in the budget for as long as they are in the table.
+ * The requests in flight, by id. Their buffered bytes count towards the buffer budget while they are in the table.
  *
  * @param <M> the protocol's requests
  * @param <A> the protocol's responses
@@ -26,19 +26,19 @@
         budget.acquire(request.message().bufferedBytes());
     }
 
-    /** Removes a request; does nothing if it is not in the table any more. */
+    /** Removes a request; does nothing if it is no longer in the table. */
     void remove(PendingRequest<M, A> request) {
         if (requests.remove(request.id(), request)) {
             budget.release(request.message().bufferedBytes());
         }
     }
 
-    /** Returns the request of this id, or null if none is in flight. */
+    /** Returns the request with this id, or null if it is not in flight. */
     PendingRequest<M, A> find(String id) {
         return requests.get(id);
     }
 
-    /** Returns the request of this id if its final response has not been given, else null. */
+    /** Returns the request with this id, or null if it is not in flight or its final response has been given. */
     PendingRequest<M, A> findUnconcluded(String id) {
         PendingRequest<M, A> request = requests.get(id);
         return request == null || request.isConcluded() ? null : request;
@@ -56,7 +56,7 @@
         return requests.values();
     }
 
-    /** Returns a copy, for callers that conclude requests on the way. */
+    /** Returns a copy of the current requests, for callers that conclude requests while iterating. */
     List<PendingRequest<M, A>> snapshot() {
         return List.copyOf(requests.values());
     }
--- a/edge/src/main/java/lemonrail/exchange/ResponseDelivery.java
+++ b/edge/src/main/java/lemonrail/exchange/ResponseDelivery.java
@@ -5,7 +5,8 @@
 import lemonrail.time.Clock;
 
 /**
- * Gives requests their one final response. Each method requires that the request has not been concluded.
+ * Concludes requests and delivers their final responses. The methods require that the request has not been concluded
+ * yet.
  *
  * @param <M> the protocol's requests
  * @param <A> the protocol's responses
@@ -22,43 +23,43 @@
         this.metrics = metrics;
     }
 
-    /** Forwards the response of the endpoint that served the request. */
-    void served(PendingRequest<M, A> request, A response) {
+    /** Concludes a request with the response of the endpoint that served it. */
+    void deliverResponse(PendingRequest<M, A> request, A response) {
         conclude(request, RequestOutcome.SERVED);
-        request.sink().served(response);
+        request.sink().onServed(response);
     }
 
-    /** Forwards the response by which an endpoint rejected the request as invalid. */
-    void rejectedByEndpoint(PendingRequest<M, A> request, A response) {
+    /** Concludes a request with the response of an endpoint that rejected it as invalid. */
+    void deliverEndpointRejection(PendingRequest<M, A> request, A response) {
         conclude(request, RequestOutcome.REJECTED_BY_ENDPOINT);
-        request.sink().rejectedByEndpoint(response);
+        request.sink().onRejectedByEndpoint(response);
     }
 
     /** Rejects a request that was not executed. */
     void reject(PendingRequest<M, A> request, double retryAfterMs) {
         conclude(request, RequestOutcome.REJECTED);
-        request.sink().rejected(retryAfterMs);
+        request.sink().onRejected(retryAfterMs);
     }
 
-    /** Fails a request by the balancer's decision. */
-    void failed(PendingRequest<M, A> request) {
+    /** Fails a request as the balancer decided. */
+    void fail(PendingRequest<M, A> request) {
         conclude(request, RequestOutcome.FAILED);
-        request.sink().failed();
+        request.sink().onFailed();
     }
 
     /** Fails a request without a decision of the balancer. */
-    void abandoned(PendingRequest<M, A> request) {
+    void abandon(PendingRequest<M, A> request) {
         conclude(request, RequestOutcome.ABANDONED);
-        request.sink().failed();
+        request.sink().onFailed();
     }
 
-    /** Concludes a request whose client has disconnected; it gets no response. */
-    void clientDisconnected(PendingRequest<M, A> request) {
+    /** Concludes a request whose client has disconnected; no response is sent. */
+    void concludeDisconnected(PendingRequest<M, A> request) {
         conclude(request, RequestOutcome.CLIENT_DISCONNECTED);
     }
 
-    /** Concludes a request whose large response has begun. The caller forwards its head and body. */
-    void streaming(PendingRequest<M, A> request) {
+    /** Concludes a request whose large response has started to arrive. The caller forwards the head and the body. */
+    void concludeStreaming(PendingRequest<M, A> request) {
         conclude(request, RequestOutcome.STREAMING);
     }
 
@@ -73,7 +74,7 @@
         closeRemainingBody(request);
     }
 
-    /** Discards what is still to come of a large body: no attempt needs it any more. */
+    /** Discards the rest of a large request body, because no attempt needs it any more. */
     private void closeRemainingBody(PendingRequest<M, A> request) {
         BodyPipe remainingBody = request.message().remainingBody();
         if (remainingBody != null) {
--- a/edge/src/main/java/lemonrail/exchange/ResponseSink.java
+++ b/edge/src/main/java/lemonrail/exchange/ResponseSink.java
@@ -3,33 +3,36 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * Receives the final response to one request. Exactly one method is called, once, on the event loop; none is called
- * after {@link RequestDispatcher#onClientDisconnected}.
+ * Receives the final response to one request. Exactly one of the methods is called, exactly once, on the event loop. No
+ * method is called after {@link RequestDispatcher#onClientDisconnected}.
  *
  * @param <A> the protocol's responses
  */
 public interface ResponseSink<A> {
 
-    /** Gives the response of the endpoint that served the request. */
-    void served(A response);
+    /** Called with the response of the endpoint that served the request. */
+    void onServed(A response);
 
     /**
-     * Gives the head of a large response; no other response follows.
+     * Called with the head of a large response, whose body follows through a pipe.
      *
-     * @param body brings the body; the sink sets its consumer, and closes it if the client disconnects
+     * @param body the pipe that carries the body; the sink sets its consumer, and closes it if the client disconnects
      */
-    void streamStarted(A head, BodyPipe body);
+    void onStreamStarted(A head, BodyPipe body);
 
-    /** Gives the response of an endpoint that rejected the request as invalid; no other endpoint would accept it. */
-    void rejectedByEndpoint(A response);
+    /**
+     * Called with the response of an endpoint that rejected the request as invalid. It is not retried, because no other
+     * endpoint would accept it.
+     */
+    void onRejectedByEndpoint(A response);
 
     /**
-     * Says that the request was shed and was not executed.
+     * Called when the request was shed; it has not been executed.
      *
-     * @param retryAfterMs the delay after which the client may retry, or 0 for no advice
+     * @param retryAfterMs the delay in milliseconds after which the client may retry, or 0 to give no advice
      */
-    void rejected(double retryAfterMs);
+    void onRejected(double retryAfterMs);
 
-    /** Says that the request failed; it may have been executed. */
-    void failed();
+    /** Called when the request failed; it may have been executed. */
+    void onFailed();
 }
--- a/edge/src/main/java/lemonrail/exchange/StreamProgressMonitor.java
+++ b/edge/src/main/java/lemonrail/exchange/StreamProgressMonitor.java
@@ -2,7 +2,10 @@
 
 import lemonrail.streaming.BodyPipe;
 
-/** Detects large bodies that have stopped moving. A check takes the place of the attempt's timeout. */
+/**
+ * Detects large bodies whose transfer has stalled. While a body is monitored, the periodic check replaces the timeout
+ * of the attempt.
+ */
 final class StreamProgressMonitor {
 
     private static final int UPLOAD_STALL_MS = 4000;
@@ -14,35 +17,42 @@
         this.timers = timers;
     }
 
-    /** Runs {@code onStalled} if the endpoint accepts nothing for a while, though there are bytes to send. */
+    /**
+     * Runs {@code onStalled} if the endpoint accepts nothing for {@link #UPLOAD_STALL_MS} although there are bytes to
+     * send.
+     */
     void watchUpload(PendingAttempt attempt, BodyPipe body, Runnable onStalled) {
         scheduleUploadCheck(attempt, body, 0, onStalled);
     }
 
-    private void scheduleUploadCheck(PendingAttempt attempt, BodyPipe body, long forwardedBefore, Runnable onStalled) {
+    private void scheduleUploadCheck(
+            PendingAttempt attempt, BodyPipe body, long previousForwardedBytes, Runnable onStalled) {
         attempt.setTimeout(timers.schedule(UPLOAD_STALL_MS, () -> {
-            long forwarded = body.forwardedBytes();
-            if (forwarded == forwardedBefore && !body.isDrained()) {
+            long forwardedBytes = body.forwardedBytes();
+            if (forwardedBytes == previousForwardedBytes && !body.isDrained()) {
                 onStalled.run();
             } else {
-                scheduleUploadCheck(attempt, body, forwarded, onStalled);
+                scheduleUploadCheck(attempt, body, forwardedBytes, onStalled);
             }
         }));
     }
 
-    /** Runs {@code onStalled} if nothing is forwarded for a while, whichever side is the cause. */
+    /**
+     * Runs {@code onStalled} if nothing is forwarded for {@link #RESPONSE_STALL_MS}, whether the endpoint or the client
+     * is the cause.
+     */
     void watchResponse(PendingAttempt attempt, BodyPipe body, Runnable onStalled) {
         scheduleResponseCheck(attempt, body, 0, onStalled);
     }
 
     private void scheduleResponseCheck(
-            PendingAttempt attempt, BodyPipe body, long forwardedBefore, Runnable onStalled) {
+            PendingAttempt attempt, BodyPipe body, long previousForwardedBytes, Runnable onStalled) {
         attempt.setTimeout(timers.schedule(RESPONSE_STALL_MS, () -> {
-            long forwarded = body.forwardedBytes();
-            if (forwarded == forwardedBefore) {
+            long forwardedBytes = body.forwardedBytes();
+            if (forwardedBytes == previousForwardedBytes) {
                 onStalled.run();
             } else {
-                scheduleResponseCheck(attempt, body, forwarded, onStalled);
+                scheduleResponseCheck(attempt, body, forwardedBytes, onStalled);
             }
         }));
     }
--- a/edge/src/main/java/lemonrail/exchange/package-info.java
+++ b/edge/src/main/java/lemonrail/exchange/package-info.java
@@ -1,2 +1,2 @@
-/** The protocol-independent part of a request: its attempts, deadlines and the one final response. */
+/** Protocol-independent handling of requests: their attempts, their deadlines and their final responses. */
 package lemonrail.exchange;
--- a/edge/src/main/java/lemonrail/http1/ArrivalClock.java
+++ b/edge/src/main/java/lemonrail/http1/ArrivalClock.java
@@ -3,14 +3,14 @@
 import lemonrail.time.Clock;
 
 /**
- * Estimates when the input that is being read arrived on a connection. Input may have waited while the event loop
- * was busy, and the first input may have waited since the connection was opened. Confined to the event loop.
+ * Estimates when the input that is being read arrived on a connection. Input may have waited while the event loop was
+ * busy, and the first input may have arrived as early as the connection was opened. Confined to the event loop.
  */
 final class ArrivalClock {
 
     private final Clock clock;
     private final double openedAtMs;
-    /** The event loop's poll that found the connection. */
+    /** The number of event loop polls when the connection was accepted. */
     private final long openedInPoll;
 
     /** Creates the clock of a connection that has just been accepted. */
@@ -20,7 +20,7 @@
         openedInPoll = clock.lag().pollCount();
     }
 
-    /** Returns the earliest time at which what is read now can have arrived, in milliseconds. */
+    /** Returns the earliest time at which the input that is being read can have arrived, in milliseconds. */
     double arrivedAtMs() {
         long polls = clock.lag().pollCount();
         boolean justOpened = polls > 0 && polls <= openedInPoll + 1;
--- a/edge/src/main/java/lemonrail/http1/ClientConnection.java
+++ b/edge/src/main/java/lemonrail/http1/ClientConnection.java
@@ -17,12 +17,12 @@
 import lemonrail.upgrade.AcceptedSocket;
 
 /**
- * One connection of a client: takes its requests in and decides when it is read and when it closes. The last
- * handler of the connection's pipeline, confined to its event loop.
+ * One client connection: passes its requests on, and decides when the connection is read and when it closes. This is
+ * the last handler of the connection's pipeline, and is confined to the connection's event loop.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<ClientMessage> implements ResponseQueue.Listener {
 
-    /** Requests that a client may send ahead of their responses. */
+    /** The number of requests that a client may send before it gets the response to the first of them. */
     private static final int MAX_PIPELINED_REQUESTS = 8;
 
     private final HttpServer server;
@@ -30,30 +30,34 @@
     private final ClientTimeoutHandler timeouts;
     private final RequestReader requestReader;
     private final ResponseQueue responses;
-    /** Whether it was accepted beyond the bound: its requests are rejected for as long as that is exceeded. */
+    /**
+     * Whether the connection was accepted above the maximum number of connections. Its requests are rejected while the
+     * maximum is exceeded.
+     */
     private boolean acceptedOverLimit;
 
     private boolean hasDispatched;
-    private double quietSinceMs;
+    /** When the last response was written or, before that, when the connection was created. */
+    private double lastResponseMs;
     /** Null until the channel is active. */
     private ArrivalClock arrivalClock;
-    /** The response to the request whose body is still being read, once that request has been passed on; else null. */
-    private PendingResponse uploading;
-    /** Whether the endpoint takes no more of that body for now. */
+    /** The response to a streamed request that has been passed on and whose body is still being read, or null. */
+    private PendingResponse uploadResponse;
+    /** Whether reading the body is paused because the endpoint currently accepts no more of it. */
     private boolean uploadPaused;
 
-    private boolean continueDue;
+    private boolean continuePending;
 
     ClientConnection(HttpServer server, AcceptedSocket channel) {
         this.server = server;
         this.channel = channel;
         timeouts = new ClientTimeoutHandler(channel, server.clock());
-        requestReader = new RequestReader(server.budget(), this::onUploadReading);
+        requestReader = new RequestReader(server.budget(), this::onUploadReadingChanged);
         responses = new ResponseQueue(channel, this);
-        quietSinceMs = server.clock().now();
+        lastResponseMs = server.clock().now();
     }
 
-    /** Adds the connection's handlers to its pipeline, in the order in which input passes them. */
+    /** Adds the connection's handlers to its pipeline, in the order in which they process input. */
     void addTo(ChannelPipeline pipeline) {
         pipeline.addLast(timeouts, new HttpRequestDecoder(), new HttpResponseEncoder(), requestReader, this);
     }
@@ -82,50 +86,56 @@
         ctx.close();
     }
 
-    // ---- state, for the decision which connections close ----
+    // ---- state that determines which connections are closed ----
 
-    /** Returns whether it has sent a request that was dispatched. */
+    /** Returns whether a request of this connection has been dispatched. */
     boolean hasDispatched() {
         return hasDispatched;
     }
 
-    /** Returns whether no response is awaited on it. */
-    boolean isQuiet() {
+    /** Returns whether no response is pending, and the connection is not closing. */
+    boolean hasNoPendingResponse() {
         return responses.isDrained() && !isClosing();
     }
 
-    /** Returns whether it has been quiet since this time, and no request is being received or waits to be read. */
-    boolean isQuietSince(double timeMs) {
-        return isQuiet() && quietSinceMs <= timeMs && !timeouts.isReceiving() && !channel.hasUnreadBytes();
+    /**
+     * Returns whether no response has been pending since this time, and no request is being received or waiting to be
+     * read.
+     */
+    boolean isUnusedSince(double timeMs) {
+        return hasNoPendingResponse()
+                && lastResponseMs <= timeMs
+                && !timeouts.isReceiving()
+                && !channel.hasUnreadBytes();
     }
 
-    /** Returns whether it is idle, and no part of a request has been received. */
-    boolean isFree() {
+    /** Returns whether the connection is idle, and no part of a request has been read. */
+    boolean isFullyIdle() {
         return isIdle() && !timeouts.isReceiving();
     }
 
-    /** Returns whether no response is awaited and nothing waits to be read. A part of a request may have been read. */
+    /** Returns whether no response is pending and there are no unread bytes. Part of a request may have been read. */
     boolean isIdle() {
         return responses.isDrained() && (!isClosing() || timeouts.isLastResponseWritten()) && !channel.hasUnreadBytes();
     }
 
-    /** Returns whether its last response is being written, or is written. */
+    /** Returns whether the last response of the connection is being written or has been written. */
     boolean isClosing() {
         return responses.isClosing();
     }
 
-    /** Returns whether its last response is written, and nothing is left to do but to close it. */
+    /** Returns whether the last response has been written, so that the connection only has to be closed. */
     boolean isFinished() {
         return isClosing() && isIdle();
     }
 
-    /** Returns whether nothing has been received or responded to on it since this time. */
+    /** Returns whether no input has been read and no response completed since this time. */
     boolean isInactiveSince(double timeMs) {
-        return Math.max(quietSinceMs, timeouts.lastReadMs()) <= timeMs;
+        return Math.max(lastResponseMs, timeouts.lastReadMs()) <= timeMs;
     }
 
-    /** Returns whether bytes have arrived that are not read yet. */
-    boolean hasUnread() {
+    /** Returns whether bytes have arrived that have not been read yet. */
+    boolean hasUnreadBytes() {
         return channel.hasUnreadBytes();
     }
 
@@ -137,15 +147,18 @@
             timeouts.onHeadRead();
         }
         if (event == RequestReader.HeadEvent.CONTINUE_EXPECTED) {
-            continueDue = true;
-            sendContinueIfDue();
+            continuePending = true;
+            sendContinueIfReady();
         }
     }
 
-    /** Asks for the body that a client holds back, once no response is pending that this would break into. */
-    private void sendContinueIfDue() {
-        if (continueDue && responses.isEmpty()) {
-            continueDue = false;
+    /**
+     * Sends the 100 Continue that a client waits for before it sends the body. This is delayed until all earlier
+     * responses have been written, because responses must be in order.
+     */
+    private void sendContinueIfReady() {
+        if (continuePending && responses.isEmpty()) {
+            continuePending = false;
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
@@ -166,7 +179,7 @@
     private void onRequest(IncomingRequest request) {
         PendingResponse response = addPendingResponse();
         if (request.isStreamed()) {
-            uploading = response;
+            uploadResponse = response;
         } else {
             timeouts.onRequestRead();
         }
@@ -181,57 +194,57 @@
     private PendingResponse addPendingResponse() {
         PendingResponse response = new PendingResponse(this, server.metrics());
         responses.add(response);
-        continueDue = false;
+        continuePending = false;
         server.connections().onRequest(this);
         return response;
     }
 
     private void onRequestError(RequestError error) {
-        if (uploading == null) {
+        if (uploadResponse == null) {
             PendingResponse response = addPendingResponse();
             timeouts.onRequestRead();
             updateReading();
             response.respondAndStopReading(error);
             return;
         }
-        // The body of a request that is in flight has broken off.
-        String requestId = uploading.openRequestId();
+        // The body of a request that is already in flight cannot be read to its end.
+        String requestId = uploadResponse.inFlightRequestId();
         if (requestId != null) {
-            PendingResponse truncated = uploading;
+            PendingResponse truncated = uploadResponse;
             server.dispatcher().onClientDisconnected(requestId);
             truncated.respondAndStopReading(error);
         }
     }
 
     private void onUploadComplete() {
-        PendingResponse response = uploading;
-        uploading = null;
+        PendingResponse response = uploadResponse;
+        uploadResponse = null;
         uploadPaused = false;
         timeouts.onRequestRead();
         updateReading();
         response.onRequestRead();
-        if (response.openRequestId() != null) {
-            server.dispatcher().onRequestBodyReceived(response.openRequestId());
+        if (response.inFlightRequestId() != null) {
+            server.dispatcher().onRequestBodyReceived(response.inFlightRequestId());
         }
     }
 
-    private void onUploadReading(boolean reading) {
+    private void onUploadReadingChanged(boolean reading) {
         uploadPaused = !reading;
-        timeouts.onBodyReading(reading);
+        timeouts.onBodyReadingChanged(reading);
         updateReading();
     }
 
-    /** Returns whether requests are to be rejected, as the connection exceeds the bound on connections. */
+    /** Returns whether requests must be rejected because the maximum number of connections is exceeded. */
     boolean isOverLimit() {
         return acceptedOverLimit && server.connections().excess() > 0;
     }
 
-    /** Notes that a request is being dispatched. */
+    /** Notes that a request of this connection is being dispatched. */
     void onRequestDispatched() {
         hasDispatched = true;
     }
 
-    /** Returns the request for the load balancer. */
+    /** Returns the request to pass to the load balancer. */
     Request toRequest(RequestHead head) {
         return head.toRequest(arrivalClock.arrivedAtMs(), server.latestDeadlineMs());
     }
@@ -239,11 +252,11 @@
     // ---- reading ----
 
     /**
-     * Reads on or stops, by what there is room for. Input that finds no room in the pipeline is left unread only
-     * where there is none to hold it: that a client has gone is noticed by reading.
+     * Starts or stops reading. The disconnect of a client is detected only by reading, so reading stops only when its
+     * input cannot be buffered, forwarded or discarded.
      */
     private void updateReading() {
-        timeouts.setHolding(responses.size() >= MAX_PIPELINED_REQUESTS);
+        timeouts.setBuffering(responses.size() >= MAX_PIPELINED_REQUESTS);
         channel.config().setAutoRead(!timeouts.isThrottled() && (isDiscarding() || hasRoomForInput()));
     }
 
@@ -252,7 +265,7 @@
     }
 
     private boolean hasRoomForInput() {
-        return !uploadPaused && (channel.isWritable() || uploading != null);
+        return !uploadPaused && (channel.isWritable() || uploadResponse != null);
     }
 
     @Override
@@ -276,14 +289,14 @@
 
     @Override
     public boolean isLast(PendingResponse response) {
-        // A client whose body is no longer needed would go on sending it.
-        boolean uploadUnneeded = uploading == response;
+        // The connection must close, because otherwise the client would go on sending a body that is no longer needed.
+        boolean uploadUnneeded = uploadResponse == response;
         return uploadUnneeded || response.isLast() || (server.closesAfterResponse(this) && responses.size() == 1);
     }
 
     @Override
     public void onWriting(PendingResponse response) {
-        if (uploading == response) {
+        if (uploadResponse == response) {
             timeouts.allowRestOfBody();
         }
     }
@@ -304,14 +317,17 @@
         updateReading();
     }
 
-    /** The connection is free for the next request, once the responses are written as well. */
+    /**
+     * Called when all requests have their responses. If these are written completely, the connection is ready for the
+     * next request.
+     */
     private void onAllResponded() {
         if (responses.hasUnwritten()) {
             timeouts.onResponsesPending();
         } else if (server.connections().onResponded(this)) {
-            quietSinceMs = server.clock().now();
+            lastResponseMs = server.clock().now();
             timeouts.onResponsesWritten();
-            sendContinueIfDue();
+            sendContinueIfReady();
         }
     }
 
@@ -320,7 +336,7 @@
         cancelPending();
     }
 
-    /** Cancels the requests that cannot be responded to, as the connection is closing or closed. */
+    /** Cancels the requests that can no longer get a response, because the connection is closing or closed. */
     private void cancelPending() {
         Iterable<PendingResponse> cancelled = responses.removeAll();
         server.connections().onCancelled(this);
@@ -331,7 +347,7 @@
 
     private void cancel(PendingResponse response) {
         response.onWritten(false);
-        String requestId = response.openRequestId();
+        String requestId = response.inFlightRequestId();
         if (response.body() != null) {
             response.body().close();
         }
--- a/edge/src/main/java/lemonrail/http1/ClientMessage.java
+++ b/edge/src/main/java/lemonrail/http1/ClientMessage.java
@@ -4,18 +4,18 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import lemonrail.streaming.BodyPipe;
 
-/** What {@link RequestReader} passes on to a client's connection. */
+/** A message that {@link RequestReader} passes on to {@link ClientConnection}. */
 sealed interface ClientMessage {
 
     /**
      * A request.
      *
-     * @param body the body, or the first part of it
+     * @param body the complete body, or the first part of a large one
      * @param remainingBody the rest of a large body, or null
      */
     record IncomingRequest(HttpRequest head, byte[] body, BodyPipe remainingBody) implements ClientMessage {
 
-        /** Returns whether a part of the body is still to come. */
+        /** Returns whether the rest of the body follows through the pipe. */
         boolean isStreamed() {
             return remainingBody != null;
         }
@@ -25,9 +25,9 @@
     record BodyComplete() implements ClientMessage {}
 
     /**
-     * Input that cannot be served; nothing more is read from the connection.
+     * Input for which an error is sent; no further requests are read from the connection.
      *
-     * @param reason the response's body, and for the log
+     * @param reason the body of the response, which is also logged
      */
     record RequestError(HttpResponseStatus status, String reason) implements ClientMessage, MappedHead {}
 }
--- a/edge/src/main/java/lemonrail/http1/ClientRequestRouter.java
+++ b/edge/src/main/java/lemonrail/http1/ClientRequestRouter.java
@@ -11,7 +11,10 @@
 import lemonrail.http1.ClientMessage.RequestError;
 import lemonrail.lifecycle.Lifecycle;
 
-/** Routes clients' requests by path: to the dispatcher, or to a response of the sidecar's own. */
+/**
+ * Routes client requests by their path: API requests to the dispatcher, while all others get a response of the sidecar
+ * itself.
+ */
 final class ClientRequestRouter {
 
     private static final String API_PATH = "/api";
@@ -33,7 +36,7 @@
         this.lifecycle = lifecycle;
     }
 
-    /** Handles a request that has come on this connection; {@code response} may be ready before this returns. */
+    /** Handles a request that was received on a connection. The response may be ready before this method returns. */
     void route(ClientConnection connection, IncomingRequest request, PendingResponse response) {
         response.setKeepAlive(HttpUtil.isKeepAlive(request.head()));
         switch (path(request.head().uri())) {
@@ -71,7 +74,7 @@
             response.respondAndStopReading(DUPLICATE_ID);
         } else if (connection.isOverLimit()) {
             response.setKeepAlive(false);
-            response.rejected(OVER_LIMIT_RETRY_AFTER_MS);
+            response.onRejected(OVER_LIMIT_RETRY_AFTER_MS);
         } else {
             response.setRequestId(head.id());
             connection.onRequestDispatched();
--- a/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
+++ b/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
@@ -9,44 +9,44 @@
 import lemonrail.upgrade.AcceptedSocket;
 
 /**
- * The first handler of a client's connection, ahead of the decoder: bounds the time in which a request must be
- * read whole and the time between requests, holds input back while enough requests are in flight, and discards
- * it once the connection ends. Confined to the connection's event loop.
+ * The first handler of a client connection, before the decoder. It limits the time to receive a complete request and
+ * the time between requests, buffers input while the maximum number of requests is in flight, and discards input after
+ * the last response has begun. Confined to the connection's event loop.
  */
 final class ClientTimeoutHandler extends ChannelInboundHandlerAdapter {
 
-    /** User events fired when nothing more is to be read from the client. */
+    /** User events fired when no more requests can be read from the client. */
     enum InputEvent {
-        /** A request has begun but is not whole in time. */
+        /** Part of a request has been received, but the rest has not arrived in time. */
         REQUEST_TIMED_OUT,
-        /** More has arrived behind the requests in flight than is held back. */
+        /** The input received after the requests in flight exceeds {@link #MAX_BUFFERED_BYTES}. */
         TOO_MUCH_INPUT
     }
 
-    /** A connection is closed after this time between requests. */
+    /** The time between requests after which a connection is closed. */
     private static final int MAX_IDLE_MS = 5000;
-    /** The most that is held back while as many requests as may be are in flight. */
-    private static final int MAX_HELD_BYTES = 16 * 1024;
-    /** By how much a timeout is put off, once, when bytes have arrived that are not read yet. */
+    /** The maximum size of the input that is buffered while the maximum number of requests is in flight. */
+    private static final int MAX_BUFFERED_BYTES = 16 * 1024;
+    /** The time by which a timeout is extended, once, if bytes have arrived that have not been read yet. */
     private static final int UNREAD_INPUT_GRACE_MS = 1;
 
     private enum RequestState {
-        /** Connected, and no byte has arrived. */
+        /** The connection is open, and no byte has been read. */
         CONNECTED,
-        /** Bytes of a request have arrived, and it is not whole. */
+        /** Part of a request has been read. */
         RECEIVING,
-        /** A request is being responded to, and no read since has brought bytes of another. */
+        /** A response is pending, and no byte of another request has been read. */
         RESPONDING,
-        /** All responses are written, and no byte of another request has arrived. */
+        /** All responses have been written, and no byte of another request has been read. */
         IDLE
     }
 
     private enum InputState {
         /** Input is passed on as it arrives. */
         FORWARDED,
-        /** Input is held back until a response has been written. */
-        HELD,
-        /** Input is discarded, as the connection ends. */
+        /** Input is buffered until a response has been written. */
+        BUFFERED,
+        /** Input is discarded, because the connection is ending. */
         DISCARDED
     }
 
@@ -57,9 +57,9 @@
     private final RequestReadTimeout requestReadTimeout = new RequestReadTimeout();
     private RequestState requestState = RequestState.CONNECTED;
     private InputState inputState = InputState.FORWARDED;
-    /** What is held back, or null. */
-    private ByteBuf heldInput;
-    /** Whether the current timeout has been put off already. */
+    /** The buffered input, or null. */
+    private ByteBuf bufferedInput;
+    /** Whether the current timeout has already been extended. */
     private boolean graceUsed;
 
     private double lastReadMs;
@@ -92,7 +92,7 @@
             timer.start(RequestReadTimeout.MIN_BODY_MS, () -> checkRequestTimeout(ctx));
         } else if (remainingMs > 0) {
             timer.start((int) Math.ceil(remainingMs), () -> checkRequestTimeout(ctx));
-        } else if (useGrace()) {
+        } else if (tryUseGrace()) {
             timer.start(UNREAD_INPUT_GRACE_MS, () -> checkRequestTimeout(ctx));
         } else if (requestState == RequestState.RECEIVING && !isDiscarding()) {
             ctx.fireUserEventTriggered(InputEvent.REQUEST_TIMED_OUT);
@@ -102,15 +102,18 @@
     }
 
     private void closeIdle() {
-        if (useGrace()) {
+        if (tryUseGrace()) {
             timer.start(UNREAD_INPUT_GRACE_MS, this::closeIdle);
         } else {
             channel.close();
         }
     }
 
-    /** Returns whether input is waiting to be read that has not put off this timeout before. */
-    private boolean useGrace() {
+    /**
+     * Extends the current timeout if there is unread input and the timeout has not been extended before. Returns
+     * whether it is extended.
+     */
+    private boolean tryUseGrace() {
         boolean granted = !graceUsed && channel.hasUnreadBytes();
         graceUsed = true;
         return granted;
@@ -124,7 +127,7 @@
         lastReadMs = clock.now();
         switch (inputState) {
             case DISCARDED -> discard(input);
-            case HELD -> hold(ctx, input);
+            case BUFFERED -> buffer(ctx, input);
             default -> forward(ctx, input);
         }
     }
@@ -135,13 +138,13 @@
         lingeringClose.onDiscarded(bytes);
     }
 
-    private void hold(ChannelHandlerContext ctx, ByteBuf input) {
-        if (heldInput == null) {
-            heldInput = Unpooled.buffer(input.readableBytes(), Integer.MAX_VALUE);
+    private void buffer(ChannelHandlerContext ctx, ByteBuf input) {
+        if (bufferedInput == null) {
+            bufferedInput = Unpooled.buffer(input.readableBytes(), Integer.MAX_VALUE);
         }
-        heldInput.writeBytes(input);
+        bufferedInput.writeBytes(input);
         input.release();
-        if (heldInput.readableBytes() > MAX_HELD_BYTES) {
+        if (bufferedInput.readableBytes() > MAX_BUFFERED_BYTES) {
             discardInput();
             ctx.fireUserEventTriggered(InputEvent.TOO_MUCH_INPUT);
         }
@@ -158,17 +161,17 @@
     }
 
     /**
-     * Holds input back, or forwards it again with what was held. Reading goes on meanwhile, so that a client
-     * that disconnects is noticed.
+     * Starts to buffer input, or stops and forwards the buffered input. Reading continues while input is buffered, so
+     * that the disconnect of a client is detected.
      */
-    void setHolding(boolean holding) {
+    void setBuffering(boolean buffering) {
         if (isDiscarding()) {
             return;
         }
-        inputState = holding ? InputState.HELD : InputState.FORWARDED;
-        if (!holding && heldInput != null) {
-            ByteBuf input = heldInput;
-            heldInput = null;
+        inputState = buffering ? InputState.BUFFERED : InputState.FORWARDED;
+        if (!buffering && bufferedInput != null) {
+            ByteBuf input = bufferedInput;
+            bufferedInput = null;
             ChannelHandlerContext ctx = channel.pipeline().context(this);
             forward(ctx, input);
             ctx.fireChannelReadComplete();
@@ -178,36 +181,36 @@
     /** Discards all input from now on. */
     void discardInput() {
         inputState = InputState.DISCARDED;
-        releaseHeldInput();
+        releaseBufferedInput();
     }
 
     boolean isDiscarding() {
         return inputState == InputState.DISCARDED;
     }
 
-    private void releaseHeldInput() {
-        if (heldInput != null) {
-            heldInput.release();
-            heldInput = null;
+    private void releaseBufferedInput() {
+        if (bufferedInput != null) {
+            bufferedInput.release();
+            bufferedInput = null;
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         timer.cancel();
-        releaseHeldInput();
+        releaseBufferedInput();
         ctx.fireChannelInactive();
     }
 
     // ---- progress of requests and responses ----
 
-    /** Notes that a head is whole and its body is still to come. */
+    /** Notes that a head has been read and its body is expected. */
     void onHeadRead() {
         requestReadTimeout.onHeadRead(clock.now());
     }
 
-    /** Notes that the sidecar stops or resumes reading a body. */
-    void onBodyReading(boolean reading) {
+    /** Notes that the sidecar has paused or resumed reading a body. */
+    void onBodyReadingChanged(boolean reading) {
         if (reading) {
             requestReadTimeout.resume(clock.now());
         } else {
@@ -215,19 +218,22 @@
         }
     }
 
-    /** Notes that a request is whole: no time limit until it is responded to. */
+    /** Notes that a complete request has been read: no timeout applies until its response has been written. */
     void onRequestRead() {
         requestState = RequestState.RESPONDING;
         requestReadTimeout.onRequestRead();
         timer.cancel();
     }
 
-    /** Notes that all responses are handed to the channel but not written: the client must take some now and then. */
+    /**
+     * Notes that all responses have been passed to the channel but not all are written. The connection closes if the
+     * client stops reading.
+     */
     void onResponsesPending() {
         timer.closeWhenStalled();
     }
 
-    /** Notes that all responses are written. */
+    /** Notes that all responses have been written. */
     void onResponsesWritten() {
         if (isDiscarding() || !channel.isActive()) {
             return;
@@ -238,42 +244,42 @@
             graceUsed = false;
             timer.start(MAX_IDLE_MS, this::closeIdle);
         } else if (requestReadTimeout.isInBody()) {
-            requestReadTimeout.allowBodyTime(clock.now());
+            requestReadTimeout.ensureMinBodyTime(clock.now());
             checkRequestTimeout(ctx);
         } else {
             startRequestTimeout(ctx);
         }
     }
 
-    /** Allows for the rest of a body that its request no longer needs before the connection closes. */
+    /** Allows the rest of a body that is no longer needed to arrive before the connection closes. */
     void allowRestOfBody() {
         lingeringClose.allowRestOfBody();
     }
 
-    /** Closes the connection after this response. */
+    /** Closes the connection after the given response. */
     void closeAfter(ChannelFuture lastResponse) {
         discardInput();
         lingeringClose.closeAfter(lastResponse);
     }
 
-    // ---- state, for the connection ----
+    // ---- state, read by the connection ----
 
-    /** Returns whether reading is slowed down because too much is discarded. */
+    /** Returns whether reading is slowed down because too much input has been discarded. */
     boolean isThrottled() {
         return lingeringClose.isThrottled();
     }
 
-    /** Returns whether the last response is written. */
+    /** Returns whether the last response has been written. */
     boolean isLastResponseWritten() {
         return lingeringClose.isLastResponseWritten();
     }
 
-    /** Returns when something was read last, or the connection opened, in milliseconds of the clock. */
+    /** Returns the time of the last read, or of the opening of the connection, in milliseconds. */
     double lastReadMs() {
         return lastReadMs;
     }
 
-    /** Returns whether a part of a request has been read. */
+    /** Returns whether part of a request has been read. */
     boolean isReceiving() {
         return requestState == RequestState.RECEIVING;
     }
--- a/edge/src/main/java/lemonrail/http1/ConnectDecision.java
+++ b/edge/src/main/java/lemonrail/http1/ConnectDecision.java
@@ -1,14 +1,14 @@
 package lemonrail.http1;
 
-/** Which connection an attempt is sent on. */
+/** The decision on which connection an attempt is sent. */
 sealed interface ConnectDecision {
 
-    /** The attempt is sent on this idle connection. */
+    /** Send the attempt on this idle connection. */
     record Reuse(UpstreamConnection connection) implements ConnectDecision {}
 
-    /** A new connection is opened for the attempt. */
+    /** Open a new connection for the attempt. */
     record Open() implements ConnectDecision {}
 
-    /** The attempt fails without a connection; {@code reason} is for the log. */
-    record Refuse(String reason) implements ConnectDecision {}
+    /** Fail the attempt because no connection is available; {@code reason} is logged. */
+    record Fail(String reason) implements ConnectDecision {}
 }
--- a/edge/src/main/java/lemonrail/http1/ConnectPolicy.java
+++ b/edge/src/main/java/lemonrail/http1/ConnectPolicy.java
@@ -3,14 +3,15 @@
 import lemonrail.time.Clock;
 
 /**
- * Decides whether an attempt reuses an idle connection, opens a new one, or fails because too many are open.
- * Confined to the pool's event loop.
+ * Decides whether an attempt reuses an idle connection, opens a new one, or fails because too many are open or no
+ * address is known. Confined to the pool's event loop.
  */
 final class ConnectPolicy {
 
     /**
-     * How long a connection rests between a response and its reuse. Stray bytes that an endpoint sends after
-     * a response arrive within this time; later they would pass for the next response.
+     * The minimum time between a response and the reuse of its connection. Surplus bytes that an endpoint sends after a
+     * response are expected to arrive within this time. If they arrived after the reuse, they would be taken for the
+     * next response.
      */
     private static final double MIN_IDLE_BEFORE_REUSE_MS = 10;
 
@@ -27,7 +28,9 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Sets how many connections may be open at once. Connections above that close as others are opened. */
+    /**
+     * Sets the maximum number of open connections. Idle connections above it are closed when a new one is to be opened.
+     */
     void setMaxConnections(int connections) {
         maxConnections = connections;
     }
@@ -37,16 +40,16 @@
         openConnections++;
     }
 
-    /** Counts a connection that has closed or could not be opened. */
+    /** Counts a connection that has been closed or could not be opened. */
     void onConnectionClosed() {
         openConnections--;
     }
 
     /**
-     * Chooses the connection for an attempt. Closes idle connections that are unusable or, where a new one is
-     * needed and the bound is reached, those idle the longest.
+     * Chooses the connection for an attempt. Closes idle connections that are unusable, and those that have been idle
+     * the longest if a new connection is needed and the maximum has been reached.
      *
-     * @param endpoint the endpoint's connections, or null where the endpoint is not known
+     * @param endpoint the endpoint's connections, or null if the endpoint is unknown
      */
     ConnectDecision decide(String endpointId, EndpointConnections endpoint) {
         UpstreamConnection reusable =
@@ -55,10 +58,10 @@
             return new ConnectDecision.Reuse(reusable);
         }
         if (endpoint == null || !endpoint.hasAddress()) {
-            return new ConnectDecision.Refuse("no address is known for " + endpointId);
+            return new ConnectDecision.Fail("no address is known for endpoint " + endpointId);
         }
         if (!makeRoomForOne()) {
-            return new ConnectDecision.Refuse("all " + maxConnections + " connections to endpoints are busy");
+            return new ConnectDecision.Fail("all " + maxConnections + " connections to endpoints are busy");
         }
         return OPEN;
     }
--- a/edge/src/main/java/lemonrail/http1/ConnectionTimer.java
+++ b/edge/src/main/java/lemonrail/http1/ConnectionTimer.java
@@ -4,13 +4,13 @@
 import java.util.concurrent.TimeUnit;
 import lemonrail.upgrade.AcceptedSocket;
 
-/** The one timer of a client's connection: starting it for another purpose ends the one before. */
+/** The single timer of a client connection: starting it for another purpose cancels the previous use. */
 final class ConnectionTimer {
 
-    /** A client that takes nothing of its responses for this time is disconnected. */
+    /** A client that accepts no response bytes for this time is disconnected. */
     private static final int MAX_STALL_MS = 10_000;
-    /** No channel has this many bytes pending. */
-    private static final long NOTHING_SEEN = Long.MIN_VALUE;
+    /** Stands for the pending bytes before the first check; no channel has this many. */
+    private static final long BEFORE_FIRST_CHECK = Long.MIN_VALUE;
 
     private final AcceptedSocket channel;
     private Future<?> timeout;
@@ -19,7 +19,10 @@
         this.channel = channel;
     }
 
-    /** Runs {@code onTimeout} on the event loop after so many milliseconds, unless the timer is used again before. */
+    /**
+     * Runs {@code onTimeout} on the event loop after a delay, unless the timer is cancelled or started again before
+     * then.
+     */
     void start(int delayMs, Runnable onTimeout) {
         cancel();
         timeout = channel.eventLoop().schedule(onTimeout, delayMs, TimeUnit.MILLISECONDS);
@@ -32,14 +35,14 @@
         }
     }
 
-    /** Closes the connection once the client takes no byte of its responses for {@link #MAX_STALL_MS}. */
+    /** Closes the connection once the client has accepted no response bytes for {@link #MAX_STALL_MS}. */
     void closeWhenStalled() {
-        closeIfStalled(NOTHING_SEEN);
+        closeIfStalled(BEFORE_FIRST_CHECK);
     }
 
-    private void closeIfStalled(long pendingBefore) {
+    private void closeIfStalled(long previousPending) {
         long pending = channel.bytesBeforeWritable() - channel.bytesBeforeUnwritable();
-        if (pending == pendingBefore) {
+        if (pending == previousPending) {
             channel.close();
         } else {
             start(MAX_STALL_MS, () -> closeIfStalled(pending));
--- a/edge/src/main/java/lemonrail/http1/EndpointConnections.java
+++ b/edge/src/main/java/lemonrail/http1/EndpointConnections.java
@@ -11,7 +11,7 @@
 final class EndpointConnections {
 
     private final Deque<UpstreamConnection> leastRecentlyUsedFirst = new ArrayDeque<>();
-    /** Null while another endpoint holds the address. */
+    /** Null while the address is assigned to another endpoint. */
     private InetSocketAddress address;
 
     private double startedMs;
@@ -33,12 +33,15 @@
         address = null;
     }
 
-    /** Returns when the endpoint's process started, in milliseconds, as the endpoint list tells it. */
+    /** Returns the start time of the endpoint's process according to the endpoint list, in milliseconds. */
     double startedMs() {
         return startedMs;
     }
 
-    /** Takes in where and when a process was started; connections to an earlier one are invalidated. */
+    /**
+     * Updates the address and the start time of the endpoint's process; if either has changed, connections to the
+     * previous process are invalidated.
+     */
     void updateProcess(InetSocketAddress newAddress, double newStartedMs) {
         if (!newAddress.equals(address) || newStartedMs != startedMs) {
             invalidate();
@@ -46,12 +49,12 @@
         startedMs = newStartedMs;
     }
 
-    /** Returns a number that changes whenever the connections opened before are invalidated. */
+    /** Returns a number that changes whenever the existing connections are invalidated. */
     int generation() {
         return generation;
     }
 
-    /** Closes idle connections, and has busy ones close after their response. */
+    /** Closes idle connections, and makes connections in use close after their response. */
     void invalidate() {
         generation++;
         closeIdle();
@@ -70,8 +73,8 @@
     }
 
     /**
-     * Returns the most recently used connection that became idle no later than {@code idleSinceMs} and on
-     * which nothing has arrived since, or null. Closes the unusable ones that it meets.
+     * Returns the most recently used connection that became idle no later than {@code idleSinceMs} and on which nothing
+     * has arrived since, or null if there is none. Closes the unusable connections that it finds.
      */
     UpstreamConnection findReusable(double idleSinceMs) {
         List<UpstreamConnection> unusable = new ArrayList<>(0);
@@ -82,7 +85,7 @@
             if (connection.idleSinceMs() > idleSinceMs) {
                 continue;
             }
-            if (connection.isSilent()) {
+            if (connection.hasNoInput()) {
                 reusable = connection;
             } else {
                 unusable.add(connection);
--- a/edge/src/main/java/lemonrail/http1/EndpointDirectory.java
+++ b/edge/src/main/java/lemonrail/http1/EndpointDirectory.java
@@ -10,8 +10,8 @@
 import lemonrail.discovery.EndpointList;
 
 /**
- * The endpoints that the endpoint list names, by id and by address. An address belongs to one endpoint at a
- * time: the one whose process started last. Confined to the pool's event loop.
+ * The endpoints of the endpoint list, by id and by address. An address is assigned to only one endpoint at a time, the
+ * one whose process started last. Confined to the pool's event loop.
  */
 final class EndpointDirectory {
 
@@ -22,7 +22,7 @@
         return byId.size();
     }
 
-    /** Returns the connections of this endpoint, or null where it is not known. */
+    /** Returns the connections of this endpoint, or null if the endpoint is unknown. */
     EndpointConnections find(String endpointId) {
         return byId.get(endpointId);
     }
@@ -32,7 +32,10 @@
         byId.values().forEach(EndpointConnections::closeIdle);
     }
 
-    /** Applies a snapshot or a delta; connections to processes and addresses that are gone are closed. */
+    /**
+     * Applies a snapshot or a delta of the endpoint list, and invalidates connections to endpoints that have been
+     * removed or restarted, or have another address.
+     */
     void update(EndpointList list) {
         if (list.full()) {
             removeUnlisted(list);
@@ -71,7 +74,7 @@
         }
     }
 
-    /** Gives the address to this endpoint, unless another one holds it whose process started later. */
+    /** Assigns the address to this endpoint, unless it is assigned to an endpoint whose process started later. */
     private void assignAddress(EndpointConnections endpoint, InetSocketAddress address) {
         releaseAddress(endpoint);
         EndpointConnections holder = byAddress.get(address);
--- a/edge/src/main/java/lemonrail/http1/EndpointResponseDecoder.java
+++ b/edge/src/main/java/lemonrail/http1/EndpointResponseDecoder.java
@@ -3,13 +3,16 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
-/** The response decoder, with malformed header lines rejected as in requests and unread bytes visible. */
+/**
+ * A response decoder that rejects malformed header lines as strictly as in requests, and reports whether it has
+ * undecoded bytes.
+ */
 final class EndpointResponseDecoder extends HttpResponseDecoder {
 
     private boolean inHead;
 
-    /** Returns whether it holds bytes that no message has been made of. */
-    boolean holdsBytes() {
+    /** Returns whether the decoder has bytes that it has not decoded. */
+    boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
 
@@ -19,13 +22,16 @@
         return super.createMessage(initialLine);
     }
 
-    /** Makes the codec as strict as for requests: in responses it accepts header lines without a colon. */
+    /**
+     * Makes the decoder treat a head as that of a request, because in responses it accepts header lines without a
+     * colon.
+     */
     @Override
     protected boolean isDecodingRequest() {
         return inHead;
     }
 
-    /** Called once the head is read. */
+    /** Notes the end of the head: the decoder calls this method when it has read all headers. */
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
         inHead = false;
--- a/edge/src/main/java/lemonrail/http1/Http1Protocol.java
+++ b/edge/src/main/java/lemonrail/http1/Http1Protocol.java
@@ -8,7 +8,7 @@
 import lemonrail.exchange.RequestDispatcher;
 import lemonrail.exchange.Upstream;
 
-/** HTTP/1.1 over plain TCP, from clients to endpoints (RFC 9112). */
+/** HTTP/1.1 over plain TCP (RFC 9112), between clients and the sidecar and between the sidecar and endpoints. */
 public final class Http1Protocol implements Protocol<RequestMessage, UpstreamResponse> {
 
     @Override
--- a/edge/src/main/java/lemonrail/http1/HttpServer.java
+++ b/edge/src/main/java/lemonrail/http1/HttpServer.java
@@ -22,18 +22,18 @@
 import lemonrail.upgrade.SharedListener;
 
 /**
- * The listener for clients and their connections: accepts them up to a bound, and closes them in a drain or a
- * shutdown. Owned by one event loop, on which all methods are called.
+ * The HTTP server for clients: accepts connections up to a maximum, and closes them during a drain or a shutdown. Owned
+ * by one event loop, on which all methods are called.
  */
 final class HttpServer implements Downstream {
 
-    /** Connections above the bound that are still accepted, so that their requests get a response. */
+    /** The number of connections accepted above the maximum, so that their requests can be rejected with a response. */
     static final int OVERFLOW_CONNECTIONS = 16;
-    /** A connection without requests for this time closes in a drain. */
-    static final int QUIET_MS = 300;
+    /** During a drain, a connection that has had no pending response for this time is closed. */
+    static final int DRAIN_IDLE_TIMEOUT_MS = 300;
 
     private static final int BACKLOG = 1024;
-    /** How long clients take to notice that a drain has begun. */
+    /** The time that clients are given to notice that a drain has started. */
     private static final int DRAIN_NOTICE_MS = 500;
 
     private static final int DRAIN_SWEEP_INTERVAL_MS = 100;
@@ -47,9 +47,9 @@
     private final ClientRequestRouter router;
     private final ClientConnectionTable connections;
     private SharedListener listener;
-    /** Whether each response is the last on its connection. */
+    /** Whether connections close after their next response. */
     private boolean closingConnections;
-    /** Closes quiet connections while a drain lasts, else null. */
+    /** The task that closes unused connections during a drain, or null. */
     private Future<?> drainSweep;
 
     private double latestDeadlineMs = Double.POSITIVE_INFINITY;
@@ -57,9 +57,9 @@
     /**
      * Creates a server that does not listen yet.
      *
-     * @param context what the parts on this event loop share
-     * @param dispatcher takes in the clients' requests
-     * @param maxConnections how many connections may be open at once
+     * @param context the objects that all components on this event loop share
+     * @param dispatcher receives the clients' requests
+     * @param maxConnections the maximum number of open connections
      */
     HttpServer(
             EventLoopContext context,
@@ -84,10 +84,10 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(SharedListener.REUSE_PORT, true)
-                .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
+                .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFER_ALLOCATOR)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Sockets.WRITE_MARKS)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readSizes())
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Sockets.WRITE_BUFFER_WATER_MARKS)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Sockets.newReadBufferAllocator())
                 .childHandler(new ChannelInitializer<AcceptedSocket>() {
                     @Override
                     protected void initChannel(AcceptedSocket accepted) {
@@ -117,9 +117,9 @@
     }
 
     /**
-     * Leaves the address to another process: closes the listener, and then makes each response the last on its
-     * connection. In this order, since a client that gets its last response reconnects at once, and a connect
-     * between the listener's last accept and its close would be reset.
+     * Releases the address to another process: closes the listener, and then makes connections close after their next
+     * response. The order matters, because a client whose connection closes reconnects at once, and a connection that
+     * is opened between the listener's last accept and its close is reset.
      */
     @Override
     public void releaseAddress() {
@@ -132,25 +132,26 @@
     @Override
     public void closeAfterResponses() {
         closingConnections = true;
-        closeConnections(connection -> connection.isQuiet() && !connection.hasUnread());
+        closeConnections(connection -> connection.hasNoPendingResponse() && !connection.hasUnreadBytes());
     }
 
     /**
-     * Closes connections for as long as the drain lasts. Those without requests stay until clients have noticed
-     * the drain, as they may still send some; later ones get as long.
+     * Starts to close connections, until the drain ends. Connections that are not in use stay open until clients have
+     * had time to notice the drain, because they may still send requests. Connections that are opened later stay open
+     * for {@link #DRAIN_IDLE_TIMEOUT_MS} without a request.
      */
     @Override
     public void startDraining() {
         closingConnections = true;
-        double noticedMs = clock.now() + DRAIN_NOTICE_MS;
+        double noticePeriodEndMs = clock.now() + DRAIN_NOTICE_MS;
         drainSweep = loop.scheduleWithFixedDelay(
-                () -> closeQuiet(noticedMs), DRAIN_NOTICE_MS, DRAIN_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+                () -> closeUnused(noticePeriodEndMs), DRAIN_NOTICE_MS, DRAIN_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void closeQuiet(double noticedMs) {
-        if (clock.now() >= noticedMs) {
-            double quietSinceMs = clock.now() - QUIET_MS;
-            closeConnections(connection -> connection.isQuietSince(quietSinceMs));
+    private void closeUnused(double noticePeriodEndMs) {
+        if (clock.now() >= noticePeriodEndMs) {
+            double unusedSinceMs = clock.now() - DRAIN_IDLE_TIMEOUT_MS;
+            closeConnections(connection -> connection.isUnusedSince(unusedSinceMs));
         }
     }
 
@@ -178,13 +179,13 @@
         return connections.isEmpty();
     }
 
-    /** Pauses the listener while the bound is exceeded by {@link #OVERFLOW_CONNECTIONS} connections. */
+    /** Stops accepting connections while the maximum is exceeded by {@link #OVERFLOW_CONNECTIONS}. */
     private void updateAccepting() {
         boolean accepting = connections.excess() < OVERFLOW_CONNECTIONS;
         if (!accepting) {
             log.warnRateLimited(
                     "accept_paused",
-                    "no more connections are accepted",
+                    "too many client connections are open; accepting no more for now",
                     connections.size() + " are open",
                     "connections",
                     connections.size());
@@ -192,7 +193,7 @@
         listener.config().setAutoRead(accepting);
     }
 
-    // ---- for the connections ----
+    // ---- called by the connections ----
 
     Clock clock() {
         return clock;
@@ -218,43 +219,43 @@
         return connections;
     }
 
-    /** Returns when requests must be over, whatever their clients allow; infinite until a shutdown begins. */
+    /** Returns the latest deadline of any request, in milliseconds; infinite until a shutdown starts. */
     double latestDeadlineMs() {
         return latestDeadlineMs;
     }
 
-    /** Returns whether a connection closes after the response that is about to be written on it. */
+    /** Returns whether a connection must close after the response that is about to be written. */
     boolean closesAfterResponse(ClientConnection connection) {
-        return closingConnections || connections.isNeededByOthers(connection);
+        return closingConnections || connections.mustCloseForOthers(connection);
     }
 
-    /** Registers a connection, and returns whether it is within the bound. */
+    /** Registers a new connection; returns whether the maximum number of connections is not exceeded. */
     boolean onOpened(ClientConnection connection) {
-        boolean withinBound = connections.add(connection);
+        boolean withinMaximum = connections.add(connection);
         updateAccepting();
-        return withinBound;
+        return withinMaximum;
     }
 
-    /** Removes a connection that has closed. */
+    /** Removes a connection that has been closed. */
     void onClosed(ClientConnection connection) {
         connections.remove(connection);
         updateAccepting();
     }
 
-    /** Logs that a client has sent what cannot be served, or not in time. */
+    /** Logs an error response to a client whose request is invalid or did not arrive in time. */
     void logRequestError(ClientMessage.RequestError error) {
         log.warnRateLimited(
                 "client_refused",
-                "a client is refused",
+                "a client request is rejected",
                 error.status().code() + " " + error.reason(),
                 "status",
                 error.status().code());
     }
 
-    /** Logs an error on a client's connection, unless it comes from the network. */
+    /** Logs an exception on a client connection, unless it is a network error. */
     void logConnectionError(Throwable cause) {
         if (!(cause instanceof IOException)) {
-            log.error("connection of a client", cause);
+            log.error("unexpected exception on a client connection", cause);
         }
     }
 }
--- a/edge/src/main/java/lemonrail/http1/IdleConnections.java
+++ b/edge/src/main/java/lemonrail/http1/IdleConnections.java
@@ -7,7 +7,10 @@
 /** The idle connections to all endpoints, in the order in which they became idle. Confined to the event loop. */
 final class IdleConnections {
 
-    /** The part of an endpoint's idle timeout after which a connection is closed from this side. */
+    /**
+     * The fraction of an endpoint's idle timeout after which the sidecar closes an idle connection, so that the
+     * endpoint does not close it first.
+     */
     private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
     private final Clock clock;
@@ -17,14 +20,14 @@
     /**
      * Creates an empty set.
      *
-     * @param endpointIdleTimeoutMs after how long an endpoint may close an idle connection
+     * @param endpointIdleTimeoutMs the time in milliseconds after which an endpoint may close an idle connection
      */
     IdleConnections(Clock clock, double endpointIdleTimeoutMs) {
         this.clock = clock;
         maxIdleMs = endpointIdleTimeoutMs * IDLE_TIMEOUT_FRACTION;
     }
 
-    /** Returns for how long a connection may be idle, in milliseconds. */
+    /** Returns the maximum time that a connection may be idle, in milliseconds. */
     double maxIdleMs() {
         return maxIdleMs;
     }
@@ -37,7 +40,7 @@
         longestIdleFirst.remove(connection);
     }
 
-    /** Closes the connection that has been idle the longest, and returns whether there was one. */
+    /** Closes the connection that has been idle the longest; returns false if there is no idle connection. */
     boolean closeLongestIdle() {
         if (longestIdleFirst.isEmpty()) {
             return false;
--- a/edge/src/main/java/lemonrail/http1/LingeringClose.java
+++ b/edge/src/main/java/lemonrail/http1/LingeringClose.java
@@ -6,29 +6,33 @@
 import lemonrail.upgrade.AcceptedSocket;
 
 /**
- * Closes a client's connection after its last response so that the response arrives: what the client still
- * sends is read and discarded for a while, since unread bytes would make the close a reset, and a reset destroys
- * what the client has not read yet. Bounds the time and the bytes.
+ * Closes a client connection after its last response in such a way that the response arrives. Closing a socket with
+ * unread bytes resets the connection, and a reset discards data that the client has not read yet. Therefore, input that
+ * the client still sends is read and discarded for a limited time and up to a limited size before the connection
+ * closes.
  */
 final class LingeringClose {
 
-    /** The connection closes when nothing arrives for this time. */
+    /** The connection closes when no input arrives for this time. */
     private static final int LINGER_MS = 300;
-    /** The longest time to read on where the rest of a body is expected. */
+    /** The maximum time for which input is read after the last response if the rest of a body is expected. */
     private static final int MAX_LINGER_WITH_BODY_MS = 10_000;
 
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
-    /** Between two reads once more has been discarded: often enough to notice that the client has gone. */
+    /**
+     * The interval between reads once more than the limit has been discarded. It is short enough to detect that the
+     * client has disconnected.
+     */
     private static final int THROTTLED_READ_INTERVAL_MS = 1;
 
-    private static final long NOTHING_DISCARDED_YET = -1;
+    private static final long BEFORE_FIRST_CHECK = -1;
 
     private enum State {
-        /** The last response is not written: what arrives is discarded as it comes. */
+        /** The last response has not been written; input is read and discarded as it arrives. */
         BEFORE_LAST_RESPONSE,
-        /** The same, but so much has arrived that it is read at intervals. */
+        /** The last response has not been written, and so much input has arrived that it is read at intervals. */
         THROTTLED,
-        /** The last response is written, or cannot be: the rest is discarded for a while. */
+        /** The last response has been written or cannot be written; input is discarded until the connection closes. */
         LINGERING
     }
 
@@ -51,18 +55,21 @@
         return state == State.THROTTLED;
     }
 
-    /** Returns whether the last response is written, or has failed to be. */
+    /** Returns whether the last response has been written, or its write has failed. */
     boolean isLastResponseWritten() {
         return state == State.LINGERING;
     }
 
-    /** Allows for the rest of a body that its request no longer needs. */
+    /** Raises the limits so that the rest of a body that is no longer needed can arrive. */
     void allowRestOfBody() {
         maxDiscardedBytes = ResponseReader.MAX_BODY_BYTES;
         maxLingerMs = MAX_LINGER_WITH_BODY_MS;
     }
 
-    /** Counts bytes that were discarded. Beyond the bound, reading slows down or the connection closes. */
+    /**
+     * Counts discarded bytes. Above the limit, reading slows down, or the connection closes if the last response has
+     * been written.
+     */
     void onDiscarded(int bytes) {
         discardedBytes += bytes;
         if (discardedBytes <= maxDiscardedBytes) {
@@ -75,7 +82,10 @@
         }
     }
 
-    /** Reads at intervals: that the client has gone can only be read behind all that it has sent. */
+    /**
+     * Reads at intervals instead of stopping, because the end of the stream is detected only after all the input before
+     * it has been read.
+     */
     private void throttle() {
         state = State.THROTTLED;
         channel.config().setAutoRead(false);
@@ -88,7 +98,11 @@
         }
     }
 
-    /** Closes the connection after this response, whose last part is being written. */
+    /**
+     * Closes the connection after the last response.
+     *
+     * @param lastResponse completes when the last part of the response has been written
+     */
     void closeAfter(ChannelFuture lastResponse) {
         channel.config().setAutoRead(!isThrottled());
         timer.closeWhenStalled();
@@ -107,15 +121,15 @@
         maxDiscardedBytes = Math.max(maxDiscardedBytes, discardedBytes + MAX_DISCARDED_BYTES);
         channel.shutdownOutput();
         channel.config().setAutoRead(true);
-        linger(NOTHING_DISCARDED_YET, clock.now() + maxLingerMs);
+        linger(BEFORE_FIRST_CHECK, clock.now() + maxLingerMs);
     }
 
-    private void linger(long discardedBefore, double endMs) {
-        if (discardedBytes == discardedBefore || clock.now() >= endMs) {
+    private void linger(long previousDiscardedBytes, double endMs) {
+        if (discardedBytes == previousDiscardedBytes || clock.now() >= endMs) {
             channel.close();
         } else {
-            long discardedNow = discardedBytes;
-            timer.start(LINGER_MS, () -> linger(discardedNow, endMs));
+            long currentDiscardedBytes = discardedBytes;
+            timer.start(LINGER_MS, () -> linger(currentDiscardedBytes, endMs));
         }
     }
 }
--- a/edge/src/main/java/lemonrail/http1/MappedHead.java
+++ b/edge/src/main/java/lemonrail/http1/MappedHead.java
@@ -1,4 +1,4 @@
 package lemonrail.http1;
 
-/** What {@link RequestHeadMapper} makes of a request's head: a {@link RequestHead} or a request error. */
+/** The result of {@link RequestHeadMapper#map}: a {@link RequestHead}, or the error to respond with. */
 sealed interface MappedHead permits RequestHead, ClientMessage.RequestError {}
--- a/edge/src/main/java/lemonrail/http1/PendingResponse.java
+++ b/edge/src/main/java/lemonrail/http1/PendingResponse.java
@@ -18,17 +18,17 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * The response to one request on a client's connection, from the request's arrival until the response is
- * written; counts it in the metrics. Confined to the connection's event loop.
+ * The response to one request on a client connection, from the arrival of the request until the response has been
+ * written. Counts the request and the response in the metrics. Confined to the connection's event loop.
  */
 final class PendingResponse implements ResponseSink<UpstreamResponse> {
 
-    /** Retry-After is given in seconds with this many digits after the point. */
-    private static final int RETRY_AFTER_DIGITS = 3;
+    /** The number of decimal places of Retry-After, which is sent in seconds with millisecond precision. */
+    private static final int RETRY_AFTER_DECIMALS = 3;
 
     private final ClientConnection connection;
     private final Metrics metrics;
-    /** The id under which the request is dispatched, or null. */
+    /** The id under which the request has been dispatched, or null. */
     private String requestId;
 
     private int requestClass = RequestHeadMapper.UNKNOWN_CLASS;
@@ -45,7 +45,7 @@
         this.metrics = metrics;
     }
 
-    /** Sets the class that the response is counted for. */
+    /** Sets the class for which the request and the response are counted. */
     void setRequestClass(int index) {
         requestClass = index;
     }
@@ -55,12 +55,12 @@
         requestId = id;
     }
 
-    /** Sets whether the connection persists after this response. */
+    /** Sets whether the connection stays open after this response. */
     void setKeepAlive(boolean persists) {
         keepAlive = persists;
     }
 
-    /** Notes that the request has been read whole, from when on it counts as in flight. */
+    /** Notes that the complete request has been read; it counts as in flight from now on. */
     void onRequestRead() {
         if (isCounted() && !finished && !countedInFlight) {
             countedInFlight = true;
@@ -68,17 +68,17 @@
         }
     }
 
-    /** Notes that the response is written, or that it never will be as the client has gone. */
+    /** Notes that the response has been written, or that it cannot be written because the client has disconnected. */
     void onWritten(boolean success) {
-        finish(success ? ending(response.status()) : null);
+        finish(success ? outcomeOf(response.status()) : null);
     }
 
-    /** Notes that the response breaks off before its end. */
+    /** Notes that the response is truncated. */
     void onTruncated() {
         finish(Metrics.Outcome.ERROR);
     }
 
-    private void finish(Metrics.Outcome ending) {
+    private void finish(Metrics.Outcome outcome) {
         if (finished) {
             return;
         }
@@ -86,8 +86,8 @@
         if (countedInFlight) {
             metrics.onRequestEnded();
         }
-        if (ending != null && isCounted()) {
-            metrics.onResponse(requestClass, ending);
+        if (outcome != null && isCounted()) {
+            metrics.onResponse(requestClass, outcome);
         }
     }
 
@@ -95,7 +95,7 @@
         return requestClass != RequestHeadMapper.UNKNOWN_CLASS;
     }
 
-    private static Metrics.Outcome ending(HttpResponseStatus status) {
+    private static Metrics.Outcome outcomeOf(HttpResponseStatus status) {
         if (status.equals(HttpResponseStatus.OK)) {
             return Metrics.Outcome.SUCCESS;
         }
@@ -104,8 +104,8 @@
         return overload ? Metrics.Outcome.OVERLOAD : Metrics.Outcome.ERROR;
     }
 
-    /** Returns the id of a request that is still in progress at the dispatcher, else null. */
-    String openRequestId() {
+    /** Returns the id of the request if the dispatcher is still handling it, or null. */
+    String inFlightRequestId() {
         boolean open = response == null || (body != null && !body.isFullyRead());
         return open ? requestId : null;
     }
@@ -120,25 +120,25 @@
         return response != null;
     }
 
-    /** Returns the response, or null where there is none yet. */
+    /** Returns the response, or null if there is none yet. */
     HttpResponse response() {
         return response;
     }
 
-    /** Returns the body that follows the response's head, or null where the response is whole. */
+    /** Returns the body that follows the head of a streamed response, or null if the response is complete. */
     BodyPipe body() {
         return body;
     }
 
     @Override
-    public void served(UpstreamResponse upstream) {
+    public void onServed(UpstreamResponse upstream) {
         FullHttpResponse success = fullResponse(HttpResponseStatus.OK, Unpooled.wrappedBuffer(upstream.body()));
         copyContentType(upstream, success);
         respond(success);
     }
 
     @Override
-    public void streamStarted(UpstreamResponse upstreamHead, BodyPipe rest) {
+    public void onStreamStarted(UpstreamResponse upstreamHead, BodyPipe rest) {
         HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         if (upstreamHead.length() >= 0) {
             head.headers().set(HttpHeaderNames.CONTENT_LENGTH, upstreamHead.length());
@@ -157,46 +157,46 @@
     }
 
     @Override
-    public void rejectedByEndpoint(UpstreamResponse upstream) {
+    public void onRejectedByEndpoint(UpstreamResponse upstream) {
         respondAndStopReading(new RequestError(HttpResponseStatus.valueOf(upstream.status()), "turned away"));
     }
 
     @Override
-    public void rejected(double retryAfterMs) {
-        FullHttpResponse rejection = fullResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, line("refused"));
+    public void onRejected(double retryAfterMs) {
+        FullHttpResponse rejection = fullResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, textLine("refused"));
         if (retryAfterMs > 0) {
-            rejection.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(retryAfterMs));
+            rejection.headers().set(HttpHeaderNames.RETRY_AFTER, formatSeconds(retryAfterMs));
         }
         respond(rejection);
     }
 
-    private static String seconds(double ms) {
-        return BigDecimal.valueOf(Math.round(ms), RETRY_AFTER_DIGITS).toPlainString();
+    private static String formatSeconds(double ms) {
+        return BigDecimal.valueOf(Math.round(ms), RETRY_AFTER_DECIMALS).toPlainString();
     }
 
     @Override
-    public void failed() {
+    public void onFailed() {
         respond(HttpResponseStatus.BAD_GATEWAY, "failed");
     }
 
     /** Responds with a line of text. */
     void respond(HttpResponseStatus status, String text) {
-        respond(fullResponse(status, line(text)));
+        respond(fullResponse(status, textLine(text)));
     }
 
-    /** Responds with an error. The response is the last one, and nothing more is read from the client. */
+    /** Responds with an error. The connection closes after this response, and no further request is read. */
     void respondAndStopReading(RequestError error) {
         keepAlive = false;
         connection.discardInput();
         respond(error.status(), error.reason());
     }
 
-    private void respond(HttpResponse ready) {
-        response = ready;
+    private void respond(HttpResponse readyResponse) {
+        response = readyResponse;
         connection.onResponseReady();
     }
 
-    private static ByteBuf line(String text) {
+    private static ByteBuf textLine(String text) {
         return Unpooled.wrappedBuffer((text + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
--- a/edge/src/main/java/lemonrail/http1/PipeWriter.java
+++ b/edge/src/main/java/lemonrail/http1/PipeWriter.java
@@ -8,28 +8,34 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * Writes a body from a pipe to a channel as fast as the peer takes it, after the message's head has been
+ * Writes a body from a pipe to a channel as fast as the remote side accepts it, after the head of the message has been
  * written. Confined to the channel's event loop.
  */
 public final class PipeWriter implements BodyPipe.Consumer {
 
-    /** Notified of how the body ends: exactly one method is called, once, unless the writer is stopped before. */
+    /**
+     * Receives the end of the body. Exactly one of the methods is called, exactly once, unless the writer is stopped
+     * first.
+     */
     public interface Listener {
-        /** The last byte has been handed to the channel; the future completes when it is written. */
+        /**
+         * Called when the last part of the body has been passed to the channel; the future completes when it has been
+         * written.
+         */
         void onBodyWritten(ChannelFuture lastPart);
 
-        /** The body ends before it is whole. */
-        void onBodyBroken();
+        /** Called when the body has failed before its end. */
+        void onBodyFailed();
     }
 
     private enum State {
-        /** Waiting for bytes, or for the channel to take more. */
+        /** Waiting for bytes, or for the channel to become writable. */
         WAITING,
-        /** Writing pieces. */
+        /** Writing the available parts. */
         WRITING,
-        /** Writing pieces, and called to write meanwhile. */
-        CALLED_WHILE_WRITING,
-        /** The body has ended or the writer was stopped. */
+        /** Writing the available parts; {@link #onProgress} has been called again in the meantime. */
+        CALLED_AGAIN,
+        /** The body has ended, or the writer has been stopped. */
         FINISHED
     }
 
@@ -38,7 +44,7 @@
     private final Listener listener;
     private State state = State.WAITING;
 
-    /** Creates a writer to this channel; {@link BodyPipe#setConsumer} starts it. */
+    /** Creates a writer to a channel. It starts when it is passed to {@link BodyPipe#setConsumer}. */
     public PipeWriter(Channel channel, BodyPipe pipe, Listener listener) {
         this.channel = channel;
         this.pipe = pipe;
@@ -46,14 +52,15 @@
     }
 
     /**
-     * Writes what the pipe holds. Also to be called when the channel has become writable again. A chunk goes
-     * out in several writes, and the channel may report in between that its writability has changed: bytes
-     * written then would stand within the chunk, so such a call only makes the one under way look again.
+     * Writes the bytes that are in the pipe. Must also be called when the channel has become writable again. The
+     * encoder writes a chunk in several steps, and the channel may report a change of its writability between them.
+     * Bytes written by such a nested call would end up inside the chunk, so the nested call only makes the outer call
+     * check for bytes again.
      */
     @Override
     public void onProgress() {
-        if (state == State.WRITING || state == State.CALLED_WHILE_WRITING) {
-            state = State.CALLED_WHILE_WRITING;
+        if (state == State.WRITING || state == State.CALLED_AGAIN) {
+            state = State.CALLED_AGAIN;
             return;
         }
         if (state == State.FINISHED) {
@@ -61,23 +68,23 @@
         }
         do {
             state = State.WRITING;
-            writePieces();
-        } while (state == State.CALLED_WHILE_WRITING);
+            writeAvailableParts();
+        } while (state == State.CALLED_AGAIN);
         if (state != State.FINISHED) {
             state = State.WAITING;
             finishIfEnded();
         }
     }
 
-    private void writePieces() {
+    private void writeAvailableParts() {
         boolean wrote = false;
         while (state != State.FINISHED && channel.isWritable()) {
-            ByteBuf piece = pipe.poll();
-            if (piece == null) {
+            ByteBuf part = pipe.poll();
+            if (part == null) {
                 break;
             }
-            int bytes = piece.readableBytes();
-            channel.write(new DefaultHttpContent(piece)).addListener(done -> pipe.onWritten(bytes));
+            int bytes = part.readableBytes();
+            channel.write(new DefaultHttpContent(part)).addListener(done -> pipe.onWritten(bytes));
             wrote = true;
         }
         if (wrote) {
@@ -91,11 +98,11 @@
             listener.onBodyWritten(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
         } else if (pipe.hasFailed()) {
             state = State.FINISHED;
-            listener.onBodyBroken();
+            listener.onBodyFailed();
         }
     }
 
-    /** Stops writing; the listener is not notified. */
+    /** Stops writing without notifying the listener. */
     public void stop() {
         state = State.FINISHED;
     }
--- a/edge/src/main/java/lemonrail/http1/RequestHeadMapper.java
+++ b/edge/src/main/java/lemonrail/http1/RequestHeadMapper.java
@@ -14,11 +14,13 @@
 import lemonrail.core.balancer.RequestClass;
 import lemonrail.http1.ClientMessage.RequestError;
 
-/** Maps the heads of clients' requests to what the load balancer decides by, and to the headers forwarded. */
+/**
+ * Maps the heads of client requests to the fields that the load balancer needs, and to the headers that are forwarded.
+ */
 final class RequestHeadMapper {
 
     static final String DEADLINE_HEADER = "X-Deadline-Ms";
-    /** Stands for a class that the settings do not have. */
+    /** The class index of requests whose class is missing or not in the settings. */
     static final int UNKNOWN_CLASS = -1;
 
     private static final String ID_HEADER = "X-Request-Id";
@@ -27,7 +29,7 @@
     private static final String RETRY_HEADER = "X-Retry";
     private static final int MAX_DEADLINE_DIGITS = 9;
     private static final long MALFORMED_DEADLINE = -1;
-    /** Headers that must not be repeated, as a repeated one would have two meanings. */
+    /** Headers that must not be repeated, because the request would be ambiguous. */
     private static final List<String> UNIQUE_HEADERS =
             List.of(ID_HEADER, DEADLINE_HEADER, CLASS_HEADER, TENANT_HEADER, "Idempotency-Key");
     /** Headers that concern one connection only (RFC 9110, section 7.6.1). */
@@ -48,8 +50,8 @@
     /**
      * Creates a mapper.
      *
-     * @param settings names the classes and tenants, which do not change
-     * @param currentSettings gives the classes' deadlines, which may change
+     * @param settings the settings with the names of classes and tenants, which do not change
+     * @param currentSettings returns the current settings, in which the deadlines of classes may have changed
      */
     RequestHeadMapper(BalancerSettings settings, Supplier<BalancerSettings> currentSettings) {
         this.currentSettings = currentSettings;
@@ -62,18 +64,21 @@
         }
     }
 
-    /** Headers are decoded one character a byte, so a name outside ASCII appears as its UTF-8 bytes. */
+    /**
+     * Adds a name and its form in decoded headers: these have one character per byte, so a non-ASCII name appears as
+     * its UTF-8 bytes.
+     */
     private static void addName(Map<String, Integer> indexes, String name, int index) {
         indexes.put(name, index);
         indexes.put(new String(name.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1), index);
     }
 
-    /** Returns the index of the class that a head names, or {@link #UNKNOWN_CLASS}. */
+    /** Returns the index of the class in a request's head, or {@link #UNKNOWN_CLASS}. */
     int requestClass(HttpRequest head) {
         return classIndexes.getOrDefault(head.headers().get(CLASS_HEADER, ""), UNKNOWN_CLASS);
     }
 
-    /** Returns the head's fields, or the error to respond with. */
+    /** Returns the fields of a head, or the error to respond with if the head is invalid. */
     MappedHead map(HttpRequest head) {
         if (!head.method().equals(HttpMethod.GET) && !head.method().equals(HttpMethod.POST)) {
             return new RequestError(HttpResponseStatus.METHOD_NOT_ALLOWED, "only GET and POST are served");
@@ -97,15 +102,15 @@
         if (deadlineMs == MALFORMED_DEADLINE) {
             return badRequest(DEADLINE_HEADER + " is no whole number");
         }
-        double waitMs = Math.min((double) deadlineMs, maxWaitMs(requestClass));
-        return new RequestHead(headers.get(ID_HEADER), requestClass, tenant, waitMs, isRetried(headers));
+        double clientTimeoutMs = Math.min((double) deadlineMs, maxClientTimeoutMs(requestClass));
+        return new RequestHead(headers.get(ID_HEADER), requestClass, tenant, clientTimeoutMs, isRetried(headers));
     }
 
     private static RequestError badRequest(String reason) {
         return new RequestError(HttpResponseStatus.BAD_REQUEST, reason);
     }
 
-    private double maxWaitMs(int requestClass) {
+    private double maxClientTimeoutMs(int requestClass) {
         return currentSettings.get().classes().get(requestClass).deadlineMs();
     }
 
--- a/edge/src/main/java/lemonrail/http1/RequestMessage.java
+++ b/edge/src/main/java/lemonrail/http1/RequestMessage.java
@@ -13,10 +13,10 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * A request as it is forwarded to an endpoint.
+ * A request in the form in which it is forwarded to an endpoint.
  *
  * @param headers the end-to-end headers
- * @param body the body, or the first part of it
+ * @param body the complete body, or the first part of a large one
  * @param remainingBody the rest of a large body, or null
  */
 public record RequestMessage(HttpMethod method, String uri, HttpHeaders headers, byte[] body, BodyPipe remainingBody)
@@ -27,23 +27,31 @@
         return body.length;
     }
 
-    /** Returns the whole request, which the endpoint has so many milliseconds to respond to. */
-    FullHttpRequest whole(double waitMs) {
+    /**
+     * Returns the complete request.
+     *
+     * @param timeoutMs the time that the endpoint has to respond, in milliseconds; it is sent in {@code X-Deadline-Ms}
+     */
+    FullHttpRequest toFullRequest(double timeoutMs) {
         return new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 method,
                 uri,
                 Unpooled.wrappedBuffer(body),
-                headersWithDeadline(waitMs),
+                headersWithDeadline(timeoutMs),
                 EmptyHttpHeaders.INSTANCE);
     }
 
-    /** Returns the head of a request whose body follows. */
-    HttpRequest head(double waitMs) {
-        return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, headersWithDeadline(waitMs));
+    /**
+     * Returns the head of a request whose body is sent separately.
+     *
+     * @param timeoutMs the time that the endpoint has to respond, in milliseconds; it is sent in {@code X-Deadline-Ms}
+     */
+    HttpRequest toHead(double timeoutMs) {
+        return new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, uri, headersWithDeadline(timeoutMs));
     }
 
-    private HttpHeaders headersWithDeadline(double waitMs) {
-        return headers.copy().set(RequestHeadMapper.DEADLINE_HEADER, (long) Math.ceil(waitMs));
+    private HttpHeaders headersWithDeadline(double timeoutMs) {
+        return headers.copy().set(RequestHeadMapper.DEADLINE_HEADER, (long) Math.ceil(timeoutMs));
     }
 }
--- a/edge/src/main/java/lemonrail/http1/RequestReadTimeout.java
+++ b/edge/src/main/java/lemonrail/http1/RequestReadTimeout.java
@@ -1,28 +1,31 @@
 package lemonrail.http1;
 
 /**
- * By when a request must have been read whole. A head has a fixed time; a body may take longer as long as it
- * keeps up a minimum rate. Time in which the body is not read does not count. All times are in milliseconds of
- * the event loop's clock.
+ * The timeout for receiving a complete request. A head must arrive within a fixed time. A body may take longer while it
+ * arrives at a minimum rate; time during which the sidecar does not read the body does not count. All times are in
+ * milliseconds of the event loop's clock.
  */
 final class RequestReadTimeout {
 
-    /** From the first byte to the end of a head, and from the connect to the first byte. */
+    /**
+     * The maximum time from the first byte to the end of a head, and from the opening of the connection to the first
+     * byte.
+     */
     static final int MAX_HEAD_MS = 2500;
-    /** The time that a body has in any case. */
+    /** The minimum time that every body is allowed. */
     static final int MIN_BODY_MS = 500;
 
     private static final int MIN_BODY_BYTES_PER_MS = 32;
     private static final double NOT_PAUSED = -1;
 
-    /** Without the time that the body's bytes add. */
+    /** The deadline without the time that the received bytes of the body add to it. */
     private double baseDeadlineMs;
 
     private boolean inBody;
     private long bodyBytes;
     private double pausedAtMs = NOT_PAUSED;
 
-    /** Starts the time of a request's head. */
+    /** Starts the timeout for the head of a request. */
     void start(double nowMs) {
         inBody = false;
         bodyBytes = 0;
@@ -30,15 +33,15 @@
         baseDeadlineMs = nowMs + MAX_HEAD_MS;
     }
 
-    /** Starts the time of a body, as its head is whole. */
+    /** Starts the timeout for a body, because its head has been read. */
     void onHeadRead(double nowMs) {
         inBody = true;
         bodyBytes = 0;
-        allowBodyTime(nowMs);
+        ensureMinBodyTime(nowMs);
     }
 
-    /** Gives a body its least time from now on. */
-    void allowBodyTime(double nowMs) {
+    /** Extends the deadline so that a body has at least its minimum time from now. */
+    void ensureMinBodyTime(double nowMs) {
         baseDeadlineMs = Math.max(baseDeadlineMs, nowMs + MIN_BODY_MS);
     }
 
@@ -56,14 +59,14 @@
         return inBody;
     }
 
-    /** Stops the time: the sidecar does not read the body. */
+    /** Pauses the timeout while the sidecar does not read the body. */
     void pause(double nowMs) {
         if (!isPaused()) {
             pausedAtMs = nowMs;
         }
     }
 
-    /** Starts the time again. */
+    /** Resumes the timeout. */
     void resume(double nowMs) {
         if (isPaused()) {
             baseDeadlineMs += nowMs - pausedAtMs;
@@ -75,7 +78,7 @@
         return pausedAtMs >= 0;
     }
 
-    /** Returns the milliseconds left, 0 or less if the time has run out. */
+    /** Returns the remaining time in milliseconds; 0 or less if the timeout has passed. */
     double remainingMs(double nowMs) {
         return baseDeadlineMs + (inBody ? bodyBytes / MIN_BODY_BYTES_PER_MS : 0) - nowMs;
     }
--- a/edge/src/main/java/lemonrail/http1/RequestReader.java
+++ b/edge/src/main/java/lemonrail/http1/RequestReader.java
@@ -25,21 +25,21 @@
 import lemonrail.streaming.BufferBudget;
 
 /**
- * Assembles requests from what the decoder has read: whole ones, or large ones whose rest follows through a pipe.
- * Input that is malformed, too large, or ambiguous about where it ends becomes a {@link RequestError}, after which
- * nothing more is read. Confined to the connection's event loop.
+ * Assembles requests from the decoder's messages. A large request is passed on with the first part of its body, and the
+ * rest follows through a pipe. For input that is malformed, too large, or ambiguous about its end, a
+ * {@link RequestError} is passed on, after which no more input is processed. Confined to the connection's event loop.
  */
 final class RequestReader extends ChannelInboundHandlerAdapter {
 
-    /** User events fired when a head has been read and its body is still to come. */
+    /** User events fired when a head has been read and its body is expected. */
     enum HeadEvent {
-        /** The body follows by itself. */
+        /** The client sends the body without waiting. */
         HEAD_READ,
         /** The client waits for 100 Continue before it sends the body. */
         CONTINUE_EXPECTED
     }
 
-    /** Sent to a client that sends more requests ahead of their responses than are read. */
+    /** The error for a client that sends too many requests without waiting for their responses. */
     static final RequestError TOO_MANY_REQUESTS =
             new RequestError(HttpResponseStatus.TOO_MANY_REQUESTS, "too many requests ahead of answers");
 
@@ -48,17 +48,17 @@
     private static final RequestError BODY_TOO_LARGE =
             new RequestError(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     private static final BodyComplete BODY_COMPLETE = new BodyComplete();
-    /** Bodies up to this size are read even when the buffer budget is exhausted. */
-    private static final int ALWAYS_HELD_BYTES = 8 * 1024;
+    /** The size up to which bodies are buffered even if the buffer budget is exhausted. */
+    private static final int ALWAYS_BUFFERED_BYTES = 8 * 1024;
 
     private final BufferBudget budget;
     private final BodyPipe.Source bodySource;
     /** The head of the request being read, or null. */
     private HttpRequest head;
-    /** What is held of its body, or null. */
+    /** The buffered part of the body being read, or null. */
     private ByteBuf body;
-    /** Takes the rest of a large body, or null. */
-    private BodyPipe rest;
+    /** The pipe that takes the rest of a large body, or null. */
+    private BodyPipe remainingBody;
 
     private long receivedBytes;
     private boolean stopped;
@@ -66,7 +66,7 @@
     /**
      * Creates a reader.
      *
-     * @param bodySource told when large bodies are to be read on, and when not
+     * @param bodySource is notified when reading a large body must stop or can resume
      */
     RequestReader(BufferBudget budget, BodyPipe.Source bodySource) {
         this.budget = budget;
@@ -108,13 +108,16 @@
             fail(ctx, new RequestError(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation"));
         } else {
             head = request;
-            body = Unpooled.buffer(0, ResponseReader.MAX_HELD_BYTES);
+            body = Unpooled.buffer(0, ResponseReader.MAX_BUFFERED_BYTES);
             receivedBytes = 0;
             ctx.fireUserEventTriggered(expectation == null ? HeadEvent.HEAD_READ : HeadEvent.CONTINUE_EXPECTED);
         }
     }
 
-    /** Where the end of a body is ambiguous, another request may be smuggled in it (RFC 9112, section 11.2). */
+    /**
+     * Returns whether the headers are ambiguous about where the body ends, so that another request could be smuggled in
+     * it (RFC 9112, section 11.2).
+     */
     private static boolean isFramingAmbiguous(HttpHeaders headers) {
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (codings.isEmpty()) {
@@ -132,36 +135,36 @@
             fail(ctx, BODY_TOO_LARGE);
             return;
         }
-        if (rest == null && bytes > body.maxWritableBytes()) {
+        if (remainingBody == null && bytes > body.maxWritableBytes()) {
             startStreaming(ctx);
         }
-        // What streaming led to may have stopped the reader.
+        // The start of streaming may have stopped this reader.
         if (stopped) {
             return;
         }
-        if (rest != null) {
-            rest.write(content.content());
+        if (remainingBody != null) {
+            remainingBody.write(content.content());
         } else {
-            hold(ctx, content.content());
+            buffer(ctx, content.content());
         }
         if (!stopped && content instanceof LastHttpContent) {
             finishRequest(ctx);
         }
     }
 
-    private void hold(ChannelHandlerContext ctx, ByteBuf bytes) {
+    private void buffer(ChannelHandlerContext ctx, ByteBuf bytes) {
         int count = bytes.readableBytes();
         body.writeBytes(bytes);
         budget.acquire(count);
-        if (body.readableBytes() > ALWAYS_HELD_BYTES && !budget.hasCapacity()) {
+        if (body.readableBytes() > ALWAYS_BUFFERED_BYTES && !budget.hasCapacity()) {
             fail(ctx, new RequestError(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many large bodies"));
         }
     }
 
-    /** Passes on a request whose body is larger than what is held; the rest follows. */
+    /** Passes on a request whose body is too large to be buffered; the rest of the body follows through the pipe. */
     private void startStreaming(ChannelHandlerContext ctx) {
-        rest = new BodyPipe(budget, bodySource);
-        ctx.fireChannelRead(new IncomingRequest(head, takeBody(), rest));
+        remainingBody = new BodyPipe(budget, bodySource);
+        ctx.fireChannelRead(new IncomingRequest(head, takeBody(), remainingBody));
     }
 
     private byte[] takeBody() {
@@ -179,12 +182,12 @@
     }
 
     private void finishRequest(ChannelHandlerContext ctx) {
-        // No request is read after one that announces the connection's close.
+        // After a request that announces the close of the connection, no other request is read.
         stopped = !HttpUtil.isKeepAlive(head);
         HttpRequest finished = head;
-        BodyPipe streamed = rest;
+        BodyPipe streamed = remainingBody;
         head = null;
-        rest = null;
+        remainingBody = null;
         if (streamed == null) {
             ctx.fireChannelRead(new IncomingRequest(finished, takeBody(), null));
         } else {
@@ -195,27 +198,27 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (rest != null) {
-            rest.flush();
+        if (remainingBody != null) {
+            remainingBody.flush();
         }
         ctx.fireChannelReadComplete();
     }
 
-    /** Ignores all further input. The rest of a body that is being streamed fails. */
+    /** Ignores all further input. A body that is being streamed fails. */
     void stop() {
         stopped = true;
         releaseBody();
         head = null;
-        if (rest != null) {
-            BodyPipe truncated = rest;
-            rest = null;
+        if (remainingBody != null) {
+            BodyPipe truncated = remainingBody;
+            remainingBody = null;
             truncated.fail();
         }
     }
 
     private void fail(ChannelHandlerContext ctx, RequestError error) {
         stopped = true;
-        // Passed on before the body fails, so that the failure is not blamed on the endpoint.
+        // The error is passed on before the body fails, so that the failure is not attributed to the endpoint.
         ctx.fireChannelRead(error);
         stop();
     }
--- a/edge/src/main/java/lemonrail/http1/ResponseHeads.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseHeads.java
@@ -6,32 +6,35 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 
-/** Checks and conversions of response heads. */
+/** Checks and converts the heads of endpoint responses. */
 final class ResponseHeads {
 
-    private static final String NOT_RUN_HEADER = "X-Not-Run";
+    private static final String NOT_EXECUTED_HEADER = "X-Not-Run";
     private static final int FIRST_FINAL_STATUS = 200;
-    private static final int FIRST_UNKNOWN_STATUS = 600;
+    private static final int FIRST_INVALID_STATUS = 600;
 
     private ResponseHeads() {}
 
-    /** Returns whether the final response is still to come. */
+    /** Returns whether this is the head of an interim response (1xx), after which the final response follows. */
     static boolean isInterim(HttpResponse head) {
         return head.status().code() < FIRST_FINAL_STATUS;
     }
 
-    /** Returns whether this head can be that of an interim response. */
+    /** Returns whether an interim response with this head is acceptable. */
     static boolean isAcceptableInterim(HttpResponse head) {
         int status = head.status().code();
         return status >= HttpResponseStatus.CONTINUE.code() && status != HttpResponseStatus.SWITCHING_PROTOCOLS.code();
     }
 
-    /** Returns whether this head can be that of a final response, and tells where the body ends. */
+    /** Returns whether a final response with this head is acceptable. The head must determine where the body ends. */
     static boolean isAcceptableFinal(HttpResponse head) {
-        return head.status().code() < FIRST_UNKNOWN_STATUS && isDelimited(head);
+        return head.status().code() < FIRST_INVALID_STATUS && isDelimited(head);
     }
 
-    /** A body that ends with the connection may be truncated, so its length or chunks are required. */
+    /**
+     * Returns whether the body has a length or is chunked. A body that ends with the connection is not acceptable,
+     * because it could be truncated without being noticed.
+     */
     private static boolean isDelimited(HttpResponse head) {
         String coding = head.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
         if (coding != null) {
@@ -40,11 +43,11 @@
         return HttpUtil.isContentLengthSet(head) && HttpUtil.getContentLength(head) <= ResponseReader.MAX_BODY_BYTES;
     }
 
-    /** Returns the response with this head and body. */
+    /** Converts a head and a body to a response. */
     static UpstreamResponse toResponse(HttpResponse head, byte[] body) {
         return new UpstreamResponse(
                 head.status().code(),
-                "1".equals(head.headers().get(NOT_RUN_HEADER)),
+                "1".equals(head.headers().get(NOT_EXECUTED_HEADER)),
                 HttpUtil.isKeepAlive(head),
                 head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                 HttpUtil.getContentLength(head, -1L),
--- a/edge/src/main/java/lemonrail/http1/ResponseQueue.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseQueue.java
@@ -10,39 +10,44 @@
 import java.util.List;
 
 /**
- * Writes the responses of one client's connection, in the order of their requests as HTTP demands. Confined to
- * the connection's event loop.
+ * Writes the responses of one client connection in the order of their requests, as HTTP requires. Confined to the
+ * connection's event loop.
  */
 final class ResponseQueue {
 
-    /** Notified of what is written. */
+    /** Receives the progress of the responses. */
     interface Listener {
         /** Returns whether the connection closes after this response, which is about to be written. */
         boolean isLast(PendingResponse response);
 
-        /** A response is about to be written. */
+        /** Called when a response is about to be written. */
         void onWriting(PendingResponse response);
 
-        /** The last response has been handed to the channel; the future completes when it is written. */
+        /**
+         * Called when the last response has been passed to the channel; the future completes when it has been written.
+         */
         void onLastResponse(ChannelFuture lastPart);
 
-        /** All responses that are ready have been handed to the channel, as far as none before them is missing. */
+        /**
+         * Called when all responses that are ready have been passed to the channel, up to the first one that is not
+         * ready.
+         */
         void onFlushed();
 
-        /** A streamed response has broken off, and the connection closes. */
+        /** Called when a streamed response has been truncated, so that the connection closes. */
         void onTruncated();
     }
 
     private final Channel channel;
     private final Listener listener;
     private final Deque<PendingResponse> pending = new ArrayDeque<>();
-    /** Writes the body of a streamed response, or null. */
+    /** The writer of the body of a streamed response, or null. */
     private PipeWriter bodyWriter;
-    /** Responses handed to the channel whole that it has not written yet. */
-    private int unwritten;
+    /** The number of responses that have been passed to the channel completely, but are not yet written. */
+    private int unwrittenCount;
 
     private boolean flushing;
-    /** Whether the last response has been handed to the channel. */
+    /** Whether the last response has been passed to the channel. */
     private boolean closing;
 
     ResponseQueue(Channel channel, Listener listener) {
@@ -63,27 +68,27 @@
     }
 
     boolean hasUnwritten() {
-        return unwritten > 0;
+        return unwrittenCount > 0;
     }
 
-    /** Returns whether every request has been responded to, and the responses are written. */
+    /** Returns whether all requests have got their responses, and these have been written. */
     boolean isDrained() {
-        return pending.isEmpty() && unwritten == 0;
+        return pending.isEmpty() && unwrittenCount == 0;
     }
 
-    /** Returns whether the last response has been handed to the channel, and none follows. */
+    /** Returns whether the last response has been passed to the channel. */
     boolean isClosing() {
         return closing;
     }
 
-    /** Removes the responses that are left, and returns them. */
+    /** Removes and returns all pending responses. */
     List<PendingResponse> removeAll() {
         List<PendingResponse> removed = List.copyOf(pending);
         pending.clear();
         return removed;
     }
 
-    /** Resumes the body being written, as the channel's writability has changed. */
+    /** Resumes writing the current body when the writability of the channel has changed. */
     void onWritabilityChanged() {
         if (bodyWriter != null) {
             bodyWriter.onProgress();
@@ -119,18 +124,18 @@
         }
         ChannelFuture headWritten = channel.writeAndFlush(next.response());
         if (next.body() == null) {
-            onHandedOver(next, last, headWritten);
+            onPassedToChannel(next, last, headWritten);
         } else {
             bodyWriter = new PipeWriter(channel, next.body(), new BodyListener(next, last));
             next.body().setConsumer(bodyWriter);
         }
     }
 
-    private void onHandedOver(PendingResponse response, boolean last, ChannelFuture lastPart) {
+    private void onPassedToChannel(PendingResponse response, boolean last, ChannelFuture lastPart) {
         pending.poll();
-        unwritten++;
+        unwrittenCount++;
         lastPart.addListener(written -> {
-            unwritten--;
+            unwrittenCount--;
             response.onWritten(written.isSuccess());
             if (written.isSuccess() && isDrained() && !closing) {
                 flush();
@@ -146,7 +151,7 @@
         listener.onLastResponse(lastPart);
     }
 
-    /** Follows the body of a streamed response. */
+    /** Handles the end of the body of a streamed response. */
     private final class BodyListener implements PipeWriter.Listener {
         private final PendingResponse response;
         private final boolean last;
@@ -159,14 +164,15 @@
         @Override
         public void onBodyWritten(ChannelFuture lastPart) {
             bodyWriter = null;
-            onHandedOver(response, last, lastPart);
+            onPassedToChannel(response, last, lastPart);
             flush();
         }
 
         @Override
-        public void onBodyBroken() {
-            // Closing before the end tells the client that the body is not whole. What has been handed to the
-            // channel goes out first: a chunk cut in the middle would look like a malformed one.
+        public void onBodyFailed() {
+            // Closing the connection before the end of the body tells the client that the body is truncated. The data
+            // already passed to the channel is written first, because a chunk cut off in the middle would look
+            // malformed.
             response.onTruncated();
             bodyWriter = null;
             close(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
--- a/edge/src/main/java/lemonrail/http1/ResponseReader.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseReader.java
@@ -17,44 +17,52 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * Reads the responses on a connection to an endpoint, one at a time. A small response is held and reported once
- * everything that arrived with it has been read, so that stray bytes are never taken for the next response. A
- * large or slow one is streamed. Confined to the connection's event loop.
+ * Reads the responses on a connection to an endpoint, one at a time. A small response is buffered, and reported after
+ * everything that arrived with it has been read, so that surplus bytes are never taken for the next response. A large
+ * or slow response is streamed. Confined to the connection's event loop.
  */
 final class ResponseReader extends ChannelInboundHandlerAdapter {
 
-    /** The largest body that is held whole, in requests and responses. */
-    static final int MAX_HELD_BYTES = 64 * 1024;
-    /** The largest body that is forwarded, in requests and responses. */
+    /** The maximum size of a request or response body that is buffered completely. */
+    static final int MAX_BUFFERED_BYTES = 64 * 1024;
+    /** The maximum size of a request or response body. */
     static final long MAX_BODY_BYTES = 32 * 1024 * 1024;
 
     private static final int MAX_INTERIM_RESPONSES = 16;
-    /** A response of unknown length that takes longer than this is streamed. */
-    private static final int MAX_HOLD_MS = 500;
+    /** The time after which a response of unknown length is streamed if it is not complete. */
+    private static final int MAX_BUFFERING_MS = 500;
 
-    /** Notified of responses. */
+    /** Receives the responses. */
     interface Listener {
-        /** A response is whole; {@code reusable} unless more than the response has arrived. */
+        /**
+         * Called when a response is complete.
+         *
+         * @param reusable whether nothing has arrived after the response, so that the connection can be reused
+         */
         void onResponse(UpstreamResponse response, boolean reusable);
 
-        /** A response has begun that is streamed; returns the pipe that takes its body. */
+        /** Called when a streamed response has started to arrive; returns the pipe that takes its body. */
         BodyPipe onStreamStarted(UpstreamResponse head);
 
-        /** A streamed response is whole; {@code reusable} unless more than the response has arrived. */
+        /**
+         * Called when a streamed response is complete.
+         *
+         * @param reusable whether nothing has arrived after the response, so that the connection can be reused
+         */
         void onStreamCompleted(boolean reusable);
 
-        /** What has arrived is no response, or was not expected: the connection cannot be used any more. */
+        /** Called when malformed or unexpected input has arrived, so that the connection cannot be used any more. */
         void onMalformedResponse();
     }
 
     private enum State {
-        /** No request awaits a response: whatever arrives is malformed. */
+        /** No response is expected; any input is treated as malformed. */
         NOT_EXPECTED,
-        /** A response is awaited or being read. */
+        /** A response is expected or being read. */
         EXPECTED,
-        /** A response is whole; it is reported once all that has arrived is read. */
+        /** A complete response has been read. It is reported after all input that has arrived has been read. */
         COMPLETE,
-        /** Something else than a response has arrived; all that follows is ignored. */
+        /** Malformed or unexpected input has arrived; all further input is ignored. */
         MALFORMED
     }
 
@@ -63,19 +71,19 @@
     private State state = State.NOT_EXPECTED;
     /** The head of the response being read, or null. */
     private HttpResponse head;
-    /** What is held of its body, or null. */
+    /** The buffered part of the body, or null. */
     private ByteBuf body;
-    /** The response that is whole, or null where it was streamed. */
+    /** The complete response, or null if it was streamed. */
     private UpstreamResponse response;
-    /** Takes the body of a streamed response, or null. */
+    /** The pipe that takes the body of a streamed response, or null. */
     private BodyPipe pipe;
 
     private long streamedBytes;
     private int interimResponses;
-    /** Ends the time for which a response of unknown length is held, or null. */
-    private Future<?> holdTimeout;
-    /** Whether the connection cannot be used after this response. */
-    private boolean unusableAfter;
+    /** The timer after which a response of unknown length is streamed, or null. */
+    private Future<?> bufferingTimeout;
+    /** Whether the connection cannot be reused after this response. */
+    private boolean notReusable;
 
     ResponseReader(Listener listener) {
         this.listener = listener;
@@ -86,14 +94,14 @@
         pipeline.addLast(new UnexpectedInputFilter(), decoder, this);
     }
 
-    /** Notes that what arrives may be a response: a request is written, or enough of one to be rejected by. */
+    /** Notes that a response may arrive, because a request has been written, or enough of it to be rejected. */
     void expectResponse() {
         if (state == State.NOT_EXPECTED) {
             state = State.EXPECTED;
         }
     }
 
-    /** Keeps unexpected bytes from the decoder, which would hold on to a part of a line. */
+    /** Keeps unexpected bytes away from the decoder, which would otherwise buffer an incomplete line. */
     private final class UnexpectedInputFilter extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
@@ -103,7 +111,7 @@
             }
             ReferenceCountUtil.release(bytes);
             if (state == State.COMPLETE) {
-                unusableAfter = true;
+                notReusable = true;
             } else {
                 failMalformed();
             }
@@ -121,7 +129,7 @@
     private void discardResponse() {
         releaseBody();
         head = null;
-        cancelHoldTimeout();
+        cancelBufferingTimeout();
     }
 
     private void releaseBody() {
@@ -131,10 +139,10 @@
         }
     }
 
-    private void cancelHoldTimeout() {
-        if (holdTimeout != null) {
-            holdTimeout.cancel(false);
-            holdTimeout = null;
+    private void cancelBufferingTimeout() {
+        if (bufferingTimeout != null) {
+            bufferingTimeout.cancel(false);
+            bufferingTimeout = null;
         }
     }
 
@@ -142,7 +150,7 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
             if (state == State.COMPLETE) {
-                unusableAfter = true;
+                notReusable = true;
             } else if (state != State.MALFORMED) {
                 read(ctx, message);
             }
@@ -172,9 +180,9 @@
             return;
         }
         if (!HttpUtil.isContentLengthSet(started)) {
-            holdTimeout = ctx.executor().schedule(this::stopHolding, MAX_HOLD_MS, TimeUnit.MILLISECONDS);
-        } else if (HttpUtil.getContentLength(started) > MAX_HELD_BYTES) {
-            stopHolding();
+            bufferingTimeout = ctx.executor().schedule(this::stopBuffering, MAX_BUFFERING_MS, TimeUnit.MILLISECONDS);
+        } else if (HttpUtil.getContentLength(started) > MAX_BUFFERED_BYTES) {
+            stopBuffering();
         }
     }
 
@@ -186,16 +194,19 @@
         return ResponseHeads.isAcceptableInterim(started) && interimResponses <= MAX_INTERIM_RESPONSES;
     }
 
-    /** Streams a response that is too large or too slow to be held. Of an unsuccessful one, the head is enough. */
-    private void stopHolding() {
-        cancelHoldTimeout();
+    /**
+     * Starts to stream a response that is too large or too slow to be buffered. For an unsuccessful response, only the
+     * head is needed, so it is reported without its body.
+     */
+    private void stopBuffering() {
+        cancelBufferingTimeout();
         if (head.status().code() == HttpResponseStatus.OK.code()) {
             pipe = listener.onStreamStarted(ResponseHeads.toResponse(head, new byte[0]));
             stream(body);
             pipe.flush();
             releaseBody();
         } else {
-            unusableAfter = true;
+            notReusable = true;
             response = ResponseHeads.toResponse(head, new byte[0]);
             state = State.COMPLETE;
             discardResponse();
@@ -209,14 +220,14 @@
             return;
         }
         ByteBuf bytes = content.content();
-        if (pipe == null && body.readableBytes() + bytes.readableBytes() > MAX_HELD_BYTES) {
+        if (pipe == null && body.readableBytes() + bytes.readableBytes() > MAX_BUFFERED_BYTES) {
             if (ResponseHeads.isInterim(head)) {
                 failMalformed();
                 return;
             }
-            stopHolding();
+            stopBuffering();
         }
-        // The response may have been reported, or be malformed, by now.
+        // By now, the response may have been reported or found to be malformed.
         if (head == null) {
             return;
         }
@@ -253,7 +264,7 @@
 
     private void finishStream() {
         state = State.COMPLETE;
-        unusableAfter |= !HttpUtil.isKeepAlive(head);
+        notReusable |= !HttpUtil.isKeepAlive(head);
         discardResponse();
         pipe.complete();
     }
@@ -279,12 +290,12 @@
             return;
         }
         UpstreamResponse complete = response;
-        boolean reusable = !unusableAfter && !decoder.holdsBytes();
+        boolean reusable = !notReusable && !decoder.hasUndecodedBytes();
         state = State.NOT_EXPECTED;
         response = null;
         pipe = null;
         streamedBytes = 0;
-        unusableAfter = false;
+        notReusable = false;
         interimResponses = 0;
         if (complete != null) {
             listener.onResponse(complete, reusable);
--- a/edge/src/main/java/lemonrail/http1/UpstreamAttempt.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamAttempt.java
@@ -6,28 +6,33 @@
 import lemonrail.streaming.BodyPipe;
 import lemonrail.time.Clock;
 
-/** One request sent to one endpoint; reports its outcome once. Confined to the pool's event loop. */
+/**
+ * One attempt, which sends a request to one endpoint and reports the outcome once. Confined to the pool's event loop.
+ */
 final class UpstreamAttempt implements Upstream.Attempt {
 
-    /** The least time that an endpoint is told to have for a request. */
-    private static final double MIN_TIME_LEFT_MS = 1;
+    /** The minimum deadline that is sent to an endpoint, in milliseconds. */
+    private static final double MIN_REMAINING_MS = 1;
 
     private final RequestMessage request;
     private final double timeoutMs;
     private final double deadlineMs;
     private final Clock clock;
-    /** Null once the outcome is reported or the attempt is cancelled. */
+    /** Null after the outcome has been reported or the attempt has been cancelled. */
     private Upstream.AttemptListener<UpstreamResponse> listener;
 
     private UpstreamConnection connection;
-    /** Completes when the last byte is handed to the network; null until the last part is being written. */
+    /**
+     * Completes when the last byte of the request has been written to the socket; null until the last part is being
+     * written.
+     */
     private Future<?> requestWritten;
 
     /**
      * Creates an attempt that is not sent yet.
      *
-     * @param timeoutMs the attempt timeout
-     * @param listener what is notified of the response and the outcome
+     * @param timeoutMs the attempt timeout, in milliseconds
+     * @param listener receives the response and the outcome
      */
     UpstreamAttempt(
             RequestMessage request,
@@ -45,32 +50,35 @@
         return request;
     }
 
-    /** Returns the attempt timeout, from the creation of the attempt. */
+    /** Returns the attempt timeout in milliseconds, measured from the creation of the attempt. */
     double timeoutMs() {
         return timeoutMs;
     }
 
-    /** Returns the milliseconds left until the deadline, which connecting may have taken a part of. */
-    double timeLeftMs() {
-        return Math.max(MIN_TIME_LEFT_MS, deadlineMs - clock.now());
+    /**
+     * Returns the time left until the end of the attempt timeout, in milliseconds. Connecting may have used part of the
+     * timeout.
+     */
+    double remainingMs() {
+        return Math.max(MIN_REMAINING_MS, deadlineMs - clock.now());
     }
 
-    /** Sets the connection that the attempt is sent on. */
+    /** Sets the connection on which the attempt is sent. */
     void assignTo(UpstreamConnection assigned) {
         connection = assigned;
     }
 
-    /** Sets the future of the request's last part. */
+    /** Sets the future that completes when the last part of the request has been written. */
     void setRequestWritten(Future<?> lastPartWritten) {
         requestWritten = lastPartWritten;
     }
 
-    /** Returns whether the outcome is still waited for. */
+    /** Returns whether the outcome has been neither reported nor cancelled. */
     boolean isAwaited() {
         return listener != null;
     }
 
-    /** Returns whether the attempt may still be started on a connection that has come up. */
+    /** Returns whether the attempt may still be sent on a connection that has just been opened. */
     boolean mayStart() {
         return listener != null && listener.mayStart();
     }
@@ -87,24 +95,24 @@
         return mayHaveExecuted();
     }
 
-    /** Reports that the whole request is written. */
+    /** Reports that the complete request has been written. */
     void onRequestWritten() {
         if (listener != null) {
             listener.onRequestWritten();
         }
     }
 
-    /** Reports that a response has begun whose body follows through the pipe. */
+    /** Reports that a response has started to arrive whose body follows through the pipe. */
     void onResponseStreamStarted(UpstreamResponse head, BodyPipe body) {
         listener.onResponseStreamStarted(head, body);
     }
 
-    /** Reports the outcome, unless it is reported already or no longer awaited. */
+    /** Reports the outcome, unless it has already been reported or the attempt has been cancelled. */
     void finish(AttemptOutcome outcome, UpstreamResponse response) {
-        Upstream.AttemptListener<UpstreamResponse> notified = listener;
+        Upstream.AttemptListener<UpstreamResponse> finishedListener = listener;
         listener = null;
-        if (notified != null) {
-            notified.onFinished(outcome, response);
+        if (finishedListener != null) {
+            finishedListener.onFinished(outcome, response);
         }
     }
 }
--- a/edge/src/main/java/lemonrail/http1/UpstreamConnection.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnection.java
@@ -14,19 +14,19 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * One connection to an endpoint: writes one attempt at a time and reports its outcome. Owned by the pool and
- * confined to its event loop.
+ * One connection to an endpoint: sends one attempt at a time and reports its outcome. Owned by the pool and confined to
+ * the pool's event loop.
  */
 final class UpstreamConnection implements ResponseReader.Listener {
 
     private enum State {
-        /** Being opened for its first attempt. */
+        /** The connection is being opened for its first attempt. */
         CONNECTING,
-        /** An attempt is being written, or its response read. */
+        /** An attempt is being written, or its response is being read. */
         IN_USE,
-        /** Open and ready for another attempt. */
+        /** The connection is open and ready for another attempt. */
         IDLE,
-        /** Closed, or about to be: no attempt is sent on it. */
+        /** The connection is closed or closing; no attempt is sent on it. */
         CLOSED
     }
 
@@ -40,7 +40,7 @@
     private State state = State.CONNECTING;
     /** The attempt in flight, or null. */
     private UpstreamAttempt attempt;
-    /** Writes the rest of a large request, or null. */
+    /** The writer of the rest of a large request, or null. */
     private PipeWriter requestWriter;
     /** The body of a streamed response, or null. */
     private BodyPipe responseBody;
@@ -56,7 +56,7 @@
         generation = endpoint.generation();
     }
 
-    /** Connects, then sends the first attempt; {@code onClosed} runs once the channel is closed. */
+    /** Connects, then sends the first attempt. {@code onClosed} runs when the channel has been closed. */
     void connect(UpstreamConnector connector, UpstreamAttempt first, Runnable onClosed) {
         attempt = first;
         first.assignTo(this);
@@ -76,7 +76,7 @@
     }
 
     private void onConnectFinished(UpstreamAttempt first, boolean connected) {
-        // While connecting, the attempt may have been cancelled, or the endpoint's process replaced.
+        // While connecting, the attempt may have been cancelled, or the endpoint's process may have been replaced.
         if (connected && first.isAwaited() && isCurrent() && first.mayStart()) {
             send(first);
         } else {
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Returns whether the connection leads to the process that the endpoint list names now. */
+    /** Returns whether the connection leads to the endpoint's current process according to the endpoint list. */
     private boolean isCurrent() {
         return generation == endpoint.generation();
     }
@@ -98,59 +98,60 @@
         send(next);
     }
 
-    private void send(UpstreamAttempt sent) {
+    private void send(UpstreamAttempt currentAttempt) {
         state = State.IN_USE;
-        RequestMessage request = sent.request();
+        RequestMessage request = currentAttempt.request();
         if (request.remainingBody() == null) {
-            awaitWritten(sent, channel.writeAndFlush(request.whole(sent.timeLeftMs())));
+            notifyWhenWritten(
+                    currentAttempt, channel.writeAndFlush(request.toFullRequest(currentAttempt.remainingMs())));
         } else {
-            stream(sent, request);
+            sendStreamed(currentAttempt, request);
         }
     }
 
-    private void stream(UpstreamAttempt sent, RequestMessage request) {
-        channel.write(request.head(sent.timeoutMs()));
+    private void sendStreamed(UpstreamAttempt currentAttempt, RequestMessage request) {
+        channel.write(request.toHead(currentAttempt.timeoutMs()));
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(request.body())));
-        // An overloaded endpoint may reject a large request before its body is whole.
+        // An overloaded endpoint may reject a large request before the complete body has been sent.
         reader.expectResponse();
         requestWriter = new PipeWriter(channel, request.remainingBody(), new PipeWriter.Listener() {
             @Override
             public void onBodyWritten(ChannelFuture lastPart) {
                 requestWriter = null;
-                awaitWritten(sent, lastPart);
+                notifyWhenWritten(currentAttempt, lastPart);
             }
 
             @Override
-            public void onBodyBroken() {
+            public void onBodyFailed() {
                 close();
             }
         });
         request.remainingBody().setConsumer(requestWriter);
     }
 
-    private void awaitWritten(UpstreamAttempt sent, ChannelFuture lastPart) {
-        sent.setRequestWritten(lastPart);
-        lastPart.addListener(written -> onRequestWritten(sent, written));
+    private void notifyWhenWritten(UpstreamAttempt currentAttempt, ChannelFuture lastPart) {
+        currentAttempt.setRequestWritten(lastPart);
+        lastPart.addListener(written -> onRequestWritten(currentAttempt, written));
     }
 
-    private void onRequestWritten(UpstreamAttempt sent, Future<?> written) {
+    private void onRequestWritten(UpstreamAttempt currentAttempt, Future<?> written) {
         if (!written.isSuccess()) {
             channel.close();
             return;
         }
         context.metrics().onDispatch();
         reader.expectResponse();
-        sent.onRequestWritten();
+        currentAttempt.onRequestWritten();
     }
 
-    /** Returns when the connection became idle last, in milliseconds of the event loop's clock. */
+    /** Returns when the connection last became idle, in milliseconds of the event loop's clock. */
     double idleSinceMs() {
         return idleSinceMs;
     }
 
     /** Returns whether the connection is open and nothing has arrived on it since it became idle. */
-    boolean isSilent() {
-        return channel.isSilent();
+    boolean hasNoInput() {
+        return channel.hasNoInput();
     }
 
     /** Closes the connection; an attempt in flight fails. */
@@ -167,7 +168,10 @@
         }
     }
 
-    /** The channel is closed or could not connect. The outcome depends on whether the request was written. */
+    /**
+     * Called when the channel has been closed or could not connect. The outcome depends on whether the request was
+     * written.
+     */
     private void onClosed() {
         leaveIdle();
         state = State.CLOSED;
@@ -198,15 +202,15 @@
             return;
         }
         AttemptOutcome outcome = response.outcome();
-        // Success before the request was whole cannot be the response to it.
-        boolean premature = outcome == AttemptOutcome.OK && !finished.mayHaveExecuted();
-        finished.finish(premature ? AttemptOutcome.RESET : outcome, response);
+        // A success that arrives before the complete request has been written cannot be the response to it.
+        boolean isPremature = outcome == AttemptOutcome.OK && !finished.mayHaveExecuted();
+        finished.finish(isPremature ? AttemptOutcome.RESET : outcome, response);
     }
 
     @Override
     public BodyPipe onStreamStarted(UpstreamResponse head) {
         responseBody =
-                new BodyPipe(context.bufferBudget(), on -> channel.config().setAutoRead(on));
+                new BodyPipe(context.bufferBudget(), reading -> channel.config().setAutoRead(reading));
         BodyPipe started = responseBody;
         if (attempt != null && attempt.isAwaited() && attempt.mayHaveExecuted()) {
             attempt.onResponseStreamStarted(head, started);
@@ -232,15 +236,16 @@
     }
 
     /**
-     * Ends the attempt's use of this connection, which becomes idle if it can be reused and closes otherwise.
-     * Called before the outcome is reported, since that may start an attempt that needs a connection.
+     * Ends the use of this connection by the current attempt, and returns the attempt, which is null if there is none.
+     * The connection becomes idle if it can be reused, and closes otherwise. Called before the outcome is reported,
+     * because the report may start another attempt that needs a connection.
      */
     private UpstreamAttempt release(boolean reusable) {
         UpstreamAttempt finished = attempt;
         attempt = null;
         stopRequestWriter();
-        boolean requestWhole = finished == null || finished.mayHaveExecuted();
-        if (reusable && channel.isActive() && isCurrent() && requestWhole) {
+        boolean requestWritten = finished == null || finished.mayHaveExecuted();
+        if (reusable && channel.isActive() && isCurrent() && requestWritten) {
             becomeIdle();
         } else {
             channel.close();
@@ -256,7 +261,7 @@
         idleConnections.add(this);
     }
 
-    /** Resumes writing when the channel takes more, and closes the connection on errors. */
+    /** Resumes writing when the channel becomes writable, and closes the connection on errors. */
     private final class ChannelEventHandler extends ChannelInboundHandlerAdapter {
 
         @Override
@@ -268,9 +273,9 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A reset is reported as the attempt's outcome; anything else is a fault of this program.
+            // A network error is reported as the outcome of the attempt; any other exception is a bug in this program.
             if (!(cause instanceof IOException)) {
-                log.error("connection to an endpoint", cause);
+                log.error("unexpected exception on a connection to an endpoint", cause);
             }
             close();
         }
--- a/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
@@ -9,12 +9,12 @@
 import lemonrail.logging.EventLog;
 
 /**
- * The HTTP/1.1 connections to all endpoints: persistent, with one request at a time on each, and bounded in
+ * The HTTP/1.1 connections to all endpoints. They are persistent, carry one request at a time, and are bounded in
  * number. Owned by one event loop, on which all methods are called.
  */
 final class UpstreamConnectionPool implements Upstream<RequestMessage, UpstreamResponse> {
 
-    /** Sweeps for idle connections that are due to be closed, per idle time. */
+    /** The number of checks for expired idle connections per maximum idle time. */
     private static final int SWEEPS_PER_IDLE_TIME = 10;
 
     private final EventLoopContext context;
@@ -28,8 +28,8 @@
     /**
      * Creates an empty pool.
      *
-     * @param context what the parts on this event loop share
-     * @param maxConnections how many connections may be open at once
+     * @param context the objects that all components on this event loop share
+     * @param maxConnections the maximum number of open connections
      */
     UpstreamConnectionPool(EventLoopContext context, int maxConnections) {
         this.context = context;
@@ -79,8 +79,13 @@
         ConnectDecision decision = connectPolicy.decide(endpointId, endpoint);
         if (decision instanceof ConnectDecision.Reuse reuse) {
             reuse.connection().startNext(attempt);
-        } else if (decision instanceof ConnectDecision.Refuse refuse) {
-            log.warnRateLimited("no_connection", "no connection", refuse.reason(), "endpoint", endpointId);
+        } else if (decision instanceof ConnectDecision.Fail failure) {
+            log.warnRateLimited(
+                    "no_connection",
+                    "no connection is available for an attempt",
+                    failure.reason(),
+                    "endpoint",
+                    endpointId);
             attempt.finish(AttemptOutcome.CONNECT_ERROR, null);
         } else {
             connect(endpoint, attempt);
--- a/edge/src/main/java/lemonrail/http1/WarmUp.java
+++ b/edge/src/main/java/lemonrail/http1/WarmUp.java
@@ -36,15 +36,16 @@
 import lemonrail.time.Clock;
 
 /**
- * Sends synthetic requests through a second set of the sidecar's parts on its own address, so that the code is
- * loaded and compiled before the first client's request. Its client and endpoints write bytes without a codec, so
- * that only the sidecar's own code is exercised. Nothing of it is kept. Confined to the event loop.
+ * Sends synthetic requests through a second set of the sidecar's components, so that the code is loaded and compiled
+ * before the first client request. The client and the endpoints of the warm-up write bytes without a codec, so that
+ * only the sidecar's own code is exercised. The second set has its own listener, and is discarded at the end. Confined
+ * to the event loop.
  */
 final class WarmUp {
 
     /**
-     * The requests, common kinds more often than rare ones. The kinds by which endpoints are ejected come last:
-     * with no endpoint left, the requests behind them would only be rejected.
+     * The requests in their order, with common kinds more often than rare ones. The kinds that cause endpoints to be
+     * ejected come last, because requests after them would only be rejected once no endpoint is left.
      */
     private static final List<WarmUpRequest> REQUESTS = List.of(
             WarmUpRequest.PLAIN,
@@ -64,12 +65,12 @@
             WarmUpRequest.FAILED,
             WarmUpRequest.SILENT);
 
-    /** The warm-up ends after this time at the latest, so that a busy machine does not keep a sidecar from starting. */
+    /** The maximum duration of the warm-up, so that a busy machine does not prevent the sidecar from starting. */
     private static final int MAX_DURATION_MS = 3000;
 
-    private static final int ENDPOINTS = 4;
-    /** The endpoint list changes before this request. */
-    private static final int LIST_CHANGE_BEFORE = 1;
+    private static final int ENDPOINT_COUNT = 4;
+    /** The index of the request before which the endpoint list changes. */
+    private static final int ENDPOINT_UPDATE_BEFORE_REQUEST = 1;
 
     private static final int REQUESTS_PER_CONNECTION = 2;
     private static final int MAX_CONNECTIONS = 64;
@@ -80,13 +81,13 @@
     private final Path scratchFile;
     private final Runnable onDone;
     private final List<Channel> endpoints = new ArrayList<>();
-    /** The numbers of the requests of which an attempt has come to an endpoint. */
-    private final Set<String> attempted = new HashSet<>();
+    /** The numbers and names of the requests of which an attempt has reached an endpoint. */
+    private final Set<String> attemptedRequests = new HashSet<>();
 
     private UpstreamConnectionPool pool;
     private HttpServer server;
     private RequestDispatcher<RequestMessage, UpstreamResponse> dispatcher;
-    /** Null until the second sidecar listens. */
+    /** Null until the second set of components listens. */
     private WarmUpClient client;
 
     private int requestNumber;
@@ -96,10 +97,10 @@
     /**
      * Creates a warm-up.
      *
-     * @param sidecarContext the event loop and the settings of the sidecar to warm up
-     * @param listenAddress the address to listen on, at ephemeral ports
-     * @param scratchFile a file that the second set of parts may create
-     * @param onDone runs once the warm-up has ended
+     * @param sidecarContext the context of the sidecar to warm up, which provides the event loop and the settings
+     * @param listenAddress the address to listen on, with ephemeral ports
+     * @param scratchFile a file that the second set of components may create
+     * @param onDone runs when the warm-up has ended
      */
     WarmUp(EventLoopContext sidecarContext, InetAddress listenAddress, Path scratchFile, Runnable onDone) {
         loop = sidecarContext.loop();
@@ -118,12 +119,13 @@
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
+                .childOption(ChannelOption.ALLOCATOR, Sockets.BUFFER_ALLOCATOR)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel accepted) {
-                        accepted.pipeline().addLast(new WarmUpEndpoint(attempted, WarmUp.this::onReceivedByEndpoint));
+                        accepted.pipeline()
+                                .addLast(new WarmUpEndpoint(attemptedRequests, WarmUp.this::onReceivedByEndpoint));
                     }
                 })
                 .bind(ephemeralPort());
@@ -131,7 +133,7 @@
         bound.addListener(done -> {
             if (!done.isSuccess() || ended) {
                 end();
-            } else if (endpoints.size() < ENDPOINTS) {
+            } else if (endpoints.size() < ENDPOINT_COUNT) {
                 startNextEndpoint();
             } else {
                 startSidecar();
@@ -173,7 +175,7 @@
         });
     }
 
-    /** Creates a context whose log and metrics nobody sees. */
+    /** Creates a context whose log and metrics are discarded. */
     private EventLoopContext createContext() {
         Clock clock = new Clock();
         EventLog discardedLog = new EventLog(clock, new TextSink(new PrintStream(OutputStream.nullOutputStream())));
@@ -191,7 +193,7 @@
                 sidecarContext.endpointIdleTimeoutMs());
     }
 
-    /** Returns all endpoints, the last one in this state. */
+    /** Returns a list of all endpoints, in which the last one has the given state. */
     private EndpointList endpointList(EndpointUpdateKind kind, EndpointState lastState) {
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < endpoints.size(); i++) {
@@ -211,7 +213,7 @@
             end();
             return;
         }
-        if (requestNumber == LIST_CHANGE_BEFORE) {
+        if (requestNumber == ENDPOINT_UPDATE_BEFORE_REQUEST) {
             dispatcher.onEndpointList(endpointList(EndpointUpdateKind.DELTA, EndpointState.DRAINING));
             dispatcher.onEndpointList(endpointList(EndpointUpdateKind.DELTA, EndpointState.READY));
         }
@@ -225,7 +227,7 @@
     private void send() {
         WarmUpRequest request = REQUESTS.get(requestNumber);
         requestInFlight = true;
-        client.send(request, request.text(requestNumber, sidecarContext.settings()));
+        client.send(request, request.toText(requestNumber, sidecarContext.settings()));
     }
 
     private void onRequestFinished() {
--- a/edge/src/main/java/lemonrail/http1/WarmUpClient.java
+++ b/edge/src/main/java/lemonrail/http1/WarmUpClient.java
@@ -15,7 +15,7 @@
 import java.nio.charset.StandardCharsets;
 import lemonrail.net.Sockets;
 
-/** The client of the warm-up: one connection at a time to the sidecar. Confined to the event loop. */
+/** The client of the warm-up, which has one connection at a time. Confined to the event loop. */
 final class WarmUpClient {
 
     private static final String STATUS_LINE = "HTTP/1.1 ";
@@ -30,7 +30,7 @@
     /**
      * Creates a client that is not connected yet.
      *
-     * @param onFinished runs whenever a response is whole or the connection has closed
+     * @param onFinished runs when a response is complete, and when the connection has been closed
      */
     WarmUpClient(EventLoop loop, InetSocketAddress sidecar, Runnable onFinished) {
         this.loop = loop;
@@ -42,12 +42,12 @@
         return connection != null && connection.isActive();
     }
 
-    /** Opens a connection, then runs one of these. */
+    /** Opens a connection, then runs {@code onConnected} or {@code onFailed}. */
     void connect(Runnable onConnected, Runnable onFailed) {
         ChannelFuture connecting = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.ALLOCATOR, Sockets.BUFFERS)
+                .option(ChannelOption.ALLOCATOR, Sockets.BUFFER_ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -66,7 +66,7 @@
         });
     }
 
-    /** Sends a request in the way that its kind wants. */
+    /** Sends a request: all at once, in two pieces, or as malformed input, depending on its kind. */
     void send(WarmUpRequest request, String text) {
         Channel target = connection;
         switch (request) {
@@ -86,7 +86,10 @@
         }
     }
 
-    /** Notices the end of a response: the last byte of an endpoint's body, or an error of the sidecar's own. */
+    /**
+     * Detects the end of a response, which is the last byte of an endpoint's body, or an error response of the sidecar
+     * itself.
+     */
     private final class ResponseHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
         @Override
--- a/edge/src/main/java/lemonrail/http1/WarmUpEndpoint.java
+++ b/edge/src/main/java/lemonrail/http1/WarmUpEndpoint.java
@@ -8,22 +8,22 @@
 import java.util.function.Consumer;
 
 /**
- * A connection to an endpoint of the warm-up: responds to each request in the way that its query names. Requests
- * arrive in one read, as they are small.
+ * The handler of one connection to an endpoint of the warm-up. It responds to each request according to the kind in the
+ * request's query. Requests are small, so each is assumed to arrive in one read.
  */
 final class WarmUpEndpoint extends SimpleChannelInboundHandler<ByteBuf> {
 
-    private final Set<String> attempted;
+    private final Set<String> attemptedRequests;
     private final Consumer<WarmUpRequest> onReceived;
 
     /**
-     * Creates a handler of one connection.
+     * Creates a handler for one connection.
      *
-     * @param attempted the numbers of the requests that have been received by any endpoint
-     * @param onReceived notified of each request after the response
+     * @param attemptedRequests the numbers of the requests that any endpoint has received, to which this handler adds
+     * @param onReceived is called with the kind of each request after the response
      */
-    WarmUpEndpoint(Set<String> attempted, Consumer<WarmUpRequest> onReceived) {
-        this.attempted = attempted;
+    WarmUpEndpoint(Set<String> attemptedRequests, Consumer<WarmUpRequest> onReceived) {
+        this.attemptedRequests = attemptedRequests;
         this.onReceived = onReceived;
     }
 
@@ -37,7 +37,7 @@
             return;
         }
         WarmUpRequest request = WarmUpRequest.valueOf(text.substring(nameStart, text.indexOf(' ', nameStart)));
-        boolean firstAttempt = attempted.add(text.substring(numberStart, nameStart));
+        boolean firstAttempt = attemptedRequests.add(text.substring(numberStart, nameStart));
         request.respond(ctx.channel(), firstAttempt);
         onReceived.accept(request);
     }
--- a/edge/src/main/java/lemonrail/http1/package-info.java
+++ b/edge/src/main/java/lemonrail/http1/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1: connections from clients and to endpoints, parsing and writing of messages. */
+/** HTTP/1.1: the connections of clients and to endpoints, and the reading and writing of messages. */
 package lemonrail.http1;
--- a/edge/src/main/java/lemonrail/json/Json.java
+++ b/edge/src/main/java/lemonrail/json/Json.java
@@ -12,14 +12,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads and writes JSON as plain values: objects as maps, arrays as lists, numbers as {@link Double}. */
+/**
+ * Reads and writes JSON. Objects are represented as maps, arrays as lists, and the numbers that are read as
+ * {@link Double}.
+ */
 public final class Json {
 
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private Json() {}
 
-    /** Parses one value, or returns null if the bytes hold none. */
+    /** Parses the first value of a document; returns null if the document is empty or the value is a JSON null. */
     public static Object parse(byte[] json) throws IOException {
         try (JsonParser parser = FACTORY.createParser(json)) {
             return parser.nextToken() == null ? null : parse(parser);
@@ -62,7 +65,10 @@
         return elements;
     }
 
-    /** Returns a value as JSON: a map, a list, a number, a boolean, null, or anything else as a string. */
+    /**
+     * Returns the JSON text of a value, which may be a map, a list, a number, a boolean or null. Any other value is
+     * written as a string.
+     */
     public static String text(Object value) {
         StringWriter text = new StringWriter();
         try (JsonGenerator generator = FACTORY.createGenerator(text)) {
--- a/edge/src/main/java/lemonrail/json/package-info.java
+++ b/edge/src/main/java/lemonrail/json/package-info.java
@@ -1,2 +1,2 @@
-/** Strict reading of JSON documents. */
+/** Reading and writing of JSON documents. */
 package lemonrail.json;
--- a/edge/src/main/java/lemonrail/lifecycle/Lifecycle.java
+++ b/edge/src/main/java/lemonrail/lifecycle/Lifecycle.java
@@ -4,20 +4,20 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The phase of a process. A drain may begin in any phase and can be ended; the process then is where it was before.
- * Stopping is final and takes precedence over a drain. Used on the event loop only.
+ * The life cycle of a process. A drain can start in any phase; when it ends, the process returns to the phase before
+ * the drain. Stopping is final and takes precedence over a drain. Used on the event loop only.
  */
 public final class Lifecycle {
 
-    /** The phases, by the names that operators see. */
+    /** The phases of a process. Their names are shown to operators. */
     public enum Phase {
-        /** Parts are being created and warmed up. */
+        /** Components are being created and warmed up. */
         STARTING,
-        /** Clients are served. */
+        /** Client requests are served. */
         READY,
-        /** Operators are emptying the process; it still serves requests that arrive. */
+        /** An operator is draining the process; it still serves requests that arrive. */
         DRAINING,
-        /** The process completes what is in flight and exits. */
+        /** The process completes the requests in flight and exits. */
         STOPPING
     }
 
@@ -29,18 +29,18 @@
     /**
      * Creates the life cycle of a process that is starting.
      *
-     * @param hasEndpoints whether an endpoint is known; the process is not ready before
+     * @param hasEndpoints returns whether an endpoint is known; until then the process is not ready
      */
     public Lifecycle(BooleanSupplier hasEndpoints) {
         this.hasEndpoints = hasEndpoints;
     }
 
-    /** Returns whether clients should connect: in {@link Phase#READY}, and once an endpoint is known. */
+    /** Returns whether clients should connect, which requires {@link Phase#READY} and at least one known endpoint. */
     public boolean isReady() {
         return phase() == Phase.READY && hasEndpoints.getAsBoolean();
     }
 
-    /** Returns the phase or what keeps the process from being ready, for people. */
+    /** Returns a text for operators: the phase, or the reason why a process in {@link Phase#READY} is not ready. */
     public String description() {
         if (phase() == Phase.READY && !isReady()) {
             return "no endpoint is known";
@@ -59,7 +59,9 @@
         return started ? Phase.READY : Phase.STARTING;
     }
 
-    /** Moves from {@link Phase#STARTING} to {@link Phase#READY}: all parts have been created and warmed up. */
+    /**
+     * Moves from {@link Phase#STARTING} to {@link Phase#READY}, because all components have been created and warmed up.
+     */
     public void markStarted() {
         started = true;
     }
@@ -70,9 +72,9 @@
      * @return whether no drain was in progress
      */
     public boolean startDraining() {
-        boolean begins = !draining;
+        boolean newlyDraining = !draining;
         draining = true;
-        return begins;
+        return newlyDraining;
     }
 
     /**
@@ -81,12 +83,12 @@
      * @return whether a drain was in progress and the process is not stopping
      */
     public boolean stopDraining() {
-        boolean resumes = draining && !stopping;
+        boolean resumed = draining && !stopping;
         draining = false;
-        return resumes;
+        return resumed;
     }
 
-    /** Moves to {@link Phase#STOPPING}, for good. */
+    /** Moves to {@link Phase#STOPPING}, which is final. */
     public void startStopping() {
         stopping = true;
     }
