--- a/edge/src/main/java/lemonrail/net/HttpListener.java
+++ b/edge/src/main/java/lemonrail/net/HttpListener.java
@@ -15,28 +15,34 @@
 import java.util.function.Function;
 
 /**
- * Opens HTTP listeners whose requests are aggregated, and bounds the size of the requests.
+ * Opens HTTP listeners that aggregate each request into one message, with bounds on the size of requests.
  *
- * @param backlog the most connections that wait to be accepted
- * @param maxLineBytes the largest request line
- * @param maxHeadBytes the largest headers
- * @param maxChunkBytes the largest part of a body
- * @param maxBodyBytes the largest body
+ * @param backlog the maximum number of connections in the accept queue
+ * @param maxLineBytes the maximum size of a request line
+ * @param maxHeadBytes the maximum size of all headers of a request
+ * @param maxChunkBytes the maximum size of one part of a body
+ * @param maxBodyBytes the maximum size of a body
  */
 public record HttpListener(int backlog, int maxLineBytes, int maxHeadBytes, int maxChunkBytes, int maxBodyBytes) {
 
-    /** Listens at an address. Each connection gets a handler of its own, which receives complete requests. */
+    /**
+     * Listens at an address.
+     *
+     * @param allocator the allocator of the connections' buffers
+     * @param handlerFactory creates the handler of each connection, which receives complete requests
+     * @return a future that completes when the listener is bound, and fails if it cannot be bound
+     */
     public ChannelFuture bind(
             EventLoop loop,
-            ByteBufAllocator buffers,
+            ByteBufAllocator allocator,
             InetSocketAddress address,
-            Function<SocketChannel, ChannelHandler> handlers) {
+            Function<SocketChannel, ChannelHandler> handlerFactory) {
         return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, backlog)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.ALLOCATOR, buffers)
+                .childOption(ChannelOption.ALLOCATOR, allocator)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -45,7 +51,7 @@
                                 .addLast(
                                         new HttpServerCodec(maxLineBytes, maxHeadBytes, maxChunkBytes),
                                         new HttpObjectAggregator(maxBodyBytes),
-                                        handlers.apply(accepted));
+                                        handlerFactory.apply(accepted));
                     }
                 })
                 .bind(address);
--- a/edge/src/main/java/lemonrail/net/package-info.java
+++ b/edge/src/main/java/lemonrail/net/package-info.java
@@ -1,2 +1,2 @@
-/** Addresses and socket options. */
+/** Listeners and socket options. */
 package lemonrail.net;
--- a/edge/src/main/java/lemonrail/streaming/BodyPipe.java
+++ b/edge/src/main/java/lemonrail/streaming/BodyPipe.java
@@ -4,28 +4,28 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * Forwards a body from one connection to another, with backpressure: it holds a small window of bytes, and its source
- * is not read further while the consumer does not take them. Bytes count in the budget until {@link #onWritten}, so
- * those in a connection's write buffer count as well. Used on the event loop only.
+ * Forwards a body from one connection to another, with backpressure: it buffers a small window of bytes, and stops
+ * reading its source while the consumer does not take them. Bytes count towards the budget until {@link #onWritten} is
+ * called for them, so those in a connection's write buffer count as well. Used on the event loop only.
  */
 public final class BodyPipe {
 
-    /** Unwritten bytes from which on the source is not read. */
+    /** The number of unwritten bytes at which the source is no longer read. */
     public static final int WINDOW_BYTES = 32 * 1024;
 
     private static final int CHUNK_BYTES = 16 * 1024;
 
-    /** The connection that the bytes come from. */
+    /** The connection from which the bytes are read. */
     @FunctionalInterface
     public interface Source {
-        /** Starts or stops reading; may be called repeatedly with the same value. */
+        /** Starts or stops reading. Can be called repeatedly with the same value. */
         void setReading(boolean reading);
     }
 
-    /** The connection that the bytes go to. */
+    /** The connection to which the bytes are written. */
     @FunctionalInterface
     public interface Consumer {
-        /** Is called when there may be bytes to {@link #poll}, or the body is complete or has failed. */
+        /** Called when there may be bytes to {@link #poll}, or when the body is complete or has failed. */
         void onProgress();
     }
 
@@ -41,19 +41,21 @@
     private boolean failed;
     private boolean closed;
 
-    /** Creates a pipe without a consumer; it holds a window of bytes until it has one. */
+    /** Creates a pipe without a consumer. Until it has one, the pipe buffers up to a window of bytes. */
     public BodyPipe(BufferBudget budget, Source source) {
         this.budget = budget;
         this.source = source;
     }
 
-    /** Sets where the bytes go, and notifies it at once. */
+    /** Sets the consumer and notifies it immediately. */
     public void setConsumer(Consumer consumer) {
         this.consumer = consumer;
         notifyConsumer();
     }
 
-    /** Adds a copy of the bytes, which stay with the caller. The consumer is notified by {@link #flush}. */
+    /**
+     * Adds a copy of the bytes; the caller still owns the buffer. The consumer is not notified until {@link #flush}.
+     */
     public void write(ByteBuf bytes) {
         int size = bytes.readableBytes();
         if (closed || size == 0) {
@@ -65,18 +67,18 @@
         updateReading();
     }
 
-    /** Notifies the consumer of all bytes written so far, so that small pieces are forwarded together. */
+    /** Notifies the consumer of all bytes written so far, so that small parts are forwarded together. */
     public void flush() {
         notifyConsumer();
     }
 
-    /** Notes that the whole body has been written. */
+    /** Marks the body as complete: all of it has been written to the pipe. */
     public void complete() {
         complete = true;
         notifyConsumer();
     }
 
-    /** Notes that the rest of the body will not come; does nothing if it is complete. */
+    /** Marks the body as failed: the rest of it will not arrive. Does nothing if the body is complete. */
     public void fail() {
         if (!complete && !failed) {
             failed = true;
@@ -91,8 +93,8 @@
     }
 
     /**
-     * Returns the next bytes, or null if there are none now. The caller releases the buffer, and calls
-     * {@link #onWritten} with its size once it has been written.
+     * Returns the next bytes, or null if there are currently none. The caller must release the buffer, and call
+     * {@link #onWritten} with its size after it has been written.
      */
     public ByteBuf poll() {
         if (closed || !pending.isReadable()) {
@@ -105,16 +107,19 @@
         return Unpooled.wrappedBuffer(chunk);
     }
 
-    /** Notes that bytes from {@link #poll} have been written, or never will be. */
+    /** Notes that bytes returned by {@link #poll} have been written, or that their write has failed. */
     public void onWritten(int bytes) {
         forwardedBytes += bytes;
-        int counted = Math.min(bytes, unwrittenBytes);
-        unwrittenBytes -= counted;
-        budget.release(counted);
+        int releasedBytes = Math.min(bytes, unwrittenBytes);
+        unwrittenBytes -= releasedBytes;
+        budget.release(releasedBytes);
         updateReading();
     }
 
-    /** Reads the source while the window and the budget have capacity; an empty pipe may always read. */
+    /**
+     * Reads the source while the window and the budget have capacity. An empty pipe always reads, so that every body
+     * makes progress.
+     */
     private void updateReading() {
         if (closed || complete) {
             return;
@@ -127,17 +132,17 @@
         source.setReading(mayRead);
     }
 
-    /** Returns how many bytes have been written on, which shows whether the body moves. */
+    /** Returns how many bytes have been forwarded; the value shows whether the transfer makes progress. */
     public long forwardedBytes() {
         return forwardedBytes;
     }
 
-    /** Returns whether all bytes that have come are written on, so that the pipe waits for its source. */
+    /** Returns whether all bytes received have been forwarded, so that the pipe is waiting for its source. */
     public boolean isDrained() {
         return unwrittenBytes == 0;
     }
 
-    /** Returns whether bytes have been polled, which cannot be read again. */
+    /** Returns whether any bytes have been polled; these cannot be read again. */
     public boolean hasBeenRead() {
         return read;
     }
@@ -147,7 +152,7 @@
         return complete && !pending.isReadable();
     }
 
-    /** Returns whether the body ends before it is complete. */
+    /** Returns whether the body ended before it was complete. */
     public boolean hasFailed() {
         return failed;
     }
@@ -157,7 +162,7 @@
         return complete;
     }
 
-    /** Discards the bytes that are held and all that still come; the source is read so that it can end. */
+    /** Discards the buffered bytes and all that still arrive. The source is read on, so that its message can end. */
     public void close() {
         if (closed) {
             return;
@@ -165,9 +170,9 @@
         closed = true;
         pending = Unpooled.EMPTY_BUFFER;
         budget.cancelNotification(onCapacity);
-        int held = unwrittenBytes;
+        int unwrittenBefore = unwrittenBytes;
         unwrittenBytes = 0;
-        budget.release(held);
+        budget.release(unwrittenBefore);
         if (!complete && !failed) {
             source.setReading(true);
         }
--- a/edge/src/main/java/lemonrail/streaming/BufferBudget.java
+++ b/edge/src/main/java/lemonrail/streaming/BufferBudget.java
@@ -5,46 +5,47 @@
 import java.util.Set;
 
 /**
- * Bounds the body bytes that all connections together hold. Bytes that have been read are always accepted, so the bound
- * can be exceeded; while it is reached, connections with unwritten bytes are not read. Used on the event loop only.
+ * Bounds the total number of body bytes that all connections buffer. Bytes that have already been read are always
+ * accepted, so the bound can be exceeded. While it is reached or exceeded, connections with unwritten bytes are not
+ * read. Used on the event loop only.
  */
 public final class BufferBudget {
 
     private final long maxBytes;
-    private final Set<Runnable> waiting = new LinkedHashSet<>();
-    private long heldBytes;
+    private final Set<Runnable> waitingTasks = new LinkedHashSet<>();
+    private long bufferedBytes;
 
-    /** Creates a budget of this many bytes. */
+    /** Creates a budget with the given number of bytes. */
     public BufferBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Counts bytes as held, also beyond the bound. */
+    /** Counts bytes as buffered, even if this exceeds the bound. */
     public void acquire(long bytes) {
-        heldBytes += bytes;
+        bufferedBytes += bytes;
     }
 
-    /** Counts bytes as held no longer, and notifies all that wait if there is capacity. */
+    /** Counts bytes as no longer buffered, and runs all waiting tasks if there is capacity. */
     public void release(long bytes) {
-        heldBytes -= bytes;
-        if (!waiting.isEmpty() && hasCapacity()) {
-            List<Runnable> notified = List.copyOf(waiting);
-            waiting.clear();
-            notified.forEach(Runnable::run);
+        bufferedBytes -= bytes;
+        if (!waitingTasks.isEmpty() && hasCapacity()) {
+            List<Runnable> tasksToRun = List.copyOf(waitingTasks);
+            waitingTasks.clear();
+            tasksToRun.forEach(Runnable::run);
         }
     }
 
     /** Returns whether more bytes may be read. */
     public boolean hasCapacity() {
-        return heldBytes < maxBytes;
+        return bufferedBytes < maxBytes;
     }
 
-    /** Runs a task once, when there is capacity; a task that waits already is not added again. */
+    /** Runs a task once, as soon as there is capacity. A task that is already waiting is not added again. */
     void notifyWhenAvailable(Runnable onCapacity) {
-        waiting.add(onCapacity);
+        waitingTasks.add(onCapacity);
     }
 
     void cancelNotification(Runnable onCapacity) {
-        waiting.remove(onCapacity);
+        waitingTasks.remove(onCapacity);
     }
 }
--- a/edge/src/main/java/lemonrail/time/Clock.java
+++ b/edge/src/main/java/lemonrail/time/Clock.java
@@ -1,8 +1,8 @@
 package lemonrail.time;
 
 /**
- * The clock of a sidecar, in milliseconds. It follows the monotonic clock from the Unix time at its creation, so it
- * never runs backwards and can be compared with the Unix times that discovery reports.
+ * The clock of a sidecar, in milliseconds. It starts at the Unix time of its creation and advances with the monotonic
+ * clock. It therefore never runs backwards, and its times can be compared with the Unix times that discovery reports.
  */
 public final class Clock {
 
@@ -12,12 +12,12 @@
     private final long startNanos = System.nanoTime();
     private final EventLoopLag lag;
 
-    /** Creates a clock whose event loop's lag is not measured and counts as 0. */
+    /** Creates a clock for an event loop whose lag is not measured; the lag is reported as 0. */
     public Clock() {
         this(new EventLoopLag());
     }
 
-    /** Creates the clock of an event loop whose lag is measured. */
+    /** Creates a clock for an event loop whose lag is measured. */
     public Clock(EventLoopLag lag) {
         this.lag = lag;
     }
@@ -27,7 +27,7 @@
         return startMs + (System.nanoTime() - startNanos) / NANOS_PER_MS;
     }
 
-    /** Returns the longest time, in milliseconds, that the event being handled may have waited for the event loop. */
+    /** Returns the longest time in milliseconds that the event being handled may have waited for the event loop. */
     public double maxQueueDelayMs() {
         return lag.maxQueueDelayMs(System.nanoTime());
     }
--- a/edge/src/main/java/lemonrail/time/EventLoopLag.java
+++ b/edge/src/main/java/lemonrail/time/EventLoopLag.java
@@ -1,15 +1,15 @@
 package lemonrail.time;
 
 /**
- * Measures how late an event loop handles events, at its polls for I/O. An event handled in one iteration may have been
- * ready since the poll before, and a timer that is due while the loop is busy or not scheduled runs late. Used on the
- * event loop only; callers pass monotonic time in nanoseconds.
+ * Measures at each poll for I/O how late an event loop handles events. An event handled in one iteration may have been
+ * ready since the previous poll. A timer that is due while the loop is busy, or its thread is not scheduled, runs late.
+ * Used on the event loop only. Callers pass monotonic time in nanoseconds.
  */
 public final class EventLoopLag {
 
-    /** A poll that took longer has slept, so what it returned with was not ready when it began. */
-    static final long SLEPT_NANOS = 1_000_000;
-    /** The greatest lag is remembered for one to two such windows. */
+    /** A poll that took longer than this has slept, so the events that it returned were not ready when it started. */
+    static final long MIN_SLEEP_NANOS = 1_000_000;
+    /** The maximum lag is remembered for one to two windows of this length. */
     static final long WINDOW_NANOS = 2_000_000_000L;
 
     private static final int[] HISTOGRAM_BOUNDS_MS = {1, 5, 20, 100, 500};
@@ -27,9 +27,9 @@
     private long previousWindowMaxNanos;
 
     /**
-     * Notes that the loop is about to poll.
+     * Records that the loop is about to poll.
      *
-     * @param untilTimerNanos how long until its next timer is due
+     * @param untilTimerNanos the time until the loop's next timer is due
      */
     public void onPollStarted(long nowNanos, long untilTimerNanos) {
         if (pollCount > 0) {
@@ -39,7 +39,7 @@
         timerDueNanos = nowNanos + Math.max(0, untilTimerNanos);
     }
 
-    /** Notes that a poll has returned and the loop goes on to handle what is ready. */
+    /** Records that a poll has returned, and that the loop now handles the ready events. */
     public void onPollReturned(long nowNanos) {
         previousPollReturnedNanos = pollCount == 0 ? pollStartedNanos : pollReturnedNanos;
         pollReturnedNanos = nowNanos;
@@ -64,37 +64,39 @@
         }
     }
 
-    /** Returns how many polls have returned. */
+    /** Returns the number of polls that have returned. */
     public long pollCount() {
         return pollCount;
     }
 
-    /** Returns the longest time, in milliseconds, that the event being handled may have waited for the loop. */
+    /** Returns the longest time in milliseconds that the event being handled may have waited for the loop. */
     public double maxQueueDelayMs(long nowNanos) {
         if (pollCount == 0) {
             return 0;
         }
-        boolean slept = pollReturnedNanos - pollStartedNanos > SLEPT_NANOS;
+        boolean slept = pollReturnedNanos - pollStartedNanos > MIN_SLEEP_NANOS;
         long readySinceNanos = slept ? pollReturnedNanos : previousPollReturnedNanos;
         return (nowNanos - readySinceNanos) / NANOS_PER_MS;
     }
 
-    /** Returns the greatest lag of the last 2 to 4 seconds, in milliseconds. */
+    /** Returns the maximum lag of the last 2 to 4 seconds, in milliseconds. */
     public double recentMaxLagMs() {
         return Math.max(windowMaxNanos, previousWindowMaxNanos) / NANOS_PER_MS;
     }
 
-    /** Returns the bounds of the histogram, in milliseconds, ascending. */
+    /** Returns the bounds of the lag histogram, in milliseconds and in ascending order. */
     public static int[] histogramBoundsMs() {
         return HISTOGRAM_BOUNDS_MS.clone();
     }
 
-    /** Returns how often the lag has exceeded the bound of this index. */
-    public int countAbove(int bound) {
-        return countsAbove[bound];
+    /** Returns how often the lag has exceeded the bound with this index in {@link #histogramBoundsMs}. */
+    public int countAbove(int boundIndex) {
+        return countsAbove[boundIndex];
     }
 
-    /** Forgets the greatest lag, so that the start of a process does not count. The histogram stays. */
+    /**
+     * Resets the recent maximum lag, so that lag during the start of the process does not count. The histogram is kept.
+     */
     public void resetRecentMax() {
         windowMaxNanos = 0;
         previousWindowMaxNanos = 0;
--- a/edge/src/main/java/lemonrail/time/LagMeasuringIoHandler.java
+++ b/edge/src/main/java/lemonrail/time/LagMeasuringIoHandler.java
@@ -8,16 +8,16 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
 /**
- * Reports the polls of one event loop to an {@link EventLoopLag}. Netty has no hook after a poll, but a handler asks
- * its context right then whether to report the I/O time, before it handles what is ready; that call marks
- * the poll's end.
+ * Reports the polls of one event loop to an {@link EventLoopLag}. Netty has no hook that is called when a poll returns.
+ * However, a handler asks its context at this point, before it handles the ready events, whether to report the I/O
+ * time. That call marks the end of the poll.
  */
 public final class LagMeasuringIoHandler implements IoHandlerFactory {
 
     private final IoHandlerFactory delegate;
     private final EventLoopLag lag;
 
-    /** Creates a factory around another, which must serve one event loop only. */
+    /** Creates a factory that wraps another one; it must be used for one event loop only. */
     public LagMeasuringIoHandler(IoHandlerFactory delegate, EventLoopLag lag) {
         this.delegate = delegate;
         this.lag = lag;
@@ -74,7 +74,10 @@
         }
     }
 
-    /** Reused for each iteration, so that none allocates. */
+    /**
+     * Wraps the context of the current iteration. The instance is reused, so that an iteration does not allocate
+     * memory.
+     */
     private static final class Context implements IoHandlerContext {
         private final EventLoopLag lag;
         private IoHandlerContext loop;
--- a/edge/src/main/java/lemonrail/time/package-info.java
+++ b/edge/src/main/java/lemonrail/time/package-info.java
@@ -1,2 +1,2 @@
-/** The clock of the event loop, and how late the loop runs. */
+/** The clock of an event loop, and the measurement of the loop's lag. */
 package lemonrail.time;
--- a/edge/src/main/java/lemonrail/upgrade/SharedListener.java
+++ b/edge/src/main/java/lemonrail/upgrade/SharedListener.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A listener whose address two processes can share (SO_REUSEPORT), and which can close without losing connections.
- * Each listener has an accept queue of its own; connections in it when the listener closes are reset, so the same task
- * empties and closes it.
+ * A listener whose address two processes can share (SO_REUSEPORT), and which can be closed without losing connections.
+ * Each listener has its own accept queue, and connections that are in the queue when the listener closes are reset. The
+ * queue is therefore emptied and the listener closed in the same event loop task.
  */
 public final class SharedListener extends NioServerSocketChannel {
 
-    /** Set to true to let another process listen at the same address. */
+    /** If true, another process can listen at the same address. */
     public static final ChannelOption<Boolean> REUSE_PORT = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
 
     private static final int DEREGISTER_POLL_MS = 1;
@@ -34,13 +34,17 @@
         return 1;
     }
 
-    /** Accepts all connections in the queue, then closes; does nothing if that has begun. Called on the event loop. */
+    /**
+     * Accepts all connections in the queue, then closes the listener; does nothing if this has been called before or
+     * the listener is closed. Called on the event loop.
+     */
     public void acceptPendingAndClose() {
         if (closing || !isOpen()) {
             return;
         }
         closing = true;
-        // A socket that is registered with a selector closes only at its next poll, and the queue fills meanwhile.
+        // A socket that is registered with a selector is not closed until the next poll, and new connections would
+        // enter the queue until then.
         deregister().addListener(deregistered -> acceptAllAndClose());
     }
 
--- a/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
+++ b/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
@@ -10,34 +10,34 @@
 import lemonrail.logging.EventLog;
 
 /**
- * Detects whether another process of the same sidecar is alive, as during an upgrade. Each process locks one byte of a
- * shared file. The operating system releases the lock whenever the process ends, so it is never stale, unlike a process
- * id in a file.
+ * Detects whether another process of the same sidecar is alive, as is the case during an upgrade. Each process locks
+ * one byte of a shared file. The operating system releases the lock when the process ends for any reason, so the lock
+ * cannot become stale, unlike a process id in a file.
  */
 public final class SiblingProcessLock implements Closeable {
 
-    /** How many processes can be told apart; an upgrade has two. */
+    /** The number of bytes that can be locked, one for each process; an upgrade needs two. */
     private static final int MAX_PROCESSES = 8;
 
     private static final int NO_INDEX = -1;
 
     private final EventLog log;
     private FileChannel channel;
-    /** The byte that this process has locked. */
+    /** The index of the byte that this process has locked, or {@link #NO_INDEX}. */
     private int ownIndex = NO_INDEX;
 
-    /** Locks a byte of the file, which is created if need be. If that fails, no sibling is ever detected. */
+    /** Locks a byte of the file, which is created if it does not exist. If this fails, no other process is detected. */
     public SiblingProcessLock(Path file, EventLog log) {
         this.log = log.in("upgrade");
         try {
             channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            ownIndex = lockFirstFree();
+            ownIndex = lockFirstFreeByte();
         } catch (IOException e) {
             logFailure(e);
         }
     }
 
-    private int lockFirstFree() throws IOException {
+    private int lockFirstFreeByte() throws IOException {
         for (int index = 0; index < MAX_PROCESSES; index++) {
             if (tryLock(index) != null) {
                 return index;
@@ -46,12 +46,12 @@
         return NO_INDEX;
     }
 
-    /** Returns the lock, or null if another holds it. */
+    /** Returns the lock on the byte with this index, or null if it is locked already. */
     private FileLock tryLock(int index) throws IOException {
         try {
             return channel.tryLock(index, 1, false);
         } catch (OverlappingFileLockException e) {
-            // Held within this process, as by another sidecar of a test.
+            // The byte is locked by this process, for example by another sidecar in a test.
             return null;
         }
     }
--- a/edge/src/main/java/lemonrail/upgrade/package-info.java
+++ b/edge/src/main/java/lemonrail/upgrade/package-info.java
@@ -1,2 +1,2 @@
-/** Two processes at one address during an upgrade: the shared listener and the lock files. */
+/** Support for upgrades, in which two processes share one address: the shared listener and the process lock. */
 package lemonrail.upgrade;
--- a/edge/src/test/java/lemonrail/frames/FrameDownstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameDownstream.java
@@ -81,27 +81,27 @@
         }
 
         @Override
-        public void served(Frame response) {
+        public void onServed(Frame response) {
             respond(response);
         }
 
         @Override
-        public void streamStarted(Frame head, BodyPipe body) {
+        public void onStreamStarted(Frame head, BodyPipe body) {
             throw new IllegalStateException("this protocol has no large answers");
         }
 
         @Override
-        public void rejectedByEndpoint(Frame response) {
+        public void onRejectedByEndpoint(Frame response) {
             respond(response);
         }
 
         @Override
-        public void rejected(double retryAfterMs) {
+        public void onRejected(double retryAfterMs) {
             respond(new Frame('R', String.valueOf(retryAfterMs)));
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             respond(new Frame('F', ""));
         }
 
--- a/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
+++ b/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
@@ -46,7 +46,7 @@
                 }
             }
         });
-        channel.config().setWriteBufferWaterMark(Sockets.WRITE_MARKS);
+        channel.config().setWriteBufferWaterMark(Sockets.WRITE_BUFFER_WATER_MARKS);
         return channel;
     }
 
@@ -58,7 +58,7 @@
             }
 
             @Override
-            public void onBodyBroken() {
+            public void onBodyFailed() {
                 notifications.add("broken");
             }
         };
