--- a/edge/src/main/java/lemonrail/exchange/AttemptRunner.java
+++ b/edge/src/main/java/lemonrail/exchange/AttemptRunner.java
@@ -86,7 +86,7 @@
         } catch (RuntimeException e) {
             // Some of the request may have been written, so it may have been executed. The balancer must be notified
             // that the attempt has ended.
-            log.sendingFailed(e);
+            log.logSendingFailed(e);
             finish(request, attempt, AttemptOutcome.RESET);
         }
     }
@@ -132,15 +132,15 @@
         attempt.cancelTimeout();
         double durationMs = attempt.durationMs(nowMs());
         double connectMs = attempt.connectPartMs(durationMs);
-        log.attemptEnded(request, attempt, outcome, durationMs, connectMs);
+        log.logAttemptEnded(request, attempt, outcome, durationMs, connectMs);
         request.stopStreaming(attempt);
         events.add(request, (balancer, nowMs) -> {
             request.markAttemptReported();
-            balancer.onAttemptFinished(nowMs, result(request, attempt, outcome, durationMs, connectMs));
+            balancer.onAttemptFinished(nowMs, createResult(request, attempt, outcome, durationMs, connectMs));
         });
     }
 
-    private AttemptResult result(
+    private AttemptResult createResult(
             PendingRequest<M, A> request,
             PendingAttempt attempt,
             AttemptOutcome outcome,
--- a/edge/src/main/java/lemonrail/exchange/RequestDeadlines.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDeadlines.java
@@ -61,7 +61,7 @@
     }
 
     /** Restarts the client's timeout, because the rest of a large request body has just been received. */
-    void restart(PendingRequest<?, ?> request) {
+    void restartClientTimeout(PendingRequest<?, ?> request) {
         request.setDeadlineMs(clock.now() - clock.maxQueueDelayMs() + request.clientTimeoutMs());
     }
 
--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -138,7 +138,7 @@
     public void onRequestBodyReceived(String id) {
         PendingRequest<M, A> request = requests.findUnconcluded(id);
         if (request != null) {
-            deadlines.restart(request);
+            deadlines.restartClientTimeout(request);
             startDecisionTimeout(request);
         }
     }
@@ -174,7 +174,7 @@
 
     private void onDecisionTimeout(PendingRequest<M, A> request) {
         if (!request.isConcluded()) {
-            requestLog.decisionTimeout(request);
+            requestLog.logDecisionTimeout(request);
             abandon(request);
         }
     }
@@ -241,7 +241,7 @@
     public void startAttempt(String id, String endpoint, double timeoutMs) {
         PendingRequest<M, A> request = requests.find(id);
         if (request == null) {
-            requestLog.unknownAttempt(id);
+            requestLog.logUnknownAttempt(id);
         } else {
             attempts.start(request, endpoint, timeoutMs);
         }
--- a/edge/src/main/java/lemonrail/exchange/RequestLog.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestLog.java
@@ -9,7 +9,7 @@
 import lemonrail.logging.EventLog;
 import lemonrail.time.Clock;
 
-/** Writes the log events for individual requests and attempts. */
+/** Writes the log events about individual requests and attempts. */
 final class RequestLog {
 
     /** Logged in place of a time that has not been reached. */
@@ -25,14 +25,14 @@
         this.settings = settings;
     }
 
-    void attemptEnded(
+    void logAttemptEnded(
             PendingRequest<?, ?> request,
             PendingAttempt attempt,
             AttemptOutcome outcome,
             double durationMs,
             double connectMs) {
         if (log.isDebugEnabled()) {
-            debug(
+            logDebug(
                     "attempt_ended",
                     request,
                     "endpoint",
@@ -48,9 +48,9 @@
         }
     }
 
-    void requestConcluded(PendingRequest<?, ?> request, RequestOutcome outcome) {
+    void logRequestConcluded(PendingRequest<?, ?> request, RequestOutcome outcome) {
         if (log.isDebugEnabled()) {
-            debug(
+            logDebug(
                     "request_concluded",
                     request,
                     "outcome",
@@ -63,7 +63,7 @@
     }
 
     /** Logs a final response that was given after the client's deadline, with the times that show what delayed it. */
-    void lateResponse(PendingRequest<?, ?> request, RequestOutcome outcome) {
+    void logLateResponse(PendingRequest<?, ?> request, RequestOutcome outcome) {
         double lateMs = clock.now() - request.deadlineMs();
         List<PendingAttempt> attempts = request.attempts();
         PendingAttempt lastAttempt = attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
@@ -93,7 +93,7 @@
                 clock.lag().recentMaxLagMs());
     }
 
-    void decisionTimeout(PendingRequest<?, ?> request) {
+    void logDecisionTimeout(PendingRequest<?, ?> request) {
         log.warnRateLimited(
                 "decision_timeout",
                 "the load balancer made no decision by the deadline; abandoning the request",
@@ -102,7 +102,7 @@
                 request.id());
     }
 
-    void unknownAttempt(String requestId) {
+    void logUnknownAttempt(String requestId) {
         log.warnRateLimited(
                 "unknown_attempt",
                 "ignoring an attempt that the load balancer started for a request that is not in flight",
@@ -111,7 +111,7 @@
                 requestId);
     }
 
-    void sendingFailed(RuntimeException cause) {
+    void logSendingFailed(RuntimeException cause) {
         log.error("sending an attempt failed", cause);
     }
 
@@ -119,7 +119,7 @@
         return instantMs - request.deadlineMs() + request.clientTimeoutMs();
     }
 
-    private void debug(String event, PendingRequest<?, ?> request, Object... fields) {
+    private void logDebug(String event, PendingRequest<?, ?> request, Object... fields) {
         List<Object> allFields = new ArrayList<>(List.of(
                 "request_id",
                 request.id(),
--- a/edge/src/main/java/lemonrail/exchange/ResponseDelivery.java
+++ b/edge/src/main/java/lemonrail/exchange/ResponseDelivery.java
@@ -65,10 +65,10 @@
 
     private void conclude(PendingRequest<M, A> request, RequestOutcome outcome) {
         request.markConcluded(outcome);
-        log.requestConcluded(request, outcome);
+        log.logRequestConcluded(request, outcome);
         if (clock.now() > request.deadlineMs()) {
             metrics.onLateResponse();
-            log.lateResponse(request, outcome);
+            log.logLateResponse(request, outcome);
         }
         request.cancelDecisionTimeout();
         closeRemainingBody(request);
--- a/edge/src/main/java/lemonrail/http1/ClientRequestRouter.java
+++ b/edge/src/main/java/lemonrail/http1/ClientRequestRouter.java
@@ -39,14 +39,14 @@
     /** Handles a request that was received on a connection. The response may be ready before this method returns. */
     void route(ClientConnection connection, IncomingRequest request, PendingResponse response) {
         response.setKeepAlive(HttpUtil.isKeepAlive(request.head()));
-        switch (path(request.head().uri())) {
+        switch (pathOf(request.head().uri())) {
             case API_PATH -> dispatch(connection, request, response);
             case READINESS_PATH -> response.respond(readinessStatus(), lifecycle.description());
             default -> response.respond(HttpResponseStatus.NOT_FOUND, "unknown path");
         }
     }
 
-    private static String path(String uri) {
+    private static String pathOf(String uri) {
         int query = uri.indexOf('?');
         return query < 0 ? uri : uri.substring(0, query);
     }
@@ -78,11 +78,11 @@
         } else {
             response.setRequestId(head.id());
             connection.onRequestDispatched();
-            dispatcher.dispatch(connection.toRequest(head), message(request), response);
+            dispatcher.dispatch(connection.toRequest(head), toRequestMessage(request), response);
         }
     }
 
-    private static RequestMessage message(IncomingRequest request) {
+    private static RequestMessage toRequestMessage(IncomingRequest request) {
         HttpRequest head = request.head();
         HttpHeaders headers = RequestHeadMapper.endToEndHeaders(head);
         if (!request.isStreamed() && request.body().length > 0) {
--- a/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
+++ b/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
@@ -227,7 +227,7 @@
 
     /**
      * Notes that all responses have been passed to the channel but not all are written. The connection closes if the
-     * client stops reading.
+     * client stops accepting them.
      */
     void onResponsesPending() {
         timer.closeWhenStalled();
--- a/edge/src/main/java/lemonrail/http1/EndpointResponseDecoder.java
+++ b/edge/src/main/java/lemonrail/http1/EndpointResponseDecoder.java
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Makes the decoder treat a head as that of a request, because in responses it accepts header lines without a
-     * colon.
+     * Makes the decoder treat each head as that of a request, because it would accept header lines without a colon in a
+     * response.
      */
     @Override
     protected boolean isDecodingRequest() {
--- a/edge/src/main/java/lemonrail/http1/PendingResponse.java
+++ b/edge/src/main/java/lemonrail/http1/PendingResponse.java
@@ -132,7 +132,7 @@
 
     @Override
     public void onServed(UpstreamResponse upstream) {
-        FullHttpResponse success = fullResponse(HttpResponseStatus.OK, Unpooled.wrappedBuffer(upstream.body()));
+        FullHttpResponse success = createFullResponse(HttpResponseStatus.OK, Unpooled.wrappedBuffer(upstream.body()));
         copyContentType(upstream, success);
         respond(success);
     }
@@ -163,7 +163,7 @@
 
     @Override
     public void onRejected(double retryAfterMs) {
-        FullHttpResponse rejection = fullResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, textLine("refused"));
+        FullHttpResponse rejection = createFullResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, toTextLine("refused"));
         if (retryAfterMs > 0) {
             rejection.headers().set(HttpHeaderNames.RETRY_AFTER, formatSeconds(retryAfterMs));
         }
@@ -181,7 +181,7 @@
 
     /** Responds with a line of text. */
     void respond(HttpResponseStatus status, String text) {
-        respond(fullResponse(status, textLine(text)));
+        respond(createFullResponse(status, toTextLine(text)));
     }
 
     /** Responds with an error. The connection closes after this response, and no further request is read. */
@@ -196,11 +196,11 @@
         connection.onResponseReady();
     }
 
-    private static ByteBuf textLine(String text) {
+    private static ByteBuf toTextLine(String text) {
         return Unpooled.wrappedBuffer((text + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static FullHttpResponse fullResponse(HttpResponseStatus status, ByteBuf content) {
+    private static FullHttpResponse createFullResponse(HttpResponseStatus status, ByteBuf content) {
         FullHttpResponse full = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
         full.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
         return full;
--- a/edge/src/main/java/lemonrail/http1/RequestReader.java
+++ b/edge/src/main/java/lemonrail/http1/RequestReader.java
@@ -79,7 +79,7 @@
             if (!stopped
                     && message instanceof HttpObject part
                     && part.decoderResult().isFailure()) {
-                fail(ctx, malformed(part.decoderResult().cause()));
+                fail(ctx, toRequestError(part.decoderResult().cause()));
             }
             if (!stopped && message instanceof HttpRequest request) {
                 startRequest(ctx, request);
@@ -92,7 +92,7 @@
         }
     }
 
-    private static RequestError malformed(Throwable cause) {
+    private static RequestError toRequestError(Throwable cause) {
         return cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException
                 ? new RequestError(HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too large")
                 : new RequestError(HttpResponseStatus.BAD_REQUEST, "malformed request");
--- a/edge/src/main/java/lemonrail/http1/UpstreamAttempt.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamAttempt.java
@@ -73,7 +73,7 @@
         requestWritten = lastPartWritten;
     }
 
-    /** Returns whether the outcome has been neither reported nor cancelled. */
+    /** Returns whether the attempt has neither reported its outcome nor been cancelled. */
     boolean isAwaited() {
         return listener != null;
     }
--- a/edge/src/main/java/lemonrail/http1/WarmUp.java
+++ b/edge/src/main/java/lemonrail/http1/WarmUp.java
@@ -38,8 +38,8 @@
 /**
  * Sends synthetic requests through a second set of the sidecar's components, so that the code is loaded and compiled
  * before the first client request. The client and the endpoints of the warm-up write bytes without a codec, so that
- * only the sidecar's own code is exercised. The second set has its own listener, and is discarded at the end. Confined
- * to the event loop.
+ * only the sidecar's own code is exercised. The second set listens on the sidecar's own address with an ephemeral port,
+ * and is discarded at the end. Confined to the event loop.
  */
 final class WarmUp {
 
@@ -81,7 +81,7 @@
     private final Path scratchFile;
     private final Runnable onDone;
     private final List<Channel> endpoints = new ArrayList<>();
-    /** The numbers and names of the requests of which an attempt has reached an endpoint. */
+    /** The numbers of the requests of which an attempt has reached an endpoint. */
     private final Set<String> attemptedRequests = new HashSet<>();
 
     private UpstreamConnectionPool pool;
--- a/edge/src/main/java/lemonrail/streaming/BodyPipe.java
+++ b/edge/src/main/java/lemonrail/streaming/BodyPipe.java
@@ -157,7 +157,7 @@
         return failed;
     }
 
-    /** Returns whether the whole body has been written to the pipe. */
+    /** Returns whether the complete body has been written to the pipe. */
     public boolean isComplete() {
         return complete;
     }
