--- a/edge/src/main/java/lemonrail/discovery/ControlClient.java
+++ b/edge/src/main/java/lemonrail/discovery/ControlClient.java
@@ -18,30 +18,31 @@
 import lemonrail.time.Clock;
 
 /**
- * Watches endpoints and a settings document at one of several control nodes. What is known is kept from node to
- * node, and only changes are passed on. Belongs to the event loop.
+ * Watches endpoints and a settings document at one control node at a time, chosen from several. The replica of
+ * the entries is kept when the client moves to another node, so that the listener receives only changes. Belongs
+ * to the event loop.
  */
 public final class ControlClient {
 
-    /** How long a request waits for an update unless the configuration says so. */
+    /** How long the node holds a request open for an update if the subscription sets no wait. */
     private static final int DEFAULT_WAIT_MS = 2_000;
-    /** The additional time until a response is overdue, and the time for a connection. */
+    /** The time allowed for a response beyond its wait; also the connect timeout. */
     private static final int RESPONSE_GRACE_MS = 1_000;
 
     private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
     private static final int STATUS_OK = 200;
     private static final double NANOS_PER_MS = 1e6;
-    /** No version is known: the next request asks for a full snapshot. */
+    /** The version while none is known; the next request then asks for a full snapshot. */
     private static final long NO_VERSION = -1;
 
     /**
-     * What is watched, and where.
+     * The services and the document to watch, and the control nodes to watch them at.
      *
-     * @param watcher the watcher's name, as operators see it
-     * @param regionNodes the control nodes of its region
-     * @param fallbackNodes those of other regions, used while none of the former responds
-     * @param services whose endpoints are watched; all if empty
-     * @param document the settings document that it follows, or null
+     * @param watcher the watcher's name, shown to operators
+     * @param regionNodes the control nodes of the watcher's region
+     * @param fallbackNodes the control nodes of other regions, used while no node of {@code regionNodes} responds
+     * @param services the services whose endpoints are watched; all services if empty
+     * @param document the name of the settings document to follow, or null for none
      * @param waitMs how long a request waits for an update, or null for the default
      */
     public record Subscription(
@@ -64,7 +65,7 @@
     private final SettingsSubscription settings;
     private EndpointListListener listener;
     private long version = NO_VERSION;
-    /** Identifies the process that the version is of. */
+    /** Identifies the node process that issued the version; versions of two processes cannot be compared. */
     private String bootId = "";
 
     private boolean hasSnapshot;
@@ -72,9 +73,9 @@
     private Future<?> pendingRetry;
 
     /**
-     * Creates a client, which watches from the first {@link #watch} on.
+     * Creates a client without a request; the first call of {@link #watch} starts the watch.
      *
-     * @param seed of the random times of the node selection
+     * @param seed the seed of the random times that the node selection uses
      */
     public ControlClient(
             EventLoop loop, Clock clock, Subscription subscription, EndpointList.Names names, long seed, EventLog log) {
@@ -102,7 +103,7 @@
         });
     }
 
-    /** Returns the nodes' names, which are their addresses. */
+    /** Registers each address under its node's name, {@code ip:port}, and returns the names. */
     private List<String> registerNodes(List<InetSocketAddress> addresses) {
         List<String> nodes = new ArrayList<>();
         for (InetSocketAddress address : addresses) {
@@ -113,24 +114,24 @@
         return nodes;
     }
 
-    /** Sets the receiver of the endpoint lists. */
+    /** Sets the listener that receives the endpoint lists; needed before the first response. */
     public void setListener(EndpointListListener newListener) {
         listener = newListener;
     }
 
-    /** Sets the receiver of settings documents; without one all are rejected. */
+    /** Sets the handler that applies settings documents; without a handler every document is rejected. */
     public void setSettingsHandler(SettingsHandler handler) {
         settings.setHandler(handler);
     }
 
-    /** Starts the watch; one that runs goes on, a pending backoff included. */
+    /** Starts the watch. Does nothing while a request is in flight or a retry is pending, or after {@link #close}. */
     public void watch() {
         if (!closed && !client.isInFlight() && pendingRetry == null) {
             sendRequest();
         }
     }
 
-    /** Ends the watch. */
+    /** Ends the watch and closes the connection; the watch cannot be started again. */
     public void close() {
         if (pendingRetry != null) {
             pendingRetry.cancel(false);
@@ -140,22 +141,22 @@
         client.close();
     }
 
-    /** Returns the digest over all known entries, as the nodes calculate it. */
+    /** Returns the digest over all live entries of the replica, calculated in the same way as by the nodes. */
     public long digest() {
         return replica.digest();
     }
 
-    /** Returns the number of known entries. */
+    /** Returns the number of live entries in the replica. */
     public int entryCount() {
         return replica.size();
     }
 
     private void sendRequest() {
-        int waitMs = waitMs();
+        int waitMs = nextWaitMs();
         client.send(addressByNode.get(selector.currentNode()), requestUri(waitMs), waitMs + RESPONSE_GRACE_MS);
     }
 
-    private int waitMs() {
+    private int nextWaitMs() {
         if (version < 0) {
             return 0;
         }
@@ -180,7 +181,7 @@
 
     private void handleFailure(Object reason) {
         client.close();
-        log.warnRateLimited("discovery_failed", "discovery failed", reason, "address", selector.currentNode());
+        log.warnRateLimited("discovery_failed", "endpoint discovery failed", reason, "address", selector.currentNode());
         double backoffMs = selector.onFailure(clock.now());
         pendingRetry = loop.schedule(
                 () -> {
@@ -205,49 +206,50 @@
             handleFailure(e.getMessage());
             return;
         } catch (RuntimeException e) {
-            // Any other failure must not end the watch.
-            log.error("a response of a control node", e);
+            // An unexpected exception must not end the watch.
+            log.error("failed to apply a control node's response", e);
             handleFailure(e);
             return;
         }
         if (selector.onResponse(clock.now(), response.replicationAgeMs())) {
             log.info(
                     "control_node",
-                    "watching at " + selector.currentNode() + " from now on",
+                    "control node " + selector.currentNode() + " is watched now",
                     "address",
                     selector.currentNode());
         }
-        // The next request goes out first: the node expects it soon after its response.
+        // Send the next request before the listener runs, because the node expects it soon after its response.
         sendRequest();
         if (changes.full() || !changes.entries().isEmpty()) {
             listener.onEndpointList(changes);
         }
     }
 
-    /** Applies a response and returns the changes: a full list the first time, a delta from then on. */
+    /** Applies a response to the replica and returns the changes: a full list the first time, then deltas. */
     private EndpointList apply(ControlResponse response) {
         List<EndpointList.Entry> changes = new ArrayList<>();
-        List<WatcherReplica.Key> listed = new ArrayList<>();
+        List<WatcherReplica.Key> listedKeys = new ArrayList<>();
         for (ControlResponse.EndpointVersion endpoint : response.endpoints()) {
-            listed.add(endpoint.key());
+            listedKeys.add(endpoint.key());
             if (replica.apply(endpoint.key(), endpoint.timestamp(), endpoint.isRemoved())) {
                 changes.add(endpoint.entry());
             }
         }
         for (ControlResponse.DocumentVersion document : response.documents()) {
-            listed.add(document.key());
+            listedKeys.add(document.key());
             if (replica.apply(document.key(), document.timestamp(), document.isRemoved())) {
                 settings.onVersion(document.text(), document.timestamp());
             }
         }
         if (response.full()) {
-            replica.retainListed(listed, response.acknowledgedVersions()).forEach(key -> removeDropped(key, changes));
+            replica.retainListed(listedKeys, response.acknowledgedVersions())
+                    .forEach(key -> removeDropped(key, changes));
         }
-        boolean isFirst = !hasSnapshot;
+        boolean isFirstResponse = !hasSnapshot;
         hasSnapshot = true;
         bootId = response.bootId();
         version = response.version();
-        return new EndpointList(version, isFirst, changes);
+        return new EndpointList(version, isFirstResponse, changes);
     }
 
     private void removeDropped(WatcherReplica.Key key, List<EndpointList.Entry> changes) {
--- a/edge/src/main/java/lemonrail/discovery/ControlResponse.java
+++ b/edge/src/main/java/lemonrail/discovery/ControlResponse.java
@@ -14,12 +14,12 @@
 /**
  * One watch response of a control node.
  *
- * @param version the node's version, to resume from
- * @param full whether it is a full snapshot
- * @param bootId identifies the node's process, whose version it is
- * @param replicationAgeMs the time since the node received anything from a peer
- * @param endpoints the endpoints listed or changed
- * @param documents the versions of the settings document that is followed
+ * @param version the node's version, from which the next request resumes
+ * @param full whether the response is a full snapshot
+ * @param bootId identifies the node process that issued the version
+ * @param replicationAgeMs the time since the node last received data from a peer
+ * @param endpoints all endpoints in a full snapshot, the changed ones in a delta
+ * @param documents the versions of the followed settings document
  * @param acknowledgedVersions the node's acknowledged version vector; empty in a delta
  */
 record ControlResponse(
@@ -41,7 +41,7 @@
     /**
      * One version of a settings document.
      *
-     * @param text its content, null if it is removed
+     * @param text the document's content, or null if the document is removed
      */
     record DocumentVersion(WatcherReplica.Key key, HybridTimestamp timestamp, String text) {
         boolean isRemoved() {
@@ -50,17 +50,17 @@
     }
 
     /**
-     * Parses a response completely, so that an invalid one has no effect.
+     * Parses a complete response before any of it is applied, so that an invalid response has no effect.
      *
-     * @param followedDocument the settings document that is followed, or null
-     * @throws IOException if it is no response of a control node
+     * @param followedDocument the name of the followed settings document, or null for none
+     * @throws IOException if the bytes are not a control node's response
      * @throws IllegalArgumentException if a field is invalid
      */
     static ControlResponse parse(byte[] json, EndpointList.Names names, String followedDocument) throws IOException {
         Map<?, ?> fields = EndpointListReader.parseObject(json);
         EndpointList list = EndpointListReader.read(fields, names);
         if (!(fields.get("node") instanceof String bootId)) {
-            throw new IOException("it is no control node");
+            throw new IOException("response is not from a control node: field node is missing or not a string");
         }
         return new ControlResponse(
                 list.version(),
@@ -73,7 +73,7 @@
     }
 
     private static List<EndpointVersion> readEndpoints(Map<?, ?> fields, EndpointList list) {
-        List<Map<?, ?>> objects = EndpointListReader.endpointObjects(fields);
+        List<Map<?, ?>> objects = EndpointListReader.readEndpointObjects(fields);
         List<EndpointVersion> endpoints = new ArrayList<>();
         for (int i = 0; i < objects.size(); i++) {
             Map<?, ?> object = objects.get(i);
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -10,14 +10,16 @@
 import lemonrail.logging.EventLog;
 
 /**
- * Watches the endpoint list at the platform's discovery, request after request. There is one request at a
- * time. After a failure the watch resumes after a backoff, which {@link #watch} cuts short. Belongs to the event
- * loop.
+ * Watches the endpoint list at the platform's discovery, with one request in flight at a time. After a failure
+ * the watch resumes after a backoff; {@link #watch} resumes it at once. Belongs to the event loop.
  */
 public final class DiscoveryClient {
 
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
-    /** After a time limit a busy event loop gets this long to read what has arrived meanwhile. */
+    /**
+     * The delay between the end of a time limit and the failure of the request. It lets a busy event loop read
+     * bytes that arrived before the limit.
+     */
     private static final int READ_GRACE_MS = 10;
 
     private static final int STATUS_OK = 200;
@@ -25,9 +27,9 @@
 
     /** The phases of a request, each of which has a time limit. */
     private enum Phase {
-        CONNECTING("no connection in time"),
-        WAITING_FOR_RESPONSE("no answer in time"),
-        RECEIVING_RESPONSE("no whole answer in time");
+        CONNECTING("connect timed out"),
+        WAITING_FOR_RESPONSE("timed out waiting for a response"),
+        RECEIVING_RESPONSE("timed out before the response was complete");
 
         private final String timeoutReason;
 
@@ -43,22 +45,22 @@
     private final HttpGetClient http;
     private EndpointListListener listener;
     private InetSocketAddress address;
-    /** The version of the list at this address; empty to request a full snapshot. */
+    /** The version of the list at the current address; if empty, the next request asks for a full snapshot. */
     private OptionalLong version;
 
     private Phase phase = Phase.CONNECTING;
     private Future<?> phaseTimeout;
-    /** When the response must be complete, by {@link System#nanoTime}; valid while it is received. */
+    /** The {@link System#nanoTime} by which the response must be complete; valid only while receiving it. */
     private long responseDeadlineNs;
 
     private Future<?> pendingRetry;
     private boolean closed;
 
     /**
-     * Creates a client, which watches from the first {@link #watch} on.
+     * Creates a client without a request; the first call of {@link #watch} starts the watch.
      *
-     * @param address of the discovery
-     * @param knownVersion the version of the list that is known already
+     * @param address the address of the discovery service
+     * @param knownVersion the version of the list that the caller already has
      */
     public DiscoveryClient(
             EventLoop loop,
@@ -77,7 +79,7 @@
                 loop, HttpGetClient.NO_CONNECT_TIMEOUT, MAX_RESPONSE_BYTES, new HttpGetClient.Listener() {
                     @Override
                     public String onConnected() {
-                        return startWaiting();
+                        return prepareRequest();
                     }
 
                     @Override
@@ -98,14 +100,14 @@
                 });
     }
 
-    /** Sets the receiver of the endpoint lists. */
+    /** Sets the listener that receives the endpoint lists; needed before the first response. */
     public void setListener(EndpointListListener newListener) {
         listener = newListener;
     }
 
     /**
-     * Continues at another address, at once and without a failure. Its versions are unrelated, so a full
-     * snapshot is requested.
+     * Moves the watch to another address immediately; a request in flight is dropped without counting as a
+     * failure. The versions of the two addresses are unrelated, so that a full snapshot is requested.
      */
     public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -113,14 +115,14 @@
         }
         address = newAddress;
         version = OptionalLong.empty();
-        // The failures of the old address say nothing of the new one.
+        // Reset the backoff, because failures of the old address do not predict failures of the new one.
         schedule.onResponse();
         cancelPhaseTimeout();
         http.close();
         watch();
     }
 
-    /** Starts a request unless one is in flight; a pending backoff ends. */
+    /** Starts a request unless one is in flight or the client is closed; cancels a pending backoff. */
     public void watch() {
         if (http.isInFlight() || closed) {
             return;
@@ -132,7 +134,7 @@
         http.send(address);
     }
 
-    /** Ends the watch for good. */
+    /** Ends the watch and closes the connection; the watch cannot be started again. */
     public void close() {
         closed = true;
         cancelPhaseTimeout();
@@ -147,15 +149,18 @@
         }
     }
 
-    /** Returns the request's URI. Its time limit starts only now: the connect may have taken long. */
-    private String startWaiting() {
+    /**
+     * Starts the time limit for the response and returns the request's URI. The limit starts here, after the
+     * connect, so that a slow connect does not shorten it.
+     */
+    private String prepareRequest() {
         int waitMs = version.isPresent() ? schedule.waitMs() : 0;
         enterPhase(Phase.WAITING_FOR_RESPONSE, waitMs + WatchSchedule.silenceTimeoutMs());
         String resumption = version.isPresent() ? "?index=" + version.getAsLong() + "&wait=" + waitMs : "";
         return "/registry/instances" + resumption;
     }
 
-    /** Each part of a response must follow soon, and all of it be there by its deadline. */
+    /** Restarts the time limit for the next bytes of the response, capped by the deadline for the complete response. */
     private void restartReceiveTimeout() {
         long nowNs = System.nanoTime();
         if (phase != Phase.RECEIVING_RESPONSE) {
@@ -185,7 +190,7 @@
     private void handleFailure(Object reason) {
         cancelPhaseTimeout();
         http.close();
-        log.warnRateLimited("discovery_failed", "discovery failed", reason, "address", address);
+        log.warnRateLimited("discovery_failed", "endpoint discovery failed", reason, "address", address);
         pendingRetry = loop.schedule(this::watch, (long) (schedule.onFailure() * NANOS_PER_MS), TimeUnit.NANOSECONDS);
     }
 
@@ -203,9 +208,9 @@
         }
         schedule.onResponse();
         boolean versionsRestarted = !list.full() && version.isPresent() && list.version() < version.getAsLong();
-        // A delta since another sequence's version may lack changes.
+        // A lower version means that discovery restarted its numbering, so that this delta may lack changes.
         version = versionsRestarted ? OptionalLong.empty() : OptionalLong.of(list.version());
-        // The next request goes out first: discovery expects it soon after its response.
+        // Send the next request before the listener runs, because discovery expects it soon after its response.
         watch();
         listener.onEndpointList(list);
     }
--- a/edge/src/main/java/lemonrail/discovery/EndpointListListener.java
+++ b/edge/src/main/java/lemonrail/discovery/EndpointListListener.java
@@ -3,6 +3,6 @@
 /** Receives the endpoint lists of a watch. */
 @FunctionalInterface
 public interface EndpointListListener {
-    /** A full snapshot or a delta has arrived; called on the event loop. */
+    /** Called on the event loop for each full snapshot and each delta. */
     void onEndpointList(EndpointList list);
 }
--- a/edge/src/main/java/lemonrail/discovery/EndpointListReader.java
+++ b/edge/src/main/java/lemonrail/discovery/EndpointListReader.java
@@ -10,10 +10,10 @@
 import lemonrail.json.InvalidFieldException;
 import lemonrail.json.Json;
 
-/** Reads endpoint lists in the platform's form: the only place that knows the names of its fields. */
+/** Reads endpoint lists in the JSON format of the platform's discovery and checks their fields. */
 public final class EndpointListReader {
 
-    /** The index of a zone or kind that is missing or not configured. */
+    /** The index of a zone or hardware kind that is missing in the entry or not configured. */
     private static final int UNKNOWN_INDEX = -1;
 
     private static final double DEFAULT_WEIGHT = 1;
@@ -23,19 +23,23 @@
     /**
      * Parses an endpoint list.
      *
-     * @throws IOException if the bytes are no JSON object
+     * @throws IOException if the bytes are not a JSON object
      * @throws InvalidFieldException if a field is invalid
      */
     public static EndpointList parse(byte[] json, EndpointList.Names names) throws IOException {
         return read(parseObject(json), names);
     }
 
-    /** Parses the JSON object that holds a list. */
+    /**
+     * Parses the JSON object of an endpoint list without reading its fields.
+     *
+     * @throws IOException if the bytes are not a JSON object
+     */
     static Map<?, ?> parseObject(byte[] json) throws IOException {
         if (Json.parse(json) instanceof Map<?, ?> fields) {
             return fields;
         }
-        throw new IOException("the list of endpoints is no object");
+        throw new IOException("endpoint list is not a JSON object");
     }
 
     /**
@@ -51,14 +55,18 @@
             throw new InvalidFieldException("full", list.get("full"));
         }
         List<EndpointList.Entry> entries = new ArrayList<>();
-        for (Map<?, ?> fields : endpointObjects(list)) {
+        for (Map<?, ?> fields : readEndpointObjects(list)) {
             entries.add(readEntry(fields, names));
         }
         return new EndpointList(version.longValue(), full, entries);
     }
 
-    /** Returns the objects of the field {@code servers}, which must be there. */
-    static List<Map<?, ?>> endpointObjects(Map<?, ?> list) {
+    /**
+     * Returns the elements of the field {@code servers}.
+     *
+     * @throws InvalidFieldException if the field is missing or not an array of objects
+     */
+    static List<Map<?, ?>> readEndpointObjects(Map<?, ?> list) {
         if (!(list.get("servers") instanceof List<?> elements)) {
             throw new InvalidFieldException("servers", list.get("servers"));
         }
@@ -77,7 +85,7 @@
             throw new InvalidFieldException("servers[].id", fields.get("id"));
         }
         EndpointState state = readState(fields.get("state"));
-        // A removed endpoint needs no fields but its id.
+        // A removed endpoint needs only id and state.
         InetSocketAddress address =
                 state == EndpointState.GONE ? null : SocketAddressReader.read("servers[].addr", fields.get("addr"));
         Endpoint endpoint = new Endpoint(
--- a/edge/src/main/java/lemonrail/discovery/HttpGetClient.java
+++ b/edge/src/main/java/lemonrail/discovery/HttpGetClient.java
@@ -26,26 +26,26 @@
 import lemonrail.net.Sockets;
 
 /**
- * Sends HTTP/1.1 GET requests, one at a time, on a connection that is reused while it lasts. Time limits are
- * the caller's: it ends an overdue request by {@link #fail}. Belongs to the event loop.
+ * Sends HTTP/1.1 GET requests, one at a time, and reuses the connection while it is open. The caller enforces
+ * the time limits of requests: it ends an overdue request with {@link #fail}. Belongs to the event loop.
  */
 final class HttpGetClient {
 
-    /** No connect time-out besides the caller's time limit. */
+    /** Disables the connect timeout, for a caller whose own time limit includes the connect. */
     static final int NO_CONNECT_TIMEOUT = 0;
 
-    /** Receives the events of a request: {@link #onResponse} or {@link #onFailure} once, as the last one. */
+    /** Receives the events of a request; the last one is a single {@link #onResponse} or {@link #onFailure}. */
     interface Listener {
-        /** Returns the URI of the request; called when the connection is ready, right before the write. */
+        /** Returns the URI of the request; called on an open connection, immediately before the request is written. */
         String onConnected();
 
-        /** Bytes of the response have arrived. */
+        /** Called when bytes of the response arrive, before they are decoded. */
         default void onBytesReceived() {}
 
-        /** The response is complete. */
+        /** Called when the response is complete. */
         void onResponse(int status, byte[] body);
 
-        /** There will be no response; the connection is closed. */
+        /** Called when the request has failed, after its connection is closed. */
         void onFailure(Object reason);
     }
 
@@ -58,8 +58,8 @@
     /**
      * Creates a client without a connection.
      *
-     * @param connectTimeoutMs the time for a connection, or {@link #NO_CONNECT_TIMEOUT}
-     * @param maxResponseBytes the largest response body
+     * @param connectTimeoutMs the connect timeout, or {@link #NO_CONNECT_TIMEOUT}
+     * @param maxResponseBytes the maximum size of a response body; a larger one fails the request
      */
     HttpGetClient(EventLoop loop, int connectTimeoutMs, int maxResponseBytes, Listener listener) {
         this.listener = listener;
@@ -71,8 +71,9 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline()
+                    protected void initChannel(SocketChannel newChannel) {
+                        newChannel
+                                .pipeline()
                                 .addLast(
                                         new ProgressHandler(),
                                         new HttpClientCodec(),
@@ -82,24 +83,24 @@
                 });
     }
 
-    /** Returns whether a request is in flight, one that waits for its connection included. */
+    /** Returns whether a request is in flight, including one that is still connecting. */
     boolean isInFlight() {
         return inFlight;
     }
 
-    /** Returns whether the next request to this address needs no new connection. */
+    /** Returns whether a request to this address can reuse the open connection. */
     boolean isConnectedTo(InetSocketAddress target) {
         return channel != null && channel.isActive() && target.equals(address);
     }
 
     /**
-     * Sends a request, over a new connection if there is none to this address.
+     * Sends a request, over a new connection if none is open to this address.
      *
-     * @throws IllegalStateException if a request is in flight
+     * @throws IllegalStateException if a request is already in flight
      */
     void send(InetSocketAddress target) {
         if (inFlight) {
-            throw new IllegalStateException("a request is in flight already");
+            throw new IllegalStateException("a request is already in flight");
         }
         inFlight = true;
         if (isConnectedTo(target)) {
@@ -113,11 +114,11 @@
         dropConnection();
         address = target;
         ChannelFuture connecting = bootstrap.connect(target);
-        Channel fresh = connecting.channel();
-        channel = fresh;
+        Channel newChannel = connecting.channel();
+        channel = newChannel;
         connecting.addListener(connected -> {
-            if (fresh != channel) {
-                fresh.close();
+            if (newChannel != channel) {
+                newChannel.close();
             } else if (connected.isSuccess()) {
                 writeRequest();
             } else {
@@ -133,7 +134,7 @@
         channel.writeAndFlush(request);
     }
 
-    /** Closes the connection; a request in flight fails for this reason. */
+    /** Closes the connection; a request in flight fails with this reason. */
     void fail(Object reason) {
         dropConnection();
         if (inFlight) {
@@ -142,7 +143,7 @@
         }
     }
 
-    /** Closes the connection; a request in flight ends without notice to the listener. */
+    /** Closes the connection and drops a request in flight without a call of the listener. */
     void close() {
         inFlight = false;
         dropConnection();
@@ -150,9 +151,9 @@
 
     private void dropConnection() {
         if (channel != null) {
-            Channel dropped = channel;
+            Channel oldChannel = channel;
             channel = null;
-            dropped.close();
+            oldChannel.close();
         }
     }
 
@@ -160,7 +161,7 @@
         return ctx.channel() == channel;
     }
 
-    /** Reports the progress of a response, before it is decoded. */
+    /** Reports received bytes of a response before they are decoded. */
     private final class ProgressHandler extends ChannelInboundHandlerAdapter {
 
         @Override
@@ -194,7 +195,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (isCurrent(ctx)) {
-                fail("the connection ended");
+                fail("connection closed before the response was complete");
             }
         }
 
--- a/edge/src/main/java/lemonrail/discovery/SettingsHandler.java
+++ b/edge/src/main/java/lemonrail/discovery/SettingsHandler.java
@@ -4,9 +4,9 @@
 @FunctionalInterface
 public interface SettingsHandler {
     /**
-     * Applies a document as a whole or not at all; called on the event loop.
+     * Applies a document completely or not at all; called on the event loop.
      *
-     * @param document its content, null if there is none any more
+     * @param document the document's content, or null if it was removed
      */
     SettingsOutcome apply(String document);
 }
--- a/edge/src/main/java/lemonrail/discovery/SettingsOutcome.java
+++ b/edge/src/main/java/lemonrail/discovery/SettingsOutcome.java
@@ -1,13 +1,13 @@
 package lemonrail.discovery;
 
-/** The outcome of applying a settings document: as a whole or not at all. */
+/** The outcome of applying a settings document, which is applied completely or not at all. */
 public sealed interface SettingsOutcome {
 
-    /** The document is in force. */
+    /** The document was applied. */
     record Applied() implements SettingsOutcome {}
 
     /**
-     * The former settings stay in force.
+     * The document was rejected; the previous settings stay in force.
      *
      * @param reason why the document was rejected
      */
--- a/edge/src/main/java/lemonrail/discovery/SettingsSubscription.java
+++ b/edge/src/main/java/lemonrail/discovery/SettingsSubscription.java
@@ -4,7 +4,7 @@
 import lemonrail.logging.EventLog;
 
 /**
- * The settings document that a watcher follows: which version is applied, and which was rejected and why.
+ * The settings document that a watcher follows. Keeps which version was applied, which was rejected, and why.
  * Belongs to the event loop.
  */
 final class SettingsSubscription {
@@ -13,17 +13,18 @@
 
     private final String document;
     private final EventLog log;
-    private SettingsHandler handler = text -> new SettingsOutcome.Rejected("this edge takes no settings while it runs");
+    private SettingsHandler handler =
+            text -> new SettingsOutcome.Rejected("this edge does not support settings changes at run time");
     private HybridTimestamp applied = HybridTimestamp.NONE;
-    /** The last version rejected since one was applied, or null. */
+    /** The last version rejected after the applied one, or null if none was. */
     private HybridTimestamp rejected;
 
     private String rejectionReason = "";
 
     /**
-     * Creates a subscription to a document, or to none.
+     * Creates a subscription.
      *
-     * @param document its name, or null
+     * @param document the document's name, or null to follow none
      */
     SettingsSubscription(String document, EventLog log) {
         this.document = document;
@@ -34,7 +35,7 @@
         handler = newHandler;
     }
 
-    /** Appends what is reported of the document to the URI of a watch. */
+    /** Appends the document's name and its applied and rejected versions to the URI of a watch request. */
     void appendTo(WatchUri uri) {
         if (document == null) {
             return;
@@ -48,43 +49,43 @@
         }
     }
 
-    /** Handles the removal of the document: the settings of the own file are in force again. */
+    /** Handles the removal of the document; the settings of the edge's own file are applied again. */
     void onRemoved() {
         onVersion(null, HybridTimestamp.NONE);
     }
 
     /**
-     * Handles a new version of the document.
+     * Applies a new version of the document and records the outcome.
      *
-     * @param text its content, null for a removal
+     * @param text the document's content, or null if it was removed
      */
     void onVersion(String text, HybridTimestamp timestamp) {
         if (handler.apply(text) instanceof SettingsOutcome.Rejected rejection) {
-            reject(timestamp, rejection.reason());
+            recordRejected(timestamp, rejection.reason());
         } else {
-            accept(text, timestamp);
+            recordApplied(text, timestamp);
         }
     }
 
-    private void accept(String text, HybridTimestamp timestamp) {
+    private void recordApplied(String text, HybridTimestamp timestamp) {
         applied = text == null ? HybridTimestamp.NONE : timestamp;
         rejected = null;
         rejectionReason = "";
         log.info(
                 "settings_taken",
-                "settings " + document + " are in force: " + timestamp.encode(),
+                "settings " + document + " applied, version " + timestamp.encode(),
                 "document",
                 document,
                 "stamp",
                 timestamp.encode());
     }
 
-    private void reject(HybridTimestamp timestamp, String reason) {
+    private void recordRejected(HybridTimestamp timestamp, String reason) {
         rejected = timestamp;
         rejectionReason = reason.substring(0, Math.min(MAX_REASON_CHARS, reason.length()));
         log.warn(
                 "settings_refused",
-                "settings " + document + " stay as they were: " + reason,
+                "settings " + document + " rejected, the previous ones stay in force: " + reason,
                 "document",
                 document,
                 "stamp",
--- a/edge/src/main/java/lemonrail/discovery/SocketAddressReader.java
+++ b/edge/src/main/java/lemonrail/discovery/SocketAddressReader.java
@@ -12,10 +12,10 @@
     private SocketAddressReader() {}
 
     /**
-     * Reads an address such as {@code 10.0.0.4:9000}. Host names are not accepted: there is no DNS.
+     * Reads an address such as {@code 10.0.0.4:9000}. Host names are rejected, because names are not resolved.
      *
-     * @param field the path of the field, for the exception
-     * @throws InvalidFieldException if the value is no such address
+     * @param field the path of the field, which the exception names
+     * @throws InvalidFieldException if the value is not an IP address with a port
      */
     public static InetSocketAddress read(String field, Object value) {
         if (!(value instanceof String text)) {
--- a/edge/src/main/java/lemonrail/discovery/WatchClient.java
+++ b/edge/src/main/java/lemonrail/discovery/WatchClient.java
@@ -6,17 +6,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sends the requests of one watch, one at a time, each with a time limit that includes the connect. Belongs to
- * the event loop.
+ * Sends the requests of one watch, one at a time. The time limit of each request includes the connect. Belongs
+ * to the event loop.
  */
 public final class WatchClient {
 
-    /** Receives the outcome of a request: one of the two, once. */
+    /** Receives the outcome of each request, by exactly one of the two calls. */
     public interface Listener {
-        /** The response is complete. */
+        /** Called when the response is complete. */
         void onResponse(int status, byte[] body);
 
-        /** There will be no response; the connection is closed. */
+        /** Called when the request has failed, after its connection is closed. */
         void onFailure(Object reason);
     }
 
@@ -28,8 +28,8 @@
     /**
      * Creates a client without a connection.
      *
-     * @param connectTimeoutMs the time for a connection
-     * @param maxResponseBytes the largest response body
+     * @param connectTimeoutMs the connect timeout
+     * @param maxResponseBytes the maximum size of a response body; a larger one fails the request
      */
     public WatchClient(EventLoop loop, int connectTimeoutMs, int maxResponseBytes, Listener listener) {
         this.loop = loop;
@@ -53,7 +53,7 @@
         });
     }
 
-    /** Returns whether a request is in flight. */
+    /** Returns whether a request is in flight, including one that is still connecting. */
     public boolean isInFlight() {
         return http.isInFlight();
     }
@@ -61,19 +61,20 @@
     /**
      * Sends a request.
      *
-     * @param timeoutMs the time until the response must be complete, the connect included
-     * @throws IllegalStateException if a request is in flight
+     * @param timeoutMs the time limit for the complete response, including the connect
+     * @throws IllegalStateException if a request is already in flight
      */
     public void send(InetSocketAddress target, String requestUri, int timeoutMs) {
         if (http.isInFlight()) {
-            throw new IllegalStateException("a request is in flight already");
+            throw new IllegalStateException("a request is already in flight");
         }
         uri = requestUri;
-        timeout = loop.schedule(() -> http.fail("no answer in time"), timeoutMs, TimeUnit.MILLISECONDS);
+        timeout = loop.schedule(
+                () -> http.fail("timed out before the response was complete"), timeoutMs, TimeUnit.MILLISECONDS);
         http.send(target);
     }
 
-    /** Closes the connection; a request in flight ends without notice to the listener. */
+    /** Closes the connection and drops a request in flight without a call of the listener. */
     public void close() {
         cancelTimeout();
         http.close();
--- a/edge/src/main/java/lemonrail/discovery/WatchUri.java
+++ b/edge/src/main/java/lemonrail/discovery/WatchUri.java
@@ -11,7 +11,7 @@
     private final StringBuilder uri = new StringBuilder(PATH);
     private char separator = '?';
 
-    /** Adds a value that needs no encoding. */
+    /** Adds a parameter whose value contains only characters that are valid in a URI query. */
     WatchUri add(String name, String value) {
         uri.append(separator).append(name).append('=').append(value);
         separator = '&';
@@ -22,7 +22,7 @@
         return add(name, Long.toString(value));
     }
 
-    /** Adds a value that may need encoding. */
+    /** Adds a parameter and percent-encodes its value. */
     WatchUri addEncoded(String name, String value) {
         return add(name, URLEncoder.encode(value, StandardCharsets.UTF_8));
     }
--- a/edge/src/main/java/lemonrail/discovery/package-info.java
+++ b/edge/src/main/java/lemonrail/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** Clients that keep the endpoint list current, by polling or by a watch. */
+/** Clients that keep the endpoint list up to date by watching discovery or a control node. */
 package lemonrail.discovery;
--- a/edge/src/test/java/lemonrail/assembly/SidecarTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarTest.java
@@ -394,7 +394,9 @@
         SidecarFixture.await("the list is there", () -> fixture.discovery.requests.size() >= 3);
         assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
         assertEquals(1, after.requests.size());
-        assertTrue(fixture.logged().contains("discovery failed: no answer in time"), fixture.logged());
+        assertTrue(
+                fixture.logged().contains("endpoint discovery failed: timed out waiting for a response"),
+                fixture.logged());
         after.close();
     }
 
