--- a/edge/src/main/java/lemonrail/admin/AdminServer.java
+++ b/edge/src/main/java/lemonrail/admin/AdminServer.java
@@ -27,41 +27,41 @@
 import lemonrail.net.HttpListener;
 
 /**
- * Serves the admin API: one request a connection. Connections are few and have short timeouts, so that waiting
- * clients do not keep others out. Belongs to the event loop.
+ * Serves an admin API over HTTP, with one request per connection. Connections are few and have short timeouts, so
+ * that idle clients do not block others. Belongs to the event loop.
  */
 public final class AdminServer {
 
-    /** The most open connections; beyond it the oldest without a complete request is closed. */
+    /** The maximum of open connections; above it the oldest connection without a complete request is closed first. */
     public static final int MAX_CONNECTIONS = 16;
 
     private static final int BACKLOG = 128;
     private static final int MAX_LINE_BYTES = 2048;
     private static final int MAX_HEAD_BYTES = 8192;
     private static final int MAX_CHUNK_BYTES = 4096;
-    /** The limit on the body of a request to an API whose requests need none. */
+    /** The maximum body size of requests to a sidecar's admin API, none of which needs a body. */
     private static final int MAX_BODY_BYTES = 4096;
-    /** From the connect to the last byte of the request. */
+    /** The time limit from the connect to the last byte of the request. */
     private static final int REQUEST_TIMEOUT_MS = 2500;
-    /** From the response to the close of the connection, if the client does not close it before. */
+    /** The time from the response to the close of the connection, unless the client closes it earlier. */
     private static final int RESPONSE_TIMEOUT_MS = 1000;
 
     private final EventLoop loop;
     private final ByteBufAllocator buffers;
-    private final AdminHandlers handlers;
+    private final AdminHandler handler;
     private final int maxBodyBytes;
     private final BiConsumer<String, Throwable> onFault;
     /** Connections without a complete request, oldest first. */
-    private final Set<Connection> waiting = new LinkedHashSet<>();
+    private final Set<Connection> pendingConnections = new LinkedHashSet<>();
     /** Connections whose response is written or being written, oldest first. */
-    private final Set<Connection> answered = new LinkedHashSet<>();
+    private final Set<Connection> respondedConnections = new LinkedHashSet<>();
 
     private Channel listener;
 
     /**
-     * Creates the server of a sidecar.
+     * Creates a server of a sidecar's admin API.
      *
-     * @param onFault receives exceptions that a handler or a connection has thrown
+     * @param onFault receives a message and the exception if a handler or a connection fails unexpectedly
      */
     public AdminServer(
             EventLoop loop,
@@ -72,25 +72,25 @@
     }
 
     /**
-     * Creates a server of another API.
+     * Creates a server of any admin API.
      *
-     * @param maxBodyBytes the limit on the body of a request
-     * @param onFault receives exceptions that a handler or a connection has thrown
+     * @param maxBodyBytes the maximum size of a request body
+     * @param onFault receives a message and the exception if a handler or a connection fails unexpectedly
      */
     public AdminServer(
             EventLoop loop,
             ByteBufAllocator buffers,
-            AdminHandlers handlers,
+            AdminHandler handler,
             int maxBodyBytes,
             BiConsumer<String, Throwable> onFault) {
         this.loop = loop;
         this.buffers = buffers;
-        this.handlers = handlers;
+        this.handler = handler;
         this.maxBodyBytes = maxBodyBytes;
         this.onFault = onFault;
     }
 
-    /** Starts to listen at an address; port 0 takes a free one. */
+    /** Starts to listen on an address; port 0 selects a free port. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound = new HttpListener(BACKLOG, MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES, maxBodyBytes)
                 .bind(loop, buffers, address, Connection::new);
@@ -98,14 +98,14 @@
         return bound;
     }
 
-    /** Returns the address that the server listens at. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
     private void closeOldestBeyondLimit() {
-        while (waiting.size() + answered.size() > MAX_CONNECTIONS) {
-            Set<Connection> candidates = waiting.isEmpty() ? answered : waiting;
+        while (pendingConnections.size() + respondedConnections.size() > MAX_CONNECTIONS) {
+            Set<Connection> candidates = pendingConnections.isEmpty() ? respondedConnections : pendingConnections;
             Connection oldest = candidates.iterator().next();
             candidates.remove(oldest);
             oldest.channel.close();
@@ -124,10 +124,11 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            waiting.add(this);
+            pendingConnections.add(this);
             closeOldestBeyondLimit();
             timeout = loop.schedule(
-                    () -> respond(AdminResponse.of(HttpResponseStatus.REQUEST_TIMEOUT, "no whole call in time")),
+                    () -> respond(AdminResponse.of(
+                            HttpResponseStatus.REQUEST_TIMEOUT, "timed out before the request was complete")),
                     REQUEST_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
         }
@@ -138,7 +139,7 @@
                 return;
             }
             if (request.decoderResult().isFailure()) {
-                respond(AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "malformed call"));
+                respond(AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "malformed request"));
                 return;
             }
             respond(handle(request));
@@ -146,10 +147,11 @@
 
         private AdminResponse handle(FullHttpRequest request) {
             try {
-                return handlers.handle(request.method(), request.uri(), ByteBufUtil.getBytes(request.content()));
+                return handler.handle(request.method(), request.uri(), ByteBufUtil.getBytes(request.content()));
             } catch (RuntimeException e) {
-                onFault.accept("an admin request failed", e);
-                return AdminResponse.of(HttpResponseStatus.INTERNAL_SERVER_ERROR, "failed: see the log");
+                onFault.accept("admin request failed", e);
+                return AdminResponse.of(
+                        HttpResponseStatus.INTERNAL_SERVER_ERROR, "request failed, see the log for the reason");
             }
         }
 
@@ -158,11 +160,11 @@
                 return;
             }
             responded = true;
-            waiting.remove(this);
-            answered.add(this);
+            pendingConnections.remove(this);
+            respondedConnections.add(this);
             timeout.cancel(false);
             timeout = loop.schedule(() -> channel.close(), RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
-            // Half-close: a full close with unread bytes would reset the connection and could lose the response.
+            // Close only the output: a full close with unread bytes resets the connection and may lose the response.
             channel.writeAndFlush(encode(response)).addListener(written -> channel.shutdownOutput());
         }
 
@@ -182,8 +184,8 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             responded = true;
-            waiting.remove(this);
-            answered.remove(this);
+            pendingConnections.remove(this);
+            respondedConnections.remove(this);
             if (timeout != null) {
                 timeout.cancel(false);
             }
@@ -192,7 +194,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof java.io.IOException)) {
-                onFault.accept("admin connection", cause);
+                onFault.accept("admin connection failed", cause);
             }
             ctx.close();
         }
--- a/edge/src/main/java/lemonrail/admin/package-info.java
+++ b/edge/src/main/java/lemonrail/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The admin API of a process, over HTTP on a listener of its own. */
+/** The HTTP server for the admin APIs, which use a separate listener, and the admin API of a sidecar. */
 package lemonrail.admin;
--- a/edge/src/main/java/lemonrail/control/ControlAdminApi.java
+++ b/edge/src/main/java/lemonrail/control/ControlAdminApi.java
@@ -9,7 +9,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
-import lemonrail.admin.AdminHandlers;
+import lemonrail.admin.AdminHandler;
 import lemonrail.admin.AdminResponse;
 import lemonrail.config.ConfigException;
 import lemonrail.config.ConfigProblem;
@@ -19,10 +19,10 @@
 import lemonrail.core.replication.VersionedEntry;
 import lemonrail.json.Json;
 
-/** Maps the requests of the admin API of a control node to its operations. */
-final class ControlAdminApi implements AdminHandlers {
+/** Maps the requests of a control node's admin API to operations of the node. */
+final class ControlAdminApi implements AdminHandler {
 
-    /** A document may need several bytes a character. */
+    /** Allows a settings document of maximum length: UTF-8 uses up to 4 bytes for a character. */
     static final int MAX_BODY_BYTES = 4 * EntryCodec.MAX_DOCUMENT_CHARS;
 
     private static final Pattern SERVICE_PATH = Pattern.compile("/v1/services/([^/]+)/endpoints");
@@ -42,7 +42,7 @@
     public AdminResponse handle(HttpMethod method, String uri, byte[] body) {
         QueryStringDecoder query = new QueryStringDecoder(uri);
         try {
-            return route(method, query.path(), asOfMs(query), body);
+            return route(method, query.path(), parseAsOfMs(query), body);
         } catch (ConfigException e) {
             return AdminResponse.of(
                     HttpResponseStatus.BAD_REQUEST,
@@ -54,7 +54,7 @@
         }
     }
 
-    private static long asOfMs(QueryStringDecoder query) {
+    private static long parseAsOfMs(QueryStringDecoder query) {
         List<String> values = query.parameters().get(AS_OF_PARAMETER);
         return values == null ? ReplicatedStore.AS_OF_NOW : Long.parseLong(values.get(0));
     }
@@ -75,22 +75,24 @@
         }
         Matcher service = SERVICE_PATH.matcher(path);
         if (service.matches()) {
-            return only(HttpMethod.GET, method, () -> listEndpoints(service.group(1)));
+            return requireMethod(HttpMethod.GET, method, () -> listEndpoints(service.group(1)));
         }
         return switch (path) {
-            case "/v1/readyz" -> only(HttpMethod.GET, method, this::readiness);
-            case "/v1/control" -> only(HttpMethod.GET, method, this::status);
-            case "/v1/metrics" -> only(HttpMethod.GET, method, this::metrics);
-            case "/v1/control/begin" -> only(HttpMethod.PUT, method, this::bootstrap);
+            case "/v1/readyz" -> requireMethod(HttpMethod.GET, method, this::getReadiness);
+            case "/v1/control" -> requireMethod(HttpMethod.GET, method, this::getStatus);
+            case "/v1/metrics" -> requireMethod(HttpMethod.GET, method, this::getMetrics);
+            case "/v1/control/begin" -> requireMethod(HttpMethod.PUT, method, this::bootstrap);
             default -> AdminResponse.of(HttpResponseStatus.NOT_FOUND, "unknown path");
         };
     }
 
-    private static AdminResponse only(HttpMethod allowed, HttpMethod method, Supplier<AdminResponse> handler) {
+    private static AdminResponse requireMethod(HttpMethod allowed, HttpMethod method, Supplier<AdminResponse> handler) {
         return allowed.equals(method)
                 ? handler.get()
                 : new AdminResponse(
-                        HttpResponseStatus.METHOD_NOT_ALLOWED, "this path takes " + allowed + " only\n", allowed);
+                        HttpResponseStatus.METHOD_NOT_ALLOWED,
+                        "method not allowed: this path supports only " + allowed + "\n",
+                        allowed);
     }
 
     private AdminResponse listEndpoints(String service) {
@@ -98,13 +100,15 @@
         return new AdminResponse(HttpResponseStatus.OK, "{" + EntryCodec.encodeEntries(entries) + "}\n", null);
     }
 
-    private AdminResponse readiness() {
+    private AdminResponse getReadiness() {
         return node.isReady()
                 ? AdminResponse.of(HttpResponseStatus.OK, "ready")
-                : AdminResponse.of(HttpResponseStatus.SERVICE_UNAVAILABLE, "no other node has been heard yet");
+                : AdminResponse.of(
+                        HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        "not ready: no full snapshot received from another control node yet");
     }
 
-    private AdminResponse status() {
+    private AdminResponse getStatus() {
         return AdminResponse.of(HttpResponseStatus.OK, Json.text(node.status().toJson()));
     }
 
@@ -117,7 +121,7 @@
             HttpMethod method, String service, String id, String action, long asOfMs) {
         VersionedEntry entry = node.entry(service, id);
         String state = action.equals(DRAIN_ACTION) ? EndpointBody.STATE_DRAINING : EndpointBody.STATE_READY;
-        return only(
+        return requireMethod(
                 HttpMethod.PUT,
                 method,
                 () -> isLive(entry)
@@ -133,7 +137,7 @@
         if (method.equals(HttpMethod.DELETE)) {
             return put(ConfigurationChange.removeEndpoint(service, id).asOf(asOfMs));
         }
-        return only(
+        return requireMethod(
                 HttpMethod.PUT,
                 method,
                 () -> put(ConfigurationChange.endpoint(service, id, body).asOf(asOfMs)));
@@ -151,7 +155,7 @@
         if (method.equals(HttpMethod.DELETE)) {
             return put(ConfigurationChange.removeSettings(name).asOf(asOfMs));
         }
-        return only(HttpMethod.PUT, method, () -> {
+        return requireMethod(HttpMethod.PUT, method, () -> {
             String text = new String(body, StandardCharsets.UTF_8);
             SettingsDocument.check(text);
             return put(ConfigurationChange.settings(name, text).asOf(asOfMs));
@@ -159,7 +163,7 @@
     }
 
     private static AdminResponse notFound() {
-        return AdminResponse.of(HttpResponseStatus.NOT_FOUND, "there is no such thing");
+        return AdminResponse.of(HttpResponseStatus.NOT_FOUND, "no such endpoint or settings document");
     }
 
     private AdminResponse put(ConfigurationChange change) {
@@ -169,8 +173,9 @@
             case ALREADY_KNOWN ->
                 change.removed() ? notFound() : AdminResponse.of(HttpResponseStatus.OK, "known already");
             case SUPERSEDED ->
-                AdminResponse.of(HttpResponseStatus.CONFLICT, "a newer word is known: " + timestampOf(change));
-            default -> AdminResponse.of(HttpResponseStatus.INSUFFICIENT_STORAGE, "there are too many items");
+                AdminResponse.of(HttpResponseStatus.CONFLICT, "a newer version exists: " + timestampOf(change));
+            default ->
+                AdminResponse.of(HttpResponseStatus.INSUFFICIENT_STORAGE, "entry limit of the control node reached");
         };
     }
 
@@ -178,7 +183,7 @@
         return node.entry(change.topic(), change.id()).timestamp().encode();
     }
 
-    private AdminResponse metrics() {
+    private AdminResponse getMetrics() {
         WatchCounters counters = node.watchCounters();
         ControlNodeStatus status = node.status();
         StringBuilder text = new StringBuilder();
--- a/edge/src/main/java/lemonrail/control/ControlNode.java
+++ b/edge/src/main/java/lemonrail/control/ControlNode.java
@@ -25,21 +25,21 @@
 import lemonrail.time.Clock;
 
 /**
- * One control node: its replicated store, the watches that it serves, and the replication from its peers, on
- * one event loop. It accepts writes without a quorum, and goes on by itself when it reaches no peer. Public
- * methods may be called from any thread.
+ * One control node: its replicated store, the watch server and the replication from its peers, all on one event
+ * loop. A node accepts writes without a quorum and keeps serving when no peer is reachable. Public methods may be
+ * called from any thread.
  */
 public final class ControlNode {
 
-    /** The interval at which a changed store is persisted and old removals are forgotten. */
+    /** The interval at which a changed store is persisted and expired tombstones are removed. */
     private static final int MAINTENANCE_INTERVAL_MS = 5_000;
-    /** A node that starts from a snapshot waits this long for a peer, which may have newer data. */
+    /** How long a node that starts from a snapshot waits for a peer, which may have newer data, before it is ready. */
     private static final int WAIT_FOR_PEER_MS = 2_000;
 
     private final ControlConfig config;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
-    private final LoopCalls calls;
+    private final EventLoopInvoker loopInvoker;
     private final Clock clock = new Clock();
     private final EventLog log;
     private final ReplicatedStore store;
@@ -55,7 +55,7 @@
         this.config = config;
         group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("control"), NioIoHandler.newFactory());
         loop = (EventLoop) group.next();
-        calls = new LoopCalls(loop);
+        loopInvoker = new EventLoopInvoker(loop);
         log = new EventLog(clock, sink).in("control");
         long startedAtMs = nowMs();
         store = new ReplicatedStore(config.name(), Bounds.DEFAULT, startedAtMs);
@@ -87,7 +87,7 @@
     public void open() throws IOException {
         try {
             if (snapshots.isEnabled()) {
-                calls.call(this::loadSnapshot);
+                loopInvoker.call(this::loadSnapshot);
             }
             awaitBound("control.address", config.address(), watchServer.listen(config.address()));
             if (config.admin() != null) {
@@ -102,8 +102,8 @@
                 this::runMaintenance, MAINTENANCE_INTERVAL_MS, MAINTENANCE_INTERVAL_MS, TimeUnit.MILLISECONDS);
         log.info(
                 "serving",
-                "control node " + config.name() + " of region " + config.region() + " serves at " + address() + " with "
-                        + config.peers().size() + " other nodes",
+                "control node " + config.name() + " of region " + config.region() + " listens on " + address()
+                        + " and has " + config.peers().size() + " peers",
                 "address",
                 address());
     }
@@ -131,7 +131,7 @@
         return (long) clock.now();
     }
 
-    /** Returns where sidecars and peers watch. */
+    /** Returns the address that sidecars and peers send their watch requests to. */
     public InetSocketAddress address() {
         return watchServer.address();
     }
@@ -146,24 +146,24 @@
         return config.name();
     }
 
-    /** Returns this node as a peer of another one. */
+    /** Returns the peer entry under which another node replicates from this one. */
     public Peer asPeer() {
         return new Peer(config.name(), address(), config.region());
     }
 
-    /** Returns the event loop, so that its load can be measured. */
+    /** Returns the node's event loop, for measurements of its load. */
     public EventLoop eventLoop() {
         return loop;
     }
 
-    /** Replicates from a peer from now on. */
+    /** Starts to replicate from a peer, and replaces a peer of the same name. */
     public void addPeer(Peer peer) {
-        calls.run(() -> peers.add(peer));
+        loopInvoker.run(() -> peers.add(peer));
     }
 
-    /** Stops or resumes all exchange with a peer, as tests and experiments need it. */
+    /** Stops or resumes all traffic with a peer; simulates a network partition in tests and experiments. */
     public void setPartitioned(String peer, boolean partitioned) {
-        calls.run(() -> {
+        loopInvoker.run(() -> {
             peers.setPartitioned(peer, partitioned);
             if (partitioned) {
                 watchServer.closePeerConnections(peer);
@@ -171,26 +171,26 @@
         });
     }
 
-    /** Returns whether the node serves its entries and accepts writes. */
+    /** Returns whether the node serves sidecars and accepts writes. */
     public boolean isReady() {
-        return calls.query(store::isReady);
+        return loopInvoker.query(store::isReady);
     }
 
-    /** Declares the local data complete: done once, at the first node of a new cluster. */
+    /** Declares the local data complete, so that the node is ready; needed once, at the first node of a new cluster. */
     public void bootstrap() {
-        calls.run(() -> {
+        loopInvoker.run(() -> {
             store.markReady();
-            log.info("begun", "bootstrapped by an operator with " + store.liveCount() + " entries");
+            log.info("begun", "ready after bootstrap by an operator, with " + store.liveCount() + " entries");
         });
     }
 
     /**
-     * Writes a change, which is replicated; one that is older than the stored version changes nothing.
+     * Writes a change, which the peers then replicate. A change older than the stored version has no effect.
      *
      * @throws IllegalStateException if the node is not ready
      */
     public MergeOutcome put(ConfigurationChange change) {
-        return calls.query(() -> {
+        return loopInvoker.query(() -> {
             MergeOutcome outcome = store.writeAsOf(
                     nowMs(), change.asOfMs(), change.topic(), change.id(), change.removed(), change.body());
             if (outcome == MergeOutcome.APPLIED) {
@@ -209,7 +209,7 @@
         MergeResult result = store.mergeAll(nowMs(), response.entries(), response.acknowledgedVersions(), peer.name());
         if (!store.isReady()) {
             if (!response.full()) {
-                throw new IllegalArgumentException("the first response is no full snapshot");
+                throw new IllegalArgumentException("the first response is not a full snapshot");
             }
             store.markReady();
             log.info("ready", "ready with " + store.liveCount() + " entries from " + peer.name());
@@ -217,7 +217,7 @@
         if (result.rejectedCount() > 0) {
             log.warnRateLimited(
                     "items_refused",
-                    "entries of node " + peer.name() + " were rejected",
+                    "entries from control node " + peer.name() + " rejected, count",
                     result.rejectedCount(),
                     "node",
                     peer.name());
@@ -232,64 +232,64 @@
             store.expireTombstones(nowMs());
             snapshots.persistIfDue();
         } catch (RuntimeException e) {
-            log.error("maintenance of the store failed", e);
+            log.error("store maintenance failed", e);
         }
     }
 
-    /** Returns an entry's body, as JSON or a document, or null if it is absent or removed. */
+    /** Returns the JSON of an endpoint or the text of a settings document, or null if it is absent or removed. */
     public String liveBody(String topic, String id) {
         VersionedEntry entry = entry(topic, id);
         return entry == null || entry.removed() ? null : entry.body();
     }
 
-    /** Returns an entry's timestamp in its encoded form, or empty if there never was such an entry. */
+    /** Returns the encoded timestamp of an entry or its tombstone, or an empty string if the store has neither. */
     public String encodedTimestamp(String topic, String id) {
         VersionedEntry entry = entry(topic, id);
         return entry == null ? "" : entry.timestamp().encode();
     }
 
-    /** Returns the stored version of an entry, which may be a removal, or null. */
+    /** Returns the stored version of an entry, which may be a tombstone; null if there is none. */
     VersionedEntry entry(String topic, String id) {
-        return calls.query(() -> store.get(topic, id));
+        return loopInvoker.query(() -> store.get(topic, id));
     }
 
     /** Returns the live entries of a topic. */
     List<VersionedEntry> liveEntries(String topic) {
-        return calls.query(() -> store.liveEntries(List.of(topic)));
+        return loopInvoker.query(() -> store.liveEntries(List.of(topic)));
     }
 
-    /** Returns the digest over all entries: nodes with equal entries have equal digests. */
+    /** Returns the digest over all live entries; nodes with equal entries have equal digests. */
     public long digest() {
-        return calls.query(() -> store.digest(store.topics()));
+        return loopInvoker.query(() -> store.digest(store.topics()));
     }
 
-    /** Returns the digest over some topics, as a watcher of them with all their entries calculates it. */
+    /** Returns the digest over the live entries of these topics; an up-to-date watcher of them has the same digest. */
     public long digest(List<String> topics) {
-        return calls.query(() -> store.digest(topics));
+        return loopInvoker.query(() -> store.digest(topics));
     }
 
-    /** Returns the figures of the watch server. */
+    /** Returns the counters of the watch server. */
     public WatchCounters watchCounters() {
-        return calls.query(watchServer::counters);
+        return loopInvoker.query(watchServer::counters);
     }
 
-    /** Sets the observer of the traffic between this node and its watchers. */
+    /** Sets the observer of the watch traffic; it replaces an earlier observer. */
     public void setWatchObserver(WatchObserver observer) {
-        calls.run(() -> watchServer.setObserver(observer));
+        loopInvoker.run(() -> watchServer.setObserver(observer));
     }
 
-    /** Returns the node's state as operators see it. */
+    /** Returns the node's status for operators. */
     public ControlNodeStatus status() {
-        return calls.query(reporter::status);
+        return loopInvoker.query(reporter::status);
     }
 
-    /** Stops the node as a kill does, but persists the store first; returns when its threads have ended. */
+    /** Persists the store, then stops the node without draining its watches; returns when its threads have ended. */
     public void stop() {
         if (stopped) {
             return;
         }
         stopped = true;
-        calls.run(() -> {
+        loopInvoker.run(() -> {
             peers.stopAll();
             watchServer.close();
             runMaintenance();
--- a/edge/src/main/java/lemonrail/control/ControlNodeStatus.java
+++ b/edge/src/main/java/lemonrail/control/ControlNodeStatus.java
@@ -7,13 +7,14 @@
 import lemonrail.core.replication.VersionedEntry;
 
 /**
- * The state of a control node, as the admin API shows it.
+ * The status of a control node, as the admin API shows it.
  *
- * @param version the current version of its store
- * @param entryCount live entries
- * @param tombstoneCount removals that are remembered
- * @param replicationAgeMs the time since any peer was received, 0 without peers
- * @param regionAgesMs the same for each other region
+ * @param version the current version of the node's store
+ * @param entryCount the number of live entries
+ * @param tombstoneCount the number of tombstones
+ * @param replicationAgeMs the time since the last response of any peer, 0 without peers
+ * @param regionAgesMs for each other region, the time since the last response of any of its nodes
+ * @param watchers the summary of the watchers at this node
  * @param settings the live settings documents
  */
 public record ControlNodeStatus(
@@ -29,7 +30,7 @@
         WatcherSummary watchers,
         List<VersionedEntry> settings) {
 
-    /** Returns the fields of {@code GET /v1/control}. */
+    /** Returns the fields of the response to {@code GET /v1/control}. */
     public Map<String, Object> toJson() {
         List<Object> peersJson = new ArrayList<>();
         peers.forEach(peer -> peersJson.add(peer.toJson()));
--- a/edge/src/main/java/lemonrail/control/EndpointBody.java
+++ b/edge/src/main/java/lemonrail/control/EndpointBody.java
@@ -9,7 +9,7 @@
 import lemonrail.json.InvalidFieldException;
 import lemonrail.json.Json;
 
-/** Validates endpoints and writes them in the platform's form, the body of their entries. */
+/** Validates endpoints and encodes them in the JSON format of the platform's discovery, as bodies of entries. */
 final class EndpointBody {
 
     static final String STATE_READY = "in_service";
@@ -28,18 +28,18 @@
     /**
      * Encodes an endpoint of an operator's request.
      *
-     * @throws IllegalArgumentException if a field is unknown or invalid, naming it
+     * @throws IllegalArgumentException if a field is unknown or invalid; the message names the field
      */
     static String encode(String id, Map<?, ?> fields) {
         for (Object name : fields.keySet()) {
             if (!FIELDS.contains(name)) {
-                throw new IllegalArgumentException("unknown field " + name + "; there may be " + FIELDS);
+                throw new IllegalArgumentException("unknown field " + name + "; allowed fields: " + FIELDS);
             }
         }
         return encodeKnownFields(id, fields);
     }
 
-    /** Encodes an endpoint of a peer, of which unknown fields are ignored: it may run a later version. */
+    /** Encodes an endpoint from a peer. Unknown fields are ignored, because the peer may run a later version. */
     static String encodeKnownFields(String id, Map<?, ?> fields) {
         if (fields.get("id") != null && !id.equals(fields.get("id"))) {
             throw new InvalidFieldException("id", fields.get("id"));
@@ -54,21 +54,21 @@
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("id", EntryNames.require("id", id));
         body.put("addr", fields.get("addr"));
-        body.put("zone", name(fields, "zone"));
-        body.put("kind", name(fields, "kind"));
-        body.put("cell", (long) number(fields, "cell", 0, MAX_CELL));
+        body.put("zone", readName(fields, "zone"));
+        body.put("kind", readName(fields, "kind"));
+        body.put("cell", (long) readNumber(fields, "cell", 0, MAX_CELL));
         body.put("state", state);
-        body.put("weight", number(fields, "weight", 1, MAX_WEIGHT));
-        body.put("started_ms", (long) number(fields, "started_ms", 0, MAX_STARTED_MS));
+        body.put("weight", readNumber(fields, "weight", 1, MAX_WEIGHT));
+        body.put("started_ms", (long) readNumber(fields, "started_ms", 0, MAX_STARTED_MS));
         return Json.text(body);
     }
 
-    private static String name(Map<?, ?> fields, String field) {
+    private static String readName(Map<?, ?> fields, String field) {
         Object value = fields.get(field);
         return value == null ? DEFAULT_NAME : EntryNames.require(field, value);
     }
 
-    private static double number(Map<?, ?> fields, String field, double defaultValue, double max) {
+    private static double readNumber(Map<?, ?> fields, String field, double defaultValue, double max) {
         Object value = fields.get(field);
         if (value == null) {
             return defaultValue;
@@ -79,7 +79,7 @@
         throw new InvalidFieldException(field, value);
     }
 
-    /** Encodes a stored endpoint with another state. */
+    /** Returns the body of a stored endpoint with its state replaced. */
     static String withState(VersionedEntry entry, String state) {
         Map<String, Object> fields = new LinkedHashMap<>();
         EntryCodec.parseObject(entry.body().getBytes(StandardCharsets.UTF_8))
--- a/edge/src/main/java/lemonrail/control/EntryCodec.java
+++ b/edge/src/main/java/lemonrail/control/EntryCodec.java
@@ -12,12 +12,12 @@
 import lemonrail.json.Json;
 
 /**
- * Encodes and decodes entries in the form of the watch protocol: endpoints in the field {@code servers},
- * settings documents in {@code settings}, removals of both included.
+ * Encodes and decodes entries in the JSON format of the watch protocol: endpoints in the field {@code servers},
+ * settings documents in {@code settings}. Both fields include tombstones.
  */
 final class EntryCodec {
 
-    /** The most characters of a settings document. */
+    /** The maximum length of a settings document. */
     static final int MAX_DOCUMENT_CHARS = 64 * 1024;
 
     private static final String STATE_REMOVED = "terminated";
@@ -27,7 +27,7 @@
     /**
      * Parses a JSON object.
      *
-     * @throws IllegalArgumentException if the bytes hold something else
+     * @throws IllegalArgumentException if the bytes are not a JSON object
      */
     static Map<?, ?> parseObject(byte[] json) {
         try {
@@ -36,21 +36,25 @@
             }
         } catch (IOException e) {
             throw new IllegalArgumentException(
-                    "it is no JSON: " + e.getMessage().lines().findFirst().orElse(""), e);
+                    "invalid JSON: " + e.getMessage().lines().findFirst().orElse(""), e);
         }
-        throw new IllegalArgumentException("it holds no JSON object");
+        throw new IllegalArgumentException("not a JSON object");
     }
 
-    /** Returns a value that is a settings document of permitted length. */
+    /**
+     * Returns the value if it is a settings document.
+     *
+     * @throws IllegalArgumentException if the value is not a string or too long
+     */
     static String requireDocument(Object value) {
         if (value instanceof String document && document.length() <= MAX_DOCUMENT_CHARS) {
             return document;
         }
         throw new IllegalArgumentException(
-                "a settings document is a text of " + MAX_DOCUMENT_CHARS + " characters at most");
+                "a settings document must be a string of at most " + MAX_DOCUMENT_CHARS + " characters");
     }
 
-    /** Encodes entries as the fields {@code servers} and {@code settings} of an object, without its braces. */
+    /** Encodes entries as the fields {@code servers} and {@code settings} of a JSON object, without its braces. */
     static String encodeEntries(List<VersionedEntry> entries) {
         StringBuilder endpoints = new StringBuilder("\"servers\":[");
         StringBuilder settings = new StringBuilder("],\"settings\":[");
@@ -80,7 +84,7 @@
         return Json.text(fields);
     }
 
-    /** Appends the stored JSON object, extended by service and timestamp. */
+    /** Appends the stored JSON object with the fields {@code service} and {@code stamp} added. */
     private static void appendEndpoint(StringBuilder endpoints, VersionedEntry entry) {
         String body =
                 entry.removed() ? "{\"id\":\"" + entry.id() + "\",\"state\":\"" + STATE_REMOVED + "\"}" : entry.body();
@@ -94,20 +98,22 @@
     }
 
     /**
-     * Decodes the entries of a response of a peer or of a snapshot, validating each like one of an operator.
+     * Decodes the entries of a peer's response or of a snapshot. Each entry is validated as if an operator had sent
+     * it, except that unknown fields are ignored. Invalid entries are skipped.
      *
-     * @param onInvalidEntry receives the problem of an entry that is left out, so that the others are kept
+     * @param onInvalidEntry receives the problem of each skipped entry
+     * @throws InvalidFieldException if an element of either field is not a JSON object
      */
     static List<VersionedEntry> decodeEntries(Map<?, ?> response, Consumer<String> onInvalidEntry) {
         List<VersionedEntry> entries = new ArrayList<>();
-        for (Map<?, ?> fields : objects(response, "servers")) {
+        for (Map<?, ?> fields : readObjects(response, "servers")) {
             try {
                 entries.add(decodeEndpoint(fields));
             } catch (IllegalArgumentException e) {
                 onInvalidEntry.accept(e.getMessage());
             }
         }
-        for (Map<?, ?> fields : objects(response, "settings")) {
+        for (Map<?, ?> fields : readObjects(response, "settings")) {
             try {
                 entries.add(decodeDocument(fields));
             } catch (IllegalArgumentException e) {
@@ -123,7 +129,7 @@
         return new VersionedEntry(
                 EntryNames.require("servers[].service", fields.get("service")),
                 id,
-                timestamp(fields),
+                readTimestamp(fields),
                 removed,
                 removed ? "" : EndpointBody.encodeKnownFields(id, fields));
     }
@@ -134,12 +140,12 @@
         return new VersionedEntry(
                 VersionedEntry.settingsTopic(name),
                 name,
-                timestamp(fields),
+                readTimestamp(fields),
                 removed,
                 removed ? "" : requireDocument(fields.get("text")));
     }
 
-    private static List<Map<?, ?>> objects(Map<?, ?> response, String field) {
+    private static List<Map<?, ?>> readObjects(Map<?, ?> response, String field) {
         List<Map<?, ?>> objects = new ArrayList<>();
         if (response.get(field) instanceof List<?> elements) {
             for (Object element : elements) {
@@ -152,7 +158,7 @@
         return objects;
     }
 
-    private static HybridTimestamp timestamp(Map<?, ?> fields) {
+    private static HybridTimestamp readTimestamp(Map<?, ?> fields) {
         HybridTimestamp timestamp = HybridTimestamp.parse(String.valueOf(fields.get("stamp")));
         if (!EntryNames.isOrigin(timestamp.origin())) {
             throw new InvalidFieldException("stamp", fields.get("stamp"));
@@ -160,14 +166,14 @@
         return timestamp;
     }
 
-    /** Returns the value of the field {@code heard}, an acknowledged version vector. */
+    /** Encodes an acknowledged version vector as the value of the field {@code heard}. */
     static Map<String, Object> encodeVersions(Map<String, HybridTimestamp> acknowledgedVersions) {
         Map<String, Object> encoded = new LinkedHashMap<>();
         acknowledgedVersions.forEach((node, timestamp) -> encoded.put(node, timestamp.encode()));
         return encoded;
     }
 
-    /** Decodes the field {@code heard}, an acknowledged version vector; empty if it is missing. */
+    /** Decodes the acknowledged version vector in the field {@code heard}; empty if the field is missing. */
     static Map<String, HybridTimestamp> decodeVersions(Map<?, ?> response) {
         Map<String, HybridTimestamp> versions = new LinkedHashMap<>();
         if (response.get("heard") instanceof Map<?, ?> encoded) {
--- a/edge/src/main/java/lemonrail/control/LoopCalls.java
+++ b/edge/src/main/java/lemonrail/control/EventLoopInvoker.java
@@ -5,21 +5,21 @@
 import java.io.IOException;
 import java.util.concurrent.Callable;
 
-/** Runs tasks on an event loop and waits for their results; callable from any thread, the loop's included. */
-final class LoopCalls {
+/** Runs tasks on an event loop and waits for their results. May be used from any thread, including the event loop. */
+final class EventLoopInvoker {
 
     private final EventLoop loop;
 
-    LoopCalls(EventLoop loop) {
+    EventLoopInvoker(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Runs a task and returns its result. */
+    /** Runs a task and returns its result; an exception of the task is thrown to the caller. */
     <T> T call(Callable<T> task) throws IOException {
-        return loop.inEventLoop() ? callHere(task) : submit(task);
+        return loop.inEventLoop() ? callInline(task) : submit(task);
     }
 
-    private static <T> T callHere(Callable<T> task) throws IOException {
+    private static <T> T callInline(Callable<T> task) throws IOException {
         try {
             return task.call();
         } catch (IOException | RuntimeException e) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Runs a task that does no I/O, and returns after it. */
+    /** Runs a task that does no I/O, and returns when the task has ended. */
     void run(Runnable task) {
         query(() -> {
             task.run();
--- a/edge/src/main/java/lemonrail/control/NodeStatusReporter.java
+++ b/edge/src/main/java/lemonrail/control/NodeStatusReporter.java
@@ -8,10 +8,10 @@
 import lemonrail.core.replication.VersionedEntry;
 import lemonrail.time.Clock;
 
-/** Reports a node's state to operators and in each watch response. Belongs to the event loop. */
+/** Collects a node's status for operators and for the head of each watch response. Belongs to the event loop. */
 final class NodeStatusReporter implements WatchServer.Node {
 
-    /** The watcher summary in responses to peers is renewed at most this often. */
+    /** How long responses to peers reuse a watcher summary. */
     private static final int WATCHER_SUMMARY_MAX_AGE_MS = 500;
 
     private final ControlConfig config;
@@ -41,7 +41,7 @@
         this.appliedVersions = appliedVersions;
     }
 
-    /** Returns the node's state as operators see it. */
+    /** Returns the node's status for operators. */
     ControlNodeStatus status() {
         List<VersionedEntry> settings = store.topics().stream()
                 .filter(VersionedEntry::isSettingsTopic)
--- a/edge/src/main/java/lemonrail/control/PeerMembership.java
+++ b/edge/src/main/java/lemonrail/control/PeerMembership.java
@@ -10,7 +10,7 @@
 import lemonrail.logging.EventLog;
 import lemonrail.time.Clock;
 
-/** The peers of a control node, the replication from each, and its age. Belongs to the event loop. */
+/** The peers of a control node, with the replication from each peer and its age. Belongs to the event loop. */
 final class PeerMembership {
 
     private final EventLoop loop;
@@ -20,8 +20,8 @@
     private final String ownRegion;
     private final PeerReplicator.Listener listener;
     private final Map<String, PeerReplicator> replicators = new LinkedHashMap<>();
-    /** Peers that nothing is exchanged with, as tests and experiments set it. */
-    private final Set<String> partitioned = new HashSet<>();
+    /** Names of the peers with which all traffic is stopped; set by tests and experiments. */
+    private final Set<String> partitionedPeers = new HashSet<>();
 
     PeerMembership(
             EventLoop loop,
@@ -38,11 +38,11 @@
         this.listener = listener;
     }
 
-    /** Replicates from a peer from now on; a former one of this name is replaced. */
+    /** Starts to replicate from a peer, and replaces a peer of the same name. */
     void add(Peer peer) {
-        PeerReplicator former = replicators.remove(peer.name());
-        if (former != null) {
-            former.stop();
+        PeerReplicator replaced = replicators.remove(peer.name());
+        if (replaced != null) {
+            replaced.stop();
         }
         PeerReplicator replicator = new PeerReplicator(loop, clock, log, ownName, peer, listener);
         replicators.put(peer.name(), replicator);
@@ -52,14 +52,14 @@
     }
 
     /** Stops or resumes replication from a peer. */
-    void setPartitioned(String peer, boolean apart) {
+    void setPartitioned(String peer, boolean partitioned) {
         PeerReplicator replicator = replicators.get(peer);
-        if (apart) {
-            partitioned.add(peer);
+        if (partitioned) {
+            partitionedPeers.add(peer);
         } else {
-            partitioned.remove(peer);
+            partitionedPeers.remove(peer);
         }
-        if (replicator != null && apart) {
+        if (replicator != null && partitioned) {
             replicator.stop();
         } else if (replicator != null) {
             replicator.start();
@@ -67,7 +67,7 @@
     }
 
     boolean isPartitioned(String peer) {
-        return partitioned.contains(peer);
+        return partitionedPeers.contains(peer);
     }
 
     void stopAll() {
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Returns the time since any peer was received; 0 without peers.
+     * Returns the time since the last response of any peer; 0 without peers.
      *
-     * @param localDataAtMs the time of the local data, which counts while no peer was received
+     * @param localDataAtMs the time of the local data, from which the age counts until a peer has responded
      */
     long replicationAgeMs(long localDataAtMs) {
         if (replicators.isEmpty()) {
@@ -93,7 +93,7 @@
                 .orElse(0);
     }
 
-    /** Returns for each other region the time since any of its nodes was received. */
+    /** Returns for each other region the time since the last response of any of its nodes. */
     Map<String, Long> regionAgesMs() {
         Map<String, Long> ages = new LinkedHashMap<>();
         for (PeerReplicator replicator : replicators.values()) {
--- a/edge/src/main/java/lemonrail/control/PeerReplicator.java
+++ b/edge/src/main/java/lemonrail/control/PeerReplicator.java
@@ -9,27 +9,30 @@
 import lemonrail.logging.EventLog;
 import lemonrail.time.Clock;
 
-/** Replicates from one peer by watching it, request after request. Belongs to the event loop. */
+/** Replicates from one peer by a watch with one request in flight at a time. Belongs to the event loop. */
 final class PeerReplicator {
 
-    /** How long a request waits for an update at the peer. */
+    /** How long the peer holds a request open for an update. */
     private static final int WAIT_MS = 1_000;
-    /** The additional time until a response is overdue. */
+    /** The time allowed for a response beyond its wait. */
     private static final int RESPONSE_GRACE_MS = 1_000;
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    /** The range of the random backoff after a failure. */
+    /** The lower bound of the random backoff after a failure. */
     private static final int MIN_BACKOFF_MS = 100;
 
     private static final int MAX_BACKOFF_MS = 400;
     private static final int MAX_RESPONSE_BYTES = 32 * 1024 * 1024;
     private static final int STATUS_OK = 200;
-    /** Any negative version makes the next request ask for a full snapshot. */
+    /** The version while none is known; the next request then asks for a full snapshot. */
     private static final long NO_VERSION = -1;
 
     /** Receives the peer's responses. */
     interface Listener {
-        /** Merges a response; an exception fails the watch, and the next request asks for a full snapshot. */
+        /**
+         * Called with each response, to merge it. If this throws, the watch fails and the next request asks for a
+         * full snapshot.
+         */
         void onPeerResponse(Peer peer, PeerResponse response);
     }
 
@@ -73,7 +76,7 @@
         return peer;
     }
 
-    /** Returns the time since the peer's last response, or since the start if there was none. */
+    /** Returns the time since the peer's last response, or since this replicator was created if there was none. */
     double ageMs() {
         return clock.now() - lastResponseAtMs;
     }
@@ -86,7 +89,7 @@
         return new PeerStatus(peer.name(), peer.region(), reached, (long) ageMs(), watcherSummary);
     }
 
-    /** Starts the watch; one that runs goes on. */
+    /** Starts the watch unless it is running. */
     void start() {
         if (stopped) {
             stopped = false;
@@ -110,7 +113,8 @@
 
     private void handleFailure(Object reason) {
         client.close();
-        log.warnRateLimited("peer_failed", "node " + peer.name() + " is not reached", reason, "node", peer.name());
+        log.warnRateLimited(
+                "peer_failed", "replication from control node " + peer.name() + " failed", reason, "node", peer.name());
         pendingRetry = loop.schedule(
                 () -> {
                     pendingRetry = null;
@@ -129,9 +133,9 @@
             merge(PeerResponse.decode(body, this::logInvalidEntry));
         } catch (RuntimeException e) {
             if (!(e instanceof IllegalArgumentException)) {
-                log.error("a response of node " + peer.name(), e);
+                log.error("failed to handle a response of control node " + peer.name(), e);
             }
-            // What was skipped must be sent again.
+            // Request a full snapshot, because the entries of this response must be sent again.
             version = NO_VERSION;
             handleFailure(e.getMessage());
             return;
@@ -140,7 +144,10 @@
     }
 
     private void logInvalidEntry(String problem) {
-        log.warnRateLimited("item_unreadable", "an entry of node " + peer.name() + " is left out", problem);
+        log.warnRateLimited(
+                "item_unreadable",
+                "skipped an entry of control node " + peer.name() + " because it is invalid",
+                problem);
     }
 
     private void merge(PeerResponse response) {
--- a/edge/src/main/java/lemonrail/control/PeerResponse.java
+++ b/edge/src/main/java/lemonrail/control/PeerResponse.java
@@ -9,12 +9,12 @@
 /**
  * One watch response of a peer.
  *
- * @param version the peer's version, to resume from
- * @param bootId identifies the peer's process, whose version it is
- * @param full whether the entries are a full snapshot
- * @param entries those that could be decoded
+ * @param version the peer's version, from which the next request resumes
+ * @param bootId identifies the peer process that issued the version
+ * @param full whether the response is a full snapshot
+ * @param entries the valid entries of the response
  * @param acknowledgedVersions the peer's acknowledged version vector
- * @param watcherSummary the peer's watchers as parsed JSON, or null
+ * @param watcherSummary the peer's watcher summary as parsed JSON, or null
  */
 record PeerResponse(
         long version,
@@ -27,13 +27,14 @@
     /**
      * Decodes a response body.
      *
-     * @param onInvalidEntry receives the problem of each entry that is left out
-     * @throws IllegalArgumentException if the body is not that of a control node
+     * @param onInvalidEntry receives the problem of each skipped entry
+     * @throws IllegalArgumentException if the body is not a control node's response
      */
     static PeerResponse decode(byte[] body, Consumer<String> onInvalidEntry) {
         Map<?, ?> fields = EntryCodec.parseObject(body);
         if (!(fields.get("version") instanceof Double version) || !(fields.get("node") instanceof String bootId)) {
-            throw new IllegalArgumentException("it is no control node");
+            throw new IllegalArgumentException(
+                    "response is not from a control node: field version or node is missing or has the wrong type");
         }
         return new PeerResponse(
                 version.longValue(),
--- a/edge/src/main/java/lemonrail/control/SnapshotFile.java
+++ b/edge/src/main/java/lemonrail/control/SnapshotFile.java
@@ -12,7 +12,7 @@
 import lemonrail.core.replication.VersionedEntry;
 import lemonrail.json.Json;
 
-/** A node's entries on disk, in the form in which nodes exchange them, with the time of the snapshot. */
+/** The file with a node's entries, in the JSON format that nodes exchange, and the time of the snapshot. */
 final class SnapshotFile {
 
     private static final String PERSISTED_AT_FIELD = "kept_ms";
@@ -23,7 +23,7 @@
         this.file = file;
     }
 
-    /** Writes all entries; a concurrent reader finds the old file or the new one. */
+    /** Writes all entries and replaces the file atomically, so that readers see the old or the new content. */
     void write(ReplicatedStore store, long nowMs) throws IOException {
         String text = "{\"" + PERSISTED_AT_FIELD + "\":" + nowMs
                 + ",\"heard\":" + Json.text(EntryCodec.encodeVersions(store.acknowledgedVersions()))
@@ -36,7 +36,8 @@
     /**
      * Merges all entries into a store.
      *
-     * @return the time of the snapshot, empty if there is no file
+     * @return the time of the snapshot in milliseconds of Unix time, 0 if the file has none, or empty if there is
+     *     no file
      * @throws IllegalArgumentException if the content is invalid
      */
     OptionalLong read(ReplicatedStore store, long nowMs) throws IOException {
--- a/edge/src/main/java/lemonrail/control/SnapshotPersister.java
+++ b/edge/src/main/java/lemonrail/control/SnapshotPersister.java
@@ -7,10 +7,10 @@
 import lemonrail.logging.EventLog;
 import lemonrail.time.Clock;
 
-/** Loads the snapshot at the start and persists it when the store has changed. Belongs to the event loop. */
+/** Loads the snapshot when the node starts, and persists the store when it has changed. Belongs to the event loop. */
 final class SnapshotPersister {
 
-    /** An unchanged store is persisted this often: the snapshot's time tells how old the data is. */
+    /** The interval at which an unchanged store is persisted, because the snapshot's time tells how old its data is. */
     private static final int REFRESH_INTERVAL_MS = 60_000;
 
     private final SnapshotFile file;
@@ -25,8 +25,8 @@
     /**
      * Creates a persister.
      *
-     * @param path the snapshot, or null to persist nothing
-     * @param startedAtMs the start of the node
+     * @param path the path of the snapshot, or null to persist nothing
+     * @param startedAtMs the start time of the node, in milliseconds of Unix time
      */
     SnapshotPersister(Path path, ReplicatedStore store, Clock clock, EventLog log, long startedAtMs) {
         dataTimeMs = startedAtMs;
@@ -50,16 +50,16 @@
         changed = true;
     }
 
-    /** Returns the time of the data that the node started with: the snapshot's, else its own start. */
+    /** Returns the time of the data that the node started with: of the loaded snapshot, or else of the node's start. */
     long dataTimeMs() {
         return dataTimeMs;
     }
 
     /**
-     * Merges the snapshot into the store.
+     * Merges the snapshot into the store; to be called only if persistence is enabled.
      *
-     * @return whether there is one
-     * @throws IOException if it cannot be read
+     * @return whether there is a snapshot
+     * @throws IOException if the snapshot cannot be read
      * @throws IllegalArgumentException if its content is invalid
      */
     boolean load() throws IOException {
@@ -72,11 +72,11 @@
         long ageSeconds = (nowMs() - dataTimeMs) / 1000;
         log.info(
                 "snapshot_loaded",
-                "the snapshot has " + store.liveCount() + " entries and is " + ageSeconds + " s old");
+                "loaded a snapshot with " + store.liveCount() + " entries, written " + ageSeconds + " s ago");
         return true;
     }
 
-    /** Writes a snapshot if the store is ready and has changed, or the last snapshot is too old. */
+    /** Writes a snapshot if the store is ready and either has changed or its last snapshot is due for a refresh. */
     void persistIfDue() {
         if (file == null || !store.isReady()) {
             return;
@@ -89,7 +89,7 @@
             changed = false;
             persistedAtMs = nowMs();
         } catch (IOException e) {
-            log.warnRateLimited("snapshot_failed", "the snapshot was not written", e.getMessage());
+            log.warnRateLimited("snapshot_failed", "failed to write the snapshot", e.getMessage());
         }
     }
 
--- a/edge/src/main/java/lemonrail/control/WatchConnection.java
+++ b/edge/src/main/java/lemonrail/control/WatchConnection.java
@@ -20,13 +20,13 @@
 import java.util.Set;
 
 /**
- * One connection of a watcher or a peer: it admits requests, hands them to its session and writes the
- * responses. A client must read a response before its next request. Belongs to the event loop.
+ * One connection of a sidecar or a peer. It admits requests, passes them to its session and writes the
+ * responses. A client must read a response before it sends its next request. Belongs to the event loop.
  */
 final class WatchConnection extends SimpleChannelInboundHandler<FullHttpRequest> implements WatchSession.Responder {
 
     private static final String WATCH_PATH = "/registry/instances";
-    /** What a request's or response's head has besides its path, for {@link WatchObserver}. */
+    /** An estimate of the size of a request's or response's head without its path, for {@link WatchObserver}. */
     private static final int ESTIMATED_HEAD_BYTES = 80;
 
     private final WatchServer server;
@@ -37,9 +37,9 @@
     private String peer = "";
     private boolean keepAlive;
     private double lastActiveAtMs;
-    /** Bytes of the response that is being written, 0 if there is none. */
+    /** The body size of the response that is being written, 0 if there is none. */
     private long unwrittenBytes;
-    /** When the write of the last response started, 0 if it is complete. */
+    /** The time at which the pending write of a response started, 0 if no write is pending. */
     private double writeStartedAtMs;
 
     WatchConnection(WatchServer server, WatchContext context, SocketChannel channel) {
@@ -59,17 +59,17 @@
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest httpRequest) {
         lastActiveAtMs = context.clock().now();
         if (session.isRequestInProgress() || unwrittenBytes > 0) {
-            server.closeSlow(this, "it sent a request before it had read the last response");
+            server.closeSlow(this, "client sent a request before it had read the previous response");
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(httpRequest);
         QueryStringDecoder query = new QueryStringDecoder(httpRequest.uri());
         if (httpRequest.decoderResult().isFailure()) {
-            respondWithError(HttpResponseStatus.BAD_REQUEST, "malformed call");
+            respondWithError(HttpResponseStatus.BAD_REQUEST, "malformed request");
         } else if (!query.path().equals(WATCH_PATH)) {
             respondWithError(HttpResponseStatus.NOT_FOUND, "unknown path");
         } else if (!httpRequest.method().equals(HttpMethod.GET)) {
-            respondWithError(HttpResponseStatus.METHOD_NOT_ALLOWED, "this path takes GET only");
+            respondWithError(HttpResponseStatus.METHOD_NOT_ALLOWED, "method not allowed: this path supports only GET");
         } else {
             parseAndStart(query, httpRequest.uri().length() + ESTIMATED_HEAD_BYTES);
         }
@@ -91,7 +91,9 @@
         }
         boolean servesBeforeReady = request.isFromPeer() && context.node().servesPeersUntilReady();
         if (!context.store().isReady() && !servesBeforeReady) {
-            respondWithError(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready: no other node has been heard yet");
+            respondWithError(
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    "not ready: no full snapshot received from another control node yet");
             return;
         }
         if (!request.isFromPeer() && server.isFull()) {
@@ -110,22 +112,22 @@
         session.onTopicsChanged(topics);
     }
 
-    /** Returns the name of the peer at the other end, empty if it is none. */
+    /** Returns the name of the peer at the other end, or an empty string if the client is not a peer. */
     String peer() {
         return peer;
     }
 
-    /** Returns the watcher's name, empty if it has not given one. */
+    /** Returns the watcher's name, or an empty string if the watcher has not sent one. */
     String watcherName() {
         return watcherName;
     }
 
-    /** Returns whether a response has been waiting to be written for longer than this. */
+    /** Returns whether the write of a response has been pending for longer than this. */
     boolean isWritingForLongerThan(double ms) {
         return writeStartedAtMs > 0 && context.clock().now() - writeStartedAtMs > ms;
     }
 
-    /** Returns whether it has had no request in progress and no traffic for longer than this. */
+    /** Returns whether no request is in progress and there has been no traffic for longer than this. */
     boolean isIdleForLongerThan(double ms) {
         return !session.isRequestInProgress() && context.clock().now() - lastActiveAtMs > ms;
     }
@@ -134,7 +136,7 @@
         channel.close();
     }
 
-    /** Closes at once, discarding what is not written. */
+    /** Closes the connection immediately and discards unwritten bytes. */
     void reset() {
         channel.config().setSoLinger(0);
         channel.close();
@@ -206,7 +208,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            context.log().error("a watcher's connection", cause);
+            context.log().error("watch connection failed", cause);
         }
         ctx.close();
     }
--- a/edge/src/main/java/lemonrail/control/WatchContext.java
+++ b/edge/src/main/java/lemonrail/control/WatchContext.java
@@ -9,11 +9,11 @@
 import lemonrail.time.Clock;
 
 /**
- * What all watches of a node share.
+ * The state and the settings that all watch connections of a node share.
  *
- * @param bootId identifies this process; versions of another one must be converted
- * @param maxWatchers watcher connections beyond which requests are rejected
- * @param responseGapMs the minimum time between two updates to one watcher
+ * @param bootId identifies this process; versions that another process issued must be rewound
+ * @param maxWatchers the number of connections above which requests of sidecars are rejected
+ * @param minUpdateIntervalMs the minimum time between two updates to one sidecar
  */
 record WatchContext(
         EventLoop loop,
@@ -24,10 +24,10 @@
         WatchServer.Node node,
         String bootId,
         int maxWatchers,
-        double responseGapMs,
+        double minUpdateIntervalMs,
         WatchResponseCache responses) {
 
-    /** Returns the topics of a request; one for all services means those that exist now. */
+    /** Returns the topics of a request; a request for all services gets the services that exist now. */
     List<String> topics(WatchRequest request) {
         if (!request.allServices()) {
             return request.topics();
--- a/edge/src/main/java/lemonrail/control/WatchCounters.java
+++ b/edge/src/main/java/lemonrail/control/WatchCounters.java
@@ -1,14 +1,14 @@
 package lemonrail.control;
 
 /**
- * The figures of a node's watch server.
+ * The counters of a node's watch server.
  *
- * @param connections open connections
- * @param waiting requests that wait for an update
- * @param responses successful responses since the start
- * @param responseBytes bytes of all responses since the start
- * @param slowClosed connections closed because the client was too slow or out of turn
- * @param encodedBodies response bodies that were encoded, the others being shared
+ * @param connections the open connections
+ * @param waiting the requests that wait for an update
+ * @param responses the successful responses since the start
+ * @param responseBytes the body bytes of all responses since the start
+ * @param slowClosed the connections closed because the client read too slowly or sent a request too early
+ * @param encodedBodies the response bodies encoded since the start; other responses reused them
  */
 public record WatchCounters(
         long connections, long waiting, long responses, long responseBytes, long slowClosed, long encodedBodies) {}
--- a/edge/src/main/java/lemonrail/control/WatchObserver.java
+++ b/edge/src/main/java/lemonrail/control/WatchObserver.java
@@ -4,12 +4,12 @@
 public interface WatchObserver {
 
     /**
-     * A request has arrived, or a response has been written.
+     * Called when a request has arrived and when a response is about to be written.
      *
-     * @param watcher its name, empty if it gives none
-     * @param digest the digest over its entries at its request; null if it gives none, and for responses
-     * @param requestBytes the size of the request, with an estimate for the headers; 0 for a response
-     * @param responseBytes the same for a response; 0 for a request
+     * @param watcher the watcher's name, empty if it sent none
+     * @param digest the digest over the watcher's entries; null if the request has none, and for a response
+     * @param requestBytes the size of the request with an estimate for the headers; 0 for a response
+     * @param responseBytes the size of the response with an estimate for the headers; 0 for a request
      */
     void onTraffic(String watcher, Long digest, int requestBytes, int responseBytes);
 }
--- a/edge/src/main/java/lemonrail/control/WatchRequest.java
+++ b/edge/src/main/java/lemonrail/control/WatchRequest.java
@@ -11,16 +11,16 @@
 import lemonrail.core.replication.WatcherReport;
 
 /**
- * One request of a watch, as its query says.
+ * One watch request, parsed from the query of its URI.
  *
- * @param topics the topics named, sorted
- * @param allServices whether all services are watched, as none is named
+ * @param topics the requested topics, sorted
+ * @param allServices whether all services are watched, because the request names none
  * @param version the version to resume from, negative to request a full snapshot
  * @param waitMs how long to wait for an update
- * @param bootId identifies the process that the version is of, or empty
- * @param digest the digest over the watcher's entries, or null if it gives none
+ * @param bootId identifies the node process that issued the version, or empty
+ * @param digest the digest over the watcher's entries, or null if the request has none
  * @param peer the name of the requesting node, empty for a sidecar
- * @param report what the watcher reports of itself, or null
+ * @param report the watcher's report about itself, or null if the request has no watcher's name
  */
 record WatchRequest(
         List<String> topics,
@@ -36,38 +36,38 @@
     private static final long MAX_WAIT_MS = 60_000;
     private static final int MAX_TOPICS = 256;
     private static final int MAX_REASON_CHARS = 200;
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
 
     /**
      * Parses a query.
      *
-     * @throws IllegalArgumentException if a parameter is invalid, naming it
+     * @throws IllegalArgumentException if a parameter is invalid
      */
     static WatchRequest parse(QueryStringDecoder query) {
         Map<String, List<String>> parameters = query.parameters();
-        Set<String> topics = services(parameters);
+        Set<String> topics = readServices(parameters);
         boolean allServices = topics.isEmpty();
-        String document = first(parameters, "settings", "");
+        String document = firstValue(parameters, "settings", "");
         if (!document.isEmpty()) {
             topics.add(VersionedEntry.settingsTopic(EntryNames.require("settings", document)));
         }
         if (topics.size() > MAX_TOPICS) {
-            throw new IllegalArgumentException("there may be " + MAX_TOPICS + " topics at most");
+            throw new IllegalArgumentException("too many topics: at most " + MAX_TOPICS + " are allowed");
         }
-        String digest = first(parameters, "digest", null);
-        String peer = first(parameters, "peer", "");
+        String digest = firstValue(parameters, "digest", null);
+        String peer = firstValue(parameters, "peer", "");
         return new WatchRequest(
                 new ArrayList<>(topics),
                 allServices,
-                number(parameters, "index", NO_VERSION),
-                Math.min(MAX_WAIT_MS, number(parameters, "wait", 0)),
-                first(parameters, "from", ""),
-                digest == null ? null : Long.valueOf(Long.parseUnsignedLong(digest, HEXADECIMAL)),
+                readNumber(parameters, "index", NO_VERSION),
+                Math.min(MAX_WAIT_MS, readNumber(parameters, "wait", 0)),
+                firstValue(parameters, "from", ""),
+                digest == null ? null : Long.valueOf(Long.parseUnsignedLong(digest, HEX_RADIX)),
                 peer.isEmpty() ? "" : EntryNames.require("peer", peer),
-                report(parameters, document));
+                readReport(parameters, document));
     }
 
-    private static Set<String> services(Map<String, List<String>> parameters) {
+    private static Set<String> readServices(Map<String, List<String>> parameters) {
         Set<String> services = new TreeSet<>();
         for (String list : parameters.getOrDefault("service", List.of())) {
             for (String service : list.split(",")) {
@@ -77,14 +77,14 @@
         return services;
     }
 
-    private static WatcherReport report(Map<String, List<String>> parameters, String document) {
-        String name = first(parameters, "name", "");
+    private static WatcherReport readReport(Map<String, List<String>> parameters, String document) {
+        String name = firstValue(parameters, "name", "");
         if (name.isEmpty()) {
             return null;
         }
-        String applied = first(parameters, "inforce", "");
-        String rejected = first(parameters, "refused", "");
-        String reason = first(parameters, "why", "");
+        String applied = firstValue(parameters, "inforce", "");
+        String rejected = firstValue(parameters, "refused", "");
+        String reason = firstValue(parameters, "why", "");
         return new WatcherReport(
                 EntryNames.require("name", name),
                 document,
@@ -93,19 +93,19 @@
                 reason.substring(0, Math.min(MAX_REASON_CHARS, reason.length())));
     }
 
-    private static String first(Map<String, List<String>> parameters, String name, String defaultValue) {
+    private static String firstValue(Map<String, List<String>> parameters, String name, String defaultValue) {
         List<String> values = parameters.get(name);
         return values == null || values.isEmpty() ? defaultValue : values.get(0);
     }
 
-    private static long number(Map<String, List<String>> parameters, String name, long defaultValue) {
-        String text = first(parameters, name, null);
+    private static long readNumber(Map<String, List<String>> parameters, String name, long defaultValue) {
+        String text = firstValue(parameters, name, null);
         if (text == null) {
             return defaultValue;
         }
         long number = Long.parseLong(text);
         if (number < 0) {
-            throw new IllegalArgumentException(name + " must be 0 or more");
+            throw new IllegalArgumentException(name + " must not be negative");
         }
         return number;
     }
@@ -114,17 +114,17 @@
         return !VersionedEntry.isSettingsTopic(topic);
     }
 
-    /** Returns whether another node sent it, which replicates all topics. */
+    /** Returns whether another control node sent the request; such a request covers all topics. */
     boolean isFromPeer() {
         return !peer.isEmpty();
     }
 
-    /** Returns whether it asks for a full snapshot. */
+    /** Returns whether the request asks for a full snapshot. */
     boolean wantsFullSnapshot() {
         return version < 0;
     }
 
-    /** Returns whether a change of these topics concerns it. */
+    /** Returns whether the request watches any of these topics. */
     boolean watchesAnyOf(Set<String> changedTopics) {
         return isFromPeer() || changedTopics.stream().anyMatch(this::watches);
     }
--- a/edge/src/main/java/lemonrail/control/WatchResponseCache.java
+++ b/edge/src/main/java/lemonrail/control/WatchResponseCache.java
@@ -11,8 +11,8 @@
 import lemonrail.json.Json;
 
 /**
- * Encodes watch responses. Watchers of the same topics that lack the same entries share the bytes, which are
- * encoded once. Belongs to the event loop.
+ * Encodes watch responses. Watchers of the same topics that lack the same entries get the same body, which is
+ * encoded once and cached. Belongs to the event loop.
  */
 final class WatchResponseCache {
 
@@ -22,15 +22,15 @@
     private static final float LOAD_FACTOR = 0.75f;
 
     /**
-     * What makes two bodies equal.
+     * Identifies a body: two responses with equal keys have equal bodies.
      *
-     * @param lastKnownArrival the last arrival that the watcher has, 0 for a full snapshot
+     * @param lastKnownArrival the last arrival in the topics that the watcher has, 0 for a full snapshot
      * @param lastArrival the last arrival in the topics
      */
     private record Key(List<String> topics, boolean full, long lastKnownArrival, long lastArrival) {}
 
     private final ReplicatedStore store;
-    /** In the order of use, the least recently used first. */
+    /** The cached bodies, least recently used first. */
     private final LinkedHashMap<Key, byte[]> bodies = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
     private long cachedBytes;
@@ -48,10 +48,10 @@
             body = encode(store.liveEntries(topics));
             add(key, body);
         }
-        return join(headWithVersions(head, true), body);
+        return join(headFieldsWithVersions(head, true), body);
     }
 
-    /** Returns a response to a sidecar with what has arrived in the topics after a version. */
+    /** Returns a response to a sidecar with the entries that arrived in the topics after a version. */
     ByteBuf delta(List<String> topics, long sinceVersion, WatchResponseHead head) {
         long lastKnownArrival = store.lastArrival(topics, sinceVersion);
         Key key = new Key(topics, false, lastKnownArrival, store.lastArrival(topics, Long.MAX_VALUE));
@@ -60,27 +60,27 @@
             body = encode(store.entriesSince(topics, sinceVersion));
             add(key, body);
         }
-        return join(head(head, false), body);
+        return join(headFields(head, false), body);
     }
 
     /** Returns a response to a peer. */
     ByteBuf toPeer(List<VersionedEntry> entries, boolean full, WatchResponseHead head) {
-        return join(headWithVersions(head, full), encode(entries));
+        return join(headFieldsWithVersions(head, full), encode(entries));
     }
 
-    /** Returns how many bodies were encoded, the other responses having shared them. */
+    /** Returns how many bodies were encoded since the start; other responses reused them. */
     long encodedBodies() {
         return encodedBodies;
     }
 
-    private static Map<String, Object> head(WatchResponseHead head, boolean full) {
+    private static Map<String, Object> headFields(WatchResponseHead head, boolean full) {
         Map<String, Object> json = head.toJson();
         json.put("full", full);
         return json;
     }
 
-    private Map<String, Object> headWithVersions(WatchResponseHead head, boolean full) {
-        Map<String, Object> json = head(head, full);
+    private Map<String, Object> headFieldsWithVersions(WatchResponseHead head, boolean full) {
+        Map<String, Object> json = headFields(head, full);
         json.put("heard", EntryCodec.encodeVersions(store.acknowledgedVersions()));
         return json;
     }
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Joins the head, without its closing brace, and the shared body. */
+    /** Joins the head without its closing brace and the body, which continues the head's JSON object. */
     private static ByteBuf join(Map<String, Object> head, byte[] body) {
         byte[] start = Json.text(head).getBytes(StandardCharsets.UTF_8);
         return Unpooled.wrappedBuffer(Unpooled.wrappedBuffer(start, 0, start.length - 1), Unpooled.wrappedBuffer(body));
--- a/edge/src/main/java/lemonrail/control/WatchResponseHead.java
+++ b/edge/src/main/java/lemonrail/control/WatchResponseHead.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * The fields that a node adds to each watch response.
+ * The fields about the node at the start of each watch response.
  *
- * @param version the current version of its store
- * @param bootId identifies the node's process, whose version it is
- * @param replicationAgeMs the time since any peer was received, 0 without peers
- * @param regionAgesMs the same for each other region; left out if empty
- * @param watcherSummary its watchers as JSON, or null in responses to sidecars
+ * @param version the current version of the node's store
+ * @param bootId identifies the node process that issued the version
+ * @param replicationAgeMs the time since the last response of any peer, 0 without peers
+ * @param regionAgesMs for each other region, the time since the last response of any of its nodes; omitted if empty
+ * @param watcherSummary the node's watcher summary as JSON fields, or null in responses to sidecars
  */
 record WatchResponseHead(
         long version,
@@ -19,7 +19,7 @@
         Map<String, Long> regionAgesMs,
         Map<String, Object> watcherSummary) {
 
-    /** Returns the fields in the order of the wire, to be completed. */
+    /** Returns the fields in the order of the protocol, in a map to which callers add further fields. */
     Map<String, Object> toJson() {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("version", version);
--- a/edge/src/main/java/lemonrail/control/WatchServer.java
+++ b/edge/src/main/java/lemonrail/control/WatchServer.java
@@ -12,21 +12,21 @@
 import lemonrail.net.Sockets;
 
 /**
- * Serves watches to sidecars and peers. It tracks the connections and bounds their number and the bytes that
- * wait to be written: a client that reads too slowly is disconnected. Belongs to the event loop.
+ * Serves watches to sidecars and peers. It limits the number of connections and the total size of unwritten
+ * responses; a client that reads too slowly is disconnected. Belongs to the event loop.
  */
 final class WatchServer {
 
-    /** Versions of another process are moved back by this: the longest time of replication between nodes. */
+    /** How far a version that another process issued is moved back: the longest replication time between nodes. */
     static final long VERSION_OVERLAP_MS = 10_000;
-    /** A response must be written within this time. */
+    /** The time limit for the write of a response. */
     static final long WRITE_TIMEOUT_MS = 5_000;
 
     private static final long IDLE_TIMEOUT_MS = 65_000;
     private static final long SWEEP_INTERVAL_MS = 500;
-    /** Connections beyond the watchers', for peers and for requests that are rejected. */
+    /** Connections allowed beyond the maximum of watchers, for peers and for clients whose requests get a rejection. */
     private static final int EXTRA_CONNECTIONS = 64;
-    /** The bound on bytes that wait to be written; beyond it the connection that waits longest is closed. */
+    /** The limit on the total size of unwritten responses; above it the connection with the oldest write is closed. */
     private static final long MAX_UNWRITTEN_BYTES = 64L << 20;
 
     private static final int BACKLOG = 1024;
@@ -35,21 +35,21 @@
     private static final int MAX_CHUNK_BYTES = 4 * 1024;
     private static final int MAX_BODY_BYTES = 1024;
 
-    /** The node that is served. */
+    /** The control node for which this server answers. */
     interface Node {
-        /** Returns the fields that the node adds to a response. */
+        /** Returns the fields about the node that start the response to a request. */
         WatchResponseHead responseHead(WatchRequest request);
 
-        /** Returns whether peers are served before the node is ready, with the entries of its snapshot. */
+        /** Returns whether peers get the entries of the node's snapshot before the node is ready. */
         boolean servesPeersUntilReady();
 
-        /** Returns whether nothing may be exchanged with a peer, as tests and experiments set it. */
+        /** Returns whether all traffic with a peer is stopped; only tests and experiments stop it. */
         boolean isPartitioned(String peer);
     }
 
     private final WatchContext context;
     private final Set<WatchConnection> connections = new LinkedHashSet<>();
-    /** Connections whose last response is not written completely, the one that waits longest first. */
+    /** Connections with a pending write of a response, oldest write first. */
     private final Set<WatchConnection> unwritten = new LinkedHashSet<>();
     /** Connections whose request waits for an update. */
     private final Set<WatchConnection> waiting = new LinkedHashSet<>();
@@ -60,7 +60,7 @@
     private long slowClosed;
     private long responseBytes;
     private Channel listener;
-    private Future<?> sweeping;
+    private Future<?> sweepTask;
 
     WatchServer(WatchContext context) {
         this.context = context;
@@ -71,7 +71,7 @@
         ChannelFuture bound = http.bind(
                 context.loop(), Sockets.BUFFERS, address, accepted -> new WatchConnection(this, context, accepted));
         listener = bound.channel();
-        sweeping = context.loop()
+        sweepTask = context.loop()
                 .scheduleWithFixedDelay(
                         this::closeSlowAndIdle, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         return bound;
@@ -107,8 +107,8 @@
     }
 
     void close() {
-        if (sweeping != null) {
-            sweeping.cancel(false);
+        if (sweepTask != null) {
+            sweepTask.cancel(false);
         }
         if (listener != null) {
             listener.close();
@@ -119,30 +119,26 @@
     private void closeSlowAndIdle() {
         for (WatchConnection connection : new ArrayList<>(connections)) {
             if (connection.isWritingForLongerThan(WRITE_TIMEOUT_MS)) {
-                closeSlow(connection, "a response was not read in time");
+                closeSlow(connection, "client did not read a response within the write timeout");
             } else if (connection.isIdleForLongerThan(IDLE_TIMEOUT_MS)) {
                 connection.close();
             }
         }
     }
 
-    /** Closes the connection of a client that is too slow or out of turn. */
+    /** Closes the connection of a client that reads too slowly or sends a request too early, and counts that. */
     void closeSlow(WatchConnection connection, String reason) {
         slowClosed++;
         context.log()
                 .warnRateLimited(
-                        "watcher_closed",
-                        "a watcher's connection was closed",
-                        reason,
-                        "watcher",
-                        connection.watcherName());
+                        "watcher_closed", "closed a watch connection", reason, "watcher", connection.watcherName());
         connection.reset();
     }
 
     void onOpened(WatchConnection connection) {
         connections.add(connection);
         if (connections.size() > context.maxWatchers() + EXTRA_CONNECTIONS) {
-            context.log().warnRateLimited("watchers_full", "a connection was rejected", "there are too many");
+            context.log().warnRateLimited("watchers_full", "rejected a watch connection", "connection limit reached");
             connection.close();
         }
     }
@@ -151,7 +147,7 @@
         connections.remove(connection);
     }
 
-    /** Returns whether there are more connections than watchers are permitted. */
+    /** Returns whether there are more connections than the maximum of watchers. */
     boolean isFull() {
         return connections.size() > context.maxWatchers();
     }
@@ -174,26 +170,29 @@
     }
 
     /**
-     * Counts the bytes of any response.
+     * Counts the bytes of a response, whether successful or not.
      *
-     * @param bodyBytes the size of its body
-     * @param totalBytes the same with an estimate for the headers
+     * @param bodyBytes the size of the body
+     * @param totalBytes the size of the response, with an estimate for the headers
      */
     void onResponse(String watcher, int bodyBytes, int totalBytes) {
         responseBytes += bodyBytes;
         observer.onTraffic(watcher, null, 0, totalBytes);
     }
 
-    /** Tracks a response that could not be written at once, and closes connections while there are too many. */
+    /**
+     * Tracks a response whose write is pending, and closes the connections with the oldest writes while the
+     * unwritten responses exceed their limit.
+     */
     void onWriteStarted(WatchConnection connection, int bodyBytes) {
         unwritten.add(connection);
         unwrittenBytes += bodyBytes;
         while (unwrittenBytes > MAX_UNWRITTEN_BYTES && !unwritten.isEmpty()) {
-            closeSlow(unwritten.iterator().next(), "too many bytes wait to be written");
+            closeSlow(unwritten.iterator().next(), "unwritten responses exceed the size limit");
         }
     }
 
-    /** Ends the tracking of a response, written or failed. */
+    /** Ends the tracking of a response whose write has completed or failed. */
     void onWriteEnded(WatchConnection connection, long bodyBytes) {
         if (unwritten.remove(connection)) {
             unwrittenBytes -= bodyBytes;
--- a/edge/src/main/java/lemonrail/control/WatchSession.java
+++ b/edge/src/main/java/lemonrail/control/WatchSession.java
@@ -9,37 +9,38 @@
 import lemonrail.core.replication.VersionedEntry;
 
 /**
- * The watch protocol on one connection, one request at a time. A request is answered at once with a full
- * snapshot or a delta if there is an update, and else when there is one or its wait is over. Updates are
- * paced. Belongs to the event loop.
+ * The watch protocol on one connection, one request at a time. If there is an update, a request is answered
+ * immediately with a full snapshot or a delta; otherwise it is answered at the next update or when its wait ends.
+ * There is a minimum time between two updates. Belongs to the event loop.
  */
 final class WatchSession {
 
     /** The minimum time between two updates to a peer. */
-    private static final double PEER_RESPONSE_GAP_MS = 20;
+    private static final double MIN_PEER_UPDATE_INTERVAL_MS = 20;
 
     private static final double NANOS_PER_MS = 1e6;
 
     /** Sends the response of the current request. */
     interface Responder {
-        /** Sends a response; the session's request must have been ended before it returns. */
+        /** Sends a response, and calls {@link WatchSession#end} before returning. */
         void respond(ByteBuf body);
 
-        /** The request waits for an update. */
+        /** Called when the current request starts to wait for an update. */
         void onWaiting();
     }
 
     private enum State {
         /** No request is in progress. */
         IDLE,
-        /** A request is in progress: it waits for an update, for its pace, or is being answered. */
+        /** A request waits for an update or for the minimum time between updates, or is being answered. */
         REQUEST_IN_PROGRESS
     }
 
+    /** Whether the watcher's replica is known to match the store. */
     private enum Replica {
-        /** The watcher may lack entries or have some too many. */
+        /** The replica may lack entries or have entries that were removed. */
         UNVERIFIED,
-        /** Its digest was equal, or it got a full snapshot: deltas are enough from then on. */
+        /** The digests were equal, or the watcher got a full snapshot, so that it needs only deltas. */
         IN_SYNC
     }
 
@@ -47,13 +48,13 @@
     private final Responder responder;
     private State state = State.IDLE;
     private Replica replica = Replica.UNVERIFIED;
-    /** The current request; only valid while one is in progress. */
+    /** The current request; valid only while a request is in progress. */
     private WatchRequest request;
-    /** The watcher has everything up to this version. */
+    /** The version up to which the watcher has all entries. */
     private long sinceVersion;
 
     private Future<?> waitTimeout;
-    private Future<?> pacedResponse;
+    private Future<?> delayedResponse;
     private double nextUpdateAtMs;
 
     WatchSession(WatchContext context, Responder responder) {
@@ -65,7 +66,7 @@
         return state == State.REQUEST_IN_PROGRESS;
     }
 
-    /** Starts a request, and answers it at once if there is an update. */
+    /** Starts a request, and answers it immediately if there is an update. */
     void start(WatchRequest newRequest) {
         request = newRequest;
         state = State.REQUEST_IN_PROGRESS;
@@ -76,30 +77,30 @@
         }
     }
 
-    /** Ends the current request, if any, without a response. */
+    /** Ends the current request, if any, and cancels its timers; sends no response. */
     void end() {
         state = State.IDLE;
         if (waitTimeout != null) {
             waitTimeout.cancel(false);
             waitTimeout = null;
         }
-        if (pacedResponse != null) {
-            pacedResponse.cancel(false);
-            pacedResponse = null;
+        if (delayedResponse != null) {
+            delayedResponse.cancel(false);
+            delayedResponse = null;
         }
     }
 
     private void startPeerRequest() {
         ReplicatedStore store = context.store();
-        if (request.wantsFullSnapshot() || !isOfThisProcess()) {
-            responder.respond(context.responses().toPeer(store.allEntries(), true, head()));
+        if (request.wantsFullSnapshot() || !isVersionOfThisProcess()) {
+            responder.respond(context.responses().toPeer(store.allEntries(), true, responseHead()));
             return;
         }
         sinceVersion = request.version();
         if (entriesForPeer().isEmpty()) {
             awaitUpdate();
         } else {
-            respondWhenPaced();
+            respondAfterMinInterval();
         }
     }
 
@@ -110,7 +111,7 @@
             respondWithFullSnapshot(topics);
             return;
         }
-        sinceVersion = isOfThisProcess() || replica == Replica.IN_SYNC
+        sinceVersion = isVersionOfThisProcess() || replica == Replica.IN_SYNC
                 ? request.version()
                 : ReplicatedStore.rewind(request.version(), WatchServer.VERSION_OVERLAP_MS);
         if (replica == Replica.UNVERIFIED && context.store().digest(topics) == request.digest()) {
@@ -118,7 +119,7 @@
             sinceVersion = context.store().currentVersion((long) context.clock().now());
         }
         if (context.store().hasNewer(topics, sinceVersion)) {
-            respondWhenPaced();
+            respondAfterMinInterval();
         } else if (replica == Replica.IN_SYNC) {
             awaitUpdate();
         } else {
@@ -126,13 +127,13 @@
         }
     }
 
-    private boolean isOfThisProcess() {
+    private boolean isVersionOfThisProcess() {
         return request.bootId().equals(context.bootId());
     }
 
     private void respondWithFullSnapshot(List<String> topics) {
         replica = Replica.IN_SYNC;
-        responder.respond(context.responses().fullSnapshot(topics, head()));
+        responder.respond(context.responses().fullSnapshot(topics, responseHead()));
     }
 
     private void awaitUpdate() {
@@ -140,28 +141,28 @@
         waitTimeout = context.loop().schedule(this::respondWithDelta, request.waitMs(), TimeUnit.MILLISECONDS);
     }
 
-    /** Answers the current request if the topics concern it. */
+    /** Answers the current request if it watches any of these topics. */
     void onTopicsChanged(Set<String> topics) {
         if (state == State.REQUEST_IN_PROGRESS && request.watchesAnyOf(topics)) {
-            respondWhenPaced();
+            respondAfterMinInterval();
         }
     }
 
-    private void respondWhenPaced() {
+    private void respondAfterMinInterval() {
         double delayMs = nextUpdateAtMs - context.clock().now();
         if (delayMs <= 0) {
-            // What this peer itself has sent is no update for it.
+            // The peer needs no response if only its own entries have arrived.
             if (!request.isFromPeer() || !entriesForPeer().isEmpty()) {
                 respondWithDelta();
             }
-        } else if (pacedResponse == null) {
-            pacedResponse = context.loop()
-                    .schedule(this::sendPacedResponse, (long) (delayMs * NANOS_PER_MS), TimeUnit.NANOSECONDS);
+        } else if (delayedResponse == null) {
+            delayedResponse = context.loop()
+                    .schedule(this::sendDelayedResponse, (long) (delayMs * NANOS_PER_MS), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void sendPacedResponse() {
-        pacedResponse = null;
+    private void sendDelayedResponse() {
+        delayedResponse = null;
         respondWithDelta();
     }
 
@@ -178,9 +179,9 @@
 
     private void respondToPeerWithDelta() {
         List<VersionedEntry> entries = entriesForPeer();
-        ByteBuf body = context.responses().toPeer(entries, false, head());
+        ByteBuf body = context.responses().toPeer(entries, false, responseHead());
         if (!entries.isEmpty()) {
-            nextUpdateAtMs = context.clock().now() + PEER_RESPONSE_GAP_MS;
+            nextUpdateAtMs = context.clock().now() + MIN_PEER_UPDATE_INTERVAL_MS;
         }
         responder.respond(body);
     }
@@ -188,9 +189,9 @@
     private void respondToSidecarWithDelta() {
         List<String> topics = context.topics(request);
         boolean hasUpdate = context.store().hasNewer(topics, sinceVersion);
-        ByteBuf body = context.responses().delta(topics, sinceVersion, head());
+        ByteBuf body = context.responses().delta(topics, sinceVersion, responseHead());
         if (hasUpdate) {
-            nextUpdateAtMs = context.clock().now() + context.responseGapMs();
+            nextUpdateAtMs = context.clock().now() + context.minUpdateIntervalMs();
         }
         responder.respond(body);
     }
@@ -199,7 +200,7 @@
         return context.store().entriesForPeerSince(request.peer(), sinceVersion);
     }
 
-    private WatchResponseHead head() {
+    private WatchResponseHead responseHead() {
         return context.node().responseHead(request);
     }
 }
--- a/edge/src/main/java/lemonrail/control/WatcherSummary.java
+++ b/edge/src/main/java/lemonrail/control/WatcherSummary.java
@@ -8,10 +8,10 @@
 import lemonrail.core.replication.WatcherReport;
 
 /**
- * A node's own watchers.
+ * A summary of the watchers at one node.
  *
- * @param watcherCount the active watchers
- * @param documents for each settings document that is followed, the versions applied and rejected
+ * @param watcherCount the number of active watchers
+ * @param documents for each followed settings document, the versions applied and rejected
  */
 public record WatcherSummary(int watcherCount, List<AppliedVersions.Summary> documents) {
 
@@ -19,7 +19,7 @@
         return new WatcherSummary(appliedVersions.watcherCount(nowMs), appliedVersions.summaries(nowMs));
     }
 
-    /** Returns the fields of the wire. */
+    /** Returns the fields of the JSON object that describes the watchers. */
     public Map<String, Object> toJson() {
         List<Object> documentsJson = new ArrayList<>();
         documents.forEach(document -> documentsJson.add(toJson(document)));
--- a/edge/src/main/java/lemonrail/control/package-info.java
+++ b/edge/src/main/java/lemonrail/control/package-info.java
@@ -1,2 +1,2 @@
-/** A control node: it serves watches, replicates from its peers and takes changes of the configuration. */
+/** The control node, which serves watches, replicates entries from its peers and accepts configuration changes. */
 package lemonrail.control;
--- a/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
@@ -181,7 +181,7 @@
     @Test
     void invalidAdminRequestsAreRejectedWithAReason() throws Exception {
         assertResponse("field addr is missing", 400, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{}"));
-        assertResponse("it is no JSON", 400, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{"));
+        assertResponse("invalid JSON", 400, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{"));
         assertResponse(
                 "unknown field adr", 400, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"adr\":\"x\"}"));
         assertResponse(
@@ -194,8 +194,13 @@
                 400,
                 callAdminApi(0, "PUT", "/v1/services/a%20b/endpoints/s1", "{\"addr\":\"10.0.0.1:1\"}"));
         assertResponse(
-                "there is no such thing", 404, callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1/drain", ""));
-        assertResponse("this path takes PUT only", 405, callAdminApi(0, "POST", "/v1/control/begin", ""));
+                "no such endpoint or settings document",
+                404,
+                callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1/drain", ""));
+        assertResponse(
+                "method not allowed: this path supports only PUT",
+                405,
+                callAdminApi(0, "POST", "/v1/control/begin", ""));
         assertResponse("unknown path", 404, callAdminApi(0, "GET", "/v1/other", ""));
         assertResponse("settings:1: ", 400, callAdminApi(0, "PUT", "/v1/settings/base", "[listeners]"));
         assertResponse(
@@ -203,7 +208,7 @@
                 200,
                 callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1", "{\"addr\":\"10.0.0.1:1\"}"));
         assertResponse(
-                "a newer word is known",
+                "a newer version exists",
                 409,
                 callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1?as_of_ms=1000", "{\"addr\":\"10.0.0.2:1\"}"));
     }
