--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -214,7 +214,7 @@
 
     /** Notifies the balancer of endpoints whose suspension has begun or ended. */
     public void refreshEndpoints(Collection<String> ids) {
-        List<Endpoint> update = suspensions.visibleEndpoints(ids);
+        List<Endpoint> update = suspensions.listedEndpoints(ids);
         if (!update.isEmpty()) {
             notifyOfEndpoints(EndpointUpdateKind.DELTA, update);
         }
--- a/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
+++ b/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
@@ -18,50 +18,50 @@
 import lemonrail.logging.EventLog;
 
 /**
- * The endpoints that operators have suspended, laid over discovery's list: the load balancer sees a suspended
- * endpoint as draining, whatever discovery reports. Each change is on disk before it is confirmed, where the
- * sidecar's other or next process finds it. Belongs to the event loop.
+ * The endpoints that operators have suspended, combined with the endpoint list of discovery: the load balancer sees
+ * a listed suspended endpoint as draining even if discovery reports it as ready. Each change is persisted before it
+ * is confirmed, so that another or a later process of the same sidecar reads it. Belongs to the event loop.
  */
 public final class SuspendedEndpoints {
 
-    /** Ids remembered as listed once; the oldest are forgotten. */
+    /** The limit on remembered ids of endpoints that are or were listed; above it the oldest is forgotten. */
     private static final int MAX_REMEMBERED_IDS = 4096;
-    /** Endpoints suspended at once. */
+    /** The limit on endpoints that are suspended at the same time. */
     private static final int MAX_SUSPENDED = 1024;
 
     private final SuspensionFile file;
     private final EventLog log;
-    private final Map<String, Endpoint> listed = new LinkedHashMap<>();
-    /** Ids that are or were listed, the oldest first. */
+    private final Map<String, Endpoint> listedById = new LinkedHashMap<>();
+    /** Ids of endpoints that are or were listed, least recently updated first. */
     private final Set<String> everListed = new LinkedHashSet<>();
 
     private Set<String> suspended = new LinkedHashSet<>();
     private String lastProblem = "";
     private SuspensionFile.FileVersion readVersion = SuspensionFile.FileVersion.ABSENT;
 
-    /** Loads the suspensions of a file, which may be absent; a damaged one counts as empty. */
+    /** Creates the set with the suspensions of a file; it is empty if the file is absent or cannot be read. */
     public SuspendedEndpoints(Path path, EventLog log) {
         file = new SuspensionFile(path);
         this.log = log.in("suspension");
         refresh();
     }
 
-    /** Applies an update of discovery, and returns its endpoints as the load balancer is to see them. */
+    /** Applies an update of discovery and returns its endpoints, with suspended ready endpoints set to draining. */
     public List<Endpoint> applyUpdate(EndpointUpdateKind kind, List<Endpoint> endpoints) {
         if (kind != EndpointUpdateKind.DELTA) {
-            listed.clear();
+            listedById.clear();
         }
-        List<Endpoint> visible = new ArrayList<>(endpoints.size());
+        List<Endpoint> seenByBalancer = new ArrayList<>(endpoints.size());
         for (Endpoint endpoint : endpoints) {
             if (endpoint.state() == EndpointState.GONE) {
-                listed.remove(endpoint.id());
+                listedById.remove(endpoint.id());
             } else {
-                listed.put(endpoint.id(), endpoint);
+                listedById.put(endpoint.id(), endpoint);
                 rememberId(endpoint.id());
             }
-            visible.add(asVisible(endpoint));
+            seenByBalancer.add(applySuspension(endpoint));
         }
-        return visible;
+        return seenByBalancer;
     }
 
     private void rememberId(String id) {
@@ -74,17 +74,17 @@
         }
     }
 
-    private Endpoint asVisible(Endpoint endpoint) {
-        boolean hidden = endpoint.state() == EndpointState.READY && suspended.contains(endpoint.id());
-        return hidden ? endpoint.withState(EndpointState.DRAINING) : endpoint;
+    private Endpoint applySuspension(Endpoint endpoint) {
+        boolean isSuspendedWhileReady = endpoint.state() == EndpointState.READY && suspended.contains(endpoint.id());
+        return isSuspendedWhileReady ? endpoint.withState(EndpointState.DRAINING) : endpoint;
     }
 
-    /** Returns those of these endpoints that are listed, as the load balancer is to see them. */
-    public List<Endpoint> visibleEndpoints(Collection<String> ids) {
+    /** Returns the listed endpoints among these ids, with suspended ready endpoints set to draining. */
+    public List<Endpoint> listedEndpoints(Collection<String> ids) {
         return ids.stream()
-                .map(listed::get)
+                .map(listedById::get)
                 .filter(Objects::nonNull)
-                .map(this::asVisible)
+                .map(this::applySuspension)
                 .toList();
     }
 
@@ -95,32 +95,32 @@
 
     /** Returns the number of listed endpoints. */
     public int listedCount() {
-        return listed.size();
+        return listedById.size();
     }
 
     /** Returns the number of listed endpoints that are suspended. */
     public int listedSuspendedCount() {
-        return (int) suspended.stream().filter(listed::containsKey).count();
+        return (int) suspended.stream().filter(listedById::containsKey).count();
     }
 
     /**
-     * Suspends an endpoint and persists that.
+     * Suspends an endpoint and persists the change.
      *
-     * @return the ids whose suspension has changed, by another process included
-     * @throws IOException if it cannot be persisted, or too many are suspended
+     * @return the ids whose suspension has changed, including changes by another process
+     * @throws IOException if the change cannot be persisted, or too many endpoints are suspended
      */
     public Set<String> suspend(String id) throws IOException {
         if (suspended.size() >= MAX_SUSPENDED && !suspended.contains(id)) {
-            throw new IOException("no more than " + MAX_SUSPENDED + " endpoints may be suspended at once");
+            throw new IOException("cannot suspend more than " + MAX_SUSPENDED + " endpoints at the same time");
         }
         return update(ids -> ids.add(id));
     }
 
     /**
-     * Resumes an endpoint and persists that.
+     * Resumes an endpoint and persists the change.
      *
-     * @return the ids whose suspension has changed, by another process included
-     * @throws IOException if it cannot be persisted
+     * @return the ids whose suspension has changed, including changes by another process
+     * @throws IOException if the change cannot be persisted
      */
     public Set<String> resume(String id) throws IOException {
         return update(ids -> ids.remove(id));
@@ -132,7 +132,12 @@
         return replaceSuspended(ids);
     }
 
-    /** Reads what the sidecar's other process may have written, and returns the ids that have changed. */
+    /**
+     * Reads the file again if another process of the same sidecar has changed it. An unreadable file leaves the
+     * suspensions unchanged and is logged.
+     *
+     * @return the ids whose suspension has changed
+     */
     public Set<String> refresh() {
         try {
             SuspensionFile.FileVersion version = file.version();
@@ -173,10 +178,12 @@
         }
     }
 
-    /** The file is read again each time; the same problem is logged once. */
+    /** Logs a problem with the file unless it was the last one logged, because the file is read repeatedly. */
     private void logProblem(String problem) {
         if (!problem.equals(lastProblem)) {
-            log.warn("suspensions_unreadable", "suspensions stay as they were: " + problem);
+            log.warn(
+                    "suspensions_unreadable",
+                    "cannot read the suspended endpoints, keeping the current suspensions: " + problem);
         }
         lastProblem = problem;
     }
--- a/edge/src/main/java/lemonrail/suspension/SuspensionFile.java
+++ b/edge/src/main/java/lemonrail/suspension/SuspensionFile.java
@@ -17,17 +17,17 @@
 import java.util.function.Consumer;
 
 /**
- * The ids of suspended endpoints on disk, one a line, between a header and a footer with their number, by which a
- * truncated file is detected. The file is always replaced by a rename; a lock file keeps the two processes of one
- * sidecar from undoing each other's changes.
+ * The file with the ids of suspended endpoints, one per line, between a header and a footer. The footer has the
+ * number of ids, so that a truncated file is detected. The file is always replaced by a rename. A lock file prevents
+ * the two processes of one sidecar from overwriting each other's changes.
  */
 final class SuspensionFile {
 
     private static final String HEADER = "suspended endpoints";
     private static final String FOOTER = "in all: ";
-    private static final int FRAME_LINES = 2;
+    private static final int HEADER_AND_FOOTER_LINES = 2;
 
-    /** The content of the file is not valid. */
+    /** Thrown if the header, the footer or the number of ids is wrong. */
     static final class DamagedException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Identifies one state of the file; it differs after each change. */
+    /** Identifies the content of the file; differs after each change. */
     record FileVersion(Object fileKey, long modifiedMs, long bytes) {
         static final FileVersion ABSENT = new FileVersion(null, 0, 0);
     }
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Returns the ids, none if there is no file.
+     * Returns the ids in the file, or an empty set if there is no file.
      *
-     * @throws DamagedException if the content is not valid
+     * @throws DamagedException if the header, the footer or the number of ids is wrong
      */
     Set<String> readIds() throws IOException {
         List<String> lines;
@@ -75,16 +75,16 @@
         } catch (NoSuchFileException e) {
             return Set.of();
         }
-        int idCount = lines.size() - FRAME_LINES;
+        int idCount = lines.size() - HEADER_AND_FOOTER_LINES;
         if (idCount < 0
                 || !lines.get(0).equals(HEADER)
                 || !lines.get(idCount + 1).equals(FOOTER + idCount)) {
-            throw new DamagedException(file + " is damaged");
+            throw new DamagedException(file + " is damaged: header, footer or number of ids is wrong");
         }
         return new LinkedHashSet<>(lines.subList(1, idCount + 1));
     }
 
-    /** Changes the ids under the lock, and returns the new ones; a damaged file counts as empty. */
+    /** Changes the ids and writes them under the lock, and returns the new ids. A damaged file counts as empty. */
     Set<String> update(Consumer<Set<String>> change) throws IOException {
         try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock lock = channel.lock()) {
--- a/edge/src/main/java/lemonrail/suspension/package-info.java
+++ b/edge/src/main/java/lemonrail/suspension/package-info.java
@@ -1,2 +1,2 @@
-/** Endpoints that an operator has suspended, and the file that keeps them over a restart. */
+/** Endpoints that operators have suspended, and the file that preserves the suspensions across restarts. */
 package lemonrail.suspension;
--- a/edge/src/test/java/lemonrail/assembly/SuspensionTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SuspensionTest.java
@@ -158,7 +158,9 @@
     void aDamagedFileIsLoggedAndCountsAsEmpty() throws Exception {
         Files.writeString(folder.resolve("n0.suspended"), "suspended endpoints\ns0\n");
         start(first, second);
-        assertTrue(rig.logged().contains("n0.suspended is damaged"), rig.logged());
+        assertTrue(
+                rig.logged().contains("n0.suspended is damaged: header, footer or number of ids is wrong"),
+                rig.logged());
         assertEquals(200, rig.ask("read", DEADLINE_MS).status());
         putEndpoint("s0/suspend");
         assertServedBy("second", 3);
--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -156,7 +156,7 @@
 
     /** Whether the decider's list is this one; to be asked on its loop. */
     boolean knows(Map<String, EndpointEntry> lines) {
-        List<Endpoint> shown = suspensions.visibleEndpoints(lines.keySet());
+        List<Endpoint> shown = suspensions.listedEndpoints(lines.keySet());
         return suspensions.listedCount() == lines.size()
                 && endpoints.endpointCount() == lines.size()
                 && shown.size() == lines.size()
