--- a/edge/src/main/java/lemonrail/simulator/BatchPosition.java
+++ b/edge/src/main/java/lemonrail/simulator/BatchPosition.java
@@ -1,17 +1,17 @@
 package lemonrail.simulator;
 
-/** How far the input is read or acted on; error messages and warnings name it. */
+/** The batch and the instance that are being read or handled, for error messages and warnings. */
 final class BatchPosition {
 
-    private static final long NUMBER_UNREAD = -1;
+    private static final long NO_BATCH_NUMBER = -1;
 
-    private long batchNumber = NUMBER_UNREAD;
-    /** Null outside of any instance's part. */
+    private long batchNumber = NO_BATCH_NUMBER;
+    /** The instance whose part is being read or handled; null outside a part. */
     private String instance;
 
-    /** Starts a batch whose number is not read yet. */
+    /** Starts a batch whose number has not been read yet. */
     void startBatch() {
-        batchNumber = NUMBER_UNREAD;
+        batchNumber = NO_BATCH_NUMBER;
         instance = null;
     }
 
@@ -35,14 +35,14 @@
         instance = null;
     }
 
-    /** Returns the name of the instance whose part is read or acted on, or null. */
+    /** Returns the name of the instance whose part is being read or handled, or null outside a part. */
     String instance() {
         return instance;
     }
 
     @Override
     public String toString() {
-        String batch = "batch " + (hasBatchNumber() ? String.valueOf(batchNumber) : "(number unread)");
+        String batch = "batch " + (hasBatchNumber() ? String.valueOf(batchNumber) : "(number not read yet)");
         return instance == null ? batch : batch + ", instance " + instance;
     }
 }
--- a/edge/src/main/java/lemonrail/simulator/BatchReader.java
+++ b/edge/src/main/java/lemonrail/simulator/BatchReader.java
@@ -5,7 +5,7 @@
 import java.io.InputStream;
 import java.util.List;
 
-/** Reads batches of events, each whole before any of it is acted on. */
+/** Reads batches of events. Each batch is read completely before any of its events is handled. */
 final class BatchReader {
 
     private final JsonInput in;
@@ -13,7 +13,7 @@
     private double nowMs;
     private List<Batch.Part> parts;
 
-    /** A reader that keeps the position up to date as it reads. */
+    /** Creates a reader that updates the position while it reads. */
     BatchReader(InputStream input, BatchPosition position) throws IOException {
         in = new JsonInput(input);
         this.position = position;
@@ -30,7 +30,7 @@
         in.readFields("a batch", this::readBatchField);
         position.leaveInstance();
         if (Double.isNaN(nowMs) || parts == null || !position.hasBatchNumber()) {
-            throw new MalformedBatchException("a batch needs wall-ms, batch and parts");
+            throw new MalformedBatchException("a batch must have the fields wall-ms, batch and parts");
         }
         return new Batch(nowMs, position.batchNumber(), parts);
     }
@@ -70,7 +70,7 @@
 
         private Batch.Part toPart() throws MalformedBatchException {
             if (instance == null) {
-                throw new MalformedBatchException("a part names no instance");
+                throw new MalformedBatchException("a part must have the field i, the name of the instance");
             }
             return new Batch.Part(instance, events);
         }
--- a/edge/src/main/java/lemonrail/simulator/EndpointEntryReader.java
+++ b/edge/src/main/java/lemonrail/simulator/EndpointEntryReader.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import lemonrail.core.balancer.Endpoint;
 
-/** Reads one entry of an endpoint list. */
+/** Reads one entry of an endpoint list from the simulator. */
 final class EndpointEntryReader {
 
     private final JsonInput in;
@@ -19,7 +19,7 @@
         this.in = in;
     }
 
-    /** Reads the entry at whose start the input stands. */
+    /** Reads an entry; the input must be at its first token. */
     static Endpoint read(JsonInput in) throws IOException {
         EndpointEntryReader reader = new EndpointEntryReader(in);
         in.readFields("an entry", reader::readField);
--- a/edge/src/main/java/lemonrail/simulator/EventReader.java
+++ b/edge/src/main/java/lemonrail/simulator/EventReader.java
@@ -8,7 +8,7 @@
 import lemonrail.core.balancer.LoadReport;
 import lemonrail.json.Json;
 
-/** Reads one event: its fields in whichever order they come, then the event that its kind stands for. */
+/** Reads one event. Its fields may come in any order, so that the event is created after all of them are read. */
 final class EventReader {
 
     private static final double LOAD_UNKNOWN = -1;
@@ -25,7 +25,7 @@
     private int attempt;
     private int updateKind;
     private int listNumber;
-    /** A timer's name, or an instance's seed. */
+    /** The timer's name or the instance's seed, depending on the kind. */
     private long number;
 
     private boolean retriedByClient;
@@ -38,7 +38,7 @@
         this.in = in;
     }
 
-    /** Reads the event at whose start the input stands. */
+    /** Reads an event; the input must be at its first token. */
     static SimulatorEvent read(JsonInput in) throws IOException {
         EventReader reader = new EventReader(in);
         in.readFields("an event", reader::readField);
--- a/edge/src/main/java/lemonrail/simulator/JsonInput.java
+++ b/edge/src/main/java/lemonrail/simulator/JsonInput.java
@@ -8,16 +8,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The simulator's JSON, read token by token. Each method leaves the input at the last token of what it read. */
+/** Reads the simulator's JSON token by token. Each method leaves the input at the last token that it has read. */
 final class JsonInput {
 
-    /** Reads the value of one field, at whose first token the input stands. */
+    /** Reads the value of one field; the input is at the first token of the value. */
     @FunctionalInterface
     interface FieldReader {
         void read(String name) throws IOException;
     }
 
-    /** Reads one element of an array, at whose first token the input stands. */
+    /** Reads one element of an array; the input is at the first token of the element. */
     @FunctionalInterface
     interface ElementReader<T> {
         T read(JsonInput in) throws IOException;
@@ -36,12 +36,12 @@
         return parser;
     }
 
-    /** Moves to the next value at the top level; false at the end of the input. */
+    /** Moves to the next value at the top level; returns false at the end of the input. */
     boolean advance() throws IOException {
         return parser.nextToken() != null;
     }
 
-    /** Reads an object's fields, each by {@code reader}; {@code what} names the object in errors. */
+    /** Reads the fields of an object, each with {@code reader}; {@code what} names the object in error messages. */
     void readFields(String what, FieldReader reader) throws IOException {
         expect(JsonToken.START_OBJECT, what);
         while (next() != JsonToken.END_OBJECT) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Reads an array's elements, each by {@code reader}; {@code what} names the array in errors. */
+    /** Reads the elements of an array, each with {@code reader}; {@code what} names the array in error messages. */
     <T> List<T> readArray(String what, ElementReader<T> reader) throws IOException {
         expect(JsonToken.START_ARRAY, what);
         List<T> elements = new ArrayList<>();
@@ -64,16 +64,16 @@
     private JsonToken next() throws IOException {
         JsonToken token = parser.nextToken();
         if (token == null) {
-            throw new MalformedBatchException("the input ends within a batch");
+            throw new MalformedBatchException("unexpected end of input within a batch");
         }
         return token;
     }
 
-    /** Checks that {@code what} begins with this token. */
+    /** Checks that the input is at this token, the first of the value that {@code what} names in error messages. */
     void expect(JsonToken expected, String what) throws MalformedBatchException {
         if (!isAt(expected)) {
             throw new MalformedBatchException(
-                    what + " should begin with " + expected + " but " + parser.currentToken() + " was found");
+                    what + " must begin with " + expected + ", but " + parser.currentToken() + " was found");
         }
     }
 
@@ -105,7 +105,7 @@
         return parser.getBooleanValue();
     }
 
-    /** Passes over the value at which the input stands. */
+    /** Skips the value whose first token the input is at. */
     void skip() throws IOException {
         parser.skipChildren();
     }
--- a/edge/src/main/java/lemonrail/simulator/MalformedBatchException.java
+++ b/edge/src/main/java/lemonrail/simulator/MalformedBatchException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown for a batch that breaks the simulator's protocol; the message names what is wrong with it. */
+/** Thrown for a batch that violates the simulator's protocol; the message describes the violation. */
 final class MalformedBatchException extends IOException {
 
     private static final long serialVersionUID = 1L;
--- a/edge/src/main/java/lemonrail/simulator/ReplyWriter.java
+++ b/edge/src/main/java/lemonrail/simulator/ReplyWriter.java
@@ -7,12 +7,12 @@
 import java.io.OutputStream;
 import java.io.UncheckedIOException;
 
-/** Writes one reply a batch. A reply is sent whole at its end, so that a batch with an error gets none. */
+/** Writes one reply per batch. A reply is sent when it is complete, so that a batch with an error gets none. */
 final class ReplyWriter {
 
     private static final int INITIAL_REPLY_BYTES = 1 << 16;
-    /** Whole numbers below this are written without a fraction; a double holds each of them exactly. */
-    private static final double MAX_WHOLE_NUMBER = 1e15;
+    /** Integral values below this are written without a fraction; a double represents each of them exactly. */
+    private static final double MAX_INTEGRAL_VALUE = 1e15;
 
     private final OutputStream output;
     private final ByteArrayOutputStream reply = new ByteArrayOutputStream(INITIAL_REPLY_BYTES);
@@ -52,20 +52,20 @@
         reply.reset();
     }
 
-    /** Starts an action of this kind, to be followed by its fields and {@link Action#end}. */
+    /** Starts an action; the caller adds its fields and then calls {@link Action#end}. */
     Action startAction(String kind) {
         try {
             json.writeStartObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return action.field(WireNames.KIND, kind);
+        return action.addField(WireNames.KIND, kind);
     }
 
-    /** The action being written. */
+    /** The action that is being written. */
     final class Action {
 
-        Action field(String name, String value) {
+        Action addField(String name, String value) {
             try {
                 json.writeStringField(name, value);
             } catch (IOException e) {
@@ -74,7 +74,7 @@
             return this;
         }
 
-        Action field(String name, boolean value) {
+        Action addField(String name, boolean value) {
             try {
                 json.writeBooleanField(name, value);
             } catch (IOException e) {
@@ -83,10 +83,10 @@
             return this;
         }
 
-        Action field(String name, double value) {
+        Action addField(String name, double value) {
             try {
                 json.writeFieldName(name);
-                if (value == Math.rint(value) && Math.abs(value) < MAX_WHOLE_NUMBER) {
+                if (value == Math.rint(value) && Math.abs(value) < MAX_INTEGRAL_VALUE) {
                     json.writeNumber((long) value);
                 } else {
                     json.writeNumber(value);
--- a/edge/src/main/java/lemonrail/simulator/SimulatorAdapter.java
+++ b/edge/src/main/java/lemonrail/simulator/SimulatorAdapter.java
@@ -14,8 +14,8 @@
 import lemonrail.core.balancer.LoadBalancer;
 
 /**
- * Runs load balancers on the simulator's protocol: reads batches of events, hands each event to the balancer of
- * its instance, and writes one reply a batch. Single-threaded.
+ * Runs load balancers behind the simulator's protocol: reads batches of events, passes each event to the balancer of
+ * its instance, and writes one reply per batch. Single-threaded.
  */
 public final class SimulatorAdapter {
 
@@ -27,7 +27,7 @@
     private final EndpointLists endpointLists = new EndpointLists();
     private final Set<String> unknownKinds = new HashSet<>();
 
-    /** Creates an adapter that reads {@code input} and writes {@code output}; warnings go to {@code errors}. */
+    /** Creates an adapter that reads {@code input}, writes replies to {@code output} and warnings to {@code errors}. */
     public SimulatorAdapter(InputStream input, OutputStream output, PrintStream errors) throws IOException {
         reader = new BatchReader(input, position);
         replies = new ReplyWriter(output);
@@ -37,7 +37,7 @@
     /**
      * Replies to batches until the input ends.
      *
-     * @throws SimulatorProtocolException if a batch cannot be read or acted on; it gets no reply
+     * @throws SimulatorProtocolException if a batch cannot be read or handled; the batch gets no reply
      */
     public void run() {
         try {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Returns the message on one line: a parser's second line only tells the place in the input. */
+    /** Returns the first line of the message; the second line of a JSON parser only gives the place in the input. */
     private static String firstLine(Exception e) {
         String message = e.getMessage() == null ? e.toString() : e.getMessage();
         return message.lines().findFirst().orElse("");
@@ -96,15 +96,15 @@
     private LoadBalancer runningBalancer() throws MalformedBatchException {
         SimulatedInstance instance = instances.get(position.instance());
         if (instance == null) {
-            throw new MalformedBatchException("an event for an instance that was never started");
+            throw new MalformedBatchException("event for an instance that is not running");
         }
         return instance.balancer();
     }
 
     private void warnOnce(String unknownKind) {
         if (unknownKinds.add(unknownKind)) {
-            warnings.println(
-                    "lemonrail: " + position + ": events of kind '" + unknownKind + "' are unknown and skipped");
+            warnings.println("lemonrail: " + position + ": skipping events of unknown kind '" + unknownKind
+                    + "', reported once");
         }
     }
 }
--- a/edge/src/main/java/lemonrail/simulator/SimulatorEvent.java
+++ b/edge/src/main/java/lemonrail/simulator/SimulatorEvent.java
@@ -9,12 +9,12 @@
 import lemonrail.core.balancer.Request;
 
 /**
- * One event of a batch. Values are checked as an event is acted on, not as it is read: an error then names the
- * first event that is wrong.
+ * One event of a batch. Values are checked when the event is handled, not when it is read, so that an error is
+ * reported for the first invalid event in order.
  */
 sealed interface SimulatorEvent {
 
-    /** Defines the endpoint list with this number for all instances. */
+    /** Defines or replaces the endpoint list with this number, for all instances. */
     record ListDefined(int listNumber, List<Endpoint> endpoints) implements SimulatorEvent {}
 
     /** Starts an instance. */
@@ -23,20 +23,20 @@
     /** Stops an instance. */
     record InstanceStopped() implements SimulatorEvent {}
 
-    /** Gives an instance the endpoint list with this number. */
+    /** Updates an instance's endpoints with the endpoint list of this number. */
     record EndpointsUpdated(int updateKind, int listNumber) implements SimulatorEvent {}
 
-    /** An event of a kind that this adapter does not know. */
+    /** An event whose kind this adapter does not know; it is skipped. */
     record Unknown(String kind) implements SimulatorEvent {}
 
-    /** An event that a running instance's balancer takes in as it is. */
+    /** An event that is passed directly to the load balancer of a running instance. */
     sealed interface BalancerEvent extends SimulatorEvent {
 
-        /** Hands the event to the balancer. */
+        /** Passes the event to the balancer. */
         void deliver(LoadBalancer balancer, double nowMs) throws MalformedBatchException;
     }
 
-    /** A client has sent a request. */
+    /** A request has arrived from a client. */
     record RequestReceived(String requestId, int requestClass, int tenant, double deadlineMs, boolean retriedByClient)
             implements BalancerEvent {
         @Override
@@ -45,7 +45,7 @@
         }
     }
 
-    /** A streamed response has begun. */
+    /** An endpoint has started a streamed response. */
     record ResponseStreamStarted(String requestId, int attempt) implements BalancerEvent {
         @Override
         public void deliver(LoadBalancer balancer, double nowMs) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** An attempt has ended; {@code outcome} is the protocol's name for how. */
+    /** An attempt has ended; {@code outcome} is the protocol's name of its outcome. */
     record AttemptFinished(
             String requestId,
             int attempt,
@@ -72,7 +72,7 @@
         }
     }
 
-    /** A client has left. */
+    /** A client has cancelled its request. */
     record RequestCancelled(String requestId) implements BalancerEvent {
         @Override
         public void deliver(LoadBalancer balancer, double nowMs) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** A timer is due. */
+    /** A timer has fired. */
     record TimerFired(long name) implements BalancerEvent {
         @Override
         public void deliver(LoadBalancer balancer, double nowMs) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** An event that the balancer never asks for: a probe's result, or a message of another instance. */
+    /** An event that the balancer never requests, and ignores: a probe's result, or another instance's message. */
     record Unrequested() implements BalancerEvent {
         @Override
         public void deliver(LoadBalancer balancer, double nowMs) {}
--- a/edge/src/main/java/lemonrail/simulator/SimulatorProtocolException.java
+++ b/edge/src/main/java/lemonrail/simulator/SimulatorProtocolException.java
@@ -1,6 +1,6 @@
 package lemonrail.simulator;
 
-/** Thrown for input that the adapter cannot act on; the message names the batch and, where known, the instance. */
+/** Thrown for input that the adapter cannot handle; the message names the batch and, if known, the instance. */
 public final class SimulatorProtocolException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/edge/src/main/java/lemonrail/simulator/WireNames.java
+++ b/edge/src/main/java/lemonrail/simulator/WireNames.java
@@ -4,10 +4,10 @@
 import lemonrail.core.balancer.EndpointState;
 import lemonrail.core.balancer.EndpointUpdateKind;
 
-/** The names and numbers of the simulator's protocol, and what they stand for here. */
+/** The names and numbers of the simulator's protocol, and their mapping to the types of the load balancer. */
 final class WireNames {
 
-    /** Fields of a batch and of its reply. */
+    // Fields of a batch and of its reply.
     static final String WALL_MS = "wall-ms";
 
     static final String BATCH = "batch";
@@ -16,7 +16,7 @@
     static final String EVENTS = "in";
     static final String ACTIONS = "out";
 
-    /** Fields of events and actions. */
+    // Fields of events and actions.
     static final String KIND = "kind";
 
     static final String REQUEST_ID = "msg-id";
@@ -43,7 +43,7 @@
     static final String ENABLE = "enable";
     static final String LOG_LINE = "line";
 
-    /** Fields of an entry of an endpoint list. */
+    // Fields of an entry of an endpoint list.
     static final String ZONE = "hall";
 
     static final String HARDWARE_KIND = "sku";
@@ -52,19 +52,21 @@
     static final String STATE = "state";
     static final String WEIGHT = "share";
 
-    private static final EndpointUpdateKind[] UPDATE_KINDS = {
+    private static final EndpointUpdateKind[] UPDATE_KIND_BY_NUMBER = {
         EndpointUpdateKind.CACHED, EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.DELTA, EndpointUpdateKind.FAILED
     };
-    private static final EndpointState[] STATES = {EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING};
+    private static final EndpointState[] STATE_BY_NUMBER = {
+        EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING
+    };
 
     private WireNames() {}
 
     static EndpointUpdateKind updateKind(int number) throws MalformedBatchException {
-        return valueOf(UPDATE_KINDS, number, UPDATE_KIND);
+        return valueOf(UPDATE_KIND_BY_NUMBER, number, UPDATE_KIND);
     }
 
     static EndpointState endpointState(int number) throws MalformedBatchException {
-        return valueOf(STATES, number, STATE);
+        return valueOf(STATE_BY_NUMBER, number, STATE);
     }
 
     private static <T> T valueOf(T[] values, int number, String field) throws MalformedBatchException {
--- a/edge/src/main/java/lemonrail/simulator/package-info.java
+++ b/edge/src/main/java/lemonrail/simulator/package-info.java
@@ -1,2 +1,2 @@
-/** The adapter that runs the load balancer on the simulator's wire. */
+/** The adapter that runs the load balancer behind the simulator's protocol. */
 package lemonrail.simulator;
--- a/edge/src/test/java/lemonrail/cli/CommandLineTest.java
+++ b/edge/src/test/java/lemonrail/cli/CommandLineTest.java
@@ -101,7 +101,7 @@
     void simulatorCommandAndItsAliasRunTheAdapter(String command) throws Exception {
         Result result = call(command);
         assertEquals(1, result.status(), result.err());
-        assertTrue(result.err().startsWith("lemonrail: batch (number unread)"), result.err());
+        assertTrue(result.err().startsWith("lemonrail: batch (number not read yet)"), result.err());
         assertEquals("", result.out());
     }
 
--- a/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
+++ b/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
@@ -144,13 +144,13 @@
             delimiter = '|',
             value = {
                 "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"reason\":\"Odd\"} | unknown outcome 'Odd'",
-                "{\"kind\":\"Endpoints\",\"mode\":0,\"ref\":16} | list number 16 is out of range",
+                "{\"kind\":\"Endpoints\",\"mode\":0,\"ref\":16} | endpoint list number 16 is out of range",
                 "{\"kind\":\"Endpoints\",\"mode\":7,\"ref\":0} | unknown mode 7",
                 "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"endpoint\":\"e\",\"state\":5}]} | unknown state 5",
                 "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"state\":1}]} | server.id must be given",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"type\":9} | class 9",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant 4",
-                "7 | an event should begin with",
+                "7 | an event must begin with",
             })
     void malformedEventStopsTheAdapterWithOneLine(String event, String expected) throws IOException {
         assertEquals(1, run(batch(START, LIST), batch(REQUEST, event)));
@@ -164,7 +164,7 @@
     void eventForInstanceNeverStartedIsAnError() throws IOException {
         assertEquals(1, run(batch(REQUEST)));
         assertTrue(errors.toString(StandardCharsets.UTF_8)
-                .contains("batch 0, instance sidecar/0: an event for an instance that was never started"));
+                .contains("batch 0, instance sidecar/0: event for an instance that is not running"));
     }
 
     @ParameterizedTest
