--- a/edge/src/main/java/lemonrail/control/ControlAdminApi.java
+++ b/edge/src/main/java/lemonrail/control/ControlAdminApi.java
@@ -175,7 +175,8 @@
             case SUPERSEDED ->
                 AdminResponse.of(HttpResponseStatus.CONFLICT, "a newer version exists: " + timestampOf(change));
             default ->
-                AdminResponse.of(HttpResponseStatus.INSUFFICIENT_STORAGE, "entry limit of the control node reached");
+                AdminResponse.of(
+                        HttpResponseStatus.INSUFFICIENT_STORAGE, "store full: limit on entries or topics reached");
         };
     }
 
--- a/edge/src/main/java/lemonrail/control/ControlNode.java
+++ b/edge/src/main/java/lemonrail/control/ControlNode.java
@@ -212,7 +212,7 @@
                 throw new IllegalArgumentException("the first response is not a full snapshot");
             }
             store.markReady();
-            log.info("ready", "ready with " + store.liveCount() + " entries from " + peer.name());
+            log.info("ready", "ready with " + store.liveCount() + " entries from control node " + peer.name());
         }
         if (result.rejectedCount() > 0) {
             log.warnRateLimited(
--- a/edge/src/main/java/lemonrail/control/PeerReplicator.java
+++ b/edge/src/main/java/lemonrail/control/PeerReplicator.java
@@ -126,7 +126,7 @@
 
     private void handleResponse(int status, byte[] body) {
         if (status != STATUS_OK) {
-            handleFailure("status " + status);
+            handleFailure("HTTP status " + status);
             return;
         }
         try {
--- a/edge/src/main/java/lemonrail/discovery/ControlClient.java
+++ b/edge/src/main/java/lemonrail/discovery/ControlClient.java
@@ -194,7 +194,7 @@
 
     private void handleResponse(int status, byte[] body) {
         if (status != STATUS_OK) {
-            handleFailure("status " + status);
+            handleFailure("HTTP status " + status);
             return;
         }
         ControlResponse response;
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -196,7 +196,7 @@
 
     private void handleResponse(int status, byte[] body) {
         if (status != STATUS_OK) {
-            handleFailure("status " + status);
+            handleFailure("HTTP status " + status);
             return;
         }
         EndpointList list;
--- a/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
+++ b/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
@@ -39,7 +39,7 @@
     private String lastProblem = "";
     private SuspensionFile.FileVersion readVersion = SuspensionFile.FileVersion.ABSENT;
 
-    /** Creates the set with the suspensions of a file; it is empty if the file is absent or cannot be read. */
+    /** Creates the set with the suspensions of a file; it is empty if the file is absent, damaged or unreadable. */
     public SuspendedEndpoints(Path path, EventLog log) {
         file = new SuspensionFile(path);
         this.log = log.in("suspension");
