--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -224,7 +224,7 @@
 
     /** Notifies the balancer of endpoints that have been suspended or resumed. */
     public void refreshEndpoints(Collection<String> ids) {
-        List<Endpoint> update = suspensions.visibleEndpoints(ids);
+        List<Endpoint> update = suspensions.listedEndpoints(ids);
         if (!update.isEmpty()) {
             notifyOfEndpoints(EndpointUpdateKind.DELTA, update);
         }
