--- a/edge/src/main/java/lemonrail/assembly/SidecarBuilder.java
+++ b/edge/src/main/java/lemonrail/assembly/SidecarBuilder.java
@@ -123,7 +123,7 @@
                 loop,
                 Sockets.BUFFERS,
                 new SidecarAdminOperations(context, sink, suspensions, dispatcher, listeners),
-                log.in("admin")::error);
+                log.forComponent("admin")::error);
         registerGauges(context, suspensions, dispatcher);
         new SiblingMonitor(log, siblingLock, suspensions, descriptors, dispatcher, upstream, listeners).start(loop);
         return new Sidecar(new SidecarParts(
--- a/edge/src/main/java/lemonrail/control/ControlNode.java
+++ b/edge/src/main/java/lemonrail/control/ControlNode.java
@@ -56,7 +56,7 @@
         group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("control"), NioIoHandler.newFactory());
         loop = (EventLoop) group.next();
         calls = new LoopCalls(loop);
-        log = new EventLog(clock, sink).in("control");
+        log = new EventLog(clock, sink).forComponent("control");
         long startedAtMs = nowMs();
         store = new ReplicatedStore(config.name(), Bounds.DEFAULT, startedAtMs);
         String bootId = config.name() + "-" + Long.toString(startedAtMs, Character.MAX_RADIX);
--- a/edge/src/main/java/lemonrail/discovery/ControlClient.java
+++ b/edge/src/main/java/lemonrail/discovery/ControlClient.java
@@ -82,7 +82,7 @@
         this.clock = clock;
         this.subscription = subscription;
         this.names = names;
-        this.log = log.in("discovery");
+        this.log = log.forComponent("discovery");
         settings = new SettingsSubscription(subscription.document(), this.log);
         selector = new NodeSelector(
                 subscription.watcher(),
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -72,7 +72,7 @@
         this.names = names;
         version = OptionalLong.of(knownVersion);
         this.schedule = schedule;
-        this.log = log.in("discovery");
+        this.log = log.forComponent("discovery");
         http = new HttpGetClient(
                 loop, HttpGetClient.NO_CONNECT_TIMEOUT, MAX_RESPONSE_BYTES, new HttpGetClient.Listener() {
                     @Override
--- a/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
+++ b/edge/src/main/java/lemonrail/exchange/RequestDispatcher.java
@@ -63,7 +63,7 @@
         this.suspensions = suspensions;
         this.startPolling = startPolling;
         clock = context.clock();
-        log = context.log().in("exchange");
+        log = context.log().forComponent("exchange");
         settings = context.settings();
         requestLog = new RequestLog(log, clock, this::settings);
         timers = new EventLoopTimers(context.loop());
--- a/edge/src/main/java/lemonrail/http1/HttpServer.java
+++ b/edge/src/main/java/lemonrail/http1/HttpServer.java
@@ -67,7 +67,7 @@
             int maxConnections) {
         loop = context.loop();
         clock = context.clock();
-        log = context.log().in("http1");
+        log = context.log().forComponent("http1");
         metrics = context.metrics();
         budget = context.bufferBudget();
         this.dispatcher = dispatcher;
--- a/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
+++ b/edge/src/main/java/lemonrail/http1/UpstreamConnectionPool.java
@@ -33,7 +33,7 @@
      */
     UpstreamConnectionPool(EventLoopContext context, int maxConnections) {
         this.context = context;
-        log = context.log().in("http1");
+        log = context.log().forComponent("http1");
         connector = new UpstreamConnector(
                 context.loop(), context.settings().limits().connectTimeoutMs());
         idleConnections = new IdleConnections(context.clock(), context.endpointIdleTimeoutMs());
--- a/edge/src/main/java/lemonrail/logging/EventLog.java
+++ b/edge/src/main/java/lemonrail/logging/EventLog.java
@@ -59,9 +59,9 @@
         this.logger = logger;
     }
 
-    /** Returns the logger of a part of the program. */
-    public EventLog in(String part) {
-        return new EventLog(shared, ROOT + "." + part);
+    /** Returns the log of a component; its logger is named after the component's package. */
+    public EventLog forComponent(String component) {
+        return new EventLog(shared, ROOT + "." + component);
     }
 
     /** Returns how many events the rate limits of all loggers have suppressed. */
--- a/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
+++ b/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
@@ -42,7 +42,7 @@
     /** Loads the suspensions of a file, which may be absent; a damaged one counts as empty. */
     public SuspendedEndpoints(Path path, EventLog log) {
         file = new SuspensionFile(path);
-        this.log = log.in("suspension");
+        this.log = log.forComponent("suspension");
         refresh();
     }
 
--- a/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
+++ b/edge/src/main/java/lemonrail/upgrade/SiblingProcessLock.java
@@ -28,7 +28,7 @@
 
     /** Locks a byte of the file, which is created if need be. If that fails, no sibling is ever detected. */
     public SiblingProcessLock(Path file, EventLog log) {
-        this.log = log.in("upgrade");
+        this.log = log.forComponent("upgrade");
         try {
             channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             ownIndex = lockFirstFree();
--- a/edge/src/test/java/lemonrail/logging/LogTest.java
+++ b/edge/src/test/java/lemonrail/logging/LogTest.java
@@ -32,7 +32,7 @@
     void jsonIsOneFlatObjectALineWithStableFields() throws IOException {
         LogSink sink = new StructuredSink(out, LogSettings.Format.JSON, Map.of("lemonrail.exchange", Severity.DEBUG));
         EventLog log = new EventLog(new Clock(), sink);
-        log.in("exchange")
+        log.forComponent("exchange")
                 .debug(
                         "attempt_ended",
                         "an \"attempt\"\nended",
@@ -44,8 +44,8 @@
                         1.23456,
                         "outcome",
                         Severity.INFO);
-        log.in("http1").debug("unseen", "not at this level");
-        log.in("http1").warnRateLimited("client_refused", "a client is refused", "400 no", "status", 400);
+        log.forComponent("http1").debug("unseen", "not at this level");
+        log.forComponent("http1").warnRateLimited("client_refused", "a client is refused", "400 no", "status", 400);
         assertEquals(2, lines().size());
         Map<?, ?> first = (Map<?, ?>) Json.parse(lines().get(0).getBytes(StandardCharsets.UTF_8));
         assertEquals(
@@ -77,9 +77,9 @@
     void repeatedWarningsAreRateLimitedByKindAndCounted() {
         EventLog log = new EventLog(new Clock(), new TextSink(out));
         for (int i = 0; i < 50; i++) {
-            log.in("http1").warnRateLimited("no_connection", "no connection", "number " + i);
+            log.forComponent("http1").warnRateLimited("no_connection", "no connection", "number " + i);
         }
-        log.in("discovery").warnRateLimited("discovery_failed", "discovery failed", "once");
+        log.forComponent("discovery").warnRateLimited("discovery_failed", "discovery failed", "once");
         assertEquals(List.of("lemonrail: no connection: number 0", "lemonrail: discovery failed: once"), lines());
         assertEquals(49, log.suppressed());
     }
