--- a/edge/src/main/java/lemonrail/assembly/ActiveSettings.java
+++ b/edge/src/main/java/lemonrail/assembly/ActiveSettings.java
@@ -6,8 +6,8 @@
 import lemonrail.exchange.RequestDispatcher;
 
 /**
- * The balancer settings in force: those of the configuration, overridden by the settings document that the
- * control nodes serve. Documents are applied on the event loop; the deadline may be read from any thread.
+ * The balancer settings in effect: those of the configuration, overridden by the settings document that the
+ * control nodes serve. Documents are applied on the event loop; the longest deadline may be read from any thread.
  */
 final class ActiveSettings {
 
@@ -22,16 +22,17 @@
     }
 
     /**
-     * Applies a settings document as a whole or not at all.
+     * Applies all values of a settings document, or none of them if the document is rejected.
      *
-     * @param document in the operators' form, or null to return to the configured settings
+     * @param document text in the format of the operators' file, or null to return to the configured settings
      */
     SettingsOutcome apply(String document) {
         try {
-            BalancerSettings next = document == null ? configured : SettingsDocument.over(configured, document);
+            BalancerSettings next =
+                    document == null ? configured : SettingsDocument.applyOverrides(configured, document);
             if (!dispatcher.updateSettings(next)) {
                 return new SettingsOutcome.Rejected(
-                        "the load balancer of this edge does not accept settings at run time");
+                        "the load balancer of this edge does not support changing settings at run time");
             }
             active = next;
             return new SettingsOutcome.Applied();
--- a/edge/src/main/java/lemonrail/assembly/ConfigurationReloader.java
+++ b/edge/src/main/java/lemonrail/assembly/ConfigurationReloader.java
@@ -21,17 +21,17 @@
 
 /**
  * Reads the configuration again and applies what can change at run time: the address of discovery, the fixed list
- * of endpoints, listeners and log levels. Other changed values are logged and take effect at the next start. A
- * configuration that cannot be used, or a listener that cannot be opened, changes nothing.
+ * of endpoints, listeners and log levels. Other changed values take effect at the next start; their keys are
+ * logged. If the configuration is invalid or a listener cannot be opened, nothing changes.
  */
 final class ConfigurationReloader {
 
     private static final String DISCOVERY_ADDRESS_KEY = "discovery.address";
 
     /**
-     * The parts that a reload changes.
+     * The components that a reload changes.
      *
-     * @param discovery null without a discovery service
+     * @param discovery the client of the discovery service, or null if none is configured
      * @param fixedEndpoints whether the configuration is the only source of endpoints
      */
     record Targets(
@@ -46,26 +46,27 @@
     private final Metrics metrics;
     private final Lifecycle lifecycle;
     private final ConfigSource source;
-    private final LoadedConfiguration started;
+    private final LoadedConfiguration initialConfiguration;
     private final Targets targets;
-    /** Whether a reload is under way; it may have to wait for listeners to open. */
+    /** Whether a reload is in progress; it may have to wait for listeners to open. */
     private boolean reloading;
-    /** Whether another reload was requested meanwhile. */
-    private boolean pending;
+    /** Whether another reload was requested while one was in progress. */
+    private boolean reloadPending;
 
     /**
      * Creates a reloader.
      *
      * @param source where the configuration is read from
-     * @param started the configuration that the process was started with
+     * @param initialConfiguration the configuration that the process was started with
      */
-    ConfigurationReloader(EventLoopContext context, ConfigSource source, LoadedConfiguration started, Targets targets) {
+    ConfigurationReloader(
+            EventLoopContext context, ConfigSource source, LoadedConfiguration initialConfiguration, Targets targets) {
         loop = context.loop();
         log = context.log();
         metrics = context.metrics();
         lifecycle = context.lifecycle();
         this.source = source;
-        this.started = started;
+        this.initialConfiguration = initialConfiguration;
         this.targets = targets;
     }
 
@@ -76,7 +77,7 @@
 
     private void reload() {
         if (reloading) {
-            pending = true;
+            reloadPending = true;
             return;
         }
         reloading = true;
@@ -84,29 +85,29 @@
             LoadedConfiguration next = source.load();
             if (source.reloadsDiscoveryOnly()) {
                 apply(next);
-                finish();
+                finishReload();
             } else if (lifecycle.phase() == Lifecycle.Phase.STOPPING) {
-                reject("the process is stopping");
-                finish();
+                rejectReload("the process is stopping");
+                finishReload();
             } else {
                 targets.listeners().change(next.config().listeners(), new ListenersChange(next));
             }
         } catch (IOException | RuntimeException e) {
-            reject(e.getMessage());
-            finish();
+            rejectReload(e.getMessage());
+            finishReload();
         }
     }
 
-    private void finish() {
+    private void finishReload() {
         reloading = false;
-        if (pending) {
-            pending = false;
+        if (reloadPending) {
+            reloadPending = false;
             reload();
         }
     }
 
-    private void reject(String reason) {
-        log.warn("config_rejected", "the configuration stays as it was: " + reason);
+    private void rejectReload(String reason) {
+        log.warn("config_rejected", "configuration not reloaded, the previous one stays in effect: " + reason);
         metrics.onReload(false);
     }
 
@@ -119,31 +120,36 @@
             log.info("config_reloaded", "configuration read again");
         }
         if (targets.fixedEndpoints()) {
-            targets.dispatcher().onEndpointList(config.known());
+            targets.dispatcher().onEndpointList(config.initialEndpoints());
         }
         config.logging().levels().forEach(targets.sink()::setLevel);
-        logRestartKeys(next);
+        logKeysThatNeedRestart(next);
         metrics.onReload(true);
     }
 
-    private void logRestartKeys(LoadedConfiguration next) {
+    private void logKeysThatNeedRestart(LoadedConfiguration next) {
         List<String> keys = source.reloadsDiscoveryOnly() ? List.of() : keysThatNeedRestart(next);
         if (!keys.isEmpty()) {
-            log.warn("config_needs_restart", "these hold from the next start on: " + keys, "keys", keys);
+            log.warn(
+                    "config_needs_restart",
+                    "changed keys that take effect only after a restart: " + keys,
+                    "keys",
+                    keys);
         }
     }
 
     /** Returns the keys whose values differ from those at the start and cannot change at run time, sorted. */
     private List<String> keysThatNeedRestart(LoadedConfiguration next) {
-        Map<String, String> before = textByKey(started);
-        Map<String, String> after = textByKey(next);
-        boolean discoveryToggled = (started.config().discovery() != null) != after.containsKey(DISCOVERY_ADDRESS_KEY);
-        return Stream.concat(next.values().stream(), started.values().stream())
+        Map<String, String> initialValues = textByKey(initialConfiguration);
+        Map<String, String> nextValues = textByKey(next);
+        boolean discoveryToggled =
+                (initialConfiguration.config().discovery() != null) != nextValues.containsKey(DISCOVERY_ADDRESS_KEY);
+        return Stream.concat(next.values().stream(), initialConfiguration.values().stream())
                 .filter(value ->
                         !value.reloadable() || (discoveryToggled && value.key().equals(DISCOVERY_ADDRESS_KEY)))
                 .map(LoadedConfiguration.Value::key)
                 .distinct()
-                .filter(key -> !Objects.equals(before.get(key), after.get(key)))
+                .filter(key -> !Objects.equals(initialValues.get(key), nextValues.get(key)))
                 .sorted()
                 .toList();
     }
@@ -154,7 +160,7 @@
         return texts;
     }
 
-    /** Applies the rest of a configuration once its listeners are open. */
+    /** Applies the remaining values of a configuration once its listeners are open. */
     private final class ListenersChange implements Listeners.ChangeResult {
         private final LoadedConfiguration next;
 
@@ -167,15 +173,15 @@
             try {
                 apply(next);
             } catch (RuntimeException e) {
-                reject(e.getMessage());
+                rejectReload(e.getMessage());
             }
-            finish();
+            finishReload();
         }
 
         @Override
         public void onFailed(InetSocketAddress address, Throwable cause) {
-            reject("cannot listen on " + address + ": " + cause.getMessage());
-            finish();
+            rejectReload("cannot listen on " + address + ": " + cause.getMessage());
+            finishReload();
         }
     }
 }
--- a/edge/src/main/java/lemonrail/assembly/DescriptorBudget.java
+++ b/edge/src/main/java/lemonrail/assembly/DescriptorBudget.java
@@ -5,14 +5,14 @@
 import lemonrail.config.EdgeConfig;
 
 /**
- * Splits the file descriptors of the process between connections of clients and connections to endpoints. While
- * a sibling process runs, as during an upgrade, both processes together stay within the limit: each uses half.
+ * Splits the file descriptors of the process between client connections and connections to endpoints. While a
+ * sibling process runs, for example during an upgrade, each of the two processes uses at most half of the limit.
  */
 final class DescriptorBudget {
 
-    /** Descriptors that are opened after the start: the warm-up, discovery, one round of accepts. */
+    /** Descriptors opened after they are counted: by the warm-up, by discovery and by one round of accepts. */
     private static final int RESERVED_DESCRIPTORS = 32;
-    /** The open descriptors assumed where the operating system does not list them. */
+    /** Number of open descriptors assumed where the operating system does not list them. */
     private static final int DEFAULT_OPEN_DESCRIPTORS = 32;
 
     private static final int MIN_CONNECTIONS = 8;
@@ -31,35 +31,38 @@
     }
 
     /**
-     * Counts the descriptors that are open now as needed by the process itself.
+     * Creates a budget that reserves the descriptors that are open now for the process itself.
      *
-     * @param rejectedClientConnections connections beyond the limit that are accepted only to reject them
+     * @param rejectedClientConnections number of connections above the limit that are accepted only to send an
+     *     error response
+     * @param sharedWithSibling whether a sibling process uses half of the limit
      */
     static DescriptorBudget of(EdgeConfig config, int rejectedClientConnections, boolean sharedWithSibling) {
         int adminConnections = config.admin() == null ? 0 : AdminServer.MAX_CONNECTIONS;
         int ownDescriptors = openDescriptors() + RESERVED_DESCRIPTORS + adminConnections;
-        return new DescriptorBudget(config.sockets(), ownDescriptors, rejectedClientConnections, sharedWithSibling);
+        return new DescriptorBudget(
+                config.maxDescriptors(), ownDescriptors, rejectedClientConnections, sharedWithSibling);
     }
 
     private static int openDescriptors() {
-        String[] names = new File("/proc/self/fd").list();
-        return names == null ? DEFAULT_OPEN_DESCRIPTORS : names.length;
+        String[] descriptorNames = new File("/proc/self/fd").list();
+        return descriptorNames == null ? DEFAULT_OPEN_DESCRIPTORS : descriptorNames.length;
     }
 
-    /** Sets whether a sibling process uses half of the limit; returns whether that is a change. */
+    /** Sets whether a sibling process uses half of the limit; returns whether the value has changed. */
     boolean setSharedWithSibling(boolean shared) {
         boolean changed = shared != sharedWithSibling;
         sharedWithSibling = shared;
         return changed;
     }
 
-    /** Returns the most connections to endpoints. */
+    /** Returns the maximum number of connections to endpoints. */
     int maxUpstreamConnections() {
         int limit = sharedWithSibling ? descriptorLimit / 2 : descriptorLimit;
         return Math.max(MIN_CONNECTIONS, (limit - ownDescriptors) / 2);
     }
 
-    /** Returns the most connections of clients, over all listeners. */
+    /** Returns the maximum number of client connections over all listeners. */
     int maxClientConnections() {
         return Math.max(MIN_CONNECTIONS, maxUpstreamConnections() - rejectedClientConnections);
     }
--- a/edge/src/main/java/lemonrail/assembly/GracefulShutdown.java
+++ b/edge/src/main/java/lemonrail/assembly/GracefulShutdown.java
@@ -10,25 +10,28 @@
 import lemonrail.upgrade.SiblingProcessLock;
 
 /**
- * Finishes the requests in flight before the process ends. Clients may go on using their connections for part of
- * that time, as the other sidecars that could serve them may still be starting. When a sibling process
- * listens at the same address, the listener closes at once and each response is the last on its connection.
+ * Finishes the requests in flight before the process ends. Clients may keep using their connections for part of
+ * that time, because the other sidecars that could serve them may still be starting. When a sibling process
+ * listens at the same address, the listener closes at once and each connection closes after its next response.
  */
 final class GracefulShutdown {
 
-    /** New connections still arrive for a while after SIGTERM; the listener stays open until then. */
+    /** How long the listener stays open after SIGTERM, because clients still open new connections meanwhile. */
     private static final int LISTENER_LINGER_MS = 600;
 
-    private static final int EMPTY_POLL_INTERVAL_MS = 10;
-    /** SIGKILL follows SIGTERM after the longest deadline, but at most this, plus {@link #KILL_SLACK_MS}. */
+    private static final int DRAIN_POLL_INTERVAL_MS = 10;
+    /**
+     * Upper bound on the longest deadline: SIGKILL is expected after the smaller of both plus
+     * {@link #KILL_SLACK_MS}.
+     */
     private static final int MAX_DEADLINE_MS = 3000;
 
     private static final int KILL_SLACK_MS = 700;
-    /** The last part of the time, in which connections are closed after the response in flight. */
+    /** The last part of the drain, in which each connection closes after the response in flight. */
     private static final int CLOSE_CONNECTIONS_MS = 700;
-    /** Left unused before SIGKILL, for a busy machine. */
+    /** Time left unused before SIGKILL, because timers run late on a busy machine. */
     private static final int SAFETY_MARGIN_MS = 300;
-    /** After the end of the drain, every request still in flight is answered within this time. */
+    /** Time after the end of the drain in which every request still in flight gets its final response. */
     private static final int FINAL_RESPONSE_MS = 10;
 
     private final EventLoop loop;
@@ -54,61 +57,65 @@
     }
 
     /**
-     * Blocks until all connections are closed, or the time before SIGKILL runs out. To be called from a thread
-     * other than the event loop, once.
+     * Blocks until all connections are closed or the time before SIGKILL has elapsed. Must be called once, from a
+     * thread other than the event loop.
      *
      * @param longestDeadlineMs the longest deadline of any request class, in milliseconds
      */
     void run(long longestDeadlineMs) {
-        long killedAfterMs = Math.min(longestDeadlineMs, MAX_DEADLINE_MS) + KILL_SLACK_MS;
-        long drainMs = killedAfterMs - SAFETY_MARGIN_MS;
-        CountDownLatch empty = new CountDownLatch(1);
-        schedule(drainMs, empty);
-        awaitEmpty(empty, drainMs + SAFETY_MARGIN_MS / 2);
+        long killDelayMs = Math.min(longestDeadlineMs, MAX_DEADLINE_MS) + KILL_SLACK_MS;
+        long drainMs = killDelayMs - SAFETY_MARGIN_MS;
+        CountDownLatch drained = new CountDownLatch(1);
+        schedule(drainMs, drained);
+        awaitDrained(drained, drainMs + SAFETY_MARGIN_MS / 2);
     }
 
-    private void schedule(long drainMs, CountDownLatch empty) {
+    private void schedule(long drainMs, CountDownLatch drained) {
         long closeConnectionsAtMs = Math.max(LISTENER_LINGER_MS, drainMs - CLOSE_CONNECTIONS_MS);
-        loop.execute(() -> begin(drainMs));
+        loop.execute(() -> beginShutdown(drainMs));
         scheduleOnce(() -> listeners.forEach(Downstream::closeListener), LISTENER_LINGER_MS);
         scheduleOnce(() -> listeners.forEach(Downstream::closeAfterResponses), closeConnectionsAtMs);
         scheduleOnce(dispatcher::abandonAll, drainMs + FINAL_RESPONSE_MS);
         loop.scheduleWithFixedDelay(
-                () -> signalIfEmpty(empty), LISTENER_LINGER_MS, EMPTY_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+                () -> signalIfDrained(drained), LISTENER_LINGER_MS, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void scheduleOnce(Runnable action, long delayMs) {
         loop.schedule(action, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void begin(long drainMs) {
+    private void beginShutdown(long drainMs) {
         lifecycle.startStopping();
         listeners.forEach(downstream -> downstream.capDeadlines((double) drainMs));
-        boolean succeeded = siblingLock.hasSibling();
-        log.info("stopping", "stopping" + (succeeded ? ", another process goes on" : ""), "succeeded", succeeded);
-        if (succeeded) {
+        boolean hasSuccessor = siblingLock.hasSibling();
+        log.info(
+                "stopping",
+                "stopping" + (hasSuccessor ? ", another process of this sidecar takes over" : ""),
+                "succeeded",
+                hasSuccessor);
+        if (hasSuccessor) {
             listeners.forEach(Downstream::releaseAddress);
         }
     }
 
-    private void signalIfEmpty(CountDownLatch empty) {
+    private void signalIfDrained(CountDownLatch drained) {
         if (listeners.allMatch(Downstream::hasNoConnections)) {
-            empty.countDown();
+            drained.countDown();
         }
     }
 
-    private void awaitEmpty(CountDownLatch empty, long timeoutMs) {
+    private void awaitDrained(CountDownLatch drained, long timeoutMs) {
         try {
-            // Every request has its response by then; a client that does not read it is not waited for.
-            empty.await(timeoutMs, TimeUnit.MILLISECONDS);
+            // By then every request has its final response; a client that does not read it delays nothing.
+            drained.await(timeoutMs, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        boolean done = empty.getCount() == 0;
+        boolean allClosed = drained.getCount() == 0;
         log.info(
                 "stopped",
-                done ? "all connections are done with" : "not all connections were empty in time",
+                allClosed ? "all connections are closed" : "shutdown timed out with connections still open",
                 "empty",
-                done);
+                allClosed);
     }
 }
--- a/edge/src/main/java/lemonrail/assembly/Listeners.java
+++ b/edge/src/main/java/lemonrail/assembly/Listeners.java
@@ -16,26 +16,26 @@
 
 /**
  * The open listeners, which share the limit on client connections, and the closed ones that still have
- * connections. Belongs to the event loop.
+ * connections. Must be used on the event loop only.
  */
 final class Listeners {
 
-    private static final int MIN_CONNECTIONS_EACH = 8;
+    private static final int MIN_CONNECTIONS_PER_LISTENER = 8;
 
-    /** Receives the result of a change. */
+    /** Receives the result of {@link #change}. */
     interface ChangeResult {
-        /** All wanted listeners are open; the others are closing. */
+        /** Called when all requested listeners are open and the others are closing. */
         void onChanged();
 
-        /** Nothing has changed, as this address could not be opened. */
+        /** Called when {@code address} could not be opened; the set of listeners has not changed. */
         void onFailed(InetSocketAddress address, Throwable cause);
     }
 
-    /** Creates the downstream of a listener with this limit on connections. */
+    /** Creates the downstream of a listener; the argument is its limit on connections. */
     private final IntFunction<Downstream> downstreamFactory;
 
     private final Map<InetSocketAddress, Downstream> open = new LinkedHashMap<>();
-    private final List<Downstream> leaving = new ArrayList<>();
+    private final List<Downstream> closing = new ArrayList<>();
     private int maxConnections;
 
     Listeners(IntFunction<Downstream> downstreamFactory, int maxConnections) {
@@ -43,9 +43,9 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Opens a listener; if that fails, nothing has changed. */
+    /** Opens a listener and returns the future of its bind; a failed bind leaves the listeners unchanged. */
     ChannelFuture open(InetSocketAddress address) {
-        Downstream downstream = downstreamFactory.apply(Math.max(MIN_CONNECTIONS_EACH, maxConnections));
+        Downstream downstream = downstreamFactory.apply(Math.max(MIN_CONNECTIONS_PER_LISTENER, maxConnections));
         open.put(address, downstream);
         distributeConnections();
         ChannelFuture bound = downstream.listen(address);
@@ -58,15 +58,15 @@
         return bound;
     }
 
-    /** Opens and closes listeners until exactly the wanted ones are open, as a whole or not at all. */
-    void change(Collection<InetSocketAddress> wanted, ChangeResult result) {
-        Set<InetSocketAddress> added = new HashSet<>(wanted);
+    /** Opens and closes listeners so that exactly the requested ones are open; changes none if a bind fails. */
+    void change(Collection<InetSocketAddress> requested, ChangeResult result) {
+        Set<InetSocketAddress> added = new HashSet<>(requested);
         added.removeAll(open.keySet());
         List<InetSocketAddress> removed = open.keySet().stream()
-                .filter(address -> !wanted.contains(address))
+                .filter(address -> !requested.contains(address))
                 .toList();
         Runnable onAllOpen = () -> {
-            removed.forEach(this::leave);
+            removed.forEach(this::closeGracefully);
             result.onChanged();
         };
         openNext(new ArrayList<>(added), new ArrayList<>(), onAllOpen, result);
@@ -87,40 +87,40 @@
                 opened.add(next);
                 openNext(remaining, opened, onAllOpen, result);
             } else {
-                opened.forEach(this::leave);
+                opened.forEach(this::closeGracefully);
                 result.onFailed(next, bound.cause());
             }
         });
     }
 
-    private void leave(InetSocketAddress address) {
+    private void closeGracefully(InetSocketAddress address) {
         Downstream downstream = open.remove(address);
         downstream.releaseAddress();
         downstream.closeAfterResponses();
-        leaving.add(downstream);
+        closing.add(downstream);
         distributeConnections();
     }
 
-    /** Sets the limit on connections over all listeners. */
+    /** Sets the limit on client connections over all listeners. */
     void setMaxConnections(int maxConnections) {
         this.maxConnections = maxConnections;
         distributeConnections();
     }
 
     private void distributeConnections() {
-        int each = Math.max(MIN_CONNECTIONS_EACH, maxConnections / Math.max(1, open.size()));
-        open.values().forEach(downstream -> downstream.setMaxConnections(each));
+        int limitPerListener = Math.max(MIN_CONNECTIONS_PER_LISTENER, maxConnections / Math.max(1, open.size()));
+        open.values().forEach(downstream -> downstream.setMaxConnections(limitPerListener));
     }
 
-    /** Performs an action on each downstream, including those that still have connections to finish. */
+    /** Performs an action on each downstream, including closed listeners that still have connections. */
     void forEach(Consumer<Downstream> action) {
-        leaving.removeIf(Downstream::hasNoConnections);
-        List.copyOf(leaving).forEach(action);
+        closing.removeIf(Downstream::hasNoConnections);
+        List.copyOf(closing).forEach(action);
         List.copyOf(open.values()).forEach(action);
     }
 
-    /** Returns whether each downstream meets a condition, including those with connections to finish. */
+    /** Returns whether each downstream meets a condition, including closed listeners that still have connections. */
     boolean allMatch(Predicate<Downstream> condition) {
-        return leaving.stream().allMatch(condition) && open.values().stream().allMatch(condition);
+        return closing.stream().allMatch(condition) && open.values().stream().allMatch(condition);
     }
 }
--- a/edge/src/main/java/lemonrail/assembly/SiblingMonitor.java
+++ b/edge/src/main/java/lemonrail/assembly/SiblingMonitor.java
@@ -9,12 +9,12 @@
 import lemonrail.upgrade.SiblingProcessLock;
 
 /**
- * Watches for a sibling process of the same sidecar: applies the suspensions that it has written, and splits the
+ * Detects a sibling process of the same sidecar, applies the suspensions that it has written, and halves the
  * connection limits while it runs. Runs on the event loop.
  */
 final class SiblingMonitor {
 
-    private static final int INTERVAL_MS = 100;
+    private static final int CHECK_INTERVAL_MS = 100;
 
     private final EventLog log;
     private final SiblingProcessLock siblingLock;
@@ -41,29 +41,31 @@
         this.listeners = listeners;
     }
 
-    /** Checks periodically from now on. */
+    /** Starts the periodic checks. */
     void start(EventLoop loop) {
-        loop.scheduleWithFixedDelay(this::check, INTERVAL_MS, INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::check, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void check() {
         try {
             dispatcher.refreshEndpoints(suspensions.refresh());
-            splitLimits(siblingLock.hasSibling());
+            updateLimits(siblingLock.hasSibling());
         } catch (RuntimeException e) {
-            // A scheduled task that throws is never run again.
-            log.error("checking the sibling process failed", e);
+            // The executor cancels a periodic task that throws.
+            log.error("periodic check for a sibling process failed", e);
         }
     }
 
-    private void splitLimits(boolean siblingRuns) {
+    private void updateLimits(boolean siblingRuns) {
         if (!descriptors.setSharedWithSibling(siblingRuns)) {
             return;
         }
         if (siblingRuns) {
-            log.info("limits_split", "another process of this sidecar runs: the limits are shared");
+            log.info(
+                    "limits_split",
+                    "another process of this sidecar is running: each uses half of the connection limits");
         } else {
-            log.info("limits_restored", "the only process of this sidecar from now on");
+            log.info("limits_restored", "the other process of this sidecar has ended: full connection limits restored");
         }
         upstream.setMaxConnections(descriptors.maxUpstreamConnections());
         listeners.setMaxConnections(descriptors.maxClientConnections());
--- a/edge/src/main/java/lemonrail/assembly/Sidecar.java
+++ b/edge/src/main/java/lemonrail/assembly/Sidecar.java
@@ -12,8 +12,8 @@
 import lemonrail.logging.EventLog;
 
 /**
- * A running sidecar and its life cycle: start, reload, shutdown. All parts live on one event loop, the only thread
- * that touches them; the public methods may be called from any other thread. {@link SidecarBuilder} creates it.
+ * A running sidecar and its life cycle: start, reload, shutdown. Only the thread of its event loop accesses its
+ * components; the public methods may be called from any other thread. {@link SidecarBuilder} creates it.
  */
 public final class Sidecar {
 
@@ -22,7 +22,7 @@
     private final SidecarParts parts;
     private final EventLoop loop;
     private final EventLog log;
-    /** The addresses of the listeners since the start, in the order of the configuration. */
+    /** The addresses of the listeners opened at the start, in the order of the configuration. */
     private final List<InetSocketAddress> addresses = new CopyOnWriteArrayList<>();
 
     Sidecar(SidecarParts parts) {
@@ -32,11 +32,12 @@
     }
 
     /**
-     * Opens the admin API, warms up, and then listens for clients; blocks until it serves. Before the end of the
-     * warm-up a client's connect is refused at once, so that the client uses another sidecar: a connection that
-     * waited in the listener's queue could be served after its deadline.
+     * Opens the admin API, warms up, and then listens for clients; blocks until the sidecar is ready. The listeners
+     * open only after the warm-up, so that a client whose connect is refused uses another sidecar at once. A
+     * connection that waited in a listener's accept queue could be served after its deadline.
      *
-     * @throws IOException if an address cannot be opened; the sidecar has then stopped
+     * @throws IOException if an address cannot be bound, in which case the sidecar is stopped, or if the thread is
+     *     interrupted
      */
     public void start() throws IOException {
         long startedNanos = System.nanoTime();
@@ -78,64 +79,66 @@
         }
     }
 
-    private void awaitBound(String field, InetSocketAddress address, ChannelFuture bound)
+    private void awaitBound(String listenerName, InetSocketAddress address, ChannelFuture bound)
             throws IOException, InterruptedException {
         if (!bound.await().isSuccess()) {
             stop();
-            throw new IOException(field + ": cannot listen on " + address + ": "
+            throw new IOException(listenerName + ": cannot listen on " + address + ": "
                     + bound.cause().getMessage());
         }
     }
 
     private void becomeReady() {
-        // The delays of the start itself say nothing about the time after it.
+        // The event loop's delays during the start must not count as lag of the running sidecar.
         parts.context().clock().lag().resetRecentMax();
         parts.context().lifecycle().markStarted();
     }
 
     private void logServing(long tookMs) {
-        String served = addresses.stream().map(String::valueOf).collect(Collectors.joining(" and "));
+        String listenAddresses = addresses.stream().map(String::valueOf).collect(Collectors.joining(" and "));
         log.info(
                 "serving",
-                "serving at " + served + ", warm after " + tookMs + " ms",
+                "serving at " + listenAddresses + ", warm after " + tookMs + " ms",
                 "address",
                 addresses.get(0),
                 "took_ms",
                 tookMs);
     }
 
-    /** Reads the configuration again and applies what can change at run time; returns at once. */
+    /** Requests a reload of the configuration, which applies what can change at run time; returns at once. */
     public void reload() {
         parts.reloader().request();
     }
 
-    /** Logs that the process ignores the signal for {@link #reload}, and why. */
-    public void reloadSignalIgnored(String reason) {
-        log.warn("reload_signal_ignored", "reloads are off: " + reason);
+    /** Logs that the process ignores the signal that triggers {@link #reload}, and why. */
+    public void logReloadSignalIgnored(String reason) {
+        log.warn("reload_signal_ignored", "configuration reloads by signal are disabled: " + reason);
     }
 
-    /** Finishes the requests in flight and those that still arrive, then stops; blocks meanwhile. */
+    /** Blocks until the requests in flight and those that still arrive are finished or time out, then stops. */
     public void shutdownGracefully() {
         parts.shutdown().run(parts.settings().longestDeadlineMs());
         stop();
     }
 
-    /** Stops at once, as a kill does; requests in flight get no response. */
+    /** Stops at once, like a killed process; requests in flight get no response. */
     public void stop() {
         parts.eventLoopGroup().shutdownGracefully(0, 1, TimeUnit.SECONDS);
         try {
             parts.siblingLock().close();
         } catch (IOException e) {
-            log.warn("sibling_lock_failed", "cannot leave the list of processes: " + e.getMessage());
+            log.warn(
+                    "sibling_lock_failed",
+                    "cannot remove this process from the list of sibling processes: " + e.getMessage());
         }
     }
 
-    /** Returns where clients connect, at the first listener. */
+    /** Returns the bound address of the first listener. */
     public InetSocketAddress address() {
         return addresses.get(0);
     }
 
-    /** Returns where operators call the admin API. */
+    /** Returns the bound address of the admin API. */
     InetSocketAddress adminAddress() {
         return parts.adminServer().address();
     }
@@ -144,8 +147,8 @@
         return loop;
     }
 
-    /** Returns the numbers of open requests and of known endpoints; to be called on the event loop. */
-    List<Integer> tableSizes() {
+    /** Returns the number of requests in flight and the number of known endpoints; call it on the event loop. */
+    List<Integer> requestAndEndpointCounts() {
         return List.of(parts.dispatcher().requestsInFlight(), parts.upstream().endpointCount());
     }
 }
--- a/edge/src/main/java/lemonrail/assembly/SidecarAdminOperations.java
+++ b/edge/src/main/java/lemonrail/assembly/SidecarAdminOperations.java
@@ -14,10 +14,10 @@
 import lemonrail.metrics.Metrics;
 import lemonrail.suspension.SuspendedEndpoints;
 
-/** The admin API's operations on a sidecar, carried out on the event loop by the parts that own the state. */
+/** The admin API's operations on a sidecar, executed on the event loop by the components that own the state. */
 final class SidecarAdminOperations implements AdminOperations {
 
-    /** Loggers that may have a level of their own. */
+    /** Maximum number of loggers that have their own level. */
     private static final int MAX_LOGGER_LEVELS = 64;
 
     /** A change of the suspensions; returns the ids of the endpoints whose visible state changed. */
@@ -80,12 +80,12 @@
         try {
             Set<String> changed = change.apply();
             if (!changed.isEmpty()) {
-                log.info(event, event + " by hand: " + endpoint, "by", "hand", "endpoint", endpoint);
+                log.info(event, event + " by an operator: " + endpoint, "by", "hand", "endpoint", endpoint);
             }
             dispatcher.refreshEndpoints(changed);
             return Result.DONE;
         } catch (IOException e) {
-            String message = endpoint + " is not " + event + ": " + e.getMessage();
+            String message = endpoint + " could not be " + event + ": " + e.getMessage();
             log.warn("suspension_failed", message, "endpoint", endpoint);
             return Result.FAILED;
         }
@@ -107,7 +107,7 @@
             return false;
         }
         sink.setLevel(logger, severity);
-        String message = "level by hand: " + logger + " from " + severity + " on";
+        String message = "log level changed by an operator: " + logger + " logs " + severity + " and above";
         log.info("level_changed", message, "of", logger, "to", severity);
         return true;
     }
@@ -115,7 +115,9 @@
     @Override
     public void drain() {
         if (lifecycle.startDraining()) {
-            log.info("drain_started", "drain by hand: connections are emptied until the sidecar is activated");
+            log.info(
+                    "drain_started",
+                    "drain started by an operator: connections are drained until the sidecar is activated");
             listeners.forEach(Downstream::startDraining);
         }
     }
@@ -123,7 +125,7 @@
     @Override
     public void activate() {
         if (lifecycle.stopDraining()) {
-            log.info("drain_ended", "activated by hand: the drain is over");
+            log.info("drain_ended", "drain ended by an operator: the sidecar is active again");
             listeners.forEach(Downstream::stopDraining);
         }
     }
--- a/edge/src/main/java/lemonrail/assembly/SidecarBuilder.java
+++ b/edge/src/main/java/lemonrail/assembly/SidecarBuilder.java
@@ -33,12 +33,14 @@
 import lemonrail.upgrade.SiblingProcessLock;
 
 /**
- * Builds a {@link Sidecar}: creates all parts on one event loop and connects them, in the order in which they
- * depend on each other.
+ * Builds a {@link Sidecar}: creates all components on one event loop and connects them, dependencies first.
  */
 public final class SidecarBuilder {
 
-    /** Bodies in transit may use this fraction of the memory, and no more than {@link #MAX_BODIES_MB}. */
+    /**
+     * Buffered request and response bodies may use the memory limit divided by this, at most
+     * {@link #MAX_BODIES_MB}.
+     */
     private static final int BODIES_MEMORY_DIVISOR = 16;
 
     private static final int MAX_BODIES_MB = 8;
@@ -54,8 +56,8 @@
     /**
      * Creates a builder.
      *
-     * @param source where the configuration is read again at each reload
-     * @param loaded the configuration as it was loaded from {@code source}
+     * @param source where each reload reads the configuration
+     * @param loaded the configuration that was loaded from {@code source} at the start
      */
     public SidecarBuilder(Protocol<?, ?> protocol, ConfigSource source, LoadedConfiguration loaded, LogSink sink) {
         this.protocol = protocol;
@@ -65,13 +67,13 @@
         config = loaded.config();
     }
 
-    /** Sets the load balancer, as experiments do; {@link BoxcarLoadBalancer} by default. */
+    /** Sets the factory of the load balancer, for experiments; {@link BoxcarLoadBalancer} by default. */
     public SidecarBuilder loadBalancer(LoadBalancerFactory factory) {
         loadBalancerFactory = factory;
         return this;
     }
 
-    /** Builds the sidecar; it listens once {@link Sidecar#start} is called. Blocks until all parts exist. */
+    /** Returns a sidecar that listens once {@link Sidecar#start} is called; blocks until all components exist. */
     public Sidecar build() {
         EventLoopLag lag = new EventLoopLag();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(
@@ -91,10 +93,11 @@
         DescriptorBudget descriptors =
                 DescriptorBudget.of(config, protocol.overflowConnections(), siblingLock.hasSibling());
         AtomicReference<RequestDispatcher<M, A>> builtDispatcher = new AtomicReference<>();
-        EventLoopContext context = context(loop, clock, log, new Lifecycle(() -> knowsEndpoints(builtDispatcher)));
+        EventLoopContext context =
+                createContext(loop, clock, log, new Lifecycle(() -> knowsEndpoints(builtDispatcher)));
 
-        DiscoveryClient discovery = discoveryClient(context);
-        ControlClient control = controlClient(context);
+        DiscoveryClient discovery = createDiscoveryClient(context);
+        ControlClient control = createControlClient(context);
         Upstream<M, A> upstream = protocol.createUpstream(context, descriptors.maxUpstreamConnections());
         RequestDispatcher<M, A> dispatcher = new RequestDispatcher<>(
                 context,
@@ -102,14 +105,14 @@
                 suspensions,
                 loadBalancerFactory,
                 config.seed(),
-                config.known(),
+                config.initialEndpoints(),
                 endpointWatch(control, discovery));
         builtDispatcher.set(dispatcher);
         Listeners listeners = new Listeners(
-                maxConnections -> downstream(protocol, context, dispatcher, maxConnections),
+                maxConnections -> createDownstream(protocol, context, dispatcher, maxConnections),
                 descriptors.maxClientConnections());
         ActiveSettings settings = new ActiveSettings(config.settings(), dispatcher);
-        listen(control, discovery, dispatcher, settings);
+        connectListeners(control, discovery, dispatcher, settings);
 
         ConfigurationReloader reloader = new ConfigurationReloader(
                 context,
@@ -141,13 +144,13 @@
                 siblingLock));
     }
 
-    /** The life cycle exists before the dispatcher, which knows of no endpoint until it is built. */
+    /** Returns false until the dispatcher exists, because the life cycle is created before it. */
     private static boolean knowsEndpoints(AtomicReference<? extends RequestDispatcher<?, ?>> builtDispatcher) {
         RequestDispatcher<?, ?> dispatcher = builtDispatcher.get();
         return dispatcher != null && dispatcher.hasEndpoints();
     }
 
-    private EventLoopContext context(EventLoop loop, Clock clock, EventLog log, Lifecycle lifecycle) {
+    private EventLoopContext createContext(EventLoop loop, Clock clock, EventLog log, Lifecycle lifecycle) {
         double bodiesMb = Math.min(MAX_BODIES_MB, config.memoryMb() / BODIES_MEMORY_DIVISOR);
         return new EventLoopContext(
                 loop,
@@ -160,8 +163,8 @@
                 config.idleCloseMs());
     }
 
-    /** Returns the client of the discovery service, or null where none is configured. */
-    private DiscoveryClient discoveryClient(EventLoopContext context) {
+    /** Returns the client of the discovery service, or null if none is configured. */
+    private DiscoveryClient createDiscoveryClient(EventLoopContext context) {
         if (config.discovery() == null) {
             return null;
         }
@@ -169,20 +172,20 @@
                 context.loop(),
                 config.discovery(),
                 config.names(),
-                config.known().version(),
-                watchSchedule(),
+                config.initialEndpoints().version(),
+                createWatchSchedule(),
                 context.log());
     }
 
-    private WatchSchedule watchSchedule() {
+    private WatchSchedule createWatchSchedule() {
         double drainGraceMs = config.settings().drain().graceMs();
         return config.discoveryWaitMs() == null
                 ? WatchSchedule.ofFleet(config.settings().balancers(), drainGraceMs, config.seed())
                 : new WatchSchedule(config.discoveryWaitMs().intValue(), drainGraceMs, config.seed());
     }
 
-    /** Returns the client of the control nodes, or null where none are configured. */
-    private ControlClient controlClient(EventLoopContext context) {
+    /** Returns the client of the control nodes, or null if none are configured. */
+    private ControlClient createControlClient(EventLoopContext context) {
         if (config.control() == null) {
             return null;
         }
@@ -190,7 +193,7 @@
                 context.loop(), context.clock(), config.control(), config.names(), config.seed(), context.log());
     }
 
-    /** Returns what the dispatcher calls to poll for endpoints. */
+    /** Returns the action by which the dispatcher starts watching for endpoints. */
     private static Runnable endpointWatch(ControlClient control, DiscoveryClient discovery) {
         if (control != null) {
             return control::watch;
@@ -198,7 +201,7 @@
         return discovery == null ? () -> {} : discovery::watch;
     }
 
-    private static void listen(
+    private static void connectListeners(
             ControlClient control,
             DiscoveryClient discovery,
             RequestDispatcher<?, ?> dispatcher,
@@ -212,7 +215,7 @@
         }
     }
 
-    private static <M extends ProtocolRequest, A> Downstream downstream(
+    private static <M extends ProtocolRequest, A> Downstream createDownstream(
             Protocol<M, A> protocol, EventLoopContext context, RequestDispatcher<M, A> dispatcher, int maxConnections) {
         Downstream downstream = protocol.createDownstream(context, dispatcher, maxConnections);
         if (context.lifecycle().phase() == Lifecycle.Phase.DRAINING) {
@@ -225,15 +228,16 @@
             EventLoopContext context, SuspendedEndpoints suspensions, RequestDispatcher<?, ?> dispatcher) {
         Metrics metrics = context.metrics();
         EventLoopLag lag = context.clock().lag();
-        metrics.gauge("log_dropped", sink::dropped);
-        metrics.gauge("log_suppressed", context.log()::suppressed);
-        metrics.gauge("loop_late_ms", () -> (int) Math.ceil(lag.recentMaxLagMs()));
+        metrics.registerGauge("log_dropped", sink::dropped);
+        metrics.registerGauge("log_suppressed", context.log()::suppressed);
+        metrics.registerGauge("loop_late_ms", () -> (int) Math.ceil(lag.recentMaxLagMs()));
         int[] boundsMs = EventLoopLag.histogramBoundsMs();
         for (int i = 0; i < boundsMs.length; i++) {
             int bound = i;
-            metrics.gauge("loop_late.over_" + boundsMs[i] + "ms", () -> lag.countAbove(bound));
+            metrics.registerGauge("loop_late.over_" + boundsMs[i] + "ms", () -> lag.countAbove(bound));
         }
-        metrics.gauge("targets", suspensions::listedCount);
-        metrics.gauge("targets_disabled", () -> suspensions.listedSuspendedCount() + dispatcher.ejectedEndpoints());
+        metrics.registerGauge("targets", suspensions::listedCount);
+        metrics.registerGauge(
+                "targets_disabled", () -> suspensions.listedSuspendedCount() + dispatcher.ejectedEndpoints());
     }
 }
--- a/edge/src/main/java/lemonrail/assembly/SidecarParts.java
+++ b/edge/src/main/java/lemonrail/assembly/SidecarParts.java
@@ -9,7 +9,7 @@
 import lemonrail.exchange.Upstream;
 import lemonrail.upgrade.SiblingProcessLock;
 
-/** The parts of a sidecar that its life cycle needs, as {@link SidecarBuilder} has put them together. */
+/** The components that {@link Sidecar} needs for its life cycle, created by {@link SidecarBuilder}. */
 record SidecarParts(
         MultiThreadIoEventLoopGroup eventLoopGroup,
         EventLoopContext context,
--- a/edge/src/main/java/lemonrail/assembly/package-info.java
+++ b/edge/src/main/java/lemonrail/assembly/package-info.java
@@ -1,2 +1,2 @@
-/** The sidecar put together from its parts. */
+/** Builds a sidecar from its components and runs its start, reload and shutdown. */
 package lemonrail.assembly;
--- a/edge/src/main/java/lemonrail/cli/CheckCommand.java
+++ b/edge/src/main/java/lemonrail/cli/CheckCommand.java
@@ -21,17 +21,20 @@
 @Command(
         name = "check",
         description = {
-            "Validate configurations and say what they would do.",
-            "Everything that is wrong is a line with file, line, key, value and what is allowed."
+            "Validate configuration files and print a summary of each valid one.",
+            "Each problem is one line on standard error: file, line, key, value and what is allowed."
         })
 final class CheckCommand implements Callable<Integer> {
 
-    @Parameters(arity = "1..*", paramLabel = "FILE", description = "files of either form")
+    @Parameters(
+            arity = "1..*",
+            paramLabel = "FILE",
+            description = "configuration files: the operators' TOML (.toml) or the platform's JSON")
     private List<Path> files;
 
     @Option(
             names = {"-q", "--quiet"},
-            description = "say only what is wrong")
+            description = "print problems only")
     private boolean quiet;
 
     @Spec
--- a/edge/src/main/java/lemonrail/cli/ConfigCommand.java
+++ b/edge/src/main/java/lemonrail/cli/ConfigCommand.java
@@ -5,10 +5,10 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Groups the commands that show configurations. */
+/** Groups the commands that show configuration values and the schema. */
 @Command(
         name = "config",
-        description = "Show configurations.",
+        description = "Show configuration values or the schema.",
         subcommands = {ConfigShowCommand.class, ConfigSchemaCommand.class})
 final class ConfigCommand implements Callable<Integer> {
 
@@ -17,6 +17,6 @@
 
     @Override
     public Integer call() {
-        return LemonrailCommand.usage(spec);
+        return LemonrailCommand.printUsage(spec);
     }
 }
--- a/edge/src/main/java/lemonrail/cli/ConfigOption.java
+++ b/edge/src/main/java/lemonrail/cli/ConfigOption.java
@@ -3,20 +3,21 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** The option that names the configuration; an environment variable does where it is not given. */
+/** The option that names the configuration file; if it is missing, an environment variable names the file. */
 final class ConfigOption {
 
     @Option(
             names = {"-c", "--config"},
             paramLabel = "FILE",
-            description = "the configuration: .toml is the operators' form, all else the platform's JSON; "
-                    + "$GW_CONFIG if not given")
+            description =
+                    "the configuration file: .toml for the operators' format, any other name for the platform's JSON; "
+                            + "default: $GW_CONFIG")
     private Path file;
 
     /**
      * Returns the configuration file.
      *
-     * @throws IllegalArgumentException if neither option nor variable names one
+     * @throws IllegalArgumentException if neither the option nor the variable names a file
      */
     Path file() {
         if (file != null) {
--- a/edge/src/main/java/lemonrail/cli/ConfigSchemaCommand.java
+++ b/edge/src/main/java/lemonrail/cli/ConfigSchemaCommand.java
@@ -10,10 +10,10 @@
 import picocli.CommandLine.Spec;
 
 /** Prints the schema of the operators' file. */
-@Command(name = "schema", description = "Show all that the operators' file may say.")
+@Command(name = "schema", description = "Show all tables and keys of the operators' file.")
 final class ConfigSchemaCommand implements Callable<Integer> {
 
-    /** The formats of the schema. */
+    /** The output formats of the schema. */
     enum Format {
         TEXT,
         JSON
@@ -22,7 +22,7 @@
     @Option(
             names = "--format",
             defaultValue = "text",
-            description = "text for people, or json for a JSON Schema (2020-12); text if not given")
+            description = "text, or json for a JSON Schema (2020-12); default: text")
     private Format format;
 
     @Spec
--- a/edge/src/main/java/lemonrail/cli/ConfigShowCommand.java
+++ b/edge/src/main/java/lemonrail/cli/ConfigShowCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Spec;
 
 /** Prints the values of a configuration and their origins. */
-@Command(name = "show", description = "Show a configuration's values.")
+@Command(name = "show", description = "Show the values of a configuration and their origins.")
 final class ConfigShowCommand implements Callable<Integer> {
 
     private static final String DEFAULT_ORIGIN = "default";
@@ -26,7 +26,7 @@
 
     @Option(
             names = "--effective",
-            description = "all values in force and where each came from, not only those that the file holds")
+            description = "show all values in effect, including defaults, not only those that are set")
     private boolean effective;
 
     @Spec
--- a/edge/src/main/java/lemonrail/cli/ConfigurationSummary.java
+++ b/edge/src/main/java/lemonrail/cli/ConfigurationSummary.java
@@ -11,77 +11,78 @@
 import lemonrail.core.balancer.RequestClass;
 import lemonrail.discovery.ControlClient;
 
-/** Summarizes a valid configuration in a few lines for people. */
+/** Summarizes a valid configuration in a few readable lines. */
 final class ConfigurationSummary {
 
     private static final double MS_PER_SECOND = 1000;
 
     private ConfigurationSummary() {}
 
-    /** Returns the summary of an edge. */
+    /** Returns the summary lines of an edge's configuration. */
     static List<String> lines(Path file, EdgeConfig config) {
         List<String> lines = new ArrayList<>();
-        lines.add(file + ": good");
+        lines.add(file + ": valid");
         lines.add("  " + config.name() + " would listen on " + addresses(config.listeners()) + admin(config.admin()));
-        lines.add("  it would send to " + endpoints(config));
+        lines.add("  it would forward requests to " + endpoints(config));
         config.settings().classes().forEach(requestClass -> lines.add(requestClass(requestClass)));
         lines.add("  " + limits(config));
-        lines.add("  files are kept at " + config.stateFile("*"));
+        lines.add("  state files: " + config.stateFile("*"));
         return lines;
     }
 
-    /** Returns the summary of a control node. */
+    /** Returns the summary lines of a control node's configuration. */
     static List<String> lines(Path file, ControlConfig config) {
         return List.of(
-                file + ": good",
+                file + ": valid",
                 "  control node " + config.name() + " of region " + config.region() + " would serve "
                         + config.maxWatchers() + " watchers at " + address(config.address()) + admin(config.admin()),
-                "  it would watch " + config.peers().size() + " other nodes: " + peers(config),
-                "  what it knows is kept at " + config.snapshotFile());
+                "  it would watch " + config.peers().size() + " peers: " + peers(config),
+                "  snapshot file: " + config.snapshotFile());
     }
 
     private static String admin(InetSocketAddress admin) {
-        return admin == null ? ", without an admin API" : ", operators call " + address(admin);
+        return admin == null ? ", without an admin API" : ", admin API at " + address(admin);
     }
 
     private static String endpoints(EdgeConfig config) {
-        int known = config.known().endpoints().size();
+        int endpointCount = config.initialEndpoints().endpoints().size();
         if (config.control() != null) {
             return controlNodes(config.control());
         }
         if (config.discovery() != null) {
-            return "what discovery at " + address(config.discovery()) + " lists, and start from " + known
-                    + " known endpoints";
+            return "the endpoints of discovery at " + address(config.discovery()) + ", starting with " + endpointCount
+                    + " configured endpoints";
         }
-        long ready = config.known().endpoints().stream()
+        long ready = config.initialEndpoints().endpoints().stream()
                 .filter(endpoint -> endpoint.state() == EndpointState.READY)
                 .count();
-        return ready + " of " + known + " fixed endpoints";
+        return ready + " of " + endpointCount + " fixed endpoints";
     }
 
-    private static String controlNodes(ControlClient.Subscription plan) {
-        String services =
-                plan.services().isEmpty() ? "all services" : plan.services().toString();
-        return "what " + plan.regionNodes().size() + " control nodes and "
-                + plan.fallbackNodes().size() + " fallbacks list of " + services;
+    private static String controlNodes(ControlClient.Subscription subscription) {
+        String services = subscription.services().isEmpty()
+                ? "all services"
+                : subscription.services().toString();
+        return "the endpoints that " + subscription.regionNodes().size() + " control nodes and "
+                + subscription.fallbackNodes().size() + " fallback nodes list for " + services;
     }
 
     private static String requestClass(RequestClass requestClass) {
-        return "  class " + requestClass.name() + ": " + retries(requestClass) + ", wanted within "
-                + time(requestClass.latencyObjectiveMs()) + ", given up after " + time(requestClass.deadlineMs());
+        return "  class " + requestClass.name() + ": " + retries(requestClass) + ", latency objective "
+                + time(requestClass.latencyObjectiveMs()) + ", deadline " + time(requestClass.deadlineMs());
     }
 
     private static String retries(RequestClass requestClass) {
         return switch (requestClass.idempotency()) {
-            case IDEMPOTENT -> "repeated where that helps";
-            case KEYED -> "repeated by key within " + time(requestClass.deduplicationWindowMs());
-            case NON_IDEMPOTENT -> "never repeated if it may have run";
+            case IDEMPOTENT -> "retried after any failed attempt";
+            case KEYED -> "retried with its idempotency key within " + time(requestClass.deduplicationWindowMs());
+            case NON_IDEMPOTENT -> "never retried if it may have been executed";
         };
     }
 
     private static String limits(EdgeConfig config) {
         return config.settings().tenants().size() + " tenants, at most "
-                + config.settings().limits().maxAttempts() + " attempts a request, " + config.sockets()
+                + config.settings().limits().maxAttempts() + " attempts per request, " + config.maxDescriptors()
                 + " descriptors, " + (long) config.memoryMb() + "MiB";
     }
 
--- a/edge/src/main/java/lemonrail/cli/ControlCommand.java
+++ b/edge/src/main/java/lemonrail/cli/ControlCommand.java
@@ -5,7 +5,9 @@
 import picocli.CommandLine.Mixin;
 
 /** Runs a control node. */
-@Command(name = "control", description = "Run a control node until SIGTERM: a file with a table [control].")
+@Command(
+        name = "control",
+        description = "Run a control node until SIGTERM; its configuration file has a table [control].")
 final class ControlCommand implements Callable<Integer> {
 
     @Mixin
--- a/edge/src/main/java/lemonrail/cli/ControlNodeProcess.java
+++ b/edge/src/main/java/lemonrail/cli/ControlNodeProcess.java
@@ -12,7 +12,7 @@
 import lemonrail.logging.LogSinks;
 import sun.misc.Signal;
 
-/** A control node as a process: its configuration, its log and its signals. */
+/** Runs a control node as a process: loads its configuration, opens its log and handles its signals. */
 final class ControlNodeProcess {
 
     private final ControlFile source;
@@ -23,9 +23,9 @@
         this.errors = errors;
     }
 
-    /** Starts the node, to run until SIGTERM; returns the exit status, above 0 if the start has failed. */
+    /** Starts the node, which then runs until SIGTERM; returns the exit status, above 0 if the start failed. */
     int start() {
-        // First of all: a process without a handler ends on SIGHUP.
+        // Installed before anything else, because SIGHUP ends a process without a handler.
         CompletableFuture<LogSink> started = new CompletableFuture<>();
         Signal.handle(new Signal("HUP"), signal -> started.thenAccept(this::reload));
         try {
@@ -48,14 +48,14 @@
         }
     }
 
-    /** Halting from the hook makes a stop by SIGTERM a clean exit. */
+    /** Stops the node and halts from the shutdown hook, so that SIGTERM ends the process with exit status 0. */
     private static void stop(ControlNode node, LogSink log) {
         node.stop();
         log.close();
         Runtime.getRuntime().halt(Main.OK);
     }
 
-    /** Applies the log levels; other changes take effect at the next start. */
+    /** Applies the log levels of the file; other changes take effect at the next start. */
     private void reload(LogSink log) {
         try {
             source.load().config().logging().levels().forEach(log::setLevel);
--- a/edge/src/main/java/lemonrail/cli/LemonrailCommand.java
+++ b/edge/src/main/java/lemonrail/cli/LemonrailCommand.java
@@ -8,15 +8,15 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** The command {@code lemonrail}; without a subcommand it prints how it is used. */
+/** The command {@code lemonrail}; without a subcommand it prints its usage. */
 @Command(
         name = "lemonrail",
-        description = "An edge between clients and the endpoints that serve them.",
+        description = "A load balancer between clients and the endpoints that serve them.",
         scope = ScopeType.INHERIT,
         mixinStandardHelpOptions = true,
         versionProvider = VersionCommand.Provider.class,
         exitCodeListHeading = "Exit status:%n",
-        exitCodeList = {"0:all is well", "1:it has failed", "2:the call or the configuration is no good"},
+        exitCodeList = {"0:success", "1:the command failed", "2:the arguments or the configuration are invalid"},
         subcommands = {
             ServeCommand.class,
             ControlCommand.class,
@@ -33,26 +33,26 @@
 
     private LemonrailCommand() {}
 
-    /** Parses the arguments and runs the command that they name; returns the exit status. */
+    /** Parses the arguments and runs the named command; returns the exit status. */
     static int run(String... args) {
         return new CommandLine(new LemonrailCommand())
                 .setCaseInsensitiveEnumValuesAllowed(true)
-                .setExecutionExceptionHandler((e, commandLine, parsed) -> fail(e, commandLine))
+                .setExecutionExceptionHandler((e, commandLine, parsed) -> printFailure(e, commandLine))
                 .execute(args);
     }
 
-    private static int fail(Exception e, CommandLine commandLine) {
+    private static int printFailure(Exception e, CommandLine commandLine) {
         commandLine.getErr().println("lemonrail: " + (e.getMessage() == null ? e.toString() : e.getMessage()));
         return e instanceof IllegalArgumentException ? Main.BAD_INPUT : Main.FAILURE;
     }
 
     @Override
     public Integer call() {
-        return usage(spec);
+        return printUsage(spec);
     }
 
-    /** Prints how a command is used that cannot run by itself. */
-    static int usage(CommandSpec spec) {
+    /** Prints the usage of a command that needs a subcommand; returns the exit status. */
+    static int printUsage(CommandSpec spec) {
         spec.commandLine().usage(spec.commandLine().getErr());
         return Main.BAD_INPUT;
     }
--- a/edge/src/main/java/lemonrail/cli/Main.java
+++ b/edge/src/main/java/lemonrail/cli/Main.java
@@ -14,22 +14,22 @@
 import lemonrail.simulator.SimulatorProtocolException;
 
 /**
- * The program's entry point. The two calls that a platform makes, {@code serve} and {@code simulator} (or its alias
- * {@code benchlink}) without options, are handled here; all others are parsed by picocli, which these two need
- * not load.
+ * The program's entry point. The two commands that a platform runs, {@code serve} and {@code simulator} (or its
+ * alias {@code benchlink}) without options, are handled here so that their start does not load picocli, which
+ * parses all other command lines.
  */
 public final class Main {
 
-    /** The exit status of a call that has succeeded. */
+    /** The exit status of a command that has succeeded. */
     static final int OK = 0;
 
-    /** The exit status of a call that has failed. */
+    /** The exit status of a command that has failed. */
     static final int FAILURE = 1;
 
-    /** The exit status of a call whose arguments or configuration cannot be used. */
+    /** The exit status of a command whose arguments or configuration are invalid. */
     static final int BAD_INPUT = 2;
 
-    /** The environment variable that names the configuration where no option does. */
+    /** The environment variable that names the configuration file if no option does. */
     static final String CONFIG_VARIABLE = "GW_CONFIG";
 
     /** The command that runs the load balancer for the simulator. */
@@ -39,12 +39,12 @@
     static final String BENCHLINK = "benchlink";
 
     private static final String SERVE = "serve";
-    /** Netty's property for its events in Java's flight recorder. */
+    /** The system property that enables Netty's Java Flight Recorder events. */
     private static final String NETTY_RECORDER_PROPERTY = "io.netty.jfr.enabled";
 
     private Main() {}
 
-    /** Runs the program until it is done; a failure is one line on standard error and a status above 0. */
+    /** Runs a command; a failure prints one line on standard error and exits with a status above 0. */
     public static void main(String[] args) throws IOException {
         int status = run(args);
         if (status != OK) {
@@ -59,15 +59,15 @@
             return serve(Path.of(configuration), System.err);
         }
         if (command.equals(SIMULATOR) || command.equals(BENCHLINK)) {
-            return simulator(System.err);
+            return runSimulator(System.err);
         }
         configureNetty();
         return LemonrailCommand.run(args);
     }
 
     /**
-     * Turns off what Netty would load at each start and few need: SLF4J, which it uses if it is there, and the
-     * events of its buffers for Java's flight recorder, unless the recorder's property is set.
+     * Disables rarely used parts of Netty that would slow each start: SLF4J, which Netty uses if it is on the class
+     * path, and the Java Flight Recorder events of its buffers, unless their system property is set.
      */
     private static void configureNetty() {
         if (System.getProperty(NETTY_RECORDER_PROPERTY) == null) {
@@ -76,16 +76,16 @@
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     }
 
-    /** Runs the load balancer for the simulator on the process's own streams; returns the exit status. */
-    static int simulator(PrintStream errors) throws IOException {
+    /** Runs the load balancer for the simulator on standard input and output; returns the exit status. */
+    static int runSimulator(PrintStream errors) throws IOException {
         try (FileInputStream in = new FileInputStream(FileDescriptor.in);
                 FileOutputStream out = new FileOutputStream(FileDescriptor.out)) {
-            return simulator(in, out, errors);
+            return runSimulator(in, out, errors);
         }
     }
 
     /** Runs the load balancer for the simulator on these streams; returns the exit status. */
-    public static int simulator(InputStream in, OutputStream out, PrintStream errors) throws IOException {
+    public static int runSimulator(InputStream in, OutputStream out, PrintStream errors) throws IOException {
         try {
             new SimulatorAdapter(in, out, errors).run();
             return OK;
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Starts an edge, to run until SIGTERM; returns the exit status, above 0 if the start has failed. */
+    /** Starts an edge, which then runs until SIGTERM; returns the exit status, above 0 if the start failed. */
     static int serve(Path file, PrintStream errors) {
         configureNetty();
         return new SidecarProcess(file, System.getenv(), errors).start();
--- a/edge/src/main/java/lemonrail/cli/ServeCommand.java
+++ b/edge/src/main/java/lemonrail/cli/ServeCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Mixin;
 
 /** Runs an edge. */
-@Command(name = "serve", description = "Run an edge until SIGTERM; SIGHUP reads the configuration again.")
+@Command(name = "serve", description = "Run an edge until SIGTERM; SIGHUP reloads the configuration.")
 final class ServeCommand implements Callable<Integer> {
 
     @Mixin
--- a/edge/src/main/java/lemonrail/cli/SidecarProcess.java
+++ b/edge/src/main/java/lemonrail/cli/SidecarProcess.java
@@ -14,7 +14,7 @@
 import lemonrail.logging.LogSinks;
 import sun.misc.Signal;
 
-/** A sidecar as a process: its configuration, its log and its signals. */
+/** Runs a sidecar as a process: loads its configuration, opens its log and handles its signals. */
 final class SidecarProcess {
 
     private final ConfigSource source;
@@ -25,9 +25,9 @@
         this.errors = errors;
     }
 
-    /** Starts the sidecar, to run until SIGTERM; returns the exit status, above 0 if the start has failed. */
+    /** Starts the sidecar, which then runs until SIGTERM; returns the exit status, above 0 if the start failed. */
     int start() {
-        // First of all: a process without a handler ends on SIGHUP.
+        // Installed before anything else, because SIGHUP ends a process without a handler.
         CompletableFuture<Sidecar> started = new CompletableFuture<>();
         Signal.handle(new Signal("HUP"), signal -> started.thenAccept(Sidecar::reload));
         try {
@@ -45,7 +45,7 @@
             }
             started.complete(sidecar);
             if (SignalMask.ignores(SignalMask.HUP)) {
-                sidecar.reloadSignalIgnored("SIGHUP is ignored, as in all that nohup starts");
+                sidecar.logReloadSignalIgnored("SIGHUP is ignored, as in every process that nohup starts");
             }
             return Main.OK;
         } catch (IllegalArgumentException e) {
@@ -55,7 +55,10 @@
         }
     }
 
-    /** Halting from the hook, once all connections are empty, makes a stop by SIGTERM a clean exit. */
+    /**
+     * Drains all connections, then halts from the shutdown hook, so that SIGTERM ends the process with exit
+     * status 0.
+     */
     private static void shutDown(Sidecar sidecar, LogSink log) {
         sidecar.shutdownGracefully();
         log.close();
--- a/edge/src/main/java/lemonrail/cli/SimulatorCommand.java
+++ b/edge/src/main/java/lemonrail/cli/SimulatorCommand.java
@@ -8,11 +8,11 @@
 @Command(
         name = Main.SIMULATOR,
         aliases = Main.BENCHLINK,
-        description = "Serve the simulator's wire on standard input and output.")
+        description = "Run the load balancer for the simulator over standard input and output.")
 final class SimulatorCommand implements Callable<Integer> {
 
     @Override
     public Integer call() throws IOException {
-        return Main.simulator(System.err);
+        return Main.runSimulator(System.err);
     }
 }
--- a/edge/src/main/java/lemonrail/cli/package-info.java
+++ b/edge/src/main/java/lemonrail/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line: one class a command. */
+/** The command line, with one class per command. */
 package lemonrail.cli;
--- a/edge/src/main/java/lemonrail/config/AddressRegistry.java
+++ b/edge/src/main/java/lemonrail/config/AddressRegistry.java
@@ -4,18 +4,21 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The addresses that a file uses and the keys that use them; each address may be used once. */
+/** Records which key of a file uses which address, because each address may be used only once. */
 final class AddressRegistry {
 
     private final Map<InetSocketAddress, String> keysByAddress = new HashMap<>();
 
-    /** Reads the address of a key and reports one that another key uses; port 0 may be used more than once. */
+    /**
+     * Returns the address of a key, or null if it has none; reports an address that another key already uses. Port 0
+     * may be used more than once.
+     */
     InetSocketAddress read(TableReader table, ConfigKey<InetSocketAddress> key) {
         InetSocketAddress address = table.get(key);
         if (address != null && address.getPort() != 0) {
             String otherKey = keysByAddress.putIfAbsent(address, table.path(key.name()));
             if (otherKey != null) {
-                table.addProblem(key, "is taken by " + otherKey);
+                table.addProblem(key, "is already used by " + otherKey);
             }
         }
         return address;
--- a/edge/src/main/java/lemonrail/config/BalancingTable.java
+++ b/edge/src/main/java/lemonrail/config/BalancingTable.java
@@ -1,6 +1,6 @@
 package lemonrail.config;
 
-/** The table {@code [balancing]}: this edge among its peers; values with problems are null. */
+/** The table {@code [balancing]}: this edge among all edges of the fleet; invalid values are null. */
 record BalancingTable(Integer balancers, Integer index, Integer tier, Double overQuotaWeight, Double crossZoneCost) {
 
     static BalancingTable read(TomlDocument document) {
--- a/edge/src/main/java/lemonrail/config/ConfigException.java
+++ b/edge/src/main/java/lemonrail/config/ConfigException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Thrown where a configuration cannot be used; holds all of its problems. */
+/** Thrown if a configuration is invalid; contains all of its problems. */
 public final class ConfigException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1;
@@ -14,13 +14,13 @@
     }
 
     ConfigException(List<ConfigProblem> problems) {
-        super(message(problems));
+        super(buildMessage(problems));
         this.problems = List.copyOf(problems);
     }
 
-    private static String message(List<ConfigProblem> problems) {
-        int others = problems.size() - 1;
-        return problems.get(0) + (others == 0 ? "" : " (and " + others + " more; `lemonrail check` names all)");
+    private static String buildMessage(List<ConfigProblem> problems) {
+        int otherCount = problems.size() - 1;
+        return problems.get(0) + (otherCount == 0 ? "" : " (and " + otherCount + " more; `lemonrail check` lists all)");
     }
 
     /** Returns all problems, in the order of the file. */
--- a/edge/src/main/java/lemonrail/config/ConfigProblem.java
+++ b/edge/src/main/java/lemonrail/config/ConfigProblem.java
@@ -3,27 +3,27 @@
 import java.nio.file.Path;
 
 /**
- * One problem of a configuration.
+ * One problem in a configuration.
  *
- * @param line counted from 1, or 0 if unknown
- * @param key the whole path of the key, or empty for a problem of the file as a whole
- * @param value as it stands in the file, or null if it is missing
- * @param message what is allowed, or what is wrong
+ * @param line the line number, counted from 1, or 0 if unknown
+ * @param key the full path of the key, or empty for a problem that concerns the entire file
+ * @param value the value as written in the file, or null if it is missing
+ * @param message what is wrong, or which values are allowed
  */
 public record ConfigProblem(Path file, int line, String key, String value, String message) {
 
-    /** Returns a problem of a file as a whole; {@code line} is 0 if unknown. */
+    /** Returns a problem that concerns an entire file; {@code line} is 0 if unknown. */
     static ConfigProblem ofFile(Path file, int line, String message) {
         return new ConfigProblem(file, line, "", null, message);
     }
 
-    /** Returns one line: file, line, key, value and message. */
+    /** Returns file, line number, key, value and message in one line. */
     @Override
     public String toString() {
-        String place = line > 0 ? file + ":" + line : file.toString();
+        String location = line > 0 ? file + ":" + line : file.toString();
         if (key.isEmpty()) {
-            return place + ": " + message;
+            return location + ": " + message;
         }
-        return place + ": " + key + (value == null ? "" : " = " + value) + ": " + message;
+        return location + ": " + key + (value == null ? "" : " = " + value) + ": " + message;
     }
 }
--- a/edge/src/main/java/lemonrail/config/ConfigTable.java
+++ b/edge/src/main/java/lemonrail/config/ConfigTable.java
@@ -5,11 +5,11 @@
 /**
  * A table of the operators' file.
  *
- * @param name as in its header, or empty for the keys above all headers
- * @param maxCount how many there may be of a repeated table, as {@code [[listeners]]}; 0 for a single table
- * @param meaning one line for the operators
+ * @param name the name in its header, or empty for the keys before the first header
+ * @param maxCount the maximum number of tables for a repeated one such as {@code [[listeners]]}; 0 for a single table
+ * @param description one line for operators
  */
-public record ConfigTable(String name, int maxCount, String meaning, List<ConfigKey<?>> keys) {
+public record ConfigTable(String name, int maxCount, String description, List<ConfigKey<?>> keys) {
 
     boolean isRepeated() {
         return maxCount > 0;
@@ -19,12 +19,12 @@
         return name.isEmpty();
     }
 
-    /** Returns the header as it is written in a file. */
+    /** Returns the header as written in a file. */
     String header() {
         return isRepeated() ? "[[" + name + "]]" : "[" + name + "]";
     }
 
-    /** Returns the path of a key; {@code index} tells repeated tables apart and is else ignored. */
+    /** Returns the full path of a key; {@code index} is the position among repeated tables, ignored for single ones. */
     String path(int index, String key) {
         if (isRoot()) {
             return key;
--- a/edge/src/main/java/lemonrail/config/ControlFile.java
+++ b/edge/src/main/java/lemonrail/config/ControlFile.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 import lemonrail.config.ControlConfig.Peer;
 
-/** The operators' file of a control node: a TOML file with a table {@code [control]}. */
+/** The configuration file of a control node: a TOML file with a table {@code [control]}. */
 public record ControlFile(Path file, Map<String, String> environment) {
 
     private static final String NAME_VARIABLE = "LEMONRAIL_NAME";
     private static final List<ConfigTable> TABLES =
             List.of(ControlSchema.CONTROL, ControlSchema.PEERS, Schema.ADMIN, Schema.LOGGING);
 
-    /** A control node's configuration, and each value in force with its origin. */
+    /** A control node's configuration, and each effective value with its origin. */
     public record Loaded(ControlConfig config, List<LoadedConfiguration.Value> values) {}
 
-    /** Returns whether a file is a control node's; false for one that cannot be read. */
+    /** Returns whether a file configures a control node; false if it cannot be read or parsed. */
     public static boolean isControlFile(Path file, Map<String, String> environment) {
         try {
             return file.toString().endsWith(".toml")
@@ -33,7 +33,7 @@
     /**
      * Reads the file.
      *
-     * @throws ConfigException if it cannot be used; names all problems
+     * @throws ConfigException if the file is invalid; lists all problems
      */
     public Loaded load() throws IOException {
         TomlDocument document = TomlDocument.read(file, environment);
@@ -65,11 +65,14 @@
         return new Loaded(config, document.values());
     }
 
-    /** The default name of edges would not tell control nodes apart, so the file must have one. */
+    /**
+     * Returns the name, which the file or the environment must set, because the default name would be the same for
+     * all nodes.
+     */
     private String readName(TomlDocument document, TableReader root) {
         String name = root.get(Schema.NAME);
         if (!root.has(Schema.NAME) && !environment.containsKey(NAME_VARIABLE)) {
-            document.addProblem("name", null, "is missing; each control node must have a name of its own");
+            document.addProblem("name", null, "is missing; each control node must have a unique name");
         }
         return name;
     }
@@ -78,12 +81,12 @@
         TableReader table = document.table(Schema.ADMIN);
         InetSocketAddress admin = table.get(Schema.ADMIN_ADDRESS);
         if (admin != null && admin.equals(controlAddress) && admin.getPort() != 0) {
-            table.addProblem(Schema.ADMIN_ADDRESS, "is taken by control.address");
+            table.addProblem(Schema.ADMIN_ADDRESS, "is already used by control.address");
         }
         return admin;
     }
 
-    /** Returns all peers but the node itself, which the table may list as well. */
+    /** Returns all peers except the node itself, which the table may also list. */
     private static List<Peer> readPeers(TomlDocument document, String ownName) {
         List<Peer> peers = new ArrayList<>();
         Set<String> names = new HashSet<>();
--- a/edge/src/main/java/lemonrail/config/DiscoveryTable.java
+++ b/edge/src/main/java/lemonrail/config/DiscoveryTable.java
@@ -5,14 +5,14 @@
 import lemonrail.discovery.ControlClient;
 
 /**
- * The table {@code [discovery]}; values that are not given or have problems are null.
+ * The table {@code [discovery]}; values that are missing or invalid are null.
  *
- * @param address of the discovery service
+ * @param address the address of the discovery service
  * @param waitMs how long a poll waits for changes, in milliseconds
- * @param nodes the control nodes to watch in place of the discovery service
- * @param fallbacks control nodes of other regions
- * @param services whose endpoints are wanted of the control nodes
- * @param settingsDocument the settings document of the control nodes to follow
+ * @param nodes the control nodes to watch instead of the discovery service
+ * @param fallbacks the control nodes of other regions
+ * @param services the services whose endpoints are requested from the control nodes
+ * @param settingsDocument the name of the control nodes' settings document to apply
  */
 record DiscoveryTable(
         InetSocketAddress address,
@@ -34,7 +34,7 @@
         if (discovery.nodes == null) {
             checkNoControlKeys(table);
         } else if (table.has(Schema.DISCOVERY_ADDRESS)) {
-            table.addProblem(Schema.CONTROL_NODES, "takes the place of discovery.address: one of the two must go");
+            table.addProblem(Schema.CONTROL_NODES, "conflicts with discovery.address; only one of the two may be set");
         }
         return discovery;
     }
@@ -42,13 +42,13 @@
     private static void checkNoControlKeys(TableReader table) {
         for (ConfigKey<?> key : List.of(Schema.FALLBACK_NODES, Schema.SERVICES, Schema.SETTINGS_DOCUMENT)) {
             if (table.has(key)) {
-                table.addProblem(key, "goes with discovery.addresses only");
+                table.addProblem(key, "is allowed only with discovery.addresses");
             }
         }
     }
 
-    /** Returns the plan to watch control nodes, or null where none are given. */
-    ControlClient.Subscription toControlPlan(String name) {
+    /** Returns the subscription of the edge with this name to control nodes, or null if none are configured. */
+    ControlClient.Subscription toSubscription(String name) {
         if (nodes == null) {
             return null;
         }
--- a/edge/src/main/java/lemonrail/config/EdgeConfigReader.java
+++ b/edge/src/main/java/lemonrail/config/EdgeConfigReader.java
@@ -18,19 +18,19 @@
 import lemonrail.discovery.EndpointList;
 
 /**
- * Reads an operators' file into the configuration of an edge: first all tables, so that every problem is
- * reported, and then what follows from them.
+ * Reads an operators' file into the configuration of an edge. It reads all tables before it builds the
+ * configuration, so that every problem of the file is reported.
  */
 final class EdgeConfigReader {
 
-    /** The balancer is notified of endpoints and does not poll for them. */
+    /** Effectively infinite, because the balancer is notified of endpoint lists and does not poll for them. */
     private static final double NO_POLL_INTERVAL_MS = 1e12;
 
     private final TomlDocument document;
     private final Map<String, String> environment;
     private final AddressRegistry addresses = new AddressRegistry();
 
-    /** The tables of a file that the balancer settings are made of. */
+    /** The tables from which the balancer settings are built. */
     private record BalancerTables(
             FleetTable fleet,
             List<RequestClass> classes,
@@ -40,7 +40,7 @@
             SlowStartTable slowStart,
             Double drainGraceMs) {}
 
-    /** The table {@code [cold-start]}; values with problems are null. */
+    /** The table {@code [cold-start]}; invalid values are null. */
     private record SlowStartTable(
             Double initialFraction, Double durationMs, Double overloadMultiple, Double overloadWindowMs) {}
 
@@ -52,7 +52,7 @@
     /**
      * Reads the configuration.
      *
-     * @throws ConfigException if it cannot be used; names all problems
+     * @throws ConfigException if the file is invalid; lists all problems
      */
     EdgeConfig read() {
         TableReader root = document.root(Schema.ROOT, Schema.TABLES);
@@ -82,9 +82,9 @@
                 tables.limits().idleTimeoutMs(),
                 new EndpointList.Names(fleet.zones(), List.of()),
                 new EndpointList(0, true, endpoints),
-                balancerSettings(tables),
+                buildBalancerSettings(tables),
                 logging.toSettings(),
-                discovery.toControlPlan(name));
+                discovery.toSubscription(name));
     }
 
     private List<InetSocketAddress> readListeners() {
@@ -101,7 +101,7 @@
 
     private void checkNoPeers() {
         if (document.has(ControlSchema.PEERS)) {
-            document.addProblem(ControlSchema.PEERS.name(), null, "goes into a control node's file");
+            document.addProblem(ControlSchema.PEERS.name(), null, "is allowed only in a control node's file");
         }
     }
 
@@ -115,9 +115,9 @@
     }
 
     private void checkEndpointSource(DiscoveryTable discovery) {
-        boolean fixed = document.has(Schema.ENDPOINTS);
-        boolean discovered = discovery.address() != null || document.has(Schema.DISCOVERY);
-        if (!fixed && !discovered) {
+        boolean hasFixedEndpoints = document.has(Schema.ENDPOINTS);
+        boolean hasDiscovery = discovery.address() != null || document.has(Schema.DISCOVERY);
+        if (!hasFixedEndpoints && !hasDiscovery) {
             document.addProblem("endpoints", null, "is missing; there must be [[endpoints]] or discovery.address");
         }
     }
@@ -131,7 +131,7 @@
         Double weight = table.get(Schema.ENDPOINT_WEIGHT);
         EndpointState state = table.get(Schema.ENDPOINT_STATE);
         if (!document.hasProblems()) {
-            Endpoint endpoint = new Endpoint(id, fleet.indexOf(zone), 0, rack, 0, state, weight);
+            Endpoint endpoint = new Endpoint(id, fleet.zoneIndex(zone), 0, rack, 0, state, weight);
             entries.add(new EndpointList.Entry(endpoint, address));
         }
     }
@@ -170,7 +170,7 @@
                 table.get(Schema.OVERLOAD_WINDOW));
     }
 
-    private static BalancerSettings balancerSettings(BalancerTables tables) {
+    private static BalancerSettings buildBalancerSettings(BalancerTables tables) {
         FleetTable fleet = tables.fleet();
         BalancingTable balancing = tables.balancing();
         SlowStartTable slowStart = tables.slowStart();
@@ -178,7 +178,7 @@
         return new BalancerSettings(
                 balancing.balancers(),
                 balancing.index(),
-                fleet.indexOf(fleet.ownZone()),
+                fleet.zoneIndex(fleet.ownZone()),
                 balancing.tier(),
                 pollsEndpoints,
                 fleet.weighted(),
--- a/edge/src/main/java/lemonrail/config/FleetTable.java
+++ b/edge/src/main/java/lemonrail/config/FleetTable.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The table {@code [fleet]}; values with problems are null. */
+/** The table {@code [fleet]}; invalid values are null. */
 record FleetTable(List<String> zones, String ownZone, Boolean weighted) {
 
     static FleetTable read(TomlDocument document) {
@@ -13,15 +13,15 @@
         return fleet;
     }
 
-    /** Reports a zone that is not one of the fleet's. */
+    /** Reports a zone that is not in {@code fleet.zones}; null is ignored. */
     void checkZone(TableReader table, ConfigKey<String> key, String zone) {
         if (zone != null && zones != null && !zones.contains(zone)) {
-            table.addProblem(key, "is none of fleet.zones, which are " + zones);
+            table.addProblem(key, "is not one of fleet.zones, which are " + zones);
         }
     }
 
-    /** Returns the index of a zone, the first one for null; for a document without problems. */
-    int indexOf(String zone) {
+    /** Returns the index of a zone, or 0 for null; to be called for a document without problems. */
+    int zoneIndex(String zone) {
         return zone == null ? 0 : zones.indexOf(zone);
     }
 }
--- a/edge/src/main/java/lemonrail/config/LimitsTable.java
+++ b/edge/src/main/java/lemonrail/config/LimitsTable.java
@@ -4,7 +4,7 @@
 import lemonrail.core.balancer.AttemptLimits;
 import lemonrail.core.balancer.RequestClass;
 
-/** The table {@code [limits]}; values with problems are null. */
+/** The table {@code [limits]}; invalid values are null. */
 record LimitsTable(
         Long memoryBytes,
         Integer descriptors,
--- a/edge/src/main/java/lemonrail/config/LoadedConfiguration.java
+++ b/edge/src/main/java/lemonrail/config/LoadedConfiguration.java
@@ -3,17 +3,16 @@
 import java.util.List;
 
 /**
- * A configuration that has been read.
+ * A configuration and the origins of its values.
  *
- * @param values each value in force and its origin, by the keys of the operators' file
+ * @param values each effective value with its origin, under the keys of the operators' file
  */
 public record LoadedConfiguration(EdgeConfig config, List<Value> values) {
 
     /**
-     * One value in force.
+     * One effective value.
      *
-     * @param origin {@code default}, the file with its line, the name of an environment variable, or the
-     *     platform's JSON
+     * @param origin {@code default}, file and line, the environment, or the platform's JSON
      * @param reloadable whether a reload applies a change of this value
      */
     public record Value(String key, String text, String origin, boolean reloadable) {}
--- a/edge/src/main/java/lemonrail/config/LoggingTable.java
+++ b/edge/src/main/java/lemonrail/config/LoggingTable.java
@@ -6,7 +6,7 @@
 import lemonrail.logging.LogSettings;
 import lemonrail.logging.Severity;
 
-/** The table {@code [logging]}, the same for edges and control nodes; values with problems are null. */
+/** The table {@code [logging]}, the same for edges and control nodes; invalid values are null. */
 record LoggingTable(LogSettings.Format format, Severity level, Map<String, Severity> levels, Integer queue) {
 
     static LoggingTable read(TomlDocument document) {
@@ -20,9 +20,9 @@
 
     /** Returns the settings; to be called for a document without problems. */
     LogSettings toSettings() {
-        Map<String, Severity> all = new LinkedHashMap<>();
-        all.put(EventLog.ROOT, level);
-        all.putAll(levels);
-        return new LogSettings(format, all, queue);
+        Map<String, Severity> allLevels = new LinkedHashMap<>();
+        allLevels.put(EventLog.ROOT, level);
+        allLevels.putAll(levels);
+        return new LogSettings(format, allLevels, queue);
     }
 }
--- a/edge/src/main/java/lemonrail/config/PlatformFile.java
+++ b/edge/src/main/java/lemonrail/config/PlatformFile.java
@@ -18,8 +18,8 @@
 import lemonrail.logging.LogSettings;
 
 /**
- * The platform's JSON file, which {@code GW_CONFIG} names; {@code GW_MGMT} and {@code TMPDIR} of the environment
- * add to it. This class maps the platform's field names to the terms of the code.
+ * The platform's JSON file, which {@code GW_CONFIG} names. The environment variables {@code GW_MGMT} and
+ * {@code TMPDIR} supplement it. This class maps the platform's field names to the terms of the code.
  */
 public record PlatformFile(Path file, Map<String, String> environment) implements ConfigSource {
 
@@ -33,7 +33,7 @@
         return new LoadedConfiguration(config, PlatformValues.of(this, config));
     }
 
-    /** The platform moves discovery while the process runs, and changes nothing else. */
+    /** Returns true, because the platform changes only the address of discovery while the process runs. */
     @Override
     public boolean reloadsDiscoveryOnly() {
         return true;
@@ -44,35 +44,36 @@
         try {
             bytes = Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
-            throw problem(0, "GW_CONFIG names a file that is not there");
+            throw fileProblem(0, "file not found; GW_CONFIG or the command line must name an existing file");
         }
         try {
             if (!(Json.parse(bytes) instanceof Map<?, ?> json)) {
-                throw problem(1, "it holds no JSON object");
+                throw fileProblem(1, "not a JSON object");
             }
-            return edgeConfig(json);
+            return readEdgeConfig(json);
         } catch (JsonProcessingException e) {
-            throw problem(e.getLocation().getLineNr(), "it is not JSON: " + e.getOriginalMessage());
+            throw fileProblem(e.getLocation().getLineNr(), "invalid JSON: " + e.getOriginalMessage());
         } catch (InvalidFieldException e) {
-            int line = JsonLines.lineOf(bytes, e.field());
+            int line = JsonLineLocator.lineOf(bytes, e.field());
             throw new ConfigException(new ConfigProblem(file, line, e.field(), e.value(), e.getMessage()));
         } catch (IllegalArgumentException e) {
-            throw e instanceof ConfigException ? e : problem(0, e.getMessage());
+            throw e instanceof ConfigException ? e : fileProblem(0, e.getMessage());
         }
     }
 
-    private ConfigException problem(int line, String message) {
+    private ConfigException fileProblem(int line, String message) {
         return new ConfigException(ConfigProblem.ofFile(file, line, message));
     }
 
-    private EdgeConfig edgeConfig(Map<?, ?> json) {
-        Map<String, Object> settings = object("settings", json.get("settings"));
-        Map<String, Object> attemptLimits = object("settings.limits", settings.get("limits"));
-        positive("settings.limits.dial-timeout-ms", attemptLimits.get("dial-timeout-ms"));
-        positive("settings.limits.try-limit", attemptLimits.get("try-limit"));
-        checkRules(object("settings.rules", settings.get("rules")));
+    private EdgeConfig readEdgeConfig(Map<?, ?> json) {
+        Map<String, Object> settings = requireObject("settings", json.get("settings"));
+        Map<String, Object> attemptLimits = requireObject("settings.limits", settings.get("limits"));
+        requirePositive("settings.limits.dial-timeout-ms", attemptLimits.get("dial-timeout-ms"));
+        requirePositive("settings.limits.try-limit", attemptLimits.get("try-limit"));
+        checkRules(requireObject("settings.rules", settings.get("rules")));
         EndpointList.Names names = new EndpointList.Names(
-                words("settings.azs", settings.get("azs")), words("settings.models", settings.get("models")));
+                requireStrings("settings.azs", settings.get("azs")),
+                requireStrings("settings.models", settings.get("models")));
         return new EdgeConfig(
                 String.valueOf(json.get("name")),
                 List.of(SocketAddressReader.read("listen", json.get("listen"))),
@@ -80,18 +81,18 @@
                 SocketAddressReader.read("discovery", json.get("discovery")),
                 discoveryWaitMs(),
                 stateFolder(environment),
-                seed(json.get("seed")),
-                positive("limits.memory_mb", limit(json, "memory_mb")),
-                (int) positive("limits.sockets", limit(json, "sockets")),
-                positive("settings.limits.idle-close-ms", attemptLimits.get("idle-close-ms")),
+                readSeed(json.get("seed")),
+                requirePositive("limits.memory_mb", limit(json, "memory_mb")),
+                (int) requirePositive("limits.sockets", limit(json, "sockets")),
+                requirePositive("settings.limits.idle-close-ms", attemptLimits.get("idle-close-ms")),
                 names,
-                EndpointListReader.read(object("known", json.get("known")), names),
+                EndpointListReader.read(requireObject("known", json.get("known")), names),
                 SettingsReader.read(settings),
                 LogSettings.DEFAULT,
                 null);
     }
 
-    /** Rules may be left out; the problem of one that is given names the platform's key. */
+    /** Checks the rules, which are optional, so that a problem names the platform's key. */
     private static void checkRules(Map<String, Object> rules) {
         if (rules.get("fall-ms") instanceof Double windowMs && windowMs <= 0) {
             throw new InvalidFieldException("settings.rules.fall-ms", windowMs);
@@ -102,7 +103,7 @@
     }
 
     private static Object limit(Map<?, ?> json, String name) {
-        return object("limits", json.get("limits")).get(name);
+        return requireObject("limits", json.get("limits")).get(name);
     }
 
     private InetSocketAddress adminAddress(Object value) {
@@ -113,7 +114,10 @@
         return variable.isBlank() ? null : SocketAddressReader.read(ADMIN_VARIABLE, variable);
     }
 
-    /** Parsed like the key of the operators' file; its schema is loaded only if the variable is set. */
+    /**
+     * Returns the wait that the environment sets, or null. It is parsed like the key of the operators' file, whose
+     * schema is loaded only if the variable is set.
+     */
     private Double discoveryWaitMs() {
         String text = environment.get(WAIT_VARIABLE);
         if (text == null) {
@@ -125,13 +129,13 @@
                         new ConfigProblem(file, 0, WAIT_VARIABLE, text, "must be " + type.allowed())));
     }
 
-    /** Returns the folder of files that outlive the process, unless the configuration names another. */
+    /** Returns the default folder of state files, used unless the configuration names another. */
     static Path stateFolder(Map<String, String> environment) {
         String folder = environment.getOrDefault(STATE_FOLDER_VARIABLE, "");
         return Path.of(folder.isBlank() ? System.getProperty("java.io.tmpdir") : folder);
     }
 
-    private static long seed(Object value) {
+    private static long readSeed(Object value) {
         try {
             return Long.parseUnsignedLong(value instanceof String text ? text : "", 16);
         } catch (NumberFormatException e) {
@@ -139,7 +143,7 @@
         }
     }
 
-    private static double positive(String field, Object value) {
+    private static double requirePositive(String field, Object value) {
         if (value instanceof Double number && number > 0) {
             return number;
         }
@@ -147,21 +151,21 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> object(String field, Object value) {
+    private static Map<String, Object> requireObject(String field, Object value) {
         if (value instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
         throw new InvalidFieldException(field, value);
     }
 
-    private static List<String> words(String field, Object value) {
+    private static List<String> requireStrings(String field, Object value) {
         if (!(value instanceof List<?> list)) {
             throw new InvalidFieldException(field, value);
         }
-        List<String> words = new ArrayList<>();
-        for (Object word : list) {
-            words.add(String.valueOf(word));
+        List<String> strings = new ArrayList<>();
+        for (Object element : list) {
+            strings.add(String.valueOf(element));
         }
-        return words;
+        return strings;
     }
 }
--- a/edge/src/main/java/lemonrail/config/PlatformValues.java
+++ b/edge/src/main/java/lemonrail/config/PlatformValues.java
@@ -6,7 +6,7 @@
 import lemonrail.core.balancer.TenantQuota;
 import lemonrail.discovery.EndpointList;
 
-/** Lists the values of the platform's JSON by the keys of the operators' file. */
+/** Lists the values of the platform's JSON under the keys of the operators' file. */
 final class PlatformValues {
 
     private final String json;
@@ -16,7 +16,7 @@
         this.json = json;
     }
 
-    /** Returns the values of a configuration that was read from a file. */
+    /** Returns the values of a configuration that was read from the platform's file. */
     static List<LoadedConfiguration.Value> of(PlatformFile file, EdgeConfig config) {
         PlatformValues values = new PlatformValues("platform JSON " + file.file());
         values.addEdge(file, config);
@@ -27,7 +27,7 @@
 
     private void addEdge(PlatformFile file, EdgeConfig config) {
         put("name", config.name());
-        add("state-dir", config.folder(), "environment TMPDIR", false);
+        add("state-dir", config.stateFolder(), "environment TMPDIR", false);
         put("seed", Long.toHexString(config.seed()));
         put("listeners[0].address", config.listeners().get(0));
         if (config.admin() != null) {
@@ -51,16 +51,20 @@
                             + requestClass.deadlineMs() + "ms, worth " + requestClass.priorityWeight());
         }
         for (TenantQuota tenant : config.settings().tenants()) {
-            put("tenants." + tenant.name(), tenant.requestsPerSecond() + " a second");
+            put("tenants." + tenant.name(), tenant.requestsPerSecond() + " requests per second");
         }
-        for (EndpointList.Entry entry : config.known().entries()) {
-            add("endpoints." + entry.endpoint().id(), entry.address(), json + " (until discovery speaks)", true);
+        for (EndpointList.Entry entry : config.initialEndpoints().entries()) {
+            add(
+                    "endpoints." + entry.endpoint().id(),
+                    entry.address(),
+                    json + " (until the first list from discovery)",
+                    true);
         }
     }
 
     private void addLimits(EdgeConfig config) {
         put("limits.memory", (long) config.memoryMb() + "MiB");
-        put("limits.descriptors", config.sockets());
+        put("limits.descriptors", config.maxDescriptors());
         put("limits.attempts", config.settings().limits().maxAttempts());
         put("limits.connect-timeout", config.settings().limits().connectTimeoutMs() + "ms");
         put("limits.idle-timeout", config.idleCloseMs() + "ms");
--- a/edge/src/main/java/lemonrail/config/RequestClassReader.java
+++ b/edge/src/main/java/lemonrail/config/RequestClassReader.java
@@ -13,7 +13,7 @@
 
     private RequestClassReader() {}
 
-    /** Returns the classes; those after the first problem of the document are left out. */
+    /** Returns the classes; omits those read after the first problem of the document was reported. */
     static List<RequestClass> read(TomlDocument document) {
         List<RequestClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
@@ -40,7 +40,7 @@
         Double weight = table.get(Schema.PRIORITY_WEIGHT);
         Double lateWeight = table.get(Schema.LATE_RESPONSE_WEIGHT);
         if (isAbove(lateWeight, weight)) {
-            table.addProblem(Schema.LATE_RESPONSE_WEIGHT, "is above the worth of an answer in time");
+            table.addProblem(Schema.LATE_RESPONSE_WEIGHT, "is above the worth of this class");
         }
         DeduplicationScope scope = table.get(Schema.DEDUPLICATION_SCOPE);
         Double windowMs = table.get(Schema.DEDUPLICATION_WINDOW);
@@ -58,13 +58,14 @@
         return value != null && limit != null && value > limit;
     }
 
-    /** Keyed classes must have a deduplication window, and no others may. */
+    /** Reports a keyed class without a deduplication window, and any other class with one. */
     private static void checkWindow(TableReader table, Idempotency idempotency, Double windowMs) {
         boolean keyed = idempotency == Idempotency.KEYED;
         if (keyed && windowMs == null && !table.has(Schema.DEDUPLICATION_WINDOW)) {
-            table.addProblem(Schema.DEDUPLICATION_WINDOW, "is missing; a keyed class must have it, as in \"10s\"");
+            table.addProblem(
+                    Schema.DEDUPLICATION_WINDOW, "is missing; a keyed class must have one, for example \"10s\"");
         } else if (idempotency != null && !keyed && windowMs != null) {
-            table.addProblem(Schema.DEDUPLICATION_WINDOW, "goes with effect = \"keyed\" only");
+            table.addProblem(Schema.DEDUPLICATION_WINDOW, "is allowed only with effect = \"keyed\"");
         }
     }
 }
--- a/edge/src/main/java/lemonrail/config/Schema.java
+++ b/edge/src/main/java/lemonrail/config/Schema.java
@@ -11,15 +11,15 @@
 import lemonrail.logging.Severity;
 
 /**
- * The schema of the operators' file: all tables and keys of an edge, and for reference those of a control node,
- * which {@link ControlSchema} holds.
+ * The schema of the operators' file: all tables and keys of an edge. {@link #TABLES} also lists the tables of a
+ * control node, which {@link ControlSchema} defines.
  */
 final class Schema {
 
     private static final double HOUR_MS = 3_600_000;
     private static final double MINUTE_MS = 60_000;
 
-    /** The protocols of listeners. */
+    /** The protocols that listeners support. */
     enum ListenerProtocol {
         HTTP1
     }
@@ -28,215 +28,261 @@
             "name",
             ValueType.word(),
             "\"lemonrail\"",
-            "the edge's name, the same after a restart; files that it keeps bear it");
+            "the edge's name, which must be stable across restarts; its state files are named after it");
     static final ConfigKey<String> STATE_DIR = ConfigKey.optional(
             "state-dir",
             ValueType.text(".{1,4096}", "the path of a folder"),
             null,
-            "the folder of files that outlive the process; $TMPDIR or the system's temporary folder if not given");
+            "the folder of state files, which survive restarts; if not set, $TMPDIR or the system's temporary folder");
     static final ConfigKey<Integer> SEED = ConfigKey.optional(
             "seed",
             ValueType.whole(0, Integer.MAX_VALUE),
             null,
-            "for random numbers; drawn at each start if not given");
+            "the seed of random numbers; if not set, drawn at each start");
 
     static final ConfigKey<InetSocketAddress> LISTENER_ADDRESS = ConfigKey.required(
-                    "address", ValueType.address(0), "where clients connect; port 0 takes a free one")
+                    "address", ValueType.address(0), "the address that clients connect to; port 0 selects a free port")
             .asReloadable();
     static final ConfigKey<ListenerProtocol> LISTENER_PROTOCOL = ConfigKey.optional(
-            "protocol", ValueType.choice(ListenerProtocol.class, "http1"), "\"http1\"", "what is spoken there");
+            "protocol",
+            ValueType.choice(ListenerProtocol.class, "http1"),
+            "\"http1\"",
+            "the protocol that clients use");
 
     static final ConfigKey<InetSocketAddress> ADMIN_ADDRESS = ConfigKey.optional(
-            "address", ValueType.address(0), null, "where operators call; without it there is no admin API");
+            "address", ValueType.address(0), null, "the address of the admin API; if not set, there is no admin API");
     static final ConfigKey<InetSocketAddress> DISCOVERY_ADDRESS = ConfigKey.optional(
-                    "address", ValueType.address(1), null, "where the list of endpoints is watched")
+                    "address",
+                    ValueType.address(1),
+                    null,
+                    "the address of the discovery service, which provides the endpoint list")
             .asReloadable();
     static final ConfigKey<Double> DISCOVERY_WAIT = ConfigKey.optional(
             "wait",
             ValueType.duration(100, WatchSchedule.MAX_WAIT_MS),
             null,
-            "how long a poll waits for changes; if not "
-                    + "given 1s, or 10ms for each balancer, up to 3s. With more, silent watches hide changes over 6s");
+            "how long a poll waits for changes; if not set, 1s, or 10ms for each balancer if that is longer, up to 3s. "
+                    + "With a longer wait, a watch that falls silent could hide a change for more than 6s");
 
     static final ConfigKey<List<InetSocketAddress>> CONTROL_NODES = ConfigKey.optional(
             "addresses",
             ValueType.addresses(32),
             null,
-            "the control nodes of the own region, in place of address: see docs/operate/control.md");
+            "the control nodes of this region, instead of discovery.address; see docs/operate/control.md");
     static final ConfigKey<List<InetSocketAddress>> FALLBACK_NODES = ConfigKey.optional(
             "fallback-addresses",
             ValueType.addresses(32),
             null,
-            "those of other regions, for when none of addresses answers");
+            "the control nodes of other regions, used while none of discovery.addresses responds");
     static final ConfigKey<List<String>> SERVICES = ConfigKey.optional(
-            "services", ValueType.words(64), null, "whose endpoints are wanted of the control nodes; all if not given");
+            "services",
+            ValueType.identifiers(64),
+            null,
+            "the services whose endpoints are requested from the control nodes; if not set, all");
     static final ConfigKey<String> SETTINGS_DOCUMENT = ConfigKey.optional(
             "settings",
             ValueType.word(),
             null,
-            "the settings document of the control nodes that this edge follows; none if not given");
+            "the settings document of the control nodes that this edge applies; if not set, none");
 
-    static final ConfigKey<String> ENDPOINT_ID =
-            ConfigKey.required("id", ValueType.word(), "its name").asReloadable();
+    static final ConfigKey<String> ENDPOINT_ID = ConfigKey.required(
+                    "id", ValueType.word(), "the unique name of the endpoint")
+            .asReloadable();
     static final ConfigKey<InetSocketAddress> ENDPOINT_ADDRESS = ConfigKey.required(
-                    "address", ValueType.address(1), "where it listens")
+                    "address", ValueType.address(1), "the address that the endpoint listens on")
             .asReloadable();
     static final ConfigKey<String> ENDPOINT_ZONE = ConfigKey.optional(
-                    "zone", ValueType.word(), null, "one of fleet.zones; the first of them if not given")
+                    "zone",
+                    ValueType.word(),
+                    null,
+                    "the zone of the endpoint, one of fleet.zones; if not set, the first of them")
             .asReloadable();
     static final ConfigKey<Integer> ENDPOINT_RACK = ConfigKey.optional(
-                    "rack", ValueType.whole(0, 1_000_000), "0", "those of one rack drop the repeats of a keyed request")
+                    "rack",
+                    ValueType.whole(0, 1_000_000),
+                    "0",
+                    "the rack of the endpoint; endpoints of one rack deduplicate keyed requests together")
             .asReloadable();
     static final ConfigKey<Double> ENDPOINT_WEIGHT = ConfigKey.optional(
-                    "weight", ValueType.number(0.001, 1000), "1.0", "its size, where fleet.weighted is true")
+                    "weight",
+                    ValueType.number(0.001, 1000),
+                    "1.0",
+                    "the relative capacity of the endpoint, used if fleet.weighted is true")
             .asReloadable();
     static final ConfigKey<EndpointState> ENDPOINT_STATE = ConfigKey.optional(
                     "state",
                     ValueType.choice(EndpointState.class, "gone", "in-service", "draining"),
                     "\"in-service\"",
-                    "draining: it finishes what it has and gets nothing new")
+                    "draining: the endpoint finishes its requests and gets no new ones")
             .asReloadable();
 
-    static final ConfigKey<List<String>> ZONES =
-            ConfigKey.optional("zones", ValueType.words(64), "[\"default\"]", "the names of the zones");
+    static final ConfigKey<List<String>> ZONES = ConfigKey.optional(
+            "zones", ValueType.identifiers(64), "[\"default\"]", "the names of the zones of all endpoints");
     static final ConfigKey<String> OWN_ZONE = ConfigKey.optional(
-            "own-zone", ValueType.word(), null, "the zone that this edge is in; the first if not given");
+            "own-zone", ValueType.word(), null, "the zone of this edge; if not set, the first of fleet.zones");
     static final ConfigKey<Boolean> WEIGHTED = ConfigKey.optional(
-            "weighted", ValueType.flag(), "false", "whether endpoints of more weight get more calls");
+            "weighted", ValueType.flag(), "false", "whether endpoints with a higher weight get more requests");
 
     static final ConfigKey<String> CLASS_NAME =
-            ConfigKey.required("name", ValueType.word(), "what clients write in X-Class");
+            ConfigKey.required("name", ValueType.word(), "the name that clients send in the header X-Class");
     static final ConfigKey<Idempotency> IDEMPOTENCY = ConfigKey.optional(
             "effect",
             ValueType.choice(Idempotency.class, "repeatable", "keyed", "once"),
             "\"once\"",
-            "repeatable: safe to send again; keyed: a rack drops repeats; once: not again if it may have run");
+            "repeatable: safe to retry; keyed: endpoints deduplicate retries; once: no retry if it may have been executed");
     static final ConfigKey<Double> LATENCY_OBJECTIVE = ConfigKey.required(
-            "aim", ValueType.duration(1, HOUR_MS), "the latency objective: a response is wanted within it");
-    static final ConfigKey<Double> DEADLINE =
-            ConfigKey.required("deadline", ValueType.duration(1, HOUR_MS), "the longest that a client may wait");
+            "aim",
+            ValueType.duration(1, HOUR_MS),
+            "the latency objective: the time within which a response is expected");
+    static final ConfigKey<Double> DEADLINE = ConfigKey.required(
+            "deadline", ValueType.duration(1, HOUR_MS), "the maximum time that a client waits for a response");
     static final ConfigKey<Double> PRIORITY_WEIGHT = ConfigKey.optional(
             "worth",
             ValueType.number(0, 1_000_000),
             "1.0",
-            "the priority weight: the highest come first under overload");
+            "the priority weight: under overload, requests of the highest weight are served first");
     static final ConfigKey<Double> LATE_RESPONSE_WEIGHT = ConfigKey.optional(
-            "late-worth", ValueType.number(0, 1_000_000), "0.0", "the priority weight of a response after the aim");
+            "late-worth",
+            ValueType.number(0, 1_000_000),
+            "0.0",
+            "the priority weight of a response that arrives after the aim");
     static final ConfigKey<DeduplicationScope> DEDUPLICATION_SCOPE = ConfigKey.optional(
             "key-scope",
             ValueType.choice(DeduplicationScope.class, "all", "zone", "rack"),
             "\"all\"",
-            "which endpoints drop a keyed request's repeats");
+            "which endpoints deduplicate a keyed request together");
     static final ConfigKey<Double> DEDUPLICATION_WINDOW = ConfigKey.optional(
-            "key-window", ValueType.duration(1, HOUR_MS), null, "for how long they do; a keyed class must have it");
+            "key-window",
+            ValueType.duration(1, HOUR_MS),
+            null,
+            "how long endpoints deduplicate a keyed request; required for keyed classes");
 
     static final ConfigKey<String> TENANT_NAME =
-            ConfigKey.required("name", ValueType.word(), "what clients write in X-Tenant");
+            ConfigKey.required("name", ValueType.word(), "the name that clients send in the header X-Tenant");
     static final ConfigKey<Double> TENANT_RATE = ConfigKey.required(
-            "rate", ValueType.number(0, 1_000_000), "requests a second, over all edges, that are within its quota");
+            "rate", ValueType.number(0, 1_000_000), "the quota of the tenant, in requests per second over all edges");
 
     static final ConfigKey<Long> MEMORY = ConfigKey.optional(
             "memory",
             ValueType.size(32L << 20, 64L << 30),
             "\"192MiB\"",
-            "what the edge's processes may take together");
+            "the memory limit of all processes of the edge together");
     static final ConfigKey<Integer> DESCRIPTORS = ConfigKey.optional(
             "descriptors",
             ValueType.whole(96, 1 << 20),
             "1024",
-            "what the process may hold; connections of clients and to endpoints share it");
+            "the limit on file descriptors, shared by client connections and connections to endpoints");
     static final ConfigKey<Integer> ATTEMPTS = ConfigKey.optional(
-            "attempts", ValueType.whole(1, 16), "3", "the most attempts for one request, never two at once");
+            "attempts",
+            ValueType.whole(1, 16),
+            "3",
+            "the maximum number of attempts per request, which never run in parallel");
     static final ConfigKey<Double> CONNECT_TIMEOUT = ConfigKey.optional(
             "connect-timeout",
             ValueType.duration(1, MINUTE_MS),
             "\"200ms\"",
-            "a connection that is not up by then has failed");
+            "the time after which an attempt to connect has failed");
     static final ConfigKey<Double> IDLE_TIMEOUT = ConfigKey.optional(
             "idle-timeout",
             ValueType.duration(100, HOUR_MS),
             "\"15s\"",
-            "after so long an endpoint closes an idle connection; the edge does so before");
+            "the time after which endpoints close idle connections; the edge closes them earlier");
     static final ConfigKey<Double> MAX_RETRY_AFTER = ConfigKey.optional(
             "retry-after",
             ValueType.duration(0, HOUR_MS),
             "\"2s\"",
-            "the longest that a client is asked to wait before a retry; a rejection asks for a quarter of it");
+            "the maximum time that a client is asked to wait before a retry; a rejection asks for a quarter of it");
 
-    static final ConfigKey<Integer> BALANCERS =
-            ConfigKey.optional("balancers", ValueType.whole(1, 100_000), "1", "how many edges send to these endpoints");
-    static final ConfigKey<Integer> BALANCER_INDEX =
-            ConfigKey.optional("number", ValueType.whole(0, 99_999), "0", "which of them this one is, counted from 0");
+    static final ConfigKey<Integer> BALANCERS = ConfigKey.optional(
+            "balancers", ValueType.whole(1, 100_000), "1", "the number of edges that send requests to these endpoints");
+    static final ConfigKey<Integer> BALANCER_INDEX = ConfigKey.optional(
+            "number",
+            ValueType.whole(0, 99_999),
+            "0",
+            "the index of this edge among balancing.balancers, counted from 0");
     static final ConfigKey<Integer> TIER = ConfigKey.optional(
             "tier",
             ValueType.whole(0, 16),
             "0",
-            "0 rejects requests under overload; deeper tiers carry work done above and do not");
+            "tier 0 rejects requests under overload; deeper tiers do not, because work was already done on their requests");
     static final ConfigKey<Double> OVER_QUOTA_WEIGHT = ConfigKey.optional(
             "over-share-worth",
             ValueType.number(0, 1),
             "0.2",
-            "the priority weight of a request above its tenant's quota, as a fraction");
+            "the priority weight of a request above its tenant's quota, as a fraction of the weight within the quota");
     static final ConfigKey<Double> CROSS_ZONE_COST = ConfigKey.optional(
-            "cross-zone-price", ValueType.number(0, 1000), "0.0", "what it costs to call another zone");
+            "cross-zone-price",
+            ValueType.number(0, 1000),
+            "0.0",
+            "the cost of a request to another zone, relative to a response within the aim");
 
     static final ConfigKey<Double> SLOW_START_FRACTION = ConfigKey.optional(
             "share",
             ValueType.number(0.01, 1),
             "0.3",
-            "the part of its work that an endpoint can do just after its start");
+            "the fraction of its full load that an endpoint can take just after its start");
     static final ConfigKey<Double> SLOW_START_DURATION =
-            ConfigKey.optional("duration", ValueType.duration(0, HOUR_MS), "\"10s\"", "the length of the slow start");
+            ConfigKey.optional("duration", ValueType.duration(0, HOUR_MS), "\"10s\"", "the duration of the slow start");
     static final ConfigKey<Double> OVERLOAD_MULTIPLE = ConfigKey.optional(
-            "overload-multiple", ValueType.number(1, 1000), "3.0", "so many times what it can do then is too much");
-    static final ConfigKey<Double> OVERLOAD_WINDOW =
-            ConfigKey.optional("overload-window", ValueType.duration(1, MINUTE_MS), "\"3s\"", "for so long");
+            "overload-multiple",
+            ValueType.number(1, 1000),
+            "3.0",
+            "an endpoint in slow start fails at this multiple of the load that it can take");
+    static final ConfigKey<Double> OVERLOAD_WINDOW = ConfigKey.optional(
+            "overload-window",
+            ValueType.duration(1, MINUTE_MS),
+            "\"3s\"",
+            "the time over which the load for overload-multiple is counted");
     static final ConfigKey<Double> DRAIN_GRACE = ConfigKey.optional(
             "grace",
             ValueType.duration(0, MINUTE_MS),
             "\"1s\"",
-            "an endpoint that drains gets nothing new after this time");
+            "the time after which a draining endpoint gets no new requests");
 
     static final ConfigKey<LogSettings.Format> LOG_FORMAT = ConfigKey.optional(
             "format",
             ValueType.choice(LogSettings.Format.class, "plain", "text", "json"),
             "\"text\"",
-            "plain: the message alone; text: with time, level and logger; json: one object a line");
+            "plain: the message alone; text: with time, level and logger; json: one object per line");
     static final ConfigKey<Severity> LOG_LEVEL = ConfigKey.optional(
                     "level",
                     ValueType.choice(Severity.class, "debug", "info", "warn", "error"),
                     "\"info\"",
-                    "from which severity on events are written")
+                    "the lowest severity of events that are written")
             .asReloadable();
     static final ConfigKey<Map<String, Severity>> LOG_LEVELS = ConfigKey.<Map<String, Severity>>optional(
-                    "levels", ValueType.levels(), "{}", "the same for some loggers alone")
+                    "levels", ValueType.levels(), "{}", "the levels of individual loggers")
             .asReloadable();
     static final ConfigKey<Integer> LOG_QUEUE = ConfigKey.optional(
             "queue",
             ValueType.whole(16, 65_536),
             "1024",
-            "events that wait for a slow reader; more are dropped and counted");
+            "the number of events that wait for a slow reader; further ones are dropped and counted");
 
-    static final ConfigTable ROOT = new ConfigTable("", 0, "the edge itself", List.of(NAME, STATE_DIR, SEED));
+    static final ConfigTable ROOT =
+            new ConfigTable("", 0, "general settings of the edge", List.of(NAME, STATE_DIR, SEED));
     static final ConfigTable LISTENERS = new ConfigTable(
-            "listeners", 8, "where clients connect; at least one", List.of(LISTENER_ADDRESS, LISTENER_PROTOCOL));
+            "listeners",
+            8,
+            "the addresses that clients connect to; at least one",
+            List.of(LISTENER_ADDRESS, LISTENER_PROTOCOL));
     static final ConfigTable ADMIN = new ConfigTable("admin", 0, "the admin API", List.of(ADMIN_ADDRESS));
     static final ConfigTable DISCOVERY = new ConfigTable(
             "discovery",
             0,
-            "a list of endpoints that is watched",
+            "the source of endpoint lists, which is watched for changes",
             List.of(DISCOVERY_ADDRESS, DISCOVERY_WAIT, CONTROL_NODES, FALLBACK_NODES, SERVICES, SETTINGS_DOCUMENT));
     static final ConfigTable ENDPOINTS = new ConfigTable(
             "endpoints",
             1024,
-            "a fixed list, or the one to start from where there is discovery",
+            "a fixed list of endpoints, or the initial list if there is discovery",
             List.of(ENDPOINT_ID, ENDPOINT_ADDRESS, ENDPOINT_ZONE, ENDPOINT_RACK, ENDPOINT_WEIGHT, ENDPOINT_STATE));
     static final ConfigTable FLEET =
-            new ConfigTable("fleet", 0, "what all endpoints have in common", List.of(ZONES, OWN_ZONE, WEIGHTED));
+            new ConfigTable("fleet", 0, "properties of the set of all endpoints", List.of(ZONES, OWN_ZONE, WEIGHTED));
     static final ConfigTable CLASSES = new ConfigTable(
             "classes",
             64,
-            "the classes of requests; at least one",
+            "the request classes; at least one",
             List.of(
                     CLASS_NAME,
                     IDEMPOTENCY,
@@ -247,27 +293,33 @@
                     DEDUPLICATION_SCOPE,
                     DEDUPLICATION_WINDOW));
     static final ConfigTable TENANTS = new ConfigTable(
-            "tenants", 1024, "who sends requests; without any, no quota applies", List.of(TENANT_NAME, TENANT_RATE));
+            "tenants",
+            1024,
+            "the tenants and their quotas; without tenants, no quota applies",
+            List.of(TENANT_NAME, TENANT_RATE));
     static final ConfigTable LIMITS = new ConfigTable(
             "limits",
             0,
-            "what the machine and the site allow",
+            "the limits that the machine and the deployment set",
             List.of(MEMORY, DESCRIPTORS, ATTEMPTS, CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_RETRY_AFTER));
     static final ConfigTable BALANCING = new ConfigTable(
             "balancing",
             0,
-            "this edge among its peers",
+            "this edge among all edges that share its endpoints",
             List.of(BALANCERS, BALANCER_INDEX, TIER, OVER_QUOTA_WEIGHT, CROSS_ZONE_COST));
     static final ConfigTable SLOW_START = new ConfigTable(
             "cold-start",
             0,
-            "endpoints that have just started",
+            "the slow start of endpoints that have just started",
             List.of(SLOW_START_FRACTION, SLOW_START_DURATION, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW));
-    static final ConfigTable DRAIN = new ConfigTable("drain", 0, "endpoints that are withdrawn", List.of(DRAIN_GRACE));
+    static final ConfigTable DRAIN = new ConfigTable("drain", 0, "the draining of endpoints", List.of(DRAIN_GRACE));
     static final ConfigTable LOGGING = new ConfigTable(
-            "logging", 0, "the log, on standard error", List.of(LOG_FORMAT, LOG_LEVEL, LOG_LEVELS, LOG_QUEUE));
+            "logging",
+            0,
+            "the log, which is written to standard error",
+            List.of(LOG_FORMAT, LOG_LEVEL, LOG_LEVELS, LOG_QUEUE));
 
-    /** All tables, in the order in which operators read them. */
+    /** All tables, in the order in which they are printed. */
     static final List<ConfigTable> TABLES = List.of(
             ROOT,
             LISTENERS,
--- a/edge/src/main/java/lemonrail/config/SchemaPrinter.java
+++ b/edge/src/main/java/lemonrail/config/SchemaPrinter.java
@@ -6,12 +6,12 @@
 import java.io.StringWriter;
 import java.util.List;
 
-/** Prints the schema of the operators' file, as text for people and as a JSON Schema. */
+/** Prints the schema of the operators' file, as text and as a JSON Schema. */
 public final class SchemaPrinter {
 
     private SchemaPrinter() {}
 
-    /** Returns a text with each key, its default, what is allowed, and whether a reload applies a change. */
+    /** Returns a text that lists each key with its default, its allowed values and whether a reload applies a change. */
     public static String text() {
         StringBuilder text = new StringBuilder();
         for (ConfigTable table : Schema.TABLES) {
@@ -24,7 +24,7 @@
         if (!table.isRoot()) {
             text.append('\n').append(table.header()).append('\n');
         }
-        text.append("# ").append(table.meaning());
+        text.append("# ").append(table.description());
         if (table.isRepeated()) {
             text.append("; ").append(table.maxCount()).append(" at most");
         }
@@ -34,20 +34,20 @@
 
     private static void appendKey(StringBuilder text, ConfigKey<?> key) {
         text.append(key.name()).append('\n');
-        text.append("    ").append(key.meaning()).append('\n');
+        text.append("    ").append(key.description()).append('\n');
         text.append("    must be ").append(key.type().allowed()).append('\n');
-        text.append("    ").append(defaultOf(key));
-        text.append(key.reloadable() ? "; a reload takes it up\n" : "; needs a restart\n");
+        text.append("    ").append(describeDefault(key));
+        text.append(key.reloadable() ? "; applied by a reload\n" : "; needs a restart\n");
     }
 
-    private static String defaultOf(ConfigKey<?> key) {
+    private static String describeDefault(ConfigKey<?> key) {
         if (key.required()) {
             return "required";
         }
         return key.defaultText() == null ? "no default" : "default " + key.defaultText();
     }
 
-    /** Returns a JSON Schema (2020-12), which editors of TOML files use as well. */
+    /** Returns a JSON Schema (2020-12), which editors of TOML files also support. */
     public static String json() throws IOException {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
@@ -76,7 +76,7 @@
 
     private static void writeTable(JsonGenerator out, ConfigTable table) throws IOException {
         out.writeObjectFieldStart(table.name());
-        out.writeStringField("description", table.meaning());
+        out.writeStringField("description", table.description());
         if (table.isRepeated()) {
             out.writeStringField("type", "array");
             out.writeNumberField("maxItems", table.maxCount());
@@ -105,7 +105,7 @@
             out.writeObjectFieldStart(key.name());
             out.writeStringField("type", key.type().name());
             out.writeStringField(
-                    "description", key.meaning() + "; must be " + key.type().allowed());
+                    "description", key.description() + "; must be " + key.type().allowed());
             if (key.defaultText() != null) {
                 out.writeFieldName("default");
                 out.writeRawValue(TomlDocument.parseValue(key.defaultText()).toString());
--- a/edge/src/main/java/lemonrail/config/SettingsDocument.java
+++ b/edge/src/main/java/lemonrail/config/SettingsDocument.java
@@ -11,15 +11,15 @@
 import lemonrail.core.balancer.TenantQuota;
 
 /**
- * A settings document of the control nodes: in the operators' format, the settings that may change while edges
- * run. It overrides the settings of an edge's own file, as a whole or not at all.
+ * A settings document of the control nodes, in the format of the operators' file. It contains the settings that may
+ * change while edges run and overrides those of an edge's own file; an invalid document overrides none of them.
  */
 public final class SettingsDocument {
 
-    /** Stands for the file in the messages of problems. */
-    private static final String NAME = "settings";
+    /** Replaces the name of the file in the messages of problems. */
+    private static final String DOCUMENT_NAME = "settings";
 
-    /** What the document says of a class; values that it does not change are null. */
+    /** The document's values for a class; those that it does not override are null. */
     private record ClassOverride(
             TableReader table,
             Double latencyObjectiveMs,
@@ -27,7 +27,7 @@
             Double priorityWeight,
             Double lateResponseWeight) {}
 
-    /** What the document says of a tenant. */
+    /** The document's values for a tenant; invalid ones are null. */
     private record TenantOverride(TableReader table, Double requestsPerSecond) {}
 
     private final TomlDocument document;
@@ -37,7 +37,7 @@
     private final Double maxRetryAfterMs;
 
     private SettingsDocument(String text) {
-        document = TomlDocument.of(text, NAME);
+        document = TomlDocument.of(text, DOCUMENT_NAME);
         document.root(SettingsSchema.ROOT, List.of(SettingsSchema.CLASSES, Schema.TENANTS, SettingsSchema.LIMITS));
         readClasses();
         readTenants();
@@ -68,21 +68,21 @@
     }
 
     /**
-     * Checks what can be checked without the settings of an edge.
+     * Checks everything that does not depend on the settings of an edge.
      *
-     * @throws ConfigException if the document cannot be used; names all problems
+     * @throws ConfigException if the document is invalid; lists all problems
      */
     public static void check(String text) {
         new SettingsDocument(text).document.throwIfInvalid();
     }
 
     /**
-     * Returns the settings of an edge as the document changes them.
+     * Returns the settings of an edge with the overrides of a document applied.
      *
      * @param own the settings of the edge's own file
-     * @throws ConfigException if the document cannot be used for this edge; names all problems
+     * @throws ConfigException if the document is invalid or conflicts with the edge's settings; lists all problems
      */
-    public static BalancerSettings over(BalancerSettings own, String text) {
+    public static BalancerSettings applyOverrides(BalancerSettings own, String text) {
         SettingsDocument overrides = new SettingsDocument(text);
         overrides.document.throwIfInvalid();
         return overrides.applyTo(own);
@@ -150,8 +150,8 @@
                 own.connectTimeoutMs());
     }
 
-    private static double valueOr(Double value, double own) {
-        return value == null ? own : value;
+    private static double valueOr(Double value, double defaultValue) {
+        return value == null ? defaultValue : value;
     }
 
     private void reportUnknownClasses(List<String> known) {
--- a/edge/src/main/java/lemonrail/config/SettingsSchema.java
+++ b/edge/src/main/java/lemonrail/config/SettingsSchema.java
@@ -16,7 +16,7 @@
     static final ConfigTable CLASSES = new ConfigTable(
             Schema.CLASSES.name(),
             Schema.CLASSES.maxCount(),
-            "classes by their names",
+            "overrides of request classes, identified by name",
             List.of(Schema.CLASS_NAME, LATENCY_OBJECTIVE, DEADLINE, PRIORITY_WEIGHT, LATE_RESPONSE_WEIGHT));
     static final ConfigTable LIMITS =
             new ConfigTable(Schema.LIMITS.name(), 0, "limits", List.of(ATTEMPTS, MAX_RETRY_AFTER));
--- a/edge/src/main/java/lemonrail/config/TableReader.java
+++ b/edge/src/main/java/lemonrail/config/TableReader.java
@@ -8,21 +8,21 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Reads one table of a file key by key; problems are collected, not thrown. */
+/** Reads one table of a file key by key; reports problems instead of throwing exceptions. */
 public final class TableReader {
 
     private static final String VARIABLE_PREFIX = "LEMONRAIL_";
 
-    /** Collects the results of reading a file. */
+    /** Collects the values and problems of a file. */
     interface Report {
-        /** Adds a problem; {@code value} is null if it is missing. */
+        /** Adds a problem; {@code value} is null if the key is missing. */
         void addProblem(String path, String value, String message);
 
-        /** Adds a value in force. */
+        /** Adds an effective value; {@code text} is the value in TOML. */
         void addValue(String path, String text, Origin origin, boolean reloadable);
     }
 
-    /** Where a value comes from. */
+    /** The source of a value. */
     enum Origin {
         DEFAULT,
         FILE,
@@ -43,7 +43,7 @@
         this.report = report;
     }
 
-    /** Reports the names that are neither a key of this table nor one of its subtables. */
+    /** Reports fields that are neither a key of this table nor one of its subtables. */
     void checkNames(List<String> subtables) {
         Set<String> keys = table.keys().stream().map(ConfigKey::name).collect(Collectors.toSet());
         fields.fieldNames().forEachRemaining(name -> {
@@ -55,14 +55,14 @@
 
     private String allowedNames(List<String> subtables) {
         String keys = table.keys().stream().map(ConfigKey::name).collect(Collectors.joining(", "));
-        return (table.isRoot() ? "there may be " : "[" + table.name() + "] may have ")
+        return (table.isRoot() ? "allowed keys are " : "[" + table.name() + "] allows ")
                 + keys
                 + (subtables.isEmpty() ? "" : " and the tables " + String.join(", ", subtables));
     }
 
     /**
-     * Returns the value of a key, or its default; null if there is neither or the value is not allowed, which is
-     * then reported.
+     * Returns the value of a key, or its default; null if there is neither. An invalid value and a missing required
+     * one are reported and returned as null.
      */
     public <T> T get(ConfigKey<T> key) {
         String variable = variable(key);
@@ -99,11 +99,11 @@
         return key.type().parse(TomlDocument.parseValue(key.defaultText())).orElse(null);
     }
 
-    /** Returns the value of a key that must differ in all tables of this name; reports a repeated one. */
+    /** Returns the value of a key that must be unique among all tables of this name; reports a repeated value. */
     public String getUnique(ConfigKey<String> key, Set<String> seen) {
         String value = get(key);
         if (value != null && !seen.add(value)) {
-            addProblem(key, "is there twice; each must be there once");
+            addProblem(key, "is used twice; each value must be unique");
         }
         return value;
     }
@@ -113,18 +113,18 @@
         return fields.has(key.name());
     }
 
-    /** Reports a problem of a key, as where its value conflicts with another one. */
+    /** Reports a problem of a key, for example a value that conflicts with another key. */
     public void addProblem(ConfigKey<?> key, String message) {
         JsonNode value = fields.get(key.name());
         report.addProblem(path(key.name()), value == null ? null : value.toString(), message);
     }
 
-    /** Returns the whole path of a key of this table. */
+    /** Returns the full path of a key of this table. */
     public String path(String key) {
         return table.path(index, key);
     }
 
-    /** Returns the environment variable that overrides a key; repeated tables have none. */
+    /** Returns the environment variable that overrides a key; must not be used for repeated tables. */
     private String variable(ConfigKey<?> key) {
         String tablePart = table.isRoot() ? "" : table.name() + "_";
         return (VARIABLE_PREFIX + tablePart + key.name()).replace('-', '_').toUpperCase(Locale.ROOT);
--- a/edge/src/main/java/lemonrail/config/TomlDocument.java
+++ b/edge/src/main/java/lemonrail/config/TomlDocument.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 
 /**
- * A file in TOML, read table by table. An environment variable {@code LEMONRAIL_TABLE_KEY} overrides a key of a
- * single table. Problems are collected until {@link #throwIfInvalid}, which names all of them.
+ * A TOML file that is read table by table. An environment variable {@code LEMONRAIL_TABLE_KEY} overrides a key of a
+ * table that is not repeated. Problems are collected until {@link #throwIfInvalid}, which reports all of them.
  */
 public final class TomlDocument {
 
@@ -36,21 +36,21 @@
     }
 
     /**
-     * Reads a file as a whole.
+     * Reads and parses a file.
      *
-     * @throws ConfigException if it is not valid TOML
+     * @throws ConfigException if the file is missing, larger than 4 MiB, not UTF-8 or not valid TOML
      */
     public static TomlDocument read(Path file, Map<String, String> environment) throws IOException {
         return parse(file, readText(file), environment);
     }
 
-    /** Parses a text that stands in no file, under this name; environment variables are ignored. */
+    /** Parses a text that is not in a file; problems give {@code name} as the file; ignores environment variables. */
     static TomlDocument of(String text, String name) {
         return parse(Path.of(name), text, Map.of());
     }
 
     private static TomlDocument parse(Path file, String text, Map<String, String> environment) {
-        TomlLines lines = new TomlLines(text);
+        TomlLineIndex lines = new TomlLineIndex(text);
         try {
             return new TomlDocument(TOML.readTree(text), environment, new Findings(file, lines));
         } catch (JsonProcessingException e) {
@@ -58,34 +58,34 @@
         }
     }
 
-    private static ConfigProblem syntaxProblem(Path file, TomlLines lines, JsonProcessingException e) {
+    private static ConfigProblem syntaxProblem(Path file, TomlLineIndex lines, JsonProcessingException e) {
         if (lines.repeatedKey() != null) {
             return new ConfigProblem(
                     file,
                     lines.repeatedKeyLine(),
                     lines.repeatedKey(),
                     null,
-                    "is there twice; each key must be there once");
+                    "is defined twice; each key must be defined once");
         }
         JsonLocation location = e.getLocation();
         String reason = e.getOriginalMessage().lines().findFirst().orElse("");
-        return ConfigProblem.ofFile(file, location == null ? 0 : location.getLineNr(), "it is not TOML: " + reason);
+        return ConfigProblem.ofFile(file, location == null ? 0 : location.getLineNr(), "invalid TOML: " + reason);
     }
 
     private static String readText(Path file) throws IOException {
         try {
             if (Files.size(file) > MAX_BYTES) {
-                throw new ConfigException(ConfigProblem.ofFile(file, 0, "it is larger than 4MiB"));
+                throw new ConfigException(ConfigProblem.ofFile(file, 0, "file is larger than 4MiB"));
             }
             return Files.readString(file);
         } catch (NoSuchFileException e) {
-            throw new ConfigException(ConfigProblem.ofFile(file, 0, "there is no such file"));
+            throw new ConfigException(ConfigProblem.ofFile(file, 0, "file not found"));
         } catch (CharacterCodingException e) {
-            throw new ConfigException(ConfigProblem.ofFile(file, 0, "it is not UTF-8"));
+            throw new ConfigException(ConfigProblem.ofFile(file, 0, "file is not valid UTF-8"));
         }
     }
 
-    /** Returns the keys above all tables; reports names that are neither such a key nor one of the tables. */
+    /** Returns the keys before the first table; reports names that are neither such a key nor one of the tables. */
     public TableReader root(ConfigTable keys, List<ConfigTable> tables) {
         TableReader reader = new TableReader(keys, 0, root, environment, findings);
         reader.checkNames(tables.stream()
@@ -100,7 +100,7 @@
         return root.has(table.name());
     }
 
-    /** Returns a single table, empty where the file has none; reports unknown keys. */
+    /** Returns a table that is not repeated, empty if the file has none; reports unknown keys. */
     public TableReader table(ConfigTable table) {
         JsonNode fields = root.get(table.name());
         if (fields != null && !fields.isObject()) {
@@ -144,7 +144,7 @@
         return reader;
     }
 
-    /** Reports a problem; {@code value} is null if it is missing. */
+    /** Reports a problem of a key; {@code value} is null if the key is missing. */
     public void addProblem(String path, String value, String message) {
         findings.addProblem(path, value, message);
     }
@@ -155,9 +155,9 @@
     }
 
     /**
-     * Ends the reading.
+     * Throws if problems have been reported; to be called after all tables were read.
      *
-     * @throws ConfigException if problems have been reported; names all, in the order of the file
+     * @throws ConfigException with all problems, in the order of the file
      */
     public void throwIfInvalid() {
         if (hasProblems()) {
@@ -166,12 +166,12 @@
         }
     }
 
-    /** Returns the values in force, in the order in which they were read. */
+    /** Returns the effective values, in the order in which they were read. */
     List<LoadedConfiguration.Value> values() {
         return findings.values;
     }
 
-    /** Parses one value as it would be written in a file. */
+    /** Parses one value in TOML. */
     static JsonNode parseValue(String text) {
         try {
             return TOML.readTree("v = " + text).get("v");
@@ -183,11 +183,11 @@
     /** The values and problems of a file. */
     private static final class Findings implements TableReader.Report {
         private final Path file;
-        private final TomlLines lines;
+        private final TomlLineIndex lines;
         private final List<ConfigProblem> problems = new ArrayList<>();
         private final List<LoadedConfiguration.Value> values = new ArrayList<>();
 
-        Findings(Path file, TomlLines lines) {
+        Findings(Path file, TomlLineIndex lines) {
             this.file = file;
             this.lines = lines;
         }
--- a/edge/src/main/java/lemonrail/config/TomlFile.java
+++ b/edge/src/main/java/lemonrail/config/TomlFile.java
@@ -12,7 +12,9 @@
         TomlDocument document = TomlDocument.read(file, environment);
         if (document.has(ControlSchema.CONTROL)) {
             document.addProblem(
-                    ControlSchema.CONTROL.name(), null, "is for control nodes: lemonrail control runs this file");
+                    ControlSchema.CONTROL.name(),
+                    null,
+                    "is allowed only for control nodes; run this file with: lemonrail control");
             document.throwIfInvalid();
         }
         EdgeConfig config = new EdgeConfigReader(document, environment).read();
--- a/edge/src/main/java/lemonrail/config/TomlLines.java
+++ b/edge/src/main/java/lemonrail/config/TomlLineIndex.java
@@ -5,60 +5,60 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The lines of the keys in a TOML file, which the parser does not tell, or not exactly. */
-final class TomlLines {
+/** Indexes the line numbers of the keys in a TOML file, which the parser does not provide or only inexactly. */
+final class TomlLineIndex {
 
     private static final Pattern HEADER = Pattern.compile("\\s*(\\[\\[?)\\s*([^\\[\\]]+?)\\s*]]?.*");
     private static final Pattern ENTRY = Pattern.compile("\\s*([A-Za-z0-9_.\" '-]+?)\\s*=(.*)");
     private static final String REPEATED_TABLE = "[[";
 
-    private final Map<String, Integer> lines = new HashMap<>();
+    private final Map<String, Integer> linesByPath = new HashMap<>();
     private final Map<String, Integer> tableCounts = new HashMap<>();
-    /** The path of the table that a line belongs to, with a dot at its end; empty above all tables. */
+    /** The path of the table that the current line belongs to, with a trailing dot; empty before the first table. */
     private String tablePrefix = "";
 
     private String repeatedKey;
     private int repeatedKeyLine;
 
-    TomlLines(String text) {
+    TomlLineIndex(String text) {
         ValueScanner value = new ValueScanner();
-        int number = 0;
+        int lineNumber = 0;
         for (String line : text.split("\n", -1)) {
-            number++;
+            lineNumber++;
             if (value.isOpen()) {
                 value.scan(line);
             } else {
-                readLine(line, number, value);
+                readLine(line, lineNumber, value);
             }
         }
     }
 
-    private void readLine(String line, int number, ValueScanner value) {
+    private void readLine(String line, int lineNumber, ValueScanner value) {
         Matcher header = HEADER.matcher(line);
         Matcher entry = ENTRY.matcher(line);
         if (header.matches()) {
-            readHeader(header, number);
+            readHeader(header, lineNumber);
         } else if (entry.matches()) {
-            readKey(tablePrefix + withoutQuotes(entry.group(1)), number);
+            readKey(tablePrefix + withoutQuotes(entry.group(1)), lineNumber);
             value.scan(entry.group(2));
         }
     }
 
-    private void readHeader(Matcher header, int number) {
+    private void readHeader(Matcher header, int lineNumber) {
         String name = withoutQuotes(header.group(2));
         if (header.group(1).equals(REPEATED_TABLE)) {
             int index = tableCounts.merge(name, 1, Integer::sum) - 1;
             name += "[" + index + "]";
         }
         tablePrefix = name + ".";
-        lines.putIfAbsent(name, number);
+        linesByPath.putIfAbsent(name, lineNumber);
     }
 
-    private void readKey(String path, int number) {
-        boolean repeated = lines.putIfAbsent(path, number) != null;
+    private void readKey(String path, int lineNumber) {
+        boolean repeated = linesByPath.putIfAbsent(path, lineNumber) != null;
         if (repeated && repeatedKey == null) {
             repeatedKey = path;
-            repeatedKeyLine = number;
+            repeatedKeyLine = lineNumber;
         }
     }
 
@@ -66,21 +66,21 @@
         return key.replaceAll("[\"' ]", "");
     }
 
-    /** Returns the path of the first key that the file has twice, or null. */
+    /** Returns the path of the first key that the file defines twice, or null. */
     String repeatedKey() {
         return repeatedKey;
     }
 
-    /** Returns the line where the repeated key stands for the second time. */
+    /** Returns the line of the second definition of the repeated key. */
     int repeatedKeyLine() {
         return repeatedKeyLine;
     }
 
-    /** Returns the line of a key, or of the nearest table above it; 0 where the file has none of them. */
+    /** Returns the line of a key, or of its nearest enclosing table; 0 if the file contains neither. */
     int lineOf(String path) {
         String current = path;
         while (!current.isEmpty()) {
-            Integer line = lines.getOrDefault(current, lines.get(current + "[0]"));
+            Integer line = linesByPath.getOrDefault(current, linesByPath.get(current + "[0]"));
             if (line != null) {
                 return line;
             }
@@ -90,18 +90,18 @@
         return 0;
     }
 
-    /** Finds out whether a value goes on in the next line: in brackets, or in a string of several lines. */
+    /** Determines whether a value continues on the next line, because a bracket or a multi-line string is open. */
     private static final class ValueScanner {
 
         private static final int MULTILINE_QUOTES = 3;
 
-        /** Open brackets. */
-        private int depth;
-        /** The quotes that end the open string; empty outside of strings. */
+        /** Number of open brackets. */
+        private int bracketDepth;
+        /** The quotes that close the open string; empty outside of strings. */
         private String quotes = "";
 
         boolean isOpen() {
-            return depth > 0 || !quotes.isEmpty();
+            return bracketDepth > 0 || !quotes.isEmpty();
         }
 
         void scan(String text) {
@@ -111,7 +111,7 @@
             }
         }
 
-        /** Scans to the end of the open string; returns the position after it, or the text's end. */
+        /** Scans to the end of the open string; returns the position after it, or the length of the text. */
         private int scanString(String text, int start) {
             int end = endOfString(text, start);
             if (end >= 0) {
@@ -134,7 +134,7 @@
             return end;
         }
 
-        /** Scans one character or the beginning of a string; returns the position after it. */
+        /** Scans one character or the opening quotes of a string; returns the position after it. */
         private int scanOutsideString(String text, int position) {
             char character = text.charAt(position);
             return switch (character) {
@@ -145,11 +145,11 @@
                     yield position + quotes.length();
                 }
                 case '[', '{' -> {
-                    depth++;
+                    bracketDepth++;
                     yield position + 1;
                 }
                 case ']', '}' -> {
-                    depth--;
+                    bracketDepth--;
                     yield position + 1;
                 }
                 default -> position + 1;
--- a/edge/src/main/java/lemonrail/config/ValueType.java
+++ b/edge/src/main/java/lemonrail/config/ValueType.java
@@ -22,11 +22,11 @@
 import lemonrail.logging.Severity;
 
 /**
- * The type of a configuration value: how it is parsed and what is allowed.
+ * The type of a configuration value: how it is parsed and which values are allowed.
  *
- * @param name as in JSON Schema: string, integer, number, boolean, array or object
- * @param allowed what is allowed, to complete the sentence "it must be"
- * @param parser returns the value, or empty for what is not allowed
+ * @param name the type in JSON Schema: string, integer, number, boolean, array or object
+ * @param allowed the allowed values, as a phrase that follows "must be"
+ * @param parser returns the parsed value, or empty if the value is not allowed
  * @param <T> the type of the parsed value
  */
 public record ValueType<T>(String name, String allowed, Function<JsonNode, Optional<T>> parser) {
@@ -47,21 +47,21 @@
     private static final Map<String, Long> BYTES_BY_UNIT =
             Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << MIB_SHIFT, "GiB", 1L << GIB_SHIFT);
 
-    /** Parses a value; empty for one that is not allowed. */
+    /** Returns the parsed value, or empty if it is not allowed. */
     public Optional<T> parse(JsonNode node) {
         return parser.apply(node);
     }
 
-    /** Returns the type of strings that match a pattern as a whole. */
+    /** Returns the type of strings that match a pattern completely. */
     public static ValueType<String> text(String pattern, String allowed) {
-        Pattern whole = Pattern.compile(pattern);
+        Pattern compiled = Pattern.compile(pattern);
         return new ValueType<>(
                 STRING,
                 allowed,
-                node -> string(node).filter(text -> whole.matcher(text).matches()));
+                node -> string(node).filter(text -> compiled.matcher(text).matches()));
     }
 
-    /** Returns the type of short names. */
+    /** Returns the type of identifiers: 1 to 64 letters, digits, dots, underscores and hyphens. */
     public static ValueType<String> word() {
         return text("[A-Za-z0-9._-]{1,64}", "1 to 64 letters, digits, '.', '_' or '-'");
     }
@@ -76,7 +76,7 @@
         });
     }
 
-    /** Returns the type of whole numbers from {@code min} to {@code max}. */
+    /** Returns the type of integers from {@code min} to {@code max}, inclusive. */
     public static ValueType<Integer> whole(int min, int max) {
         return new ValueType<>(
                 "integer",
@@ -87,18 +87,18 @@
                         .filter(value -> value >= min && value <= max));
     }
 
-    /** Returns the type of numbers from {@code min} to {@code max}. */
+    /** Returns the type of numbers from {@code min} to {@code max}, inclusive. */
     public static ValueType<Double> number(double min, double max) {
         return new ValueType<>(
                 "number",
-                "a number from " + plain(min) + " to " + plain(max),
+                "a number from " + formatNumber(min) + " to " + formatNumber(max),
                 node -> numeric(node).map(JsonNode::doubleValue).filter(value -> value >= min && value <= max));
     }
 
-    /** Returns the type of durations, parsed to milliseconds. */
+    /** Returns the type of durations with a unit, parsed to milliseconds; both bounds are inclusive. */
     public static ValueType<Double> duration(double minMs, double maxMs) {
-        String allowed =
-                "a time with its unit (ms, s, m or h), as in \"2.5s\", from " + time(minMs) + " to " + time(maxMs);
+        String allowed = "a time with its unit (ms, s, m or h), as in \"2.5s\", from " + formatDuration(minMs) + " to "
+                + formatDuration(maxMs);
         return new ValueType<>(
                 STRING,
                 allowed,
@@ -109,7 +109,7 @@
                         .filter(ms -> ms >= minMs && ms <= maxMs));
     }
 
-    /** Returns the type of sizes, parsed to bytes. */
+    /** Returns the type of sizes with a unit, parsed to bytes; both bounds are inclusive. */
     static ValueType<Long> size(long minBytes, long maxBytes) {
         String allowed = "a size with its unit (B, KiB, MiB or GiB), as in \"64KiB\", from " + (minBytes >> MIB_SHIFT)
                 + "MiB to " + (maxBytes >> GIB_SHIFT) + "GiB";
@@ -123,7 +123,7 @@
                         .filter(bytes -> bytes >= minBytes && bytes <= maxBytes));
     }
 
-    /** Returns the type of addresses of IP and port. */
+    /** Returns the type of addresses: an IP address and a port of at least {@code minPort}. */
     static ValueType<InetSocketAddress> address(int minPort) {
         String allowed = "an IP address and a port from " + minPort + " to " + MAX_PORT + ", as in \"127.0.0.1:9000\"";
         return new ValueType<>(STRING, allowed, node -> string(node).flatMap(text -> parseAddress(text, minPort)));
@@ -155,11 +155,11 @@
                 node -> distinct(node, address(1), max));
     }
 
-    /** Returns the type of lists of 1 to {@code max} different short names. */
-    static ValueType<List<String>> words(int max) {
+    /** Returns the type of lists of 1 to {@code max} different identifiers. */
+    static ValueType<List<String>> identifiers(int max) {
         return new ValueType<>(
                 ARRAY,
-                "a list of 1 to " + max + " different words, as in [\"a\", \"b\"]",
+                "a list of 1 to " + max + " different identifiers, as in [\"a\", \"b\"]",
                 node -> distinct(node, word(), max));
     }
 
@@ -178,17 +178,17 @@
         return Optional.of(elements);
     }
 
-    /** Returns the type of the constants of an enum, written as these words in the order of the constants. */
-    public static <E extends Enum<E>> ValueType<E> choice(Class<E> type, String... words) {
-        List<String> all = Arrays.asList(words);
+    /** Returns the type of an enum; {@code names} are the allowed values, in the order of the enum's constants. */
+    public static <E extends Enum<E>> ValueType<E> choice(Class<E> type, String... names) {
+        List<String> allNames = Arrays.asList(names);
         E[] constants = type.getEnumConstants();
         return new ValueType<>(
                 STRING,
-                "one of \"" + String.join("\", \"", all) + "\"",
-                node -> string(node).filter(all::contains).map(word -> constants[all.indexOf(word)]));
+                "one of \"" + String.join("\", \"", allNames) + "\"",
+                node -> string(node).filter(allNames::contains).map(text -> constants[allNames.indexOf(text)]));
     }
 
-    /** Returns the type of tables of loggers and their levels. */
+    /** Returns the type of tables that map loggers to their levels. */
     static ValueType<Map<String, Severity>> levels() {
         String allowed = "loggers and their levels, as in {\"lemonrail.http1\" = \"debug\"}; a level is one of "
                 + Arrays.toString(Severity.values()).toLowerCase(Locale.ROOT);
@@ -224,7 +224,7 @@
         return node.isTextual() ? Optional.of(node.textValue()) : Optional.empty();
     }
 
-    /** Returns a number as such; the text of an environment variable is parsed. */
+    /** Returns a number unchanged, and the number that the text of an environment variable stands for. */
     private static Optional<JsonNode> numeric(JsonNode node) {
         if (!(node instanceof Variable variable)) {
             return node.isNumber() ? Optional.of(node) : Optional.empty();
@@ -240,18 +240,18 @@
         }
     }
 
-    private static String plain(double number) {
+    private static String formatNumber(double number) {
         return number == Math.rint(number) ? String.valueOf((long) number) : String.valueOf(number);
     }
 
-    private static String time(double ms) {
+    private static String formatDuration(double ms) {
         if (ms >= MS_PER_HOUR) {
-            return plain(ms / MS_PER_HOUR) + "h";
+            return formatNumber(ms / MS_PER_HOUR) + "h";
         }
-        return ms >= MS_PER_SECOND ? plain(ms / MS_PER_SECOND) + "s" : plain(ms) + "ms";
+        return ms >= MS_PER_SECOND ? formatNumber(ms / MS_PER_SECOND) + "s" : formatNumber(ms) + "ms";
     }
 
-    /** The text of an environment variable, which may stand for a number as well. */
+    /** The text of an environment variable, which may also represent a number. */
     static final class Variable extends TextNode {
         private static final long serialVersionUID = 1;
 
--- a/edge/src/main/java/lemonrail/config/package-info.java
+++ b/edge/src/main/java/lemonrail/config/package-info.java
@@ -1,2 +1,2 @@
-/** Configuration: the operators' TOML file, the platform's JSON file and the schema of both. */
+/** Configuration files: the operators' TOML file, the platform's JSON file and the schema of the former. */
 package lemonrail.config;
--- a/edge/src/main/java/lemonrail/logging/BoundedSink.java
+++ b/edge/src/main/java/lemonrail/logging/BoundedSink.java
@@ -8,26 +8,28 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Writes events to another sink from a thread of its own, so that a slow reader does not block the event loop. Events
- * wait in a bounded queue; those beyond it are dropped and counted, and the next line written tells how many.
+ * Writes events to another sink on a separate thread, so that a slow reader of the log does not block the event
+ * loop. Events wait in a bounded queue; when it is full they are dropped and counted, and a log line before the
+ * next event written reports how many.
  */
 public final class BoundedSink implements LogSink {
 
-    /** The default number of events that may wait. */
+    /** The default capacity of the queue, in events. */
     public static final int DEFAULT_CAPACITY = 1024;
-    /** The limit on the wait of a close for room in the queue, and again for the events in it. */
+    /** How long {@link #close} waits for room in the queue, and then again for the queued events to be written. */
     private static final long CLOSE_TIMEOUT_MS = 250;
 
+    /** The last event in the queue, which ends the writing thread. */
     private static final LogEvent END = new LogEvent(0, Severity.INFO, "", "", "", List.of());
 
     private final LogSink target;
     private final BlockingQueue<LogEvent> queue;
     private final AtomicInteger dropped = new AtomicInteger();
     private final Thread writer = new Thread(this::writeAll, "log");
-    /** The dropped events that have been reported; belongs to the writing thread. */
+    /** Number of dropped events already reported; used by the writing thread only. */
     private int reportedDropped;
 
-    /** Creates a sink before {@code target} and starts its thread. */
+    /** Creates a sink in front of {@code target} and starts its thread. */
     public BoundedSink(LogSink target, int capacity) {
         this.target = target;
         queue = new ArrayBlockingQueue<>(capacity);
@@ -62,7 +64,7 @@
         return dropped.get();
     }
 
-    // END is a marker, compared by identity.
+    // END is compared by identity.
     @SuppressWarnings("ReferenceEquality")
     private void writeAll() {
         try {
@@ -80,17 +82,17 @@
     }
 
     private void reportDropped(LogEvent next) {
-        int now = dropped.get();
-        if (now != reportedDropped) {
-            int missing = now - reportedDropped;
-            reportedDropped = now;
+        int totalDropped = dropped.get();
+        if (totalDropped != reportedDropped) {
+            int newlyDropped = totalDropped - reportedDropped;
+            reportedDropped = totalDropped;
             target.write(new LogEvent(
-                    next.atMs(),
+                    next.timestampMs(),
                     Severity.WARN,
                     EventLog.ROOT + ".logging",
                     "log_dropped",
-                    missing + " log events were dropped: the log's reader is too slow",
-                    List.of("dropped", missing)));
+                    newlyDropped + " log events were dropped because the reader of the log is too slow",
+                    List.of("dropped", newlyDropped)));
         }
     }
 
--- a/edge/src/main/java/lemonrail/logging/EventLog.java
+++ b/edge/src/main/java/lemonrail/logging/EventLog.java
@@ -7,26 +7,26 @@
 import lemonrail.time.Clock;
 
 /**
- * The log of one part of the program. Events that may come in large numbers are rate limited: one a second of each
- * kind, and the next one tells how many were suppressed. The rate-limited methods belong to the event loop, all
- * others may be called from any thread. Fields are alternating names and values.
+ * The log of one component. Events that may be frequent are rate limited: each kind of event is written at most
+ * once per second, and the next one written reports how many were suppressed. The rate-limited methods must be
+ * called on the event loop, all others may be called from any thread. Fields are alternating names and values.
  */
 public final class EventLog {
 
-    /** The logger above all others. */
+    /** The name of the root logger. */
     public static final String ROOT = "lemonrail";
 
     private static final double RATE_LIMIT_INTERVAL_MS = 1000;
-    /** Kinds of events that are limited apart; a bound on memory above the number of kinds in the program. */
+    /** Bounds the memory of the rate limits; larger than the number of kinds of events in the program. */
     private static final int MAX_KINDS = 256;
 
-    /** The state of the rate limit of one kind of event. */
+    /** The rate limit of one kind of event. */
     private static final class RateLimit {
         double nextAtMs = Double.NEGATIVE_INFINITY;
         int suppressed;
     }
 
-    /** The state that the logs of all parts have in common. */
+    /** The state shared by the logs of all components. */
     private static final class Shared {
         final Clock clock;
         final LogSink sink;
@@ -64,12 +64,12 @@
         return new EventLog(shared, ROOT + "." + component);
     }
 
-    /** Returns how many events the rate limits of all loggers have suppressed. */
+    /** Returns the number of events that the rate limits of all loggers have suppressed. */
     public int suppressed() {
         return shared.suppressed;
     }
 
-    /** Returns whether {@link #debug} writes anything; for callers whose events are costly to create. */
+    /** Returns whether {@link #debug} writes events, so that callers can avoid creating costly ones. */
     public boolean isDebugEnabled() {
         return shared.sink.isEnabled(Severity.DEBUG, logger);
     }
@@ -84,28 +84,28 @@
         write(Severity.INFO, name, message, fields);
     }
 
-    /** Logs a rare fault outside of the program. */
+    /** Logs a rare fault that was caused outside of the program. */
     public void warn(String name, String message, Object... fields) {
         write(Severity.WARN, name, message, fields);
     }
 
-    /** Logs a fault that may repeat, rate limited; {@code detail} ends the line for people. */
+    /** Logs a fault that may repeat, rate limited; {@code detail} is appended to the message. */
     public void warnRateLimited(String name, String message, Object detail, Object... fields) {
         writeRateLimited(Severity.WARN, name, message, detail, fields);
     }
 
-    /** Logs an unexpected exception with the place that it was thrown at, rate limited. */
+    /** Logs an unexpected exception with the top of its stack trace, rate limited. */
     public void error(String message, Throwable e) {
         writeRateLimited(
                 Severity.ERROR,
                 "fault",
                 message,
-                e + place(e.getStackTrace()),
+                e + describeLocation(e.getStackTrace()),
                 "exception",
                 e.getClass().getName());
     }
 
-    private static String place(StackTraceElement[] trace) {
+    private static String describeLocation(StackTraceElement[] trace) {
         if (trace.length == 0) {
             return "";
         }
@@ -123,18 +123,18 @@
             return;
         }
         RateLimit limit = shared.rateLimit(name + message);
-        double now = shared.clock.now();
-        if (now < limit.nextAtMs) {
+        double nowMs = shared.clock.now();
+        if (nowMs < limit.nextAtMs) {
             limit.suppressed++;
             shared.suppressed++;
             return;
         }
-        limit.nextAtMs = now + RATE_LIMIT_INTERVAL_MS;
+        limit.nextAtMs = nowMs + RATE_LIMIT_INTERVAL_MS;
         List<Object> allFields = new ArrayList<>(List.of(fields));
         allFields.addAll(List.of("detail", String.valueOf(detail), "suppressed", limit.suppressed));
-        String suppressed = limit.suppressed == 0 ? "" : " (and " + limit.suppressed + " more before)";
+        String suppressed = limit.suppressed == 0 ? "" : " (" + limit.suppressed + " similar events suppressed before)";
         String text = message + ": " + detail + suppressed;
-        shared.sink.write(new LogEvent(now, severity, logger, name, text, allFields));
+        shared.sink.write(new LogEvent(nowMs, severity, logger, name, text, allFields));
         limit.suppressed = 0;
     }
 }
--- a/edge/src/main/java/lemonrail/logging/JsonEncoder.java
+++ b/edge/src/main/java/lemonrail/logging/JsonEncoder.java
@@ -11,7 +11,7 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Encodes an event as one flat JSON object a line: {@code ts}, {@code level}, {@code logger}, the event's fields,
+ * Encodes an event as one line with a flat JSON object: {@code ts}, {@code level}, {@code logger}, the event's fields,
  * {@code message}.
  */
 final class JsonEncoder extends EncoderBase<ILoggingEvent> {
--- a/edge/src/main/java/lemonrail/logging/LogSink.java
+++ b/edge/src/main/java/lemonrail/logging/LogSink.java
@@ -5,24 +5,24 @@
 /** Writes log events. Levels may be changed at any time, from any thread. */
 public interface LogSink extends AutoCloseable {
 
-    /** Returns whether events of this severity are written for a logger. Never blocks. */
+    /** Returns whether events of this severity are written for a logger; never blocks. */
     boolean isEnabled(Severity severity, String logger);
 
-    /** Writes an event, whatever its severity; {@link #isEnabled} is asked before. */
+    /** Writes an event regardless of its severity; callers check {@link #isEnabled} first. */
     void write(LogEvent event);
 
-    /** Sets the lowest severity that is written for a logger and for those below it. */
+    /** Sets the lowest severity that is written for a logger and for its descendants without their own level. */
     void setLevel(String logger, Severity severity);
 
-    /** Returns the loggers that have a level of their own, and their levels in lower case. */
+    /** Returns the loggers that have their own level, with the level in lower case. */
     Map<String, String> levels();
 
-    /** Returns how many events have been dropped because the reader was too slow. */
+    /** Returns the number of events dropped because the reader of the log was too slow. */
     default int dropped() {
         return 0;
     }
 
-    /** Releases resources; writes the waiting events before, for a limited time. */
+    /** Writes the queued events, for a limited time, and then releases resources. */
     @Override
     default void close() {}
 }
--- a/edge/src/main/java/lemonrail/logging/StructuredSink.java
+++ b/edge/src/main/java/lemonrail/logging/StructuredSink.java
@@ -17,17 +17,17 @@
 import org.slf4j.LoggerFactory;
 import org.slf4j.event.KeyValuePair;
 
-/** Writes through Logback: text with time and level, or one JSON object a line. */
+/** Writes through Logback, as text with time and level or as one JSON object per line. */
 final class StructuredSink implements LogSink {
 
     private static final String PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSX,UTC} %-5level %logger{0}: %msg%n";
-    /** By the ordinal of {@link Severity}. */
+    /** Logback's levels, indexed by the ordinal of {@link Severity}. */
     private static final Level[] LEVELS = {Level.DEBUG, Level.INFO, Level.WARN, Level.ERROR};
 
     private final LoggerContext context;
     private final Logger root;
 
-    /** Creates a sink that writes to a stream; {@code levels} are by logger. */
+    /** Creates a sink that writes to a stream; {@code levels} maps loggers to the lowest severity written. */
     StructuredSink(OutputStream out, LogSettings.Format format, Map<String, Severity> levels) {
         context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
@@ -69,7 +69,7 @@
                 event.message(),
                 null,
                 null);
-        loggingEvent.setInstant(Instant.ofEpochMilli((long) event.atMs()));
+        loggingEvent.setInstant(Instant.ofEpochMilli((long) event.timestampMs()));
         loggingEvent.addKeyValuePair(new KeyValuePair("event", event.name()));
         List<Object> fields = event.fields();
         for (int i = 0; i + 1 < fields.size(); i += 2) {
--- a/edge/src/main/java/lemonrail/logging/TextSink.java
+++ b/edge/src/main/java/lemonrail/logging/TextSink.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Writes the message alone, one line an event. Needs no library. */
+/** Writes only the message, one line per event; needs no logging library. */
 public final class TextSink implements LogSink {
 
     private final PrintStream out;
@@ -22,7 +22,7 @@
         return severity.compareTo(levelOf(logger)) >= 0;
     }
 
-    /** Returns the level of a logger: its own, or that of the nearest logger above it. */
+    /** Returns the level of a logger: its own, or that of its nearest ancestor. */
     private Severity levelOf(String logger) {
         String name = logger;
         Severity level = levels.get(name);
--- a/edge/src/main/java/lemonrail/metrics/Metrics.java
+++ b/edge/src/main/java/lemonrail/metrics/Metrics.java
@@ -7,14 +7,14 @@
 import java.util.function.IntSupplier;
 
 /**
- * The metrics that operators read. Counters count from the start of the process, and are incremented by the code
- * that causes the event; gauges are evaluated when the metrics are read. Belongs to the event loop.
+ * The metrics of a sidecar, which operators read over the admin API. Counters start at 0 when the process starts;
+ * gauges are evaluated when the metrics are rendered. Must be used on the event loop only.
  */
 public final class Metrics {
 
     private static final String PREFIX = "edge_gw.";
 
-    /** The outcome of a request, as the name of a metric has it in lower case. */
+    /** The outcome of a request; in lower case, the last part of a metric's name. */
     public enum Outcome {
         SUCCESS,
         OVERLOAD,
@@ -22,9 +22,9 @@
     }
 
     private final List<String> classNames;
-    /** By class and outcome. */
+    /** Number of responses by request class and outcome. */
     private final long[][] responses;
-    /** By name, in the order in which they were registered. */
+    /** Gauges by name, in the order in which they were registered. */
     private final Map<String, IntSupplier> gauges = new LinkedHashMap<>();
 
     private long dispatches;
@@ -33,38 +33,38 @@
     private long failedReloads;
     private int concurrentRequests;
 
-    /** Creates the metrics of these request classes, all counters at 0. */
+    /** Creates the metrics for these request classes, with all counters at 0. */
     public Metrics(List<String> classNames) {
         this.classNames = List.copyOf(classNames);
         responses = new long[this.classNames.size()][Outcome.values().length];
     }
 
-    /** Counts a complete request that is owed a response. */
+    /** Counts a request that has been received and awaits its final response. */
     public void onRequestStarted() {
         concurrentRequests++;
     }
 
-    /** Counts a request as over: its response is written, or its client has gone. */
+    /** Counts a request as ended, because its response is written or its client has disconnected. */
     public void onRequestEnded() {
         concurrentRequests--;
     }
 
-    /** Counts a response to a request of this class, once its last byte is written. */
+    /** Counts a final response to a request of this class; called when its last byte is written. */
     public void onResponse(int requestClass, Outcome outcome) {
         responses[requestClass][outcome.ordinal()]++;
     }
 
-    /** Counts an attempt, once its last byte is written to the endpoint. */
+    /** Counts an attempt; called when its last byte is written to the endpoint. */
     public void onDispatch() {
         dispatches++;
     }
 
-    /** Counts a final response after the deadline of its request. */
+    /** Counts a final response that was sent after the deadline of its request. */
     public void onLateResponse() {
         lateResponses++;
     }
 
-    /** Counts a reload of the configuration. */
+    /** Counts a successful or failed reload of the configuration. */
     public void onReload(boolean success) {
         if (success) {
             successfulReloads++;
@@ -73,12 +73,12 @@
         }
     }
 
-    /** Registers a gauge; its value is read on the event loop. */
-    public void gauge(String name, IntSupplier value) {
+    /** Registers a gauge; {@code value} is called on the event loop by {@link #render}. */
+    public void registerGauge(String name, IntSupplier value) {
         gauges.put(name, value);
     }
 
-    /** Returns all metrics, one a line. */
+    /** Returns all metrics, one {@code name=value} line each. */
     public String render() {
         StringBuilder text = new StringBuilder();
         appendResponses(text);
--- a/edge/src/main/java/lemonrail/metrics/package-info.java
+++ b/edge/src/main/java/lemonrail/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Counters and gauges of a process, and their text form. */
+/** Counters and gauges of a process, and their text format. */
 package lemonrail.metrics;
--- a/edge/src/test/java/lemonrail/assembly/ChurnTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ChurnTest.java
@@ -58,7 +58,10 @@
         assertEquals(200, rig.ask("order", DEADLINE_MS).status());
         assertEquals(
                 List.of(0, 1),
-                rig.sidecar.loop().submit(() -> rig.sidecar.tableSizes()).get());
+                rig.sidecar
+                        .loop()
+                        .submit(() -> rig.sidecar.requestAndEndpointCounts())
+                        .get());
     }
 
     /** Guards against requests that were meant for a former process and reach the new one at its address. */
--- a/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
@@ -125,7 +125,7 @@
         assertEquals("first", kept.send(REQUEST.formatted("kept")).read().body());
         reload(
                 text(plain(now), second, "[limits]\nattempts = 5"),
-                "these hold from the next start on: [limits.attempts]");
+                "changed keys that take effect only after a restart: [limits.attempts]");
         assertEquals("second", ask(now).body());
         kept.awaitEnd();
         assertThrows(IOException.class, () -> ask(before));
@@ -148,7 +148,7 @@
             edge.reload();
         });
         SidecarFixture.await("both are done", () -> logged().split("configuration read again", -1).length == 3);
-        assertFalse(logged().contains("stays as it was"), logged());
+        assertFalse(logged().contains("configuration not reloaded"), logged());
         assertEquals("second", ask(now).body());
         InetSocketAddress later = free();
         write(text(plain(later), first, ""));
@@ -163,7 +163,7 @@
         start(text("127.0.0.1:0", first, ""));
         try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             reload(text("127.0.0.1:" + other.getLocalPort(), second, ""), "cannot listen on");
-            assertTrue(logged().contains("the configuration stays as it was"), logged());
+            assertTrue(logged().contains("configuration not reloaded, the previous one stays in effect"), logged());
             assertEquals("first", ask(edge.address()).body());
             // Half of what is new would do: it is not taken up either.
             InetSocketAddress free = free();
@@ -188,13 +188,13 @@
         start(text);
         for (int end : new int[] {60, text.indexOf("[[classes]]"), 0}) {
             log.reset();
-            reload(text.substring(0, end), "the configuration stays as it was");
+            reload(text.substring(0, end), "configuration not reloaded, the previous one stays in effect");
             assertEquals("first", ask(edge.address()).body());
         }
         log.reset();
         Files.delete(folder.resolve("own.toml"));
         edge.reload();
-        SidecarFixture.await("it is told", () -> logged().contains("there is no such file"));
+        SidecarFixture.await("it is told", () -> logged().contains("file not found"));
         assertEquals("first", ask(edge.address()).body());
         reload(text("127.0.0.1:0", second, ""), "configuration read again");
         assertEquals("second", ask(edge.address()).body());
@@ -224,7 +224,7 @@
         try {
             start(text("127.0.0.1:0", first, both + "\n[limits]\nattempts = 5\n[admin]\naddress = \"127.0.0.1:0\""));
             SidecarFixture.await(
-                    "the old one has noticed", () -> logged().contains("another process of this sidecar runs"));
+                    "the old one has noticed", () -> logged().contains("another process of this sidecar is running"));
             try (HttpTestConnection wire = HttpTestConnection.to(edge.adminAddress())) {
                 wire.send("PUT /v1/endpoints/other/suspend HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertEquals(200, wire.read().status());
--- a/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
@@ -39,10 +39,10 @@
     void readsAllFields() throws IOException {
         EdgeConfig config = read("", "");
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(1024, config.sockets());
+        assertEquals(1024, config.maxDescriptors());
         assertEquals(15_000, config.idleCloseMs());
-        assertEquals(1, config.known().version());
-        assertEquals("s0", config.known().entries().get(0).endpoint().id());
+        assertEquals(1, config.initialEndpoints().version());
+        assertEquals("s0", config.initialEndpoints().entries().get(0).endpoint().id());
         assertEquals(2, config.settings().classes().size());
     }
 
@@ -72,6 +72,6 @@
         Path file = Files.writeString(folder.resolve("config.json"), "{\"name\":");
         IllegalArgumentException e =
                 assertThrows(IllegalArgumentException.class, () -> new PlatformFile(file, Map.of()).load());
-        assertTrue(e.getMessage().contains(file + ":1: it is not JSON"), e.getMessage());
+        assertTrue(e.getMessage().contains(file + ":1: invalid JSON"), e.getMessage());
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
@@ -373,7 +373,7 @@
         SidecarFixture.await(
                 "nothing is left",
                 () -> edge.loop()
-                                .submit(() -> edge.tableSizes().get(0))
+                                .submit(() -> edge.requestAndEndpointCounts().get(0))
                                 .syncUninterruptibly()
                                 .getNow()
                         == 0);
--- a/edge/src/test/java/lemonrail/assembly/ReconnectFloodTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReconnectFloodTest.java
@@ -123,7 +123,8 @@
         try (SidecarFixture other = new SidecarFixture(good())) {
             other.folder = rig.folder;
             other.start();
-            SidecarFixture.await("the limits are shared", () -> rig.logged().contains("the limits are shared"));
+            SidecarFixture.await(
+                    "the limits are shared", () -> rig.logged().contains("each uses half of the connection limits"));
             assertServed(client(), "newcomer");
         }
     }
--- a/edge/src/test/java/lemonrail/assembly/ReloadTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReloadTest.java
@@ -103,9 +103,11 @@
         SidecarFixture.await("it is told", () -> fixture.logged().contains("field discovery is not usable: nowhere"));
         Files.writeString(fixture.configFile, "{");
         fixture.sidecar.reload();
-        SidecarFixture.await("it is told", () -> fixture.logged().contains("is not JSON"));
+        SidecarFixture.await("it is told", () -> fixture.logged().contains("invalid JSON"));
         assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
         assertEquals(1, fixture.discovery.open.get(), "the old watch goes on");
-        assertTrue(fixture.logged().contains("the configuration stays as it was"), fixture.logged());
+        assertTrue(
+                fixture.logged().contains("configuration not reloaded, the previous one stays in effect"),
+                fixture.logged());
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/SidecarFixture.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarFixture.java
@@ -160,7 +160,7 @@
     /** Returns how many requests are open in the sidecar. */
     int openRequests() {
         return sidecar.loop()
-                .submit(() -> sidecar.tableSizes().get(0))
+                .submit(() -> sidecar.requestAndEndpointCounts().get(0))
                 .syncUninterruptibly()
                 .getNow();
     }
--- a/edge/src/test/java/lemonrail/assembly/SuspensionTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SuspensionTest.java
@@ -173,7 +173,7 @@
         start(first, second);
         Files.createDirectory(folder.resolve("n0.suspended.new"));
         assertEquals(500, rig.callAdmin("PUT", "/v1/endpoints/s0/suspend").status());
-        assertTrue(rig.logged().contains("s0 is not suspended"), rig.logged());
+        assertTrue(rig.logged().contains("s0 could not be suspended"), rig.logged());
         awaitMetric("targets_disabled=0");
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
@@ -123,11 +123,11 @@
         }
         SidecarFixture.await("clients are served", () -> served.get() > CLIENTS);
         SidecarChildProcess fresh = serve();
-        old.awaitLine("another process of this sidecar runs");
+        old.awaitLine("another process of this sidecar is running");
         old.process.toHandle().destroy();
         assertEquals(0, old.process.waitFor(), "" + old.log);
-        old.awaitLine("stopping, another process goes on");
-        old.awaitLine("all connections are done with");
+        old.awaitLine("stopping, another process of this sidecar takes over");
+        old.awaitLine("all connections are closed");
         int before = served.get();
         SidecarFixture.await("the new one serves", () -> served.get() > before + CLIENTS);
         on.set(false);
@@ -135,7 +135,7 @@
             client.join();
         }
         assertEquals(List.of(), troubles);
-        fresh.awaitLine("the only process of this sidecar from now on");
+        fresh.awaitLine("the other process of this sidecar has ended: full connection limits restored");
     }
 
     /** Guards against a new process that uses an endpoint which operators suspended before it started. */
--- a/edge/src/test/java/lemonrail/cli/BadFilesTest.java
+++ b/edge/src/test/java/lemonrail/cli/BadFilesTest.java
@@ -88,7 +88,7 @@
         assertEquals(1, config.settings().zone());
         assertEquals(2500, config.settings().classes().get(0).deadlineMs());
         assertEquals(64, config.memoryMb());
-        assertEquals(2, config.known().entries().size());
+        assertEquals(2, config.initialEndpoints().entries().size());
     }
 
     /** What of the file is replaced by what, then the problem that must be the first: line, key, the rest. */
@@ -99,10 +99,10 @@
             value = {
                 "seed = 7|seed = -1|2|seed|= -1: must be a whole number from 0 to 2147483647",
                 "seed = 7|seed = 1.5|2|seed|= 1.5: must be a whole number",
-                "seed = 7|sead = 7|2|sead|= 7: unknown key; there may be name, state-dir, seed",
-                "seed = 7|seed = = 7|2||it is not TOML",
-                "seed = 7|seed = 7 seed|2||it is not TOML",
-                "seed = 7|name = 'twice'|2|name|: is there twice",
+                "seed = 7|sead = 7|2|sead|= 7: unknown key; allowed keys are name, state-dir, seed",
+                "seed = 7|seed = = 7|2||invalid TOML",
+                "seed = 7|seed = 7 seed|2||invalid TOML",
+                "seed = 7|name = 'twice'|2|name|: is defined twice",
                 "name = \"edge\"|name = \"a/b\"|1|name|= \"a/b\": must be 1 to 64 letters, digits",
                 "name = \"edge\"|name = \"\"|1|name|must be 1 to 64 letters",
                 "name = \"edge\"|name = 5|1|name|= 5: must be 1 to 64 letters",
@@ -110,21 +110,21 @@
                 "\"127.0.0.1:9000\"|\"127.0.0.1:70000\"|4|listeners[0].address|= \"127.0.0.1:70000\": must be",
                 "\"127.0.0.1:9000\"|\"127.0.0.1\"|4|listeners[0].address|must be an IP address and a port",
                 "\"127.0.0.1:9000\"|9000|4|listeners[0].address|= 9000: must be an IP address",
-                "\"127.0.0.1:9000\"|\"127.0.0.1:9001\"|6|admin.address|is taken by listeners[0].address",
+                "\"127.0.0.1:9000\"|\"127.0.0.1:9001\"|6|admin.address|is already used by listeners[0].address",
                 "[[listeners]]|[listeners]|3|listeners|must be 1 to 8 tables: [[listeners]]",
                 "[admin]|[admins]|5|admins|unknown key",
                 "[admin]|[[admin]]|5|admin|must be a table: [admin]",
-                "id = \"a\"|id = \"b\"|11|endpoints[1].id|= \"b\": is there twice",
+                "id = \"a\"|id = \"b\"|11|endpoints[1].id|= \"b\": is used twice",
                 "id = \"a\"|#|7|endpoints[0].id|: is missing; it must be 1 to 64 letters",
-                "127.0.0.1:9102|127.0.0.1:9101|12|endpoints[1].address|is taken by endpoints[0].address",
+                "127.0.0.1:9102|127.0.0.1:9101|12|endpoints[1].address|is already used by endpoints[0].address",
                 "127.0.0.1:9102|127.0.0.1:0|12|endpoints[1].address|a port from 1 to 65535",
-                "zone = \"east\"|zone = \"north\"|13|endpoints[1].zone|is none of fleet.zones, which are [east",
+                "zone = \"east\"|zone = \"north\"|13|endpoints[1].zone|is not one of fleet.zones, which are [east",
                 "weight = 2|weight = 0|14|endpoints[1].weight|= 0: must be a number from 0.001 to 1000",
                 "weight = 2|weight = \"2\"|14|endpoints[1].weight|= \"2\": must be a number",
                 "weight = 2|state = \"asleep\"|14|endpoints[1].state|must be one of \"gone\", \"in-service\"",
-                "[\"east\", \"west\"]|[]|16|fleet.zones|must be a list of 1 to 64 different words",
-                "[\"east\", \"west\"]|[\"west\", \"west\"]|16|fleet.zones|must be a list of 1 to 64 different words",
-                "own-zone = \"west\"|own-zone = \"w\"|17|fleet.own-zone|is none of fleet.zones",
+                "[\"east\", \"west\"]|[]|16|fleet.zones|must be a list of 1 to 64 different identifiers",
+                "[\"east\", \"west\"]|[\"west\", \"west\"]|16|fleet.zones|must be a list of 1 to 64 different identifiers",
+                "own-zone = \"west\"|own-zone = \"w\"|17|fleet.own-zone|is not one of fleet.zones",
                 "effect = \"repeatable\"|effect = \"safe\"|20|classes[0].effect|must be one of \"repeatable\"",
                 "aim = \"1s\"|aim = \"1\"|21|classes[0].aim|= \"1\": must be a time with its unit (ms, s, m or h)",
                 "aim = \"1s\"|aim = 1000|21|classes[0].aim|= 1000: must be a time with its unit",
@@ -132,10 +132,10 @@
                 "aim = \"1s\"|aim = \"3s\"|21|classes[0].aim|= \"3s\": is above the deadline of this class",
                 "aim = \"1s\"|#|18|classes[0].aim|: is missing; it must be a time",
                 "deadline = \"2.5s\"|deadline = \"2h\"|22|classes[0].deadline|from 1ms to 1h",
-                "name = \"save\"|name = \"read\"|24|classes[1].name|is there twice",
-                "effect = \"keyed\"|effect = \"once\"|26|classes[1].key-window|goes with effect = \"keyed\" only",
-                "key-window = \"10s\"|#|23|classes[1].key-window|: is missing; a keyed class must have it",
-                "worth = 3|late-worth = 3|29|classes[1].late-worth|is above the worth of an answer in time",
+                "name = \"save\"|name = \"read\"|24|classes[1].name|is used twice",
+                "effect = \"keyed\"|effect = \"once\"|26|classes[1].key-window|is allowed only with effect = \"keyed\"",
+                "key-window = \"10s\"|#|23|classes[1].key-window|: is missing; a keyed class must have one",
+                "worth = 3|late-worth = 3|29|classes[1].late-worth|is above the worth of this class",
                 "rate = 5.5|rate = -1|32|tenants[0].rate|must be a number from 0 to 1000000",
                 "rate = 5.5|#|30|tenants[0].rate|: is missing",
                 "memory = \"64MiB\"|memory = \"64MB\"|34|limits.memory|must be a size with its unit (B, KiB",
@@ -143,7 +143,7 @@
                 "memory = \"64MiB\"|memory = 64|34|limits.memory|= 64: must be a size",
                 "descriptors = 256|descriptors = 10|35|limits.descriptors|must be a whole number from 96 to 1048576",
                 "attempts = 2|connect-timeout = \"3s\"|36|limits.connect-timeout|is longer than the deadline",
-                "attempts = 2|attempt = 2|36|limits.attempt|unknown key; [limits] may have memory, descriptors",
+                "attempts = 2|attempt = 2|36|limits.attempt|unknown key; [limits] allows memory, descriptors",
                 "number = 3|number = 4|39|balancing.number|must be below balancing.balancers, which is 4",
                 "level = \"info\"|level = \"loud\"|41|logging.level|must be one of \"debug\", \"info\"",
                 "level = \"info\"|levels = {\"io.netty\" = \"info\"}|41|logging.levels|must be loggers",
@@ -195,11 +195,11 @@
     void reportsMissingAndUnreadableFiles() throws IOException {
         TomlFile none = new TomlFile(folder.resolve("none.toml"), Map.of());
         assertEquals(
-                none.file() + ": there is no such file",
+                none.file() + ": file not found",
                 assertThrows(ConfigException.class, none::load).getMessage());
         TomlFile bytes = new TomlFile(Files.write(folder.resolve("x.toml"), new byte[] {'a', -1}), Map.of());
         assertEquals(
-                bytes.file() + ": it is not UTF-8",
+                bytes.file() + ": file is not valid UTF-8",
                 assertThrows(ConfigException.class, bytes::load).getMessage());
     }
 
--- a/edge/src/test/java/lemonrail/cli/CommandLineTest.java
+++ b/edge/src/test/java/lemonrail/cli/CommandLineTest.java
@@ -63,8 +63,8 @@
                 "serve|2|no configuration: give --config FILE or set GW_CONFIG",
                 "serve --config|2|Missing required parameter",
                 "config schema --format xml|2|Invalid value for option",
-                "serve --config none.toml|2|lemonrail: none.toml: there is no such file",
-                "check none.json none.toml|2|none.json: GW_CONFIG names a file that is not there"
+                "serve --config none.toml|2|lemonrail: none.toml: file not found",
+                "check none.json none.toml|2|none.json: file not found; GW_CONFIG or the command line must name an existing file"
             })
     void invalidCallPrintsReasonAndReturnsTwo(String args, int status, String why) throws Exception {
         Result result = call(args == null ? new String[0] : args.split(" "));
@@ -125,7 +125,7 @@
                         .replace("descriptors = 1024", "descriptors = 1"));
         Result result = call("check", EXAMPLE.toString(), bad.toString());
         assertEquals(2, result.status());
-        assertTrue(result.out().contains(EXAMPLE + ": good"), result.out());
+        assertTrue(result.out().contains(EXAMPLE + ": valid"), result.out());
         assertEquals(2, result.err().lines().count(), result.err());
         assertTrue(result.err().lines().allMatch(line -> line.startsWith(bad + ":")), result.err());
     }
--- a/edge/src/test/java/lemonrail/cli/MainTest.java
+++ b/edge/src/test/java/lemonrail/cli/MainTest.java
@@ -146,7 +146,8 @@
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "warm after");
             process.toHandle().destroy();
-            boolean off = log.lines().anyMatch(line -> line.contains("reloads are off: SIGHUP"));
+            boolean off =
+                    log.lines().anyMatch(line -> line.contains("configuration reloads by signal are disabled: SIGHUP"));
             assertEquals(0, process.waitFor());
             return off;
         } finally {
