--- a/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
+++ b/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
@@ -42,7 +42,7 @@
 
     @Test
     void overridesOnlyWhatTheDocumentNames() {
-        BalancerSettings now = SettingsDocument.over(OWN, """
+        BalancerSettings now = SettingsDocument.applyOverrides(OWN, """
             [[classes]]
             name = "order"
             aim = "500ms"
@@ -64,18 +64,18 @@
         assertEquals(OWN.slowStart(), now.slowStart());
         assertEquals(OWN.drain(), now.drain());
         assertEquals(OWN.pollIntervalMs(), now.pollIntervalMs());
-        assertEquals(OWN, SettingsDocument.over(OWN, ""));
+        assertEquals(OWN, SettingsDocument.applyOverrides(OWN, ""));
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "x =|it is not TOML",
+                "x =|invalid TOML",
                 "name = 'edge'|settings:1: name = \"edge\": unknown key",
                 "[[classes]];name = 'read';effect = 'once'|classes[0].effect = \"once\": unknown key",
                 "[[classes]];name = 'read';aim = 500|settings:3: classes[0].aim = 500: must be a time with its unit",
-                "[[classes]];name = 'read';[[classes]];name = 'read'|is there twice",
+                "[[classes]];name = 'read';[[classes]];name = 'read'|is used twice",
                 "[[classes]];aim = '1s'|classes[0].name: is missing",
                 "[limits];descriptors = 10|limits.descriptors = 10: unknown key",
                 "[drain];grace = '1s'|drain"
@@ -84,7 +84,7 @@
         String document = text.replace(';', '\n');
         ConfigException e = assertThrows(ConfigException.class, () -> SettingsDocument.check(document));
         assertTrue(e.getMessage().contains(why), e.getMessage());
-        assertThrows(ConfigException.class, () -> SettingsDocument.over(OWN, document));
+        assertThrows(ConfigException.class, () -> SettingsDocument.applyOverrides(OWN, document));
     }
 
     @ParameterizedTest
@@ -101,7 +101,7 @@
     void rejectsDocumentsThatConflictWithTheEdgesFile(String text, String why) {
         String document = text.replace(';', '\n');
         SettingsDocument.check(document);
-        ConfigException e = assertThrows(ConfigException.class, () -> SettingsDocument.over(OWN, document));
+        ConfigException e = assertThrows(ConfigException.class, () -> SettingsDocument.applyOverrides(OWN, document));
         assertTrue(e.getMessage().contains(why), e.getMessage());
     }
 }
--- a/edge/src/test/java/lemonrail/logging/LogTest.java
+++ b/edge/src/test/java/lemonrail/logging/LogTest.java
@@ -112,7 +112,8 @@
         reads.countDown();
         sink.close();
         assertEquals("lemonrail: first", lines().get(0));
-        assertTrue(lines().contains("lemonrail: 984 log events were dropped: the log's reader is too slow"));
+        assertTrue(
+                lines().contains("lemonrail: 984 log events were dropped because the reader of the log is too slow"));
         assertEquals(18, lines().size());
     }
 }
--- a/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
+++ b/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
@@ -54,7 +54,7 @@
     }
 
     private int run(String... lines) throws IOException {
-        return Main.simulator(
+        return Main.runSimulator(
                 new ByteArrayInputStream(String.join("", lines).getBytes(StandardCharsets.UTF_8)),
                 out,
                 new PrintStream(errors, true, StandardCharsets.UTF_8));
--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -84,7 +84,7 @@
         // Set before the exchange begins the watch.
         watch.listen(this::take);
         exchange = new RequestDispatcher<>(
-                shard, endpoints, suspensions, BoxcarLoadBalancer::new, seed, config.known(), watch::watch);
+                shard, endpoints, suspensions, BoxcarLoadBalancer::new, seed, config.initialEndpoints(), watch::watch);
     }
 
     private void take(EndpointList news) {
--- a/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
@@ -206,7 +206,7 @@
         ControlClient client = new ControlClient(loop, new Clock(), plan(name, list, node), config.names(), seed, log);
         client.setSettingsHandler(text -> {
             if (text != null) {
-                SettingsDocument.over(config.settings(), text);
+                SettingsDocument.applyOverrides(config.settings(), text);
                 synchronized (settingsTold) {
                     settingsTold.add(System.nanoTime());
                 }
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
@@ -55,7 +55,7 @@
                         loop,
                         places.get(list),
                         config.names(),
-                        config.known().version(),
+                        config.initialEndpoints().version(),
                         WatchSchedule.ofFleet(
                                 config.settings().balancers(),
                                 config.settings().drain().graceMs(),
