--- a/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
+++ b/edge/src/main/java/lemonrail/suspension/SuspendedEndpoints.java
@@ -42,7 +42,7 @@
     /** Creates the set with the suspensions of a file; it is empty if the file is absent, damaged or unreadable. */
     public SuspendedEndpoints(Path path, EventLog log) {
         file = new SuspensionFile(path);
-        this.log = log.in("suspension");
+        this.log = log.forComponent("suspension");
         refresh();
     }
 
