--- a/edge/src/test/java/lemonrail/assembly/AdminServerTest.java
+++ b/edge/src/test/java/lemonrail/assembly/AdminServerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The admin API: what it answers, what it refuses, and whom it does not let stand in the way. */
+/** The admin API over HTTP: responses, rejected requests, silent clients, and the metrics. */
 @Timeout(60)
 class AdminServerTest {
 
@@ -34,27 +34,27 @@
         return fixture.start();
     }
 
-    private Map<String, Long> figures() throws IOException {
-        Map<String, Long> figures = new TreeMap<>();
+    private Map<String, Long> metrics() throws IOException {
+        Map<String, Long> metrics = new TreeMap<>();
         fixture.callAdmin("GET", "/v1/metrics").body().lines().forEach(line -> {
             assertTrue(line.startsWith("edge_gw."), line);
             int equals = line.indexOf('=');
-            figures.put(line.substring("edge_gw.".length(), equals), Long.valueOf(line.substring(equals + 1)));
+            metrics.put(line.substring("edge_gw.".length(), equals), Long.valueOf(line.substring(equals + 1)));
         });
-        return figures;
+        return metrics;
     }
 
-    private void awaitFigure(String name, long value) throws InterruptedException {
+    private void awaitMetric(String name, long value) throws InterruptedException {
         SidecarFixture.await(name + " is " + value, () -> {
             try {
-                return figures().get(name) == value;
+                return metrics().get(name) == value;
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
         });
     }
 
-    // ---- calls ----
+    // ---- requests ----
 
     @ParameterizedTest
     @CsvSource({
@@ -83,12 +83,12 @@
     })
     void respondsToEachRequest(String method, String path, int status) throws Exception {
         start(StubEndpoint.respondingWith(200, "", "served"));
-        HttpTestConnection.Message answer = fixture.callAdmin(method, path);
-        assertEquals(status, answer.status());
-        assertEquals("close", answer.headers().get("connection"));
-        assertTrue(answer.body().endsWith("\n"), answer.body());
-        assertTrue(status == 200 || answer.body().lines().count() == 1, answer.body());
-        assertEquals(status == 405, answer.headers().containsKey("allow"));
+        HttpTestConnection.Message response = fixture.callAdmin(method, path);
+        assertEquals(status, response.status());
+        assertEquals("close", response.headers().get("connection"));
+        assertTrue(response.body().endsWith("\n"), response.body());
+        assertTrue(status == 200 || response.body().lines().count() == 1, response.body());
+        assertEquals(status == 405, response.headers().containsKey("allow"));
     }
 
     @ParameterizedTest
@@ -99,18 +99,18 @@
     })
     void rejectsMalformedRequests(String head, int status) throws Exception {
         start(StubEndpoint.respondingWith(200, "", "served"));
-        try (HttpTestConnection wire = fixture.adminConnection()) {
-            wire.send(head.replace("\\r\\n", "\r\n") + "\r\n\r\n");
-            assertEquals(status, wire.read().status());
+        try (HttpTestConnection connection = fixture.adminConnection()) {
+            connection.send(head.replace("\\r\\n", "\r\n") + "\r\n\r\n");
+            assertEquals(status, connection.read().status());
         }
-        assertEquals(200, fixture.callAdmin("GET", "/v1/readyz").status(), "no harm is done");
+        assertEquals(200, fixture.callAdmin("GET", "/v1/readyz").status(), "the admin API still responds");
     }
 
-    // ---- callers who say nothing ----
+    // ---- silent clients ----
 
-    /** Guards against silent callers who take all the room: each call is answered beside them, and soon. */
+    /** Guards against silent clients that use up all connections: other requests still get their response at once. */
     @Test
-    void silentClientsDoNotKeepOthersOut() throws Exception {
+    void silentClientsDoNotBlockOtherClients() throws Exception {
         start(StubEndpoint.respondingWith(200, "", "served"));
         List<HttpTestConnection> silent = new ArrayList<>();
         for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
@@ -119,21 +119,21 @@
         }
         silent.get(0).awaitEnd();
         assertEquals(408, silent.get(silent.size() - 1).read().status());
-        for (HttpTestConnection wire : silent) {
-            wire.awaitEnd();
-            wire.close();
+        for (HttpTestConnection connection : silent) {
+            connection.awaitEnd();
+            connection.close();
         }
     }
 
-    // ---- figures ----
+    // ---- metrics ----
 
     @Test
     void allMetricsExistFromTheStart() throws Exception {
         start(StubEndpoint.respondingWith(200, "", "served"));
         Map<String, Long> expected = new TreeMap<>();
-        for (String kind : List.of("read", "order")) {
-            for (String ending : List.of("success", "overload", "error")) {
-                expected.put("replies." + kind + "." + ending, 0L);
+        for (String requestClass : List.of("read", "order")) {
+            for (String result : List.of("success", "overload", "error")) {
+                expected.put("replies." + requestClass + "." + result, 0L);
             }
         }
         expected.putAll(Map.of(
@@ -154,54 +154,54 @@
                 "log_suppressed",
                 0L));
         expected.put("answers_late", 0L);
-        Map<String, Long> figures = new TreeMap<>(figures());
-        // How late the loop has been by now is the machine's doing, but the figures are there.
-        for (String late : List.of("ms", "over_1ms", "over_5ms", "over_20ms", "over_100ms", "over_500ms")) {
-            String name = late.equals("ms") ? "loop_late_ms" : "loop_late." + late;
-            assertTrue(figures.remove(name) >= 0, name);
+        Map<String, Long> metrics = new TreeMap<>(metrics());
+        // The values of the event loop's lag depend on the machine, so only their presence is checked.
+        for (String suffix : List.of("ms", "over_1ms", "over_5ms", "over_20ms", "over_100ms", "over_500ms")) {
+            String name = suffix.equals("ms") ? "loop_late_ms" : "loop_late." + suffix;
+            assertTrue(metrics.remove(name) >= 0, name);
         }
-        assertEquals(expected, figures);
+        assertEquals(expected, metrics);
     }
 
     @Test
-    void countsResponsesAndAttemptsAtTheirEnd() throws Exception {
+    void countsResponsesAndAttemptsWhenTheyEnd() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new StubEndpoint((wire, request) -> {
+        start(new StubEndpoint((connection, request) -> {
             release.await();
-            StubEndpoint.respond(wire, request.line().startsWith("GET") ? 200 : 500, "", "x");
+            StubEndpoint.respond(connection, request.startLine().startsWith("GET") ? 200 : 500, "", "x");
         }));
         try (HttpTestConnection read = fixture.client();
                 HttpTestConnection order = fixture.client()) {
             read.send(fixture.request("read", DEADLINE_MS));
             order.send(fixture.request("order", DEADLINE_MS));
-            awaitFigure("dispatches", 2);
-            assertEquals(2, figures().get("concurrent"));
-            assertEquals(0, figures().get("replies.read.success"));
+            awaitMetric("dispatches", 2);
+            assertEquals(2, metrics().get("concurrent"));
+            assertEquals(0, metrics().get("replies.read.success"));
             release.countDown();
             assertEquals(200, read.read().status());
             assertEquals(502, order.read().status());
         }
-        awaitFigure("concurrent", 0);
-        assertEquals(1, figures().get("replies.read.success"));
-        assertEquals(1, figures().get("replies.order.error"));
-        assertEquals(2, figures().get("dispatches"));
+        awaitMetric("concurrent", 0);
+        assertEquals(1, metrics().get("replies.read.success"));
+        assertEquals(1, metrics().get("replies.order.error"));
+        assertEquals(2, metrics().get("dispatches"));
     }
 
     @Test
     void countsRejectedRequestAsOverload() throws Exception {
         start();
-        assertEquals(503, fixture.ask("read", DEADLINE_MS).status());
-        awaitFigure("replies.read.overload", 1);
-        assertEquals(0, figures().get("concurrent"));
+        assertEquals(503, fixture.sendRequest("read", DEADLINE_MS).status());
+        awaitMetric("replies.read.overload", 1);
+        assertEquals(0, metrics().get("concurrent"));
     }
 
     @Test
     void requestOfDisconnectedClientIsNotConcurrent() throws Exception {
-        start(new StubEndpoint((wire, request) -> wire.awaitEnd()));
+        start(new StubEndpoint((connection, request) -> connection.awaitEnd()));
         try (HttpTestConnection client = fixture.client()) {
             client.send(fixture.request("read", DEADLINE_MS));
-            awaitFigure("concurrent", 1);
+            awaitMetric("concurrent", 1);
         }
-        awaitFigure("concurrent", 0);
+        awaitMetric("concurrent", 0);
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/ClientDisconnectTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientDisconnectTest.java
@@ -20,25 +20,27 @@
 class ClientDisconnectTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** Anything slower has waited for the deadline. */
-    private static final double SOON_MS = DEADLINE_MS / 2.0;
+    /** A disconnect must be noticed within this time. Later, it could have been noticed at the deadline only. */
+    private static final double MAX_DETECTION_MS = DEADLINE_MS / 2.0;
 
-    private static final int BURST = 3;
+    private static final int CLIENTS = 3;
     /** More than the balancer admits at once, so that some are rejected before they disconnect. */
-    private static final int MANY = 40;
-    /** What is read behind as many requests as may be in flight on one connection, and more than that. */
-    private static final int BEHIND_BYTES = 10_000;
+    private static final int MANY_CLIENTS = 40;
+    /**
+     * Input behind the pipelined requests that the sidecar still reads. The two values below are more than it reads.
+     */
+    private static final int READABLE_INPUT_BYTES = 10_000;
 
-    private static final int FAR_BEHIND_BYTES = 100_000;
-    private static final int NOISE_BYTES = 1_000_000;
-    private static final int MOST_AHEAD = 8;
-    private static final int MOST_BYTES = 32 * 1024 * 1024;
+    private static final int EXCESS_INPUT_BYTES = 100_000;
+    private static final int LARGE_INPUT_BYTES = 1_000_000;
+    private static final int MAX_PIPELINED_REQUESTS = 8;
+    private static final int RESPONSE_BYTES = 32 * 1024 * 1024;
 
-    private SidecarFixture rig;
+    private SidecarFixture fixture;
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
     private static void disconnect(HttpTestConnection client, boolean byReset) throws IOException {
@@ -49,116 +51,125 @@
         }
     }
 
-    private void awaitKnown() throws InterruptedException {
-        long left = System.nanoTime();
-        SidecarFixture.await("it is known that the clients have gone", () -> {
+    private void awaitDisconnectsNoticed() throws InterruptedException {
+        long disconnectNs = System.nanoTime();
+        SidecarFixture.await("the disconnects of the clients are noticed", () -> {
             try {
-                return rig.callAdmin("GET", "/v1/metrics").body().contains("concurrent=0");
+                return fixture.callAdmin("GET", "/v1/metrics").body().contains("concurrent=0");
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         });
-        assertTrue((System.nanoTime() - left) / 1e6 < SOON_MS, "long before their deadlines");
+        assertTrue((System.nanoTime() - disconnectNs) / 1e6 < MAX_DETECTION_MS, "noticed long before the deadlines");
     }
 
     /** Guards against attempts whose connection is established after the client has disconnected. */
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void attemptAwaitingItsConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
+    void attemptAwaitingItsConnectionIsNotSent(boolean cancels, boolean byReset) throws Exception {
         try (LateStubEndpoint late = new LateStubEndpoint()) {
-            rig = new SidecarFixture();
-            rig.cancel = mayCancel;
-            rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
-            rig.start();
+            fixture = new SidecarFixture();
+            fixture.cancel = cancels;
+            fixture.configChange = config -> config.replace(
+                    "\"servers\":[]",
+                    "\"servers\":[" + SidecarFixture.endpointJson(0, late.address(), "in_service", 0) + "]");
+            fixture.start();
             List<HttpTestConnection> clients = new ArrayList<>();
-            for (int i = 0; i < BURST; i++) {
-                clients.add(rig.client().send(rig.request("order", DEADLINE_MS)));
+            for (int i = 0; i < CLIENTS; i++) {
+                clients.add(fixture.client().send(fixture.request("order", DEADLINE_MS)));
             }
-            SidecarFixture.await("all wait for their connections", () -> rig.openRequests() == BURST);
+            SidecarFixture.await("all attempts wait for their connections", () -> fixture.openRequests() == CLIENTS);
             for (HttpTestConnection client : clients) {
                 disconnect(client, byReset);
             }
-            awaitKnown();
+            awaitDisconnectsNoticed();
             late.release();
-            SidecarFixture.await("nothing is out any more", () -> rig.openRequests() == 0);
-            assertEquals(0, late.asked.get());
-            assertEquals("late", rig.ask("order", DEADLINE_MS).body(), "the endpoint is reached from now on");
-            assertEquals(1, late.asked.get(), "only by the client that still waits");
+            SidecarFixture.await("no request is open any more", () -> fixture.openRequests() == 0);
+            assertEquals(0, late.requestCount.get());
+            assertEquals(
+                    "late",
+                    fixture.sendRequest("order", DEADLINE_MS).body(),
+                    "the endpoint accepts connections from now on");
+            assertEquals(1, late.requestCount.get(), "only the request of the connected client is sent");
         }
     }
 
-    /** The same with many clients at once, of which the balancer admits a part. */
+    /** Like the test above, with more clients at once than the balancer admits. */
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void noAttemptIsSentWhenManyClientsDisconnect(boolean mayCancel, boolean byReset) throws Exception {
+    void noAttemptIsSentWhenManyClientsDisconnect(boolean cancels, boolean byReset) throws Exception {
         try (LateStubEndpoint late = new LateStubEndpoint()) {
-            rig = new SidecarFixture();
-            rig.cancel = mayCancel;
-            rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
-            rig.start();
+            fixture = new SidecarFixture();
+            fixture.cancel = cancels;
+            fixture.configChange = config -> config.replace(
+                    "\"servers\":[]",
+                    "\"servers\":[" + SidecarFixture.endpointJson(0, late.address(), "in_service", 0) + "]");
+            fixture.start();
             List<HttpTestConnection> clients = new ArrayList<>();
-            for (int i = 0; i < MANY; i++) {
-                clients.add(rig.client().send(rig.request("read", DEADLINE_MS)));
+            for (int i = 0; i < MANY_CLIENTS; i++) {
+                clients.add(fixture.client().send(fixture.request("read", DEADLINE_MS)));
             }
-            SidecarFixture.await("some wait for their connections", () -> rig.openRequests() > 0);
-            rig.settle();
+            SidecarFixture.await("some attempts wait for their connections", () -> fixture.openRequests() > 0);
+            fixture.awaitReusableConnections();
             for (HttpTestConnection client : clients) {
                 disconnect(client, byReset);
             }
-            awaitKnown();
+            awaitDisconnectsNoticed();
             late.release();
-            SidecarFixture.await("nothing is out any more", () -> rig.openRequests() == 0);
-            assertEquals("late", rig.ask("order", DEADLINE_MS).body(), "the endpoint is reached from now on");
-            assertEquals(1, late.asked.get(), "only by the client that still waits");
+            SidecarFixture.await("no request is open any more", () -> fixture.openRequests() == 0);
+            assertEquals(
+                    "late",
+                    fixture.sendRequest("order", DEADLINE_MS).body(),
+                    "the endpoint accepts connections from now on");
+            assertEquals(1, late.requestCount.get(), "only the request of the connected client is sent");
         }
     }
 
     /** Guards against a retry whose connection is established after the client has disconnected. */
     @ParameterizedTest
     @CsvSource({"true,true", "true,false", "false,true", "false,false"})
-    void retryAwaitingItsConnectionIsNotSent(boolean mayCancel, boolean byReset) throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
-        CountDownLatch failing = new CountDownLatch(BURST);
+    void retryAwaitingItsConnectionIsNotSent(boolean cancels, boolean byReset) throws Exception {
+        CountDownLatch attemptReceived = new CountDownLatch(1);
+        CountDownLatch allReceived = new CountDownLatch(CLIENTS);
         try (LateStubEndpoint late = new LateStubEndpoint()) {
-            StubEndpoint first = new StubEndpoint((wire, request) -> {
-                failing.countDown();
-                told.countDown();
-                SidecarFixture.await("the list is there", () -> rig.discovery.requests.size() == 2);
-                failing.await();
-                StubEndpoint.respond(wire, 503, "X-Not-Run: 1\r\n", "");
+            StubEndpoint first = new StubEndpoint((connection, request) -> {
+                allReceived.countDown();
+                attemptReceived.countDown();
+                SidecarFixture.await("the endpoint list is applied", () -> fixture.discovery.requests.size() == 2);
+                allReceived.await();
+                StubEndpoint.respond(connection, 503, "X-Not-Run: 1\r\n", "");
             });
-            rig = new SidecarFixture(first);
-            rig.cancel = mayCancel;
-            rig.discovery.requestHandler = (wire, request) -> {
-                if (rig.discovery.requests.size() > 1) {
-                    wire.awaitEnd();
+            fixture = new SidecarFixture(first);
+            fixture.cancel = cancels;
+            fixture.discovery.requestHandler = (connection, request) -> {
+                if (fixture.discovery.requests.size() > 1) {
+                    connection.awaitEnd();
                 }
-                told.await();
+                attemptReceived.await();
                 StubEndpoint.respond(
-                        wire,
+                        connection,
                         200,
                         "",
-                        SidecarFixture.list(2, false, SidecarFixture.line(1, late.address(), "in_service", 0)));
+                        SidecarFixture.endpointListJson(
+                                2, false, SidecarFixture.endpointJson(1, late.address(), "in_service", 0)));
             };
-            rig.start();
+            fixture.start();
             List<HttpTestConnection> clients = new ArrayList<>();
-            for (int i = 0; i < BURST; i++) {
-                clients.add(rig.client().send(rig.request("order", DEADLINE_MS)));
+            for (int i = 0; i < CLIENTS; i++) {
+                clients.add(fixture.client().send(fixture.request("order", DEADLINE_MS)));
             }
-            SidecarFixture.await("their first attempts have failed", () -> rig.attempts() == BURST);
-            rig.settle();
-            SidecarFixture.await("some wait for a second connection", () -> rig.openRequests() > 0);
+            SidecarFixture.await("the first attempts are received", () -> fixture.attempts() == CLIENTS);
+            fixture.awaitReusableConnections();
+            SidecarFixture.await("some retries wait for their connections", () -> fixture.openRequests() > 0);
             for (HttpTestConnection client : clients) {
                 disconnect(client, byReset);
             }
-            awaitKnown();
+            awaitDisconnectsNoticed();
             late.release();
-            SidecarFixture.await("nothing is out any more", () -> rig.openRequests() == 0);
-            rig.settle();
-            assertEquals(0, late.asked.get());
-            assertEquals(BURST, rig.attempts());
+            SidecarFixture.await("no request is open any more", () -> fixture.openRequests() == 0);
+            fixture.awaitReusableConnections();
+            assertEquals(0, late.requestCount.get());
+            assertEquals(CLIENTS, fixture.attempts());
         }
     }
 
@@ -174,161 +185,166 @@
         "false,true,0",
         "false,false,0"
     })
-    void attemptThatFailsAfterTheDisconnectIsNotRetried(boolean mayCancel, boolean byReset, int status)
-            throws Exception {
+    void attemptThatFailsAfterTheDisconnectIsNotRetried(boolean cancels, boolean byReset, int status) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        StubEndpoint.RequestHandler failing = (wire, request) -> {
+        StubEndpoint.RequestHandler failing = (connection, request) -> {
             release.await();
             if (status == 0) {
-                wire.reset();
+                connection.reset();
             } else {
-                StubEndpoint.respond(wire, status, status == 503 ? "X-Not-Run: 1\r\n" : "", "");
+                StubEndpoint.respond(connection, status, status == 503 ? "X-Not-Run: 1\r\n" : "", "");
             }
         };
-        rig = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
-        rig.cancel = mayCancel;
-        rig.start();
+        fixture = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
+        fixture.cancel = cancels;
+        fixture.start();
         List<HttpTestConnection> clients = new ArrayList<>();
-        for (int i = 0; i < BURST; i++) {
-            clients.add(rig.client().send(rig.request("read", DEADLINE_MS)));
+        for (int i = 0; i < CLIENTS; i++) {
+            clients.add(fixture.client().send(fixture.request("read", DEADLINE_MS)));
         }
-        SidecarFixture.await("they are out", () -> rig.attempts() == BURST);
+        SidecarFixture.await("the attempts are received", () -> fixture.attempts() == CLIENTS);
         for (HttpTestConnection client : clients) {
             disconnect(client, byReset);
         }
-        awaitKnown();
+        awaitDisconnectsNoticed();
         release.countDown();
-        SidecarFixture.await("nothing is owed any more", () -> rig.openRequests() == 0);
-        rig.settle();
-        assertEquals(BURST, rig.attempts());
+        SidecarFixture.await("no request is open any more", () -> fixture.openRequests() == 0);
+        fixture.awaitReusableConnections();
+        assertEquals(CLIENTS, fixture.attempts());
     }
 
-    /** Guards against retries for a client whose disconnect is hidden behind unread input. */
+    /** Guards against retries for a client whose disconnect cannot be read, as unread input precedes it. */
     @ParameterizedTest
     @CsvSource({
         "0,false",
         "0,true",
         "200,false",
         "200,true",
-        BEHIND_BYTES + ",false",
-        BEHIND_BYTES + ",true",
-        FAR_BEHIND_BYTES + ",false",
-        FAR_BEHIND_BYTES + ",true",
-        NOISE_BYTES + ",false",
-        NOISE_BYTES + ",true"
+        READABLE_INPUT_BYTES + ",false",
+        READABLE_INPUT_BYTES + ",true",
+        EXCESS_INPUT_BYTES + ",false",
+        EXCESS_INPUT_BYTES + ",true",
+        LARGE_INPUT_BYTES + ",false",
+        LARGE_INPUT_BYTES + ",true"
     })
-    void disconnectBehindUnreadInputIsNoticed(int behindBytes, boolean byReset) throws Exception {
+    void disconnectBehindUnreadInputIsNoticed(int inputBytes, boolean byReset) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        StubEndpoint.RequestHandler failing = (wire, request) -> {
+        StubEndpoint.RequestHandler failing = (connection, request) -> {
             release.await();
-            StubEndpoint.respond(wire, 500, "", "");
+            StubEndpoint.respond(connection, 500, "", "");
         };
-        rig = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
-        rig.cancel = false;
-        rig.start();
-        HttpTestConnection client = rig.client();
+        fixture = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
+        fixture.cancel = false;
+        fixture.start();
+        HttpTestConnection client = fixture.client();
         StringBuilder all = new StringBuilder();
-        for (int i = 0; i < MOST_AHEAD; i++) {
-            all.append(rig.request("read", DEADLINE_MS));
+        for (int i = 0; i < MAX_PIPELINED_REQUESTS; i++) {
+            all.append(fixture.request("read", DEADLINE_MS));
         }
         client.send(all.toString());
         SidecarFixture.await(
-                "those that may be are out", () -> rig.attempts() > 0 && rig.attempts() == rig.openRequests());
-        rig.settle();
-        int out = rig.attempts();
-        String more = rig.request("read", DEADLINE_MS);
-        client.send(more.repeat(behindBytes / more.length()));
-        rig.settle();
+                "all admitted requests are forwarded",
+                () -> fixture.attempts() > 0 && fixture.attempts() == fixture.openRequests());
+        fixture.awaitReusableConnections();
+        int attemptsBefore = fixture.attempts();
+        String more = fixture.request("read", DEADLINE_MS);
+        client.send(more.repeat(inputBytes / more.length()));
+        fixture.awaitReusableConnections();
         disconnect(client, byReset);
-        awaitKnown();
+        awaitDisconnectsNoticed();
         release.countDown();
-        SidecarFixture.await("nothing is owed any more", () -> rig.openRequests() == 0);
-        rig.settle();
-        assertEquals(out, rig.attempts());
+        SidecarFixture.await("no request is open any more", () -> fixture.openRequests() == 0);
+        fixture.awaitReusableConnections();
+        assertEquals(attemptsBefore, fixture.attempts());
     }
 
-    /** The same for a client that has not read a response: it is not read either, as its write buffer is full. */
+    /**
+     * Like the test above, for a client that reads no response: the sidecar stops reading from it, as its write buffer
+     * is full.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void disconnectWithAnUnreadResponseIsNoticed(boolean byReset) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        CountDownLatch begun = new CountDownLatch(1);
-        StubEndpoint.RequestHandler script = (wire, request) -> {
+        CountDownLatch responseStarted = new CountDownLatch(1);
+        StubEndpoint.RequestHandler handler = (connection, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
-                wire.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
-                begun.countDown();
-                wire.send("x".repeat(MOST_BYTES));
+                connection.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n");
+                responseStarted.countDown();
+                connection.send("x".repeat(RESPONSE_BYTES));
             }
             release.await();
-            StubEndpoint.respond(wire, 500, "", "");
+            StubEndpoint.respond(connection, 500, "", "");
         };
-        rig = new SidecarFixture(new StubEndpoint(script), new StubEndpoint(script));
-        rig.cancel = false;
-        rig.start();
-        HttpTestConnection client = rig.client();
-        client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS));
-        begun.await();
-        SidecarFixture.await("the second is out", () -> rig.attempts() == 2);
-        rig.settle();
+        fixture = new SidecarFixture(new StubEndpoint(handler), new StubEndpoint(handler));
+        fixture.cancel = false;
+        fixture.start();
+        HttpTestConnection client = fixture.client();
+        client.send(fixture.request("read", DEADLINE_MS) + fixture.request("read", DEADLINE_MS));
+        responseStarted.await();
+        SidecarFixture.await("the second request is forwarded", () -> fixture.attempts() == 2);
+        fixture.awaitReusableConnections();
         disconnect(client, byReset);
-        awaitKnown();
+        awaitDisconnectsNoticed();
         release.countDown();
-        SidecarFixture.await("nothing is owed any more", () -> rig.openRequests() == 0);
-        rig.settle();
-        assertEquals(2, rig.attempts());
+        SidecarFixture.await("no request is open any more", () -> fixture.openRequests() == 0);
+        fixture.awaitReusableConnections();
+        assertEquals(2, fixture.attempts());
     }
 
-    /** Guards against unnoticed disconnects of clients with so many requests that they are not read. */
+    /** Guards against unnoticed disconnects of clients with more pipelined requests than the sidecar reads. */
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 8, 9, 300})
     void disconnectAfterManyRequestsIsNoticed(int requests) throws Exception {
-        StubEndpoint hung = new StubEndpoint((wire, request) -> wire.awaitEnd());
-        rig = new SidecarFixture(hung);
-        rig.start();
-        long left;
-        try (HttpTestConnection client = rig.client()) {
+        StubEndpoint unresponsive = new StubEndpoint((connection, request) -> connection.awaitEnd());
+        fixture = new SidecarFixture(unresponsive);
+        fixture.start();
+        long disconnectNs;
+        try (HttpTestConnection client = fixture.client()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < requests; i++) {
-                all.append(rig.request("read", DEADLINE_MS));
+                all.append(fixture.request("read", DEADLINE_MS));
             }
             client.send(all.toString());
-            SidecarFixture.await("the first is out", () -> rig.attempts() > 0);
-            left = System.nanoTime();
+            SidecarFixture.await("the first request is forwarded", () -> fixture.attempts() > 0);
+            disconnectNs = System.nanoTime();
         }
-        SidecarFixture.await("its attempts are called off", () -> hung.open.get() == 0 && rig.openRequests() == 0);
-        assertTrue((System.nanoTime() - left) / 1e6 < SOON_MS);
+        SidecarFixture.await(
+                "the attempts are cancelled", () -> unresponsive.open.get() == 0 && fixture.openRequests() == 0);
+        assertTrue((System.nanoTime() - disconnectNs) / 1e6 < MAX_DETECTION_MS);
     }
 
-    /** Guards against a response that is lost because of what its client sends after the request. */
+    /** Guards against a response that is lost because its client sends malformed input after the request. */
     @Test
     void inputBehindARequestDoesNotTruncateItsResponse() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
+        fixture = new SidecarFixture(new StubEndpoint((connection, request) -> {
             release.await();
-            StubEndpoint.respond(wire, 200, "", "served");
+            StubEndpoint.respond(connection, 200, "", "served");
         }));
-        rig.start();
-        try (HttpTestConnection client = rig.client()) {
-            Thread noise = new Thread(() -> {
+        fixture.start();
+        try (HttpTestConnection client = fixture.client()) {
+            Thread sender = new Thread(() -> {
                 try {
-                    client.send(rig.request("order", DEADLINE_MS) + "no request\r\n\r\n");
+                    client.send(fixture.request("order", DEADLINE_MS) + "no request\r\n\r\n");
                     client.send("x".repeat(1 << 20));
                 } catch (IOException e) {
-                    // Not all of it is read, nor need it be.
+                    // The sidecar need not read all of this input.
                     return;
                 }
             });
-            noise.setDaemon(true);
-            noise.start();
-            SidecarFixture.await("it is out", () -> rig.attempts() == 1);
-            assertEquals(200, release(client, release).status());
+            sender.setDaemon(true);
+            sender.start();
+            SidecarFixture.await("the request is forwarded", () -> fixture.attempts() == 1);
+            assertEquals(200, readAfterRelease(client, release).status());
         }
     }
 
-    private HttpTestConnection.Message release(HttpTestConnection client, CountDownLatch held) throws Exception {
-        // Others have been served meanwhile, so all that is ever read of this input has been.
-        for (int i = 0; i < BURST; i++) {
-            try (HttpTestConnection other = rig.client()) {
+    private HttpTestConnection.Message readAfterRelease(HttpTestConnection client, CountDownLatch release)
+            throws Exception {
+        // Once other clients have their responses, the sidecar has read all that it reads of this input.
+        for (int i = 0; i < CLIENTS; i++) {
+            try (HttpTestConnection other = fixture.client()) {
                 assertEquals(
                         404,
                         other.send("GET /other HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -336,7 +352,7 @@
                                 .status());
             }
         }
-        held.countDown();
+        release.countDown();
         return client.read();
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
@@ -16,27 +16,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that break the protocol or its limits: each gets an error or a close in time, without effect on others. */
+/**
+ * Clients that violate the protocol or its limits get an error or are disconnected in time, without effect on others.
+ */
 @Timeout(60)
 class ClientLimitsTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** Within this time the connection must end; the second term allows for a busy machine. */
+    /** The connection must end within this time. The second term allows for a busy machine. */
     private static final double MAX_DURATION_MS = 3000 + 5000;
 
     private static final String SMUGGLED_REQUEST =
             "GET /api HTTP/1.1\r\nX-Request-Id: hidden\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\nHost: a\r\n\r\n";
 
-    private SidecarFixture rig;
+    private SidecarFixture fixture;
 
     private SidecarFixture start(StubEndpoint... endpoints) throws IOException {
-        rig = new SidecarFixture(endpoints);
-        return rig.start();
+        fixture = new SidecarFixture(endpoints);
+        return fixture.start();
     }
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
     private static StubEndpoint good() throws IOException {
@@ -47,10 +49,10 @@
         try {
             client.read();
         } catch (EOFException | SocketException e) {
-            // As expected: no further message.
+            // As expected: no further message arrives.
             return;
         }
-        throw new AssertionError("one more message came");
+        throw new AssertionError("received a message where the end of the connection was expected");
     }
 
     // ---- time ----
@@ -59,7 +61,7 @@
     void silentConnectionIsClosed() throws Exception {
         start(good());
         long startNs = System.nanoTime();
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             client.awaitEnd();
         }
         assertTrue((System.nanoTime() - startNs) / 1e6 < MAX_DURATION_MS);
@@ -76,21 +78,22 @@
     void stalledRequestTimesOut(String part) throws Exception {
         start(good());
         long startNs = System.nanoTime();
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             assertEquals(408, client.send(part).read().status());
             assertClosed(client);
         }
         assertTrue((System.nanoTime() - startNs) / 1e6 < MAX_DURATION_MS);
     }
 
-    /** The time limit must not start anew with each byte. */
+    /** The time-out must not restart with each byte. */
     @Test
     void tricklingRequestTimesOut() throws Exception {
         start(good());
         long startNs = System.nanoTime();
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             assertEquals(
-                    200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+                    200,
+                    client.send(fixture.request("read", DEADLINE_MS)).read().status());
             client.send("POST /api HTTP/1.1\r\n");
             Thread trickle = new Thread(() -> {
                 try {
@@ -128,44 +131,44 @@
                 "a line with no colon\r\n\r\n",
                 "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\n\r\n"
             })
-    void noRequestIsSmuggledInAnother(String framing) throws Exception {
+    void ambiguousFramingIsRejected(String framing) throws Exception {
         start(good());
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\n";
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             assertEquals(
                     400, client.send(head + framing + SMUGGLED_REQUEST).read().status());
             assertClosed(client);
         }
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertEquals(1, rig.attempts(), "none of it was forwarded");
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
+        assertEquals(1, fixture.attempts(), "no part of the malformed request was forwarded");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"X-Request-Id: twice", "X-Class: order", "X-Deadline-Ms: 9"})
-    void repeatedHeaderIsAnError(String again) throws Exception {
+    void repeatedHeaderIsRejected(String again) throws Exception {
         start(good());
-        try (HttpTestConnection client = rig.client()) {
-            String request = rig.request("read", DEADLINE_MS).replace("Host:", again + "\r\nHost:");
+        try (HttpTestConnection client = fixture.client()) {
+            String request = fixture.request("read", DEADLINE_MS).replace("Host:", again + "\r\nHost:");
             assertEquals(400, client.send(request + SMUGGLED_REQUEST).read().status());
             assertClosed(client);
         }
-        assertEquals(0, rig.attempts());
+        assertEquals(0, fixture.attempts());
     }
 
     // ---- size ----
 
-    /** The error is sent as soon as the head is read, and arrives though the client is still sending. */
+    /** The error is sent as soon as the head has been read, and arrives although the client is still sending. */
     @Test
-    void bodyTooLargeIsRejectedByItsHead() throws Exception {
+    void bodyThatIsTooLargeIsRejectedAtItsHead() throws Exception {
         start(good());
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             client.send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 62914560\r\n\r\n");
             client.send("x".repeat(100_000));
             assertEquals(413, client.read().status());
             assertClosed(client);
         }
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             assertEquals(
                     400,
                     client.send("POST /api HTTP/1.1\r\nHost: a\r\n"
@@ -173,90 +176,94 @@
                                     + "11000\r\n" + "x".repeat(0x11000))
                             .read()
                             .status(),
-                    "it is rejected before it is whole");
+                    "the body is rejected before it is complete");
         }
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     @Test
-    void endlessHeadIsCutShort() throws Exception {
+    void endlessHeadIsRejected() throws Exception {
         start(good());
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             client.send("GET /api HTTP/1.1\r\n" + "X-Pad: pppppppppppppppppp\r\n".repeat(2000));
             assertEquals(431, client.read().status());
             assertClosed(client);
         }
     }
 
-    // ---- number ----
+    // ---- number of requests and connections ----
 
-    /** Of hundreds of requests in one read few are accepted, and the responses keep their order. */
+    /**
+     * Of hundreds of requests in one read only a few are accepted, and the responses keep the order of the requests.
+     */
     @Test
     void tooManyPipelinedRequestsEndTheConnection() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new StubEndpoint((wire, request) -> {
+        start(new StubEndpoint((connection, request) -> {
             release.await();
-            StubEndpoint.respond(wire, 200, "", request.headers().get("x-request-id"));
+            StubEndpoint.respond(connection, 200, "", request.headers().get("x-request-id"));
         }));
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 300; i++) {
-                all.append(rig.request("read", DEADLINE_MS));
+                all.append(fixture.request("read", DEADLINE_MS));
             }
             client.send(all.toString());
-            SidecarFixture.await("the first is forwarded", () -> rig.attempts() > 0);
-            // Once another client has its response, the whole first read has been handled.
-            assertEquals(503, rig.ask("order", DEADLINE_MS).status(), "the load balancer rejects it");
+            SidecarFixture.await("the first request is forwarded", () -> fixture.attempts() > 0);
+            // Once another client has its response, all requests of the first read have been handled.
+            assertEquals(503, fixture.sendRequest("order", DEADLINE_MS).status(), "the load balancer rejects it");
             release.countDown();
-            int sent = 0;
+            int served = 0;
             for (int i = 0; i < 8; i++) {
-                HttpTestConnection.Message answer = client.read();
-                sent += i == sent && answer.status() == 200 ? 1 : 0;
-                assertEquals(i < sent ? 200 : 503, answer.status());
-                assertEquals(i < sent ? "r" + i : "refused\n", answer.body());
+                HttpTestConnection.Message response = client.read();
+                served += i == served && response.status() == 200 ? 1 : 0;
+                assertEquals(i < served ? 200 : 503, response.status());
+                assertEquals(i < served ? "r" + i : "refused\n", response.body());
             }
-            assertTrue(sent > 0 && sent < 8, sent + " were taken");
+            assertTrue(served > 0 && served < 8, served + " requests were served");
             assertEquals(429, client.read().status());
             assertClosed(client);
-            assertEquals(sent, rig.attempts());
+            assertEquals(served, fixture.attempts());
         }
     }
 
-    /** Silent connections must not take the place of those with requests. */
+    /** Guards against silent connections that cause connections with requests to be closed. */
     @Test
     void connectionsWithoutRequestsAreEvictedFirst() throws Exception {
-        rig = new SidecarFixture(good());
-        rig.sockets = 1;
-        rig.start();
+        fixture = new SidecarFixture(good());
+        fixture.sockets = 1;
+        fixture.start();
         List<HttpTestConnection> silent = new ArrayList<>();
-        try (HttpTestConnection usual = rig.client()) {
+        try (HttpTestConnection active = fixture.client()) {
             assertEquals(
-                    200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
+                    200,
+                    active.send(fixture.request("read", DEADLINE_MS)).read().status());
             for (int i = 0; i < 40; i++) {
-                silent.add(rig.client());
+                silent.add(fixture.client());
             }
             silent.get(0).awaitEnd();
             assertEquals(
-                    200, usual.send(rig.request("read", DEADLINE_MS)).read().status());
-            assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+                    200,
+                    active.send(fixture.request("read", DEADLINE_MS)).read().status());
+            assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         }
         for (HttpTestConnection client : silent) {
             client.close();
         }
     }
 
-    /** A drain does not wait for requests that are never completed. */
+    /** Guards against a drain that waits for requests that are never completed. */
     @Test
-    void drainClosesConnectionsWithHalfARequest() throws Exception {
+    void drainClosesConnectionsWithIncompleteRequests() throws Exception {
         start(good());
-        try (HttpTestConnection half = rig.client().send("POST /api HTTP/1.1\r\n");
-                HttpTestConnection behind = rig.client()) {
-            behind.send(rig.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
-            assertNotEquals(0, behind.read().status());
-            Thread drain = new Thread(rig.sidecar::shutdownGracefully);
+        try (HttpTestConnection incomplete = fixture.client().send("POST /api HTTP/1.1\r\n");
+                HttpTestConnection pipelined = fixture.client()) {
+            pipelined.send(fixture.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
+            assertNotEquals(0, pipelined.read().status());
+            Thread drain = new Thread(fixture.sidecar::shutdownGracefully);
             drain.start();
-            half.awaitEnd();
-            behind.awaitEnd();
+            incomplete.awaitEnd();
+            pipelined.awaitEnd();
             drain.join();
         }
     }
@@ -265,9 +272,9 @@
     @Test
     void deadlineIsBoundedByTheClass() throws Exception {
         start(good());
-        assertEquals(200, rig.ask("order", 999_999_999).status());
-        int told =
-                Integer.parseInt(rig.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
-        assertTrue(told <= 9000, "what the endpoint is told: " + told);
+        assertEquals(200, fixture.sendRequest("order", 999_999_999).status());
+        int forwardedDeadlineMs = Integer.parseInt(
+                fixture.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
+        assertTrue(forwardedDeadlineMs <= 9000, "deadline sent to the endpoint: " + forwardedDeadlineMs);
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ConnectTimeTest.java
@@ -15,22 +15,22 @@
 import lemonrail.core.policy.BoxcarLoadBalancer;
 import org.junit.jupiter.api.Test;
 
-/** Attempt results tell how much of an attempt's time passed before its request was written. */
+/** Attempt results state how much of the duration of an attempt passed before its request was written. */
 class ConnectTimeTest {
 
     private static final int DEADLINE_MS = 9000;
-    private static final int HELD_MS = 40;
-    private static final long HELD_NS = TimeUnit.MILLISECONDS.toNanos(HELD_MS);
+    private static final int DELAY_MS = 40;
+    private static final long DELAY_NS = TimeUnit.MILLISECONDS.toNanos(DELAY_MS);
 
     private final List<AttemptResult> results = new CopyOnWriteArrayList<>();
 
-    /** The project's own load balancer, with the results of attempts recorded on their way to it. */
+    /** Creates the project's load balancers, and records the attempt results that they are given. */
     private LoadBalancerFactory recording() {
         return (settings, seed, host) -> {
             LoadBalancer balancer = new BoxcarLoadBalancer(settings, seed, host);
-            Class<?>[] kinds = {LoadBalancer.class};
+            Class<?>[] interfaces = {LoadBalancer.class};
             return (LoadBalancer) Proxy.newProxyInstance(
-                    LoadBalancer.class.getClassLoader(), kinds, (proxy, method, arguments) -> {
+                    LoadBalancer.class.getClassLoader(), interfaces, (proxy, method, arguments) -> {
                         if (method.getName().equals("onAttemptFinished")) {
                             results.add((AttemptResult) arguments[1]);
                         }
@@ -47,20 +47,21 @@
     @Test
     void slowConnectCountsAsConnectTime() throws Exception {
         try (LateStubEndpoint late = new LateStubEndpoint();
-                SidecarFixture rig = new SidecarFixture()) {
-            rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
-            rig.start(recording());
-            try (HttpTestConnection client = rig.client()) {
-                client.send(rig.request("order", DEADLINE_MS));
-                SidecarFixture.await("it waits for its connection", () -> rig.openRequests() == 1);
-                long waits = System.nanoTime();
-                SidecarFixture.await("some time", () -> System.nanoTime() - waits >= HELD_NS);
+                SidecarFixture fixture = new SidecarFixture()) {
+            fixture.configChange = config -> config.replace(
+                    "\"servers\":[]",
+                    "\"servers\":[" + SidecarFixture.endpointJson(0, late.address(), "in_service", 0) + "]");
+            fixture.start(recording());
+            try (HttpTestConnection client = fixture.client()) {
+                client.send(fixture.request("order", DEADLINE_MS));
+                SidecarFixture.await("the attempt waits for its connection", () -> fixture.openRequests() == 1);
+                long startNs = System.nanoTime();
+                SidecarFixture.await("the delay has passed", () -> System.nanoTime() - startNs >= DELAY_NS);
                 late.release();
                 assertEquals("late", client.read().body());
             }
             assertEquals(AttemptOutcome.OK, result(0).outcome());
-            assertTrue(result(0).connectMs() >= HELD_MS, result(0).toString());
+            assertTrue(result(0).connectMs() >= DELAY_MS, result(0).toString());
             assertTrue(
                     result(0).connectMs() <= result(0).durationMs(), result(0).toString());
         }
@@ -68,38 +69,39 @@
 
     @Test
     void slowResponseOnAnOpenConnectionCountsAsEndpointTime() throws Exception {
-        CountDownLatch asked = new CountDownLatch(2);
+        CountDownLatch requestsReceived = new CountDownLatch(2);
         CountDownLatch release = new CountDownLatch(1);
-        try (StubEndpoint slow = new StubEndpoint((wire, request) -> {
-                    asked.countDown();
-                    if (asked.getCount() == 0) {
+        try (StubEndpoint slow = new StubEndpoint((connection, request) -> {
+                    requestsReceived.countDown();
+                    if (requestsReceived.getCount() == 0) {
                         release.await();
                     }
-                    StubEndpoint.respond(wire, 200, "", "slow");
+                    StubEndpoint.respond(connection, 200, "", "slow");
                 });
-                SidecarFixture rig = new SidecarFixture(slow).start(recording());
-                HttpTestConnection client = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS)).read();
-            rig.settle();
-            client.send(rig.request("order", DEADLINE_MS));
-            asked.await();
-            long waits = System.nanoTime();
-            SidecarFixture.await("some time", () -> System.nanoTime() - waits >= HELD_NS);
+                SidecarFixture fixture = new SidecarFixture(slow).start(recording());
+                HttpTestConnection client = fixture.client()) {
+            client.send(fixture.request("order", DEADLINE_MS)).read();
+            fixture.awaitReusableConnections();
+            client.send(fixture.request("order", DEADLINE_MS));
+            requestsReceived.await();
+            long startNs = System.nanoTime();
+            SidecarFixture.await("the delay has passed", () -> System.nanoTime() - startNs >= DELAY_NS);
             release.countDown();
             client.read();
-            assertEquals(1, slow.connections.get(), "one connection serves both");
-            assertTrue(result(1).endpointTimeMs() >= HELD_MS, result(1).toString());
+            assertEquals(1, slow.connections.get(), "both requests use one connection");
+            assertTrue(result(1).endpointTimeMs() >= DELAY_MS, result(1).toString());
         }
     }
 
     @Test
-    void requestNeverWrittenIsAllConnectTime() throws Exception {
+    void durationIsAllConnectTimeIfNoRequestIsWritten() throws Exception {
         try (LateStubEndpoint late = new LateStubEndpoint();
-                SidecarFixture rig = new SidecarFixture()) {
-            rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
-            rig.start(recording());
-            assertEquals(503, rig.ask("order", HELD_MS).status());
+                SidecarFixture fixture = new SidecarFixture()) {
+            fixture.configChange = config -> config.replace(
+                    "\"servers\":[]",
+                    "\"servers\":[" + SidecarFixture.endpointJson(0, late.address(), "in_service", 0) + "]");
+            fixture.start(recording());
+            assertEquals(503, fixture.sendRequest("order", DELAY_MS).status());
             assertEquals(AttemptOutcome.CONNECT_ERROR, result(0).outcome());
             assertEquals(result(0).durationMs(), result(0).connectMs());
         }
--- a/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ControlledEdgeTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real edges that get their endpoints and settings from control nodes, and the admin API there. */
+/** Sidecars that get endpoints and settings from control nodes, and the admin API of the control nodes. */
 @Timeout(60)
 class ControlledEdgeTest {
 
@@ -47,7 +47,8 @@
         nodes.get(0).bootstrap();
         nodes.get(0).addPeer(nodes.get(1).asPeer());
         nodes.get(1).addPeer(nodes.get(0).asPeer());
-        SidecarFixture.await("both are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
+        SidecarFixture.await(
+                "both control nodes are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
     }
 
     private ControlNode node(String name) throws IOException {
@@ -76,7 +77,7 @@
         second.close();
     }
 
-    private Sidecar edge(String name, String kind) throws IOException {
+    private Sidecar edge(String name, String requestClass) throws IOException {
         Path file = Files.writeString(folder.resolve(name + ".toml"), """
             name = "%s"
             state-dir = "%s"
@@ -97,7 +98,7 @@
                         nodes.stream()
                                 .map(node -> "\"127.0.0.1:" + node.address().getPort() + "\"")
                                 .collect(Collectors.joining(", ")),
-                        kind));
+                        requestClass));
         TomlFile source = new TomlFile(file, Map.of());
         Sidecar edge = new SidecarBuilder(new Http1Protocol(), source, source.load(), sink).build();
         edges.add(edge);
@@ -108,9 +109,11 @@
     /** Sends a request to the admin API of a control node. */
     private HttpTestConnection.Message callAdminApi(int node, String method, String path, String body)
             throws IOException {
-        try (HttpTestConnection wire = HttpTestConnection.to(nodes.get(node).adminAddress())) {
-            return wire.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length()
-                            + "\r\n\r\n" + body)
+        try (HttpTestConnection connection =
+                HttpTestConnection.to(nodes.get(node).adminAddress())) {
+            return connection
+                    .send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n"
+                            + body)
                     .read();
         }
     }
@@ -120,10 +123,11 @@
         assertTrue(response.body().startsWith(bodyStart), response.body());
     }
 
-    private HttpTestConnection.Message sendRequest(Sidecar edge, String kind) throws IOException {
-        try (HttpTestConnection wire = HttpTestConnection.to(edge.address())) {
-            return wire.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" + requests++ + "\r\nX-Class: " + kind
-                            + "\r\nX-Deadline-Ms: 4000\r\n\r\n")
+    private HttpTestConnection.Message sendRequest(Sidecar edge, String requestClass) throws IOException {
+        try (HttpTestConnection connection = HttpTestConnection.to(edge.address())) {
+            return connection
+                    .send("GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" + requests++ + "\r\nX-Class: "
+                            + requestClass + "\r\nX-Deadline-Ms: 4000\r\n\r\n")
                     .read();
         }
     }
@@ -139,7 +143,7 @@
     }
 
     @Test
-    void operatorsMoveAnEdgeFromOneEndpointToAnother() throws Exception {
+    void operatorsReplaceAnEndpointWithoutFailedRequests() throws Exception {
         assertResponse(
                 "accepted",
                 200,
@@ -150,8 +154,8 @@
                 "accepted",
                 200,
                 callAdminApi(1, "PUT", "/v1/services/quote/endpoints/s2", "{\"addr\":\"" + second.address() + "\"}"));
-        // Changes at two nodes may reach an edge in either order: the drain must not come first.
-        SidecarFixture.await("the other node has received it", () -> {
+        // Changes made at two nodes can reach a sidecar in either order, and here the drain must not come first.
+        SidecarFixture.await("the other node has the second endpoint", () -> {
             try {
                 return callAdminApi(0, "GET", "/v1/services/quote/endpoints/s2", "")
                                 .status()
@@ -213,12 +217,12 @@
                 callAdminApi(0, "PUT", "/v1/services/quote/endpoints/s1?as_of_ms=1000", "{\"addr\":\"10.0.0.2:1\"}"));
     }
 
-    /** The document names a class that only one of the two edges has: the other one rejects it and reports that. */
+    /** The settings name a class that only one of two sidecars has: the other one rejects them and reports that. */
     @Test
     void settingsAreAppliedWherePossibleAndRejectionsAreReported() throws Exception {
-        first.requestHandler = (wire, request) -> {
+        first.requestHandler = (connection, request) -> {
             Thread.sleep(600);
-            StubEndpoint.respond(wire, 200, "", "first");
+            StubEndpoint.respond(connection, 200, "", "first");
         };
         nodes.get(0)
                 .put(ConfigurationChange.endpoint(
@@ -235,14 +239,14 @@
             [limits]
             attempts = 1
             """));
-        SidecarFixture.await("it is in force", () -> {
+        SidecarFixture.await("the settings are in force", () -> {
             try {
                 return sendRequest(applying, "read").status() != 200;
             } catch (IOException e) {
                 return false;
             }
         });
-        SidecarFixture.await("operators see who has rejected it and why", () -> {
+        SidecarFixture.await("the status names the sidecar that rejected the settings, and the reason", () -> {
             String status = Json.text(nodes.get(0).status().toJson());
             return status.contains("\"name\":\"refuser\"")
                     && status.contains("is unknown to this edge")
@@ -250,7 +254,7 @@
         });
         assertResponse("accepted", 200, callAdminApi(0, "DELETE", "/v1/settings/base", ""));
         awaitResponse(applying, "first");
-        SidecarFixture.await("no rejection is left", () -> {
+        SidecarFixture.await("the status has no rejection any more", () -> {
             String status = Json.text(nodes.get(0).status().toJson());
             return !status.contains("\"refuser\",\"stamp\"") && status.contains("\"refusals\":0");
         });
--- a/edge/src/test/java/lemonrail/assembly/DescriptorsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/DescriptorsTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The program as a process that the system itself allows no more descriptors than its configuration says:
- * clients that ask for nothing take all they can get, and whoever needs one gets it all the same.
+ * The sidecar as a child process whose system limit on descriptors equals the configured one. Idle clients take as
+ * many connections as they can get, and all other connections must still be established.
  */
 @Timeout(90)
 class DescriptorsTest {
@@ -34,15 +34,15 @@
     private static final int SOCKETS = 300;
     private static final int IDLE_CLIENTS = 400;
     private static final int DEADLINE_MS = 8000;
-    /** As many as the balancer lets through at once at first. */
-    private static final int CALLS_AT_ONCE = 4;
+    /** The initial concurrency limit of the load balancer. */
+    private static final int CONCURRENT_REQUESTS = 4;
 
     @TempDir
     Path folder;
 
     private final List<AutoCloseable> open = new ArrayList<>();
     private final Queue<String> log = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger asked = new AtomicInteger();
+    private final AtomicInteger requestCount = new AtomicInteger();
     private Process process;
     private InetSocketAddress address;
     private InetSocketAddress adminApi;
@@ -52,17 +52,17 @@
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
-        for (AutoCloseable each : open) {
-            each.close();
+        for (AutoCloseable resource : open) {
+            resource.close();
         }
     }
 
-    private <T extends AutoCloseable> T keep(T opened) {
-        open.add(opened);
-        return opened;
+    private <T extends AutoCloseable> T closeAfterTest(T resource) {
+        open.add(resource);
+        return resource;
     }
 
-    /** A port that nobody listens at now. */
+    /** Returns a port on which no process listens now. */
     private static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return socket.getLocalPort();
@@ -81,7 +81,8 @@
             "rules":{"drain-grace-ms":1000}}}""".formatted(
                         discoveryPort,
                         SOCKETS,
-                        SidecarFixture.list(1, true, SidecarFixture.line(0, endpoint.address(), "in_service", 0)));
+                        SidecarFixture.endpointListJson(
+                                1, true, SidecarFixture.endpointJson(0, endpoint.address(), "in_service", 0)));
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
@@ -101,14 +102,14 @@
         builder.environment().put("TMPDIR", folder.toString());
         process = builder.redirectErrorStream(true).start();
         CountDownLatch serving = new CountDownLatch(1);
-        Thread reader = new Thread(() -> read(process, serving), "log");
+        Thread reader = new Thread(() -> readLog(process, serving), "log");
         reader.setDaemon(true);
         reader.start();
         serving.await();
     }
 
-    private void read(Process from, CountDownLatch serving) {
-        try (BufferedReader lines = from.inputReader()) {
+    private void readLog(Process process, CountDownLatch serving) {
+        try (BufferedReader lines = process.inputReader()) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 log.add(line);
                 if (line.contains("serving at ")) {
@@ -118,20 +119,20 @@
                 }
             }
         } catch (IOException e) {
-            // The test is over.
+            // The process has ended with the test.
             return;
         }
     }
 
     private String request() {
-        return "GET /api HTTP/1.1\r\nX-Request-Id: r" + asked.getAndIncrement() + "\r\nX-Class: read\r\n"
+        return "GET /api HTTP/1.1\r\nX-Request-Id: r" + requestCount.getAndIncrement() + "\r\nX-Class: read\r\n"
                 + "X-Deadline-Ms: " + DEADLINE_MS + "\r\nHost: x\r\n\r\n";
     }
 
-    /** Clients that say nothing, have half a request, or their answer; more than there is room for. */
-    private void fill() throws IOException {
+    /** Connects more idle clients than the limit permits: silent, with half a request, or with their response. */
+    private void connectIdleClients() throws IOException {
         for (int i = 0; i < IDLE_CLIENTS; i++) {
-            HttpTestConnection idle = keep(HttpTestConnection.to(address));
+            HttpTestConnection idle = closeAfterTest(HttpTestConnection.to(address));
             if (i % 3 == 1) {
                 idle.send("GET /api HT");
             } else if (i % 3 == 2) {
@@ -144,36 +145,36 @@
         return String.join("\n", log);
     }
 
-    private String ask() {
+    private String sendRequest() {
         try (HttpTestConnection client = HttpTestConnection.to(address)) {
-            HttpTestConnection.Message answer = client.send(request()).read();
-            return answer.status() == 200 ? answer.body() : String.valueOf(answer.status());
+            HttpTestConnection.Message response = client.send(request()).read();
+            return response.status() == 200 ? response.body() : String.valueOf(response.status());
         } catch (IOException e) {
             return e.toString();
         }
     }
 
     private int adminStatus() throws IOException {
-        try (HttpTestConnection operator = HttpTestConnection.to(adminApi)) {
-            return operator.send("GET /v1/metrics HTTP/1.1\r\nHost: n0\r\n\r\n")
+        try (HttpTestConnection admin = HttpTestConnection.to(adminApi)) {
+            return admin.send("GET /v1/metrics HTTP/1.1\r\nHost: n0\r\n\r\n")
                     .read()
                     .status();
         }
     }
 
-    private void assertAllGetTheirs(String served) throws Exception {
-        fill();
+    private void assertAllAreServed(String served) throws Exception {
+        connectIdleClients();
         assertEquals(200, adminStatus());
-        assertEquals(served, ask(), this::logged);
-        String[] bodies = new String[CALLS_AT_ONCE];
-        Thread[] callers = new Thread[CALLS_AT_ONCE];
-        for (int i = 0; i < callers.length; i++) {
+        assertEquals(served, sendRequest(), this::logged);
+        String[] bodies = new String[CONCURRENT_REQUESTS];
+        Thread[] clients = new Thread[CONCURRENT_REQUESTS];
+        for (int i = 0; i < clients.length; i++) {
             int number = i;
-            callers[i] = new Thread(() -> bodies[number] = ask());
-            callers[i].start();
+            clients[i] = new Thread(() -> bodies[number] = sendRequest());
+            clients[i].start();
         }
-        for (Thread caller : callers) {
-            caller.join();
+        for (Thread client : clients) {
+            client.join();
         }
         for (String body : bodies) {
             assertEquals(served, body, this::logged);
@@ -183,53 +184,58 @@
                 this::logged);
     }
 
-    /** Guards against a discovery that comes back and finds that idle clients have taken its descriptor. */
+    /** Guards against idle clients that take the descriptor which is needed once discovery can be reached again. */
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "silent"})
-    void idleClientsDoNotExhaustDescriptors(String down) throws Exception {
-        StubEndpoint before = keep(StubEndpoint.respondingWith(200, "", "before"));
-        StubEndpoint after = keep(StubEndpoint.respondingWith(200, "", "after"));
-        CountDownLatch back = new CountDownLatch(1);
+    void idleClientsDoNotExhaustDescriptors(String failure) throws Exception {
+        StubEndpoint before = closeAfterTest(StubEndpoint.respondingWith(200, "", "before"));
+        StubEndpoint after = closeAfterTest(StubEndpoint.respondingWith(200, "", "after"));
+        CountDownLatch reachable = new CountDownLatch(1);
         int port = freePort();
-        StubEndpoint.RequestHandler script = (wire, request) -> {
-            back.await();
-            if (request.line().contains("index=2")) {
-                wire.awaitEnd();
+        StubEndpoint.RequestHandler handler = (connection, request) -> {
+            reachable.await();
+            if (request.startLine().contains("index=2")) {
+                connection.awaitEnd();
             }
             StubEndpoint.respond(
-                    wire,
+                    connection,
                     200,
                     "",
-                    SidecarFixture.list(2, true, SidecarFixture.line(1, after.address(), "in_service", 0)));
+                    SidecarFixture.endpointListJson(
+                            2, true, SidecarFixture.endpointJson(1, after.address(), "in_service", 0)));
         };
-        if (down.equals("silent")) {
-            port = keep(new StubEndpoint(script)).port();
+        if (failure.equals("silent")) {
+            port = closeAfterTest(new StubEndpoint(handler)).port();
         }
         serve(before, port);
         for (int i = 0; i < 3; i++) {
-            assertAllGetTheirs("before");
+            assertAllAreServed("before");
         }
-        fill();
-        back.countDown();
-        if (down.equals("refuses")) {
-            keep(new StubEndpoint(script, port));
+        connectIdleClients();
+        reachable.countDown();
+        if (failure.equals("refuses")) {
+            closeAfterTest(new StubEndpoint(handler, port));
         }
-        SidecarFixture.await("discovery's list is in force", () -> ask().equals("after"));
-        assertAllGetTheirs("after");
+        SidecarFixture.await(
+                "the endpoint list of discovery is in force",
+                () -> sendRequest().equals("after"));
+        assertAllAreServed("after");
     }
 
-    /** The measure itself: where there is no room for what the program says it needs, the system says so. */
+    /** Checks that the system limit of the process is as configured, and that the process comes near it. */
     @Test
     void processStaysWithinDescriptorLimit() throws Exception {
-        serve(keep(StubEndpoint.respondingWith(200, "", "served")), freePort());
+        serve(closeAfterTest(StubEndpoint.respondingWith(200, "", "served")), freePort());
         Path limits = Path.of("/proc", String.valueOf(process.pid()), "limits");
         assertTrue(Files.readString(limits)
                 .lines()
                 .anyMatch(line -> line.startsWith("Max open files") && line.matches(".*\\s" + SOCKETS + "\\s.*")));
-        fill();
+        connectIdleClients();
         try (var descriptors = Files.list(Path.of("/proc", String.valueOf(process.pid()), "fd"))) {
-            long held = descriptors.count();
-            assertTrue(held > SOCKETS / 3 && held <= SOCKETS, held + " held");
+            long openDescriptors = descriptors.count();
+            assertTrue(
+                    openDescriptors > SOCKETS / 3 && openDescriptors <= SOCKETS,
+                    openDescriptors + " descriptors are open");
         }
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/EventLoopStallTest.java
+++ b/edge/src/test/java/lemonrail/assembly/EventLoopStallTest.java
@@ -18,36 +18,39 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The final response arrives before the client's deadline as the client counts it: also when no endpoint responds, when
- * the event loop stalls, and when a request has waited before it was read.
+ * The final response arrives before the deadline, measured at the client, also if no endpoint responds, if the event
+ * loop stalls, and if a request has waited before it was read.
  */
 @Timeout(60)
 class EventLoopStallTest {
 
     private static final int CLIENT_TIMEOUT_MS = 400;
     private static final int REQUESTS = 20;
-    /** One in so many responses may be late, as the client itself is delayed now and then on a shared machine. */
-    private static final int TOLERATED_LATE_FRACTION = 10;
+    /**
+     * One in this number of responses may be late, because the client itself is sometimes delayed on a shared machine.
+     */
+    private static final int LATE_RESPONSE_DIVISOR = 10;
 
     private static final int STALL_MS = 200;
-    private static final int SHORTEST_STALL_MS = 50;
-    private static final int LONGEST_STALL_MS = 300;
+    private static final int MIN_STALL_MS = 50;
+    private static final int MAX_STALL_MS = 300;
     private static final int STALLED_CLIENT_TIMEOUT_MS = 1500;
-    private static final int LONGEST_STALL_INTERVAL_MS = 400;
+    private static final int MAX_STALL_INTERVAL_MS = 400;
     private static final long SEED = 24;
 
     /** Creates an endpoint that reads requests and never responds. */
-    private static StubEndpoint hung() throws IOException {
-        return new StubEndpoint((HttpTestConnection wire, HttpTestConnection.Message request) -> wire.awaitEnd());
+    private static StubEndpoint unresponsive() throws IOException {
+        return new StubEndpoint(
+                (HttpTestConnection connection, HttpTestConnection.Message request) -> connection.awaitEnd());
     }
 
     /** Returns the time until the final response, in milliseconds from when the request is sent. */
-    private static double responseTimeMs(SidecarFixture rig, int clientTimeoutMs) throws IOException {
-        try (HttpTestConnection wire = rig.client()) {
-            String request = rig.request("read", clientTimeoutMs);
-            long sent = System.nanoTime();
-            wire.send(request).read();
-            return (System.nanoTime() - sent) / 1e6;
+    private static double responseTimeMs(SidecarFixture fixture, int clientTimeoutMs) throws IOException {
+        try (HttpTestConnection connection = fixture.client()) {
+            String request = fixture.request("read", clientTimeoutMs);
+            long startNs = System.nanoTime();
+            connection.send(request).read();
+            return (System.nanoTime() - startNs) / 1e6;
         }
     }
 
@@ -59,15 +62,15 @@
         }
     }
 
-    /** Blocks the event loop for the given time, from when its tasks so far have run. */
-    private static Future<?> scheduleStall(SidecarFixture rig, int ms) {
-        return rig.sidecar.loop().submit(() -> pause(ms));
+    /** Blocks the event loop for the given time, once it has run the tasks queued so far. */
+    private static Future<?> scheduleStall(SidecarFixture fixture, int ms) {
+        return fixture.sidecar.loop().submit(() -> pause(ms));
     }
 
     /** Blocks the event loop for the given time. It is blocked when this returns. */
-    private static void startStall(SidecarFixture rig, int ms) throws InterruptedException {
+    private static void startStall(SidecarFixture fixture, int ms) throws InterruptedException {
         CountDownLatch started = new CountDownLatch(1);
-        rig.sidecar.loop().execute(() -> {
+        fixture.sidecar.loop().execute(() -> {
             started.countDown();
             pause(ms);
         });
@@ -83,12 +86,12 @@
     }
 
     /** Sends concurrent requests and returns how many get their response after the client timeout. */
-    private static int countLateResponses(SidecarFixture rig, int clientTimeoutMs) throws Exception {
+    private static int countLateResponses(SidecarFixture fixture, int clientTimeoutMs) throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(REQUESTS);
         try {
             List<Future<Double>> responseTimes = new ArrayList<>();
             for (int i = 0; i < REQUESTS; i++) {
-                responseTimes.add(clients.submit(() -> responseTimeMs(rig, clientTimeoutMs)));
+                responseTimes.add(clients.submit(() -> responseTimeMs(fixture, clientTimeoutMs)));
             }
             int late = 0;
             for (Future<Double> responseTime : responseTimes) {
@@ -103,33 +106,34 @@
     /** Guards against an attempt that times out only at its client's deadline. */
     @Test
     void failureArrivesBeforeClientDeadline() throws Exception {
-        StubEndpoint first = hung();
-        StubEndpoint second = hung();
-        try (SidecarFixture rig = new SidecarFixture(first, second).start()) {
-            int late = countLateResponses(rig, STALLED_CLIENT_TIMEOUT_MS);
-            assertTrue(late <= REQUESTS / TOLERATED_LATE_FRACTION, late + " of " + REQUESTS + " were late");
+        StubEndpoint first = unresponsive();
+        StubEndpoint second = unresponsive();
+        try (SidecarFixture fixture = new SidecarFixture(first, second).start()) {
+            int late = countLateResponses(fixture, STALLED_CLIENT_TIMEOUT_MS);
+            assertTrue(late <= REQUESTS / LATE_RESPONSE_DIVISOR, late + " of " + REQUESTS + " were late");
             for (HttpTestConnection.Message request : first.requests) {
-                long sentDeadlineMs = Long.parseLong(request.headers().get("x-deadline-ms"));
+                long forwardedDeadlineMs = Long.parseLong(request.headers().get("x-deadline-ms"));
                 assertTrue(
-                        sentDeadlineMs < STALLED_CLIENT_TIMEOUT_MS, "an attempt timeout of " + sentDeadlineMs + " ms");
+                        forwardedDeadlineMs < STALLED_CLIENT_TIMEOUT_MS,
+                        "an attempt timeout of " + forwardedDeadlineMs + " ms");
             }
         }
     }
 
-    /** Guards against a deadline that counts from when a request is read, though it arrived long before. */
+    /** Guards against a deadline that starts when a request is read, although the request arrived long before. */
     @Test
     void attemptDeadlineExcludesTimeInReceiveQueue() throws Exception {
         StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "ok");
-        try (SidecarFixture rig = new SidecarFixture(endpoint).start();
-                HttpTestConnection wire = rig.client()) {
-            wire.send(rig.request("read", CLIENT_TIMEOUT_MS)).read();
-            startStall(rig, STALL_MS);
-            wire.send(rig.request("read", CLIENT_TIMEOUT_MS)).read();
-            long sentDeadlineMs =
+        try (SidecarFixture fixture = new SidecarFixture(endpoint).start();
+                HttpTestConnection connection = fixture.client()) {
+            connection.send(fixture.request("read", CLIENT_TIMEOUT_MS)).read();
+            startStall(fixture, STALL_MS);
+            connection.send(fixture.request("read", CLIENT_TIMEOUT_MS)).read();
+            long forwardedDeadlineMs =
                     Long.parseLong(endpoint.requests.get(1).headers().get("x-deadline-ms"));
             assertTrue(
-                    sentDeadlineMs <= CLIENT_TIMEOUT_MS - STALL_MS / 2,
-                    "the endpoint was sent " + sentDeadlineMs + " ms");
+                    forwardedDeadlineMs <= CLIENT_TIMEOUT_MS - STALL_MS / 2,
+                    "the endpoint was sent " + forwardedDeadlineMs + " ms");
         }
     }
 
@@ -137,13 +141,16 @@
     @Test
     void requestReadAfterItsDeadlineIsRejected() throws Exception {
         StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "ok");
-        try (SidecarFixture rig = new SidecarFixture(endpoint).start();
-                HttpTestConnection wire = rig.client()) {
-            wire.send(rig.request("read", CLIENT_TIMEOUT_MS)).read();
-            startStall(rig, 2 * CLIENT_TIMEOUT_MS);
+        try (SidecarFixture fixture = new SidecarFixture(endpoint).start();
+                HttpTestConnection connection = fixture.client()) {
+            connection.send(fixture.request("read", CLIENT_TIMEOUT_MS)).read();
+            startStall(fixture, 2 * CLIENT_TIMEOUT_MS);
             assertEquals(
                     503,
-                    wire.send(rig.request("read", CLIENT_TIMEOUT_MS)).read().status());
+                    connection
+                            .send(fixture.request("read", CLIENT_TIMEOUT_MS))
+                            .read()
+                            .status());
             assertEquals(1, endpoint.requests.size(), "only the first request is forwarded");
         }
     }
@@ -151,19 +158,19 @@
     /** Guards against late responses that operators cannot trace. */
     @Test
     void lateResponseIsCountedAndLogged() throws Exception {
-        StubEndpoint endpoint = hung();
-        try (SidecarFixture rig = new SidecarFixture(endpoint).start();
-                HttpTestConnection client = rig.client()) {
-            endpoint.requestHandler = (wire, request) -> {
+        StubEndpoint endpoint = unresponsive();
+        try (SidecarFixture fixture = new SidecarFixture(endpoint).start();
+                HttpTestConnection client = fixture.client()) {
+            endpoint.requestHandler = (connection, request) -> {
                 // The response and the attempt timeout both wait for the loop, which is blocked before either exists.
-                startStall(rig, STALLED_CLIENT_TIMEOUT_MS + CLIENT_TIMEOUT_MS);
-                StubEndpoint.respond(wire, 200, "", "late");
+                startStall(fixture, STALLED_CLIENT_TIMEOUT_MS + CLIENT_TIMEOUT_MS);
+                StubEndpoint.respond(connection, 200, "", "late");
             };
-            client.send(rig.request("read", STALLED_CLIENT_TIMEOUT_MS)).read();
+            client.send(fixture.request("read", STALLED_CLIENT_TIMEOUT_MS)).read();
             SidecarFixture.await(
                     "the late response is logged",
-                    () -> rig.logged().contains("a response was given after its client's deadline"));
-            assertTrue(rig.callAdmin("GET", "/v1/metrics").body().contains("edge_gw.answers_late=1"));
+                    () -> fixture.logged().contains("a response was given after its client's deadline"));
+            assertTrue(fixture.callAdmin("GET", "/v1/metrics").body().contains("edge_gw.answers_late=1"));
         }
     }
 
@@ -172,42 +179,45 @@
     void failuresArriveBeforeClientDeadlineDuringRandomStalls() throws Exception {
         SplittableRandom random = new SplittableRandom(SEED);
         AtomicBoolean over = new AtomicBoolean();
-        try (SidecarFixture rig = new SidecarFixture(
-                        hung(), hung(), StubEndpoint.respondingWith(503, "X-Not-Run: 1\r\n", "full"))
+        try (SidecarFixture fixture = new SidecarFixture(
+                        unresponsive(), unresponsive(), StubEndpoint.respondingWith(503, "X-Not-Run: 1\r\n", "full"))
                 .start()) {
-            // The longest stall comes first, as the reserve follows the lag that was measured.
-            scheduleStall(rig, LONGEST_STALL_MS).get();
+            // The longest stall comes first because the time reserved before deadlines depends on the lag measured so
+            // far.
+            scheduleStall(fixture, MAX_STALL_MS).get();
             Thread stalls = new Thread(() -> {
                 while (!over.get()) {
-                    awaitEnd(scheduleStall(rig, random.nextInt(SHORTEST_STALL_MS, LONGEST_STALL_MS)));
-                    pause(random.nextInt(LONGEST_STALL_INTERVAL_MS));
+                    awaitEnd(scheduleStall(fixture, random.nextInt(MIN_STALL_MS, MAX_STALL_MS)));
+                    pause(random.nextInt(MAX_STALL_INTERVAL_MS));
                 }
             });
             stalls.start();
-            int late = countLateResponses(rig, STALLED_CLIENT_TIMEOUT_MS);
+            int late = countLateResponses(fixture, STALLED_CLIENT_TIMEOUT_MS);
             over.set(true);
             stalls.join();
-            assertTrue(late <= REQUESTS / TOLERATED_LATE_FRACTION, late + " of " + REQUESTS + " were late");
+            assertTrue(late <= REQUESTS / LATE_RESPONSE_DIVISOR, late + " of " + REQUESTS + " were late");
         }
     }
 
-    /** Guards against a deadline sent as if the connection had been established at once. */
+    /** Guards against a deadline sent to an endpoint that includes the time spent on connecting. */
     @Test
     void attemptDeadlineExcludesConnectTime() throws Exception {
         try (LateStubEndpoint late = new LateStubEndpoint();
-                SidecarFixture rig = new SidecarFixture()) {
-            rig.change = config -> config.replace(
-                    "\"servers\":[]", "\"servers\":[" + SidecarFixture.line(0, late.address(), "in_service", 0) + "]");
-            rig.start();
-            try (HttpTestConnection wire = rig.client()) {
-                wire.send(rig.request("read", STALLED_CLIENT_TIMEOUT_MS));
-                SidecarFixture.await("an attempt waits for its connection", () -> rig.openRequests() == 1);
+                SidecarFixture fixture = new SidecarFixture()) {
+            fixture.configChange = config -> config.replace(
+                    "\"servers\":[]",
+                    "\"servers\":[" + SidecarFixture.endpointJson(0, late.address(), "in_service", 0) + "]");
+            fixture.start();
+            try (HttpTestConnection connection = fixture.client()) {
+                connection.send(fixture.request("read", STALLED_CLIENT_TIMEOUT_MS));
+                SidecarFixture.await("an attempt waits for its connection", () -> fixture.openRequests() == 1);
                 late.release();
-                assertEquals(200, wire.read().status());
+                assertEquals(200, connection.read().status());
             }
-            long sentDeadlineMs = Long.parseLong(late.headers.get("x-deadline-ms"));
+            long forwardedDeadlineMs = Long.parseLong(late.headers.get("x-deadline-ms"));
             assertTrue(
-                    sentDeadlineMs <= STALLED_CLIENT_TIMEOUT_MS / 2, "the endpoint was sent " + sentDeadlineMs + " ms");
+                    forwardedDeadlineMs <= STALLED_CLIENT_TIMEOUT_MS / 2,
+                    "the endpoint was sent " + forwardedDeadlineMs + " ms");
         }
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/FleetSizeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/FleetSizeTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A sidecar among 1,024 before 1,024 endpoints: no list or table of the process ends below either. */
+/** A sidecar in a fleet of 1,024 with 1,024 endpoints: no list or table of the process has a smaller limit. */
 class FleetSizeTest {
 
-    private static final int SIZE = 1024;
+    private static final int FLEET_SIZE = 1024;
     private static final int VERSION = 7;
     private static final int DEADLINE_MS = 9000;
 
@@ -22,44 +22,45 @@
         last.close();
     }
 
-    /** Where nothing listens, but for the last one. */
+    /** Returns the address of an endpoint. Nothing listens there, except at the last one. */
     private String address(int number) {
-        return number == SIZE - 1 ? last.address() : "127.1." + number / 256 + "." + number % 256 + ":9";
+        return number == FLEET_SIZE - 1 ? last.address() : "127.1." + number / 256 + "." + number % 256 + ":9";
     }
 
     private String list() {
-        return SidecarFixture.list(
+        return SidecarFixture.endpointListJson(
                 VERSION,
                 true,
-                IntStream.range(0, SIZE)
-                        .mapToObj(number -> SidecarFixture.line(number, address(number), "in_service", 0))
+                IntStream.range(0, FLEET_SIZE)
+                        .mapToObj(number -> SidecarFixture.endpointJson(number, address(number), "in_service", 0))
                         .toArray(String[]::new));
     }
 
-    /** Guards against entries that are lost at the end of a list, and a bound on those out by hand. */
+    /** Guards against entries lost at the end of a list, and against a limit on the number of suspended endpoints. */
     @Test
     void lastEndpointServesWhileAllOthersAreSuspended() throws Exception {
         last = StubEndpoint.respondingWith(200, "", "the last");
         fixture = new SidecarFixture();
-        fixture.change = config -> config.replace(
-                "\"replicas-of-me\":1,\"slot-no\":0", "\"replicas-of-me\":" + SIZE + ",\"slot-no\":" + (SIZE - 1));
-        fixture.discovery.requestHandler = (wire, request) -> {
+        fixture.configChange = config -> config.replace(
+                "\"replicas-of-me\":1,\"slot-no\":0",
+                "\"replicas-of-me\":" + FLEET_SIZE + ",\"slot-no\":" + (FLEET_SIZE - 1));
+        fixture.discovery.requestHandler = (connection, request) -> {
             fixture.discovery.requestHandler = (next, later) -> next.awaitEnd();
-            StubEndpoint.respond(wire, 200, "", list());
+            StubEndpoint.respond(connection, 200, "", list());
         };
         fixture.start();
         SidecarFixture.await(
-                "the list is there",
+                "the endpoint list is applied",
                 () -> fixture.discovery.requests.stream()
-                        .anyMatch(request -> request.line().contains("index=" + VERSION)));
-        for (int number = 0; number < SIZE - 1; number++) {
+                        .anyMatch(request -> request.startLine().contains("index=" + VERSION)));
+        for (int number = 0; number < FLEET_SIZE - 1; number++) {
             String id = "s" + number;
             assertEquals(
                     200,
                     fixture.callAdmin("PUT", "/v1/endpoints/" + id + "/suspend").status(),
                     id);
         }
-        assertEquals("the last", fixture.ask("read", DEADLINE_MS).body());
-        assertEquals(1, last.requests.size(), "calls that it got");
+        assertEquals("the last", fixture.sendRequest("read", DEADLINE_MS).body());
+        assertEquals(1, last.requests.size(), "requests received by the last endpoint");
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/HttpTestConnection.java
+++ b/edge/src/test/java/lemonrail/assembly/HttpTestConnection.java
@@ -13,19 +13,21 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One side of an HTTP connection that sends and reads plain text, so that tests can also break the protocol. */
+/**
+ * A client or endpoint of an HTTP connection that sends and reads plain text, so that tests can violate the protocol.
+ */
 final class HttpTestConnection implements Closeable {
 
     private static final int TIMEOUT_MS = 20_000;
 
-    /** A message: its first line, its headers with names in lower case, and its body. */
-    record Message(String line, Map<String, String> headers, byte[] bytes) {
+    /** A request or response: its start line, its headers with names in lower case, and its body. */
+    record Message(String startLine, Map<String, String> headers, byte[] bytes) {
         String body() {
             return new String(bytes, StandardCharsets.ISO_8859_1);
         }
 
         int status() {
-            return Integer.parseInt(line.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
     }
 
@@ -43,64 +45,66 @@
         return new HttpTestConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
+    /** Sends the text and returns this connection. */
     HttpTestConnection send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
     }
 
+    /** Reads a complete message. */
     Message read() throws IOException {
         Message head = readHead();
         Map<String, String> headers = head.headers();
         return new Message(
-                head.line(),
+                head.startLine(),
                 headers,
                 headers.containsKey("transfer-encoding")
-                        ? chunks()
-                        : bytes(Integer.parseInt(headers.getOrDefault("content-length", "0"))));
+                        ? readChunks()
+                        : readBytes(Integer.parseInt(headers.getOrDefault("content-length", "0"))));
     }
 
-    private byte[] bytes(int count) throws IOException {
+    private byte[] readBytes(int count) throws IOException {
         byte[] bytes = in.readNBytes(count);
         if (bytes.length < count) {
-            throw new EOFException("the body is cut");
+            throw new EOFException("connection ended within a message body");
         }
         return bytes;
     }
 
-    private byte[] chunks() throws IOException {
+    private byte[] readChunks() throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        for (int size = chunkSize(); size > 0; size = chunkSize()) {
-            body.writeBytes(bytes(size));
-            line();
+        for (int size = readChunkSize(); size > 0; size = readChunkSize()) {
+            body.writeBytes(readBytes(size));
+            readLine();
         }
-        while (!line().isEmpty()) {
+        while (!readLine().isEmpty()) {
             continue;
         }
         return body.toByteArray();
     }
 
-    private int chunkSize() throws IOException {
-        return Integer.parseInt(line().split(";")[0], 16);
+    private int readChunkSize() throws IOException {
+        return Integer.parseInt(readLine().split(";")[0], 16);
     }
 
-    /** Reads no further than to the end of a message's head. */
+    /** Reads the head of a message, and nothing of its body. */
     Message readHead() throws IOException {
-        String first = line();
+        String startLine = readLine();
         Map<String, String> headers = new LinkedHashMap<>();
-        for (String line = line(); !line.isEmpty(); line = line()) {
+        for (String line = readLine(); !line.isEmpty(); line = readLine()) {
             int colon = line.indexOf(':');
             headers.put(
                     line.substring(0, colon).toLowerCase(Locale.ROOT),
                     line.substring(colon + 1).trim());
         }
-        return new Message(first, headers, new byte[0]);
+        return new Message(startLine, headers, new byte[0]);
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
-                throw new EOFException("the connection ended");
+                throw new EOFException("connection ended where a line was expected");
             }
             if (b != '\r') {
                 line.write(b);
@@ -118,12 +122,12 @@
         } catch (java.net.SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
-            // A reset ends it as well.
+            // A reset ends the connection as well.
             return;
         }
     }
 
-    /** Closes with a reset. */
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/edge/src/test/java/lemonrail/assembly/LateStubEndpoint.java
+++ b/edge/src/test/java/lemonrail/assembly/LateStubEndpoint.java
@@ -13,16 +13,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An endpoint whose connections are established only once it is released: its accept queue is full until then, and
- * the system retries a connect a second later.
+ * An endpoint to which no connection can be established until it is released: its accept queue is full until then, so
+ * that the kernel drops SYN packets and retransmits them a second later.
  */
 final class LateStubEndpoint implements Closeable {
 
-    private static final int FULL_MS = 200;
+    private static final int CONNECT_TIMEOUT_MS = 200;
 
-    /** Connections on which at least one byte of a request has come. */
-    final AtomicInteger asked = new AtomicInteger();
-    /** The headers of the request that came last. */
+    /** The number of requests received. */
+    final AtomicInteger requestCount = new AtomicInteger();
+    /** The headers of the request received last. */
     volatile Map<String, String> headers = Map.of();
 
     private final ServerSocket listener;
@@ -30,16 +30,17 @@
 
     LateStubEndpoint() throws IOException {
         listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-        while (fill()) {
+        while (addFiller()) {
             continue;
         }
     }
 
-    private boolean fill() throws IOException {
+    /** Adds a connection to the accept queue. Returns false if the queue is full. */
+    private boolean addFiller() throws IOException {
         Socket filler = new Socket();
         fillers.add(filler);
         try {
-            filler.connect(new InetSocketAddress("127.0.0.1", listener.getLocalPort()), FULL_MS);
+            filler.connect(new InetSocketAddress("127.0.0.1", listener.getLocalPort()), CONNECT_TIMEOUT_MS);
             return true;
         } catch (SocketTimeoutException e) {
             filler.close();
@@ -51,7 +52,7 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Lets all in that wait; whoever asks gets an answer that says so. */
+    /** Empties the accept queue and serves requests from now on, with the body "late". */
     void release() throws IOException {
         for (Socket filler : fillers) {
             filler.close();
@@ -63,12 +64,12 @@
 
     private void serve() {
         while (!listener.isClosed()) {
-            try (HttpTestConnection wire = new HttpTestConnection(listener.accept())) {
-                headers = wire.read().headers();
-                asked.incrementAndGet();
-                StubEndpoint.respond(wire, 200, "", "late");
+            try (HttpTestConnection connection = new HttpTestConnection(listener.accept())) {
+                headers = connection.read().headers();
+                requestCount.incrementAndGet();
+                StubEndpoint.respond(connection, 200, "", "late");
             } catch (IOException e) {
-                // A filler's connection, one that was let go, or the test is over.
+                // The connection of a filler, an abandoned connection, or the end of the test.
                 continue;
             }
         }
--- a/edge/src/test/java/lemonrail/assembly/ListPathCost.java
+++ b/edge/src/test/java/lemonrail/assembly/ListPathCost.java
@@ -41,21 +41,21 @@
 import lemonrail.time.Clock;
 
 /**
- * Measures the cost of a delta of one endpoint, from its bytes to the load balancer, in microseconds of processor
- * time by the number of endpoints listed; {@link #main} prints a table. The connection to discovery is left out: its
- * cost does not depend on that number.
+ * Measures the processor time, in microseconds, of a delta with one endpoint from its bytes to the load balancer, for
+ * several lengths of the endpoint list. {@link #main} prints a table. The connection to discovery is excluded because
+ * its cost does not depend on the length of the list.
  */
 public final class ListPathCost implements AutoCloseable {
 
     private static final ThreadMXBean CPU = ManagementFactory.getThreadMXBean();
     private static final int[] LISTED_COUNTS = {10, 100, 1000, 5000};
-    private static final int STEADY_CHANGES = 100;
-    private static final int STORM_CHANGES = 1000;
+    private static final int STEADY_DELTAS = 100;
+    private static final int STORM_DELTAS = 1000;
     private static final EndpointList.Names NAMES =
             new EndpointList.Names(List.of("a", "b", "c", "d", "e", "f", "g"), List.of("m"));
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final int listed;
+    private final int endpointsListed;
     private final Upstream<RequestMessage, UpstreamResponse> upstream;
     private final SuspendedEndpoints suspensions;
     private final RequestDispatcher<RequestMessage, UpstreamResponse> dispatcher;
@@ -66,9 +66,9 @@
     private double upstreamNs;
     private double suspensionsNs;
 
-    ListPathCost(int listed, Path suspensionFile) throws IOException {
-        this.listed = listed;
-        states = new String[listed];
+    ListPathCost(int endpointsListed, Path suspensionFile) throws IOException {
+        this.endpointsListed = endpointsListed;
+        states = new String[endpointsListed];
         Arrays.fill(states, "in_service");
         Clock clock = new Clock();
         EventLog silent = new EventLog(clock, new TextSink(new PrintStream(OutputStream.nullOutputStream())));
@@ -79,7 +79,7 @@
                 new Metrics(List.of("read")),
                 new BufferBudget(Long.MAX_VALUE),
                 new Lifecycle(() -> true),
-                settings(listed),
+                settings(endpointsListed),
                 15_000);
         upstream = new Http1Protocol().createUpstream(context, 64);
         suspensions = new SuspendedEndpoints(suspensionFile, silent);
@@ -90,28 +90,29 @@
     /** Prints the table of one run. */
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory("list-path");
-        System.out.println("listed  us/change at 20/s: all  (read, endpoints' pool, suspensions)"
-                + "  all at 500/s  us of a list of all");
-        for (int listed : LISTED_COUNTS) {
-            try (ListPathCost path = new ListPathCost(listed, folder.resolve("suspended-" + listed))) {
-                path.changes(STORM_CHANGES, 0);
-                double storm = path.changes(STORM_CHANGES, 2);
-                double steady = path.changes(STEADY_CHANGES, 50);
+        System.out.println("listed  us/delta at 20/s: total  (parsing, connection pools, suspensions)"
+                + "  total at 500/s  us/full snapshot");
+        for (int endpointsListed : LISTED_COUNTS) {
+            try (ListPathCost path =
+                    new ListPathCost(endpointsListed, folder.resolve("suspended-" + endpointsListed))) {
+                path.applyDeltas(STORM_DELTAS, 0);
+                double stormUs = path.applyDeltas(STORM_DELTAS, 2);
+                double steadyUs = path.applyDeltas(STEADY_DELTAS, 50);
                 System.out.printf(
                         Locale.ROOT,
                         "%6d %22.1f  (%.1f, %.1f, %.1f) %25.1f %20.0f%n",
-                        listed,
-                        steady,
+                        endpointsListed,
+                        steadyUs,
                         path.parseNs / 1000,
                         path.upstreamNs / 1000,
                         path.suspensionsNs / 1000,
-                        storm,
-                        path.fullSnapshots(20));
+                        stormUs,
+                        path.applyFullSnapshots(20));
             }
         }
     }
 
-    /** No connection is ever opened here, so the parts can be called from outside their event loop. */
+    /** Stops the event loop. No connection is ever opened, so that other threads can call the parts as well. */
     @Override
     public void close() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
@@ -156,7 +157,7 @@
 
     private byte[] fullListJson() {
         List<String> endpoints = new ArrayList<>();
-        for (int i = 0; i < listed; i++) {
+        for (int i = 0; i < endpointsListed; i++) {
             endpoints.add(endpointJson(i));
         }
         return listJson(true, endpoints);
@@ -166,44 +167,49 @@
         return EndpointListReader.parse(json, NAMES);
     }
 
-    /** Returns the microseconds for each change, and leaves those of the parts in the fields. */
-    double changes(int count, long everyMs) throws IOException, InterruptedException {
-        double spentNs = 0;
+    /**
+     * Applies deltas and returns the mean processor time of each, in microseconds; sets the fields with those of its
+     * parts.
+     */
+    double applyDeltas(int count, long intervalMs) throws IOException, InterruptedException {
+        double cpuNs = 0;
         parseNs = 0;
         upstreamNs = 0;
         suspensionsNs = 0;
         for (int i = 0; i < count; i++) {
-            Thread.sleep(everyMs);
-            int index = random.nextInt(listed);
+            Thread.sleep(intervalMs);
+            int index = random.nextInt(endpointsListed);
             states[index] = states[index].equals("in_service") ? "terminating" : "in_service";
             byte[] json = listJson(false, List.of(endpointJson(index)));
             long startNs = CPU.getCurrentThreadCpuTime();
-            EndpointList change = parse(json);
+            EndpointList delta = parse(json);
             long parsedNs = CPU.getCurrentThreadCpuTime();
-            dispatcher.onEndpointList(change);
+            dispatcher.onEndpointList(delta);
             long appliedNs = CPU.getCurrentThreadCpuTime();
-            // The parts again by themselves, which changes nothing.
-            upstream.updateEndpoints(change);
+            // Each part is called once more by itself, which has no effect on the state.
+            upstream.updateEndpoints(delta);
             long updatedNs = CPU.getCurrentThreadCpuTime();
-            suspensions.applyUpdate(EndpointUpdateKind.DELTA, change.endpoints());
+            suspensions.applyUpdate(EndpointUpdateKind.DELTA, delta.endpoints());
             long suspendedNs = CPU.getCurrentThreadCpuTime();
-            spentNs += appliedNs - startNs;
+            cpuNs += appliedNs - startNs;
             parseNs += (parsedNs - startNs) / (double) count;
             upstreamNs += (updatedNs - appliedNs) / (double) count;
             suspensionsNs += (suspendedNs - updatedNs) / (double) count;
         }
-        return spentNs / count / 1000;
+        return cpuNs / count / 1000;
     }
 
-    /** Returns the microseconds for each of some full snapshots without a change, after as many to warm up. */
-    double fullSnapshots(int lists) throws IOException {
-        double spentNs = 0;
-        for (int i = 0; i < 2 * lists; i++) {
+    /**
+     * Returns the mean processor time of a full snapshot without changes, in microseconds, after as many for warm-up.
+     */
+    double applyFullSnapshots(int snapshots) throws IOException {
+        double cpuNs = 0;
+        for (int i = 0; i < 2 * snapshots; i++) {
             byte[] json = fullListJson();
             long startNs = CPU.getCurrentThreadCpuTime();
             dispatcher.onEndpointList(parse(json));
-            spentNs += i < lists ? 0 : CPU.getCurrentThreadCpuTime() - startNs;
+            cpuNs += i < snapshots ? 0 : CPU.getCurrentThreadCpuTime() - startNs;
         }
-        return spentNs / lists / 1000;
+        return cpuNs / snapshots / 1000;
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/MalformedResponseTest.java
+++ b/edge/src/test/java/lemonrail/assembly/MalformedResponseTest.java
@@ -10,26 +10,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Endpoints that send malformed responses: a client only ever gets the response to its own request. */
+/** Endpoints that send malformed responses: a client gets no response but that to its own request. */
 @Timeout(60)
 class MalformedResponseTest {
 
     private static final int DEADLINE_MS = 8000;
     private static final String OK = "HTTP/1.1 200 OK\r\n";
 
-    private SidecarFixture rig;
+    private SidecarFixture fixture;
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
-    private void start(StubEndpoint.RequestHandler script) throws IOException {
-        rig = new SidecarFixture(new StubEndpoint(script));
-        rig.start();
+    private void start(StubEndpoint.RequestHandler handler) throws IOException {
+        fixture = new SidecarFixture(new StubEndpoint(handler));
+        fixture.start();
     }
 
-    /** The request has run, so a non-idempotent one fails at once, and the connection is closed. */
+    /** The request may have been executed, so that a non-idempotent one fails at once. The connection is closed. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -52,28 +52,29 @@
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
             })
     void malformedResponseFailsTheAttemptAtOnce(String response) throws Exception {
-        start((wire, request) -> wire.send(response).awaitEnd());
+        start((connection, request) -> connection.send(response).awaitEnd());
         long startNs = System.nanoTime();
-        assertEquals(502, rig.ask("order", DEADLINE_MS).status());
-        assertTrue((System.nanoTime() - startNs) / 1e6 < DEADLINE_MS / 2.0, "at once");
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
+        assertTrue(
+                (System.nanoTime() - startNs) / 1e6 < DEADLINE_MS / 2.0, "the failure comes long before the deadline");
         SidecarFixture.await(
-                "the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
-        assertEquals(1, rig.attempts());
+                "the connection is closed", () -> fixture.endpoints.get(0).open.get() == 0);
+        assertEquals(1, fixture.attempts());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {OK + "%sX-Pad: pppppppppppppppppppp\r\n", "%sHTTP/1.1 103 Early Hints\r\n\r\n"})
-    void endlessHeadIsCutShort(String pattern) throws Exception {
+    void endlessHeadFailsTheAttempt(String pattern) throws Exception {
         String[] parts = pattern.split("%s");
-        start((wire, request) -> {
-            wire.send(parts[0]);
+        start((connection, request) -> {
+            connection.send(parts[0]);
             while (true) {
-                wire.send(parts[1]);
+                connection.send(parts[1]);
             }
         });
-        assertEquals(502, rig.ask("order", DEADLINE_MS).status());
+        assertEquals(502, fixture.sendRequest("order", DEADLINE_MS).status());
         SidecarFixture.await(
-                "the connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+                "the connection is closed", () -> fixture.endpoints.get(0).open.get() == 0);
     }
 
     @ParameterizedTest
@@ -85,19 +86,21 @@
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK
             })
     void wellFormedResponseWithUnusualHeadIsServed(String head) throws Exception {
-        start((wire, request) -> wire.send(head + "Content-Length: 5\r\n\r\nhello"));
-        try (HttpTestConnection client = rig.client()) {
+        start((connection, request) -> connection.send(head + "Content-Length: 5\r\n\r\nhello"));
+        try (HttpTestConnection client = fixture.client()) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
                         "hello",
-                        client.send(rig.request("order", DEADLINE_MS)).read().body());
-                rig.settle();
+                        client.send(fixture.request("order", DEADLINE_MS))
+                                .read()
+                                .body());
+                fixture.awaitReusableConnections();
             }
         }
-        assertEquals(1, rig.endpoints.get(0).connections.get(), "and its connection is kept");
+        assertEquals(1, fixture.endpoints.get(0).connections.get(), "the connection to the endpoint is reused");
     }
 
-    /** A second copy, noise or half a line must not become the response to the next request. */
+    /** Guards against a second copy, noise or half a line that is taken for the response to the next request. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -108,49 +111,51 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nX-"
             })
     void strayBytesAreNeverTheNextResponse(String strayBytes) throws Exception {
-        start((wire, request) -> {
+        start((connection, request) -> {
             String id = request.headers().get("x-request-id");
             String response = OK + "Content-Length: " + id.length() + "\r\n\r\n" + id;
-            wire.send(response + (strayBytes.equals("copy") ? response : strayBytes));
+            connection.send(response + (strayBytes.equals("copy") ? response : strayBytes));
         });
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             for (int i = 0; i < 10; i++) {
                 HttpTestConnection.Message response =
-                        client.send(rig.request("order", DEADLINE_MS)).read();
+                        client.send(fixture.request("order", DEADLINE_MS)).read();
                 assertEquals(200, response.status());
                 assertEquals("r" + i, response.body());
-                rig.settle();
+                fixture.awaitReusableConnections();
             }
         }
-        assertEquals(10, rig.endpoints.get(0).connections.get(), "none is used again");
+        assertEquals(10, fixture.endpoints.get(0).connections.get(), "no connection is reused");
     }
 
-    /** The same when the bytes arrive later, on an idle connection. */
+    /** Like the test above, with bytes that arrive later, on an idle connection. */
     @Test
     void strayBytesOnAnIdleConnectionCloseIt() throws Exception {
-        start((wire, request) -> {
-            StubEndpoint.respond(wire, 200, "", request.headers().get("x-request-id"));
+        start((connection, request) -> {
+            StubEndpoint.respond(connection, 200, "", request.headers().get("x-request-id"));
             Thread.sleep(30);
-            wire.send("x");
+            connection.send("x");
         });
         for (int i = 0; i < 3; i++) {
-            assertEquals("r" + i, rig.ask("order", DEADLINE_MS).body());
-            SidecarFixture.await("it is closed", () -> rig.endpoints.get(0).open.get() == 0);
+            assertEquals("r" + i, fixture.sendRequest("order", DEADLINE_MS).body());
+            SidecarFixture.await(
+                    "the connection is closed",
+                    () -> fixture.endpoints.get(0).open.get() == 0);
         }
     }
 
-    /** An endpoint must not be ejected for client errors, which only the request is to blame for. */
+    /** Guards against the ejection of an endpoint for client errors, which only the request causes. */
     @Test
     void clientErrorsDoNotEjectTheEndpoint() throws Exception {
-        start((wire, request) ->
-                StubEndpoint.respond(wire, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
+        start((connection, request) ->
+                StubEndpoint.respond(connection, "bad".equals(request.headers().get("x-note")) ? 400 : 200, "", "x"));
         for (int i = 0; i < 20; i++) {
-            try (HttpTestConnection client = rig.client()) {
-                String bad = rig.request("order", DEADLINE_MS).replace("Host:", "X-Note: bad\r\nHost:");
+            try (HttpTestConnection client = fixture.client()) {
+                String bad = fixture.request("order", DEADLINE_MS).replace("Host:", "X-Note: bad\r\nHost:");
                 assertEquals(400, client.send(bad).read().status());
             }
         }
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertEquals(21, rig.attempts(), "each was sent once");
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
+        assertEquals(21, fixture.attempts(), "each request was sent once");
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
@@ -15,20 +15,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The configuration: what is right is read, what is not is named. */
+/** The platform's JSON configuration file: valid files are read, and errors name the field and its value. */
 class PlatformFileTest {
 
     @TempDir
     Path folder;
 
-    private EdgeConfig read(String part, String instead) throws IOException {
+    private EdgeConfig read(String original, String replacement) throws IOException {
         try (StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "");
                 SidecarFixture fixture = new SidecarFixture(endpoint)) {
-            assertTrue(fixture.config().contains(part), part);
+            assertTrue(fixture.config().contains(original), original);
             return new PlatformFile(
                             Files.writeString(
                                     folder.resolve("config.json"),
-                                    fixture.config().replace(part, instead)),
+                                    fixture.config().replace(original, replacement)),
                             Map.of())
                     .load()
                     .config();
@@ -61,10 +61,10 @@
                 "\"effect\":\"once\"|\"effect\":\"twice\"|effect has an unknown value: twice",
                 "\"azs\":[\"a\"]|\"azs\":5|settings.azs is invalid: 5"
             })
-    void reportsMissingAndInvalidFields(String part, String instead, String complaint) {
-        IllegalArgumentException e =
-                assertThrows(IllegalArgumentException.class, () -> read(part, instead == null ? "" : instead));
-        assertTrue(e.getMessage().contains(complaint), e.getMessage());
+    void reportsMissingAndInvalidFields(String original, String replacement, String message) {
+        IllegalArgumentException e = assertThrows(
+                IllegalArgumentException.class, () -> read(original, replacement == null ? "" : replacement));
+        assertTrue(e.getMessage().contains(message), e.getMessage());
     }
 
     @Test
--- a/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
@@ -30,56 +30,56 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The contract of the exchange package that holds for each protocol: one final response, retries only as the class
- * permits, drains and deadlines. HTTP/1.1 and a test protocol run through the same tests, over real sockets.
+ * The contract of the exchange package for each protocol: one final response, retries only as the class permits,
+ * drains and deadlines. The same tests run with HTTP/1.1 and with a test protocol, over loopback sockets.
  */
 @Timeout(60)
 class ProtocolContractTest {
 
-    private static final int LONG_MS = 8000;
-    private static final int SHORT_MS = 400;
+    private static final int LONG_DEADLINE_MS = 8000;
+    private static final int SHORT_DEADLINE_MS = 400;
 
     @TempDir
     Path folder;
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private final List<TestEndpoint> peers = new ArrayList<>();
+    private final List<TestEndpoint> endpoints = new ArrayList<>();
     private final List<Closeable> open = new ArrayList<>();
     private final CountDownLatch release = new CountDownLatch(1);
-    private TestProtocol talk;
+    private TestProtocol testProtocol;
     private Sidecar edge;
     private int requests;
 
     @AfterEach
     void stop() throws IOException {
         release.countDown();
-        for (Closeable each : open) {
-            each.close();
+        for (Closeable resource : open) {
+            resource.close();
         }
         if (edge != null) {
             edge.stop();
         }
     }
 
-    private TestEndpoint peer(EndpointAction... acts) throws IOException {
-        TestEndpoint peer = talk.peer(release, acts);
-        peers.add(peer);
-        open.add(peer);
-        return peer;
+    private TestEndpoint addEndpoint(EndpointAction... acts) throws IOException {
+        TestEndpoint endpoint = testProtocol.endpoint(release, acts);
+        endpoints.add(endpoint);
+        open.add(endpoint);
+        return endpoint;
     }
 
-    private void write(TestEndpoint... draining) throws IOException {
-        StringBuilder endpoints = new StringBuilder();
-        for (TestEndpoint peer : peers) {
-            endpoints
+    private void writeConfig(TestEndpoint... draining) throws IOException {
+        StringBuilder endpointTables = new StringBuilder();
+        for (TestEndpoint endpoint : endpoints) {
+            endpointTables
                     .append("[[endpoints]]\nid = \"p")
-                    .append(peers.indexOf(peer))
+                    .append(endpoints.indexOf(endpoint))
                     .append("\"\naddress = \"")
-                    .append(peer.address())
+                    .append(endpoint.address())
                     .append("\"\nrack = ")
-                    .append(peers.indexOf(peer))
+                    .append(endpoints.indexOf(endpoint))
                     .append('\n')
-                    .append(List.of(draining).contains(peer) ? "state = \"draining\"\n" : "");
+                    .append(List.of(draining).contains(endpoint) ? "state = \"draining\"\n" : "");
         }
         Files.writeString(folder.resolve("edge.toml"), """
             name = "seam"
@@ -107,14 +107,14 @@
             deadline = "8s"
             [limits]
             connect-timeout = "2s"
-            """.formatted(folder, endpoints));
+            """.formatted(folder, endpointTables));
     }
 
-    private void start(TestProtocol spoken) throws IOException {
-        write();
+    private void start(TestProtocol protocol) throws IOException {
+        writeConfig();
         TomlFile source = new TomlFile(folder.resolve("edge.toml"), Map.of());
         edge = new SidecarBuilder(
-                        spoken.protocol(),
+                        protocol.protocol(),
                         source,
                         source.load(),
                         new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)))
@@ -122,24 +122,26 @@
         edge.start();
     }
 
-    private TestClient caller() throws IOException {
-        TestClient caller = talk.caller(edge.address());
-        open.add(caller);
-        return caller;
+    private TestClient client() throws IOException {
+        TestClient client = testProtocol.client(edge.address());
+        open.add(client);
+        return client;
     }
 
-    private TestClient send(String kind, int deadlineMs) throws IOException {
-        TestClient caller = caller();
-        caller.send("r" + requests++, kind, deadlineMs);
-        return caller;
+    private TestClient send(String requestClass, int deadlineMs) throws IOException {
+        TestClient client = client();
+        client.send("r" + requests++, requestClass, deadlineMs);
+        return client;
     }
 
-    private ClientResult ask(String kind, int deadlineMs) throws IOException {
-        return send(kind, deadlineMs).read();
+    private ClientResult sendRequest(String requestClass, int deadlineMs) throws IOException {
+        return send(requestClass, deadlineMs).read();
     }
 
     private int attempts() {
-        return peers.stream().mapToInt(peer -> peer.requests().size()).sum();
+        return endpoints.stream()
+                .mapToInt(endpoint -> endpoint.requests().size())
+                .sum();
     }
 
     private void awaitAttempts(int count) throws InterruptedException {
@@ -150,30 +152,35 @@
 
     @ParameterizedTest
     @EnumSource
-    void eachRequestIsServedOnceByOneEndpoint(TestProtocol spoken) throws Exception {
-        talk = spoken;
-        peer(EndpointAction.SERVE);
-        peer(EndpointAction.SERVE);
-        start(spoken);
-        TestClient caller = caller();
+    void eachRequestIsServedOnceByOneEndpoint(TestProtocol protocol) throws Exception {
+        testProtocol = protocol;
+        addEndpoint(EndpointAction.SERVE);
+        addEndpoint(EndpointAction.SERVE);
+        start(protocol);
+        TestClient client = client();
         for (int i = 0; i < 20; i++) {
-            caller.send("q" + i, i % 2 == 0 ? "read" : "order", LONG_MS);
-            assertEquals(new ClientResult(ClientResult.Kind.SERVED, "served q" + i), caller.read());
+            client.send("q" + i, i % 2 == 0 ? "read" : "order", LONG_DEADLINE_MS);
+            assertEquals(new ClientResult(ClientResult.Kind.SERVED, "served q" + i), client.read());
         }
         assertEquals(20, attempts());
         assertEquals(
                 20,
-                new HashSet<>(peers.stream().flatMap(p -> p.requests().stream()).toList()).size());
+                new HashSet<>(endpoints.stream()
+                                .flatMap(p -> p.requests().stream())
+                                .toList())
+                        .size());
     }
 
     @ParameterizedTest
     @EnumSource
-    void requestRejectedAsInvalidIsNotRetried(TestProtocol spoken) throws Exception {
-        talk = spoken;
-        peer(EndpointAction.REJECT);
-        peer(EndpointAction.REJECT);
-        start(spoken);
-        assertEquals(ClientResult.Kind.REJECTED, ask("read", LONG_MS).kind());
+    void requestRejectedAsInvalidIsNotRetried(TestProtocol protocol) throws Exception {
+        testProtocol = protocol;
+        addEndpoint(EndpointAction.REJECT);
+        addEndpoint(EndpointAction.REJECT);
+        start(protocol);
+        assertEquals(
+                ClientResult.Kind.REJECTED,
+                sendRequest("read", LONG_DEADLINE_MS).kind());
         assertEquals(1, attempts());
     }
 
@@ -181,9 +188,9 @@
 
     @ParameterizedTest
     @EnumSource
-    void idempotentRequestIsRetriedAtAnotherEndpoint(TestProtocol spoken) throws Exception {
-        for (EndpointAction act : List.of(EndpointAction.FAIL, EndpointAction.RESET, EndpointAction.NOT_RUN)) {
-            tryTwice(spoken, act, "read", ClientResult.Kind.SERVED, 2);
+    void idempotentRequestIsRetriedAtAnotherEndpoint(TestProtocol protocol) throws Exception {
+        for (EndpointAction action : List.of(EndpointAction.FAIL, EndpointAction.RESET, EndpointAction.NOT_RUN)) {
+            assertResult(protocol, action, "read", ClientResult.Kind.SERVED, 2);
         }
     }
 
@@ -192,96 +199,105 @@
      */
     @ParameterizedTest
     @EnumSource
-    void nonIdempotentRequestIsRetriedOnlyIfNotExecuted(TestProtocol spoken) throws Exception {
-        tryTwice(spoken, EndpointAction.NOT_RUN, "order", ClientResult.Kind.SERVED, 2);
-        tryTwice(spoken, EndpointAction.FAIL, "order", ClientResult.Kind.FAILED, 1);
-        tryTwice(spoken, EndpointAction.RESET, "order", ClientResult.Kind.FAILED, 1);
+    void nonIdempotentRequestIsRetriedOnlyIfNotExecuted(TestProtocol protocol) throws Exception {
+        assertResult(protocol, EndpointAction.NOT_RUN, "order", ClientResult.Kind.SERVED, 2);
+        assertResult(protocol, EndpointAction.FAIL, "order", ClientResult.Kind.FAILED, 1);
+        assertResult(protocol, EndpointAction.RESET, "order", ClientResult.Kind.FAILED, 1);
     }
 
-    /** A keyed request may be retried within its rack only, and here each rack has one endpoint. */
+    /** A keyed request may be retried only within its rack, and each rack has one endpoint here. */
     @ParameterizedTest
     @EnumSource
-    void keyedRequestIsRetriedOnlyInItsRack(TestProtocol spoken) throws Exception {
-        tryTwice(spoken, EndpointAction.NOT_RUN, "save", ClientResult.Kind.SERVED, 2);
-        talk = spoken;
+    void keyedRequestIsRetriedOnlyInItsRack(TestProtocol protocol) throws Exception {
+        assertResult(protocol, EndpointAction.NOT_RUN, "save", ClientResult.Kind.SERVED, 2);
+        testProtocol = protocol;
         reset();
-        TestEndpoint first = peer(EndpointAction.RESET);
-        TestEndpoint second = peer(EndpointAction.RESET);
-        start(spoken);
-        assertEquals(ClientResult.Kind.FAILED, ask("save", LONG_MS).kind());
-        assertTrue(first.requests().isEmpty() || second.requests().isEmpty(), "one rack only");
+        TestEndpoint first = addEndpoint(EndpointAction.RESET);
+        TestEndpoint second = addEndpoint(EndpointAction.RESET);
+        start(protocol);
+        assertEquals(
+                ClientResult.Kind.FAILED, sendRequest("save", LONG_DEADLINE_MS).kind());
+        assertTrue(first.requests().isEmpty() || second.requests().isEmpty(), "requests were sent to one rack only");
     }
 
-    /** Sends a request while both endpoints do this with the first request that each gets and serve all others. */
-    private void tryTwice(TestProtocol spoken, EndpointAction act, String kind, ClientResult.Kind end, int attempts)
+    /**
+     * Sends a request to two endpoints of which the first to receive one applies the action; all other requests are
+     * served.
+     */
+    private void assertResult(
+            TestProtocol protocol, EndpointAction action, String requestClass, ClientResult.Kind expected, int attempts)
             throws Exception {
-        talk = spoken;
+        testProtocol = protocol;
         reset();
         CountDownLatch first = new CountDownLatch(1);
-        EndpointAction[] once = {act, EndpointAction.SERVE};
-        TestEndpoint one = talk.sharing(release, first, once);
-        TestEndpoint two = talk.sharing(release, first, once);
-        peers.addAll(List.of(one, two));
+        EndpointAction[] actions = {action, EndpointAction.SERVE};
+        TestEndpoint one = testProtocol.endpointSharingFirstAction(release, first, actions);
+        TestEndpoint two = testProtocol.endpointSharingFirstAction(release, first, actions);
+        endpoints.addAll(List.of(one, two));
         open.addAll(List.of(one, two));
-        start(spoken);
-        assertEquals(end, ask(kind, LONG_MS).kind(), act + " " + kind);
-        assertEquals(attempts, attempts(), act + " " + kind);
+        start(protocol);
+        assertEquals(expected, sendRequest(requestClass, LONG_DEADLINE_MS).kind(), action + " " + requestClass);
+        assertEquals(attempts, attempts(), action + " " + requestClass);
     }
 
     private void reset() throws IOException {
         if (edge != null) {
             edge.stop();
         }
-        for (TestEndpoint peer : peers) {
-            peer.close();
+        for (TestEndpoint endpoint : endpoints) {
+            endpoint.close();
         }
-        peers.clear();
+        endpoints.clear();
     }
 
     @ParameterizedTest
     @EnumSource
-    void endpointThatRefusesConnectionsIsSkipped(TestProtocol spoken) throws Exception {
-        talk = spoken;
-        TestEndpoint gone = peer(EndpointAction.SERVE);
-        peer(EndpointAction.SERVE);
-        start(spoken);
-        gone.close();
-        for (String kind : List.of("read", "order", "save", "read", "order", "save")) {
-            assertEquals(ClientResult.Kind.SERVED, ask(kind, LONG_MS).kind());
+    void endpointThatRefusesConnectionsIsSkipped(TestProtocol protocol) throws Exception {
+        testProtocol = protocol;
+        TestEndpoint closed = addEndpoint(EndpointAction.SERVE);
+        addEndpoint(EndpointAction.SERVE);
+        start(protocol);
+        closed.close();
+        for (String requestClass : List.of("read", "order", "save", "read", "order", "save")) {
+            assertEquals(
+                    ClientResult.Kind.SERVED,
+                    sendRequest(requestClass, LONG_DEADLINE_MS).kind());
         }
-        assertEquals(0, gone.requests().size());
+        assertEquals(0, closed.requests().size());
     }
 
     // ---- deadlines ----
 
     @ParameterizedTest
     @EnumSource
-    void unresponsiveEndpointTimesOutAndTheClientIsInformed(TestProtocol spoken) throws Exception {
-        talk = spoken;
-        TestEndpoint silent = peer(EndpointAction.SILENT);
-        start(spoken);
-        long began = System.nanoTime();
-        assertEquals(ClientResult.Kind.FAILED, ask("order", SHORT_MS).kind());
-        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
-        assertTrue(tookMs < LONG_MS / 2, tookMs + " ms");
-        SidecarFixture.await("the attempt is given up", () -> silent.connections() == 0);
+    void requestAtAnUnresponsiveEndpointFailsAtItsDeadline(TestProtocol protocol) throws Exception {
+        testProtocol = protocol;
+        TestEndpoint silent = addEndpoint(EndpointAction.SILENT);
+        start(protocol);
+        long startNs = System.nanoTime();
+        assertEquals(
+                ClientResult.Kind.FAILED,
+                sendRequest("order", SHORT_DEADLINE_MS).kind());
+        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
+        assertTrue(tookMs < LONG_DEADLINE_MS / 2, tookMs + " ms");
+        SidecarFixture.await("the attempt is cancelled", () -> silent.connections() == 0);
         assertEquals(1, attempts());
     }
 
-    /** Guards against a late response that is taken for the next request's. */
+    /** Guards against a late response that is taken for the response to the next request. */
     @ParameterizedTest
     @EnumSource
-    void lateResponseIsNotGivenToTheNextRequest(TestProtocol spoken) throws Exception {
-        talk = spoken;
-        peer(EndpointAction.HOLD, EndpointAction.SERVE);
-        start(spoken);
-        TestClient caller = caller();
-        caller.send("late", "order", SHORT_MS);
-        assertEquals(ClientResult.Kind.FAILED, caller.read().kind());
+    void lateResponseIsNotGivenToTheNextRequest(TestProtocol protocol) throws Exception {
+        testProtocol = protocol;
+        addEndpoint(EndpointAction.HOLD, EndpointAction.SERVE);
+        start(protocol);
+        TestClient client = client();
+        client.send("late", "order", SHORT_DEADLINE_MS);
+        assertEquals(ClientResult.Kind.FAILED, client.read().kind());
         release.countDown();
         for (int i = 0; i < 3; i++) {
-            TestClient next = caller();
-            next.send("next" + i, "order", LONG_MS);
+            TestClient next = client();
+            next.send("next" + i, "order", LONG_DEADLINE_MS);
             assertEquals(new ClientResult(ClientResult.Kind.SERVED, "served next" + i), next.read());
         }
     }
@@ -290,27 +306,27 @@
 
     @ParameterizedTest
     @EnumSource
-    void fullPoolRejectsAtOnce(TestProtocol spoken) throws Exception {
-        talk = spoken;
-        peer(EndpointAction.HOLD);
-        start(spoken);
+    void fullPoolRejectsAtOnce(TestProtocol protocol) throws Exception {
+        testProtocol = protocol;
+        addEndpoint(EndpointAction.HOLD);
+        start(protocol);
         List<TestClient> held = new ArrayList<>();
-        ClientResult refused = null;
-        for (int i = 0; i < 300 && refused == null; i++) {
-            TestClient caller = send("order", LONG_MS);
+        ClientResult rejection = null;
+        for (int i = 0; i < 300 && rejection == null; i++) {
+            TestClient client = send("order", LONG_DEADLINE_MS);
             int before = i + 1;
             SidecarFixture.await(
-                    "it is at the endpoint or refused",
-                    () -> attempts() == before - (caller.hasAnswer() ? 1 : 0) || caller.hasAnswer());
-            refused = caller.hasAnswer() ? caller.read() : null;
-            if (refused == null) {
-                held.add(caller);
+                    "the request is at the endpoint or rejected",
+                    () -> attempts() == before - (client.hasResponse() ? 1 : 0) || client.hasResponse());
+            rejection = client.hasResponse() ? client.read() : null;
+            if (rejection == null) {
+                held.add(client);
             }
         }
-        assertEquals(ClientResult.Kind.SHED, refused.kind());
+        assertEquals(ClientResult.Kind.SHED, rejection.kind());
         release.countDown();
-        for (TestClient caller : held) {
-            assertEquals(ClientResult.Kind.SERVED, caller.read().kind());
+        for (TestClient client : held) {
+            assertEquals(ClientResult.Kind.SERVED, client.read().kind());
         }
     }
 
@@ -318,21 +334,22 @@
 
     @ParameterizedTest
     @EnumSource
-    void drainingEndpointCompletesItsRequestsAndGetsNoNewOnes(TestProtocol spoken) throws Exception {
-        talk = spoken;
-        TestEndpoint draining = peer(EndpointAction.HOLD);
-        start(spoken);
-        TestClient held = send("order", LONG_MS);
+    void drainingEndpointCompletesItsRequestsAndGetsNoNewOnes(TestProtocol protocol) throws Exception {
+        testProtocol = protocol;
+        TestEndpoint draining = addEndpoint(EndpointAction.HOLD);
+        start(protocol);
+        TestClient held = send("order", LONG_DEADLINE_MS);
         awaitAttempts(1);
-        TestEndpoint other = peer(EndpointAction.SERVE);
-        write(draining);
+        TestEndpoint other = addEndpoint(EndpointAction.SERVE);
+        writeConfig(draining);
         edge.reload();
         SidecarFixture.await(
-                "it is taken up", () -> log.toString(StandardCharsets.UTF_8).contains("read again"));
+                "the configuration is reloaded",
+                () -> log.toString(StandardCharsets.UTF_8).contains("read again"));
         for (int i = 0; i < 6; i++) {
             assertEquals(
                     ClientResult.Kind.SERVED,
-                    ask(i % 2 == 0 ? "read" : "order", LONG_MS).kind());
+                    sendRequest(i % 2 == 0 ? "read" : "order", LONG_DEADLINE_MS).kind());
         }
         assertEquals(1, draining.requests().size());
         assertEquals(6, other.requests().size());
@@ -342,36 +359,37 @@
 
     @ParameterizedTest
     @EnumSource
-    void stoppingSidecarRespondsToRequestsInFlight(TestProtocol spoken) throws Exception {
-        talk = spoken;
-        peer(EndpointAction.HOLD);
-        start(spoken);
-        TestClient held = send("order", LONG_MS);
+    void stoppingSidecarRespondsToRequestsInFlight(TestProtocol protocol) throws Exception {
+        testProtocol = protocol;
+        addEndpoint(EndpointAction.HOLD);
+        start(protocol);
+        TestClient held = send("order", LONG_DEADLINE_MS);
         awaitAttempts(1);
         Thread stopping = new Thread(edge::shutdownGracefully);
         stopping.start();
         SidecarFixture.await(
-                "it is stopping", () -> log.toString(StandardCharsets.UTF_8).contains("stopping"));
-        assertTrue(stopping.isAlive(), "it waits for requests in flight");
+                "the sidecar is stopping",
+                () -> log.toString(StandardCharsets.UTF_8).contains("stopping"));
+        assertTrue(stopping.isAlive(), "the shutdown waits for requests in flight");
         release.countDown();
         assertEquals(ClientResult.Kind.SERVED, held.read().kind());
         held.awaitEnd();
         stopping.join();
-        assertThrows(IOException.class, this::caller);
+        assertThrows(IOException.class, this::client);
     }
 
     @ParameterizedTest
     @EnumSource
-    void attemptIsCancelledWhenItsClientDisconnects(TestProtocol spoken) throws Exception {
-        talk = spoken;
-        TestEndpoint silent = peer(EndpointAction.SILENT);
-        start(spoken);
-        TestClient caller = send("order", LONG_MS);
+    void attemptIsCancelledWhenItsClientDisconnects(TestProtocol protocol) throws Exception {
+        testProtocol = protocol;
+        TestEndpoint silent = addEndpoint(EndpointAction.SILENT);
+        start(protocol);
+        TestClient client = send("order", LONG_DEADLINE_MS);
         awaitAttempts(1);
-        caller.close();
-        SidecarFixture.await("the attempt is given up", () -> silent.connections() == 0);
+        client.close();
+        SidecarFixture.await("the attempt is cancelled", () -> silent.connections() == 0);
         SidecarFixture.await(
-                "nothing is left",
+                "no request is open any more",
                 () -> edge.loop()
                                 .submit(() -> edge.requestAndEndpointCounts().get(0))
                                 .syncUninterruptibly()
--- a/edge/src/test/java/lemonrail/assembly/ReconnectFloodTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReconnectFloodTest.java
@@ -15,12 +15,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Hundreds of clients connect, send requests and reconnect: returning clients are still served. */
+/** Returning clients are served while hundreds of others connect, send requests and reconnect. */
 @Timeout(90)
 class ReconnectFloodTest {
 
     private static final int DEADLINE_MS = 4000;
-    /** The bound on connections where hardly any descriptor is left, and how many of them are reserved. */
+    /**
+     * The limit on client connections with the smallest number of descriptors. The constant below is its reserved part.
+     */
     private static final int MAX_CONNECTIONS = 8;
 
     private static final int RESERVED = 4;
@@ -32,14 +34,16 @@
     private static final int RETURNING = 110;
     /** Responses that the flood gets before the returning clients' requests are counted. */
     private static final int FLOOD_RESPONSES_BEFORE_COUNT = 1000;
-    /** They send in turn, so that neither is idle for the 5 s after which a connection is closed. */
+    /** Two clients that send in turn, so that neither is idle for the 5 s after which a connection is closed. */
     private static final int RETURNING_IN_FLOOD = 2;
 
     private static final int ROUNDS = 30;
-    /** Requests of returning clients that the load balancer may reject, as it lacks capacity for all. */
+    /**
+     * The number of requests of returning clients that may be rejected, as the load balancer lacks capacity for all.
+     */
     private static final int MAX_REJECTED = RETURNING_IN_FLOOD * ROUNDS / 10;
 
-    private SidecarFixture rig;
+    private SidecarFixture fixture;
     private final List<HttpTestConnection> clients = new ArrayList<>();
 
     @AfterEach
@@ -47,13 +51,13 @@
         for (HttpTestConnection client : clients) {
             client.close();
         }
-        rig.close();
+        fixture.close();
     }
 
     private void start(int sockets, StubEndpoint... endpoints) throws IOException {
-        rig = new SidecarFixture(endpoints);
-        rig.sockets = sockets;
-        rig.start();
+        fixture = new SidecarFixture(endpoints);
+        fixture.sockets = sockets;
+        fixture.start();
     }
 
     private static StubEndpoint good() throws IOException {
@@ -61,17 +65,17 @@
     }
 
     private HttpTestConnection client() throws IOException {
-        HttpTestConnection client = rig.client();
+        HttpTestConnection client = fixture.client();
         clients.add(client);
         return client;
     }
 
     private HttpTestConnection.Message request(HttpTestConnection client) throws IOException {
-        return client.send(rig.request("read", DEADLINE_MS)).read();
+        return client.send(fixture.request("read", DEADLINE_MS)).read();
     }
 
-    private void assertServed(HttpTestConnection client, String which) throws IOException {
-        assertEquals(200, request(client).status(), which);
+    private void assertServed(HttpTestConnection client, String description) throws IOException {
+        assertEquals(200, request(client).status(), description);
     }
 
     /** Returns a client that has sent a second request on its connection. */
@@ -82,9 +86,9 @@
         return client;
     }
 
-    // ---- one after the other ----
+    // ---- sequential connects ----
 
-    /** New clients with one request each must not evict the connections that have been idle the longest. */
+    /** Guards against new clients with one request each that evict returning clients which have been idle longer. */
     @Test
     void newClientsDoNotEvictReturningOnes() throws Exception {
         start(1, good());
@@ -97,7 +101,7 @@
         }
     }
 
-    /** Returning clients must not keep all others out: a part of the connections is never reserved. */
+    /** Guards against returning clients that use up all connections: a part of them is never reserved. */
     @Test
     void returningClientsKeepOnlyTheReservedConnections() throws Exception {
         start(1, good());
@@ -113,49 +117,50 @@
         }
     }
 
-    /** Reserved connections must not fill the smaller bound of an upgrade. */
+    /** Guards against reserved connections that use up the smaller limit during an upgrade. */
     @Test
-    void reservedConnectionsShrinkWithTheBound() throws Exception {
+    void reservedConnectionsAreReducedWithTheLimit() throws Exception {
         start(SHARED_DESCRIPTORS, good());
         for (int i = 0; i < RETURNING; i++) {
             returningClient();
         }
         try (SidecarFixture other = new SidecarFixture(good())) {
-            other.folder = rig.folder;
+            other.stateDirectory = fixture.stateDirectory;
             other.start();
             SidecarFixture.await(
-                    "the limits are shared", () -> rig.logged().contains("each uses half of the connection limits"));
+                    "the limits are shared",
+                    () -> fixture.logged().contains("each uses half of the connection limits"));
             assertServed(client(), "newcomer");
         }
     }
 
-    /** Clients that are never idle must still make room for others. */
+    /** Guards against clients that are never idle and use up all connections. */
     @Test
     void clientThatIsNeverIdleIsDisconnectedForANewOne() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        StubEndpoint.RequestHandler held = (wire, request) -> {
+        StubEndpoint.RequestHandler held = (connection, request) -> {
             release.await();
-            StubEndpoint.respond(wire, 200, "", "served");
+            StubEndpoint.respond(connection, 200, "", "served");
         };
         start(1, new StubEndpoint(held), new StubEndpoint(held), new StubEndpoint(held));
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
-            client().send(rig.request("read", DEADLINE_MS));
+            client().send(fixture.request("read", DEADLINE_MS));
         }
-        SidecarFixture.await("all are in flight", () -> rig.attempts() == MAX_CONNECTIONS);
+        SidecarFixture.await("all requests are in flight", () -> fixture.attempts() == MAX_CONNECTIONS);
         HttpTestConnection newcomer = client();
-        rig.settle();
+        fixture.awaitReusableConnections();
         release.countDown();
         List<HttpTestConnection> kept = new ArrayList<>();
         for (HttpTestConnection client : clients.subList(0, MAX_CONNECTIONS)) {
-            HttpTestConnection.Message answer = client.read();
-            assertEquals(200, answer.status());
-            if ("close".equals(answer.headers().get("connection"))) {
+            HttpTestConnection.Message response = client.read();
+            assertEquals(200, response.status());
+            if ("close".equals(response.headers().get("connection"))) {
                 client.close();
             } else {
                 kept.add(client);
             }
         }
-        assertEquals(MAX_CONNECTIONS - 1, kept.size(), "one place is needed");
+        assertEquals(MAX_CONNECTIONS - 1, kept.size(), "one connection is closed for the new client");
         // By the second response, everything that arrived before is handled.
         for (int i = 0; i < 2; i++) {
             assertEquals(
@@ -165,16 +170,16 @@
                             .read()
                             .status());
         }
-        assertServed(newcomer, "over the bound when it connected");
+        assertServed(newcomer, "client over the limit when it connected");
     }
 
-    // ---- all at once ----
+    // ---- concurrent connects ----
 
     /** Sends requests until the flood is over, on persistent connections or on a new one each. */
     private void flood(int number, boolean persistent, AtomicBoolean over, AtomicInteger responses) {
         int sent = 0;
         while (!over.get()) {
-            try (HttpTestConnection client = rig.client()) {
+            try (HttpTestConnection client = fixture.client()) {
                 do {
                     client.send("GET /api HTTP/1.1\r\nX-Request-Id: f" + number + "-" + sent++
                                     + "\r\nX-Class: read\r\nHost: x\r\nX-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n")
@@ -182,13 +187,13 @@
                     responses.incrementAndGet();
                 } while (persistent && !over.get());
             } catch (IOException e) {
-                // The connection has been closed: reconnect at once.
+                // The connection has been closed; the loop reconnects at once.
                 continue;
             }
         }
     }
 
-    /** A flood must not have the connections of returning clients closed before their responses. */
+    /** Guards against a flood that causes connections of returning clients to be closed before their responses. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void returningClientsAreServedInAReconnectFlood(boolean persistent) throws Exception {
@@ -198,14 +203,14 @@
         }
         AtomicBoolean over = new AtomicBoolean();
         AtomicInteger responses = new AtomicInteger();
-        List<Thread> flooding = new ArrayList<>();
+        List<Thread> floodThreads = new ArrayList<>();
         for (int i = 0; i < FLOOD_CLIENTS; i++) {
             int number = i;
-            flooding.add(new Thread(() -> flood(number, persistent, over, responses)));
-            flooding.get(i).start();
+            floodThreads.add(new Thread(() -> flood(number, persistent, over, responses)));
+            floodThreads.get(i).start();
         }
         try {
-            // They go on sending meanwhile, as idle connections are closed.
+            // The returning clients send requests meanwhile, because idle connections are closed.
             for (int i = 0; responses.get() <= FLOOD_RESPONSES_BEFORE_COUNT; i++) {
                 request(clients.get(i % RETURNING_IN_FLOOD));
             }
@@ -216,8 +221,8 @@
             assertTrue(rejected <= MAX_REJECTED, rejected + " of " + RETURNING_IN_FLOOD * ROUNDS + " rejected");
         } finally {
             over.set(true);
-            for (Thread each : flooding) {
-                each.join();
+            for (Thread thread : floodThreads) {
+                thread.join();
             }
         }
     }
--- a/edge/src/test/java/lemonrail/assembly/ReloadTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReloadTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** New configurations under load: the watch moves, and nothing else is disturbed. */
+/** Reloads of the platform's configuration file: discovery can move, and requests in flight are not affected. */
 @Timeout(60)
 class ReloadTest {
 
@@ -22,7 +22,7 @@
     private SidecarFixture fixture = new SidecarFixture(before);
 
     ReloadTest() throws IOException {
-        // Both fakes stand before each test.
+        // Both stub endpoints are created for each test.
     }
 
     @AfterEach
@@ -31,46 +31,47 @@
         after.close();
     }
 
-    private StubEndpoint discoveryWith(int version, StubEndpoint endpoint) throws IOException {
-        return new StubEndpoint((wire, request) -> {
-            if (request.line().contains("index=")) {
-                wire.awaitEnd();
+    private StubEndpoint discoveryListing(int version, StubEndpoint endpoint) throws IOException {
+        return new StubEndpoint((connection, request) -> {
+            if (request.startLine().contains("index=")) {
+                connection.awaitEnd();
             } else {
                 StubEndpoint.respond(
-                        wire,
+                        connection,
                         200,
                         "",
-                        SidecarFixture.list(
-                                version, true, SidecarFixture.line(9, endpoint.address(), "in_service", 0)));
+                        SidecarFixture.endpointListJson(
+                                version, true, SidecarFixture.endpointJson(9, endpoint.address(), "in_service", 0)));
             }
         });
     }
 
-    private void reloadFor(String discovery) throws IOException {
+    private void reloadWithDiscovery(String discovery) throws IOException {
         Files.writeString(fixture.configFile, fixture.config().replace(fixture.discovery.address(), discovery));
         fixture.sidecar.reload();
     }
 
-    /** Guards against trust in the old place's version: the new one may count from anywhere. */
+    /** Guards against reuse of the version at a former discovery address: the new one may count from any number. */
     @Test
     void pollsFullSnapshotAtNewAddressAtOnce() throws Exception {
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.start();
-        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
-        try (StubEndpoint next = discoveryWith(1, after);
-                StubEndpoint last = discoveryWith(1, before)) {
-            reloadFor(next.address());
-            SidecarFixture.await("the watch goes on there", () -> next.requests.size() == 2);
+        SidecarFixture.await("a discovery request is open", () -> fixture.discovery.requests.size() == 1);
+        try (StubEndpoint next = discoveryListing(1, after);
+                StubEndpoint last = discoveryListing(1, before)) {
+            reloadWithDiscovery(next.address());
+            SidecarFixture.await("the new discovery is watched", () -> next.requests.size() == 2);
             assertEquals(
-                    "GET /registry/instances HTTP/1.1", next.requests.get(0).line());
+                    "GET /registry/instances HTTP/1.1", next.requests.get(0).startLine());
             assertEquals(
                     "GET /registry/instances?index=1&wait=3000 HTTP/1.1",
-                    next.requests.get(1).line());
-            SidecarFixture.await("the old watch is dropped", () -> fixture.discovery.open.get() == 0);
-            assertEquals("after", fixture.ask("order", DEADLINE_MS).body());
-            reloadFor(last.address());
-            SidecarFixture.await("and again", () -> last.requests.size() == 2);
-            assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
+                    next.requests.get(1).startLine());
+            SidecarFixture.await(
+                    "the connection to the former discovery is closed", () -> fixture.discovery.open.get() == 0);
+            assertEquals("after", fixture.sendRequest("order", DEADLINE_MS).body());
+            reloadWithDiscovery(last.address());
+            SidecarFixture.await("the third discovery is watched", () -> last.requests.size() == 2);
+            assertEquals("before", fixture.sendRequest("order", DEADLINE_MS).body());
         }
         assertFalse(fixture.logged().contains("discovery failed"), fixture.logged());
     }
@@ -78,17 +79,17 @@
     @Test
     void requestInFlightSurvivesReload() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        before.requestHandler = (wire, request) -> {
+        before.requestHandler = (connection, request) -> {
             release.await();
-            StubEndpoint.respond(wire, 200, "", "before");
+            StubEndpoint.respond(connection, 200, "", "before");
         };
         fixture.start();
-        try (StubEndpoint next = discoveryWith(5, after);
+        try (StubEndpoint next = discoveryListing(5, after);
                 HttpTestConnection client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
-            SidecarFixture.await("it is in hand", () -> before.requests.size() == 1);
-            reloadFor(next.address());
-            SidecarFixture.await("the new list is there", () -> next.requests.size() == 2);
+            SidecarFixture.await("the request is in flight", () -> before.requests.size() == 1);
+            reloadWithDiscovery(next.address());
+            SidecarFixture.await("the new endpoint list is applied", () -> next.requests.size() == 2);
             release.countDown();
             assertEquals("before", client.read().body());
         }
@@ -96,16 +97,19 @@
 
     @Test
     void invalidFileChangesNothing() throws Exception {
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.start();
-        SidecarFixture.await("a watch is on", () -> fixture.discovery.requests.size() == 1);
-        reloadFor("nowhere");
-        SidecarFixture.await("it is told", () -> fixture.logged().contains("field discovery is invalid: nowhere"));
+        SidecarFixture.await("a discovery request is open", () -> fixture.discovery.requests.size() == 1);
+        reloadWithDiscovery("nowhere");
+        SidecarFixture.await(
+                "the invalid address is logged",
+                () -> fixture.logged().contains("field discovery is invalid: nowhere"));
         Files.writeString(fixture.configFile, "{");
         fixture.sidecar.reload();
-        SidecarFixture.await("it is told", () -> fixture.logged().contains("invalid JSON"));
-        assertEquals("before", fixture.ask("order", DEADLINE_MS).body());
-        assertEquals(1, fixture.discovery.open.get(), "the old watch goes on");
+        SidecarFixture.await(
+                "the invalid JSON is logged", () -> fixture.logged().contains("invalid JSON"));
+        assertEquals("before", fixture.sendRequest("order", DEADLINE_MS).body());
+        assertEquals(1, fixture.discovery.open.get(), "the former discovery is still watched");
         assertTrue(
                 fixture.logged().contains("configuration not reloaded, the previous one stays in effect"),
                 fixture.logged());
--- a/edge/src/test/java/lemonrail/assembly/RestartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/RestartTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Many sidecars, each a process, that restart together and share the machine's cores. */
+/** Many sidecar processes that restart at the same time and share the cores of the machine. */
 @Timeout(60)
 class RestartTest {
 
     private static final Path DEPLOY = Path.of("..", "deploy", "balancer.toml");
     private static final int SIDECARS = 2 * Runtime.getRuntime().availableProcessors();
-    private static final double READY_SHARE = 0.9;
-    private static final double READY_MS = 10_000;
+    private static final double MIN_READY_SHARE = 0.9;
+    private static final double MAX_START_MS = 10_000;
 
     @TempDir
     Path folder;
@@ -31,27 +31,28 @@
 
     @AfterEach
     void stop() throws InterruptedException {
-        sidecars.forEach(served -> served.process.destroyForcibly());
-        for (SidecarChildProcess served : sidecars) {
-            served.process.waitFor();
+        sidecars.forEach(sidecar -> sidecar.process.destroyForcibly());
+        for (SidecarChildProcess sidecar : sidecars) {
+            sidecar.process.waitFor();
         }
     }
 
-    /** The flags of the platform's command, but for the class archive, which would save time. */
+    /** Returns the JVM flags of the deploy file, without the class archive, which would make the start faster. */
     private static String[] flags() throws IOException {
         Matcher run = Pattern.compile("(?m)^run = \"exec java (.*) -jar ").matcher(Files.readString(DEPLOY));
-        assertTrue(run.find(), "deploy/balancer.toml names its command");
+        assertTrue(run.find(), "deploy/balancer.toml contains the command");
         return Stream.of(run.group(1).split(" "))
                 .filter(flag -> !flag.contains("SharedArchiveFile"))
                 .toArray(String[]::new);
     }
 
-    private static boolean isReady(SidecarChildProcess served) {
-        if (!served.isServing()) {
+    private static boolean isReady(SidecarChildProcess sidecar) {
+        if (!sidecar.isServing()) {
             return false;
         }
-        try (HttpTestConnection wire = HttpTestConnection.to(served.address())) {
-            return wire.send("GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
+        try (HttpTestConnection connection = HttpTestConnection.to(sidecar.address())) {
+            return connection
+                            .send("GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
                             .read()
                             .status()
                     == 200;
@@ -60,23 +61,25 @@
         }
     }
 
-    /** Guards against starts that cost so much that a fleet is long in coming back. */
+    /** Guards against starts that use so much processor time that a restarted fleet is unavailable for long. */
     @Test
-    void nineInTenRestartsAreReadyInTime() throws Exception {
+    void ninetyPercentOfSidecarsAreReadyInTime() throws Exception {
         try (SidecarFixture fixture = new SidecarFixture(StubEndpoint.respondingWith(200, "", "yes"))) {
             Path config = Files.writeString(folder.resolve("config.json"), fixture.config());
-            long began = System.nanoTime();
+            long startNs = System.nanoTime();
             for (int i = 0; i < SIDECARS; i++) {
                 sidecars.add(
                         SidecarChildProcess.launch(config, Files.createDirectory(folder.resolve("n" + i)), flags()));
             }
-            List<SidecarChildProcess> waiting = new ArrayList<>(sidecars);
-            SidecarFixture.await("nine in ten are ready", () -> {
-                waiting.removeIf(RestartTest::isReady);
-                return waiting.size() <= (1 - READY_SHARE) * SIDECARS;
-            });
-            double tookMs = (System.nanoTime() - began) / 1e6;
-            assertTrue(tookMs < READY_MS, tookMs + " ms for nine in ten of " + SIDECARS);
+            List<SidecarChildProcess> starting = new ArrayList<>(sidecars);
+            SidecarFixture.await(
+                    "90 % of the sidecars are ready",
+                    () -> {
+                        starting.removeIf(RestartTest::isReady);
+                        return starting.size() <= (1 - MIN_READY_SHARE) * SIDECARS;
+                    });
+            double tookMs = (System.nanoTime() - startNs) / 1e6;
+            assertTrue(tookMs < MAX_START_MS, tookMs + " ms until 90 % were ready of " + SIDECARS);
         }
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/OtherSettingsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SettingsVariantsTest.java
@@ -16,17 +16,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Deployments unlike each other: the same promises hold under each, and what is none does not start. */
+/**
+ * Configurations that differ much from each other: the same guarantees apply, and an invalid configuration is rejected.
+ */
 @Timeout(60)
-class OtherSettingsTest {
+class SettingsVariantsTest {
 
     private static final int DEADLINE_MS = 8000;
 
-    /** A deployment: how its JSON differs from the fixture's, and its names of a safe and an unsafe class. */
-    private record Site(String name, String safe, String unsafe, List<String> changes) {
-        String of(String config) {
-            String changed = config.replace("\"name\":\"read\"", "\"name\":\"" + safe + "\"")
-                    .replace("\"name\":\"order\"", "\"name\":\"" + unsafe + "\"");
+    /**
+     * Pairs of texts to replace in the fixture's configuration, and the names of the idempotent and the non-idempotent
+     * class.
+     */
+    private record Variant(String name, String idempotent, String nonIdempotent, List<String> changes) {
+        String applyTo(String config) {
+            String changed = config.replace("\"name\":\"read\"", "\"name\":\"" + idempotent + "\"")
+                    .replace("\"name\":\"order\"", "\"name\":\"" + nonIdempotent + "\"");
             for (int i = 0; i + 1 < changes.size(); i += 2) {
                 assertTrue(changed.contains(changes.get(i)), changes.get(i));
                 changed = changed.replace(changes.get(i), changes.get(i + 1));
@@ -40,9 +45,9 @@
         }
     }
 
-    static Stream<Site> sites() {
+    static Stream<Variant> variants() {
         return Stream.of(
-                new Site(
+                new Variant(
                         "long names",
                         "view-" + "x".repeat(200) + "-2",
                         "post-1-" + "y".repeat(200),
@@ -53,18 +58,18 @@
                                 "\"parallel-tries\":false",
                                 "on_request",
                                 "pushed")),
-                new Site(
+                new Variant(
                         "names outside ASCII",
                         "r\u00e9serv\u00e9",
                         "\u0437\u0430\u043f\u0438\u0441\u044c",
                         List.of("\"max-retry-after-ms\":2000,", "", "\"slo-ms\":9000", "\"slo-ms\":700")),
-                new Site(
-                        "one attempt, one class's worth nothing",
+                new Variant(
+                        "one attempt, one class without weight",
                         "a",
                         "b",
                         List.of("\"try-limit\":3", "\"try-limit\":1", "\"worth\":1}]", "\"worth\":0}]")),
-                new Site(
-                        "the largest",
+                new Variant(
+                        "largest values",
                         "read",
                         "order",
                         List.of(
@@ -88,7 +93,7 @@
                                 "\"cold-ms\":1e12",
                                 "\"worth\":1}",
                                 "\"worth\":1e12}")),
-                new Site(
+                new Variant(
                         "no zones, unknown keys",
                         "read",
                         "order",
@@ -114,99 +119,103 @@
         return new String(name.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
     }
 
-    private String request(Site site, String kind) {
-        return fixture.request(kind, DEADLINE_MS)
-                .replace("X-Class: " + kind, "X-Class: " + header(kind.equals("read") ? site.safe() : site.unsafe()));
+    private String request(Variant variant, String requestClass) {
+        return fixture.request(requestClass, DEADLINE_MS)
+                .replace(
+                        "X-Class: " + requestClass,
+                        "X-Class: "
+                                + header(requestClass.equals("read") ? variant.idempotent() : variant.nonIdempotent()));
     }
 
-    private int ask(Site site, String kind) throws IOException {
+    private int sendRequest(Variant variant, String requestClass) throws IOException {
         try (HttpTestConnection client = fixture.client()) {
-            return client.send(request(site, kind)).read().status();
+            return client.send(request(variant, requestClass)).read().status();
         }
     }
 
     @ParameterizedTest
-    @MethodSource("sites")
-    void servesEachDeploymentUnderItsOwnNames(Site site) throws Exception {
+    @MethodSource("variants")
+    void servesEachVariantWithItsClassNames(Variant variant) throws Exception {
         fixture = new SidecarFixture(StubEndpoint.respondingWith(200, "", "served"));
-        fixture.change = site::of;
+        fixture.configChange = variant::applyTo;
         fixture.start();
-        assertEquals(200, ask(site, "read"));
-        fixture.settle();
-        assertEquals(200, ask(site, "order"));
+        assertEquals(200, sendRequest(variant, "read"));
+        fixture.awaitReusableConnections();
+        assertEquals(200, sendRequest(variant, "order"));
         assertEquals(
                 400,
-                fixture.ask("read".equals(site.safe()) ? "tractor" : "read", DEADLINE_MS)
+                fixture.sendRequest("read".equals(variant.idempotent()) ? "tractor" : "read", DEADLINE_MS)
                         .status());
         assertEquals(
-                header(site.unsafe()),
+                header(variant.nonIdempotent()),
                 fixture.endpoints.get(0).requests.get(1).headers().get("x-class"));
     }
 
-    /** Guards against effects that happen twice, whatever else the settings say. */
+    /** Guards against a second execution under any settings. */
     @ParameterizedTest
-    @MethodSource("sites")
-    void nonIdempotentRequestThatMayHaveRunIsNotRetried(Site site) throws Exception {
-        StubEndpoint.RequestHandler resetting = (wire, request) -> wire.reset();
+    @MethodSource("variants")
+    void nonIdempotentRequestThatMayHaveRunIsNotRetried(Variant variant) throws Exception {
+        StubEndpoint.RequestHandler resetting = (connection, request) -> connection.reset();
         fixture = new SidecarFixture(new StubEndpoint(resetting), new StubEndpoint(resetting));
-        fixture.change = site::of;
+        fixture.configChange = variant::applyTo;
         fixture.start();
-        assertEquals(502, ask(site, "order"));
+        assertEquals(502, sendRequest(variant, "order"));
         assertEquals(1, fixture.attempts());
     }
 
-    /** Guards against repeats for nobody, whatever else the settings say. */
+    /** Guards against retries for a disconnected client under any settings. */
     @ParameterizedTest
-    @MethodSource("sites")
-    void requestOfDisconnectedClientIsNotRetried(Site site) throws Exception {
-        StubEndpoint.RequestHandler failing = (wire, request) -> {
+    @MethodSource("variants")
+    void requestOfDisconnectedClientIsNotRetried(Variant variant) throws Exception {
+        StubEndpoint.RequestHandler failing = (connection, request) -> {
             release.await();
-            StubEndpoint.respond(wire, 500, "", "");
+            StubEndpoint.respond(connection, 500, "", "");
         };
         fixture = new SidecarFixture(new StubEndpoint(failing), new StubEndpoint(failing));
-        fixture.change = site::of;
+        fixture.configChange = variant::applyTo;
         fixture.start();
         try (HttpTestConnection client = fixture.client()) {
-            client.send(request(site, "read"));
-            SidecarFixture.await("it is out", () -> fixture.attempts() == 1);
+            client.send(request(variant, "read"));
+            SidecarFixture.await("the request is forwarded", () -> fixture.attempts() == 1);
         }
-        SidecarFixture.await("it is known", () -> concurrent() == 0);
+        SidecarFixture.await("the disconnect is noticed", () -> concurrentRequests() == 0);
         release.countDown();
-        SidecarFixture.await("nothing is owed", () -> fixture.openRequests() == 0);
+        SidecarFixture.await("no request is open any more", () -> fixture.openRequests() == 0);
         assertEquals(1, fixture.attempts());
     }
 
-    private int concurrent() {
+    private int concurrentRequests() {
         try {
-            String figures = fixture.callAdmin("GET", "/v1/metrics").body();
-            return Integer.parseInt(figures.replaceAll("(?s).*concurrent=(\\d+).*", "$1"));
+            String metrics = fixture.callAdmin("GET", "/v1/metrics").body();
+            return Integer.parseInt(metrics.replaceAll("(?s).*concurrent=(\\d+).*", "$1"));
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
     }
 
-    /** The last requests before the end are answered, however short or long the deadlines are. */
+    /** Guards against requests that get no response at a shutdown, with short and long deadlines. */
     @ParameterizedTest
     @CsvSource({"100", "600", "9000"})
     void shutdownRespondsToRequestsInFlight(int deadlineMs) throws Exception {
-        fixture = new SidecarFixture(new StubEndpoint((wire, request) -> wire.awaitEnd()));
-        fixture.change = config -> config.replace("\"hard-limit-ms\":9000", "\"hard-limit-ms\":" + deadlineMs);
+        fixture = new SidecarFixture(new StubEndpoint((connection, request) -> connection.awaitEnd()));
+        fixture.configChange = config -> config.replace("\"hard-limit-ms\":9000", "\"hard-limit-ms\":" + deadlineMs);
         fixture.start();
         try (HttpTestConnection client = fixture.client();
-                HttpTestConnection kept = fixture.client()) {
+                HttpTestConnection persistent = fixture.client()) {
             client.send(fixture.request("order", deadlineMs));
-            SidecarFixture.await("it is out", () -> fixture.attempts() == 1);
+            SidecarFixture.await("the request is forwarded", () -> fixture.attempts() == 1);
             Thread drain = new Thread(fixture.sidecar::shutdownGracefully);
             drain.start();
-            SidecarFixture.await("it stops", () -> fixture.logged().contains("stopping"));
-            kept.send(fixture.request("order", deadlineMs));
-            assertTrue(kept.read().status() >= 500);
+            SidecarFixture.await(
+                    "the sidecar is stopping", () -> fixture.logged().contains("stopping"));
+            persistent.send(fixture.request("order", deadlineMs));
+            assertTrue(persistent.read().status() >= 500);
             assertTrue(client.read().status() >= 500);
             drain.join();
         }
     }
 
-    /** What cannot be a deployment is one line at the start: file, key, value and what is wrong. */
+    /** An invalid setting is reported in one line with the file, the key, the value and the error. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -222,11 +231,12 @@
                 "\"drain-grace-ms\":500|\"drain-grace-ms\":-5|drain-grace-ms|-5",
                 "\"replicas-of-me\":1|\"replicas-of-me\":0|balancers|0"
             })
-    void invalidSettingsDoNotStart(String part, String instead, String key, String value) throws IOException {
+    void invalidSettingsAreRejectedAtTheStart(String original, String replacement, String key, String value)
+            throws IOException {
         fixture = new SidecarFixture();
-        fixture.change = config -> {
-            assertTrue(config.contains(part), part);
-            return config.replaceAll(Pattern.quote(part), instead == null ? "" : instead);
+        fixture.configChange = config -> {
+            assertTrue(config.contains(original), original);
+            return config.replaceAll(Pattern.quote(original), replacement == null ? "" : replacement);
         };
         try {
             fixture.start();
@@ -238,6 +248,6 @@
             assertTrue(value == null || e.getMessage().contains(value), e.getMessage());
             return;
         }
-        throw new AssertionError("it has started");
+        throw new AssertionError("the sidecar has started with invalid settings");
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/SidecarChildProcess.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarChildProcess.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** The program as a child process, and the lines of its log. */
+/** A sidecar that runs as a child process, with the lines of its log. */
 final class SidecarChildProcess {
 
-    private static final String SERVING = "serving at /";
+    private static final String SERVING_TEXT = "serving at /";
 
     final Process process;
     final List<String> log = new CopyOnWriteArrayList<>();
@@ -24,15 +24,15 @@
         thread.start();
     }
 
-    /** Starts the program with these JVM flags, and waits until it serves. */
+    /** Starts a sidecar with the given JVM flags, and waits until it serves requests. */
     static SidecarChildProcess start(Path config, Path folder, String... flags)
             throws IOException, InterruptedException {
-        SidecarChildProcess served = launch(config, folder, flags);
-        served.awaitLine(SERVING);
-        return served;
+        SidecarChildProcess child = launch(config, folder, flags);
+        child.awaitLine(SERVING_TEXT);
+        return child;
     }
 
-    /** Starts the program with these JVM flags. */
+    /** Starts a sidecar with the given JVM flags, without waiting until it serves requests. */
     static SidecarChildProcess launch(Path config, Path folder, String... flags) throws IOException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -46,23 +46,25 @@
     }
 
     boolean isServing() {
-        return hasLogged(SERVING);
+        return hasLogged(SERVING_TEXT);
     }
 
-    void awaitLine(String part) throws InterruptedException {
-        SidecarFixture.await(part, () -> hasLogged(part));
+    void awaitLine(String text) throws InterruptedException {
+        SidecarFixture.await(text, () -> hasLogged(text));
     }
 
-    boolean hasLogged(String part) {
-        return log.stream().anyMatch(line -> line.contains(part));
+    boolean hasLogged(String text) {
+        return log.stream().anyMatch(line -> line.contains(text));
     }
 
-    /** Returns where clients connect, as the program has logged it. */
+    /** Returns the address of its client listener, which it logs once it serves. */
     InetSocketAddress address() {
-        String line =
-                log.stream().filter(said -> said.contains(SERVING)).findFirst().orElseThrow();
-        String at = line.substring(line.indexOf(SERVING) + SERVING.length(), line.indexOf(','));
-        int colon = at.lastIndexOf(':');
-        return new InetSocketAddress(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1)));
+        String line = log.stream()
+                .filter(entry -> entry.contains(SERVING_TEXT))
+                .findFirst()
+                .orElseThrow();
+        String address = line.substring(line.indexOf(SERVING_TEXT) + SERVING_TEXT.length(), line.indexOf(','));
+        int colon = address.lastIndexOf(':');
+        return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/SidecarFixture.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarFixture.java
@@ -27,52 +27,54 @@
 final class SidecarFixture implements Closeable {
 
     private static final long TIMEOUT_MS = 20_000;
-    /** Longer than the time before the sidecar reuses a connection. */
-    private static final int SETTLED_MS = 20;
+    /** Longer than a connection to an endpoint must have been idle before the sidecar reuses it. */
+    private static final int REUSE_WAIT_MS = 20;
 
     final List<StubEndpoint> endpoints = new ArrayList<>();
     final StubEndpoint discovery;
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     Path configFile;
-    /** What outlives the process; one of its own if none is given. */
-    Path folder;
+    /** The state directory, which outlives the sidecar. If null, {@link #start()} creates one. */
+    Path stateDirectory;
 
     Sidecar sidecar;
     int idleCloseMs = 15_000;
-    int askWithinMs = 600_000;
+    int pollIntervalMs = 600_000;
     int sockets = 1024;
-    int aimMs = 9000;
-    /** How long a call to discovery waits for news; 0 leaves it to the fleet's size. */
+    int latencyObjectiveMs = 9000;
+    /** The long-poll wait of a discovery request, in milliseconds. If 0, the size of the fleet determines it. */
     int discoveryWaitMs = WatchSchedule.MAX_WAIT_MS;
 
     boolean cancel = true;
-    /** What a test changes of the configuration beyond the fields here. */
-    UnaryOperator<String> change = config -> config;
+    /** Applied to the configuration's JSON, for changes beyond the fields of this class. */
+    UnaryOperator<String> configChange = config -> config;
 
-    int graceMs = 500;
+    int drainGraceMs = 500;
     Protocol<?, ?> protocol = new Http1Protocol();
-    private int requests;
+    private int requestCount;
 
     SidecarFixture(StubEndpoint... endpoints) throws IOException {
         this.endpoints.addAll(List.of(endpoints));
-        // Discovery holds its response back unless the test replaces its handler.
-        discovery = new StubEndpoint((wire, request) -> wire.awaitEnd());
+        // Discovery does not respond unless the test replaces its handler.
+        discovery = new StubEndpoint((connection, request) -> connection.awaitEnd());
     }
 
-    static String line(int number, String address, String state, long startedMs) {
+    /** Returns the JSON of an endpoint in an endpoint list. */
+    static String endpointJson(int number, String address, String state, long startedMs) {
         return "{\"id\":\"s" + number + "\",\"addr\":\"" + address
                 + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,"
                 + "\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
     }
 
-    static String list(int version, boolean full, String... lines) {
-        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", lines) + "]}";
+    /** Returns the JSON of a full snapshot or of a delta with these endpoints. */
+    static String endpointListJson(int version, boolean full, String... endpoints) {
+        return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":[" + String.join(",", endpoints) + "]}";
     }
 
     String config() {
-        List<String> lines = new ArrayList<>();
+        List<String> endpointsJson = new ArrayList<>();
         for (int i = 0; i < endpoints.size(); i++) {
-            lines.add(line(i, endpoints.get(i).address(), "in_service", 0));
+            endpointsJson.add(endpointJson(i, endpoints.get(i).address(), "in_service", 0));
         }
         return """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
@@ -87,24 +89,25 @@
             "ask-within-ms":%d}}}""".formatted(
                         discovery.address(),
                         sockets,
-                        list(1, true, lines.toArray(String[]::new)),
-                        aimMs,
-                        aimMs,
+                        endpointListJson(1, true, endpointsJson.toArray(String[]::new)),
+                        latencyObjectiveMs,
+                        latencyObjectiveMs,
                         cancel,
                         idleCloseMs,
-                        graceMs,
-                        askWithinMs);
+                        drainGraceMs,
+                        pollIntervalMs);
     }
 
     SidecarFixture start() throws IOException {
         return start(BoxcarLoadBalancer::new);
     }
 
-    /** Starts the sidecar with another load balancer. */
+    /** Starts the sidecar with the given load balancer. */
     SidecarFixture start(LoadBalancerFactory loadBalancer) throws IOException {
-        configFile = Files.writeString(Files.createTempFile("config", ".json"), change.apply(config()));
-        folder = folder == null ? Files.createTempDirectory("sidecar") : folder;
-        Map<String, String> environment = new HashMap<>(Map.of("TMPDIR", folder.toString(), "GW_MGMT", "127.0.0.1:0"));
+        configFile = Files.writeString(Files.createTempFile("config", ".json"), configChange.apply(config()));
+        stateDirectory = stateDirectory == null ? Files.createTempDirectory("sidecar") : stateDirectory;
+        Map<String, String> environment =
+                new HashMap<>(Map.of("TMPDIR", stateDirectory.toString(), "GW_MGMT", "127.0.0.1:0"));
         if (discoveryWaitMs > 0) {
             environment.put("LEMONRAIL_DISCOVERY_WAIT", discoveryWaitMs + "ms");
         }
@@ -124,11 +127,11 @@
         return HttpTestConnection.to(sidecar.address());
     }
 
-    /** A request of a class, GET for one that may be repeated and else POST with a body. */
-    String request(String kind, int deadlineMs) {
-        String head = "X-Request-Id: r" + requests++ + "\r\nX-Class: " + kind + "\r\nX-Deadline-Ms: " + deadlineMs
-                + "\r\nHost: app.svc\r\n";
-        return kind.equals("read")
+    /** Returns a new request of the given class: GET for class "read", else POST with a body. */
+    String request(String requestClass, int deadlineMs) {
+        String head = "X-Request-Id: r" + requestCount++ + "\r\nX-Class: " + requestClass + "\r\nX-Deadline-Ms: "
+                + deadlineMs + "\r\nHost: app.svc\r\n";
+        return requestClass.equals("read")
                 ? "GET /api?q=1 HTTP/1.1\r\n" + head + "\r\n"
                 : "POST /api?q=1 HTTP/1.1\r\n" + head + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
     }
@@ -139,25 +142,27 @@
 
     /** Sends one request to the admin API. */
     HttpTestConnection.Message callAdmin(String method, String path) throws IOException {
-        try (HttpTestConnection wire = adminConnection()) {
-            return wire.send(method + " " + path + " HTTP/1.1\r\nHost: n0\r\n\r\n")
+        try (HttpTestConnection connection = adminConnection()) {
+            return connection
+                    .send(method + " " + path + " HTTP/1.1\r\nHost: n0\r\n\r\n")
                     .read();
         }
     }
 
-    HttpTestConnection.Message ask(String kind, int deadlineMs) throws IOException {
-        try (HttpTestConnection wire = client()) {
-            return wire.send(request(kind, deadlineMs)).read();
+    /** Sends a new request on a new connection and returns the final response. */
+    HttpTestConnection.Message sendRequest(String requestClass, int deadlineMs) throws IOException {
+        try (HttpTestConnection connection = client()) {
+            return connection.send(request(requestClass, deadlineMs)).read();
         }
     }
 
-    /** Lets the sidecar be done with an answer that has come, and its connection stand as long as it must. */
-    void settle() throws InterruptedException {
+    /** Waits until the event loop has run the tasks queued so far and idle connections to endpoints can be reused. */
+    void awaitReusableConnections() throws InterruptedException {
         sidecar.loop().submit(() -> {}).sync();
-        Thread.sleep(SETTLED_MS);
+        Thread.sleep(REUSE_WAIT_MS);
     }
 
-    /** Returns how many requests are open in the sidecar. */
+    /** Returns the number of requests in the load balancer that are not finished yet. */
     int openRequests() {
         return sidecar.loop()
                 .submit(() -> sidecar.requestAndEndpointCounts().get(0))
@@ -165,6 +170,7 @@
                 .getNow();
     }
 
+    /** Returns the number of requests that the endpoints have received. */
     int attempts() {
         return endpoints.stream().mapToInt(endpoint -> endpoint.requests.size()).sum();
     }
@@ -173,10 +179,11 @@
         return log.toString(StandardCharsets.UTF_8);
     }
 
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+    /** Waits until the condition is true; fails with its description after 20 s. */
+    static void await(String description, BooleanSupplier condition) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, what);
+            assertTrue(System.nanoTime() < deadlineNs, description);
             Thread.sleep(2);
         }
     }
