--- a/edge/src/test/java/lemonrail/assembly/SidecarTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The whole sidecar on loopback sockets. */
+/** The complete sidecar with clients, endpoints and discovery on loopback sockets. */
 @Timeout(60)
 class SidecarTest {
 
@@ -41,49 +41,49 @@
         return StubEndpoint.respondingWith(200, "Content-Type: text/x\r\n", "served");
     }
 
-    // ---- a request and its answer ----
+    // ---- requests and responses ----
 
     @Test
-    void aRequestAndItsAnswerGoThroughUnchanged() throws Exception {
+    void requestAndResponseAreForwardedUnchanged() throws Exception {
         start(good());
-        HttpTestConnection.Message answer = fixture.ask("order", DEADLINE_MS);
-        assertEquals(200, answer.status());
-        assertEquals("served", answer.body());
-        assertEquals("text/x", answer.headers().get("content-type"));
+        HttpTestConnection.Message response = fixture.sendRequest("order", DEADLINE_MS);
+        assertEquals(200, response.status());
+        assertEquals("served", response.body());
+        assertEquals("text/x", response.headers().get("content-type"));
         HttpTestConnection.Message seen = fixture.endpoints.get(0).requests.get(0);
-        assertEquals("POST /api?q=1 HTTP/1.1", seen.line());
+        assertEquals("POST /api?q=1 HTTP/1.1", seen.startLine());
         assertEquals("hello", seen.body());
         assertEquals("r0", seen.headers().get("x-request-id"));
         assertEquals("k1", seen.headers().get("idempotency-key"));
-        int deadline = Integer.parseInt(seen.headers().get("x-deadline-ms"));
-        assertTrue(deadline > 0 && deadline <= DEADLINE_MS, "what the sidecar waits: " + deadline);
+        int deadlineMs = Integer.parseInt(seen.headers().get("x-deadline-ms"));
+        assertTrue(deadlineMs > 0 && deadlineMs <= DEADLINE_MS, "deadline sent to the endpoint: " + deadlineMs);
     }
 
     @Test
-    void connectionsAreKeptOnBothSides() throws Exception {
+    void connectionsAreReusedOnBothSides() throws Exception {
         start(good());
         try (HttpTestConnection client = fixture.client()) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(
                         200,
                         client.send(fixture.request("read", DEADLINE_MS)).read().status());
-                fixture.settle();
+                fixture.awaitReusableConnections();
             }
         }
         assertEquals(1, fixture.endpoints.get(0).connections.get());
     }
 
-    /** Guards against answers that overtake: a client that sends ahead takes them by their order. */
+    /** Guards against responses out of order: a client with pipelined requests matches responses by their order. */
     @Test
-    void answersKeepTheOrderOfTheRequests() throws Exception {
+    void responsesKeepTheOrderOfTheRequests() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
-        start(new StubEndpoint((wire, request) -> {
+        start(new StubEndpoint((connection, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
                 second.await();
             } else {
                 second.countDown();
             }
-            StubEndpoint.respond(wire, 200, "", request.headers().get("x-request-id"));
+            StubEndpoint.respond(connection, 200, "", request.headers().get("x-request-id"));
         }));
         try (HttpTestConnection client = fixture.client()) {
             client.send(fixture.request("read", DEADLINE_MS) + fixture.request("read", DEADLINE_MS));
@@ -92,144 +92,151 @@
         }
     }
 
-    // ---- what may have run, and what never did ----
+    // ---- retries and failures ----
 
-    /** Guards against effects that happen twice: an unsafe request that may have run is not sent again. */
+    /** Guards against a second execution: a non-idempotent request that may have been executed is not retried. */
     @ParameterizedTest
     @ValueSource(strings = {"reset", "half", "unframed", "garbage", "503", "504", "500", "201"})
-    void anUnsafeRequestThatMayHaveRunFailsAtOnce(String how) throws Exception {
-        StubEndpoint.RequestHandler script = (wire, request) -> {
-            switch (how) {
-                case "reset" -> wire.reset();
+    void nonIdempotentRequestThatMayHaveRunFailsAtOnce(String failure) throws Exception {
+        StubEndpoint.RequestHandler handler = (connection, request) -> {
+            switch (failure) {
+                case "reset" -> connection.reset();
                 case "half" -> {
-                    wire.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-                    wire.close();
+                    connection.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+                    connection.close();
                 }
                 case "unframed" -> {
-                    wire.send("HTTP/1.1 200 OK\r\n\r\nwho knows whether this is all");
-                    wire.close();
+                    connection.send("HTTP/1.1 200 OK\r\n\r\nwho knows whether this is all");
+                    connection.close();
                 }
-                case "garbage" -> wire.send("what?\r\n\r\n");
-                default -> StubEndpoint.respond(wire, Integer.parseInt(how), "", "mine");
+                case "garbage" -> connection.send("what?\r\n\r\n");
+                default -> StubEndpoint.respond(connection, Integer.parseInt(failure), "", "mine");
             }
         };
-        start(new StubEndpoint(script), new StubEndpoint(script));
-        HttpTestConnection.Message answer = fixture.ask("order", DEADLINE_MS);
-        assertEquals(502, answer.status());
-        assertFalse(answer.body().contains("mine"), "an endpoint's refusal or error is not passed on");
+        start(new StubEndpoint(handler), new StubEndpoint(handler));
+        HttpTestConnection.Message response = fixture.sendRequest("order", DEADLINE_MS);
+        assertEquals(502, response.status());
+        assertFalse(response.body().contains("mine"), "the body of an endpoint's error response is not forwarded");
         assertEquals(1, fixture.attempts());
     }
 
-    /** Guards against giving up too early: what surely never ran may be tried elsewhere, unsafe or not. */
+    /** Guards against failures that a retry avoids: a request that was not executed may be retried in any class. */
     @ParameterizedTest
     @CsvSource({"order,503", "order,504", "order,refused", "read,500", "read,reset"})
-    void whatIsKnownToBeHarmlessIsTriedElsewhere(String kind, String how) throws Exception {
-        StubEndpoint bad = new StubEndpoint((wire, request) -> {
-            if (how.equals("reset")) {
-                wire.reset();
+    void failedAttemptIsRetriedAtAnotherEndpointWhereSafe(String requestClass, String failure) throws Exception {
+        StubEndpoint first = new StubEndpoint((connection, request) -> {
+            if (failure.equals("reset")) {
+                connection.reset();
             } else {
-                StubEndpoint.respond(wire, Integer.parseInt(how), "X-Not-Run: 1\r\n", "");
+                StubEndpoint.respond(connection, Integer.parseInt(failure), "X-Not-Run: 1\r\n", "");
             }
         });
-        StubEndpoint other = new StubEndpoint(bad.requestHandler);
-        start(bad, other);
-        StubEndpoint.RequestHandler good = (wire, request) -> StubEndpoint.respond(wire, 200, "", "served");
-        // Whichever is asked first fails, and the other one serves.
-        if (how.equals("refused")) {
-            bad.close();
-            SidecarFixture.await("nobody listens there", () -> {
-                try (HttpTestConnection wire = HttpTestConnection.to(new InetSocketAddress("127.0.0.1", bad.port()))) {
+        StubEndpoint other = new StubEndpoint(first.requestHandler);
+        start(first, other);
+        StubEndpoint.RequestHandler serving =
+                (connection, request) -> StubEndpoint.respond(connection, 200, "", "served");
+        // The first attempt fails at either endpoint, and all later attempts are served.
+        if (failure.equals("refused")) {
+            first.close();
+            SidecarFixture.await("the port of the closed endpoint refuses connections", () -> {
+                try (HttpTestConnection connection =
+                        HttpTestConnection.to(new InetSocketAddress("127.0.0.1", first.port()))) {
                     return false;
                 } catch (IOException e) {
                     return true;
                 }
             });
-            other.requestHandler = good;
+            other.requestHandler = serving;
         } else {
-            StubEndpoint.RequestHandler first = bad.requestHandler;
-            StubEndpoint.RequestHandler once = (wire, request) -> {
-                bad.requestHandler = good;
-                other.requestHandler = good;
-                first.handle(wire, request);
+            StubEndpoint.RequestHandler failing = first.requestHandler;
+            StubEndpoint.RequestHandler once = (connection, request) -> {
+                first.requestHandler = serving;
+                other.requestHandler = serving;
+                failing.handle(connection, request);
             };
-            bad.requestHandler = once;
+            first.requestHandler = once;
             other.requestHandler = once;
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, fixture.ask(kind, DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest(requestClass, DEADLINE_MS).status());
         }
     }
 
-    /** Guards against a hang that holds everything: the attempt is given up and its connection closed. */
+    /**
+     * Guards against an unresponsive endpoint that keeps connections busy: the attempt times out, and its connection is
+     * closed.
+     */
     @Test
-    void anAttemptThatIsGivenUpClosesItsConnection() throws Exception {
-        StubEndpoint hung = new StubEndpoint((wire, request) -> wire.awaitEnd());
-        start(hung);
-        HttpTestConnection.Message answer = fixture.ask("order", 300);
-        assertEquals(502, answer.status(), "it may have run");
-        SidecarFixture.await("the connection is closed", () -> hung.open.get() == 0);
+    void timedOutAttemptClosesItsConnection() throws Exception {
+        StubEndpoint unresponsive = new StubEndpoint((connection, request) -> connection.awaitEnd());
+        start(unresponsive);
+        HttpTestConnection.Message response = fixture.sendRequest("order", 300);
+        assertEquals(502, response.status(), "the request may have been executed");
+        SidecarFixture.await("the connection is closed", () -> unresponsive.open.get() == 0);
         assertEquals(1, fixture.attempts());
     }
 
     @Test
-    void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
-        StubEndpoint hung = new StubEndpoint((wire, request) -> wire.awaitEnd());
-        start(hung);
+    void attemptIsCancelledWhenItsClientDisconnects() throws Exception {
+        StubEndpoint unresponsive = new StubEndpoint((connection, request) -> connection.awaitEnd());
+        start(unresponsive);
         try (HttpTestConnection client = fixture.client()) {
             client.send(fixture.request("order", DEADLINE_MS));
-            SidecarFixture.await("the attempt is out", () -> hung.requests.size() == 1);
+            SidecarFixture.await("the attempt is sent", () -> unresponsive.requests.size() == 1);
         }
-        SidecarFixture.await("the attempt is called off", () -> hung.open.get() == 0);
+        SidecarFixture.await("the attempt is cancelled", () -> unresponsive.open.get() == 0);
     }
 
-    /** Guards against clients that come straight back: a refusal is given at once and says when. */
+    /** Guards against clients that retry immediately: a rejection is sent at once, with a Retry-After header. */
     @Test
-    void aRefusalComesAtOnceAndTellsWhenToComeBack() throws Exception {
+    void rejectionIsSentAtOnceWithRetryAfter() throws Exception {
         start();
-        long began = System.nanoTime();
-        HttpTestConnection.Message answer = fixture.ask("order", DEADLINE_MS);
-        assertEquals(503, answer.status());
-        assertEquals(0.5, Double.parseDouble(answer.headers().get("retry-after")));
-        assertTrue((System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "long before the deadline");
+        long startNs = System.nanoTime();
+        HttpTestConnection.Message response = fixture.sendRequest("order", DEADLINE_MS);
+        assertEquals(503, response.status());
+        assertEquals(0.5, Double.parseDouble(response.headers().get("retry-after")));
+        assertTrue(
+                (System.nanoTime() - startNs) / 1e6 < DEADLINE_MS / 2.0,
+                "the rejection comes long before the deadline");
     }
 
     /**
-     * Guards against events inside the module's own call: with all connections busy an attempt ends within
-     * send. Also against more sockets than there are.
+     * Guards against events that reach the load balancer within its own call: with all connections busy, an attempt
+     * ends while it is being started. Also guards against more sockets than the limit permits.
      */
     @Test
-    void attemptsBeyondTheLastConnectionEndInOrder() throws Exception {
-        StubEndpoint[] hung = new StubEndpoint[4];
-        for (int i = 0; i < hung.length; i++) {
-            hung[i] = new StubEndpoint((wire, request) -> wire.awaitEnd());
+    void attemptsWithoutAFreeConnectionAreRejected() throws Exception {
+        StubEndpoint[] unresponsive = new StubEndpoint[4];
+        for (int i = 0; i < unresponsive.length; i++) {
+            unresponsive[i] = new StubEndpoint((connection, request) -> connection.awaitEnd());
         }
-        fixture = new SidecarFixture(hung);
+        fixture = new SidecarFixture(unresponsive);
         fixture.sockets = 1;
         fixture.start();
-        try (HttpTestConnection ahead = fixture.client()) {
+        try (HttpTestConnection pipelining = fixture.client()) {
             for (int i = 0; i < 8; i++) {
-                ahead.send(fixture.request("order", DEADLINE_MS));
+                pipelining.send(fixture.request("order", DEADLINE_MS));
             }
             SidecarFixture.await("all connections are busy", () -> fixture.attempts() == 8);
-            assertEquals(503, fixture.ask("order", DEADLINE_MS).status());
+            assertEquals(503, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(8, fixture.attempts());
             assertTrue(fixture.logged().contains("all 8 connections to endpoints are busy"), fixture.logged());
             assertFalse(fixture.logged().contains("module failed"), fixture.logged());
         }
     }
 
-    /** Guards against running out of descriptors: beyond the bound clients are refused in good order. */
+    /** Guards against exhausted descriptors: beyond the limit, idle connections are closed and clients are rejected. */
     @Test
-    void clientsBeyondTheBoundAreRefused() throws Exception {
-        fixture = new SidecarFixture(new StubEndpoint((wire, request) -> wire.awaitEnd()));
+    void clientsBeyondTheLimitAreRejected() throws Exception {
+        fixture = new SidecarFixture(new StubEndpoint((connection, request) -> connection.awaitEnd()));
         fixture.sockets = 1;
         fixture.start();
         List<HttpTestConnection> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             clients.add(fixture.client().send(fixture.request("order", DEADLINE_MS)));
         }
-        SidecarFixture.await("some are in hand", () -> fixture.attempts() == 4);
-        // Idle ones make room for those that come after; busy ones stay.
+        SidecarFixture.await("the first requests are in flight", () -> fixture.attempts() == 4);
+        // Idle connections are closed in favour of new ones; connections with requests stay open.
         for (int i = 0; i < 12; i++) {
             clients.add(fixture.client());
         }
@@ -242,12 +249,14 @@
             client.close();
         }
         SidecarFixture.await(
-                "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
-        fixture.endpoints.get(0).requestHandler = (wire, request) -> StubEndpoint.respond(wire, 200, "", "served");
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+                "the connections to the endpoint are closed",
+                () -> fixture.endpoints.get(0).open.get() == 0);
+        fixture.endpoints.get(0).requestHandler =
+                (connection, request) -> StubEndpoint.respond(connection, 200, "", "served");
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
-    // ---- what is no request ----
+    // ---- invalid requests ----
 
     @ParameterizedTest
     @CsvSource(
@@ -263,20 +272,21 @@
                 "HTTP/1.1|HTTP|400",
                 "Host: app.svc|Content-Length: 33554433|413"
             })
-    void whatIsNoRequestGetsAPlainAnswer(String part, String instead, int status) throws Exception {
+    void invalidRequestIsRejected(String original, String replacement, int status) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new StubEndpoint((wire, request) -> {
+        start(new StubEndpoint((connection, request) -> {
             release.await();
-            StubEndpoint.respond(wire, 200, "", "served");
+            StubEndpoint.respond(connection, 200, "", "served");
         }));
         try (HttpTestConnection other = fixture.client();
                 HttpTestConnection client = fixture.client()) {
             String request = fixture.request("read", DEADLINE_MS);
             other.send(fixture.request("read", DEADLINE_MS));
-            SidecarFixture.await("another request is in hand", () -> fixture.attempts() == 1);
-            assertTrue(request.contains(part), part);
+            SidecarFixture.await("another request is in flight", () -> fixture.attempts() == 1);
+            assertTrue(request.contains(original), original);
             assertEquals(
-                    status, client.send(request.replace(part, instead)).read().status());
+                    status,
+                    client.send(request.replace(original, replacement)).read().status());
             release.countDown();
             assertEquals(200, other.read().status());
         }
@@ -284,17 +294,17 @@
     }
 
     @Test
-    void anIdThatIsInHandIsNotTakenTwice() throws Exception {
+    void requestIdOfARequestInFlightIsRejected() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new StubEndpoint((wire, request) -> {
+        start(new StubEndpoint((connection, request) -> {
             release.await();
-            StubEndpoint.respond(wire, 200, "", "served");
+            StubEndpoint.respond(connection, 200, "", "served");
         }));
         try (HttpTestConnection one = fixture.client();
                 HttpTestConnection two = fixture.client()) {
             String request = fixture.request("read", DEADLINE_MS);
             one.send(request);
-            SidecarFixture.await("it is in hand", () -> fixture.attempts() == 1);
+            SidecarFixture.await("the request is in flight", () -> fixture.attempts() == 1);
             assertEquals(409, two.send(request).read().status());
             release.countDown();
             assertEquals(200, one.read().status());
@@ -303,13 +313,13 @@
 
     // ---- connections to endpoints ----
 
-    /** Guards against writing on a connection that the endpoint is closing, which would be a reset. */
+    /** Guards against requests on a connection that the endpoint is closing, which would be reset. */
     @Test
-    void idleConnectionsAreClosedBeforeTheEndpointDoes() throws Exception {
+    void idleConnectionsAreClosedBeforeTheEndpointClosesThem() throws Exception {
         fixture = new SidecarFixture(good());
         fixture.idleCloseMs = 400;
         fixture.start();
-        assertEquals(200, fixture.ask("read", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("read", DEADLINE_MS).status());
         SidecarFixture.await(
                 "the idle connection is closed",
                 () -> fixture.endpoints.get(0).open.get() == 0);
@@ -317,82 +327,83 @@
 
     // ---- discovery ----
 
-    /** A discovery that answers calls with what the test puts in, one after another. */
-    private LinkedBlockingQueue<String> discovering() {
-        LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        fixture.discovery.requestHandler = (wire, request) -> {
-            String answer = answers.take();
-            if (answer.equals("reset")) {
-                wire.reset();
+    /** Makes discovery respond with the elements of the returned queue; "reset" and empty ones are failures. */
+    private LinkedBlockingQueue<String> scriptDiscovery() {
+        LinkedBlockingQueue<String> responses = new LinkedBlockingQueue<>();
+        fixture.discovery.requestHandler = (connection, request) -> {
+            String response = responses.take();
+            if (response.equals("reset")) {
+                connection.reset();
             } else {
-                StubEndpoint.respond(wire, answer.isEmpty() ? 503 : 200, "", answer);
+                StubEndpoint.respond(connection, response.isEmpty() ? 503 : 200, "", response);
             }
         };
-        return answers;
+        return responses;
     }
 
     @Test
-    void theWatchGoesOnFromTheVersionOfItsLastAnswer() throws Exception {
+    void watchContinuesFromTheVersionOfTheLastResponse() throws Exception {
         StubEndpoint before = good();
         StubEndpoint after = good();
         fixture = new SidecarFixture(before);
-        fixture.askWithinMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        fixture.pollIntervalMs = 20;
+        LinkedBlockingQueue<String> responses = scriptDiscovery();
         fixture.start();
-        answers.add(SidecarFixture.list(
+        responses.add(SidecarFixture.endpointListJson(
                 7,
                 false,
-                SidecarFixture.line(0, before.address(), "terminating", 0),
-                SidecarFixture.line(1, after.address(), "in_service", 0)));
-        SidecarFixture.await("the next call is made", () -> fixture.discovery.requests.size() == 2);
+                SidecarFixture.endpointJson(0, before.address(), "terminating", 0),
+                SidecarFixture.endpointJson(1, after.address(), "in_service", 0)));
+        SidecarFixture.await("the next discovery request is sent", () -> fixture.discovery.requests.size() == 2);
         assertEquals(
                 List.of(
                         "GET /registry/instances?index=1&wait=3000 HTTP/1.1",
                         "GET /registry/instances?index=7&wait=3000 HTTP/1.1"),
                 fixture.discovery.requests.stream()
-                        .map(HttpTestConnection.Message::line)
+                        .map(HttpTestConnection.Message::startLine)
                         .toList());
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-        assertEquals(0, before.requests.size(), "it drains");
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
+        assertEquals(0, before.requests.size(), "the former endpoint is draining");
         assertEquals(1, after.requests.size());
         after.close();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "reset", "{\"version\":", "{\"version\":1}"})
-    void aCallThatFailedIsMadeAgain(String failure) throws Exception {
+    void failedDiscoveryRequestIsRetried(String failure) throws Exception {
         fixture = new SidecarFixture(good());
-        fixture.askWithinMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        fixture.pollIntervalMs = 20;
+        LinkedBlockingQueue<String> responses = scriptDiscovery();
         fixture.start();
-        answers.add(failure);
-        answers.add(failure);
-        SidecarFixture.await("it asks again", () -> fixture.discovery.requests.size() >= 3);
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        responses.add(failure);
+        responses.add(failure);
+        SidecarFixture.await("the discovery request is retried", () -> fixture.discovery.requests.size() >= 3);
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.logged().contains("discovery failed"), fixture.logged());
     }
 
-    /** Guards against trust in a watch that has fallen silent: the next one tells what it would have. */
+    /** Guards against a silent watch that is kept open: the next one must return the changes that it missed. */
     @Test
-    void aWatchThatFellSilentIsGivenUpSoonAfterItsWait() throws Exception {
+    void silentWatchTimesOutSoonAfterItsWait() throws Exception {
         StubEndpoint before = good();
         StubEndpoint after = good();
         fixture = new SidecarFixture(before);
-        fixture.askWithinMs = 20;
+        fixture.pollIntervalMs = 20;
         fixture.discoveryWaitMs = 100;
-        fixture.discovery.requestHandler = (wire, request) -> {
+        fixture.discovery.requestHandler = (connection, request) -> {
             if (fixture.discovery.requests.size() > 1) {
                 StubEndpoint.respond(
-                        wire,
+                        connection,
                         200,
                         "",
-                        SidecarFixture.list(7, true, SidecarFixture.line(1, after.address(), "in_service", 0)));
+                        SidecarFixture.endpointListJson(
+                                7, true, SidecarFixture.endpointJson(1, after.address(), "in_service", 0)));
                 fixture.discovery.requestHandler = (next, call) -> next.awaitEnd();
             }
         };
         fixture.start();
-        SidecarFixture.await("the list is there", () -> fixture.discovery.requests.size() >= 3);
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        SidecarFixture.await("the endpoint list is applied", () -> fixture.discovery.requests.size() >= 3);
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, after.requests.size());
         assertTrue(
                 fixture.logged().contains("endpoint discovery failed: timed out waiting for a response"),
@@ -400,75 +411,77 @@
         after.close();
     }
 
-    /** Guards against changes since a version of another count, which would not be all there are. */
+    /** Guards against a delta based on a version of a different sequence, which would be incomplete. */
     @Test
-    void theWholeListIsAskedForWhereVersionsGoBack() throws Exception {
+    void fullSnapshotIsRequestedWhenTheVersionDecreases() throws Exception {
         fixture = new SidecarFixture(good());
-        fixture.askWithinMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        fixture.pollIntervalMs = 20;
+        LinkedBlockingQueue<String> responses = scriptDiscovery();
         fixture.start();
-        answers.add(SidecarFixture.list(0, false));
-        SidecarFixture.await("the next call is made", () -> fixture.discovery.requests.size() == 2);
+        responses.add(SidecarFixture.endpointListJson(0, false));
+        SidecarFixture.await("the next discovery request is sent", () -> fixture.discovery.requests.size() == 2);
         assertEquals(
                 "GET /registry/instances HTTP/1.1",
-                fixture.discovery.requests.get(1).line());
+                fixture.discovery.requests.get(1).startLine());
     }
 
-    /** Guards against connections to a process that is no more, on which a request would be reset. */
+    /** Guards against connections to a process that has ended, on which a request would be reset. */
     @ParameterizedTest
     @CsvSource({"true,0", "false,1000"})
-    void anEndpointThatMovesOrRestartsGetsNewConnections(boolean moves, long started) throws Exception {
+    void movedOrRestartedEndpointGetsNewConnections(boolean moves, long startedMs) throws Exception {
         StubEndpoint old = good();
         fixture = new SidecarFixture(old);
-        fixture.askWithinMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        fixture.pollIntervalMs = 20;
+        LinkedBlockingQueue<String> responses = scriptDiscovery();
         fixture.start();
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
-        StubEndpoint now = moves ? good() : old;
-        answers.add(SidecarFixture.list(2, false, SidecarFixture.line(0, now.address(), "in_service", started)));
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
+        StubEndpoint current = moves ? good() : old;
+        responses.add(SidecarFixture.endpointListJson(
+                2, false, SidecarFixture.endpointJson(0, current.address(), "in_service", startedMs)));
         SidecarFixture.await("the old connection is closed", () -> old.open.get() == 0);
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(moves ? 1 : 2, old.connections.get());
-        now.close();
+        current.close();
     }
 
-    // ---- start and end ----
+    // ---- start and shutdown ----
 
     @Test
-    void itIsReadyOnlyWithAnEndpointToServeFrom() throws Exception {
+    void sidecarIsReadyOnlyWithAnAvailableEndpoint() throws Exception {
         start();
-        String ask = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+        String readinessRequest = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
         try (HttpTestConnection client = fixture.client()) {
-            assertEquals(503, client.send(ask).read().status());
+            assertEquals(503, client.send(readinessRequest).read().status());
         }
         stop();
         start(good());
-        SidecarFixture.await("it is ready once it is warm", () -> {
+        SidecarFixture.await("the sidecar is ready after its warm-up", () -> {
             try (HttpTestConnection client = fixture.client()) {
-                return client.send(ask).read().status() == 200;
+                return client.send(readinessRequest).read().status() == 200;
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
         });
     }
 
-    /** Guards against requests lost at a planned restart: those in hand and those still coming are served. */
+    /** Guards against requests lost at a planned restart: requests in flight and new ones are served. */
     @Test
-    void aDrainAnswersWhatIsInHandAndWhatStillComes() throws Exception {
+    void drainCompletesRequestsInFlightAndServesNewOnes() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        start(new StubEndpoint((wire, request) -> {
+        start(new StubEndpoint((connection, request) -> {
             if (request.headers().get("x-request-id").equals("r0")) {
                 release.await();
             }
-            StubEndpoint.respond(wire, 200, "", "served");
+            StubEndpoint.respond(connection, 200, "", "served");
         }));
-        HttpTestConnection inHand = fixture.client().send(fixture.request("order", DEADLINE_MS));
+        HttpTestConnection inFlight = fixture.client().send(fixture.request("order", DEADLINE_MS));
         HttpTestConnection idle = fixture.client();
-        HttpTestConnection kept = fixture.client();
+        HttpTestConnection persistent = fixture.client();
         assertEquals(
                 200, idle.send(fixture.request("order", DEADLINE_MS)).read().status());
         assertEquals(
-                200, kept.send(fixture.request("order", DEADLINE_MS)).read().status());
+                200,
+                persistent.send(fixture.request("order", DEADLINE_MS)).read().status());
         Thread drain = new Thread(fixture.sidecar::shutdownGracefully);
         drain.start();
         int served = 0;
@@ -476,46 +489,49 @@
             while (true) {
                 assertEquals(
                         200,
-                        kept.send(fixture.request("order", DEADLINE_MS)).read().status());
+                        persistent
+                                .send(fixture.request("order", DEADLINE_MS))
+                                .read()
+                                .status());
                 served++;
             }
         } catch (IOException e) {
-            assertTrue(served > 1, "a connection that stands goes on for a while");
+            assertTrue(served > 1, "an open connection is still served for a while");
         }
         idle.awaitEnd();
-        assertTrue(drain.isAlive(), "it waits for what is in hand");
+        assertTrue(drain.isAlive(), "the shutdown waits for requests in flight");
         release.countDown();
-        HttpTestConnection.Message answer = inHand.read();
-        assertEquals(200, answer.status());
-        assertEquals("close", answer.headers().get("connection"));
+        HttpTestConnection.Message response = inFlight.read();
+        assertEquals(200, response.status());
+        assertEquals("close", response.headers().get("connection"));
         drain.join();
         assertThrows(IOException.class, () -> fixture.client());
     }
 
-    /** Guards against a warm-up that leaks: endpoints and discovery see nothing of it. */
+    /** Guards against warm-up requests that reach endpoints or discovery. */
     @Test
-    void theWarmUpStaysWithinTheSidecar() throws Exception {
+    void warmUpSendsNoRequestsToOthers() throws Exception {
         start(good());
-        SidecarFixture.await("it is warm", () -> fixture.logged().contains("warm after"));
+        SidecarFixture.await("the warm-up is done", () -> fixture.logged().contains("warm after"));
         assertEquals(0, fixture.endpoints.get(0).connections.get());
-        SidecarFixture.await("the watch is on", () -> !fixture.discovery.requests.isEmpty());
+        SidecarFixture.await("a discovery request is open", () -> !fixture.discovery.requests.isEmpty());
         assertEquals(
                 List.of("GET /registry/instances?index=1&wait=3000 HTTP/1.1"),
                 fixture.discovery.requests.stream()
-                        .map(HttpTestConnection.Message::line)
+                        .map(HttpTestConnection.Message::startLine)
                         .toList(),
-                "its watch and nothing else");
+                "discovery receives no request but the watch");
     }
 
-    /** Guards against one bad peer that harms the rest. */
+    /** Guards against malformed input and resets of one client that affect other clients. */
     @Test
-    void rudePeersHarmNobody() throws Exception {
+    void malformedClientsDoNotAffectOthers() throws Exception {
         start(good());
         for (int i = 0; i < 20; i++) {
             fixture.client().send("GET /api HT").reset();
             fixture.client().send("\0\0\0\r\n\r\n").reset();
         }
-        assertEquals(200, fixture.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         try (HttpTestConnection client = fixture.client()) {
             client.send("GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n");
             assertEquals(400, client.read().status());
--- a/edge/src/test/java/lemonrail/assembly/SmallHeapTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SmallHeapTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Request and response bodies larger than the heap of the process that forwards them, several at once. */
+/** Concurrent request and response bodies that are larger than the heap of the sidecar process. */
 @Timeout(60)
 class SmallHeapTest {
 
-    private static final int BYTES = 32 * 1024 * 1024;
+    private static final int BODY_BYTES = 32 * 1024 * 1024;
     private static final int DEADLINE_MS = 8000;
     private static final int CLIENTS = 4;
 
@@ -29,76 +29,76 @@
     Path folder;
 
     private final AtomicInteger received = new AtomicInteger();
-    private final SidecarFixture rig = new SidecarFixture(
+    private final SidecarFixture fixture = new SidecarFixture(
             new StubEndpoint((StubEndpoint.ConnectionHandler) this::serve),
             new StubEndpoint((StubEndpoint.ConnectionHandler) this::serve));
-    private SidecarChildProcess served;
+    private SidecarChildProcess sidecar;
 
     SmallHeapTest() throws IOException {
-        // The fakes are created before each test.
+        // The stub endpoints are created for each test.
     }
 
     @BeforeEach
     void start() throws Exception {
-        Path file = Files.writeString(folder.resolve("config.json"), rig.config());
-        served = SidecarChildProcess.start(file, folder, "-Xmx20m", "-XX:MaxDirectMemorySize=8m");
+        Path file = Files.writeString(folder.resolve("config.json"), fixture.config());
+        sidecar = SidecarChildProcess.start(file, folder, "-Xmx20m", "-XX:MaxDirectMemorySize=8m");
     }
 
     @AfterEach
     void stop() throws IOException {
-        served.process.destroyForcibly();
-        rig.close();
+        sidecar.process.destroyForcibly();
+        fixture.close();
     }
 
-    /** Reads a large body without keeping it, and sends a large response. */
-    private void serve(HttpTestConnection wire) throws IOException {
-        HttpTestConnection.Message head = wire.readHead();
-        int left = Integer.parseInt(head.headers().getOrDefault("content-length", "0"));
-        while (left > 0) {
-            long skipped = wire.in.skip(left);
-            if (skipped == 0 && wire.in.read() < 0) {
+    /** Reads and discards the request body, and sends a large response. */
+    private void serve(HttpTestConnection connection) throws IOException {
+        HttpTestConnection.Message head = connection.readHead();
+        int remaining = Integer.parseInt(head.headers().getOrDefault("content-length", "0"));
+        while (remaining > 0) {
+            long skipped = connection.in.skip(remaining);
+            if (skipped == 0 && connection.in.read() < 0) {
                 return;
             }
-            left -= (int) Math.max(1, skipped);
+            remaining -= (int) Math.max(1, skipped);
         }
         received.incrementAndGet();
-        wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + BYTES + "\r\n\r\n");
-        byte[] piece = new byte[64 * 1024];
-        for (int sent = 0; sent < BYTES; sent += piece.length) {
-            wire.socket.getOutputStream().write(piece);
+        connection.send("HTTP/1.1 200 OK\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n");
+        byte[] part = new byte[64 * 1024];
+        for (int sent = 0; sent < BODY_BYTES; sent += part.length) {
+            connection.socket.getOutputStream().write(part);
         }
     }
 
     @Test
-    void largeBodiesAreForwardedWhole() throws Exception {
+    void bodiesLargerThanTheHeapAreForwarded() throws Exception {
         List<Thread> clients = new ArrayList<>();
-        AtomicInteger whole = new AtomicInteger();
+        AtomicInteger complete = new AtomicInteger();
         for (int i = 0; i < CLIENTS; i++) {
-            String head = rig.request("order", DEADLINE_MS).split("Content-Length")[0] + "Content-Length: " + BYTES
-                    + "\r\n\r\n";
-            Thread client = new Thread(() -> ask(head, whole), "client");
+            String head = fixture.request("order", DEADLINE_MS).split("Content-Length")[0] + "Content-Length: "
+                    + BODY_BYTES + "\r\n\r\n";
+            Thread client = new Thread(() -> sendRequest(head, complete), "client");
             client.start();
             clients.add(client);
         }
         for (Thread client : clients) {
             client.join();
         }
-        assertEquals(CLIENTS, whole.get(), "" + served.log);
+        assertEquals(CLIENTS, complete.get(), "" + sidecar.log);
         assertEquals(CLIENTS, received.get());
-        assertTrue(served.process.isAlive());
-        assertFalse(served.hasLogged("OutOfMemory"), "" + served.log);
+        assertTrue(sidecar.process.isAlive());
+        assertFalse(sidecar.hasLogged("OutOfMemory"), "" + sidecar.log);
     }
 
-    private void ask(String head, AtomicInteger whole) {
-        try (HttpTestConnection client = HttpTestConnection.to(served.address())) {
+    private void sendRequest(String head, AtomicInteger complete) {
+        try (HttpTestConnection client = HttpTestConnection.to(sidecar.address())) {
             client.socket.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
-            client.socket.getOutputStream().write(new byte[BYTES]);
+            client.socket.getOutputStream().write(new byte[BODY_BYTES]);
             HttpTestConnection.Message response = client.read();
-            if (response.status() == 200 && response.bytes().length == BYTES) {
-                whole.incrementAndGet();
+            if (response.status() == 200 && response.bytes().length == BODY_BYTES) {
+                complete.incrementAndGet();
             }
         } catch (IOException e) {
-            // Not counted as whole.
+            // Not counted as complete.
             return;
         }
     }
--- a/edge/src/test/java/lemonrail/assembly/StartTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StartTest.java
@@ -19,29 +19,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a client meets before a sidecar is ready. */
+/** Connections of clients while the sidecar is starting. */
 @Timeout(60)
 class StartTest {
 
-    /** A protocol that tells whether a client is let in while it warms up. */
-    private record Watched<M extends ProtocolRequest, A>(Protocol<M, A> protocol, int port, AtomicBoolean letIn)
-            implements Protocol<M, A> {
+    /** A protocol that records whether a client can connect during the warm-up. */
+    private record RecordingProtocol<M extends ProtocolRequest, A>(
+            Protocol<M, A> protocol, int port, AtomicBoolean connectedDuringWarmUp) implements Protocol<M, A> {
 
         @Override
-        public Upstream<M, A> createUpstream(EventLoopContext shard, int mostConnections) {
-            return protocol.createUpstream(shard, mostConnections);
+        public Upstream<M, A> createUpstream(EventLoopContext context, int maxConnections) {
+            return protocol.createUpstream(context, maxConnections);
         }
 
         @Override
         public Downstream createDownstream(
-                EventLoopContext shard, RequestDispatcher<M, A> exchange, int mostConnections) {
-            return protocol.createDownstream(shard, exchange, mostConnections);
+                EventLoopContext context, RequestDispatcher<M, A> dispatcher, int maxConnections) {
+            return protocol.createDownstream(context, dispatcher, maxConnections);
         }
 
         @Override
-        public void warmUp(EventLoopContext shard, InetAddress at, Path scratch, Runnable done) {
-            letIn.set(lets(port));
-            protocol.warmUp(shard, at, scratch, done);
+        public void warmUp(EventLoopContext context, InetAddress address, Path scratch, Runnable done) {
+            connectedDuringWarmUp.set(canConnect(port));
+            protocol.warmUp(context, address, scratch, done);
         }
 
         @Override
@@ -50,7 +50,7 @@
         }
     }
 
-    private static boolean lets(int port) {
+    private static boolean canConnect(int port) {
         try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
             return socket.isConnected();
         } catch (IOException e) {
@@ -64,18 +64,18 @@
         }
     }
 
-    /** Guards against requests that wait in the listener's queue while the start keeps the loop busy. */
+    /** Guards against requests that wait in the accept queue while the warm-up occupies the event loop. */
     @Test
-    void refusesClientsBeforeWarmUpIsDone() throws Exception {
+    void refusesClientsUntilWarmUpIsDone() throws Exception {
         int port = freePort();
-        AtomicBoolean letIn = new AtomicBoolean();
+        AtomicBoolean connectedDuringWarmUp = new AtomicBoolean();
         try (SidecarFixture fixture = new SidecarFixture(StubEndpoint.respondingWith(200, "", "ok"))) {
-            fixture.change =
+            fixture.configChange =
                     config -> config.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
-            fixture.protocol = new Watched<>(new Http1Protocol(), port, letIn);
+            fixture.protocol = new RecordingProtocol<>(new Http1Protocol(), port, connectedDuringWarmUp);
             fixture.start();
-            assertFalse(letIn.get(), "a client was let in during the warm-up");
-            assertTrue(lets(port), "a client is let in once the sidecar serves");
+            assertFalse(connectedDuringWarmUp.get(), "a client could connect during the warm-up");
+            assertTrue(canConnect(port), "a client can connect once the sidecar serves");
         }
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/StreamingTest.java
+++ b/edge/src/test/java/lemonrail/assembly/StreamingTest.java
@@ -24,23 +24,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Large bodies both ways: passed through whole, at the pace of the slower side, never kept. */
+/** Large request and response bodies are forwarded completely, with backpressure and without being stored. */
 @Timeout(120)
 class StreamingTest {
 
     private static final int DEADLINE_MS = 8000;
-    /** If nothing was read from an endpoint for so long, backpressure is in effect. */
-    private static final int HELD_BACK_MS = 200;
+    /** If nothing is read from an endpoint for this time, backpressure is in effect. */
+    private static final int BACKPRESSURE_PAUSE_MS = 200;
 
-    private static final int TAKEN_CHUNKS = 64;
+    private static final int CHUNKS_READ = 64;
     private static final int LARGE_BYTES = 3_000_000;
-    private static final int MOST_BYTES = 32 * 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 32 * 1024 * 1024;
 
-    private SidecarFixture rig;
+    private SidecarFixture fixture;
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
     private static byte[] random(int bytes) {
@@ -53,12 +53,13 @@
         return Arrays.toString(MessageDigest.getInstance("SHA-256").digest(body));
     }
 
-    private String head(String kind, String framing) {
-        return rig.request(kind, DEADLINE_MS).split("Content-Length")[0].replaceAll("\r\n\r\n$", "\r\n") + framing
-                + "\r\n\r\n";
+    private String head(String requestClass, String framing) {
+        return fixture.request(requestClass, DEADLINE_MS)
+                        .split("Content-Length")[0]
+                        .replaceAll("\r\n\r\n$", "\r\n") + framing + "\r\n\r\n";
     }
 
-    /** Writes a body in chunks of this size, and a trailer behind it. */
+    /** Writes a body in chunks of the given size, followed by a trailer. */
     private static void writeChunked(OutputStream out, byte[] body, int chunk) throws IOException {
         for (int from = 0; from < body.length; from += chunk) {
             int size = Math.min(chunk, body.length - from);
@@ -69,12 +70,13 @@
         out.write("0\r\nX-Sum: 1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** An endpoint that answers each request with the digest of its body. */
+    /** Creates an endpoint that responds to each request with the digest of its body. */
     private static StubEndpoint digesting() throws IOException {
-        return new StubEndpoint((wire, request) -> StubEndpoint.respond(wire, 200, "", digest(request.bytes())));
+        return new StubEndpoint(
+                (connection, request) -> StubEndpoint.respond(connection, 200, "", digest(request.bytes())));
     }
 
-    // ---- answers ----
+    // ---- responses ----
 
     @ParameterizedTest
     @CsvSource({"65536, 0", "65537, 0", "65537, 100", "3000000, 0", "3000000, 1", "3000000, 70000", "33554432, 0"})
@@ -86,80 +88,81 @@
         } else {
             writeChunked(framed, body, chunk);
         }
-        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
-                    wire.send("HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n"
+        fixture = new SidecarFixture(new StubEndpoint((connection, request) -> {
+                    connection.send("HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n"
                             + (chunk == 0 ? "Content-Length: " + body.length : "Transfer-Encoding: chunked")
                             + "\r\n\r\n");
-                    framed.writeTo(wire.socket.getOutputStream());
+                    framed.writeTo(connection.socket.getOutputStream());
                 }))
                 .start();
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             for (int i = 0; i < 2; i++) {
-                HttpTestConnection.Message answer =
-                        client.send(rig.request("read", DEADLINE_MS)).read();
-                assertEquals(200, answer.status());
-                assertEquals("text/x", answer.headers().get("content-type"));
-                assertArrayEquals(body, answer.bytes());
-                rig.settle();
+                HttpTestConnection.Message response =
+                        client.send(fixture.request("read", DEADLINE_MS)).read();
+                assertEquals(200, response.status());
+                assertEquals("text/x", response.headers().get("content-type"));
+                assertArrayEquals(body, response.bytes());
+                fixture.awaitReusableConnections();
             }
         }
-        assertEquals(1, rig.endpoints.get(0).connections.get(), "its connection is kept");
+        assertEquals(1, fixture.endpoints.get(0).connections.get(), "the connection to the endpoint is reused");
     }
 
-    /** The first bytes of a response arrive at once, while the endpoint still works on the rest. */
+    /** Guards against responses that are forwarded only once they are complete. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
     void firstBytesAreForwardedAtOnce(String framing) throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch firstReceived = new CountDownLatch(1);
         boolean chunked = framing.startsWith("T");
-        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
-                    wire.send("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (chunked ? "5\r\nfirst\r\n" : "first"));
-                    seen.await();
-                    wire.send(chunked ? "4\r\nrest\r\n0\r\n\r\n" : "x".repeat(99_995));
+        fixture = new SidecarFixture(new StubEndpoint((connection, request) -> {
+                    connection.send(
+                            "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (chunked ? "5\r\nfirst\r\n" : "first"));
+                    firstReceived.await();
+                    connection.send(chunked ? "4\r\nrest\r\n0\r\n\r\n" : "x".repeat(99_995));
                 }))
                 .start();
-        try (HttpTestConnection client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS));
+        try (HttpTestConnection client = fixture.client()) {
+            client.send(fixture.request("read", DEADLINE_MS));
             InputStream in = client.in;
-            StringBuilder got = new StringBuilder();
-            while (!got.toString().contains("first")) {
-                got.append((char) in.read());
+            StringBuilder received = new StringBuilder();
+            while (!received.toString().contains("first")) {
+                received.append((char) in.read());
             }
-            seen.countDown();
-            while (!got.toString().endsWith(chunked ? "rest\r\n0\r\n\r\n" : "xxxxxx")) {
-                got.append((char) in.read());
+            firstReceived.countDown();
+            while (!received.toString().endsWith(chunked ? "rest\r\n0\r\n\r\n" : "xxxxxx")) {
+                received.append((char) in.read());
             }
         }
     }
 
-    /** A slow client slows the endpoint down; few bytes are buffered, whatever the size of the response. */
+    /** A slow client slows the endpoint down, and few bytes are buffered whatever the size of the response is. */
     @Test
     void slowClientExertsBackpressureOnTheEndpoint() throws Exception {
         AtomicInteger sent = new AtomicInteger();
         byte[] piece = random(64 * 1024);
-        int pieces = MOST_BYTES / piece.length;
-        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
-                    wire.socket.setSendBufferSize(64 * 1024);
-                    wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + MOST_BYTES + "\r\n\r\n");
+        int pieces = MAX_BODY_BYTES / piece.length;
+        fixture = new SidecarFixture(new StubEndpoint((connection, request) -> {
+                    connection.socket.setSendBufferSize(64 * 1024);
+                    connection.send("HTTP/1.1 200 OK\r\nContent-Length: " + MAX_BODY_BYTES + "\r\n\r\n");
                     for (int i = 0; i < pieces; i++) {
-                        wire.socket.getOutputStream().write(piece);
+                        connection.socket.getOutputStream().write(piece);
                         sent.incrementAndGet();
                     }
                 }))
                 .start();
-        try (HttpTestConnection client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS));
-            int[] before = {-1};
-            SidecarFixture.await("the endpoint stands still", () -> {
+        try (HttpTestConnection client = fixture.client()) {
+            client.send(fixture.request("read", DEADLINE_MS));
+            int[] previous = {-1};
+            SidecarFixture.await("the endpoint is blocked by backpressure", () -> {
                 int now = sent.get();
-                boolean still = now > 0 && now == before[0];
-                before[0] = now;
+                boolean blocked = now > 0 && now == previous[0];
+                previous[0] = now;
                 pause(200);
-                return still;
+                return blocked;
             });
-            assertTrue(sent.get() < pieces, "it has sent " + sent + " of " + pieces);
-            HttpTestConnection.Message answer = client.read();
-            assertEquals(MOST_BYTES, answer.bytes().length);
+            assertTrue(sent.get() < pieces, "endpoint has sent " + sent + " of " + pieces);
+            HttpTestConnection.Message response = client.read();
+            assertEquals(MAX_BODY_BYTES, response.bytes().length);
         }
     }
 
@@ -175,83 +178,85 @@
     @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
     void truncatedResponseIsDetectableByTheClient(String framing) throws Exception {
         String part = framing.startsWith("T") ? "18000\r\n" + "x".repeat(0x18000) + "\r\n" : "x".repeat(80_000);
-        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
-                    wire.send("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + part);
-                    wire.close();
+        fixture = new SidecarFixture(new StubEndpoint((connection, request) -> {
+                    connection.send("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + part);
+                    connection.close();
                 }))
                 .start();
-        try (HttpTestConnection client = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS));
+        try (HttpTestConnection client = fixture.client()) {
+            client.send(fixture.request("order", DEADLINE_MS));
             assertThrows(IOException.class, client::read);
         }
-        SidecarFixture.await("it counts as failed", () -> figures().contains("replies.order.error=1\n"));
-        assertTrue(figures().contains("concurrent=0\n"), figures());
-        assertEquals(1, rig.attempts());
+        SidecarFixture.await("the request is counted as failed", () -> metrics().contains("replies.order.error=1\n"));
+        assertTrue(metrics().contains("concurrent=0\n"), metrics());
+        assertEquals(1, fixture.attempts());
     }
 
-    private String figures() {
+    private String metrics() {
         try {
-            return rig.callAdmin("GET", "/v1/metrics").body();
+            return fixture.callAdmin("GET", "/v1/metrics").body();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
     /**
-     * Guards against a cut within a chunk, which a client cannot tell from noise: all that came goes first.
+     * Guards against a response truncated within a chunk, which a client cannot tell from a malformed one: all bytes
+     * received from the endpoint are forwarded first.
      */
     @Test
     void responseIsTruncatedBetweenChunks() throws Exception {
         AtomicInteger sent = new AtomicInteger();
         AtomicReference<HttpTestConnection> endpoint = new AtomicReference<>();
-        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
-            endpoint.set(wire);
-            wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        fixture = new SidecarFixture(new StubEndpoint((connection, request) -> {
+            endpoint.set(connection);
+            connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             while (true) {
-                wire.send("4000\r\n" + "x".repeat(0x4000) + "\r\n");
+                connection.send("4000\r\n" + "x".repeat(0x4000) + "\r\n");
                 sent.incrementAndGet();
             }
         }));
-        rig.start();
+        fixture.start();
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(64 * 1024);
-            socket.connect(rig.sidecar.address());
+            socket.connect(fixture.sidecar.address());
             HttpTestConnection client = new HttpTestConnection(socket);
-            client.send(rig.request("read", DEADLINE_MS));
+            client.send(fixture.request("read", DEADLINE_MS));
             assertEquals("chunked", client.readHead().headers().get("transfer-encoding"));
             for (int before = -1; before != sent.get(); ) {
                 before = sent.get();
-                pause(HELD_BACK_MS);
+                pause(BACKPRESSURE_PAUSE_MS);
             }
             endpoint.get().reset();
-            // Once the client takes something, the edge reads on and finds the endpoint gone.
-            for (int i = 0; i < TAKEN_CHUNKS; i++) {
+            // Once the client reads, the sidecar reads on and notices that the endpoint has disconnected.
+            for (int i = 0; i < CHUNKS_READ; i++) {
                 assertTrue(readChunk(client), "chunk " + i);
             }
-            SidecarFixture.await("it counts as failed", () -> figures().contains("replies.read.error=1\n"));
+            SidecarFixture.await(
+                    "the request is counted as failed", () -> metrics().contains("replies.read.error=1\n"));
             while (readChunk(client)) {
                 continue;
             }
         }
     }
 
-    /** Reads a whole chunk; false at the connection's end, which must not come within one. */
+    /** Reads a chunk. Returns false at the end of the connection, which must not come within a chunk. */
     private static boolean readChunk(HttpTestConnection client) throws IOException {
-        String size = line(client);
+        String size = readLine(client);
         if (size != null) {
             int bytes = Integer.parseInt(size, 16);
-            assertEquals(bytes, client.in.readNBytes(bytes).length, "cut within a chunk");
-            assertEquals("", line(client), "behind a chunk");
+            assertEquals(bytes, client.in.readNBytes(bytes).length, "truncated within a chunk");
+            assertEquals("", readLine(client), "line after a chunk");
         }
         return size != null;
     }
 
-    /** A line, or null at the connection's end. */
-    private static String line(HttpTestConnection wire) throws IOException {
+    /** Reads a line. Returns null at the end of the connection. */
+    private static String readLine(HttpTestConnection connection) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int b = wire.in.read(); b != '\n'; b = wire.in.read()) {
+        for (int b = connection.in.read(); b != '\n'; b = connection.in.read()) {
             if (b < 0) {
-                assertEquals("", line.toString(), "cut within a line");
+                assertEquals("", line.toString(), "truncated within a line");
                 return null;
             }
             line.append(b == '\r' ? "" : (char) b);
@@ -260,23 +265,23 @@
     }
 
     @Test
-    void clientDisconnectReleasesTheEndpoint() throws Exception {
-        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
-                    wire.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\nfirst");
-                    wire.awaitEnd();
+    void clientDisconnectClosesTheEndpointConnection() throws Exception {
+        fixture = new SidecarFixture(new StubEndpoint((connection, request) -> {
+                    connection.send("HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\nfirst");
+                    connection.awaitEnd();
                 }))
                 .start();
-        try (HttpTestConnection client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS));
+        try (HttpTestConnection client = fixture.client()) {
+            client.send(fixture.request("read", DEADLINE_MS));
             assertTrue(client.in.read() >= 0);
         }
         SidecarFixture.await(
                 "the endpoint's connection is closed",
-                () -> rig.endpoints.get(0).open.get() == 0);
-        SidecarFixture.await("nothing is in hand", () -> figures().contains("concurrent=0\n"));
+                () -> fixture.endpoints.get(0).open.get() == 0);
+        SidecarFixture.await("no request is in flight", () -> metrics().contains("concurrent=0\n"));
     }
 
-    // ---- bodies ----
+    // ---- request bodies ----
 
     @ParameterizedTest
     @CsvSource({
@@ -289,7 +294,7 @@
         "33554432, 0, 0"
     })
     void requestBodyOfAnySizeIsForwardedUnchanged(int bytes, int chunk, int piece) throws Exception {
-        rig = new SidecarFixture(digesting()).start();
+        fixture = new SidecarFixture(digesting()).start();
         byte[] body = random(bytes);
         ByteArrayOutputStream message = new ByteArrayOutputStream();
         if (chunk == 0) {
@@ -300,22 +305,24 @@
             writeChunked(message, body, chunk);
         }
         byte[] all = message.toByteArray();
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             OutputStream out = client.socket.getOutputStream();
             for (int from = 0; from < all.length; from += piece == 0 ? all.length : piece) {
                 out.write(all, from, Math.min(piece == 0 ? all.length : piece, all.length - from));
             }
             assertEquals(digest(body), client.read().body());
             assertEquals(
-                    200, client.send(rig.request("read", DEADLINE_MS)).read().status(), "it goes on");
+                    200,
+                    client.send(fixture.request("read", DEADLINE_MS)).read().status(),
+                    "the connection still serves requests");
         }
     }
 
     @Test
-    void expectContinueIsAnswered() throws Exception {
-        rig = new SidecarFixture(digesting()).start();
+    void expectContinueGetsAnInterimResponse() throws Exception {
+        fixture = new SidecarFixture(digesting()).start();
         byte[] body = random(LARGE_BYTES);
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             client.send(head("order", "Expect: 100-continue\r\nContent-Length: " + body.length));
             assertEquals(100, client.read().status());
             client.socket.getOutputStream().write(body);
@@ -323,12 +330,12 @@
         }
     }
 
-    /** Guards against a timeout that a slow client cannot meet: 64 kB per second are enough. */
+    /** Guards against a time-out that a slow client cannot meet: 64 kB per second are sufficient. */
     @Test
     void slowHeadAndSlowBodyAreAccepted() throws Exception {
-        rig = new SidecarFixture(digesting()).start();
+        fixture = new SidecarFixture(digesting()).start();
         byte[] body = random(250_000);
-        try (HttpTestConnection client = rig.client()) {
+        try (HttpTestConnection client = fixture.client()) {
             String head = head("order", "Content-Length: " + body.length);
             for (int i = 0; i < 10; i++) {
                 client.send(head.substring(head.length() * i / 10, head.length() * (i + 1) / 10));
@@ -344,118 +351,119 @@
 
     @Test
     void requestBodyThatStallsIsAborted() throws Exception {
-        rig = new SidecarFixture(digesting()).start();
-        try (HttpTestConnection client = rig.client()) {
+        fixture = new SidecarFixture(digesting()).start();
+        try (HttpTestConnection client = fixture.client()) {
             client.send(head("order", "Content-Length: 1000000") + "x".repeat(70_000));
             assertEquals(408, client.read().status());
             client.awaitEnd();
         }
         SidecarFixture.await(
                 "the endpoint's connection is closed",
-                () -> rig.endpoints.get(0).open.get() == 0);
-        assertEquals(0, rig.attempts());
-        assertEquals(200, rig.ask("read", DEADLINE_MS).status());
+                () -> fixture.endpoints.get(0).open.get() == 0);
+        assertEquals(0, fixture.attempts());
+        assertEquals(200, fixture.sendRequest("read", DEADLINE_MS).status());
     }
 
-    /** A full endpoint rejects early: the buffered part of the body can be sent to another one. */
+    /** An overloaded endpoint rejects early: the part of the body sent so far is still buffered for another one. */
     @Test
     void requestIsRetriedWhileItsSentBodyIsStillBuffered() throws Exception {
         byte[] body = random(100_000);
-        CountDownLatch refused = new CountDownLatch(1);
-        StubEndpoint.ConnectionHandler full = wire -> {
-            wire.readHead();
-            StubEndpoint.respond(wire, 503, "X-Not-Run: 1\r\n", "");
-            refused.countDown();
-            wire.awaitEnd();
+        CountDownLatch rejected = new CountDownLatch(1);
+        StubEndpoint.ConnectionHandler overloaded = connection -> {
+            connection.readHead();
+            StubEndpoint.respond(connection, 503, "X-Not-Run: 1\r\n", "");
+            rejected.countDown();
+            connection.awaitEnd();
         };
-        AtomicInteger asked = new AtomicInteger();
-        StubEndpoint.ConnectionHandler firstFull = wire -> {
-            if (asked.getAndIncrement() == 0) {
-                full.handle(wire);
+        AtomicInteger attempts = new AtomicInteger();
+        StubEndpoint.ConnectionHandler firstOverloaded = connection -> {
+            if (attempts.getAndIncrement() == 0) {
+                overloaded.handle(connection);
             } else {
-                HttpTestConnection.Message request = wire.read();
-                StubEndpoint.respond(wire, 200, "", digest(request.bytes()));
+                HttpTestConnection.Message request = connection.read();
+                StubEndpoint.respond(connection, 200, "", digest(request.bytes()));
             }
         };
-        rig = new SidecarFixture(new StubEndpoint(firstFull), new StubEndpoint(firstFull)).start();
-        try (HttpTestConnection client = rig.client()) {
+        fixture = new SidecarFixture(new StubEndpoint(firstOverloaded), new StubEndpoint(firstOverloaded)).start();
+        try (HttpTestConnection client = fixture.client()) {
             client.send(head("order", "Content-Length: " + body.length));
             OutputStream out = client.socket.getOutputStream();
             out.write(body, 0, 65_536);
-            // One byte more is what makes it a large one, and is let go only with an endpoint to take it.
-            rejectAfter(out, body, refused);
-            HttpTestConnection.Message answer = client.read();
+            // One more byte makes the body a large one, which is discarded only once an endpoint receives it.
+            sendRestAfterRejection(out, body, rejected);
+            HttpTestConnection.Message response = client.read();
             assertTrue(
-                    (answer.status() == 200 && answer.body().equals(digest(body))) || answer.status() == 503,
-                    answer.line());
+                    (response.status() == 200 && response.body().equals(digest(body))) || response.status() == 503,
+                    response.startLine());
         }
     }
 
-    private static void rejectAfter(OutputStream out, byte[] body, CountDownLatch refused) throws Exception {
+    private static void sendRestAfterRejection(OutputStream out, byte[] body, CountDownLatch rejected)
+            throws Exception {
         out.write(body, 65_536, 1);
-        refused.await();
+        rejected.await();
         out.write(body, 65_537, body.length - 65_537);
     }
 
-    /** Discarded bytes cannot be sent again: an idempotent request fails at once as well. */
+    /** Discarded bytes cannot be sent again, so that an idempotent request fails at once as well. */
     @Test
     void requestIsNotRetriedOnceBodyBytesAreDiscarded() throws Exception {
-        byte[] body = random(MOST_BYTES);
-        StubEndpoint.ConnectionHandler breaking = wire -> {
-            wire.readHead();
-            wire.in.readNBytes(4_000_000);
-            wire.reset();
+        byte[] body = random(MAX_BODY_BYTES);
+        StubEndpoint.ConnectionHandler resetting = connection -> {
+            connection.readHead();
+            connection.in.readNBytes(4_000_000);
+            connection.reset();
         };
-        rig = new SidecarFixture(new StubEndpoint(breaking), new StubEndpoint(breaking)).start();
-        try (HttpTestConnection client = rig.client()) {
+        fixture = new SidecarFixture(new StubEndpoint(resetting), new StubEndpoint(resetting)).start();
+        try (HttpTestConnection client = fixture.client()) {
             client.send(head("order", "Content-Length: " + body.length));
             Thread sender = new Thread(() -> {
                 try {
                     client.socket.getOutputStream().write(body);
                 } catch (IOException e) {
-                    // The sidecar takes no more of it, as it should.
+                    // As expected, the sidecar reads no more of the body.
                     return;
                 }
             });
             sender.start();
-            HttpTestConnection.Message answer = client.read();
-            assertEquals(503, answer.status(), "it never ran");
-            assertEquals("close", answer.headers().get("connection"));
+            HttpTestConnection.Message response = client.read();
+            assertEquals(503, response.status(), "the request was not executed");
+            assertEquals("close", response.headers().get("connection"));
             sender.join();
         }
         assertEquals(
                 1,
-                rig.endpoints.stream()
+                fixture.endpoints.stream()
                         .mapToInt(endpoint -> endpoint.connections.get())
                         .sum());
     }
 
     // ---- memory ----
 
-    /** Many large responses at once to clients that do not read yet: all arrive, and the memory is bounded. */
+    /** Many large responses at once to clients that do not read yet all arrive complete within the buffer budget. */
     @Test
     void concurrentLargeResponsesShareTheBufferBudget() throws Exception {
         byte[] body = random(LARGE_BYTES);
-        rig = new SidecarFixture(new StubEndpoint((wire, request) -> {
-                    wire.send("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
-                    wire.socket.getOutputStream().write(body);
+        fixture = new SidecarFixture(new StubEndpoint((connection, request) -> {
+                    connection.send("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
+                    connection.socket.getOutputStream().write(body);
                 }))
                 .start();
         int count = 40;
         HttpTestConnection[] clients = new HttpTestConnection[count];
         for (int i = 0; i < count; i++) {
-            clients[i] = rig.client();
-            clients[i].send(rig.request("read", DEADLINE_MS));
+            clients[i] = fixture.client();
+            clients[i].send(fixture.request("read", DEADLINE_MS));
         }
         int served = 0;
         for (HttpTestConnection client : clients) {
-            HttpTestConnection.Message answer = client.read();
-            if (answer.status() == 200) {
-                assertArrayEquals(body, answer.bytes());
+            HttpTestConnection.Message response = client.read();
+            if (response.status() == 200) {
+                assertArrayEquals(body, response.bytes());
                 served++;
             }
             client.close();
         }
-        assertTrue(served > 0, "the module takes some");
+        assertTrue(served > 0, "the load balancer admits some requests");
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/StubEndpoint.java
+++ b/edge/src/test/java/lemonrail/assembly/StubEndpoint.java
@@ -9,37 +9,40 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An endpoint on loopback whose responses the test scripts; it also stands in for discovery. */
+/** An endpoint on loopback whose handler the test provides. Tests use it as a discovery service as well. */
 final class StubEndpoint implements Closeable {
 
     /** Handles one request. */
     interface RequestHandler {
-        void handle(HttpTestConnection wire, HttpTestConnection.Message request) throws Exception;
+        void handle(HttpTestConnection connection, HttpTestConnection.Message request) throws Exception;
     }
 
-    /** Handles the bytes of a connection itself; called again until it throws. */
+    /** Reads and writes the bytes of a connection itself. It is called repeatedly until it throws an exception. */
     interface ConnectionHandler {
-        void handle(HttpTestConnection wire) throws Exception;
+        void handle(HttpTestConnection connection) throws Exception;
     }
 
     final ServerSocket listener;
     final List<HttpTestConnection.Message> requests = new CopyOnWriteArrayList<>();
+    /** The number of connections accepted so far. */
     final AtomicInteger connections = new AtomicInteger();
+    /** The number of connections that are open now. */
     final AtomicInteger open = new AtomicInteger();
+
     volatile RequestHandler requestHandler;
     private final ConnectionHandler connectionHandler;
-    private final Thread accepting;
+    private final Thread acceptThread;
 
     StubEndpoint(RequestHandler requestHandler) throws IOException {
         this(requestHandler, null, 0);
     }
 
-    /** Creates an endpoint whose handler reads by itself; its requests are not recorded. */
+    /** Creates an endpoint whose handler reads requests itself; they are not added to {@link #requests}. */
     StubEndpoint(ConnectionHandler connectionHandler) throws IOException {
         this(null, connectionHandler, 0);
     }
 
-    /** Creates an endpoint at a port that is known to be free. */
+    /** Creates an endpoint that listens on the given port. */
     StubEndpoint(RequestHandler requestHandler, int port) throws IOException {
         this(requestHandler, null, port);
     }
@@ -49,15 +52,17 @@
         this.requestHandler = requestHandler;
         this.connectionHandler = connectionHandler;
         listener = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
-        accepting = start(this::accept);
+        acceptThread = start(this::accept);
     }
 
+    /** Creates an endpoint that sends the same response to each request. */
     static StubEndpoint respondingWith(int status, String headers, String body) throws IOException {
-        return new StubEndpoint((wire, request) -> respond(wire, status, headers, body));
+        return new StubEndpoint((connection, request) -> respond(connection, status, headers, body));
     }
 
-    static void respond(HttpTestConnection wire, int status, String headers, String body) throws IOException {
-        wire.send("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
+    static void respond(HttpTestConnection connection, int status, String headers, String body) throws IOException {
+        connection.send(
+                "HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     String address() {
@@ -77,23 +82,23 @@
                 start(() -> serve(socket));
             }
         } catch (IOException e) {
-            // The test is over.
+            // The listener has been closed at the end of the test.
             return;
         }
     }
 
     private void serve(Socket socket) {
-        try (HttpTestConnection wire = new HttpTestConnection(socket)) {
+        try (HttpTestConnection connection = new HttpTestConnection(socket)) {
             while (connectionHandler != null) {
-                connectionHandler.handle(wire);
+                connectionHandler.handle(connection);
             }
             while (true) {
-                HttpTestConnection.Message request = wire.read();
+                HttpTestConnection.Message request = connection.read();
                 requests.add(request);
-                requestHandler.handle(wire, request);
+                requestHandler.handle(connection, request);
             }
         } catch (Exception e) {
-            // The connection is over, which the counter below tells.
+            // The connection has ended; the finally block counts it as closed.
             return;
         } finally {
             open.decrementAndGet();
@@ -107,12 +112,12 @@
         return thread;
     }
 
-    /** Closes the listener; waits for the accepting thread, as connections are accepted while it is blocked. */
+    /** Closes the listener and waits for the accepting thread, which may still accept a connection until it ends. */
     @Override
     public void close() throws IOException {
         listener.close();
         try {
-            accepting.join();
+            acceptThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/edge/src/test/java/lemonrail/assembly/SuspensionTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SuspensionTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Suspended endpoints get no requests until they are resumed, whatever happens in between. */
+/** Suspended endpoints get no requests until they are resumed, also across list updates and restarts. */
 @Timeout(60)
 class SuspensionTest {
 
@@ -25,41 +25,42 @@
     private final StubEndpoint first = StubEndpoint.respondingWith(200, "", "first");
     private final StubEndpoint second = StubEndpoint.respondingWith(200, "", "second");
     private final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
-    private SidecarFixture rig;
+    private SidecarFixture fixture;
 
     SuspensionTest() throws IOException {
-        // Both fakes stand before each test.
+        // Both stub endpoints are created for each test.
     }
 
     private SidecarFixture start(StubEndpoint... endpoints) throws IOException {
-        rig = new SidecarFixture(endpoints);
-        rig.folder = folder;
-        rig.askWithinMs = 20;
-        rig.discovery.requestHandler = (wire, request) -> StubEndpoint.respond(wire, 200, "", lists.take());
-        return rig.start();
+        fixture = new SidecarFixture(endpoints);
+        fixture.stateDirectory = folder;
+        fixture.pollIntervalMs = 20;
+        fixture.discovery.requestHandler =
+                (connection, request) -> StubEndpoint.respond(connection, 200, "", lists.take());
+        return fixture.start();
     }
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
         first.close();
         second.close();
     }
 
     private void putEndpoint(String path) throws IOException {
-        assertEquals(200, rig.callAdmin("PUT", "/v1/endpoints/" + path).status());
+        assertEquals(200, fixture.callAdmin("PUT", "/v1/endpoints/" + path).status());
     }
 
     private void assertServedBy(String body, int times) throws IOException {
         for (int i = 0; i < times; i++) {
-            assertEquals(body, rig.ask("read", DEADLINE_MS).body());
+            assertEquals(body, fixture.sendRequest("read", DEADLINE_MS).body());
         }
     }
 
     private void awaitMetric(String line) throws InterruptedException {
         SidecarFixture.await(line, () -> {
             try {
-                return rig.callAdmin("GET", "/v1/metrics").body().contains("edge_gw." + line + "\n");
+                return fixture.callAdmin("GET", "/v1/metrics").body().contains("edge_gw." + line + "\n");
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -67,13 +68,13 @@
     }
 
     private void publishList(int version, boolean full, String... lines) throws InterruptedException {
-        int requestsBefore = rig.discovery.requests.size();
-        lists.add(SidecarFixture.list(version, full, lines));
-        SidecarFixture.await("the list is applied", () -> rig.discovery.requests.size() > requestsBefore);
+        int requestsBefore = fixture.discovery.requests.size();
+        lists.add(SidecarFixture.endpointListJson(version, full, lines));
+        SidecarFixture.await("the list is applied", () -> fixture.discovery.requests.size() > requestsBefore);
     }
 
     @Test
-    void aSuspendedEndpointGetsNoRequestsUntilResumed() throws Exception {
+    void suspendedEndpointGetsNoRequestsUntilResumed() throws Exception {
         start(first, second);
         putEndpoint("s0/suspend");
         putEndpoint("s0/suspend");
@@ -89,17 +90,21 @@
 
     /** Guards against updates that undo a suspension: full snapshots, deltas, and a restart of the endpoint. */
     @Test
-    void updatesOfDiscoveryDoNotResumeIt() throws Exception {
+    void discoveryUpdatesDoNotResumeASuspendedEndpoint() throws Exception {
         start(first, second);
         putEndpoint("s0/suspend");
-        String other = SidecarFixture.line(1, second.address(), "in_service", 0);
-        publishList(2, false, SidecarFixture.line(0, first.address(), "in_service", 0));
+        String other = SidecarFixture.endpointJson(1, second.address(), "in_service", 0);
+        publishList(2, false, SidecarFixture.endpointJson(0, first.address(), "in_service", 0));
         assertServedBy("second", 3);
-        publishList(3, true, SidecarFixture.line(0, first.address(), "in_service", System.currentTimeMillis()), other);
+        publishList(
+                3,
+                true,
+                SidecarFixture.endpointJson(0, first.address(), "in_service", System.currentTimeMillis()),
+                other);
         assertServedBy("second", 3);
-        publishList(4, false, SidecarFixture.line(0, first.address(), "terminated", 0));
+        publishList(4, false, SidecarFixture.endpointJson(0, first.address(), "terminated", 0));
         awaitMetric("targets=1");
-        publishList(5, false, SidecarFixture.line(0, first.address(), "in_service", 1000));
+        publishList(5, false, SidecarFixture.endpointJson(0, first.address(), "in_service", 1000));
         awaitMetric("targets=2");
         assertServedBy("second", 3);
         assertEquals(0, first.requests.size());
@@ -110,72 +115,72 @@
 
     /** A resumed endpoint has the state that discovery reports: a draining one still gets no requests. */
     @Test
-    void resumptionDoesNotOverruleDiscovery() throws Exception {
+    void resumedEndpointKeepsItsDiscoveryState() throws Exception {
         start(first, second);
         putEndpoint("s0/suspend");
-        publishList(2, false, SidecarFixture.line(0, first.address(), "terminating", 0));
+        publishList(2, false, SidecarFixture.endpointJson(0, first.address(), "terminating", 0));
         putEndpoint("s0/resume");
         assertServedBy("second", 5);
         assertEquals(0, first.requests.size());
     }
 
     @Test
-    void aSuspensionOutlivesTheProcess() throws Exception {
+    void suspensionSurvivesARestart() throws Exception {
         start(first, second);
         putEndpoint("s0/suspend");
-        rig.sidecar.stop();
-        rig.start();
+        fixture.sidecar.stop();
+        fixture.start();
         assertServedBy("second", 5);
         awaitMetric("targets_disabled=1");
         putEndpoint("s0/resume");
         awaitMetric("targets_disabled=0");
-        rig.sidecar.stop();
-        rig.start();
+        fixture.sidecar.stop();
+        fixture.start();
         awaitMetric("targets_disabled=0");
     }
 
     /** Two processes of one sidecar, as during an upgrade, share their suspensions. */
     @Test
-    void theOtherProcessAppliesIt() throws Exception {
+    void suspensionIsAppliedByTheOtherProcess() throws Exception {
         start(first, second);
         try (SidecarFixture other = new SidecarFixture(first, second)) {
-            other.folder = folder;
+            other.stateDirectory = folder;
             other.start();
             putEndpoint("s0/suspend");
             SidecarFixture.await(
-                    "the other process has applied it",
+                    "the other process has applied the suspension",
                     () -> other.logged().contains("suspended by another process: [s0]"));
             for (int i = 0; i < 5; i++) {
-                assertEquals("second", other.ask("read", DEADLINE_MS).body());
+                assertEquals("second", other.sendRequest("read", DEADLINE_MS).body());
             }
             assertEquals(200, other.callAdmin("PUT", "/v1/endpoints/s0/resume").status());
             awaitMetric("targets_disabled=0");
         }
     }
 
-    /** Guards against a start that fails because of a truncated file, or trusts one. */
+    /** Guards against a start that fails because of a truncated file, or that uses its content. */
     @Test
-    void aDamagedFileIsLoggedAndCountsAsEmpty() throws Exception {
+    void damagedFileIsLoggedAndCountsAsEmpty() throws Exception {
         Files.writeString(folder.resolve("n0.suspended"), "suspended endpoints\ns0\n");
         start(first, second);
         assertTrue(
-                rig.logged().contains("n0.suspended is damaged: header, footer or number of ids is wrong"),
-                rig.logged());
-        assertEquals(200, rig.ask("read", DEADLINE_MS).status());
+                fixture.logged().contains("n0.suspended is damaged: header, footer or number of ids is wrong"),
+                fixture.logged());
+        assertEquals(200, fixture.sendRequest("read", DEADLINE_MS).status());
         putEndpoint("s0/suspend");
         assertServedBy("second", 3);
-        rig.sidecar.stop();
-        rig.start();
+        fixture.sidecar.stop();
+        fixture.start();
         awaitMetric("targets_disabled=1");
     }
 
     /** A suspension that cannot be persisted is not confirmed. */
     @Test
-    void aSuspensionThatCannotBePersistedIsRejected() throws Exception {
+    void suspensionThatCannotBePersistedIsRejected() throws Exception {
         start(first, second);
         Files.createDirectory(folder.resolve("n0.suspended.new"));
-        assertEquals(500, rig.callAdmin("PUT", "/v1/endpoints/s0/suspend").status());
-        assertTrue(rig.logged().contains("s0 could not be suspended"), rig.logged());
+        assertEquals(500, fixture.callAdmin("PUT", "/v1/endpoints/s0/suspend").status());
+        assertTrue(fixture.logged().contains("s0 could not be suspended"), fixture.logged());
         awaitMetric("targets_disabled=0");
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/TestProtocol.java
+++ b/edge/src/test/java/lemonrail/assembly/TestProtocol.java
@@ -15,7 +15,7 @@
 import lemonrail.frames.FrameProtocol;
 import lemonrail.http1.Http1Protocol;
 
-/** The protocols that the same tests run with: how test clients and test endpoints speak them. */
+/** The protocols that {@link ProtocolContractTest} runs with, each with test clients and test endpoints. */
 enum TestProtocol {
     HTTP1 {
         @Override
@@ -24,22 +24,22 @@
         }
 
         @Override
-        TestClient caller(InetSocketAddress at) throws IOException {
+        TestClient client(InetSocketAddress at) throws IOException {
             return new HttpClient(at);
         }
 
         @Override
-        String id(HttpTestConnection wire) throws IOException {
-            return wire.read().headers().get("x-request-id");
+        String readRequestId(HttpTestConnection connection) throws IOException {
+            return connection.read().headers().get("x-request-id");
         }
 
         @Override
-        void respond(HttpTestConnection wire, EndpointAction act, String id) throws IOException {
-            switch (act) {
-                case NOT_RUN -> StubEndpoint.respond(wire, 503, "X-Not-Run: 1\r\n", "full");
-                case FAIL -> StubEndpoint.respond(wire, 500, "", "failed");
-                case REJECT -> StubEndpoint.respond(wire, 400, "", "no");
-                default -> StubEndpoint.respond(wire, 200, "", "served " + id);
+        void respond(HttpTestConnection connection, EndpointAction action, String id) throws IOException {
+            switch (action) {
+                case NOT_RUN -> StubEndpoint.respond(connection, 503, "X-Not-Run: 1\r\n", "full");
+                case FAIL -> StubEndpoint.respond(connection, 500, "", "failed");
+                case REJECT -> StubEndpoint.respond(connection, 400, "", "no");
+                default -> StubEndpoint.respond(connection, 200, "", "served " + id);
             }
         }
     },
@@ -51,20 +51,20 @@
         }
 
         @Override
-        TestClient caller(InetSocketAddress at) throws IOException {
+        TestClient client(InetSocketAddress at) throws IOException {
             return new FrameClient(at);
         }
 
         @Override
-        String id(HttpTestConnection wire) throws IOException {
-            return readFrame(wire).split("\\|")[0].substring(1);
+        String readRequestId(HttpTestConnection connection) throws IOException {
+            return readFrame(connection).split("\\|")[0].substring(1);
         }
 
         @Override
-        void respond(HttpTestConnection wire, EndpointAction act, String id) throws IOException {
+        void respond(HttpTestConnection connection, EndpointAction action, String id) throws IOException {
             writeFrame(
-                    wire,
-                    switch (act) {
+                    connection,
+                    switch (action) {
                         case NOT_RUN -> "N";
                         case FAIL -> "E";
                         case REJECT -> "B";
@@ -73,7 +73,7 @@
         }
     };
 
-    /** What an endpoint does with a request. */
+    /** How an endpoint handles a request. */
     enum EndpointAction {
         SERVE,
         NOT_RUN,
@@ -94,93 +94,100 @@
         }
     }
 
-    /** A client's connection. */
+    /** A client with one connection. */
     interface TestClient extends Closeable {
-        void send(String id, String kind, int deadlineMs) throws IOException;
+        void send(String id, String requestClass, int deadlineMs) throws IOException;
 
         ClientResult read() throws IOException;
 
-        /** Whether an answer has come that is not read yet. */
-        boolean hasAnswer();
+        /** Returns whether a response has arrived that has not been read yet. */
+        boolean hasResponse();
 
         void awaitEnd() throws IOException;
     }
 
-    /** An endpoint. */
-    record TestEndpoint(StubEndpoint fake, List<String> requests) implements Closeable {
+    /** An endpoint with the ids of the requests that it has received. */
+    record TestEndpoint(StubEndpoint stub, List<String> requests) implements Closeable {
         String address() {
-            return fake.address();
+            return stub.address();
         }
 
         int connections() {
-            return fake.open.get();
+            return stub.open.get();
         }
 
         @Override
         public void close() throws IOException {
-            fake.close();
+            stub.close();
         }
     }
 
     abstract Protocol<?, ?> protocol();
 
-    abstract TestClient caller(InetSocketAddress at) throws IOException;
+    abstract TestClient client(InetSocketAddress at) throws IOException;
 
-    /** Reads a request at an endpoint and tells its id. */
-    abstract String id(HttpTestConnection wire) throws IOException;
+    /** Reads a request at an endpoint and returns its id. */
+    abstract String readRequestId(HttpTestConnection connection) throws IOException;
 
-    abstract void respond(HttpTestConnection wire, EndpointAction act, String id) throws IOException;
+    abstract void respond(HttpTestConnection connection, EndpointAction action, String id) throws IOException;
 
-    /** An endpoint that does these with its requests in turn, the last with all that follow. */
-    TestEndpoint peer(CountDownLatch release, EndpointAction... acts) throws IOException {
+    /**
+     * Creates an endpoint that applies the actions to its requests in turn, and the last one to all further requests.
+     */
+    TestEndpoint endpoint(CountDownLatch release, EndpointAction... actions) throws IOException {
         List<String> requests = new CopyOnWriteArrayList<>();
         return new TestEndpoint(
-                new StubEndpoint((HttpTestConnection wire) -> {
-                    String id = id(wire);
+                new StubEndpoint((HttpTestConnection connection) -> {
+                    String id = readRequestId(connection);
                     requests.add(id);
-                    act(wire, acts[Math.min(requests.size(), acts.length) - 1], id, release);
+                    handle(connection, actions[Math.min(requests.size(), actions.length) - 1], id, release);
                 }),
                 requests);
     }
 
-    /** One of several endpoints, of which one does the first act once and else all do the second. */
-    TestEndpoint sharing(CountDownLatch release, CountDownLatch first, EndpointAction... acts) throws IOException {
+    /**
+     * Creates one of several endpoints that share a latch: the first request at any of them gets the first action,
+     * and all other requests the second.
+     */
+    TestEndpoint endpointSharingFirstAction(CountDownLatch release, CountDownLatch first, EndpointAction... actions)
+            throws IOException {
         List<String> requests = new CopyOnWriteArrayList<>();
         return new TestEndpoint(
-                new StubEndpoint((HttpTestConnection wire) -> {
-                    String id = id(wire);
+                new StubEndpoint((HttpTestConnection connection) -> {
+                    String id = readRequestId(connection);
                     requests.add(id);
                     boolean isFirst;
                     synchronized (first) {
                         isFirst = first.getCount() > 0;
                         first.countDown();
                     }
-                    act(wire, isFirst ? acts[0] : acts[1], id, release);
+                    handle(connection, isFirst ? actions[0] : actions[1], id, release);
                 }),
                 requests);
     }
 
-    private void act(HttpTestConnection wire, EndpointAction act, String id, CountDownLatch release) throws Exception {
-        if (act == EndpointAction.RESET) {
-            wire.reset();
-        } else if (act == EndpointAction.SILENT) {
-            wire.awaitEnd();
-            throw new IOException("the other side is gone");
+    private void handle(HttpTestConnection connection, EndpointAction action, String id, CountDownLatch release)
+            throws Exception {
+        if (action == EndpointAction.RESET) {
+            connection.reset();
+        } else if (action == EndpointAction.SILENT) {
+            connection.awaitEnd();
+            throw new IOException("the sidecar has closed the connection");
         } else {
-            if (act == EndpointAction.HOLD) {
+            if (action == EndpointAction.HOLD) {
                 release.await();
             }
-            respond(wire, act, id);
+            respond(connection, action, id);
         }
     }
 
-    private static String readFrame(HttpTestConnection wire) throws IOException {
-        DataInputStream in = new DataInputStream(wire.in);
+    private static String readFrame(HttpTestConnection connection) throws IOException {
+        DataInputStream in = new DataInputStream(connection.in);
         return new String(in.readNBytes(in.readInt()), StandardCharsets.UTF_8);
     }
 
-    private static void writeFrame(HttpTestConnection wire, String text) throws IOException {
-        DataOutputStream out = new DataOutputStream(wire.socket.getOutputStream());
+    private static void writeFrame(HttpTestConnection connection, String text) throws IOException {
+        DataOutputStream out = new DataOutputStream(connection.socket.getOutputStream());
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         byte[] frame = new byte[bytes.length + Integer.BYTES];
         ByteBuffer.wrap(frame).putInt(bytes.length).put(bytes);
@@ -188,16 +195,16 @@
     }
 
     private abstract static class ConnectionClient implements TestClient {
-        final HttpTestConnection wire;
+        final HttpTestConnection connection;
 
         ConnectionClient(InetSocketAddress at) throws IOException {
-            wire = new HttpTestConnection(new Socket(at.getAddress(), at.getPort()));
+            connection = new HttpTestConnection(new Socket(at.getAddress(), at.getPort()));
         }
 
         @Override
-        public boolean hasAnswer() {
+        public boolean hasResponse() {
             try {
-                return wire.in.available() > 0;
+                return connection.in.available() > 0;
             } catch (IOException e) {
                 return false;
             }
@@ -205,12 +212,12 @@
 
         @Override
         public void awaitEnd() throws IOException {
-            wire.awaitEnd();
+            connection.awaitEnd();
         }
 
         @Override
         public void close() throws IOException {
-            wire.close();
+            connection.close();
         }
     }
 
@@ -220,22 +227,22 @@
         }
 
         @Override
-        public void send(String id, String kind, int deadlineMs) throws IOException {
-            wire.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: " + kind
+        public void send(String id, String requestClass, int deadlineMs) throws IOException {
+            connection.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: " + requestClass
                     + "\r\nX-Deadline-Ms: " + deadlineMs + "\r\n\r\n");
         }
 
         @Override
         public ClientResult read() throws IOException {
-            HttpTestConnection.Message answer = wire.read();
+            HttpTestConnection.Message response = connection.read();
             return new ClientResult(
-                    switch (answer.status()) {
+                    switch (response.status()) {
                         case 200 -> ClientResult.Kind.SERVED;
                         case 503 -> ClientResult.Kind.SHED;
                         case 502 -> ClientResult.Kind.FAILED;
                         default -> ClientResult.Kind.REJECTED;
                     },
-                    answer.body());
+                    response.body());
         }
     }
 
@@ -245,13 +252,13 @@
         }
 
         @Override
-        public void send(String id, String kind, int deadlineMs) throws IOException {
-            writeFrame(wire, "Q" + id + "|" + kind + "|" + deadlineMs + "|text");
+        public void send(String id, String requestClass, int deadlineMs) throws IOException {
+            writeFrame(connection, "Q" + id + "|" + requestClass + "|" + deadlineMs + "|text");
         }
 
         @Override
         public ClientResult read() throws IOException {
-            String frame = readFrame(wire);
+            String frame = readFrame(connection);
             return new ClientResult(
                     switch (frame.charAt(0)) {
                         case 'S' -> ClientResult.Kind.SERVED;
--- a/edge/src/test/java/lemonrail/assembly/OwnFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/TomlConfigurationTest.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An edge that runs by the operators' file alone: no platform, no discovery. */
+/** A sidecar whose endpoints and settings come from a TOML file alone: reloads, shared suspensions and the log. */
 @Timeout(60)
-class OwnFileTest {
+class TomlConfigurationTest {
 
     private static final String REQUEST =
             "GET /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\n" + "X-Class: read\r\nX-Deadline-Ms: 4000\r\n\r\n";
@@ -44,8 +44,8 @@
     private Sidecar edge;
     private int requests;
 
-    OwnFileTest() throws IOException {
-        // The fakes stand before each test.
+    TomlConfigurationTest() throws IOException {
+        // The stub endpoints are created for each test.
     }
 
     @AfterEach
@@ -57,7 +57,7 @@
         second.close();
     }
 
-    private String text(String listener, StubEndpoint endpoint, String more) {
+    private String toml(String listener, StubEndpoint endpoint, String more) {
         return """
             name = "own"
             state-dir = "%s"
@@ -89,88 +89,92 @@
         start(text, new TextSink(new PrintStream(log, true, StandardCharsets.UTF_8)));
     }
 
-    private HttpTestConnection.Message ask(InetSocketAddress at) throws IOException {
-        try (HttpTestConnection wire = HttpTestConnection.to(at)) {
-            return wire.send(REQUEST.formatted("r" + requests++)).read();
+    private HttpTestConnection.Message sendRequest(InetSocketAddress address) throws IOException {
+        try (HttpTestConnection connection = HttpTestConnection.to(address)) {
+            return connection.send(REQUEST.formatted("r" + requests++)).read();
         }
     }
 
-    private void reload(String text, String said) throws Exception {
+    private void reload(String text, String logText) throws Exception {
         write(text);
         edge.reload();
-        SidecarFixture.await(said, () -> logged().contains(said));
+        SidecarFixture.await(logText, () -> logged().contains(logText));
     }
 
     private String logged() {
         return log.toString(StandardCharsets.UTF_8);
     }
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return (InetSocketAddress) socket.getLocalSocketAddress();
         }
     }
 
-    private static String plain(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return "127.0.0.1:" + address.getPort();
     }
 
     @Test
-    void reloadAppliesEndpointsAndListenersAndNamesOtherChanges() throws Exception {
-        start(text("127.0.0.1:0", first, ""));
-        InetSocketAddress before = edge.address();
-        assertEquals("first", ask(before).body());
-        InetSocketAddress now = free();
-        HttpTestConnection kept = HttpTestConnection.to(before);
-        assertEquals("first", kept.send(REQUEST.formatted("kept")).read().body());
+    void reloadAppliesEndpointsAndListenersAndLogsOtherChangedKeys() throws Exception {
+        start(toml("127.0.0.1:0", first, ""));
+        InetSocketAddress oldAddress = edge.address();
+        assertEquals("first", sendRequest(oldAddress).body());
+        InetSocketAddress newAddress = freeAddress();
+        HttpTestConnection persistent = HttpTestConnection.to(oldAddress);
+        assertEquals("first", persistent.send(REQUEST.formatted("kept")).read().body());
         reload(
-                text(plain(now), second, "[limits]\nattempts = 5"),
+                toml(hostAndPort(newAddress), second, "[limits]\nattempts = 5"),
                 "changed keys that take effect only after a restart: [limits.attempts]");
-        assertEquals("second", ask(now).body());
-        kept.awaitEnd();
-        assertThrows(IOException.class, () -> ask(before));
+        assertEquals("second", sendRequest(newAddress).body());
+        persistent.awaitEnd();
+        assertThrows(IOException.class, () -> sendRequest(oldAddress));
         assertEquals(
                 1,
                 first.requests.stream()
-                        .map(HttpTestConnection.Message::line)
+                        .map(HttpTestConnection.Message::startLine)
                         .distinct()
                         .count());
     }
 
     @Test
     void overlappingReloadsRunInTurn() throws Exception {
-        start(text("127.0.0.1:0", first, ""));
-        InetSocketAddress now = free();
-        write(text(plain(now), second, ""));
+        start(toml("127.0.0.1:0", first, ""));
+        InetSocketAddress newAddress = freeAddress();
+        write(toml(hostAndPort(newAddress), second, ""));
         edge.loop().execute(() -> {
-            // The second comes before the new listener of the first is open.
+            // The second reload begins before the first one has opened its new listener.
             edge.reload();
             edge.reload();
         });
-        SidecarFixture.await("both are done", () -> logged().split("configuration read again", -1).length == 3);
+        SidecarFixture.await("both reloads are done", () -> logged().split("configuration read again", -1).length == 3);
         assertFalse(logged().contains("configuration not reloaded"), logged());
-        assertEquals("second", ask(now).body());
-        InetSocketAddress later = free();
-        write(text(plain(later), first, ""));
+        assertEquals("second", sendRequest(newAddress).body());
+        InetSocketAddress later = freeAddress();
+        write(toml(hostAndPort(later), first, ""));
         edge.reload();
-        SidecarFixture.await("the third is done", () -> logged().split("configuration read again", -1).length == 4);
-        assertEquals("first", ask(later).body());
-        assertThrows(IOException.class, () -> ask(now), "nobody listens there any more");
+        SidecarFixture.await(
+                "the third reload is done", () -> logged().split("configuration read again", -1).length == 4);
+        assertEquals("first", sendRequest(later).body());
+        assertThrows(IOException.class, () -> sendRequest(newAddress), "the former listener is closed");
     }
 
     @Test
     void reloadWithTakenListenerAddressChangesNothing() throws Exception {
-        start(text("127.0.0.1:0", first, ""));
+        start(toml("127.0.0.1:0", first, ""));
         try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            reload(text("127.0.0.1:" + other.getLocalPort(), second, ""), "cannot listen on");
+            reload(toml("127.0.0.1:" + other.getLocalPort(), second, ""), "cannot listen on");
             assertTrue(logged().contains("configuration not reloaded, the previous one stays in effect"), logged());
-            assertEquals("first", ask(edge.address()).body());
-            // Half of what is new would do: it is not taken up either.
-            InetSocketAddress free = free();
+            assertEquals("first", sendRequest(edge.address()).body());
+            // One of two new listener addresses is free, and still nothing is applied.
+            InetSocketAddress free = freeAddress();
             reload(
-                    text(plain(free), second, "[[listeners]]\naddress = \"127.0.0.1:" + other.getLocalPort() + "\""),
+                    toml(
+                            hostAndPort(free),
+                            second,
+                            "[[listeners]]\naddress = \"127.0.0.1:" + other.getLocalPort() + "\""),
                     "cannot listen on /127.0.0.1:" + other.getLocalPort());
-            assertEquals("first", ask(edge.address()).body());
+            assertEquals("first", sendRequest(edge.address()).body());
             SidecarFixture.await("the other listener is closed again", () -> {
                 try {
                     HttpTestConnection.to(free).close();
@@ -184,91 +188,94 @@
 
     @Test
     void truncatedOrMissingFileChangesNothing() throws Exception {
-        String text = text("127.0.0.1:0", first, "");
+        String text = toml("127.0.0.1:0", first, "");
         start(text);
         for (int end : new int[] {60, text.indexOf("[[classes]]"), 0}) {
             log.reset();
             reload(text.substring(0, end), "configuration not reloaded, the previous one stays in effect");
-            assertEquals("first", ask(edge.address()).body());
+            assertEquals("first", sendRequest(edge.address()).body());
         }
         log.reset();
         Files.delete(folder.resolve("own.toml"));
         edge.reload();
-        SidecarFixture.await("it is told", () -> logged().contains("file not found"));
-        assertEquals("first", ask(edge.address()).body());
-        reload(text("127.0.0.1:0", second, ""), "configuration read again");
-        assertEquals("second", ask(edge.address()).body());
+        SidecarFixture.await("the missing file is logged", () -> logged().contains("file not found"));
+        assertEquals("first", sendRequest(edge.address()).body());
+        reload(toml("127.0.0.1:0", second, ""), "configuration read again");
+        assertEquals("second", sendRequest(edge.address()).body());
     }
 
     @Test
     void drainingEndpointGetsNoNewRequests() throws Exception {
         String both = "[[endpoints]]\nid = \"other\"\naddress = \"" + second.address() + "\"";
-        start(text("127.0.0.1:0", first, both + "\nstate = \"draining\""));
+        start(toml("127.0.0.1:0", first, both + "\nstate = \"draining\""));
         for (int i = 0; i < 5; i++) {
-            assertEquals("first", ask(edge.address()).body());
+            assertEquals("first", sendRequest(edge.address()).body());
         }
-        String drained = text("127.0.0.1:0", first, both)
+        String drained = toml("127.0.0.1:0", first, both)
                 .replace(first.address() + "\"", first.address() + "\"\nstate = \"draining\"");
         reload(drained, "configuration read again");
         for (int i = 0; i < 5; i++) {
-            assertEquals("second", ask(edge.address()).body());
+            assertEquals("second", sendRequest(edge.address()).body());
         }
     }
 
-    /** Two processes of one name, one by the old file and one by the new, share what operators did. */
+    /** Two processes of one sidecar, one with the old file and one with the new file, share their suspensions. */
     @Test
     void processesWithDifferentFilesShareSuspensions() throws Exception {
         String both = "[[endpoints]]\nid = \"other\"\naddress = \"" + second.address() + "\"";
-        start(text("127.0.0.1:0", first, both));
+        start(toml("127.0.0.1:0", first, both));
         Sidecar old = edge;
         try {
-            start(text("127.0.0.1:0", first, both + "\n[limits]\nattempts = 5\n[admin]\naddress = \"127.0.0.1:0\""));
+            start(toml("127.0.0.1:0", first, both + "\n[limits]\nattempts = 5\n[admin]\naddress = \"127.0.0.1:0\""));
             SidecarFixture.await(
-                    "the old one has noticed", () -> logged().contains("another process of this sidecar is running"));
-            try (HttpTestConnection wire = HttpTestConnection.to(edge.adminAddress())) {
-                wire.send("PUT /v1/endpoints/other/suspend HTTP/1.1\r\nHost: x\r\n\r\n");
-                assertEquals(200, wire.read().status());
+                    "the old process has noticed the new one",
+                    () -> logged().contains("another process of this sidecar is running"));
+            try (HttpTestConnection connection = HttpTestConnection.to(edge.adminAddress())) {
+                connection.send("PUT /v1/endpoints/other/suspend HTTP/1.1\r\nHost: x\r\n\r\n");
+                assertEquals(200, connection.read().status());
             }
-            SidecarFixture.await("the old one heard", () -> logged().contains("suspended by another process: [other]"));
+            SidecarFixture.await(
+                    "the old process has applied the suspension",
+                    () -> logged().contains("suspended by another process: [other]"));
             for (int i = 0; i < 5; i++) {
-                assertEquals("first", ask(old.address()).body());
-                assertEquals("first", ask(edge.address()).body());
+                assertEquals("first", sendRequest(old.address()).body());
+                assertEquals("first", sendRequest(edge.address()).body());
             }
         } finally {
             old.stop();
         }
     }
 
-    /** Guards against a full pipe that stops the edge: nobody reads the log, and requests are served. */
+    /** Guards against a full pipe that blocks the sidecar: no process reads the log, and requests are still served. */
     @Test
     void unreadLogDoesNotBlockRequests() throws Exception {
-        CountDownLatch never = new CountDownLatch(1);
-        OutputStream stuck = new OutputStream() {
+        CountDownLatch testFinished = new CountDownLatch(1);
+        OutputStream blocked = new OutputStream() {
             @Override
             public void write(int b) throws IOException {
                 try {
-                    never.await();
+                    testFinished.await();
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
             }
         };
-        BoundedSink sink = new BoundedSink(new TextSink(new PrintStream(stuck, true)), 16);
+        BoundedSink sink = new BoundedSink(new TextSink(new PrintStream(blocked, true)), 16);
         sink.setLevel("lemonrail", Severity.DEBUG);
-        start(text("127.0.0.1:0", first, ""), sink);
+        start(toml("127.0.0.1:0", first, ""), sink);
         for (int i = 0; i < 40; i++) {
-            assertEquals("first", ask(edge.address()).body());
+            assertEquals("first", sendRequest(edge.address()).body());
         }
-        assertTrue(sink.dropped() > 0, "more was told than may wait");
+        assertTrue(sink.dropped() > 0, "log entries beyond the queue's limit were dropped");
         assertFalse(logged().contains("lemonrail"));
-        never.countDown();
+        testFinished.countDown();
         sink.close();
     }
 
     @Test
     void adminApiChangesLogLevels() throws Exception {
-        start(text("127.0.0.1:0", first, "[admin]\naddress = \"127.0.0.1:0\""));
-        ask(edge.address());
+        start(toml("127.0.0.1:0", first, "[admin]\naddress = \"127.0.0.1:0\""));
+        sendRequest(edge.address());
         assertFalse(logged().contains("attempt_ended"), logged());
         for (String call : new String[] {
             "PUT /v1/loggers/lemonrail.exchange/debug=200",
@@ -276,14 +283,15 @@
             "PUT /v1/loggers/io.netty/debug=404",
             "POST /v1/loggers/lemonrail/info=405"
         }) {
-            try (HttpTestConnection wire = HttpTestConnection.to(edge.adminAddress())) {
-                wire.send(call.split("=")[0] + " HTTP/1.1\r\nHost: x\r\n\r\n");
-                assertEquals(Integer.parseInt(call.split("=")[1]), wire.read().status(), call);
+            try (HttpTestConnection connection = HttpTestConnection.to(edge.adminAddress())) {
+                connection.send(call.split("=")[0] + " HTTP/1.1\r\nHost: x\r\n\r\n");
+                assertEquals(
+                        Integer.parseInt(call.split("=")[1]), connection.read().status(), call);
             }
         }
-        ask(edge.address());
+        sendRequest(edge.address());
         SidecarFixture.await(
-                "it tells all",
+                "the end of the attempt is logged",
                 () -> logged().contains("attempt_ended request_id=r1 class=read endpoint=e-" + first.port()
                         + " attempt=0 outcome=ok took_ms="));
     }
--- a/edge/src/test/java/lemonrail/assembly/UnansweredRequestsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/UnansweredRequestsTest.java
@@ -11,35 +11,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An endpoint that serves most requests and never responds to others. */
+/** An endpoint that serves most requests and never responds to the others. */
 @Timeout(60)
 class UnansweredRequestsTest {
 
-    private static final int AIM_MS = 1000;
-    private static final int LOST_MS = 800;
+    private static final int LATENCY_OBJECTIVE_MS = 1000;
+    private static final int UNANSWERED_DEADLINE_MS = 800;
     private static final int ROUNDS = 7;
-    /** With one served request, as many as the initial concurrency limit for one endpoint. */
-    private static final int LOST_AT_ONCE = 3;
+    /** Together with one served request, the initial concurrency limit for one endpoint. */
+    private static final int UNANSWERED_PER_ROUND = 3;
     /** Short compared with the latency objective, but long enough that the served requests do not hide the others. */
-    private static final int WORK_MS = 150;
+    private static final int SERVICE_TIME_MS = 150;
 
-    private static final int HELD = 6;
+    private static final int MIN_ADMITTED = 6;
 
-    private final AtomicInteger givenUp = new AtomicInteger();
-    private final StubEndpoint endpoint = new StubEndpoint((wire, request) -> {
-        if (request.line().startsWith("POST")) {
-            wire.awaitEnd();
-            givenUp.incrementAndGet();
+    private final AtomicInteger abandoned = new AtomicInteger();
+    private final StubEndpoint endpoint = new StubEndpoint((connection, request) -> {
+        if (request.startLine().startsWith("POST")) {
+            connection.awaitEnd();
+            abandoned.incrementAndGet();
         } else {
-            Thread.sleep(WORK_MS);
-            StubEndpoint.respond(wire, 200, "", "served");
+            Thread.sleep(SERVICE_TIME_MS);
+            StubEndpoint.respond(connection, 200, "", "served");
         }
     });
-    private final SidecarFixture rig = new SidecarFixture(endpoint);
+    private final SidecarFixture fixture = new SidecarFixture(endpoint);
     private final List<HttpTestConnection> clients = new ArrayList<>();
 
     UnansweredRequestsTest() throws IOException {
-        rig.aimMs = AIM_MS;
+        fixture.latencyObjectiveMs = LATENCY_OBJECTIVE_MS;
     }
 
     @AfterEach
@@ -47,37 +47,42 @@
         for (HttpTestConnection client : clients) {
             client.close();
         }
-        rig.close();
+        fixture.close();
     }
 
-    /** Sends requests that get no response; the endpoint has each of them when this returns. */
-    private List<HttpTestConnection> lose(int calls, int deadlineMs) throws Exception {
+    /** Sends requests that get no response, and waits until the endpoint has received all of them. */
+    private List<HttpTestConnection> sendUnanswered(int requests, int deadlineMs) throws Exception {
         int before = endpoint.requests.size();
-        List<HttpTestConnection> lost = new ArrayList<>();
-        for (int i = 0; i < calls; i++) {
-            HttpTestConnection client = rig.client();
+        List<HttpTestConnection> unanswered = new ArrayList<>();
+        for (int i = 0; i < requests; i++) {
+            HttpTestConnection client = fixture.client();
             clients.add(client);
-            lost.add(client.send(rig.request("order", deadlineMs)));
+            unanswered.add(client.send(fixture.request("order", deadlineMs)));
         }
-        SidecarFixture.await("all calls are at the endpoint", () -> endpoint.requests.size() == before + calls);
-        return lost;
+        SidecarFixture.await("all requests are at the endpoint", () -> endpoint.requests.size() == before + requests);
+        return unanswered;
     }
 
-    /** Guards against requests rejected though the endpoint has capacity: unanswered ones are no sign of overload. */
+    /**
+     * Guards against requests rejected although the endpoint has capacity: unanswered requests do not indicate
+     * overload.
+     */
     @Test
     void unansweredRequestsDoNotLowerTheLimitWhileOthersAreServed() throws Exception {
-        rig.start();
+        fixture.start();
         for (int round = 0; round < ROUNDS; round++) {
-            List<HttpTestConnection> lost = lose(LOST_AT_ONCE, LOST_MS);
-            while (givenUp.get() < (round + 1) * LOST_AT_ONCE) {
-                assertEquals(200, rig.ask("read", AIM_MS).status());
+            List<HttpTestConnection> unanswered = sendUnanswered(UNANSWERED_PER_ROUND, UNANSWERED_DEADLINE_MS);
+            while (abandoned.get() < (round + 1) * UNANSWERED_PER_ROUND) {
+                assertEquals(
+                        200, fixture.sendRequest("read", LATENCY_OBJECTIVE_MS).status());
             }
-            for (HttpTestConnection client : lost) {
+            for (HttpTestConnection client : unanswered) {
                 int status = client.read().status();
                 assertNotEquals(503, status);
                 assertNotEquals(200, status);
             }
         }
-        assertEquals(HELD, lose(HELD, AIM_MS).size());
+        assertEquals(
+                MIN_ADMITTED, sendUnanswered(MIN_ADMITTED, LATENCY_OBJECTIVE_MS).size());
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
+++ b/edge/src/test/java/lemonrail/assembly/UpgradeTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An upgrade under load: two real processes share one address, and the older one stops. */
+/** An upgrade under load: two sidecar processes share one address, and the older one stops. */
 @Timeout(60)
 class UpgradeTest {
 
@@ -31,81 +31,81 @@
     Path folder;
 
     private final List<Process> processes = new ArrayList<>();
-    private final SidecarFixture rig = new SidecarFixture(
+    private final SidecarFixture fixture = new SidecarFixture(
             StubEndpoint.respondingWith(200, "", "first"), StubEndpoint.respondingWith(200, "", "second"));
-    /** Bound but not listening: it reserves the port for the processes, which share it. */
-    private SocketChannel place;
+    /** A socket that is bound but does not listen. It reserves the port that the processes share. */
+    private SocketChannel reservation;
 
     private InetSocketAddress address;
 
     UpgradeTest() throws IOException {
-        // SidecarFixture and endpoints are created for each test.
+        // The fixture and its stub endpoints are created for each test.
     }
 
     @BeforeEach
     void reserve() throws IOException {
-        place = SocketChannel.open();
-        place.setOption(StandardSocketOptions.SO_REUSEPORT, true);
-        place.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-        address = (InetSocketAddress) place.getLocalAddress();
+        reservation = SocketChannel.open();
+        reservation.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+        reservation.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+        address = (InetSocketAddress) reservation.getLocalAddress();
     }
 
     @AfterEach
     void stop() throws IOException {
         processes.forEach(Process::destroyForcibly);
-        place.close();
-        rig.close();
+        reservation.close();
+        fixture.close();
     }
 
     private SidecarChildProcess serve() throws Exception {
         Path file = Files.writeString(
                 folder.resolve("config.json"),
-                rig.config()
+                fixture.config()
                         .replace(
                                 "\"listen\":\"127.0.0.1:0\"",
                                 "\"listen\":\"127.0.0.1:" + address.getPort() + "\",\"mgmt\":\"127.0.0.1:0\""));
-        SidecarChildProcess served = SidecarChildProcess.start(file, folder);
-        processes.add(served.process);
-        return served;
+        SidecarChildProcess sidecar = SidecarChildProcess.start(file, folder);
+        processes.add(sidecar.process);
+        return sidecar;
     }
 
     /** Sends requests one after another, and reconnects as clients do if the connection was closed between requests. */
     private final class Client extends Thread {
-        private final AtomicBoolean on;
+        private final AtomicBoolean running;
         private final AtomicInteger served;
-        private final List<String> troubles;
+        private final List<String> failures;
 
-        Client(AtomicBoolean on, AtomicInteger served, List<String> troubles) {
+        Client(AtomicBoolean running, AtomicInteger served, List<String> failures) {
             super("client");
-            this.on = on;
+            this.running = running;
             this.served = served;
-            this.troubles = troubles;
+            this.failures = failures;
             setDaemon(true);
         }
 
         @Override
         public void run() {
             try {
-                while (on.get()) {
-                    try (HttpTestConnection wire = HttpTestConnection.to(address)) {
-                        boolean kept = true;
-                        while (on.get() && kept) {
+                while (running.get()) {
+                    try (HttpTestConnection connection = HttpTestConnection.to(address)) {
+                        boolean open = true;
+                        while (running.get() && open) {
                             String request;
-                            synchronized (rig) {
-                                request = rig.request("read", DEADLINE_MS);
+                            synchronized (fixture) {
+                                request = fixture.request("read", DEADLINE_MS);
                             }
-                            HttpTestConnection.Message answer =
-                                    wire.send(request).read();
-                            if (answer.status() != 200) {
-                                troubles.add(answer.line());
+                            HttpTestConnection.Message response =
+                                    connection.send(request).read();
+                            if (response.status() != 200) {
+                                failures.add(response.startLine());
                             }
                             served.incrementAndGet();
-                            kept = !"close".equals(answer.headers().get("connection"));
+                            open = !"close".equals(response.headers().get("connection"));
                         }
                     }
                 }
             } catch (IOException e) {
-                troubles.add(e.toString());
+                failures.add(e.toString());
             }
         }
     }
@@ -113,29 +113,29 @@
     @Test
     void noRequestIsLostDuringAnUpgrade() throws Exception {
         SidecarChildProcess old = serve();
-        AtomicBoolean on = new AtomicBoolean(true);
+        AtomicBoolean running = new AtomicBoolean(true);
         AtomicInteger served = new AtomicInteger();
-        List<String> troubles = new CopyOnWriteArrayList<>();
+        List<String> failures = new CopyOnWriteArrayList<>();
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(new Client(on, served, troubles));
+            clients.add(new Client(running, served, failures));
             clients.get(i).start();
         }
         SidecarFixture.await("clients are served", () -> served.get() > CLIENTS);
-        SidecarChildProcess fresh = serve();
+        SidecarChildProcess current = serve();
         old.awaitLine("another process of this sidecar is running");
         old.process.toHandle().destroy();
         assertEquals(0, old.process.waitFor(), "" + old.log);
         old.awaitLine("stopping, another process of this sidecar takes over");
         old.awaitLine("all connections are closed");
         int before = served.get();
-        SidecarFixture.await("the new one serves", () -> served.get() > before + CLIENTS);
-        on.set(false);
+        SidecarFixture.await("the new process serves", () -> served.get() > before + CLIENTS);
+        running.set(false);
         for (Client client : clients) {
             client.join();
         }
-        assertEquals(List.of(), troubles);
-        fresh.awaitLine("the other process of this sidecar has ended: full connection limits restored");
+        assertEquals(List.of(), failures);
+        current.awaitLine("the other process of this sidecar has ended: full connection limits restored");
     }
 
     /** Guards against a new process that uses an endpoint which operators suspended before it started. */
@@ -147,10 +147,13 @@
         old.process.toHandle().destroy();
         old.process.waitFor();
         for (int i = 0; i < CLIENTS; i++) {
-            try (HttpTestConnection wire = HttpTestConnection.to(address)) {
+            try (HttpTestConnection connection = HttpTestConnection.to(address)) {
                 assertEquals(
                         "second",
-                        wire.send(rig.request("read", DEADLINE_MS)).read().body());
+                        connection
+                                .send(fixture.request("read", DEADLINE_MS))
+                                .read()
+                                .body());
             }
         }
     }
