--- a/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
@@ -41,7 +41,7 @@
         fixture.close();
     }
 
-    private static StubEndpoint good() throws IOException {
+    private static StubEndpoint servingEndpoint() throws IOException {
         return StubEndpoint.respondingWith(200, "", "served");
     }
 
@@ -59,7 +59,7 @@
 
     @Test
     void silentConnectionIsClosed() throws Exception {
-        start(good());
+        start(servingEndpoint());
         long startNs = System.nanoTime();
         try (HttpTestConnection client = fixture.client()) {
             client.awaitEnd();
@@ -76,7 +76,7 @@
                 "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel"
             })
     void stalledRequestTimesOut(String part) throws Exception {
-        start(good());
+        start(servingEndpoint());
         long startNs = System.nanoTime();
         try (HttpTestConnection client = fixture.client()) {
             assertEquals(408, client.send(part).read().status());
@@ -88,7 +88,7 @@
     /** The time-out must not restart with each byte. */
     @Test
     void tricklingRequestTimesOut() throws Exception {
-        start(good());
+        start(servingEndpoint());
         long startNs = System.nanoTime();
         try (HttpTestConnection client = fixture.client()) {
             assertEquals(
@@ -132,7 +132,7 @@
                 "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\n\r\n"
             })
     void ambiguousFramingIsRejected(String framing) throws Exception {
-        start(good());
+        start(servingEndpoint());
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\n";
         try (HttpTestConnection client = fixture.client()) {
@@ -146,10 +146,10 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"X-Request-Id: twice", "X-Class: order", "X-Deadline-Ms: 9"})
-    void repeatedHeaderIsRejected(String again) throws Exception {
-        start(good());
+    void repeatedHeaderIsRejected(String header) throws Exception {
+        start(servingEndpoint());
         try (HttpTestConnection client = fixture.client()) {
-            String request = fixture.request("read", DEADLINE_MS).replace("Host:", again + "\r\nHost:");
+            String request = fixture.request("read", DEADLINE_MS).replace("Host:", header + "\r\nHost:");
             assertEquals(400, client.send(request + SMUGGLED_REQUEST).read().status());
             assertClosed(client);
         }
@@ -161,7 +161,7 @@
     /** The error is sent as soon as the head has been read, and arrives although the client is still sending. */
     @Test
     void bodyThatIsTooLargeIsRejectedAtItsHead() throws Exception {
-        start(good());
+        start(servingEndpoint());
         try (HttpTestConnection client = fixture.client()) {
             client.send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 62914560\r\n\r\n");
             client.send("x".repeat(100_000));
@@ -183,7 +183,7 @@
 
     @Test
     void endlessHeadIsRejected() throws Exception {
-        start(good());
+        start(servingEndpoint());
         try (HttpTestConnection client = fixture.client()) {
             client.send("GET /api HTTP/1.1\r\n" + "X-Pad: pppppppppppppppppp\r\n".repeat(2000));
             assertEquals(431, client.read().status());
@@ -230,7 +230,7 @@
     /** Guards against silent connections that cause connections with requests to be closed. */
     @Test
     void connectionsWithoutRequestsAreEvictedFirst() throws Exception {
-        fixture = new SidecarFixture(good());
+        fixture = new SidecarFixture(servingEndpoint());
         fixture.sockets = 1;
         fixture.start();
         List<HttpTestConnection> silent = new ArrayList<>();
@@ -255,7 +255,7 @@
     /** Guards against a drain that waits for requests that are never completed. */
     @Test
     void drainClosesConnectionsWithIncompleteRequests() throws Exception {
-        start(good());
+        start(servingEndpoint());
         try (HttpTestConnection incomplete = fixture.client().send("POST /api HTTP/1.1\r\n");
                 HttpTestConnection pipelined = fixture.client()) {
             pipelined.send(fixture.request("read", DEADLINE_MS) + "POST /api HTTP/1.1\r\n");
@@ -271,7 +271,7 @@
     /** The deadline of a request is bounded by its class, whatever the client sends. */
     @Test
     void deadlineIsBoundedByTheClass() throws Exception {
-        start(good());
+        start(servingEndpoint());
         assertEquals(200, fixture.sendRequest("order", 999_999_999).status());
         int forwardedDeadlineMs = Integer.parseInt(
                 fixture.endpoints.get(0).requests.get(0).headers().get("x-deadline-ms"));
--- a/edge/src/test/java/lemonrail/assembly/EventLoopStallTest.java
+++ b/edge/src/test/java/lemonrail/assembly/EventLoopStallTest.java
@@ -178,7 +178,7 @@
     @Test
     void failuresArriveBeforeClientDeadlineDuringRandomStalls() throws Exception {
         SplittableRandom random = new SplittableRandom(SEED);
-        AtomicBoolean over = new AtomicBoolean();
+        AtomicBoolean stopped = new AtomicBoolean();
         try (SidecarFixture fixture = new SidecarFixture(
                         unresponsive(), unresponsive(), StubEndpoint.respondingWith(503, "X-Not-Run: 1\r\n", "full"))
                 .start()) {
@@ -186,14 +186,14 @@
             // far.
             scheduleStall(fixture, MAX_STALL_MS).get();
             Thread stalls = new Thread(() -> {
-                while (!over.get()) {
+                while (!stopped.get()) {
                     awaitEnd(scheduleStall(fixture, random.nextInt(MIN_STALL_MS, MAX_STALL_MS)));
                     pause(random.nextInt(MAX_STALL_INTERVAL_MS));
                 }
             });
             stalls.start();
             int late = countLateResponses(fixture, STALLED_CLIENT_TIMEOUT_MS);
-            over.set(true);
+            stopped.set(true);
             stalls.join();
             assertTrue(late <= REQUESTS / LATE_RESPONSE_DIVISOR, late + " of " + REQUESTS + " were late");
         }
--- a/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
@@ -61,8 +61,8 @@
         }
     }
 
-    private TestEndpoint addEndpoint(EndpointAction... acts) throws IOException {
-        TestEndpoint endpoint = testProtocol.endpoint(release, acts);
+    private TestEndpoint addEndpoint(EndpointAction... actions) throws IOException {
+        TestEndpoint endpoint = testProtocol.endpoint(release, actions);
         endpoints.add(endpoint);
         open.add(endpoint);
         return endpoint;
@@ -310,7 +310,7 @@
         testProtocol = protocol;
         addEndpoint(EndpointAction.HOLD);
         start(protocol);
-        List<TestClient> held = new ArrayList<>();
+        List<TestClient> inFlight = new ArrayList<>();
         ClientResult rejection = null;
         for (int i = 0; i < 300 && rejection == null; i++) {
             TestClient client = send("order", LONG_DEADLINE_MS);
@@ -320,12 +320,12 @@
                     () -> attempts() == before - (client.hasResponse() ? 1 : 0) || client.hasResponse());
             rejection = client.hasResponse() ? client.read() : null;
             if (rejection == null) {
-                held.add(client);
+                inFlight.add(client);
             }
         }
         assertEquals(ClientResult.Kind.SHED, rejection.kind());
         release.countDown();
-        for (TestClient client : held) {
+        for (TestClient client : inFlight) {
             assertEquals(ClientResult.Kind.SERVED, client.read().kind());
         }
     }
@@ -338,7 +338,7 @@
         testProtocol = protocol;
         TestEndpoint draining = addEndpoint(EndpointAction.HOLD);
         start(protocol);
-        TestClient held = send("order", LONG_DEADLINE_MS);
+        TestClient inFlight = send("order", LONG_DEADLINE_MS);
         awaitAttempts(1);
         TestEndpoint other = addEndpoint(EndpointAction.SERVE);
         writeConfig(draining);
@@ -354,7 +354,7 @@
         assertEquals(1, draining.requests().size());
         assertEquals(6, other.requests().size());
         release.countDown();
-        assertEquals(ClientResult.Kind.SERVED, held.read().kind());
+        assertEquals(ClientResult.Kind.SERVED, inFlight.read().kind());
     }
 
     @ParameterizedTest
@@ -363,7 +363,7 @@
         testProtocol = protocol;
         addEndpoint(EndpointAction.HOLD);
         start(protocol);
-        TestClient held = send("order", LONG_DEADLINE_MS);
+        TestClient inFlight = send("order", LONG_DEADLINE_MS);
         awaitAttempts(1);
         Thread stopping = new Thread(edge::shutdownGracefully);
         stopping.start();
@@ -372,8 +372,8 @@
                 () -> log.toString(StandardCharsets.UTF_8).contains("stopping"));
         assertTrue(stopping.isAlive(), "the shutdown waits for requests in flight");
         release.countDown();
-        assertEquals(ClientResult.Kind.SERVED, held.read().kind());
-        held.awaitEnd();
+        assertEquals(ClientResult.Kind.SERVED, inFlight.read().kind());
+        inFlight.awaitEnd();
         stopping.join();
         assertThrows(IOException.class, this::client);
     }
--- a/edge/src/test/java/lemonrail/assembly/RaceConditionsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/RaceConditionsTest.java
@@ -69,7 +69,7 @@
 
     // ---- eviction ----
 
-    /** Connects as many idle clients as may connect, each of which has sent a request, and blocks the event loop. */
+    /** Connects idle clients up to the limit, each of which has sent one request, and blocks the event loop. */
     private CountDownLatch connectIdleClientsAndBlock() throws Exception {
         fixture = new SidecarFixture(StubEndpoint.respondingWith(200, "", "served"));
         fixture.sockets = 1;
@@ -86,7 +86,7 @@
     @Test
     void evictedConnectionHasNoUnreadRequest() throws Exception {
         CountDownLatch release = connectIdleClientsAndBlock();
-        HttpTestConnection newcomer = client();
+        HttpTestConnection newClient = client();
         clients.get(0).send(fixture.request("order", DEADLINE_MS));
         release.countDown();
         assertEquals(
@@ -95,7 +95,7 @@
                 "the connection that was idle the longest has just sent a request");
         clients.get(1).awaitEnd();
         assertEquals(
-                200, newcomer.send(fixture.request("read", DEADLINE_MS)).read().status());
+                200, newClient.send(fixture.request("read", DEADLINE_MS)).read().status());
     }
 
     /** Guards against new connections that evict one another while all others have sent half a request. */
@@ -108,24 +108,24 @@
             client().send("GET /api HT");
         }
         fixture.awaitReusableConnections();
-        HttpTestConnection newcomer = client();
+        HttpTestConnection newClient = client();
         clients.get(0).awaitEnd();
         client();
         clients.get(1).awaitEnd();
         assertEquals(
-                200, newcomer.send(fixture.request("order", DEADLINE_MS)).read().status());
+                200, newClient.send(fixture.request("order", DEADLINE_MS)).read().status());
     }
 
     /** Guards against a truncated rejection if no connection can be evicted. */
     @Test
     void connectionBeyondTheLimitGetsACompleteRejection() throws Exception {
         CountDownLatch release = connectIdleClientsAndBlock();
-        HttpTestConnection newcomer = client().send(fixture.request("order", DEADLINE_MS));
+        HttpTestConnection newClient = client().send(fixture.request("order", DEADLINE_MS));
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             clients.get(i).send(fixture.request("read", DEADLINE_MS));
         }
         release.countDown();
-        assertEquals(503, newcomer.read().status());
+        assertEquals(503, newClient.read().status());
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             // The balancer does not admit all requests at once, so that any may be rejected. Each must get a response.
             assertTrue(List.of(200, 503).contains(clients.get(i).read().status()));
--- a/edge/src/test/java/lemonrail/assembly/ReconnectFloodTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReconnectFloodTest.java
@@ -60,7 +60,7 @@
         fixture.start();
     }
 
-    private static StubEndpoint good() throws IOException {
+    private static StubEndpoint servingEndpoint() throws IOException {
         return StubEndpoint.respondingWith(200, "", "served");
     }
 
@@ -91,24 +91,24 @@
     /** Guards against new clients with one request each that evict returning clients which have been idle longer. */
     @Test
     void newClientsDoNotEvictReturningOnes() throws Exception {
-        start(1, good());
-        List<HttpTestConnection> known = List.of(returningClient(), returningClient());
+        start(1, servingEndpoint());
+        List<HttpTestConnection> returning = List.of(returningClient(), returningClient());
         for (int i = 0; i < 5 * MAX_CONNECTIONS; i++) {
-            assertServed(client(), "newcomer " + i);
+            assertServed(client(), "new client " + i);
         }
-        for (HttpTestConnection client : known) {
-            assertServed(client, "known");
+        for (HttpTestConnection client : returning) {
+            assertServed(client, "returning");
         }
     }
 
     /** Guards against returning clients that use up all connections: a part of them is never reserved. */
     @Test
     void returningClientsKeepOnlyTheReservedConnections() throws Exception {
-        start(1, good());
+        start(1, servingEndpoint());
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             returningClient();
         }
-        assertServed(client(), "newcomer");
+        assertServed(client(), "new client");
         clients.get(RESERVED).awaitEnd();
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             if (i != RESERVED) {
@@ -120,17 +120,17 @@
     /** Guards against reserved connections that use up the smaller limit during an upgrade. */
     @Test
     void reservedConnectionsAreReducedWithTheLimit() throws Exception {
-        start(SHARED_DESCRIPTORS, good());
+        start(SHARED_DESCRIPTORS, servingEndpoint());
         for (int i = 0; i < RETURNING; i++) {
             returningClient();
         }
-        try (SidecarFixture other = new SidecarFixture(good())) {
+        try (SidecarFixture other = new SidecarFixture(servingEndpoint())) {
             other.stateDirectory = fixture.stateDirectory;
             other.start();
             SidecarFixture.await(
                     "the limits are shared",
                     () -> fixture.logged().contains("each uses half of the connection limits"));
-            assertServed(client(), "newcomer");
+            assertServed(client(), "new client");
         }
     }
 
@@ -147,7 +147,7 @@
             client().send(fixture.request("read", DEADLINE_MS));
         }
         SidecarFixture.await("all requests are in flight", () -> fixture.attempts() == MAX_CONNECTIONS);
-        HttpTestConnection newcomer = client();
+        HttpTestConnection newClient = client();
         fixture.awaitReusableConnections();
         release.countDown();
         List<HttpTestConnection> kept = new ArrayList<>();
@@ -170,22 +170,22 @@
                             .read()
                             .status());
         }
-        assertServed(newcomer, "client over the limit when it connected");
+        assertServed(newClient, "client over the limit when it connected");
     }
 
     // ---- concurrent connects ----
 
     /** Sends requests until the flood is over, on persistent connections or on a new one each. */
-    private void flood(int number, boolean persistent, AtomicBoolean over, AtomicInteger responses) {
+    private void flood(int number, boolean persistent, AtomicBoolean stopped, AtomicInteger responses) {
         int sent = 0;
-        while (!over.get()) {
+        while (!stopped.get()) {
             try (HttpTestConnection client = fixture.client()) {
                 do {
                     client.send("GET /api HTTP/1.1\r\nX-Request-Id: f" + number + "-" + sent++
                                     + "\r\nX-Class: read\r\nHost: x\r\nX-Deadline-Ms: " + DEADLINE_MS + "\r\n\r\n")
                             .read();
                     responses.incrementAndGet();
-                } while (persistent && !over.get());
+                } while (persistent && !stopped.get());
             } catch (IOException e) {
                 // The connection has been closed; the loop reconnects at once.
                 continue;
@@ -197,16 +197,16 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void returningClientsAreServedInAReconnectFlood(boolean persistent) throws Exception {
-        start(DESCRIPTORS, good(), good(), good());
+        start(DESCRIPTORS, servingEndpoint(), servingEndpoint(), servingEndpoint());
         for (int i = 0; i < RETURNING_IN_FLOOD; i++) {
             returningClient();
         }
-        AtomicBoolean over = new AtomicBoolean();
+        AtomicBoolean stopped = new AtomicBoolean();
         AtomicInteger responses = new AtomicInteger();
         List<Thread> floodThreads = new ArrayList<>();
         for (int i = 0; i < FLOOD_CLIENTS; i++) {
             int number = i;
-            floodThreads.add(new Thread(() -> flood(number, persistent, over, responses)));
+            floodThreads.add(new Thread(() -> flood(number, persistent, stopped, responses)));
             floodThreads.get(i).start();
         }
         try {
@@ -220,7 +220,7 @@
             }
             assertTrue(rejected <= MAX_REJECTED, rejected + " of " + RETURNING_IN_FLOOD * ROUNDS + " rejected");
         } finally {
-            over.set(true);
+            stopped.set(true);
             for (Thread thread : floodThreads) {
                 thread.join();
             }
--- a/edge/src/test/java/lemonrail/assembly/SidecarFixture.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarFixture.java
@@ -175,6 +175,7 @@
         return endpoints.stream().mapToInt(endpoint -> endpoint.requests.size()).sum();
     }
 
+    /** Returns the log written so far. */
     String logged() {
         return log.toString(StandardCharsets.UTF_8);
     }
--- a/edge/src/test/java/lemonrail/assembly/SidecarTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarTest.java
@@ -37,7 +37,7 @@
         fixture.close();
     }
 
-    private static StubEndpoint good() throws IOException {
+    private static StubEndpoint servingEndpoint() throws IOException {
         return StubEndpoint.respondingWith(200, "Content-Type: text/x\r\n", "served");
     }
 
@@ -45,23 +45,23 @@
 
     @Test
     void requestAndResponseAreForwardedUnchanged() throws Exception {
-        start(good());
+        start(servingEndpoint());
         HttpTestConnection.Message response = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(200, response.status());
         assertEquals("served", response.body());
         assertEquals("text/x", response.headers().get("content-type"));
-        HttpTestConnection.Message seen = fixture.endpoints.get(0).requests.get(0);
-        assertEquals("POST /api?q=1 HTTP/1.1", seen.startLine());
-        assertEquals("hello", seen.body());
-        assertEquals("r0", seen.headers().get("x-request-id"));
-        assertEquals("k1", seen.headers().get("idempotency-key"));
-        int deadlineMs = Integer.parseInt(seen.headers().get("x-deadline-ms"));
+        HttpTestConnection.Message forwarded = fixture.endpoints.get(0).requests.get(0);
+        assertEquals("POST /api?q=1 HTTP/1.1", forwarded.startLine());
+        assertEquals("hello", forwarded.body());
+        assertEquals("r0", forwarded.headers().get("x-request-id"));
+        assertEquals("k1", forwarded.headers().get("idempotency-key"));
+        int deadlineMs = Integer.parseInt(forwarded.headers().get("x-deadline-ms"));
         assertTrue(deadlineMs > 0 && deadlineMs <= DEADLINE_MS, "deadline sent to the endpoint: " + deadlineMs);
     }
 
     @Test
     void connectionsAreReusedOnBothSides() throws Exception {
-        start(good());
+        start(servingEndpoint());
         try (HttpTestConnection client = fixture.client()) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(
@@ -316,7 +316,7 @@
     /** Guards against requests on a connection that the endpoint is closing, which would be reset. */
     @Test
     void idleConnectionsAreClosedBeforeTheEndpointClosesThem() throws Exception {
-        fixture = new SidecarFixture(good());
+        fixture = new SidecarFixture(servingEndpoint());
         fixture.idleCloseMs = 400;
         fixture.start();
         assertEquals(200, fixture.sendRequest("read", DEADLINE_MS).status());
@@ -343,8 +343,8 @@
 
     @Test
     void watchContinuesFromTheVersionOfTheLastResponse() throws Exception {
-        StubEndpoint before = good();
-        StubEndpoint after = good();
+        StubEndpoint before = servingEndpoint();
+        StubEndpoint after = servingEndpoint();
         fixture = new SidecarFixture(before);
         fixture.pollIntervalMs = 20;
         LinkedBlockingQueue<String> responses = scriptDiscovery();
@@ -371,7 +371,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "reset", "{\"version\":", "{\"version\":1}"})
     void failedDiscoveryRequestIsRetried(String failure) throws Exception {
-        fixture = new SidecarFixture(good());
+        fixture = new SidecarFixture(servingEndpoint());
         fixture.pollIntervalMs = 20;
         LinkedBlockingQueue<String> responses = scriptDiscovery();
         fixture.start();
@@ -385,8 +385,8 @@
     /** Guards against a silent watch that is kept open: the next one must return the changes that it missed. */
     @Test
     void silentWatchTimesOutSoonAfterItsWait() throws Exception {
-        StubEndpoint before = good();
-        StubEndpoint after = good();
+        StubEndpoint before = servingEndpoint();
+        StubEndpoint after = servingEndpoint();
         fixture = new SidecarFixture(before);
         fixture.pollIntervalMs = 20;
         fixture.discoveryWaitMs = 100;
@@ -414,7 +414,7 @@
     /** Guards against a delta based on a version of a different sequence, which would be incomplete. */
     @Test
     void fullSnapshotIsRequestedWhenTheVersionDecreases() throws Exception {
-        fixture = new SidecarFixture(good());
+        fixture = new SidecarFixture(servingEndpoint());
         fixture.pollIntervalMs = 20;
         LinkedBlockingQueue<String> responses = scriptDiscovery();
         fixture.start();
@@ -429,13 +429,13 @@
     @ParameterizedTest
     @CsvSource({"true,0", "false,1000"})
     void movedOrRestartedEndpointGetsNewConnections(boolean moves, long startedMs) throws Exception {
-        StubEndpoint old = good();
+        StubEndpoint old = servingEndpoint();
         fixture = new SidecarFixture(old);
         fixture.pollIntervalMs = 20;
         LinkedBlockingQueue<String> responses = scriptDiscovery();
         fixture.start();
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
-        StubEndpoint current = moves ? good() : old;
+        StubEndpoint current = moves ? servingEndpoint() : old;
         responses.add(SidecarFixture.endpointListJson(
                 2, false, SidecarFixture.endpointJson(0, current.address(), "in_service", startedMs)));
         SidecarFixture.await("the old connection is closed", () -> old.open.get() == 0);
@@ -454,7 +454,7 @@
             assertEquals(503, client.send(readinessRequest).read().status());
         }
         stop();
-        start(good());
+        start(servingEndpoint());
         SidecarFixture.await("the sidecar is ready after its warm-up", () -> {
             try (HttpTestConnection client = fixture.client()) {
                 return client.send(readinessRequest).read().status() == 200;
@@ -511,7 +511,7 @@
     /** Guards against warm-up requests that reach endpoints or discovery. */
     @Test
     void warmUpSendsNoRequestsToOthers() throws Exception {
-        start(good());
+        start(servingEndpoint());
         SidecarFixture.await("the warm-up is done", () -> fixture.logged().contains("warm after"));
         assertEquals(0, fixture.endpoints.get(0).connections.get());
         SidecarFixture.await("a discovery request is open", () -> !fixture.discovery.requests.isEmpty());
@@ -526,7 +526,7 @@
     /** Guards against malformed input and resets of one client that affect other clients. */
     @Test
     void malformedClientsDoNotAffectOthers() throws Exception {
-        start(good());
+        start(servingEndpoint());
         for (int i = 0; i < 20; i++) {
             fixture.client().send("GET /api HT").reset();
             fixture.client().send("\0\0\0\r\n\r\n").reset();
--- a/edge/src/test/java/lemonrail/assembly/SlowClientsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SlowClientsTest.java
@@ -77,7 +77,7 @@
     }
 
     /** Sends requests without reading until the last response no longer fits; returns how many were sent. */
-    private int fill(HttpTestConnection client) throws Exception {
+    private int fillBuffers(HttpTestConnection client) throws Exception {
         for (int sent = 1; sent < MAX_RESPONSES; sent++) {
             int requests = sent;
             client.send(fixture.request("read", DEADLINE_MS));
@@ -107,7 +107,7 @@
         fixture.sockets = 1;
         fixture.start();
         HttpTestConnection slow = slowClient();
-        int responses = fill(slow);
+        int responses = fillBuffers(slow);
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             assertEquals(
                     200,
@@ -121,7 +121,7 @@
     void connectionWithUnwrittenResponseIsNotIdle() throws Exception {
         fixture = new SidecarFixture(StubEndpoint.respondingWith(200, "", RESPONSE_BODY)).start();
         HttpTestConnection slow = slowClient();
-        int responses = fill(slow);
+        int responses = fillBuffers(slow);
         TimeUnit.MILLISECONDS.sleep(BEYOND_IDLE_TIMEOUT_MS);
         assertComplete(slow, responses);
         assertEquals(
@@ -136,7 +136,7 @@
     void drainWaitsForUnwrittenResponses(boolean shutdown) throws Exception {
         fixture = new SidecarFixture(StubEndpoint.respondingWith(200, "", RESPONSE_BODY)).start();
         HttpTestConnection slow = slowClient();
-        int responses = fill(slow);
+        int responses = fillBuffers(slow);
         HttpTestConnection idle = client();
         assertEquals(200, idle.send(fixture.request("read", DEADLINE_MS)).read().status());
         Thread stop = new Thread(fixture.sidecar::shutdownGracefully);
--- a/edge/src/test/java/lemonrail/assembly/TestProtocol.java
+++ b/edge/src/test/java/lemonrail/assembly/TestProtocol.java
@@ -24,8 +24,8 @@
         }
 
         @Override
-        TestClient client(InetSocketAddress at) throws IOException {
-            return new HttpClient(at);
+        TestClient client(InetSocketAddress address) throws IOException {
+            return new HttpClient(address);
         }
 
         @Override
@@ -51,8 +51,8 @@
         }
 
         @Override
-        TestClient client(InetSocketAddress at) throws IOException {
-            return new FrameClient(at);
+        TestClient client(InetSocketAddress address) throws IOException {
+            return new FrameClient(address);
         }
 
         @Override
@@ -124,7 +124,7 @@
 
     abstract Protocol<?, ?> protocol();
 
-    abstract TestClient client(InetSocketAddress at) throws IOException;
+    abstract TestClient client(InetSocketAddress address) throws IOException;
 
     /** Reads a request at an endpoint and returns its id. */
     abstract String readRequestId(HttpTestConnection connection) throws IOException;
@@ -149,7 +149,7 @@
      * Creates one of several endpoints that share a latch: the first request at any of them gets the first action,
      * and all other requests the second.
      */
-    TestEndpoint endpointSharingFirstAction(CountDownLatch release, CountDownLatch first, EndpointAction... actions)
+    TestEndpoint endpointSharingFirstAction(CountDownLatch release, CountDownLatch firstRequest, EndpointAction... actions)
             throws IOException {
         List<String> requests = new CopyOnWriteArrayList<>();
         return new TestEndpoint(
@@ -157,9 +157,9 @@
                     String id = readRequestId(connection);
                     requests.add(id);
                     boolean isFirst;
-                    synchronized (first) {
-                        isFirst = first.getCount() > 0;
-                        first.countDown();
+                    synchronized (firstRequest) {
+                        isFirst = firstRequest.getCount() > 0;
+                        firstRequest.countDown();
                     }
                     handle(connection, isFirst ? actions[0] : actions[1], id, release);
                 }),
@@ -197,8 +197,8 @@
     private abstract static class ConnectionClient implements TestClient {
         final HttpTestConnection connection;
 
-        ConnectionClient(InetSocketAddress at) throws IOException {
-            connection = new HttpTestConnection(new Socket(at.getAddress(), at.getPort()));
+        ConnectionClient(InetSocketAddress address) throws IOException {
+            connection = new HttpTestConnection(new Socket(address.getAddress(), address.getPort()));
         }
 
         @Override
@@ -222,8 +222,8 @@
     }
 
     private static final class HttpClient extends ConnectionClient {
-        HttpClient(InetSocketAddress at) throws IOException {
-            super(at);
+        HttpClient(InetSocketAddress address) throws IOException {
+            super(address);
         }
 
         @Override
@@ -247,8 +247,8 @@
     }
 
     private static final class FrameClient extends ConnectionClient {
-        FrameClient(InetSocketAddress at) throws IOException {
-            super(at);
+        FrameClient(InetSocketAddress address) throws IOException {
+            super(address);
         }
 
         @Override
