--- a/edge/src/test/java/lemonrail/assembly/RaceConditionsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/RaceConditionsTest.java
@@ -113,7 +113,8 @@
         client();
         clients.get(1).awaitEnd();
         assertEquals(
-                200, newClient.send(fixture.request("order", DEADLINE_MS)).read().status());
+                200,
+                newClient.send(fixture.request("order", DEADLINE_MS)).read().status());
     }
 
     /** Guards against a truncated rejection if no connection can be evicted. */
--- a/edge/src/test/java/lemonrail/assembly/TestProtocol.java
+++ b/edge/src/test/java/lemonrail/assembly/TestProtocol.java
@@ -149,8 +149,8 @@
      * Creates one of several endpoints that share a latch: the first request at any of them gets the first action,
      * and all other requests the second.
      */
-    TestEndpoint endpointSharingFirstAction(CountDownLatch release, CountDownLatch firstRequest, EndpointAction... actions)
-            throws IOException {
+    TestEndpoint endpointSharingFirstAction(
+            CountDownLatch release, CountDownLatch firstRequest, EndpointAction... actions) throws IOException {
         List<String> requests = new CopyOnWriteArrayList<>();
         return new TestEndpoint(
                 new StubEndpoint((HttpTestConnection connection) -> {
