--- a/lab/src/main/java/lemonrail/lab/cli/ScaleControlCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ScaleControlCommand.java
@@ -63,7 +63,7 @@
         ScaleScenario scenario = ScaleFile.read(file == null ? home.resolve("lab/scenarios/scale.toml") : file);
         try (Interrupts interrupts = new Interrupts();
                 Scratch scratch = new Scratch()) {
-            ScaleResults results = ScaleRun.play(
+            ScaleResults results = ScaleRun.run(
                     scenario,
                     ServeCommand.of(home),
                     scratch.path(),
@@ -73,7 +73,7 @@
                             : () -> new NodesControlPlane(nodes, scenario.site().regions()),
                     out);
             Path folder = kept.resolve(scenario.name());
-            results.keep(folder);
+            results.write(folder);
             out.println(results.table(Slope.of(results.points())));
             out.println(folder.resolve("table.md"));
             return results.passes() ? 0 : 1;
--- a/lab/src/main/java/lemonrail/lab/cli/ScalePathCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ScalePathCommand.java
@@ -70,7 +70,7 @@
                             report)) {
                 run.run();
             } finally {
-                report.keep(kept, Runner.version());
+                report.write(kept, Runner.version());
             }
         }
         out.println(kept.resolve("path.md"));
--- a/lab/src/main/java/lemonrail/lab/scale/Bottleneck.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Bottleneck.java
@@ -3,54 +3,59 @@
 import java.util.Locale;
 
 /**
- * Whether the lab itself was what a measurement shows. The control stand-in must be quick beside what is
- * measured; the hollow sidecars share cores that real ones don't, so what they add to a time must be small
- * against what is allowed.
+ * Decides whether a measurement is void because the lab itself was the bottleneck. The control plane has to respond
+ * quickly in comparison with what is measured. Hollow sidecars share cores, which real ones do not, so the delay
+ * that this adds has to be small in comparison with the allowed propagation time.
  */
 public final class Bottleneck {
 
-    /** Of a loop's own core: beyond it its work queues up. */
-    static final double MOST_BUSY = 0.9;
-    /** The control stand-in's lateness, 99 in 100. */
-    static final double MOST_CONTROL_LAG_MS = 100;
-    /** The hollow sidecars' lateness, 99 in 100, as a part of the time in which a change must be in force. */
-    static final double MOST_HOLLOW_LAG_PART = 1.0 / 3;
+    /** The maximum share of a core that an event loop may use; above it work queues up. */
+    static final double MAX_LOOP_UTILIZATION = 0.9;
+    /** The maximum lateness of the control plane's event loop, at the 99th percentile. */
+    static final double MAX_CONTROL_LAG_P99_MS = 100;
+    /**
+     * The maximum lateness of the hollow sidecars' event loops, at the 99th percentile, as a fraction of the
+     * allowed propagation time.
+     */
+    static final double MAX_HOLLOW_LAG_P99_FRACTION = 1.0 / 3;
 
     private Bottleneck() {}
 
     /**
-     * Why a time that is too long is none of control's, or empty where it is: hollow sidecars that were late
-     * at any time in a storm may have been so just when a change came.
+     * Returns why a propagation time above the target is not the control plane's fault, or an empty string if it
+     * is. If the hollow sidecars' event loops were late at any time in a storm, they may have been late just when a
+     * change arrived.
      */
-    public static String whyLate(double hollowLagMostMs, double inForceMs) {
-        return hollowLagMostMs <= inForceMs * MOST_HOLLOW_LAG_PART
+    public static String findLatenessReason(double hollowMaxLagMs, double maxPropagationMs) {
+        return hollowMaxLagMs <= maxPropagationMs * MAX_HOLLOW_LAG_P99_FRACTION
                 ? ""
-                : String.format(
-                        Locale.ROOT, "the hollow sidecars' loops were late by %.0f ms at most", hollowLagMostMs);
+                : String.format(Locale.ROOT, "hollow sidecars' event loops were up to %.0f ms late", hollowMaxLagMs);
     }
 
-    /** Why a measurement is void, or empty where it counts. */
-    public static String why(
-            double lengthMs,
+    /** Returns why a measurement is void, or an empty string if it is valid. */
+    public static String findVoidReason(
+            double durationMs,
             ControlPlane.Cost control,
             double hollowLagP99Ms,
-            double hollowMostCpuMs,
-            double inForceMs) {
-        if (control.lagP99Ms() > MOST_CONTROL_LAG_MS) {
-            return String.format(Locale.ROOT, "control's stand-in was late by %.0f ms", control.lagP99Ms());
+            double hollowMaxLoopCpuMs,
+            double maxPropagationMs) {
+        if (control.lagP99Ms() > MAX_CONTROL_LAG_P99_MS) {
+            return String.format(Locale.ROOT, "control plane's event loop was %.0f ms late (p99)", control.lagP99Ms());
         }
-        if (control.cpuMs() > lengthMs * MOST_BUSY) {
+        if (control.cpuMs() > durationMs * MAX_LOOP_UTILIZATION) {
             return String.format(
-                    Locale.ROOT, "control's stand-in was busy %.0f %% of the time", 100 * control.cpuMs() / lengthMs);
+                    Locale.ROOT,
+                    "control plane's event loop was busy %.0f %% of the time",
+                    100 * control.cpuMs() / durationMs);
         }
-        if (hollowLagP99Ms > inForceMs * MOST_HOLLOW_LAG_PART) {
-            return String.format(Locale.ROOT, "the hollow sidecars' loops were late by %.0f ms", hollowLagP99Ms);
+        if (hollowLagP99Ms > maxPropagationMs * MAX_HOLLOW_LAG_P99_FRACTION) {
+            return String.format(Locale.ROOT, "hollow sidecars' event loops were %.0f ms late (p99)", hollowLagP99Ms);
         }
-        if (hollowMostCpuMs > lengthMs * MOST_BUSY) {
+        if (hollowMaxLoopCpuMs > durationMs * MAX_LOOP_UTILIZATION) {
             return String.format(
                     Locale.ROOT,
-                    "a hollow sidecars' loop was busy %.0f %% of the time",
-                    100 * hollowMostCpuMs / lengthMs);
+                    "an event loop of hollow sidecars was busy %.0f %% of the time",
+                    100 * hollowMaxLoopCpuMs / durationMs);
         }
         return "";
     }
--- a/lab/src/main/java/lemonrail/lab/scale/Churn.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Churn.java
@@ -3,35 +3,38 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 
-/** Makes changes at an even rate, from the thread that calls it. */
+/** Makes changes at a constant rate, on the calling thread. */
 final class Churn {
 
-    private static final double PIECE_MS = 100;
+    private static final double MAX_SLEEP_MS = 100;
 
     private Churn() {}
 
-    /** Has each change made in its time, by its number from 0; none at a rate of 0. */
-    static void run(double perSecond, double lengthMs, LongConsumer change) throws InterruptedException {
-        long began = System.nanoTime();
-        long ends = began + (long) (lengthMs * 1e6);
-        long count = (long) Math.floor(perSecond * lengthMs / 1000 + 1e-6);
+    /**
+     * Calls {@code change} with the change's number, from 0, for each change when it is due, and returns after the
+     * given duration. At a rate of 0 it makes no changes.
+     */
+    static void run(double changesPerSecond, double durationMs, LongConsumer change) throws InterruptedException {
+        long startNanos = System.nanoTime();
+        long endNanos = startNanos + (long) (durationMs * 1e6);
+        long count = (long) Math.floor(changesPerSecond * durationMs / 1000 + 1e-6);
         for (long number = 0; number < count; number++) {
-            sleepUntil(began + (long) (number * 1e9 / perSecond));
+            sleepUntil(startNanos + (long) (number * 1e9 / changesPerSecond));
             change.accept(number);
         }
-        sleepUntil(ends);
+        sleepUntil(endNanos);
     }
 
-    private static void sleepUntil(long atNanos) throws InterruptedException {
-        long leftNanos = atNanos - System.nanoTime();
-        while (leftNanos > 0) {
-            TimeUnit.NANOSECONDS.sleep(Math.min(leftNanos, (long) (PIECE_MS * 1e6)));
-            leftNanos = atNanos - System.nanoTime();
+    private static void sleepUntil(long deadlineNanos) throws InterruptedException {
+        long remainingNanos = deadlineNanos - System.nanoTime();
+        while (remainingNanos > 0) {
+            TimeUnit.NANOSECONDS.sleep(Math.min(remainingNanos, (long) (MAX_SLEEP_MS * 1e6)));
+            remainingNanos = deadlineNanos - System.nanoTime();
         }
     }
 
-    /** Waits. */
-    static void rest(double ms) throws InterruptedException {
+    /** Sleeps for a duration in ms. */
+    static void sleep(double ms) throws InterruptedException {
         sleepUntil(System.nanoTime() + (long) (ms * 1e6));
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/ControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ControlPlane.java
@@ -12,121 +12,141 @@
 import lemonrail.logging.EventLog;
 
 /**
- * What tells sidecars of endpoints: today one registry, or the nodes of a control role. Storms are played
- * against this; what a way cannot carry it says, and the storm's row says so too. All calls come from one
- * thread, which is none of the plane's own.
+ * A control plane, which sends endpoint lists to sidecars: either a single registry or the nodes of the control
+ * role. Storms are played against it. If it lacks a capability that a storm needs, it says why, and the storm's row
+ * shows this. All calls come from one thread, which is not one of the control plane's own.
  */
 public interface ControlPlane extends AutoCloseable {
 
-    /** What a storm may ask for beyond changes. */
-    enum Ability {
-        /** Watchers of a node that is lost go on at another by themselves. */
+    /** What a storm may need beyond changes of endpoints. */
+    enum Capability {
+        /** Watchers of a lost node continue at another node by themselves. */
         NODE_LOST,
-        /** Regions that are cut go on by themselves, and are merged once they hear each other. */
+        /**
+         * Regions that are partitioned continue to work, and their changes are merged once they can reach each
+         * other again.
+         */
         REGIONS_CUT,
-        /** Settings reach sidecars as lists do. */
+        /** The control plane sends settings to sidecars as it sends endpoint lists. */
         SETTINGS
     }
 
     /**
-     * A change that has been taken.
+     * A change that the control plane has accepted.
      *
-     * @param atNanos when, by the monotonic clock
-     * @param versions each list that it changes, and the version from which on it is in, as the calls of
-     *     sidecars have it
+     * @param atNanos when it was made, by {@link System#nanoTime}
+     * @param versions each changed list by name, with the first version that includes the change, as the watch
+     *     calls of sidecars name it
      */
     record Applied(long atNanos, Map<String, Long> versions) {
-        /** Whether a sidecar that asks on from this version of a list has the change. */
-        public boolean isIn(String list, long version) {
-            return versions.containsKey(list) && version >= versions.get(list);
+        /** Returns whether a sidecar that requests changes since this version of a list has the change already. */
+        public boolean isIncludedIn(String listName, long version) {
+            return versions.containsKey(listName) && version >= versions.get(listName);
         }
     }
 
     /**
-     * What a node has cost since it was last asked.
+     * What a node has used since the last measurement.
      *
-     * @param peakBytesPerS payload both ways, the most within one second
+     * @param lagP99Ms how late its event loop was, at the 99th percentile
+     * @param bytes payload in both directions
+     * @param peakBytesPerS payload in the busiest second
+     * @param calls the number of watch calls
      */
-    record Cost(double cpuMs, double lagP99Ms, double lagMostMs, long bytes, long peakBytesPerS, long calls) {}
+    record Cost(double cpuMs, double lagP99Ms, double maxLagMs, long bytes, long peakBytesPerS, long calls) {}
 
-    /** Why it cannot do this, or empty where it can. */
-    Optional<String> missing(Ability ability);
+    /** Returns why this control plane lacks a capability, or empty if it has it. */
+    Optional<String> findUnsupportedReason(Capability capability);
 
-    /** How many nodes there are. */
+    /** Returns the number of nodes. */
     int nodes();
 
     /**
-     * A hollow sidecar's watch of a list, by the real client of this way; to be opened on its loop.
+     * Creates a hollow sidecar's watch of a list, with the client that a real sidecar uses for this control plane.
+     * To be called on the sidecar's event loop.
      *
-     * @param node at which it begins
-     * @param config what the sidecar was told, by the real reader
+     * @param config the sidecar's settings, as the production code has parsed them
+     * @param node the node to watch first
      */
-    Watch watch(EventLoop loop, EdgeConfig config, EventLog log, long seed, String list, int node);
+    Watch createWatch(EventLoop loop, EdgeConfig config, EventLog log, long seed, String listName, int node);
 
-    /** The watch of a hollow sidecar; used on its loop. */
+    /** The watch of a hollow sidecar. To be used on the sidecar's event loop. */
     interface Watch {
-        /** Who hears of lists. */
-        void listen(EndpointListListener listener);
+        /** Sets the listener for endpoint lists. */
+        void setListener(EndpointListListener listener);
 
-        /** Starts it; one that is on goes on. */
-        void watch();
+        /** Starts the watch; a running watch continues. */
+        void start();
 
-        /** Goes on at another place of this way, as a reload has it. */
-        void elsewhere();
+        /** Continues at another address of the same control plane, as after a reload of the settings. */
+        void moveToOtherAddress();
 
-        /** Ends it for good. */
+        /** Ends the watch; it cannot be started again. */
         void close();
     }
 
     /**
-     * Writes the file of a real sidecar that watches a list.
+     * Writes the settings file of a real sidecar that watches a list, and returns the file.
      *
-     * @param place where its files go, how it is called and where it listens
-     * @param group whose traffic is counted apart, and who is heard apart
+     * @param spec the sidecar's directory, name, address and zones
+     * @param group the name under which this sidecar's traffic and watch calls are counted
      */
-    Path file(Place place, String list, int node, String group) throws IOException;
+    Path writeSidecarConfig(SidecarSpec spec, String listName, int node, String group) throws IOException;
 
     /**
-     * Of a real sidecar.
+     * The properties of a real sidecar.
      *
-     * @param balancers how many watch the same list, which is what it paces its calls by
+     * @param directory for its settings, log and state
+     * @param address at which its callers connect
+     * @param balancers the number of sidecars that watch the same list, which determines how often each calls
      */
-    record Place(Path folder, String name, InetSocketAddress listen, int balancers, List<String> zones) {}
+    record SidecarSpec(Path directory, String name, InetSocketAddress address, int balancers, List<String> zones) {}
 
-    /** Takes a list as a whole, from nothing. */
-    void list(String list, List<EndpointEntry> lines);
+    /** Replaces all entries of a list. */
+    void replaceList(String listName, List<EndpointEntry> entries);
 
-    /** Takes changes to several lists at once, at a node; those of one list get one version. */
+    /** Applies changes to several lists at once, at a node. All changes of a list get the same version. */
     Applied apply(int node, Map<String, List<EndpointEntry>> changes);
 
     /**
-     * Changes settings at a node; how long it took until they were in force at each sidecar, in ms, NaN where
-     * they were not within the time given.
+     * Changes settings at a node. Returns how long it took until they were in force, in ms, first for all sidecars
+     * and then for each; NaN for those that did not apply them before the timeout.
      */
-    default List<Double> settings(int node, double mostMs) throws InterruptedException {
-        throw new IllegalStateException("settings don't come by this way");
+    default List<Double> changeSettings(int node, double timeoutMs) throws InterruptedException {
+        throw new IllegalStateException("this control plane does not distribute settings");
     }
 
-    /** A node's process goes: nobody can reach it until it is back. */
-    void stop(int node);
+    /** Stops a node as if its process had ended: it cannot be reached until it is started again. */
+    void stopNode(int node);
 
-    /** A node is back, with what it knew or with versions that begin anew. */
-    void start(int node, boolean fromNothing);
+    /**
+     * Starts a stopped node.
+     *
+     * @param withoutState whether it has lost its state, so that versions begin anew
+     */
+    void startNode(int node, boolean withoutState);
 
-    /** Two nodes cannot hear each other from now on, or can again. */
-    void cut(int one, int other, boolean apart);
+    /** Partitions two nodes from each other, or ends the partition. */
+    void setPartitioned(int node, int otherNode, boolean partitioned);
 
-    /** What a node has cost since it was last asked. */
-    Cost cost(int node);
+    /** Returns what a node has used since the last call. */
+    Cost takeCost(int node);
 
-    /** What this group's connections have carried since they were last asked, over all nodes. */
-    Traffic.Seen traffic(String group);
+    /** Returns the traffic of a group's connections since the last call, over all nodes. */
+    Traffic.Totals takeTraffic(String group);
 
-    /** The version that this group's sidecar has asked on from, which tells that it has taken it in. */
-    List<Heard> heard(String group);
+    /**
+     * Returns the watch calls of a group's sidecar since the last call. The version that a call names shows what
+     * the sidecar has applied.
+     */
+    List<WatchCall> takeCalls(String group);
 
-    /** A call that asked on from a version. */
-    record Heard(long atNanos, long version) {}
+    /**
+     * A watch call.
+     *
+     * @param version the version since which the sidecar requested changes
+     */
+    record WatchCall(long atNanos, long version) {}
 
     @Override
     void close();
--- a/lab/src/main/java/lemonrail/lab/scale/EndpointEntry.java
+++ b/lab/src/main/java/lemonrail/lab/scale/EndpointEntry.java
@@ -3,38 +3,38 @@
 import java.util.Locale;
 
 /**
- * What control says of one endpoint.
+ * An endpoint's entry in an endpoint list.
  *
- * @param rack what the platform calls its cell
- * @param startedMs Unix time, 0 for long ago
+ * @param rack the number of its rack, which the platform calls a cell
+ * @param startedMs when it started, in Unix time; 0 for long ago
  */
 public record EndpointEntry(
         String id, String address, String zone, int rack, State state, long startedMs, double weight) {
 
-    /** What is said of an endpoint, in discovery's words. */
+    /** An endpoint's state, by its name in the discovery protocol. */
     public enum State {
         IN_SERVICE,
         TERMINATING,
         TERMINATED
     }
 
-    /** The same endpoint in another state. */
-    public EndpointEntry with(State other) {
-        return new EndpointEntry(id, address, zone, rack, other, startedMs, weight);
+    /** Returns a copy with another state. */
+    public EndpointEntry withState(State newState) {
+        return new EndpointEntry(id, address, zone, rack, newState, startedMs, weight);
     }
 
-    /** The same endpoint, of another weight. */
-    public EndpointEntry weighing(double other) {
-        return new EndpointEntry(id, address, zone, rack, state, startedMs, other);
+    /** Returns a copy with another weight. */
+    public EndpointEntry withWeight(double newWeight) {
+        return new EndpointEntry(id, address, zone, rack, state, startedMs, newWeight);
     }
 
-    /** The endpoint after a restart. */
-    public EndpointEntry started(long atMs) {
-        return new EndpointEntry(id, address, zone, rack, State.IN_SERVICE, atMs, weight);
+    /** Returns the entry after a restart at this time: in service, with the new start time. */
+    public EndpointEntry restartedAt(long newStartedMs) {
+        return new EndpointEntry(id, address, zone, rack, State.IN_SERVICE, newStartedMs, weight);
     }
 
-    /** As discovery writes it. */
-    String json() {
+    /** Returns the entry as JSON of the discovery protocol. */
+    String toJson() {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"" + zone
                 + "\",\"kind\":\"std\",\"cell\":" + rack + ",\"state\":\""
                 + state.name().toLowerCase(Locale.ROOT)
--- a/lab/src/main/java/lemonrail/lab/scale/Fleet.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Fleet.java
@@ -12,95 +12,114 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 import lemonrail.config.EdgeConfig;
-import lemonrail.lab.scale.ScaleScenario.Listed;
+import lemonrail.lab.scale.ScaleScenario.EndpointScope;
 
 /**
- * A site's sidecars before a control plane: real ones beside the first endpoints, hollow ones beside all
- * others. It knows what control was told last of each endpoint, which is what all must come to have.
+ * The sidecars of a site and their control plane. Sidecars beside the endpoints with the lowest numbers are real,
+ * all others hollow. A fleet knows the last update that was made to each endpoint's entry, and so the lists that
+ * every sidecar has to end up with.
  */
 final class Fleet implements AutoCloseable {
 
-    private static final double MOST_WAIT_MS = 30_000;
-    private static final double LOOK_MS = 25;
-    /** Weights tell the words on an endpoint apart; they count for nothing where sizes are not told. */
-    private static final double WORDS = 1 << 20;
+    private static final double START_TIMEOUT_MS = 30_000;
+    private static final double POLL_INTERVAL_MS = 25;
+    /**
+     * Each update of an entry gets a weight of its own, by which the fleet recognizes it at the sidecars. The
+     * weights are close to 1 and have no effect, because endpoints are not weighted by size in these runs.
+     */
+    private static final double WEIGHT_STEPS = 1 << 20;
 
     /**
-     * A change, and what it says of which endpoints.
+     * A change, with the entries that it updates.
      *
-     * @param region in which it was made, or below 0 where that is all the same
-     * @param farNanos from when it could be known in the other regions
+     * @param entries the updated entries, by the name of their list
+     * @param region the region in which it was made, or below 0 if that does not matter
+     * @param otherRegionsNanos from when on the other regions could learn of it, by {@link System#nanoTime}
      */
-    record Change(ControlPlane.Applied applied, Map<String, List<EndpointEntry>> lines, int region, long farNanos) {
-        long sinceNanos(int in) {
-            return region < 0 || in == region ? applied.atNanos() : farNanos;
+    record Change(
+            ControlPlane.Applied applied,
+            Map<String, List<EndpointEntry>> entries,
+            int region,
+            long otherRegionsNanos) {
+        long availableNanos(int viewingRegion) {
+            return region < 0 || viewingRegion == region ? applied.atNanos() : otherRegionsNanos;
         }
 
-        /** The same, as if it had been made at another time. */
-        Change at(long nanos) {
-            return new Change(new ControlPlane.Applied(nanos, applied.versions()), lines, region, nanos);
+        /** Returns the same change as if it had been made at another time. */
+        Change withTime(long nanos) {
+            return new Change(new ControlPlane.Applied(nanos, applied.versions()), entries, region, nanos);
         }
 
-        /** The same, as made in a region and not to be known elsewhere before a time. */
-        Change in(int home, long far) {
-            return new Change(applied, lines, home, far);
+        /**
+         * Returns the same change as made in a region, which the other regions could learn of only from a later
+         * time on.
+         */
+        Change withOrigin(int origin, long otherNanos) {
+            return new Change(applied, entries, origin, otherNanos);
         }
     }
 
-    /** What real sidecars had taken when something began. */
-    record Began(long atNanos, Map<Integer, Double> cpuMs) {}
+    /** The processor time of real sidecars at the start of a measurement, by the number of their endpoints. */
+    record CostBaseline(long atNanos, Map<Integer, Double> cpuMs) {}
 
-    /** What a real sidecar took in the mean, and the most bytes within a second at any. */
-    record Spent(double lengthMs, double corePercent, double bytesPerS, long peakBytesPerS) {
-        /** In the mean over a longer time in which else all was quiet. */
-        Spent over(double spanMs, Spent quiet) {
-            double part = lengthMs / Math.max(lengthMs, spanMs);
-            return new Spent(
-                    spanMs,
-                    quiet.corePercent + part * (corePercent - quiet.corePercent),
-                    quiet.bytesPerS + part * (bytesPerS - quiet.bytesPerS),
+    /**
+     * What a real sidecar used, as the mean over all of them, and the most bytes that any of them carried within
+     * one second.
+     */
+    record SidecarCost(double lengthMs, double corePercent, double bytesPerS, long peakBytesPerS) {
+        /**
+         * Returns the mean over a longer time, during the rest of which the sidecar used what it uses without
+         * changes.
+         */
+        SidecarCost averagedOver(double longerMs, SidecarCost idle) {
+            double fraction = lengthMs / Math.max(lengthMs, longerMs);
+            return new SidecarCost(
+                    longerMs,
+                    idle.corePercent + fraction * (corePercent - idle.corePercent),
+                    idle.bytesPerS + fraction * (bytesPerS - idle.bytesPerS),
                     peakBytesPerS);
         }
     }
 
     private final Site site;
-    private final Listed listed;
+    private final EndpointScope scope;
     private final ControlPlane plane;
     private final HollowFleet hollow;
-    /** By the number of their endpoints. */
+    /** By the number of their endpoint. */
     private final Map<Integer, RealSidecar> real = new TreeMap<>();
-    /** When real sidecars were heard to ask on. */
-    private final Map<Integer, List<ControlPlane.Heard>> heard = new HashMap<>();
-    /** The last word on each endpoint, by its number. */
-    private final Map<Integer, EndpointEntry> lines = new TreeMap<>();
+    /** The watch calls of real sidecars, by the number of their endpoint. */
+    private final Map<Integer, List<ControlPlane.WatchCall>> calls = new HashMap<>();
+    /** The current entry of each endpoint, by its number. */
+    private final Map<Integer, EndpointEntry> entries = new TreeMap<>();
 
-    private long words;
+    private long updateCount;
 
-    Fleet(ScaleScenario scenario, Listed listed, ControlPlane plane, EdgeConfig config) {
+    Fleet(ScaleScenario scenario, EndpointScope scope, ControlPlane plane, EdgeConfig config) {
         site = scenario.site();
-        this.listed = listed;
+        this.scope = scope;
         this.plane = plane;
         hollow = new HollowFleet(
                 scenario.sidecars().loops(), config, scenario.sidecars().seed());
         for (int i = 0; i < site.endpoints(); i++) {
-            lines.put(i, site.line(i));
+            entries.put(i, site.createEntry(i));
         }
     }
 
-    /** Starts all, and waits until each has its list. */
-    void open(int realCount, ServeCommand command, Path scratch) throws IOException, InterruptedException {
-        expected().forEach((list, all) -> plane.list(list, List.copyOf(all.values())));
+    /** Starts all sidecars and waits until each has its list. */
+    void start(int realCount, ServeCommand command, Path scratch) throws IOException, InterruptedException {
+        expectedEntries()
+                .forEach((listName, listEntries) -> plane.replaceList(listName, List.copyOf(listEntries.values())));
         for (int i = 0; i < realCount; i++) {
             real.put(
                     i,
                     RealSidecar.start(
-                            "real-" + listed.name().toLowerCase(Locale.ROOT) + "-" + i,
+                            "real-" + scope.name().toLowerCase(Locale.ROOT) + "-" + i,
                             command,
                             scratch,
                             plane,
                             site.endpoints(),
                             site.zoneNames(),
-                            list(i),
+                            watchedList(i),
                             node(i),
                             group(i)));
         }
@@ -108,8 +127,9 @@
         for (RealSidecar sidecar : real.values()) {
             sidecar.awaitReady();
         }
-        if (!awaitKnowing(MOST_WAIT_MS)) {
-            throw new IOException("not all hollow sidecars have their list after " + MOST_WAIT_MS + " ms");
+        if (!awaitUpToDate(START_TIMEOUT_MS)) {
+            throw new IOException(
+                    "not all hollow sidecars received their endpoint list within " + START_TIMEOUT_MS + " ms");
         }
     }
 
@@ -121,31 +141,31 @@
         return hollow;
     }
 
-    Collection<RealSidecar> real() {
+    Collection<RealSidecar> realSidecars() {
         return real.values();
     }
 
     private void startHollow(Collection<Integer> numbers) {
-        hollow.start(numbers, plane, this::list, this::node);
+        hollow.start(numbers, plane, this::watchedList, this::node);
     }
 
-    /** The list that the sidecar beside an endpoint watches. */
-    private String list(int number) {
-        return listed == Listed.ALL ? Site.ALL : Site.list(site.called(number));
+    /** Returns the name of the list that the sidecar beside an endpoint watches. */
+    private String watchedList(int number) {
+        return scope == EndpointScope.ALL ? Site.ALL : Site.listName(site.calledService(number));
     }
 
-    /** The list in which an endpoint stands. */
-    private String home(int number) {
-        return listed == Listed.ALL ? Site.ALL : Site.list(site.service(number));
+    /** Returns the name of the list that contains an endpoint. */
+    private String homeList(int number) {
+        return scope == EndpointScope.ALL ? Site.ALL : Site.listName(site.serviceOf(number));
     }
 
-    /** The node at which a sidecar begins: one of its region, if there is one. */
+    /** Returns the node that a sidecar watches first: one of its region if there is one. */
     private int node(int number) {
-        List<Integer> own = nodes(site.region(number));
-        return own.isEmpty() ? number % plane.nodes() : own.get(number % own.size());
+        List<Integer> inRegion = nodes(site.regionOf(number));
+        return inRegion.isEmpty() ? number % plane.nodes() : inRegion.get(number % inRegion.size());
     }
 
-    /** The control nodes of a region. */
+    /** Returns the control nodes of a region. */
     List<Integer> nodes(int region) {
         return IntStream.range(0, plane.nodes())
                 .filter(node -> (int) ((long) node * site.regions() / plane.nodes()) == region)
@@ -157,190 +177,205 @@
         return "real-" + number;
     }
 
-    /** What all must come to have, by list and endpoint. */
-    private Map<String, Map<String, EndpointEntry>> expected() {
+    /** Returns the entries that all sidecars must end up with, by list and endpoint id. */
+    private Map<String, Map<String, EndpointEntry>> expectedEntries() {
         Map<String, Map<String, EndpointEntry>> lists = new HashMap<>();
-        lines.forEach((number, line) ->
-                lists.computeIfAbsent(home(number), k -> new LinkedHashMap<>()).put(line.id(), line));
+        entries.forEach((number, entry) -> lists.computeIfAbsent(homeList(number), k -> new LinkedHashMap<>())
+                .put(entry.id(), entry));
         return lists;
     }
 
-    // ---- what happens ----
+    // ---- changes ----
 
-    /** The last word on an endpoint. */
-    EndpointEntry line(int number) {
-        return lines.get(number);
+    /** Returns the current entry of an endpoint. */
+    EndpointEntry entry(int number) {
+        return entries.get(number);
     }
 
-    private EndpointEntry said(EndpointEntry line) {
-        return line.weighing(1 + ++words / WORDS);
+    private EndpointEntry nextUpdate(EndpointEntry entry) {
+        return entry.withWeight(1 + ++updateCount / WEIGHT_STEPS);
     }
 
-    /** A further word on an endpoint, by its number, of no other meaning. */
-    Map<String, List<EndpointEntry>> again(Collection<Integer> numbers) {
-        Map<Integer, EndpointEntry> news = new TreeMap<>();
-        numbers.forEach(number -> news.put(number, lines.get(number)));
-        return now(news);
+    /**
+     * Updates the entries of endpoints, by their numbers, without a change of meaning. Returns the updated entries
+     * by list.
+     */
+    Map<String, List<EndpointEntry>> repeatEntries(Collection<Integer> numbers) {
+        Map<Integer, EndpointEntry> updates = new TreeMap<>();
+        numbers.forEach(number -> updates.put(number, entries.get(number)));
+        return updateEntries(updates);
     }
 
-    /** What is said of endpoints from now on. */
-    Map<String, List<EndpointEntry>> now(Map<Integer, EndpointEntry> news) {
+    /** Records new entries of endpoints, by their numbers, and returns them by list. */
+    Map<String, List<EndpointEntry>> updateEntries(Map<Integer, EndpointEntry> updates) {
         Map<String, List<EndpointEntry>> lists = new LinkedHashMap<>();
-        news.forEach((number, line) -> {
-            EndpointEntry word = said(line);
-            if (line.state() == EndpointEntry.State.TERMINATED) {
-                lines.remove(number);
+        updates.forEach((number, entry) -> {
+            EndpointEntry updated = nextUpdate(entry);
+            if (entry.state() == EndpointEntry.State.TERMINATED) {
+                entries.remove(number);
             } else {
-                lines.put(number, word);
+                entries.put(number, updated);
             }
-            lists.computeIfAbsent(home(number), k -> new ArrayList<>()).add(word);
+            lists.computeIfAbsent(homeList(number), k -> new ArrayList<>()).add(updated);
         });
         return lists;
     }
 
-    /** An endpoint's place is taken by another. */
-    Map<String, List<EndpointEntry>> replaced(int number, EndpointEntry successor) {
-        EndpointEntry before = said(lines.get(number).with(EndpointEntry.State.TERMINATED));
-        Map<String, List<EndpointEntry>> lists = now(Map.of(number, successor));
-        lists.get(home(number)).add(before);
+    /** Replaces an endpoint by another one. Returns the updated entries by list. */
+    Map<String, List<EndpointEntry>> replaceEntry(int number, EndpointEntry successor) {
+        EndpointEntry removed = nextUpdate(entries.get(number).withState(EndpointEntry.State.TERMINATED));
+        Map<String, List<EndpointEntry>> lists = updateEntries(Map.of(number, successor));
+        lists.get(homeList(number)).add(removed);
         return lists;
     }
 
-    /** Makes a change, at a node. */
+    /** Makes a change at a control node. */
     Change apply(int node, Map<String, List<EndpointEntry>> change) {
         ControlPlane.Applied applied = plane.apply(node, change);
         return new Change(applied, change, -1, applied.atNanos());
     }
 
-    /** Endpoints and their sidecars are lost at once. */
-    Change lose(List<Integer> numbers) {
+    /** Removes endpoints and their sidecars at once, as in a failure. */
+    Change removeEndpoints(List<Integer> numbers) {
         hollow.stop(numbers);
-        Map<Integer, EndpointEntry> gone = new TreeMap<>();
-        numbers.forEach(number -> gone.put(number, lines.get(number).with(EndpointEntry.State.TERMINATED)));
-        return apply(0, now(gone));
+        Map<Integer, EndpointEntry> removed = new TreeMap<>();
+        numbers.forEach(number -> removed.put(number, entries.get(number).withState(EndpointEntry.State.TERMINATED)));
+        return apply(0, updateEntries(removed));
     }
 
-    /** They are back, with new processes: the sidecars start just before, so they must have it as well. */
-    Change back(List<Integer> numbers) {
-        long startedMs = 1_000_000 + words;
-        Map<Integer, EndpointEntry> fresh = new TreeMap<>();
-        numbers.forEach(number -> fresh.put(number, site.line(number).started(startedMs)));
+    /**
+     * Brings lost endpoints back with new processes. Their sidecars start just before the change is made, so they
+     * must learn of it as well.
+     */
+    Change restoreEndpoints(List<Integer> numbers) {
+        long startedMs = 1_000_000 + updateCount;
+        Map<Integer, EndpointEntry> restored = new TreeMap<>();
+        numbers.forEach(number -> restored.put(number, site.createEntry(number).restartedAt(startedMs)));
         startHollow(numbers);
-        return apply(0, now(fresh));
+        return apply(0, updateEntries(restored));
     }
 
-    // ---- what is seen ----
+    // ---- measurements ----
 
-    /** Waits until all hollow sidecars have, in their deciders, what control was told last. */
-    boolean awaitKnowing(double mostMs) throws InterruptedException {
-        long until = System.nanoTime() + (long) (mostMs * 1e6);
-        while (knowing() < hollow.sidecars().size()) {
-            if (System.nanoTime() > until) {
+    /** Waits until the load balancers of all hollow sidecars have the current lists. Returns false on a timeout. */
+    boolean awaitUpToDate(double timeoutMs) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + (long) (timeoutMs * 1e6);
+        while (countUpToDate() < hollow.sidecars().size()) {
+            if (System.nanoTime() > deadlineNanos) {
                 return false;
             }
-            Churn.rest(LOOK_MS);
+            Churn.sleep(POLL_INTERVAL_MS);
         }
         return true;
     }
 
-    /** How many hollow sidecars have, in their deciders, what control was told last. */
-    int knowing() {
-        return hollow.knowing(expected());
+    /** Returns how many hollow sidecars have the current list in their load balancer. */
+    int countUpToDate() {
+        return hollow.countUpToDate(expectedEntries());
     }
 
-    /** How long a change took at each hollow sidecar that it is for; NaN where it has not come to it. */
-    List<Double> hollowMs(Change change) {
-        List<Double> taken = new ArrayList<>();
+    /**
+     * Returns how long a change took until each hollow sidecar concerned had it, in ms; NaN for a sidecar that does
+     * not have it yet. Sidecars that were started after the change are left out.
+     */
+    List<Double> hollowPropagationMs(Change change) {
+        List<Double> times = new ArrayList<>();
         for (HollowSidecar sidecar : hollow.sidecars()) {
-            List<EndpointEntry> told = change.lines.get(sidecar.list());
-            if (told == null || sidecar.bornNanos() > change.applied.atNanos()) {
+            List<EndpointEntry> updatedEntries = change.entries.get(sidecar.listName());
+            if (updatedEntries == null || sidecar.createdNanos() > change.applied.atNanos()) {
                 continue;
             }
-            long had = Long.MIN_VALUE;
-            for (EndpointEntry line : told) {
-                long one = sidecar.hadNanos(line, change.applied.atNanos());
-                had = one < 0 || had == Long.MAX_VALUE ? Long.MAX_VALUE : Math.max(had, one);
+            long appliedNanos = Long.MIN_VALUE;
+            for (EndpointEntry entry : updatedEntries) {
+                long updateNanos = sidecar.findUpdateNanos(entry, change.applied.atNanos());
+                appliedNanos = updateNanos < 0 || appliedNanos == Long.MAX_VALUE
+                        ? Long.MAX_VALUE
+                        : Math.max(appliedNanos, updateNanos);
             }
-            long since = change.sinceNanos(site.region(sidecar.number()));
-            taken.add(had == Long.MAX_VALUE ? Double.NaN : Math.max(0, (had - since) / 1e6));
+            long startNanos = change.availableNanos(site.regionOf(sidecar.number()));
+            times.add(appliedNanos == Long.MAX_VALUE ? Double.NaN : Math.max(0, (appliedNanos - startNanos) / 1e6));
         }
-        return taken;
+        return times;
     }
 
-    /** The same at real sidecars, by the calls with which they asked on. */
-    List<Double> realMs(Change change) {
-        List<Double> taken = new ArrayList<>();
+    /**
+     * Returns the same for real sidecars, which have a change once they make a watch call from a version that
+     * includes it.
+     */
+    List<Double> realPropagationMs(Change change) {
+        List<Double> times = new ArrayList<>();
         for (int number : real.keySet()) {
-            String list = list(number);
-            if (change.applied.versions().containsKey(list)) {
-                long since = change.sinceNanos(site.region(number));
-                taken.add(heard.getOrDefault(number, List.of()).stream()
-                        .filter(call ->
-                                call.atNanos() >= change.applied.atNanos() && change.applied.isIn(list, call.version()))
-                        .mapToDouble(call -> Math.max(0, (call.atNanos() - since) / 1e6))
+            String listName = watchedList(number);
+            if (change.applied.versions().containsKey(listName)) {
+                long startNanos = change.availableNanos(site.regionOf(number));
+                times.add(calls.getOrDefault(number, List.of()).stream()
+                        .filter(call -> call.atNanos() >= change.applied.atNanos()
+                                && change.applied.isIncludedIn(listName, call.version()))
+                        .mapToDouble(call -> Math.max(0, (call.atNanos() - startNanos) / 1e6))
                         .findFirst()
                         .orElse(Double.NaN));
             }
         }
-        return taken;
+        return times;
     }
 
-    /** Takes in what was heard of real sidecars. */
-    void hear() {
+    /** Collects the watch calls that real sidecars have made. */
+    void collectCalls() {
         real.keySet()
                 .forEach(number ->
-                        heard.computeIfAbsent(number, k -> new ArrayList<>()).addAll(plane.heard(group(number))));
+                        calls.computeIfAbsent(number, k -> new ArrayList<>()).addAll(plane.takeCalls(group(number))));
     }
 
-    /** Forgets what has been: costs count from here. */
-    Began begin() {
-        hear();
-        heard.clear();
-        hollow.forget();
+    /** Discards all measurements so far, so that costs count from here on. */
+    CostBaseline resetMeasurements() {
+        collectCalls();
+        calls.clear();
+        hollow.discardOldUpdates();
         for (int i = 0; i < plane.nodes(); i++) {
-            plane.cost(i);
+            plane.takeCost(i);
         }
-        hollow.load();
+        hollow.takeLoad();
         Map<Integer, Double> cpuMs = new HashMap<>();
         real.forEach((number, sidecar) -> {
-            plane.traffic(group(number));
+            plane.takeTraffic(group(number));
             cpuMs.put(number, sidecar.cpuMs());
         });
-        return new Began(System.nanoTime(), cpuMs);
-    }
-
-    /** What real sidecars have taken since. */
-    Spent spent(Began began) {
-        double lengthMs = (System.nanoTime() - began.atNanos) / 1e6;
-        double percent = real.isEmpty() ? Double.NaN : 0;
-        double bytes = real.isEmpty() ? Double.NaN : 0;
-        long peak = 0;
-        for (Map.Entry<Integer, RealSidecar> each : real.entrySet()) {
-            Traffic.Seen seen = plane.traffic(group(each.getKey()));
-            percent += 100 * (each.getValue().cpuMs() - began.cpuMs.get(each.getKey())) / lengthMs / real.size();
-            bytes += seen.bytes() / lengthMs * 1000 / real.size();
-            peak = Math.max(peak, seen.peakPerSecond());
+        return new CostBaseline(System.nanoTime(), cpuMs);
+    }
+
+    /** Returns what a real sidecar has used since the baseline was taken. */
+    SidecarCost measureSidecarCost(CostBaseline baseline) {
+        double lengthMs = (System.nanoTime() - baseline.atNanos) / 1e6;
+        double corePercent = real.isEmpty() ? Double.NaN : 0;
+        double bytesPerS = real.isEmpty() ? Double.NaN : 0;
+        long peakBytesPerS = 0;
+        for (Map.Entry<Integer, RealSidecar> sidecar : real.entrySet()) {
+            Traffic.Totals traffic = plane.takeTraffic(group(sidecar.getKey()));
+            corePercent +=
+                    100 * (sidecar.getValue().cpuMs() - baseline.cpuMs.get(sidecar.getKey())) / lengthMs / real.size();
+            bytesPerS += traffic.bytes() / lengthMs * 1000 / real.size();
+            peakBytesPerS = Math.max(peakBytesPerS, traffic.peakPerSecond());
         }
-        return new Spent(lengthMs, percent, bytes, peak);
+        return new SidecarCost(lengthMs, corePercent, bytesPerS, peakBytesPerS);
     }
 
-    /** Of the node that cost the most. */
-    ControlPlane.Cost control() {
-        ControlPlane.Cost most = plane.cost(0);
+    /** Returns the cost of the node that used the most processor time. */
+    ControlPlane.Cost takeBusiestNodeCost() {
+        ControlPlane.Cost highest = plane.takeCost(0);
         for (int i = 1; i < plane.nodes(); i++) {
-            ControlPlane.Cost cost = plane.cost(i);
-            most = cost.cpuMs() > most.cpuMs() ? cost : most;
+            ControlPlane.Cost cost = plane.takeCost(i);
+            highest = cost.cpuMs() > highest.cpuMs() ? cost : highest;
         }
-        return most;
+        return highest;
     }
 
-    /** Resident memory of a real sidecar, in the mean, in MB. */
-    double residentMb() throws IOException {
-        double resident = real.isEmpty() ? Double.NaN : 0;
+    /** Returns the mean resident memory of a real sidecar in MiB; NaN if there is none. */
+    double meanResidentMb() throws IOException {
+        double meanMb = real.isEmpty() ? Double.NaN : 0;
         for (RealSidecar sidecar : real.values()) {
-            resident += sidecar.residentMb() / real.size();
+            meanMb += sidecar.residentMb() / real.size();
         }
-        return resident;
+        return meanMb;
     }
 
     @Override
--- a/lab/src/main/java/lemonrail/lab/scale/HollowFleet.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowFleet.java
@@ -15,51 +15,63 @@
 import java.util.function.IntUnaryOperator;
 import lemonrail.config.EdgeConfig;
 
-/** Hollow sidecars on a few event loops, whose lateness and processor time are watched. */
+/** The hollow sidecars, which share a few event loops whose lateness and processor time are monitored. */
 final class HollowFleet implements AutoCloseable {
 
     /**
-     * What the loops were like since they were last asked.
+     * The load of the event loops since the last measurement.
      *
-     * @param cpuMs of all loops together
-     * @param mostCpuMs of the busiest
+     * @param lagP99Ms the lateness of the latest loop, at the 99th percentile
+     * @param cpuMs processor time of all loops
+     * @param maxLoopCpuMs processor time of the busiest loop
      */
-    record Load(double lagP99Ms, double lagMostMs, double cpuMs, double mostCpuMs) {}
+    record Load(double lagP99Ms, double maxLagMs, double cpuMs, double maxLoopCpuMs) {}
 
-    private final MultiThreadIoEventLoopGroup group;
+    private final MultiThreadIoEventLoopGroup loopGroup;
     private final List<EventLoop> loops = new ArrayList<>();
-    private final List<LoopWatch> watches = new ArrayList<>();
+    private final List<EventLoopMonitor> monitors = new ArrayList<>();
     private final EdgeConfig config;
     private final long seed;
-    /** Those that run, by the number of their endpoint. */
+    /** The running sidecars, by the number of their endpoint. */
     private final Map<Integer, HollowSidecar> sidecars = new TreeMap<>();
 
     HollowFleet(int loopCount, EdgeConfig config, long seed) {
         this.config = config;
         this.seed = seed;
-        group = new MultiThreadIoEventLoopGroup(
+        loopGroup = new MultiThreadIoEventLoopGroup(
                 loopCount, new DefaultThreadFactory("hollow", true), NioIoHandler.newFactory());
         for (int i = 0; i < loopCount; i++) {
-            loops.add((EventLoop) group.next());
-            watches.add(new LoopWatch(loops.get(i)));
+            loops.add((EventLoop) loopGroup.next());
+            monitors.add(new EventLoopMonitor(loops.get(i)));
         }
     }
 
-    /** Starts the sidecars of these numbers at once. */
-    void start(Collection<Integer> numbers, ControlPlane plane, IntFunction<String> list, IntUnaryOperator node) {
+    /**
+     * Starts the sidecars beside these endpoints at once.
+     *
+     * @param listNames returns the name of a sidecar's list
+     * @param nodes returns the control node that a sidecar watches first
+     */
+    void start(Collection<Integer> numbers, ControlPlane plane, IntFunction<String> listNames, IntUnaryOperator nodes) {
         Map<Integer, Future<HollowSidecar>> starting = new TreeMap<>();
         for (int number : numbers) {
             EventLoop loop = loops.get(number % loops.size());
             starting.put(
                     number,
                     loop.submit(() -> new HollowSidecar(
-                            loop, config, seed + number, plane, number, list.apply(number), node.applyAsInt(number))));
+                            loop,
+                            config,
+                            seed + number,
+                            plane,
+                            number,
+                            listNames.apply(number),
+                            nodes.applyAsInt(number))));
         }
-        starting.forEach((number, made) ->
-                sidecars.put(number, made.syncUninterruptibly().getNow()));
+        starting.forEach((number, created) ->
+                sidecars.put(number, created.syncUninterruptibly().getNow()));
     }
 
-    /** The processes of these are gone. */
+    /** Stops the sidecars beside these endpoints as if their processes had ended. */
     void stop(Collection<Integer> numbers) {
         List<Future<?>> stopping = new ArrayList<>();
         for (int number : numbers) {
@@ -71,55 +83,59 @@
         stopping.forEach(Future::syncUninterruptibly);
     }
 
-    /** All go on at another place, as by a reload of each. */
-    void elsewhere() {
-        sidecars.values().forEach(sidecar -> sidecar.loop().execute(sidecar::elsewhere));
+    /** Makes all sidecars continue at another address of the control plane, as by a reload of each one's settings. */
+    void moveToOtherAddress() {
+        sidecars.values().forEach(sidecar -> sidecar.loop().execute(sidecar::moveToOtherAddress));
     }
 
-    /** What was told before the last word on each endpoint is of no more use. */
-    void forget() {
-        sidecars.values().forEach(HollowSidecar::forget);
+    /** Discards all recorded updates but the last one of each endpoint. */
+    void discardOldUpdates() {
+        sidecars.values().forEach(HollowSidecar::discardOldUpdates);
     }
 
-    /** How many whole lists they have been told, all together. */
-    long wholeLists() {
-        return sidecars.values().stream().mapToLong(HollowSidecar::wholeLists).sum();
+    /** Returns how many full snapshots all sidecars together have received. */
+    long fullListCount() {
+        return sidecars.values().stream()
+                .mapToLong(HollowSidecar::fullListCount)
+                .sum();
     }
 
-    /** Those that run. */
+    /** Returns the running sidecars. */
     Collection<HollowSidecar> sidecars() {
         return List.copyOf(sidecars.values());
     }
 
-    /** How many of them have, in their deciders, what control says now. */
-    int knowing(Map<String, Map<String, EndpointEntry>> lists) {
-        List<Future<Boolean>> asked = new ArrayList<>();
+    /** Returns how many sidecars have these lists in their load balancers. */
+    int countUpToDate(Map<String, Map<String, EndpointEntry>> lists) {
+        List<Future<Boolean>> checks = new ArrayList<>();
         sidecars.values()
-                .forEach(sidecar -> asked.add(sidecar.loop().submit(() -> sidecar.knows(lists.get(sidecar.list())))));
-        return (int)
-                asked.stream().filter(one -> one.syncUninterruptibly().getNow()).count();
+                .forEach(sidecar ->
+                        checks.add(sidecar.loop().submit(() -> sidecar.hasEntries(lists.get(sidecar.listName())))));
+        return (int) checks.stream()
+                .filter(check -> check.syncUninterruptibly().getNow())
+                .count();
     }
 
-    /** What the loops were like since the last call. */
-    Load load() {
-        double p99 = 0;
-        double most = 0;
-        double cpu = 0;
-        double mostCpu = 0;
-        for (LoopWatch watch : watches) {
-            LoopWatch.Seen seen = watch.take();
-            p99 = Math.max(p99, seen.lagP99Ms());
-            most = Math.max(most, seen.lagMostMs());
-            cpu += seen.cpuMs();
-            mostCpu = Math.max(mostCpu, seen.cpuMs());
+    /** Returns the load of the event loops since the last call. */
+    Load takeLoad() {
+        double maxLagP99Ms = 0;
+        double maxLagMs = 0;
+        double totalCpuMs = 0;
+        double maxLoopCpuMs = 0;
+        for (EventLoopMonitor monitor : monitors) {
+            EventLoopMonitor.Sample sample = monitor.takeAndReset();
+            maxLagP99Ms = Math.max(maxLagP99Ms, sample.lagP99Ms());
+            maxLagMs = Math.max(maxLagMs, sample.maxLagMs());
+            totalCpuMs += sample.cpuMs();
+            maxLoopCpuMs = Math.max(maxLoopCpuMs, sample.cpuMs());
         }
-        return new Load(p99, most, cpu, mostCpu);
+        return new Load(maxLagP99Ms, maxLagMs, totalCpuMs, maxLoopCpuMs);
     }
 
     @Override
     public void close() {
         stop(List.copyOf(sidecars.keySet()));
-        watches.forEach(LoopWatch::close);
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+        monitors.forEach(EventLoopMonitor::close);
+        loopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -29,161 +29,175 @@
 import lemonrail.time.Clock;
 
 /**
- * The control side of a real sidecar, many of which share a process: the discovery client with a connection
- * of its own, the list, the suspensions, the exchange with its decider, the pool of endpoints' addresses, all
- * by settings that the real reader has read. It has no clients, no listeners, no operators' door, no warm-up
- * and no look round at its other process. Belongs to one event loop.
+ * The part of a sidecar that follows the control plane, so that many of them can share a process: the discovery
+ * client with a connection of its own, the endpoint list, suspensions, the request dispatcher with its load
+ * balancer, and the upstream with its connection pool, all with settings from the production parser. It has no
+ * clients, listeners, admin API or warm-up, and does not look for a sibling process. Belongs to one event loop.
  */
 final class HollowSidecar {
 
-    private static final int CONNECTIONS = 64;
-    private static final long BODIES_BYTES = 1 << 20;
-
-    /** What was told of an endpoint: when the decider had it, its weight, or that it is gone. */
-    record Told(long atNanos, double weight, boolean gone) {
-        /** Whether this is the word that is looked for, or a later one. */
-        boolean has(EndpointEntry line) {
-            return gone
-                    || (line.state() != EndpointEntry.State.TERMINATED && weight >= line.weight())
-                    || weight > line.weight();
+    private static final int MAX_CONNECTIONS = 64;
+    private static final long BODY_BUFFER_BYTES = 1 << 20;
+
+    /**
+     * An update of an endpoint's entry.
+     *
+     * @param atNanos when the load balancer had it
+     * @param weight its weight, by which updates are told apart
+     * @param removed whether the endpoint was removed
+     */
+    record EntryUpdate(long atNanos, double weight, boolean removed) {
+        /** Returns whether this is the given update or a later one. */
+        boolean isAtLeast(EndpointEntry entry) {
+            return removed
+                    || (entry.state() != EndpointEntry.State.TERMINATED && weight >= entry.weight())
+                    || weight > entry.weight();
         }
     }
 
-    private final long bornNanos = System.nanoTime();
+    private final long createdNanos = System.nanoTime();
     private final EventLoop loop;
     private final int number;
-    private final String list;
+    private final String listName;
     private final ControlPlane.Watch watch;
-    private final Upstream<RequestMessage, UpstreamResponse> endpoints;
+    private final Upstream<RequestMessage, UpstreamResponse> upstream;
     private final SuspendedEndpoints suspensions;
-    private final RequestDispatcher<RequestMessage, UpstreamResponse> exchange;
-    /** By endpoint, in the order of time. Guarded by itself: the run reads it from its own thread. */
-    private final Map<String, List<Told>> told = new HashMap<>();
+    private final RequestDispatcher<RequestMessage, UpstreamResponse> dispatcher;
+    /** By endpoint, in order of time. Guarded by itself, because the run reads it from its own thread. */
+    private final Map<String, List<EntryUpdate>> updates = new HashMap<>();
 
-    private long wholeLists;
+    private long fullListCount;
 
-    /** One on its loop, which begins to watch at once; to be made on that loop. */
-    HollowSidecar(EventLoop loop, EdgeConfig config, long seed, ControlPlane plane, int number, String list, int node) {
+    /** Creates a sidecar, which starts its watch at once. To be called on its event loop. */
+    HollowSidecar(
+            EventLoop loop, EdgeConfig config, long seed, ControlPlane plane, int number, String listName, int node) {
         this.number = number;
         this.loop = loop;
-        this.list = list;
+        this.listName = listName;
         Clock clock = new Clock();
-        EventLog log = new EventLog(clock, new Silence());
-        EventLoopContext shard = new EventLoopContext(
+        EventLog log = new EventLog(clock, new DiscardingSink());
+        EventLoopContext context = new EventLoopContext(
                 loop,
                 clock,
                 log,
                 new Metrics(config.classNames()),
-                new BufferBudget(BODIES_BYTES),
+                new BufferBudget(BODY_BUFFER_BYTES),
                 new Lifecycle(() -> true),
                 config.settings(),
                 config.idleCloseMs());
         suspensions = new SuspendedEndpoints(config.stateFile("hollow"), log);
-        watch = plane.watch(loop, config, log, seed, list, node);
-        endpoints = new Http1Protocol().createUpstream(shard, CONNECTIONS);
-        // Set before the exchange begins the watch.
-        watch.listen(this::take);
-        exchange = new RequestDispatcher<>(
-                shard, endpoints, suspensions, BoxcarLoadBalancer::new, seed, config.known(), watch::watch);
+        watch = plane.createWatch(loop, config, log, seed, listName, node);
+        upstream = new Http1Protocol().createUpstream(context, MAX_CONNECTIONS);
+        // Set before the dispatcher starts the watch.
+        watch.setListener(this::onEndpointList);
+        dispatcher = new RequestDispatcher<>(
+                context, upstream, suspensions, BoxcarLoadBalancer::new, seed, config.known(), watch::start);
     }
 
-    private void take(EndpointList news) {
-        exchange.onEndpointList(news);
+    private void onEndpointList(EndpointList received) {
+        dispatcher.onEndpointList(received);
         long now = System.nanoTime();
-        synchronized (told) {
-            if (news.full()) {
-                wholeLists++;
-                Set<String> named = new HashSet<>();
-                news.entries().forEach(entry -> named.add(entry.endpoint().id()));
-                told.forEach((id, words) -> {
-                    if (!named.contains(id) && !words.get(words.size() - 1).gone) {
-                        words.add(new Told(now, 0, true));
+        synchronized (updates) {
+            if (received.full()) {
+                fullListCount++;
+                Set<String> listedIds = new HashSet<>();
+                received.entries()
+                        .forEach(entry -> listedIds.add(entry.endpoint().id()));
+                updates.forEach((id, endpointUpdates) -> {
+                    if (!listedIds.contains(id) && !endpointUpdates.get(endpointUpdates.size() - 1).removed) {
+                        endpointUpdates.add(new EntryUpdate(now, 0, true));
                     }
                 });
             }
-            for (EndpointList.Entry entry : news.entries()) {
-                Endpoint server = entry.endpoint();
-                told.computeIfAbsent(server.id(), id -> new ArrayList<>(2))
-                        .add(new Told(now, server.weight(), server.state() == EndpointState.GONE));
+            for (EndpointList.Entry entry : received.entries()) {
+                Endpoint endpoint = entry.endpoint();
+                updates.computeIfAbsent(endpoint.id(), id -> new ArrayList<>(2))
+                        .add(new EntryUpdate(now, endpoint.weight(), endpoint.state() == EndpointState.GONE));
             }
         }
     }
 
-    /** Of the endpoint that it is beside. */
+    /** Returns the number of its endpoint. */
     int number() {
         return number;
     }
 
-    /** The name of the list that it watches. */
-    String list() {
-        return list;
+    /** Returns the name of the list that it watches. */
+    String listName() {
+        return listName;
     }
 
-    /** When it was made, by the monotonic clock. */
-    long bornNanos() {
-        return bornNanos;
+    /** Returns when it was created, by {@link System#nanoTime}. */
+    long createdNanos() {
+        return createdNanos;
     }
 
     EventLoop loop() {
         return loop;
     }
 
-    /** When, since a time, it had this word on an endpoint or a later one; below 0 if it has not. */
-    long hadNanos(EndpointEntry line, long sinceNanos) {
-        synchronized (told) {
-            for (Told word : told.getOrDefault(line.id(), List.of())) {
-                if (word.atNanos >= sinceNanos && word.has(line)) {
-                    return word.atNanos;
+    /** Returns when, at or after {@code sinceNanos}, it received this update or a later one; -1 if it has not. */
+    long findUpdateNanos(EndpointEntry entry, long sinceNanos) {
+        synchronized (updates) {
+            for (EntryUpdate update : updates.getOrDefault(entry.id(), List.of())) {
+                if (update.atNanos >= sinceNanos && update.isAtLeast(entry)) {
+                    return update.atNanos;
                 }
             }
             return -1;
         }
     }
 
-    /** How many whole lists it has been told. */
-    long wholeLists() {
-        synchronized (told) {
-            return wholeLists;
+    /** Returns how many full snapshots it has received. */
+    long fullListCount() {
+        synchronized (updates) {
+            return fullListCount;
         }
     }
 
-    /** What was told before the last word on each endpoint is of no more use. */
-    void forget() {
-        synchronized (told) {
-            told.values().forEach(words -> words.subList(0, words.size() - 1).clear());
+    /** Discards all recorded updates but the last one of each endpoint. */
+    void discardOldUpdates() {
+        synchronized (updates) {
+            updates.values()
+                    .forEach(endpointUpdates -> endpointUpdates
+                            .subList(0, endpointUpdates.size() - 1)
+                            .clear());
         }
     }
 
-    /** Whether the decider's list is this one; to be asked on its loop. */
-    boolean knows(Map<String, EndpointEntry> lines) {
-        List<Endpoint> shown = suspensions.visibleEndpoints(lines.keySet());
-        return suspensions.listedCount() == lines.size()
-                && endpoints.endpointCount() == lines.size()
-                && shown.size() == lines.size()
-                && shown.stream().allMatch(server -> {
-                    EndpointEntry line = lines.get(server.id());
-                    return server.state()
-                                    == (line.state() == EndpointEntry.State.IN_SERVICE
+    /** Returns whether its load balancer has exactly these entries. To be called on its event loop. */
+    boolean hasEntries(Map<String, EndpointEntry> entries) {
+        List<Endpoint> visible = suspensions.visibleEndpoints(entries.keySet());
+        return suspensions.listedCount() == entries.size()
+                && upstream.endpointCount() == entries.size()
+                && visible.size() == entries.size()
+                && visible.stream().allMatch(endpoint -> {
+                    EndpointEntry entry = entries.get(endpoint.id());
+                    return endpoint.state()
+                                    == (entry.state() == EndpointEntry.State.IN_SERVICE
                                             ? EndpointState.READY
                                             : EndpointState.DRAINING)
-                            && server.startedMs() == line.startedMs()
-                            && server.weight() == line.weight();
+                            && endpoint.startedMs() == entry.startedMs()
+                            && endpoint.weight() == entry.weight();
                 });
     }
 
-    /** Goes on at another place, as a reload has it; on its loop. */
-    void elsewhere() {
-        watch.elsewhere();
+    /**
+     * Continues at another address of the control plane, as after a reload of its settings. To be called on its
+     * event loop.
+     */
+    void moveToOtherAddress() {
+        watch.moveToOtherAddress();
     }
 
-    /** Its process is gone; on its loop. */
+    /** Closes it as if its process had ended. To be called on its event loop. */
     void close() {
         watch.close();
-        endpoints.close();
+        upstream.close();
     }
 
-    /** Nobody reads what a thousand of them would say. */
-    private static final class Silence implements LogSink {
+    /** Discards all log events: nobody reads the logs of a thousand hollow sidecars. */
+    private static final class DiscardingSink implements LogSink {
         @Override
         public boolean isEnabled(Severity severity, String logger) {
             return false;
@@ -191,12 +205,12 @@
 
         @Override
         public void write(LogEvent event) {
-            throw new IllegalStateException("nothing is wanted here");
+            throw new IllegalStateException("hollow sidecars do not log");
         }
 
         @Override
         public void setLevel(String logger, Severity severity) {
-            throw new IllegalStateException("nothing is wanted here");
+            throw new IllegalStateException("hollow sidecars do not log");
         }
 
         @Override
--- a/lab/src/main/java/lemonrail/lab/scale/LinearFit.java
+++ b/lab/src/main/java/lemonrail/lab/scale/LinearFit.java
@@ -3,34 +3,35 @@
 import java.util.List;
 
 /**
- * A line through measured points by least squares.
+ * A linear regression by least squares.
  *
- * @param slope what one more of x adds to y
- * @param intercept y where x is 0
- * @param rSquared the part of the variance that the line explains (the coefficient of determination); 1
- *     where there is none to explain
- * @param points how many there were
+ * @param slope the increase of y per unit of x
+ * @param intercept y at x = 0
+ * @param rSquared the coefficient of determination, which is the fraction of the variance that the line explains; 1
+ *     if there is no variance
+ * @param points the number of points
  */
 public record LinearFit(double slope, double intercept, double rSquared, int points) {
 
-    /** Fewer points than these are no slope. */
-    public static final int LEAST_POINTS = 3;
+    /** The fewest points from which a slope is computed. */
+    public static final int MIN_POINTS = 3;
 
     /** A measured point. */
     public record Point(double x, double y) {}
 
-    /** The line of these points, which must be three or more, not all at one place. */
+    /** Fits a line to three or more points, which must not all have the same x. */
     public static LinearFit of(List<Point> points) {
-        if (points.size() < LEAST_POINTS) {
-            throw new IllegalArgumentException("a fit takes " + LEAST_POINTS + " points or more, not " + points.size());
+        if (points.size() < MIN_POINTS) {
+            throw new IllegalArgumentException(
+                    "a linear fit needs " + MIN_POINTS + " points or more, got " + points.size());
         }
         if (points.stream().mapToDouble(Point::x).distinct().count() == 1) {
-            throw new IllegalArgumentException("all points of a fit are at " + points.get(0).x);
+            throw new IllegalArgumentException("all points of a linear fit have x = " + points.get(0).x);
         }
         return through(points);
     }
 
-    /** The line through any points; of no number where they are all at one place, or there are none. */
+    /** Fits a line to any points. Slope and intercept are NaN if all points have the same x, or if there are none. */
     public static LinearFit through(List<Point> points) {
         double meanX = points.stream().mapToDouble(Point::x).average().orElse(Double.NaN);
         double meanY = points.stream().mapToDouble(Point::y).average().orElse(Double.NaN);
@@ -44,8 +45,8 @@
         return new LinearFit(slope, meanY - slope * meanX, yy == 0 ? 1 : xy * xy / (xx * yy), points.size());
     }
 
-    /** What the line says at a place. */
-    public double at(double x) {
+    /** Returns y on the line at x. */
+    public double valueAt(double x) {
         return intercept + slope * x;
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
@@ -34,45 +34,50 @@
 import lemonrail.time.Clock;
 
 /**
- * The control role: nodes in two regions that watch each other, on loops of their own in this process. A list
- * is a service; sidecars watch at the nodes of their region, and at the others where those don't answer.
+ * The control role: nodes in several regions that replicate to each other, each on an event loop of its own in this
+ * process. Each list is a service. Sidecars watch the nodes of their region, and the other nodes if those do not
+ * respond.
  */
 public final class NodesControlPlane implements ControlPlane {
 
     private static final String DOCUMENT = "base";
-    private static final long PATIENCE_MS = 20_000;
-    private static final long LOOK_MS = 5;
-    private static final int MOST_HEARD = 16_384;
+    private static final long AWAIT_TIMEOUT_MS = 20_000;
+    private static final long POLL_INTERVAL_MS = 5;
+    private static final int MAX_RECORDED_CALLS = 16_384;
 
-    /** A call of a real sidecar, by the digest that it told. */
-    private record Asked(long atNanos, long digest) {}
+    /**
+     * A watch call of a real sidecar.
+     *
+     * @param digest the digest of its configuration, which the call names
+     */
+    private record RecordedCall(long atNanos, long digest) {}
 
     private final int regions;
     private final Path folder;
-    /** What nodes say of each other's coming and going is the run's own doing. */
+    /** Discards the nodes' logs: that peers disappear and return is the run's own doing. */
     private final LogSink sink = new TextSink(new PrintStream(OutputStream.nullOutputStream()));
 
     private final List<ControlNode> nodes = new ArrayList<>();
-    private final List<LoopWatch> loops = new ArrayList<>();
+    private final List<EventLoopMonitor> loopMonitors = new ArrayList<>();
     private final List<Traffic> nodeTraffic = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
-    private final List<Boolean> up = new ArrayList<>();
-    /** Guarded by itself, as nodes' loops write to it: by the sidecar's name. */
+    private final List<Boolean> isUp = new ArrayList<>();
+    /** The traffic of real sidecars by name. Guarded by itself, because the nodes' event loops write to it. */
     private final Map<String, Traffic> traffic = new HashMap<>();
 
-    private final Map<String, List<Asked>> asked = new HashMap<>();
-    /** By the real sidecar's name: the list that it watches. */
-    private final Map<String, String> lists = new HashMap<>();
-    /** The sequence of words on each list, by the digest that holds once they are in. */
-    private final Map<String, Map<Long, Long>> sequences = new HashMap<>();
-    /** What was to be said at a node that was down. */
-    private final List<ConfigurationChange> unsaid = new ArrayList<>();
+    private final Map<String, List<RecordedCall>> callsBySidecar = new HashMap<>();
+    /** The name of the list that each real sidecar watches, by the sidecar's name. */
+    private final Map<String, String> listsBySidecar = new HashMap<>();
+    /** For each list, the sequence number of the last change that a digest includes. */
+    private final Map<String, Map<Long, Long>> sequencesByDigest = new HashMap<>();
+    /** Changes that were made at a node while it was down; they are applied once all nodes run again. */
+    private final List<ConfigurationChange> pendingChanges = new ArrayList<>();
 
-    private final List<Long> settingsTold = new ArrayList<>();
-    private long sequence;
-    private int watches;
+    private final List<Long> settingsAppliedNanos = new ArrayList<>();
+    private long lastSequence;
+    private int watchCount;
 
-    /** So many nodes, spread evenly over so many regions. */
+    /** Starts a number of nodes, spread evenly over a number of regions, and waits until all are ready. */
     public NodesControlPlane(int count, int regions) {
         this.regions = regions;
         try {
@@ -80,48 +85,48 @@
             for (int i = 0; i < count; i++) {
                 ports.add(SidecarHost.freePort().getPort());
                 nodes.add(null);
-                loops.add(null);
+                loopMonitors.add(null);
                 nodeTraffic.add(new Traffic());
-                up.add(false);
+                isUp.add(false);
             }
             for (int i = 0; i < count; i++) {
-                open(i, true);
+                openNode(i, true);
             }
             nodes.get(0).bootstrap();
-            await("all nodes are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
+            await("all control nodes are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private int region(int node) {
+    private int regionOf(int node) {
         return (int) ((long) node * regions / ports.size());
     }
 
-    private InetSocketAddress at(int node) {
+    private InetSocketAddress address(int node) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(node));
     }
 
     private ControlConfig.Peer peer(int node) {
-        return new ControlConfig.Peer("control-" + node, at(node), "region-" + region(node));
+        return new ControlConfig.Peer("control-" + node, address(node), "region-" + regionOf(node));
     }
 
-    private void open(int i, boolean fromNothing) throws IOException {
+    private void openNode(int i, boolean withoutState) throws IOException {
         List<ControlConfig.Peer> others = new ArrayList<>();
         for (int other = 0; other < ports.size(); other++) {
             if (other != i) {
                 others.add(peer(other));
             }
         }
-        Path kept = folder.resolve("control-" + i + ".control");
-        if (fromNothing) {
-            Files.deleteIfExists(kept);
+        Path stateFile = folder.resolve("control-" + i + ".control");
+        if (withoutState) {
+            Files.deleteIfExists(stateFile);
         }
         ControlNode node = ControlNode.create(
                 new ControlConfig(
                         "control-" + i,
-                        "region-" + region(i),
-                        at(i),
+                        "region-" + regionOf(i),
+                        address(i),
                         null,
                         others,
                         ControlConfig.DEFAULT_MAX_WATCHERS,
@@ -130,25 +135,26 @@
                         LogSettings.DEFAULT),
                 sink);
         node.open();
-        Traffic own = nodeTraffic.get(i);
-        node.setWatchObserver((watcher, digest, called, answered) -> saw(own, watcher, digest, called + answered));
+        Traffic nodeTotals = nodeTraffic.get(i);
+        node.setWatchObserver((watcher, digest, requestBytes, responseBytes) ->
+                onWatchCall(nodeTotals, watcher, digest, requestBytes + responseBytes));
         nodes.set(i, node);
-        loops.set(i, new LoopWatch(node.eventLoop()));
-        up.set(i, true);
+        loopMonitors.set(i, new EventLoopMonitor(node.eventLoop()));
+        isUp.set(i, true);
     }
 
-    private void saw(Traffic node, String watcher, Long digest, int bytes) {
+    private void onWatchCall(Traffic nodeTotals, String watcher, Long digest, int bytes) {
         synchronized (traffic) {
-            node.add(bytes);
+            nodeTotals.addBytes(bytes);
             if (digest != null) {
-                node.called();
+                nodeTotals.addCall();
             }
-            if (lists.containsKey(watcher)) {
-                traffic.computeIfAbsent(watcher, name -> new Traffic()).add(bytes);
+            if (listsBySidecar.containsKey(watcher)) {
+                traffic.computeIfAbsent(watcher, name -> new Traffic()).addBytes(bytes);
                 if (digest != null) {
-                    List<Asked> calls = asked.computeIfAbsent(watcher, name -> new ArrayList<>());
-                    if (calls.size() < MOST_HEARD) {
-                        calls.add(new Asked(System.nanoTime(), digest));
+                    List<RecordedCall> calls = callsBySidecar.computeIfAbsent(watcher, name -> new ArrayList<>());
+                    if (calls.size() < MAX_RECORDED_CALLS) {
+                        calls.add(new RecordedCall(System.nanoTime(), digest));
                     }
                 }
             }
@@ -156,30 +162,30 @@
     }
 
     private interface Condition {
-        boolean holds();
+        boolean isMet();
     }
 
-    private static void await(String what, Condition condition) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
-        while (!condition.holds()) {
-            if (System.nanoTime() > until) {
-                throw new IllegalStateException("not within " + PATIENCE_MS + " ms: " + what);
+    private static void await(String description, Condition condition) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MS);
+        while (!condition.isMet()) {
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IllegalStateException("condition not met within " + AWAIT_TIMEOUT_MS + " ms: " + description);
             }
-            rest();
+            sleepPollInterval();
         }
     }
 
-    private static void rest() {
+    private static void sleepPollInterval() {
         try {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted", e);
+            throw new IllegalStateException("interrupted while waiting for control nodes", e);
         }
     }
 
     @Override
-    public Optional<String> missing(Ability ability) {
+    public Optional<String> findUnsupportedReason(Capability capability) {
         return Optional.empty();
     }
 
@@ -188,27 +194,28 @@
         return ports.size();
     }
 
-    private ControlClient.Subscription plan(String name, String list, int node) {
-        List<InetSocketAddress> own = new ArrayList<>();
+    private ControlClient.Subscription subscription(String name, String listName, int node) {
+        List<InetSocketAddress> sameRegion = new ArrayList<>();
         List<InetSocketAddress> others = new ArrayList<>();
         for (int i = 0; i < ports.size(); i++) {
-            (region(i) == region(node) ? own : others).add(at(i));
+            (regionOf(i) == regionOf(node) ? sameRegion : others).add(address(i));
         }
-        return new ControlClient.Subscription(name, own, others, List.of(list), DOCUMENT, null);
+        return new ControlClient.Subscription(name, sameRegion, others, List.of(listName), DOCUMENT, null);
     }
 
     @Override
-    public Watch watch(EventLoop loop, EdgeConfig config, EventLog log, long seed, String list, int node) {
+    public Watch createWatch(EventLoop loop, EdgeConfig config, EventLog log, long seed, String listName, int node) {
         String name;
         synchronized (traffic) {
-            name = "hollow-" + watches++;
+            name = "hollow-" + watchCount++;
         }
-        ControlClient client = new ControlClient(loop, new Clock(), plan(name, list, node), config.names(), seed, log);
+        ControlClient client =
+                new ControlClient(loop, new Clock(), subscription(name, listName, node), config.names(), seed, log);
         client.setSettingsHandler(text -> {
             if (text != null) {
                 SettingsDocument.over(config.settings(), text);
-                synchronized (settingsTold) {
-                    settingsTold.add(System.nanoTime());
+                synchronized (settingsAppliedNanos) {
+                    settingsAppliedNanos.add(System.nanoTime());
                 }
             }
             return new SettingsOutcome.Applied();
@@ -216,20 +223,20 @@
         return new NodesWatch(client);
     }
 
-    /** The edge's own client; it needs no word of where else to go. */
+    /** The edge's own client. It chooses another node by itself, so it needs no other address. */
     private record NodesWatch(ControlClient client) implements Watch {
         @Override
-        public void listen(EndpointListListener listener) {
+        public void setListener(EndpointListListener listener) {
             client.setListener(listener);
         }
 
         @Override
-        public void watch() {
+        public void start() {
             client.watch();
         }
 
         @Override
-        public void elsewhere() {
+        public void moveToOtherAddress() {
             client.watch();
         }
 
@@ -240,12 +247,12 @@
     }
 
     @Override
-    public Path file(Place place, String list, int node, String group) throws IOException {
+    public Path writeSidecarConfig(SidecarSpec spec, String listName, int node, String group) throws IOException {
         synchronized (traffic) {
-            lists.put(group, list);
+            listsBySidecar.put(group, listName);
         }
-        ControlClient.Subscription plan = plan(group, list, node);
-        return Files.writeString(place.folder().resolve("edge.toml"), """
+        ControlClient.Subscription subscription = subscription(group, listName, node);
+        return Files.writeString(spec.directory().resolve("edge.toml"), """
             name = "%s"
             state-dir = "%s"
             [[listeners]]
@@ -273,180 +280,188 @@
             worth = 4
             """.formatted(
                         group,
-                        place.folder(),
-                        text(place.listen()),
-                        texts(plan.regionNodes()),
-                        texts(plan.fallbackNodes()),
-                        list,
+                        spec.directory(),
+                        formatAddress(spec.address()),
+                        quotedAddresses(subscription.regionNodes()),
+                        quotedAddresses(subscription.fallbackNodes()),
+                        listName,
                         DOCUMENT,
-                        place.zones().stream().map(zone -> "\"" + zone + "\"").collect(Collectors.joining(", ")),
-                        place.balancers()));
+                        spec.zones().stream().map(zone -> "\"" + zone + "\"").collect(Collectors.joining(", ")),
+                        spec.balancers()));
     }
 
-    private static String texts(List<InetSocketAddress> addresses) {
-        return addresses.stream().map(each -> "\"" + text(each) + "\"").collect(Collectors.joining(", "));
+    private static String quotedAddresses(List<InetSocketAddress> addresses) {
+        return addresses.stream()
+                .map(address -> "\"" + formatAddress(address) + "\"")
+                .collect(Collectors.joining(", "));
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     @Override
-    public void list(String list, List<EndpointEntry> lines) {
-        apply(0, Map.of(list, lines));
-        await("all nodes have the list", this::agree);
+    public void replaceList(String listName, List<EndpointEntry> entries) {
+        apply(0, Map.of(listName, entries));
+        await("all control nodes have the same digest", this::haveSameDigest);
     }
 
-    private boolean agree() {
+    private boolean haveSameDigest() {
         return nodes.stream().map(ControlNode::digest).distinct().count() == 1;
     }
 
     @Override
     public Applied apply(int node, Map<String, List<EndpointEntry>> changes) {
-        long at = System.nanoTime();
-        long next = ++sequence;
+        long appliedNanos = System.nanoTime();
+        long changeSequence = ++lastSequence;
         Map<String, Long> versions = new HashMap<>();
-        changes.forEach((list, lines) -> {
-            lines.forEach(line -> say(node, change(list, line)));
-            versions.put(list, next);
-            learn(list, nodes.get(node), next);
+        changes.forEach((listName, entries) -> {
+            entries.forEach(entry -> putOrDefer(node, toConfigurationChange(listName, entry)));
+            versions.put(listName, changeSequence);
+            recordDigest(listName, nodes.get(node), changeSequence);
         });
-        return new Applied(at, versions);
+        return new Applied(appliedNanos, versions);
     }
 
-    private static ConfigurationChange change(String list, EndpointEntry line) {
-        return line.state() == EndpointEntry.State.TERMINATED
-                ? ConfigurationChange.removeEndpoint(list, line.id())
-                : ConfigurationChange.endpoint(list, line.id(), line.json().getBytes(StandardCharsets.UTF_8));
+    private static ConfigurationChange toConfigurationChange(String listName, EndpointEntry entry) {
+        return entry.state() == EndpointEntry.State.TERMINATED
+                ? ConfigurationChange.removeEndpoint(listName, entry.id())
+                : ConfigurationChange.endpoint(
+                        listName, entry.id(), entry.toJson().getBytes(StandardCharsets.UTF_8));
     }
 
-    private void say(int node, ConfigurationChange change) {
-        if (!up.get(node)) {
-            unsaid.add(change);
+    private void putOrDefer(int node, ConfigurationChange change) {
+        if (!isUp.get(node)) {
+            pendingChanges.add(change);
             return;
         }
         MergeOutcome outcome = nodes.get(node).put(change);
         if (outcome != MergeOutcome.APPLIED && outcome != MergeOutcome.ALREADY_KNOWN) {
-            throw new IllegalStateException("node " + node + " says " + outcome + " to " + change);
+            throw new IllegalStateException("control node " + node + " returned " + outcome + " for " + change);
         }
     }
 
-    private void learn(String list, ControlNode node, long upTo) {
-        if (up.get(nodes.indexOf(node))) {
-            long digest = node.digest(List.of(list, "settings:" + DOCUMENT));
-            sequences.computeIfAbsent(list, name -> new HashMap<>()).put(digest, upTo);
+    private void recordDigest(String listName, ControlNode node, long includedSequence) {
+        if (isUp.get(nodes.indexOf(node))) {
+            long digest = node.digest(List.of(listName, "settings:" + DOCUMENT));
+            sequencesByDigest.computeIfAbsent(listName, name -> new HashMap<>()).put(digest, includedSequence);
         }
     }
 
     @Override
-    public List<Double> settings(int node, double mostMs) throws InterruptedException {
-        synchronized (settingsTold) {
-            settingsTold.clear();
+    public List<Double> changeSettings(int node, double timeoutMs) throws InterruptedException {
+        synchronized (settingsAppliedNanos) {
+            settingsAppliedNanos.clear();
         }
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         nodes.get(node).put(ConfigurationChange.settings(DOCUMENT, "[[classes]]\nname = \"read\"\naim = \"450ms\"\n"));
-        String stamp = nodes.get(node).encodedTimestamp("settings:" + DOCUMENT, DOCUMENT);
-        List<Double> tookMs = new ArrayList<>();
-        while (!inForce(stamp) && System.nanoTime() - began < mostMs * 1e6) {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+        String timestamp = nodes.get(node).encodedTimestamp("settings:" + DOCUMENT, DOCUMENT);
+        List<Double> delaysMs = new ArrayList<>();
+        while (!isAppliedEverywhere(timestamp) && System.nanoTime() - startNanos < timeoutMs * 1e6) {
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
-        // The last of all, as the operators see it: told to the nodes, and no sooner than it was in force.
-        tookMs.add(inForce(stamp) ? (System.nanoTime() - began) / 1e6 : Double.NaN);
-        synchronized (settingsTold) {
-            settingsTold.forEach(at -> tookMs.add((at - began) / 1e6));
+        // The first result is the delay that operators see: until all nodes report that all watchers have applied
+        // the settings, which is never earlier than they have.
+        delaysMs.add(isAppliedEverywhere(timestamp) ? (System.nanoTime() - startNanos) / 1e6 : Double.NaN);
+        synchronized (settingsAppliedNanos) {
+            settingsAppliedNanos.forEach(appliedNanos -> delaysMs.add((appliedNanos - startNanos) / 1e6));
         }
-        sequences.keySet().forEach(list -> learn(list, nodes.get(node), sequence));
-        return tookMs;
+        sequencesByDigest.keySet().forEach(listName -> recordDigest(listName, nodes.get(node), lastSequence));
+        return delaysMs;
     }
 
-    /** Whether each watcher at each node has said that it has this document in force. */
-    private boolean inForce(String stamp) {
+    /** Returns whether each watcher of each node reports that it has applied this document. */
+    private boolean isAppliedEverywhere(String timestamp) {
         return nodes.stream().allMatch(node -> {
             return node.status().watchers().documents().stream()
                     .allMatch(document ->
-                            stamp.equals(document.oldestApplied().encode()) && document.rejectionCount() == 0);
+                            timestamp.equals(document.oldestApplied().encode()) && document.rejectionCount() == 0);
         });
     }
 
     @Override
-    public void stop(int node) {
-        loops.get(node).close();
+    public void stopNode(int node) {
+        loopMonitors.get(node).close();
         nodes.get(node).stop();
-        up.set(node, false);
+        isUp.set(node, false);
     }
 
-    /** Where all are down and nothing is kept, the first that is back has its file: it is all there is. */
+    /**
+     * If all nodes are down, the first one that starts keeps its file even without state, because otherwise no copy
+     * of the configuration would remain.
+     */
     @Override
-    public void start(int node, boolean fromNothing) {
+    public void startNode(int node, boolean withoutState) {
         try {
-            open(node, fromNothing && up.contains(true));
+            openNode(node, withoutState && isUp.contains(true));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        if (!up.contains(false)) {
-            await("all nodes are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
-            List<ConfigurationChange> late = List.copyOf(unsaid);
-            unsaid.clear();
-            late.forEach(change -> say(0, change));
-            sequences.keySet().forEach(list -> learn(list, nodes.get(0), sequence));
+        if (!isUp.contains(false)) {
+            await("all control nodes are ready", () -> nodes.stream().allMatch(ControlNode::isReady));
+            List<ConfigurationChange> deferred = List.copyOf(pendingChanges);
+            pendingChanges.clear();
+            deferred.forEach(change -> putOrDefer(0, change));
+            sequencesByDigest.keySet().forEach(listName -> recordDigest(listName, nodes.get(0), lastSequence));
         }
     }
 
     @Override
-    public void cut(int one, int other, boolean apart) {
-        nodes.get(one).setPartitioned("control-" + other, apart);
-        nodes.get(other).setPartitioned("control-" + one, apart);
+    public void setPartitioned(int node, int otherNode, boolean partitioned) {
+        nodes.get(node).setPartitioned("control-" + otherNode, partitioned);
+        nodes.get(otherNode).setPartitioned("control-" + node, partitioned);
     }
 
     @Override
-    public Cost cost(int node) {
-        LoopWatch.Seen seen = up.get(node) ? loops.get(node).take() : new LoopWatch.Seen(0, 0, 0);
+    public Cost takeCost(int node) {
+        EventLoopMonitor.Sample sample =
+                isUp.get(node) ? loopMonitors.get(node).takeAndReset() : new EventLoopMonitor.Sample(0, 0, 0);
         synchronized (traffic) {
-            Traffic.Seen passed = nodeTraffic.get(node).take();
+            Traffic.Totals totals = nodeTraffic.get(node).takeAndReset();
             return new Cost(
-                    seen.cpuMs(),
-                    seen.lagP99Ms(),
-                    seen.lagMostMs(),
-                    passed.bytes(),
-                    passed.peakPerSecond(),
-                    passed.calls());
+                    sample.cpuMs(),
+                    sample.lagP99Ms(),
+                    sample.maxLagMs(),
+                    totals.bytes(),
+                    totals.peakPerSecond(),
+                    totals.calls());
         }
     }
 
     @Override
-    public Traffic.Seen traffic(String group) {
+    public Traffic.Totals takeTraffic(String group) {
         synchronized (traffic) {
-            return traffic.computeIfAbsent(group, name -> new Traffic()).take();
+            return traffic.computeIfAbsent(group, name -> new Traffic()).takeAndReset();
         }
     }
 
     @Override
-    public List<Heard> heard(String group) {
-        List<Asked> calls;
-        String list;
+    public List<WatchCall> takeCalls(String group) {
+        List<RecordedCall> calls;
+        String listName;
         synchronized (traffic) {
-            calls = asked.remove(group);
-            list = lists.get(group);
+            calls = callsBySidecar.remove(group);
+            listName = listsBySidecar.get(group);
         }
         if (calls == null) {
             return List.of();
         }
-        if (!up.contains(false) && agree()) {
-            // What was said on both sides of a cut is in force together now.
-            learn(list, nodes.get(0), sequence);
+        if (!isUp.contains(false) && haveSameDigest()) {
+            // Changes that were made on both sides of a partition are all in force now.
+            recordDigest(listName, nodes.get(0), lastSequence);
         }
-        Map<Long, Long> known = sequences.getOrDefault(list, Map.of());
+        Map<Long, Long> sequences = sequencesByDigest.getOrDefault(listName, Map.of());
         return calls.stream()
-                .filter(call -> known.containsKey(call.digest()))
-                .map(call -> new Heard(call.atNanos(), known.get(call.digest())))
+                .filter(call -> sequences.containsKey(call.digest()))
+                .map(call -> new WatchCall(call.atNanos(), sequences.get(call.digest())))
                 .toList();
     }
 
     @Override
     public void close() {
         for (int i = 0; i < nodes.size(); i++) {
-            if (up.get(i)) {
-                stop(i);
+            if (isUp.get(i)) {
+                stopNode(i);
             }
         }
         try (var files = Files.list(folder)) {
--- a/lab/src/main/java/lemonrail/lab/scale/PlatformConfig.java
+++ b/lab/src/main/java/lemonrail/lab/scale/PlatformConfig.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Writes the platform's JSON for one sidecar; hollow and real ones are told the same. */
+/** Writes a sidecar's settings in the platform's JSON format, the same for hollow and real sidecars. */
 final class PlatformConfig {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -18,15 +18,15 @@
     static Path write(
             Path file,
             String name,
-            InetSocketAddress listen,
-            InetSocketAddress control,
+            InetSocketAddress listenAddress,
+            InetSocketAddress discovery,
             int balancers,
             List<String> zones)
             throws IOException {
         ObjectNode root = JSON.createObjectNode()
                 .put("name", name)
-                .put("listen", text(listen))
-                .put("discovery", text(control))
+                .put("listen", formatAddress(listenAddress))
+                .put("discovery", formatAddress(discovery))
                 .put("seed", Integer.toHexString(name.hashCode()));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1024);
         root.putObject("known").put("version", 0).put("full", true).putArray("servers");
@@ -66,7 +66,7 @@
         return file;
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/RealSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RealSidecar.java
@@ -10,54 +10,55 @@
 import lemonrail.lab.host.ProcessUsage;
 import lemonrail.lab.host.SidecarHost;
 
-/** A whole sidecar in a process of its own, by the command of service, as the platform starts it. */
+/** A complete sidecar in a process of its own, started with the command by which the platform starts one. */
 final class RealSidecar implements SidecarHost {
 
     private final String name;
     private final ChildProcess child;
-    private final InetSocketAddress listen;
-    private final Path file;
+    private final InetSocketAddress address;
+    private final Path settingsFile;
     private final Path log;
     private ProcessUsage usage = ProcessUsage.NONE;
 
-    private RealSidecar(String name, ChildProcess child, InetSocketAddress listen, Path file, Path log) {
+    private RealSidecar(String name, ChildProcess child, InetSocketAddress address, Path settingsFile, Path log) {
         this.name = name;
         this.child = child;
-        this.listen = listen;
-        this.file = file;
+        this.address = address;
+        this.settingsFile = settingsFile;
         this.log = log;
     }
 
     /**
-     * Starts one, which may not be ready yet.
+     * Starts a sidecar, which may not be ready yet.
      *
-     * @param balancers how many watch the same list, which is what it paces its calls by
-     * @param group whose traffic is counted, and who is heard
+     * @param balancers the number of sidecars that watch the same list, which determines how often each calls
+     * @param group the name under which its traffic and watch calls are counted
      */
     static RealSidecar start(
             String name,
             ServeCommand command,
-            Path scratch,
+            Path parentFolder,
             ControlPlane plane,
             int balancers,
             List<String> zones,
-            String list,
+            String listName,
             int node,
             String group)
             throws IOException {
-        InetSocketAddress listen = SidecarHost.freePort();
-        Path folder = Files.createDirectories(scratch.resolve(name));
-        Path file = plane.file(new ControlPlane.Place(folder, name, listen, balancers, zones), list, node, group);
+        InetSocketAddress address = SidecarHost.freePort();
+        Path folder = Files.createDirectories(parentFolder.resolve(name));
+        Path settingsFile = plane.writeSidecarConfig(
+                new ControlPlane.SidecarSpec(folder, name, address, balancers, zones), listName, node, group);
         Path log = folder.resolve("log");
-        ProcessBuilder builder = (file.toString().endsWith(".toml")
-                        ? command.builder("--config", file.toString())
+        ProcessBuilder builder = (settingsFile.toString().endsWith(".toml")
+                        ? command.builder("--config", settingsFile.toString())
                         : command.builder())
                 .redirectErrorStream(true)
                 .redirectOutput(log.toFile());
-        builder.environment().put("GW_CONFIG", file.toString());
+        builder.environment().put("GW_CONFIG", settingsFile.toString());
         builder.environment().put("TMPDIR", folder.toString());
         builder.environment().remove("GW_MGMT");
-        return new RealSidecar(name, new ChildProcess(builder.start()), listen, file, log);
+        return new RealSidecar(name, new ChildProcess(builder.start()), address, settingsFile, log);
     }
 
     String name() {
@@ -66,7 +67,7 @@
 
     @Override
     public InetSocketAddress address() {
-        return listen;
+        return address;
     }
 
     @Override
@@ -93,22 +94,25 @@
         return !child.process().isAlive();
     }
 
-    /** Writes its settings anew and has them read again; how long it took until it said so, in ms. */
-    double reload(long mostMs) throws IOException, InterruptedException {
-        long before = reloads();
-        Files.writeString(file, Files.readString(file) + "\n");
-        long began = System.nanoTime();
+    /**
+     * Writes its settings file again and makes it reload the file. Returns how long it took until the log reported
+     * the reload, in ms; NaN on a timeout.
+     */
+    double reload(long timeoutMs) throws IOException, InterruptedException {
+        long previous = countReloads();
+        Files.writeString(settingsFile, Files.readString(settingsFile) + "\n");
+        long startNanos = System.nanoTime();
         new ProcessBuilder("kill", "-HUP", "" + child.process().pid()).start().waitFor();
-        while (reloads() == before) {
-            if (System.nanoTime() - began > TimeUnit.MILLISECONDS.toNanos(mostMs)) {
+        while (countReloads() == previous) {
+            if (System.nanoTime() - startNanos > TimeUnit.MILLISECONDS.toNanos(timeoutMs)) {
                 return Double.NaN;
             }
             TimeUnit.MILLISECONDS.sleep(1);
         }
-        return (System.nanoTime() - began) / 1e6;
+        return (System.nanoTime() - startNanos) / 1e6;
     }
 
-    private long reloads() throws IOException {
+    private long countReloads() throws IOException {
         return Files.readAllLines(log).stream()
                 .filter(line -> line.contains("configuration read again"))
                 .count();
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
@@ -14,27 +14,28 @@
 import lemonrail.discovery.EndpointListListener;
 import lemonrail.logging.EventLog;
 
-/** Today's way: one registry, whose one address each sidecar has from its file; settings are files. */
+/** A single registry: each sidecar has its one address from the settings file, and settings come from files only. */
 public final class RegistryControlPlane implements ControlPlane {
 
     private final RegistryNode node = new RegistryNode("control-0");
-    /** Where hollow sidecars watch each list, and a second place of the same. */
-    private final Map<String, InetSocketAddress> places = new ConcurrentHashMap<>();
+    /** The address at which hollow sidecars watch each list. */
+    private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
 
-    private final Map<String, InetSocketAddress> elsewhere = new ConcurrentHashMap<>();
+    private final Map<String, InetSocketAddress> alternateAddresses = new ConcurrentHashMap<>();
 
     @Override
-    public Optional<String> missing(Ability ability) {
+    public Optional<String> findUnsupportedReason(Capability capability) {
         return Optional.of(
-                switch (ability) {
+                switch (capability) {
                     case NODE_LOST ->
-                        "a sidecar knows one address of discovery; another one takes a file and a "
-                                + "SIGHUP at each process, and a whole list";
+                        "a sidecar knows only one discovery address; changing it takes a new settings file, a "
+                                + "SIGHUP for each process, and a full snapshot";
                     case REGIONS_CUT ->
-                        "there is one registry: the region without it hears of no change, its own "
-                                + "among them, until the regions hear each other";
+                        "there is only one registry: the region without it receives no changes, not even its own, "
+                                + "until the partition ends";
                     case SETTINGS ->
-                        "settings are a file and a SIGHUP at each process; nobody knows what is in " + "force where";
+                        "settings need a file and a SIGHUP for each process; nothing reports which settings are "
+                                + "in force";
                 });
     }
 
@@ -43,17 +44,18 @@
         return 1;
     }
 
-    /** Where a list is watched, and whose traffic is counted there. */
-    InetSocketAddress address(String list, String group) {
-        return node.address(list, group);
+    /** Returns the address at which a group watches a list; its traffic is counted there. */
+    InetSocketAddress address(String listName, String group) {
+        return node.address(listName, group);
     }
 
     @Override
-    public Watch watch(EventLoop loop, EdgeConfig config, EventLog log, long seed, String list, int at) {
+    public Watch createWatch(
+            EventLoop loop, EdgeConfig config, EventLog log, long seed, String listName, int nodeNumber) {
         return new RegistryWatch(
                 new DiscoveryClient(
                         loop,
-                        places.get(list),
+                        addresses.get(listName),
                         config.names(),
                         config.known().version(),
                         WatchSchedule.ofFleet(
@@ -61,35 +63,35 @@
                                 config.settings().drain().graceMs(),
                                 seed),
                         log),
-                elsewhere.get(list));
+                alternateAddresses.get(listName));
     }
 
     @Override
-    public Path file(Place place, String list, int at, String group) throws IOException {
+    public Path writeSidecarConfig(SidecarSpec spec, String listName, int nodeNumber, String group) throws IOException {
         return PlatformConfig.write(
-                place.folder().resolve("config.json"),
-                place.name(),
-                place.listen(),
-                address(list, group),
-                place.balancers(),
-                place.zones());
+                spec.directory().resolve("config.json"),
+                spec.name(),
+                spec.address(),
+                address(listName, group),
+                spec.balancers(),
+                spec.zones());
     }
 
-    /** The edge's own client, at one of two addresses of the list. */
-    private record RegistryWatch(DiscoveryClient client, InetSocketAddress other) implements Watch {
+    /** The edge's own client, which can move to a second address of the same list. */
+    private record RegistryWatch(DiscoveryClient client, InetSocketAddress otherAddress) implements Watch {
         @Override
-        public void listen(EndpointListListener listener) {
+        public void setListener(EndpointListListener listener) {
             client.setListener(listener);
         }
 
         @Override
-        public void watch() {
+        public void start() {
             client.watch();
         }
 
         @Override
-        public void elsewhere() {
-            client.moveTo(other);
+        public void moveToOtherAddress() {
+            client.moveTo(otherAddress);
         }
 
         @Override
@@ -99,50 +101,50 @@
     }
 
     @Override
-    public void list(String list, List<EndpointEntry> lines) {
-        node.list(list, lines);
-        places.put(list, node.address(list, "hollow"));
-        elsewhere.put(list, node.address(list, "elsewhere"));
+    public void replaceList(String listName, List<EndpointEntry> entries) {
+        node.replaceList(listName, entries);
+        addresses.put(listName, node.address(listName, "hollow"));
+        alternateAddresses.put(listName, node.address(listName, "elsewhere"));
     }
 
     @Override
-    public Applied apply(int at, Map<String, List<EndpointEntry>> changes) {
+    public Applied apply(int nodeNumber, Map<String, List<EndpointEntry>> changes) {
         return node.apply(changes);
     }
 
-    /** What a list has now. */
-    Map<String, EndpointEntry> lines(String list) {
-        return node.lines(list);
+    /** Returns the current entries of a list by id. */
+    Map<String, EndpointEntry> entries(String listName) {
+        return node.entries(listName);
     }
 
     @Override
-    public void stop(int at) {
+    public void stopNode(int nodeNumber) {
         node.stop();
     }
 
     @Override
-    public void start(int at, boolean fromNothing) {
-        node.start(fromNothing);
+    public void startNode(int nodeNumber, boolean withoutState) {
+        node.start(withoutState);
     }
 
     @Override
-    public void cut(int one, int other, boolean apart) {
-        throw new IllegalStateException("there is one node");
+    public void setPartitioned(int node, int otherNode, boolean partitioned) {
+        throw new IllegalStateException("a single registry cannot be partitioned");
     }
 
     @Override
-    public Cost cost(int at) {
-        return node.cost();
+    public Cost takeCost(int nodeNumber) {
+        return node.takeCost();
     }
 
     @Override
-    public Traffic.Seen traffic(String group) {
-        return node.traffic(group);
+    public Traffic.Totals takeTraffic(String group) {
+        return node.takeTraffic(group);
     }
 
     @Override
-    public List<Heard> heard(String group) {
-        return node.heard(group);
+    public List<WatchCall> takeCalls(String group) {
+        return node.takeCalls(group);
     }
 
     @Override
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryNode.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryNode.java
@@ -38,133 +38,133 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stand-in for one node of today's control: a registry that speaks the platform's watch protocol, with many
- * lists, each at addresses of its own. All its state belongs to one event loop, whose lateness and processor
- * time are watched. An answer is written once for all who ask from the same version.
+ * A registry node with the platform's watch protocol, used as a single control plane. It has many lists, each at
+ * addresses of its own. All its state belongs to one event loop, whose lateness and processor time are monitored. A
+ * response is encoded once for all clients that name the same version.
  */
 final class RegistryNode implements AutoCloseable {
 
-    private static final int MOST_BODY_BYTES = 1024;
-    private static final int BACKLOG = 4096;
-    /** Changes that are remembered; who asks from before them gets the whole list. */
-    private static final int MOST_CHANGES = 8192;
+    private static final int MAX_BODY_BYTES = 1024;
+    private static final int ACCEPT_BACKLOG = 4096;
+    /** Changes that are kept; a client whose version is older gets a full snapshot. */
+    private static final int MAX_CHANGES = 8192;
 
-    private static final double MOST_WAIT_MS = 60_000;
-    private static final int MOST_HEARD = 16_384;
+    private static final double MAX_WAIT_MS = 60_000;
+    private static final int MAX_RECORDED_CALLS = 16_384;
     private static final String PATH = "/registry/instances";
 
     private record Change(long version, String id) {}
 
-    private record Watch(ChannelHandlerContext ctx, long index, Future<?> end) {}
+    private record Watch(ChannelHandlerContext ctx, long sinceVersion, Future<?> timeout) {}
 
-    /** One list and who waits for changes to it. */
-    private final class Listing {
-        private final Map<String, EndpointEntry> lines = new LinkedHashMap<>();
-        /** Endpoints as they were last told, gone ones among them. */
-        private final Map<String, EndpointEntry> told = new HashMap<>();
+    /** An endpoint list and the clients that wait for changes to it. */
+    private final class EndpointListState {
+        private final Map<String, EndpointEntry> entries = new LinkedHashMap<>();
+        /** The last entry of each endpoint, including removed ones. */
+        private final Map<String, EndpointEntry> lastEntries = new HashMap<>();
 
         private final Deque<Change> changes = new ArrayDeque<>();
-        private final Map<Channel, Watch> waiting = new LinkedHashMap<>();
-        /** Answers of the version now, by the version that was asked from; -1 is the whole list. */
-        private final Map<Long, ByteBuf> answers = new HashMap<>();
+        private final Map<Channel, Watch> waitingWatches = new LinkedHashMap<>();
+        /** Responses for the current version, by the version that the client has; -1 for a full snapshot. */
+        private final Map<Long, ByteBuf> responses = new HashMap<>();
 
         private long version;
-        /** The version up to which changes are not known one by one. */
-        private long forgotten;
+        /** Changes up to this version are no longer kept one by one. */
+        private long lastDroppedVersion;
 
         void replace(List<EndpointEntry> all) {
-            lines.clear();
+            entries.clear();
             changes.clear();
-            all.forEach(line -> lines.put(line.id(), line));
+            all.forEach(entry -> entries.put(entry.id(), entry));
             version++;
-            forgotten = version;
-            changed();
+            lastDroppedVersion = version;
+            notifyWatches();
         }
 
-        long apply(Collection<EndpointEntry> news) {
+        long apply(Collection<EndpointEntry> updates) {
             version++;
-            for (EndpointEntry line : news) {
-                if (line.state() == EndpointEntry.State.TERMINATED) {
-                    lines.remove(line.id());
+            for (EndpointEntry entry : updates) {
+                if (entry.state() == EndpointEntry.State.TERMINATED) {
+                    entries.remove(entry.id());
                 } else {
-                    lines.put(line.id(), line);
+                    entries.put(entry.id(), entry);
                 }
-                told.put(line.id(), line);
-                changes.addLast(new Change(version, line.id()));
+                lastEntries.put(entry.id(), entry);
+                changes.addLast(new Change(version, entry.id()));
             }
-            while (changes.size() > MOST_CHANGES) {
-                forgotten = changes.removeFirst().version;
+            while (changes.size() > MAX_CHANGES) {
+                lastDroppedVersion = changes.removeFirst().version;
             }
-            changed();
+            notifyWatches();
             return version;
         }
 
-        /** Answers of before are of no more use. */
-        private void drop() {
-            answers.values().forEach(ByteBuf::release);
-            answers.clear();
+        /** Releases the cached responses, which have become outdated. */
+        private void releaseResponses() {
+            responses.values().forEach(ByteBuf::release);
+            responses.clear();
         }
 
-        private void changed() {
-            drop();
-            List<Watch> ended = new ArrayList<>(waiting.values());
-            waiting.clear();
+        private void notifyWatches() {
+            releaseResponses();
+            List<Watch> ended = new ArrayList<>(waitingWatches.values());
+            waitingWatches.clear();
             ended.forEach(watch -> {
-                watch.end.cancel(false);
-                write(watch.ctx, watch.index);
+                watch.timeout.cancel(false);
+                respond(watch.ctx, watch.sinceVersion);
             });
         }
 
-        void poll(ChannelHandlerContext ctx, long index, double waitMs) {
-            if (index != version) {
-                write(ctx, index);
+        void poll(ChannelHandlerContext ctx, long sinceVersion, double waitMs) {
+            if (sinceVersion != version) {
+                respond(ctx, sinceVersion);
                 return;
             }
-            Future<?> end = loop.schedule(
+            Future<?> timeout = loop.schedule(
                     () -> {
-                        if (waiting.remove(ctx.channel()) != null) {
-                            write(ctx, index);
+                        if (waitingWatches.remove(ctx.channel()) != null) {
+                            respond(ctx, sinceVersion);
                         }
                     },
-                    (long) Math.min(MOST_WAIT_MS, waitMs),
+                    (long) Math.min(MAX_WAIT_MS, waitMs),
                     TimeUnit.MILLISECONDS);
-            waiting.put(ctx.channel(), new Watch(ctx, index, end));
+            waitingWatches.put(ctx.channel(), new Watch(ctx, sinceVersion, timeout));
         }
 
-        void left(Channel channel) {
-            Watch watch = waiting.remove(channel);
+        void onConnectionClosed(Channel channel) {
+            Watch watch = waitingWatches.remove(channel);
             if (watch != null) {
-                watch.end.cancel(false);
+                watch.timeout.cancel(false);
             }
         }
 
-        private void write(ChannelHandlerContext ctx, long index) {
-            boolean whole = index < forgotten || index > version;
-            ByteBuf answer = answers.computeIfAbsent(whole ? -1 : index, this::answer);
-            ctx.writeAndFlush(answer.retainedDuplicate(), ctx.voidPromise());
+        private void respond(ChannelHandlerContext ctx, long sinceVersion) {
+            boolean isFull = sinceVersion < lastDroppedVersion || sinceVersion > version;
+            ByteBuf response = responses.computeIfAbsent(isFull ? -1 : sinceVersion, this::encodeResponse);
+            ctx.writeAndFlush(response.retainedDuplicate(), ctx.voidPromise());
         }
 
-        private ByteBuf answer(long index) {
-            Collection<EndpointEntry> answered = lines.values();
-            if (index >= 0) {
+        private ByteBuf encodeResponse(long sinceVersion) {
+            Collection<EndpointEntry> included = entries.values();
+            if (sinceVersion >= 0) {
                 Set<String> ids = new LinkedHashSet<>();
                 for (var newest = changes.descendingIterator(); newest.hasNext(); ) {
                     Change change = newest.next();
-                    if (change.version <= index) {
+                    if (change.version <= sinceVersion) {
                         break;
                     }
                     ids.add(change.id);
                 }
-                answered = ids.stream().map(told::get).toList();
+                included = ids.stream().map(lastEntries::get).toList();
             }
             StringBuilder body = new StringBuilder("{\"version\":")
                     .append(version)
                     .append(",\"full\":")
-                    .append(index < 0)
+                    .append(sinceVersion < 0)
                     .append(",\"servers\":[");
             int start = body.length();
-            answered.forEach(
-                    line -> body.append(body.length() == start ? "" : ",").append(line.json()));
+            included.forEach(
+                    entry -> body.append(body.length() == start ? "" : ",").append(entry.toJson()));
             byte[] bytes = body.append("]}").toString().getBytes(StandardCharsets.UTF_8);
             byte[] head = ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
                             + bytes.length
@@ -176,35 +176,36 @@
         }
     }
 
-    /** A place where a list is watched. */
+    /** An address at which a list is watched. */
     private final class Listener {
-        private final Listing listing;
-        private final String group;
+        private final EndpointListState listState;
+        private final String groupName;
         private InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         private Channel channel;
 
-        Listener(Listing listing, String group) {
-            this.listing = listing;
-            this.group = group;
+        Listener(EndpointListState listState, String groupName) {
+            this.listState = listState;
+            this.groupName = groupName;
         }
 
         void open() {
             channel = new ServerBootstrap()
                     .group(loop)
                     .channel(NioServerSocketChannel.class)
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                     .option(ChannelOption.SO_REUSEADDR, true)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel fresh) {
-                            connections.add(fresh);
-                            fresh.pipeline()
+                        protected void initChannel(SocketChannel connection) {
+                            connections.add(connection);
+                            connection
+                                    .pipeline()
                                     .addLast(
-                                            new Counting(group),
+                                            new TrafficCounter(groupName),
                                             new HttpRequestDecoder(),
-                                            new HttpObjectAggregator(MOST_BODY_BYTES),
-                                            new Asked(listing, group));
+                                            new HttpObjectAggregator(MAX_BODY_BYTES),
+                                            new WatchRequestHandler(listState, groupName));
                         }
                     })
                     .bind(address)
@@ -214,80 +215,81 @@
         }
     }
 
-    private final MultiThreadIoEventLoopGroup group;
+    private final MultiThreadIoEventLoopGroup loopGroup;
     private final EventLoop loop;
-    private final LoopWatch watch;
-    private final Map<String, Listing> listings = new HashMap<>();
+    private final EventLoopMonitor monitor;
+    private final Map<String, EndpointListState> lists = new HashMap<>();
     private final Map<String, Listener> listeners = new LinkedHashMap<>();
     private final Set<Channel> connections = new LinkedHashSet<>();
     private final Traffic traffic = new Traffic();
-    private final Map<String, Traffic> groups = new HashMap<>();
-    private final Map<String, List<ControlPlane.Heard>> heard = new HashMap<>();
+    private final Map<String, Traffic> trafficByGroup = new HashMap<>();
+    private final Map<String, List<ControlPlane.WatchCall>> callsByGroup = new HashMap<>();
     private boolean stopped;
 
     RegistryNode(String name) {
-        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(name, true), NioIoHandler.newFactory());
-        loop = (EventLoop) group.next();
-        watch = new LoopWatch(loop);
+        loopGroup = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory(name, true), NioIoHandler.newFactory());
+        loop = (EventLoop) loopGroup.next();
+        monitor = new EventLoopMonitor(loop);
     }
 
-    private <T> T on(Callable<T> what) {
-        return loop.submit(what).syncUninterruptibly().getNow();
+    private <T> T runOnLoop(Callable<T> task) {
+        return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    private Listing listing(String list) {
-        return listings.computeIfAbsent(list, name -> new Listing());
+    private EndpointListState listState(String listName) {
+        return lists.computeIfAbsent(listName, name -> new EndpointListState());
     }
 
-    /** Where a list is watched; the traffic there is counted for the group. */
-    InetSocketAddress address(String list, String of) {
-        String key = list + " " + of;
-        Listing listing = on(() -> listing(list));
-        // Not on the loop: a listener's own registration there is waited for.
+    /** Returns the address at which a group watches a list; its traffic is counted for the group. */
+    InetSocketAddress address(String listName, String groupName) {
+        String key = listName + " " + groupName;
+        EndpointListState listState = runOnLoop(() -> listState(listName));
+        // Not on the event loop, because opening a listener waits for a registration there.
         Listener listener = listeners.computeIfAbsent(key, name -> {
-            Listener fresh = new Listener(listing, of);
-            fresh.open();
-            return fresh;
+            Listener created = new Listener(listState, groupName);
+            created.open();
+            return created;
         });
         return listener.address;
     }
 
-    void list(String list, List<EndpointEntry> lines) {
-        on(() -> {
-            listing(list).replace(lines);
+    void replaceList(String listName, List<EndpointEntry> entries) {
+        runOnLoop(() -> {
+            listState(listName).replace(entries);
             return null;
         });
     }
 
     ControlPlane.Applied apply(Map<String, List<EndpointEntry>> changes) {
-        return on(() -> {
-            long at = System.nanoTime();
+        return runOnLoop(() -> {
+            long appliedNanos = System.nanoTime();
             Map<String, Long> versions = new HashMap<>();
-            changes.forEach((list, lines) -> versions.put(list, listing(list).apply(lines)));
-            return new ControlPlane.Applied(at, versions);
+            changes.forEach((listName, entries) ->
+                    versions.put(listName, listState(listName).apply(entries)));
+            return new ControlPlane.Applied(appliedNanos, versions);
         });
     }
 
-    Map<String, EndpointEntry> lines(String list) {
-        return on(() -> Map.copyOf(listing(list).lines));
+    Map<String, EndpointEntry> entries(String listName) {
+        return runOnLoop(() -> Map.copyOf(listState(listName).entries));
     }
 
     void stop() {
         listeners.values().forEach(listener -> listener.channel.close().syncUninterruptibly());
-        on(() -> {
+        runOnLoop(() -> {
             stopped = true;
             List.copyOf(connections).forEach(Channel::close);
             return null;
         });
     }
 
-    void start(boolean fromNothing) {
-        on(() -> {
+    void start(boolean withoutState) {
+        runOnLoop(() -> {
             stopped = false;
-            if (fromNothing) {
-                for (Listing listing : listings.values()) {
-                    listing.version = 0;
-                    listing.replace(List.copyOf(listing.lines.values()));
+            if (withoutState) {
+                for (EndpointListState listState : lists.values()) {
+                    listState.version = 0;
+                    listState.replace(List.copyOf(listState.entries.values()));
                 }
             }
             return null;
@@ -295,45 +297,46 @@
         listeners.values().forEach(Listener::open);
     }
 
-    ControlPlane.Cost cost() {
-        LoopWatch.Seen seen = watch.take();
-        Traffic.Seen carried = on(traffic::take);
+    ControlPlane.Cost takeCost() {
+        EventLoopMonitor.Sample sample = monitor.takeAndReset();
+        Traffic.Totals totals = runOnLoop(traffic::takeAndReset);
         return new ControlPlane.Cost(
-                seen.cpuMs(),
-                seen.lagP99Ms(),
-                seen.lagMostMs(),
-                carried.bytes(),
-                carried.peakPerSecond(),
-                carried.calls());
+                sample.cpuMs(),
+                sample.lagP99Ms(),
+                sample.maxLagMs(),
+                totals.bytes(),
+                totals.peakPerSecond(),
+                totals.calls());
     }
 
-    Traffic.Seen traffic(String of) {
-        return on(() -> groups.computeIfAbsent(of, name -> new Traffic()).take());
+    Traffic.Totals takeTraffic(String groupName) {
+        return runOnLoop(() ->
+                trafficByGroup.computeIfAbsent(groupName, name -> new Traffic()).takeAndReset());
     }
 
-    List<ControlPlane.Heard> heard(String of) {
-        return on(() -> {
-            List<ControlPlane.Heard> taken = heard.remove(of);
-            return taken == null ? List.of() : taken;
+    List<ControlPlane.WatchCall> takeCalls(String groupName) {
+        return runOnLoop(() -> {
+            List<ControlPlane.WatchCall> calls = callsByGroup.remove(groupName);
+            return calls == null ? List.of() : calls;
         });
     }
 
     @Override
     public void close() {
-        watch.close();
-        on(() -> {
-            listings.values().forEach(Listing::drop);
+        monitor.close();
+        runOnLoop(() -> {
+            lists.values().forEach(EndpointListState::releaseResponses);
             return null;
         });
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+        loopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Counts what passes on one connection. */
-    private final class Counting extends ChannelDuplexHandler {
-        private final Traffic own;
+    /** Counts the bytes on a connection, for its group and for the node. */
+    private final class TrafficCounter extends ChannelDuplexHandler {
+        private final Traffic groupTraffic;
 
-        Counting(String of) {
-            own = groups.computeIfAbsent(of, name -> new Traffic());
+        TrafficCounter(String groupName) {
+            groupTraffic = trafficByGroup.computeIfAbsent(groupName, name -> new Traffic());
         }
 
         @Override
@@ -349,18 +352,18 @@
         }
 
         private void count(int bytes) {
-            own.add(bytes);
-            traffic.add(bytes);
+            groupTraffic.addBytes(bytes);
+            traffic.addBytes(bytes);
         }
     }
 
-    private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Listing listing;
-        private final String of;
+    private final class WatchRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private final EndpointListState listState;
+        private final String groupName;
 
-        Asked(Listing listing, String of) {
-            this.listing = listing;
-            this.of = of;
+        WatchRequestHandler(EndpointListState listState, String groupName) {
+            this.listState = listState;
+            this.groupName = groupName;
         }
 
         @Override
@@ -378,21 +381,21 @@
                 ctx.close();
                 return;
             }
-            traffic.called();
-            groups.get(of).called();
+            traffic.addCall();
+            trafficByGroup.get(groupName).addCall();
             List<String> index = query.parameters().get("index");
             if (index == null) {
-                listing.write(ctx, -1);
+                listState.respond(ctx, -1);
                 return;
             }
-            long from = Long.parseLong(index.get(0));
-            List<ControlPlane.Heard> known = heard.computeIfAbsent(of, name -> new ArrayList<>());
-            if (known.size() < MOST_HEARD) {
-                known.add(new ControlPlane.Heard(System.nanoTime(), from));
+            long sinceVersion = Long.parseLong(index.get(0));
+            List<ControlPlane.WatchCall> calls = callsByGroup.computeIfAbsent(groupName, name -> new ArrayList<>());
+            if (calls.size() < MAX_RECORDED_CALLS) {
+                calls.add(new ControlPlane.WatchCall(System.nanoTime(), sinceVersion));
             }
-            listing.poll(
+            listState.poll(
                     ctx,
-                    from,
+                    sinceVersion,
                     Double.parseDouble(query.parameters()
                             .getOrDefault("wait", List.of("0"))
                             .get(0)));
@@ -401,7 +404,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(ctx.channel());
-            listing.left(ctx.channel());
+            listState.onConnectionClosed(ctx.channel());
         }
 
         @Override
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleResults.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleResults.java
@@ -18,10 +18,13 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /**
- * What a scale run came to.
+ * The results of a scale run.
  *
+ * @param tookMs the duration of the run
+ * @param points the measured points of the slopes
+ * @param rows the results of the storms
  * @param changes each change of each storm, as lines of CSV
- * @param cutShort why it ended before all was played, or empty where it did not
+ * @param abortReason why the run ended early, or empty if it was complete
  */
 public record ScaleResults(
         ScaleScenario scenario,
@@ -30,54 +33,58 @@
         List<Measurement> points,
         List<StormRow> rows,
         List<String> changes,
-        String cutShort) {
+        String abortReason) {
 
-    /** Whether all targets were met, and nothing was void. */
+    /** Returns whether all targets were met and no measurement was void. */
     public boolean passes() {
-        return cutShort.isEmpty()
+        return abortReason.isEmpty()
                 && rows.stream().allMatch(row -> row.verdict() == StormRow.Verdict.MET)
                 && points.stream().noneMatch(Measurement::isVoid)
-                && missed().isEmpty();
+                && missedTargets().isEmpty();
     }
 
-    /** The targets that the slopes' points miss, in words. */
-    public List<String> missed() {
+    /** Returns a description of each target that the slopes' points miss. */
+    public List<String> missedTargets() {
         List<String> missed = new ArrayList<>();
         ScaleScenario.Targets targets = scenario.targets();
         for (Measurement point : points) {
-            // The day's rate of changes is next to none: what stands still must be within the target.
-            if (point.what() == Measurement.What.SIDECAR
+            // In daily operation there are next to no changes, so the targets apply to the cost without any.
+            if (point.subject() == Measurement.Subject.SIDECAR
                     && point.changesPerS() == 0
                     && !point.isVoid()
                     && point.listed() <= scenario.site().endpoints()) {
-                if (point.corePercent() > targets.corePercent()) {
+                if (point.corePercent() > targets.maxCorePercent()) {
                     missed.add(String.format(
                             Locale.ROOT,
-                            "a sidecar with %d listed and no changes takes " + "%.2f %% " + "of a core",
+                            "a sidecar with %d listed endpoints and no changes uses " + "%.2f %% " + "of a core",
                             point.listed(),
                             point.corePercent()));
                 }
-                if (point.bytesPerS() > targets.kilobytesPerS() * 1000) {
+                if (point.bytesPerS() > targets.maxKilobytesPerS() * 1000) {
                     missed.add(String.format(
                             Locale.ROOT,
-                            "a sidecar with %d listed and no changes takes " + "%.0f " + "bytes a second",
+                            "a sidecar with %d listed endpoints and no changes transfers " + "%.0f "
+                                    + "bytes per second",
                             point.listed(),
                             point.bytesPerS()));
                 }
             }
         }
-        double added = addedMb();
-        if (added > targets.memoryMb()) {
+        double addedMb = addedMb();
+        if (addedMb > targets.maxMemoryMb()) {
             missed.add(String.format(
                     Locale.ROOT,
-                    "the list of %d adds %.1f MB to a sidecar",
+                    "the list of %d endpoints adds %.1f MB to a sidecar",
                     scenario.site().endpoints(),
-                    added));
+                    addedMb));
         }
         return missed;
     }
 
-    /** Memory that the site's list adds to a real sidecar, by the slope; NaN where there is none. */
+    /**
+     * Returns the memory in MB that the site's list adds to a real sidecar, computed from the slope; NaN if there
+     * is no such slope.
+     */
     public double addedMb() {
         return Slope.of(points).stream()
                 .filter(slope -> slope.name().startsWith("sidecar resident memory"))
@@ -87,37 +94,37 @@
     }
 
     /** Writes the table, the raw data and the charts. */
-    public void keep(Path folder) throws IOException {
+    public void write(Path folder) throws IOException {
         Files.createDirectories(folder);
         Files.copy(scenario.file(), folder.resolve("scenario.toml"), StandardCopyOption.REPLACE_EXISTING);
         List<Slope> slopes = Slope.of(points);
-        lines(
+        writeCsv(
                 folder.resolve("points.csv"),
-                Measurement.HEADER,
-                points.stream().map(Measurement::csv).toList());
-        lines(
+                Measurement.CSV_HEADER,
+                points.stream().map(Measurement::toCsv).toList());
+        writeCsv(
                 folder.resolve("slopes.csv"),
-                Slope.HEADER,
-                slopes.stream().map(Slope::csv).toList());
-        lines(
+                Slope.CSV_HEADER,
+                slopes.stream().map(Slope::toCsv).toList());
+        writeCsv(
                 folder.resolve("storms.csv"),
-                StormRow.HEADER,
-                rows.stream().map(StormRow::csv).toList());
-        lines(folder.resolve("changes.csv"), StormRun.CHANGES_HEADER, changes);
+                StormRow.CSV_HEADER,
+                rows.stream().map(StormRow::toCsv).toList());
+        writeCsv(folder.resolve("changes.csv"), StormRun.CHANGES_CSV_HEADER, changes);
         Files.writeString(folder.resolve("table.md"), table(slopes));
-        charts(new Charts(folder));
+        writeCharts(new Charts(folder));
     }
 
-    private static void lines(Path file, String header, List<String> lines) throws IOException {
+    private static void writeCsv(Path file, String header, List<String> lines) throws IOException {
         Files.writeString(file, header + "\n" + String.join("\n", lines) + (lines.isEmpty() ? "" : "\n"));
     }
 
-    /** The table, in Markdown. */
+    /** Returns the table in Markdown. */
     public String table(List<Slope> slopes) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "# Scale: %s%n%n%s%n%nVersion %s; %s, %d "
-                        + "cores, Java %s; %d sidecars, %d of them real processes, %d services; took %.0f s. %s%n",
+                        + "cores, Java %s; %d sidecars, %d in processes of their own, %d services; took %.0f s. %s%n",
                 scenario.name(),
                 scenario.about(),
                 version,
@@ -125,33 +132,33 @@
                 Runtime.getRuntime().availableProcessors(),
                 System.getProperty("java.version"),
                 scenario.site().endpoints(),
-                scenario.sidecars().real(),
+                scenario.sidecars().realCount(),
                 scenario.site().services(),
                 tookMs / 1000,
                 passes() ? "All targets are met." : "**Not all targets are met.**"));
-        if (!cutShort.isEmpty()) {
-            text.append("\n**Cut short**: ").append(cutShort).append(".\n");
+        if (!abortReason.isEmpty()) {
+            text.append("\n**Ended early**: ").append(abortReason).append(".\n");
         }
-        missed().forEach(line -> text.append("\nMissed: ").append(line).append(".\n"));
+        missedTargets().forEach(line -> text.append("\nMissed: ").append(line).append(".\n"));
         if (!rows.isEmpty()) {
             text.append(String.format(
                     Locale.ROOT,
-                    "%n## Storms%n%nIn force within %.0f ms; a real "
-                            + "sidecar at "
-                            + "most %.1f %% of a core and %.0f KB a second in the mean.%n%n",
-                    scenario.targets().inForceMs(),
-                    scenario.targets().corePercent(),
-                    scenario.targets().kilobytesPerS()));
-            text.append("| storm | listed | changes | in force, ms: p50 | p99 | most | at real ones, most | "
-                            + "has it, hollow | whole lists | control node: core | peak | a real sidecar: core | "
+                    "%n## Storms%n%nTargets: in force within %.0f ms; a real "
+                            + "sidecar uses at "
+                            + "most %.1f %% of a core and %.0f KB per second on average.%n%n",
+                    scenario.targets().maxPropagationMs(),
+                    scenario.targets().maxCorePercent(),
+                    scenario.targets().maxKilobytesPerS()));
+            text.append("| storm | listed | changes | in force, ms: p50 | p99 | max | real sidecars, max | "
+                            + "up to date, hollow | full lists | control node: core | peak | real sidecar: core | "
                             + "mean | peak "
-                            + "| hollow: CPU each | lag p99, control, hollow | verdict |\n|")
+                            + "| hollow sidecar: CPU | lag p99: control, hollow | verdict |\n|")
                     .append(" --- |".repeat(17))
                     .append('\n');
-            rows.forEach(row -> text.append(line(row)));
+            rows.forEach(row -> text.append(formatRow(row)));
         }
         if (!points.isEmpty()) {
-            text.append("\n## Slopes\n\n| cost | against | slope | intercept | R² | points | unit |\n|")
+            text.append("\n## Slopes\n\n| cost | as a function of | slope | intercept | R² | points | unit |\n|")
                     .append(" --- |".repeat(7))
                     .append('\n');
             slopes.forEach(slope -> text.append(String.format(
@@ -164,7 +171,7 @@
                     slope.fit().rSquared(),
                     slope.fit().points(),
                     slope.unit())));
-            text.append("\n## Points\n\n| what | listed | watchers | changes/s | core | bytes/s | "
+            text.append("\n## Points\n\n| subject | listed | watchers | changes/s | core | bytes/s | "
                             + "resident, MB | "
                             + "proportional, MB | void |\n|")
                     .append(" --- |".repeat(9))
@@ -172,124 +179,124 @@
             points.forEach(point -> text.append(String.format(
                     Locale.ROOT,
                     "| %s | %d | %s | %.0f | %.2f %% | %.0f | " + "%s | %s | %s |%n",
-                    point.what().name().toLowerCase(Locale.ROOT),
+                    point.subject().name().toLowerCase(Locale.ROOT),
                     point.listed(),
                     point.watchers() == 0 ? "" : point.watchers(),
                     point.changesPerS(),
                     point.corePercent(),
                     point.bytesPerS(),
-                    plain(point.residentMb(), 1),
-                    plain(point.proportionalMb(), 1),
+                    formatOrBlank(point.residentMb(), 1),
+                    formatOrBlank(point.proportionalMb(), 1),
                     point.isVoid() ? "void" : "")));
         }
         return text.toString();
     }
 
-    private static String line(StormRow row) {
+    private static String formatRow(StormRow row) {
         return String.format(
                 Locale.ROOT,
                 "| %s | %s | %d | %s | %s | %s | %s | %d of %d | %d | %.1f %% "
                         + "| %s | %s %% "
                         + "| %s | %s | %.0f ms | %.0f, %.0f ms | %s%s |%n",
                 row.name(),
-                row.storm().listed().name().toLowerCase(Locale.ROOT),
+                row.storm().scope().name().toLowerCase(Locale.ROOT),
                 row.changes(),
-                plain(row.p50Ms(), 0),
-                plain(row.p99Ms(), 0),
-                row.never() > 0 ? "never (" + row.never() + ")" : plain(row.mostMs(), 0),
-                plain(row.realMostMs(), 0),
-                row.knowing(),
-                row.hollow(),
-                row.wholeLists(),
+                formatOrBlank(row.p50Ms(), 0),
+                formatOrBlank(row.p99Ms(), 0),
+                row.neverApplied() > 0 ? "not applied (" + row.neverApplied() + ")" : formatOrBlank(row.maxMs(), 0),
+                formatOrBlank(row.realMaxMs(), 0),
+                row.upToDateCount(),
+                row.hollowCount(),
+                row.fullListCount(),
                 row.controlCpuPercent(),
-                bytes((double) row.controlPeakBytesPerS()),
-                plain(row.realCpuPercent(), 2),
-                bytes(row.realBytesPerS()),
-                bytes((double) row.realPeakBytesPerS()),
+                formatRate((double) row.controlPeakBytesPerS()),
+                formatOrBlank(row.realCpuPercent(), 2),
+                formatRate(row.realBytesPerS()),
+                formatRate((double) row.realPeakBytesPerS()),
                 row.hollowCpuMs(),
                 row.controlLagMs(),
                 row.hollowLagMs(),
-                row.verdict().word(),
+                row.verdict().label(),
                 row.note().isEmpty() ? "" : ": " + row.note());
     }
 
-    private static String bytes(double perS) {
-        return Double.isNaN(perS)
+    private static String formatRate(double bytesPerS) {
+        return Double.isNaN(bytesPerS)
                 ? ""
-                : perS >= 1e6
-                        ? String.format(Locale.ROOT, "%.1f MB/s", perS / 1e6)
-                        : String.format(Locale.ROOT, "%.1f KB/s", perS / 1e3);
+                : bytesPerS >= 1e6
+                        ? String.format(Locale.ROOT, "%.1f MB/s", bytesPerS / 1e6)
+                        : String.format(Locale.ROOT, "%.1f KB/s", bytesPerS / 1e3);
     }
 
-    private static String plain(double value, int places) {
-        return Double.isNaN(value) ? "" : String.format(Locale.ROOT, "%." + places + "f", value);
+    private static String formatOrBlank(double value, int decimals) {
+        return Double.isNaN(value) ? "" : String.format(Locale.ROOT, "%." + decimals + "f", value);
     }
 
     // ---- charts ----
 
-    private void charts(Charts charts) throws IOException {
+    private void writeCharts(Charts charts) throws IOException {
         if (!points.isEmpty()) {
-            chart(
+            writeChart(
                     charts,
                     "sidecar-processor",
                     "Processor time of a real sidecar",
-                    "changes a second",
+                    "changes per second",
                     "percent of a core",
-                    point -> point.what() == Measurement.What.SIDECAR,
-                    point -> point.listed() + " listed",
+                    point -> point.subject() == Measurement.Subject.SIDECAR,
+                    point -> point.listed() + " endpoints listed",
                     Measurement::changesPerS,
                     Measurement::corePercent);
-            chart(
+            writeChart(
                     charts,
                     "sidecar-memory",
                     "Resident memory of a real sidecar",
                     "endpoints listed",
                     "MB",
-                    point -> point.what() == Measurement.What.SIDECAR,
-                    point -> String.format(Locale.ROOT, "%.0f changes a second", point.changesPerS()),
+                    point -> point.subject() == Measurement.Subject.SIDECAR,
+                    point -> String.format(Locale.ROOT, "%.0f changes per second", point.changesPerS()),
                     Measurement::listed,
                     Measurement::residentMb);
-            chart(
+            writeChart(
                     charts,
                     "control-processor",
                     "Processor time of a control node",
-                    "changes a second",
+                    "changes per second",
                     "percent of a core",
-                    point -> point.what() == Measurement.What.CONTROL,
+                    point -> point.subject() == Measurement.Subject.CONTROL,
                     point -> point.watchers() + " watchers",
                     Measurement::changesPerS,
                     Measurement::corePercent);
         }
         if (!rows.isEmpty()) {
             DefaultCategoryDataset bars = new DefaultCategoryDataset();
-            rows.stream().filter(row -> !Double.isNaN(row.mostMs())).forEach(row -> {
-                String name = row.name() + ", " + row.storm().listed().name().toLowerCase(Locale.ROOT);
+            rows.stream().filter(row -> !Double.isNaN(row.maxMs())).forEach(row -> {
+                String name = row.name() + ", " + row.storm().scope().name().toLowerCase(Locale.ROOT);
                 bars.addValue(row.p50Ms(), "p50", name);
                 bars.addValue(row.p99Ms(), "p99", name);
-                bars.addValue(row.mostMs(), "most", name);
+                bars.addValue(row.maxMs(), "most", name);
             });
-            charts.bars("in-force", "From change to in force, hollow sidecars", "ms", bars, false);
+            charts.bars("in-force", "Time until a change is in force, hollow sidecars", "ms", bars, false);
         }
     }
 
-    private void chart(
+    private void writeChart(
             Charts charts,
             String name,
             String title,
-            String x,
-            String y,
-            Predicate<Measurement> which,
-            Function<Measurement, String> line,
-            ToDoubleFunction<Measurement> at,
-            ToDoubleFunction<Measurement> figure)
+            String xLabel,
+            String yLabel,
+            Predicate<Measurement> filter,
+            Function<Measurement, String> seriesName,
+            ToDoubleFunction<Measurement> xValue,
+            ToDoubleFunction<Measurement> yValue)
             throws IOException {
         Map<String, XYSeries> series = new LinkedHashMap<>();
         points.stream()
-                .filter(which.and(point -> !point.isVoid()))
-                .forEach(point -> series.computeIfAbsent(line.apply(point), XYSeries::new)
-                        .add(at.applyAsDouble(point), figure.applyAsDouble(point)));
-        XYSeriesCollection all = new XYSeriesCollection();
-        series.values().forEach(all::addSeries);
-        charts.lines(name, title, x, y, all, false, false);
+                .filter(filter.and(point -> !point.isVoid()))
+                .forEach(point -> series.computeIfAbsent(seriesName.apply(point), XYSeries::new)
+                        .add(xValue.applyAsDouble(point), yValue.applyAsDouble(point)));
+        XYSeriesCollection dataset = new XYSeriesCollection();
+        series.values().forEach(dataset::addSeries);
+        charts.lines(name, title, xLabel, yLabel, dataset, false, false);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleRun.java
@@ -10,57 +10,58 @@
 import lemonrail.config.ConfigSource;
 import lemonrail.config.EdgeConfig;
 
-/** Plays a scale run: slopes, then storms. */
+/** Runs a scale scenario: the slopes, then the storms. */
 public final class ScaleRun {
 
     private ScaleRun() {}
 
     /**
-     * Plays it; what it came to is kept where it cannot go on, or is interrupted, as well.
+     * Runs a scenario. The results so far are returned also if the run fails or is interrupted.
      *
-     * @param command by which real sidecars are started
-     * @param planes makes the control that storms are played against
+     * @param command starts a real sidecar
+     * @param planes creates the control plane
+     * @param output receives the progress
      */
-    public static ScaleResults play(
+    public static ScaleResults run(
             ScaleScenario scenario,
             ServeCommand command,
             Path scratch,
             String version,
             Supplier<ControlPlane> planes,
-            PrintWriter words)
+            PrintWriter output)
             throws IOException {
-        long began = System.nanoTime();
-        InetSocketAddress nowhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+        long startNanos = System.nanoTime();
+        InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
         Path file = PlatformConfig.write(
                 scratch.resolve("hollow.json"),
                 "hollow",
-                nowhere,
-                nowhere,
+                unusedAddress,
+                unusedAddress,
                 scenario.site().endpoints(),
                 scenario.site().zoneNames());
         EdgeConfig config = ConfigSource.of(file, Map.of("TMPDIR", scratch.toString()))
                 .load()
                 .config();
-        SlopeRun slopes = new SlopeRun(scenario, command, scratch, config, words, planes);
-        StormRun storms = new StormRun(scenario, command, scratch, config, words, planes);
-        String cutShort = "";
+        SlopeRun slopes = new SlopeRun(scenario, command, scratch, config, output, planes);
+        StormRun storms = new StormRun(scenario, command, scratch, config, output, planes);
+        String abortReason = "";
         try {
             if (scenario.slopes() != null) {
                 slopes.run();
             }
             storms.run();
         } catch (IOException e) {
-            cutShort = String.valueOf(e.getMessage());
+            abortReason = String.valueOf(e.getMessage());
         } catch (InterruptedException e) {
-            cutShort = "interrupted";
+            abortReason = "interrupted";
         }
         return new ScaleResults(
                 scenario,
                 version,
-                (System.nanoTime() - began) / 1e6,
+                (System.nanoTime() - startNanos) / 1e6,
                 slopes.points(),
                 storms.rows(),
                 storms.changeLines(),
-                cutShort);
+                abortReason);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleScenario.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleScenario.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * A scale run as its file has it.
+ * A scenario of a scale run.
  *
- * @param name the file's, without its ending
- * @param sidecars how they are played
- * @param slopes what is varied, or null where there are none
+ * @param name the name of its file without the extension
+ * @param sidecars how sidecars are run
+ * @param targets the limits that have to be met
+ * @param slopes what is varied for the slopes, or null if none are measured
  */
 public record ScaleScenario(
         String name,
@@ -21,84 +22,90 @@
         List<Storm> storms) {
 
     /**
-     * How sidecars are played.
+     * How sidecars are run.
      *
-     * @param real of them, processes of their own; the others are hollow
-     * @param loops event loops among which the hollow ones are dealt out
-     * @param warmUpMs changes at a high rate before the first storm, for the compiler
-     * @param idleMs without changes after that, which shows what there is without any
+     * @param realCount sidecars that are processes of their own; the others are hollow
+     * @param loops event loops that the hollow sidecars share
+     * @param warmUpMs duration of changes at a high rate before the first storm, so that the JIT compiler finishes
+     * @param idleMs duration without changes after that, which shows the cost without them
      */
-    public record Sidecars(int real, int loops, long seed, double warmUpMs, double idleMs) {}
+    public record Sidecars(int realCount, int loops, long seed, double warmUpMs, double idleMs) {}
 
     /**
-     * What must hold.
+     * The limits that have to be met.
      *
-     * @param inForceMs a change must be in force everywhere within this time
-     * @param corePercent of one core, that control may cost a sidecar
-     * @param memoryMb that control may cost a sidecar
-     * @param kilobytesPerS that control may cost a sidecar
+     * @param maxPropagationMs the time within which a change must be in force everywhere
+     * @param maxCorePercent processor time that control may cost a sidecar, in percent of one core
+     * @param maxMemoryMb memory that control may cost a sidecar
+     * @param maxKilobytesPerS traffic that control may cost a sidecar
      */
-    public record Targets(double inForceMs, double corePercent, double memoryMb, double kilobytesPerS) {}
+    public record Targets(
+            double maxPropagationMs, double maxCorePercent, double maxMemoryMb, double maxKilobytesPerS) {}
 
     /**
-     * What costs are measured against.
+     * The values for which costs are measured.
      *
-     * @param listed endpoints listed
-     * @param changes a second
-     * @param watchers of one control node
-     * @param perSize real sidecars for each number of endpoints listed
-     * @param heatMs load before the first point, for the compiler
+     * @param listSizes numbers of endpoints in a list
+     * @param changesPerS rates of changes, in ascending order
+     * @param watcherCounts numbers of watchers of one control node
+     * @param sidecarsPerListSize number of real sidecars for each list size
+     * @param initialWarmUpMs duration of load before the first point, so that the JIT compiler finishes
+     * @param warmUpMs duration of load before each point
+     * @param windowMs duration of the measurement of a point
      */
     public record Slopes(
-            List<Integer> listed,
-            List<Double> changes,
-            List<Integer> watchers,
-            int perSize,
-            double heatMs,
+            List<Integer> listSizes,
+            List<Double> changesPerS,
+            List<Integer> watcherCounts,
+            int sidecarsPerListSize,
+            double initialWarmUpMs,
             double warmUpMs,
             double windowMs) {}
 
-    /** What befalls control or the site. */
+    /** What happens to the control plane or the site. */
     public enum Kind {
-        /** One endpoint's entry changes, a few times, one after another. */
+        /** One endpoint's entry changes, several times in succession. */
         CHANGE,
-        /** The day's changes, compressed. */
+        /** A day's changes, made in a shorter time. */
         DAY,
-        /** The endpoints of one service are replaced in steps. */
+        /** The endpoints of one service are replaced one after another. */
         RELEASE,
-        /** One endpoint and its sidecar are lost, and come back. */
+        /** One endpoint and its sidecar fail and return. */
         MACHINE,
-        /** The same for a rack. */
+        /** All endpoints of a rack and their sidecars fail and return. */
         RACK,
-        /** The same for a zone. */
+        /** All endpoints of a zone and their sidecars fail and return. */
         ZONE,
-        /** The same for a region. */
+        /** All endpoints of a region and their sidecars fail and return. */
         REGION,
-        /** Settings change at each sidecar. */
+        /** The settings of all sidecars change. */
         SETTINGS,
-        /** A control node is lost, and its watchers go elsewhere. */
+        /** A control node fails, and its watchers continue at another node. */
         NODE_LOST,
-        /** No control for a while, then it is back with what it knew. */
+        /** The control plane is down for a while, and returns with its state. */
         CONTROL_DOWN,
-        /** The same, but versions begin anew: all need the whole list at once. */
+        /**
+         * The control plane is down for a while, and returns with versions that begin anew, so that all sidecars
+         * need a full snapshot at once.
+         */
         CONTROL_RESTART,
-        /** The regions don't hear each other for a while, and things change on both sides. */
+        /** The regions are partitioned for a while, and changes are made on both sides. */
         REGIONS_CUT
     }
 
-    /** How many endpoints a sidecar is told of. */
-    public enum Listed {
-        /** All of the site. */
+    /** The endpoints that a sidecar's list contains. */
+    public enum EndpointScope {
+        /** All endpoints of the site. */
         ALL,
-        /** Those of one service. */
+        /** The endpoints of one service. */
         SERVICE
     }
 
     /**
-     * One storm.
+     * A storm: one event to which the control plane is exposed.
      *
-     * @param changes how many there are, where the kind lets one choose
-     * @param lengthMs over which they come, or for how long control is away
+     * @param changeCount the number of changes, for kinds of storm where it can be chosen
+     * @param lengthMs the time over which the changes are made, or for which the control plane is down
      */
-    public record Storm(Kind kind, Listed listed, int changes, double lengthMs) {}
+    public record Storm(Kind kind, EndpointScope scope, int changeCount, double lengthMs) {}
 }
--- a/lab/src/main/java/lemonrail/lab/scale/ServeCommand.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ServeCommand.java
@@ -8,47 +8,56 @@
 import java.util.List;
 
 /**
- * The command by which the platform starts a sidecar, which serves by the file that GW_CONFIG names.
+ * The command by which the platform starts a sidecar, whose settings file the environment variable GW_CONFIG names.
  *
- * @param words the command, word by word; {@code java} stands for the JVM of this process
- * @param folder in which the command is run
+ * @param command the command and its arguments; {@code java} stands for the JVM of this process
+ * @param workingDirectory the directory in which the command is run
  */
-public record ServeCommand(List<String> words, Path folder) {
+public record ServeCommand(List<String> command, Path workingDirectory) {
 
     private static final String JAVA = "java";
     private static final String JAR = "-jar";
     private static final String CLASS_PATH = "-cp";
-    private static final String ARCHIVE = "-XX:SharedArchiveFile=";
+    private static final String SHARED_ARCHIVE = "-XX:SharedArchiveFile=";
 
-    /** Reads the command of a checkout, as its {@code deploy/balancer.toml} has it. */
+    /**
+     * Reads the command of a checkout from its {@code deploy/balancer.toml}.
+     *
+     * @throws IOException if the command does not run a jar with java
+     */
     public static ServeCommand of(Path home) throws IOException {
         Path file = home.resolve("deploy").resolve("balancer.toml");
         String run = new TomlMapper().readTree(file.toFile()).path("run").asText();
-        List<String> words = new ArrayList<>(Arrays.asList(run.trim().split(" +")));
-        words.remove("exec");
-        if (words.isEmpty() || !words.get(0).equals(JAVA) || !words.contains(JAR)) {
-            throw new IOException(file + ": run is no call of java with a jar: " + run);
+        List<String> command = new ArrayList<>(Arrays.asList(run.trim().split(" +")));
+        command.remove("exec");
+        if (command.isEmpty() || !command.get(0).equals(JAVA) || !command.contains(JAR)) {
+            throw new IOException(file + ": \"run\" does not run a jar with java: " + run);
         }
-        return new ServeCommand(List.copyOf(words), home);
+        return new ServeCommand(List.copyOf(command), home);
     }
 
-    /** The same JVM with another main class, from this process's own class path. */
+    /**
+     * Returns a command with the same JVM options that runs another main class from the class path of this process.
+     *
+     * @param call the main class and its arguments
+     */
     public ServeCommand withMainClass(String... call) {
-        int flags = words.contains(JAR) ? words.indexOf(JAR) : words.indexOf(CLASS_PATH);
-        List<String> other = new ArrayList<>(words.subList(0, flags));
-        other.removeIf(word -> word.startsWith(ARCHIVE));
-        other.addAll(List.of(CLASS_PATH, System.getProperty("java.class.path")));
-        other.addAll(List.of(call));
-        return new ServeCommand(other, folder);
+        int optionCount = command.contains(JAR) ? command.indexOf(JAR) : command.indexOf(CLASS_PATH);
+        List<String> otherCommand = new ArrayList<>(command.subList(0, optionCount));
+        otherCommand.removeIf(option -> option.startsWith(SHARED_ARCHIVE));
+        otherCommand.addAll(List.of(CLASS_PATH, System.getProperty("java.class.path")));
+        otherCommand.addAll(List.of(call));
+        return new ServeCommand(otherCommand, workingDirectory);
     }
 
-    /** The command with these further arguments, as a process that has not been started. */
+    /** Returns a builder for a process that runs the command with further arguments. */
     public ProcessBuilder builder(String... arguments) {
-        List<String> line = new ArrayList<>(words);
-        if (line.get(0).equals(JAVA)) {
-            line.set(0, Path.of(System.getProperty("java.home"), "bin", JAVA).toString());
+        List<String> fullCommand = new ArrayList<>(command);
+        if (fullCommand.get(0).equals(JAVA)) {
+            fullCommand.set(
+                    0, Path.of(System.getProperty("java.home"), "bin", JAVA).toString());
         }
-        line.addAll(List.of(arguments));
-        return new ProcessBuilder(line).directory(folder.toFile());
+        fullCommand.addAll(List.of(arguments));
+        return new ProcessBuilder(fullCommand).directory(workingDirectory.toFile());
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/Site.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Site.java
@@ -5,55 +5,56 @@
 import java.util.Locale;
 
 /**
- * Where endpoints are: dealt out evenly over zones and regions in their order, services across all of them.
- * Where zones don't divide evenly into regions, one lies across the middle: the sizes are what counts here.
+ * The layout of endpoints: regions and zones consist of consecutive endpoints, and services are spread over all of
+ * them. If zones don't divide evenly among the regions, one zone spans two regions, which is of no consequence
+ * because only the sizes matter here.
  *
- * @param endpoints each with its sidecar
- * @param rack endpoints of a rack
+ * @param endpoints the number of endpoints, each with a sidecar
+ * @param rackSize the number of endpoints in a rack
  */
-public record Site(int endpoints, int services, int regions, int zones, int rack) {
+public record Site(int endpoints, int services, int regions, int zones, int rackSize) {
 
-    private static final int OCTET = 250;
+    private static final int HOSTS_PER_OCTET = 250;
 
-    /** The name of a service's list. */
-    public static String list(int service) {
+    /** Returns the name of a service's list. */
+    public static String listName(int service) {
         return "service-" + service;
     }
 
-    /** The list of all endpoints. */
+    /** The name of the list of all endpoints. */
     public static final String ALL = "all";
 
-    /** The service that an endpoint is of. */
-    public int service(int endpoint) {
+    /** Returns the service to which an endpoint belongs. */
+    public int serviceOf(int endpoint) {
         return endpoint % services;
     }
 
-    /** The service that the sidecar beside an endpoint calls. */
-    public int called(int endpoint) {
+    /** Returns the service that the sidecar beside an endpoint calls. */
+    public int calledService(int endpoint) {
         return (endpoint + 1) % services;
     }
 
-    /** The region that an endpoint is in. */
-    public int region(int endpoint) {
+    /** Returns the region of an endpoint. */
+    public int regionOf(int endpoint) {
         return (int) ((long) endpoint * regions / endpoints);
     }
 
-    /** The zone that an endpoint is in. */
-    public int zone(int endpoint) {
+    /** Returns the zone of an endpoint. */
+    public int zoneOf(int endpoint) {
         return (int) ((long) endpoint * zones / endpoints);
     }
 
-    /** How many endpoints a zone has. */
+    /** Returns the number of endpoints in a zone, rounded up. */
     public int zoneSize() {
         return (endpoints + zones - 1) / zones;
     }
 
-    /** How many endpoints a region has. */
+    /** Returns the number of endpoints in a region, rounded up. */
     public int regionSize() {
         return (endpoints + regions - 1) / regions;
     }
 
-    /** The names of the zones. */
+    /** Returns the names of the zones. */
     public List<String> zoneNames() {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < zones; i++) {
@@ -62,41 +63,42 @@
         return names;
     }
 
-    /** What control says of an endpoint in the beginning; no address is ever called. */
-    public EndpointEntry line(int endpoint) {
+    /** Returns an endpoint's initial entry; its address is never called. */
+    public EndpointEntry createEntry(int endpoint) {
         return new EndpointEntry(
                 String.format(Locale.ROOT, "s-%08x", endpoint * 2654435761L & 0xffffffffL),
                 address(endpoint, 0),
-                "zone-" + zone(endpoint),
-                endpoint / rack,
+                "zone-" + zoneOf(endpoint),
+                endpoint / rackSize,
                 EndpointEntry.State.IN_SERVICE,
                 0,
                 1);
     }
 
-    /** The process that takes an endpoint's place in a release. */
-    public EndpointEntry successor(int endpoint, long startedMs) {
-        EndpointEntry line = line(endpoint);
+    /** Returns the entry of the process that replaces an endpoint in a release. */
+    public EndpointEntry createSuccessor(int endpoint, long startedMs) {
+        EndpointEntry entry = createEntry(endpoint);
         return new EndpointEntry(
-                line.id() + "-" + startedMs % 100_000,
+                entry.id() + "-" + startedMs % 100_000,
                 address(endpoint, 1),
-                line.zone(),
-                line.rack(),
+                entry.zone(),
+                entry.rack(),
                 EndpointEntry.State.IN_SERVICE,
                 startedMs,
                 1);
     }
 
     private static String address(int endpoint, int generation) {
-        return "127." + (100 + generation) + "." + endpoint / OCTET + "." + (1 + endpoint % OCTET) + ":9000";
+        return "127." + (100 + generation) + "." + endpoint / HOSTS_PER_OCTET + "." + (1 + endpoint % HOSTS_PER_OCTET)
+                + ":9000";
     }
 
-    /** All endpoints as they are in the beginning. */
-    public List<EndpointEntry> lines() {
-        List<EndpointEntry> lines = new ArrayList<>();
+    /** Returns the initial entries of all endpoints. */
+    public List<EndpointEntry> createEntries() {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < endpoints; i++) {
-            lines.add(line(i));
+            entries.add(createEntry(i));
         }
-        return lines;
+        return entries;
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/Slope.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Slope.java
@@ -8,21 +8,25 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * One cost against what it grows with.
+ * A cost as a linear function of what it grows with.
  *
- * @param name of the cost, with what stays as it is
- * @param unit of the cost for one more of what it grows with
+ * @param name the cost, with the values that stay the same
+ * @param against what the cost grows with
+ * @param unit the unit of the slope, and of the intercept if it is another one
  */
 public record Slope(String name, String against, String unit, LinearFit fit) {
 
-    /** From percent of a core for each change a second to ms of processor time for each change. */
-    private static final double MS_A_PERCENT = 10;
+    /**
+     * One percent of a core is this many milliseconds of processor time per second. If x is in changes per second,
+     * the slope is then in milliseconds per change.
+     */
+    private static final double MS_PER_PERCENT = 10;
 
-    /** The heading of {@link #csv}. */
-    public static final String HEADER = "name,against,unit,slope,intercept,r_squared,points";
+    /** The header line for {@link #toCsv}. */
+    public static final String CSV_HEADER = "name,against,unit,slope,intercept,r_squared,points";
 
-    /** As a line of CSV. */
-    public String csv() {
+    /** Returns the slope as a line of CSV. */
+    public String toCsv() {
         return String.format(
                 Locale.ROOT,
                 "%s,%s,%s,%.6g,%.6g,%.4f,%d",
@@ -35,124 +39,126 @@
                 fit.points());
     }
 
-    /** All that these points have three values or more for; void points are left out. */
+    /** Returns all slopes for which there are points at three or more different values; void points are left out. */
     public static List<Slope> of(List<Measurement> points) {
         List<Slope> slopes = new ArrayList<>();
-        List<LinearFit.Point> perChange = new ArrayList<>();
-        List<Integer> sizes = points.stream()
-                .filter(point -> point.what() == Measurement.What.SIDECAR)
+        List<LinearFit.Point> costsPerChange = new ArrayList<>();
+        List<Integer> listSizes = points.stream()
+                .filter(point -> point.subject() == Measurement.Subject.SIDECAR)
                 .map(Measurement::listed)
                 .distinct()
                 .sorted()
                 .toList();
-        for (int listed : sizes) {
-            Slope slope = add(
+        for (int listed : listSizes) {
+            Slope slope = addFit(
                     slopes,
                     points,
                     "sidecar processor time at " + listed + " listed",
-                    "changes a second",
-                    "ms a change; intercept ms a second",
-                    point -> point.what() == Measurement.What.SIDECAR && point.listed() == listed,
+                    "changes per second",
+                    "ms per change; intercept ms per second",
+                    point -> point.subject() == Measurement.Subject.SIDECAR && point.listed() == listed,
                     Measurement::changesPerS,
-                    point -> point.corePercent() * MS_A_PERCENT);
+                    point -> point.corePercent() * MS_PER_PERCENT);
             if (slope != null) {
-                perChange.add(new LinearFit.Point(listed, slope.fit.slope()));
+                costsPerChange.add(new LinearFit.Point(listed, slope.fit.slope()));
             }
         }
-        if (perChange.size() >= LinearFit.LEAST_POINTS) {
+        if (costsPerChange.size() >= LinearFit.MIN_POINTS) {
             slopes.add(new Slope(
                     "sidecar processor time of one change",
                     "endpoints listed",
-                    "ms an endpoint listed; intercept ms",
-                    LinearFit.of(perChange)));
+                    "ms per endpoint listed; intercept ms",
+                    LinearFit.of(costsPerChange)));
         }
-        Predicate<Measurement> idle = point -> point.what() == Measurement.What.SIDECAR && point.changesPerS() == 0;
-        add(
+        Predicate<Measurement> idle =
+                point -> point.subject() == Measurement.Subject.SIDECAR && point.changesPerS() == 0;
+        addFit(
                 slopes,
                 points,
                 "sidecar processor time without changes",
                 "endpoints listed",
-                "percent of a core an endpoint",
+                "percent of a core per endpoint",
                 idle,
                 Measurement::listed,
                 Measurement::corePercent);
-        double most =
+        double maxChangesPerS =
                 points.stream().mapToDouble(Measurement::changesPerS).max().orElse(0);
-        Predicate<Measurement> busy = point -> point.what() == Measurement.What.SIDECAR && point.changesPerS() == most;
-        add(
+        Predicate<Measurement> atMaxChanges =
+                point -> point.subject() == Measurement.Subject.SIDECAR && point.changesPerS() == maxChangesPerS;
+        addFit(
                 slopes,
                 points,
-                "sidecar resident memory at the most changes",
+                "sidecar resident memory at the highest rate of changes",
                 "endpoints listed",
-                "MB an endpoint; intercept MB",
-                busy,
+                "MB per endpoint; intercept MB",
+                atMaxChanges,
                 Measurement::listed,
                 Measurement::residentMb);
-        int largest = sizes.isEmpty() ? 0 : sizes.get(sizes.size() - 1);
-        add(
+        int largestList = listSizes.isEmpty() ? 0 : listSizes.get(listSizes.size() - 1);
+        addFit(
                 slopes,
                 points,
-                "sidecar bytes at " + largest + " listed",
-                "changes a second",
-                "bytes a change; intercept bytes a second",
-                point -> point.what() == Measurement.What.SIDECAR && point.listed() == largest,
+                "sidecar bytes at " + largestList + " listed",
+                "changes per second",
+                "bytes per change; intercept bytes per second",
+                point -> point.subject() == Measurement.Subject.SIDECAR && point.listed() == largestList,
                 Measurement::changesPerS,
                 Measurement::bytesPerS);
-        add(
+        addFit(
                 slopes,
                 points,
                 "sidecar bytes without changes",
                 "endpoints listed",
-                "bytes a second an endpoint",
+                "bytes per second per endpoint",
                 idle,
                 Measurement::listed,
                 Measurement::bytesPerS);
-        Predicate<Measurement> control = point -> point.what() == Measurement.What.CONTROL;
-        add(
+        Predicate<Measurement> control = point -> point.subject() == Measurement.Subject.CONTROL;
+        addFit(
                 slopes,
                 points,
                 "control node processor time",
-                "changes a second times watchers",
-                "ms a change and watcher; intercept ms a second",
+                "changes per second times watchers",
+                "ms per change and watcher; intercept ms per second",
                 control,
                 point -> point.changesPerS() * point.watchers(),
-                point -> point.corePercent() * MS_A_PERCENT);
-        add(
+                point -> point.corePercent() * MS_PER_PERCENT);
+        addFit(
                 slopes,
                 points,
                 "control node processor time without changes",
                 "watchers",
-                "percent of a core a watcher",
+                "percent of a core per watcher",
                 control.and(point -> point.changesPerS() == 0),
                 Measurement::watchers,
                 Measurement::corePercent);
-        add(
+        addFit(
                 slopes,
                 points,
                 "control node bytes",
-                "changes a second times watchers",
-                "bytes a change and watcher; intercept bytes a second",
+                "changes per second times watchers",
+                "bytes per change and watcher; intercept bytes per second",
                 control,
                 point -> point.changesPerS() * point.watchers(),
                 Measurement::bytesPerS);
         return slopes;
     }
 
-    private static Slope add(
+    private static Slope addFit(
             List<Slope> slopes,
             List<Measurement> points,
             String name,
             String against,
             String unit,
-            Predicate<Measurement> which,
+            Predicate<Measurement> filter,
             ToDoubleFunction<Measurement> x,
             ToDoubleFunction<Measurement> y) {
         List<LinearFit.Point> fitted = points.stream()
-                .filter(which.and(point -> !point.isVoid()))
+                .filter(filter.and(point -> !point.isVoid()))
                 .map(point -> new LinearFit.Point(x.applyAsDouble(point), y.applyAsDouble(point)))
                 .sorted(Comparator.comparingDouble(LinearFit.Point::x))
                 .toList();
-        if (fitted.stream().mapToDouble(LinearFit.Point::x).distinct().count() < LinearFit.LEAST_POINTS) {
+        if (fitted.stream().mapToDouble(LinearFit.Point::x).distinct().count() < LinearFit.MIN_POINTS) {
             return null;
         }
         Slope slope = new Slope(name, against, unit, LinearFit.of(fitted));
