--- a/lab/src/main/java/lemonrail/lab/scale/SlopeRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/SlopeRun.java
@@ -13,21 +13,24 @@
 import java.util.stream.IntStream;
 import lemonrail.config.EdgeConfig;
 
-/** Measures what control costs a sidecar and a control node, point by point. */
+/** Measures what the control plane costs a sidecar and a control node, point by point. */
 final class SlopeRun {
 
-    /** Endpoints that the watchers list where it is the control node that is measured. */
-    private static final int SHORT_LIST = 10;
+    /** The number of endpoints in the watchers' list when the control node is measured. */
+    private static final int SHORT_LIST_SIZE = 10;
 
-    private static final String SHORT = "short";
-    /** Without changes a call waits so long that a plain window may hold none of it. */
-    private static final double LEAST_IDLE_MS = 12_000;
+    private static final String SHORT_LIST_NAME = "short";
+    /**
+     * The shortest measurement without changes. A watch call then waits so long that a usual measurement window
+     * might contain no call at all.
+     */
+    private static final double MIN_IDLE_WINDOW_MS = 12_000;
 
     private final ScaleScenario scenario;
     private final ServeCommand command;
     private final Path scratch;
     private final EdgeConfig config;
-    private final PrintWriter words;
+    private final PrintWriter output;
     private final Supplier<ControlPlane> planes;
     private final List<Measurement> points = new ArrayList<>();
 
@@ -36,66 +39,70 @@
             ServeCommand command,
             Path scratch,
             EdgeConfig config,
-            PrintWriter words,
+            PrintWriter output,
             Supplier<ControlPlane> planes) {
         this.planes = planes;
         this.scenario = scenario;
         this.command = command;
         this.scratch = scratch;
         this.config = config;
-        this.words = words;
+        this.output = output;
     }
 
-    /** What has been measured so far. */
+    /** Returns the points measured so far. */
     List<Measurement> points() {
         return points;
     }
 
     void run() throws IOException, InterruptedException {
-        sidecars();
-        control();
+        measureSidecars();
+        measureControlNode();
     }
 
-    /** A change of an endpoint: it leaves, and at the next change comes back as a new process. */
-    private static Map<String, List<EndpointEntry>> change(Map<String, List<EndpointEntry>> lists, long number) {
+    /**
+     * Returns a change of one endpoint of each list: with an even number it starts to terminate, and with the next
+     * odd number it returns as a new process.
+     */
+    private static Map<String, List<EndpointEntry>> createChange(Map<String, List<EndpointEntry>> lists, long number) {
         Map<String, List<EndpointEntry>> changes = new LinkedHashMap<>();
-        lists.forEach((list, lines) -> {
-            EndpointEntry line = lines.get((int) (number / 2 % lines.size()));
+        lists.forEach((listName, entries) -> {
+            EndpointEntry entry = entries.get((int) (number / 2 % entries.size()));
             changes.put(
-                    list,
+                    listName,
                     List.of(
                             number % 2 == 0
-                                    ? line.with(EndpointEntry.State.TERMINATING)
-                                    : line.started(1_000_000 + number)));
+                                    ? entry.withState(EndpointEntry.State.TERMINATING)
+                                    : entry.restartedAt(1_000_000 + number)));
         });
         return changes;
     }
 
-    private static void pour(
-            ControlPlane plane, Map<String, List<EndpointEntry>> lists, double perSecond, double lengthMs)
+    private static void makeChanges(
+            ControlPlane plane, Map<String, List<EndpointEntry>> lists, double changesPerS, double lengthMs)
             throws InterruptedException {
-        Churn.run(perSecond, lengthMs, number -> plane.apply(0, change(lists, number)));
+        Churn.run(changesPerS, lengthMs, number -> plane.apply(0, createChange(lists, number)));
     }
 
-    private void sidecars() throws IOException, InterruptedException {
+    private void measureSidecars() throws IOException, InterruptedException {
         ScaleScenario.Slopes slopes = scenario.slopes();
-        Map<Integer, List<RealSidecar>> real = new TreeMap<>();
+        Map<Integer, List<RealSidecar>> sidecarsByListSize = new TreeMap<>();
         Map<String, List<EndpointEntry>> lists = new LinkedHashMap<>();
         try (ControlPlane plane = planes.get()) {
             try {
-                for (int listed : slopes.listed()) {
+                for (int listSize : slopes.listSizes()) {
                     Site site = new Site(
-                            listed,
+                            listSize,
                             1,
                             1,
                             scenario.site().zones(),
-                            scenario.site().rack());
-                    String list = "listed-" + listed;
-                    lists.put(list, site.lines());
-                    plane.list(list, site.lines());
-                    for (int i = 0; i < slopes.perSize(); i++) {
-                        String name = list + "-" + i;
-                        real.computeIfAbsent(listed, k -> new ArrayList<>())
+                            scenario.site().rackSize());
+                    String listName = "listed-" + listSize;
+                    lists.put(listName, site.createEntries());
+                    plane.replaceList(listName, site.createEntries());
+                    for (int i = 0; i < slopes.sidecarsPerListSize(); i++) {
+                        String name = listName + "-" + i;
+                        sidecarsByListSize
+                                .computeIfAbsent(listSize, k -> new ArrayList<>())
                                 .add(RealSidecar.start(
                                         name,
                                         command,
@@ -103,129 +110,138 @@
                                         plane,
                                         scenario.site().endpoints(),
                                         scenario.site().zoneNames(),
-                                        list,
+                                        listName,
                                         0,
                                         name));
                     }
                 }
-                for (List<RealSidecar> group : real.values()) {
+                for (List<RealSidecar> group : sidecarsByListSize.values()) {
                     for (RealSidecar sidecar : group) {
                         sidecar.awaitReady();
                     }
                 }
-                double heat = slopes.changes().get(slopes.changes().size() - 1);
-                words.printf(
+                double maxChangesPerS =
+                        slopes.changesPerS().get(slopes.changesPerS().size() - 1);
+                output.printf(
                         Locale.ROOT,
-                        "slopes: %d real sidecars, warming up by %.0f changes a second%n",
-                        real.values().stream().mapToInt(List::size).sum(),
-                        heat);
-                words.flush();
-                pour(plane, lists, heat, slopes.heatMs());
-                for (double rate : slopes.changes()) {
-                    point(plane, real, lists, rate);
+                        "slopes: %d real sidecars, warming up with %.0f changes per second%n",
+                        sidecarsByListSize.values().stream()
+                                .mapToInt(List::size)
+                                .sum(),
+                        maxChangesPerS);
+                output.flush();
+                makeChanges(plane, lists, maxChangesPerS, slopes.initialWarmUpMs());
+                for (double changesPerS : slopes.changesPerS()) {
+                    measurePoint(plane, sidecarsByListSize, lists, changesPerS);
                 }
             } finally {
-                real.values().forEach(group -> group.forEach(RealSidecar::close));
+                sidecarsByListSize.values().forEach(group -> group.forEach(RealSidecar::close));
             }
         }
     }
 
-    private record Before(double cpuMs, long atNanos) {}
+    private record CpuBaseline(double cpuMs, long atNanos) {}
 
-    private void point(
+    private void measurePoint(
             ControlPlane plane,
-            Map<Integer, List<RealSidecar>> real,
+            Map<Integer, List<RealSidecar>> sidecarsByListSize,
             Map<String, List<EndpointEntry>> lists,
-            double rate)
+            double changesPerS)
             throws IOException, InterruptedException {
-        pour(plane, lists, rate, scenario.slopes().warmUpMs());
-        Map<RealSidecar, Before> before = new LinkedHashMap<>();
-        for (List<RealSidecar> group : real.values()) {
+        makeChanges(plane, lists, changesPerS, scenario.slopes().warmUpMs());
+        Map<RealSidecar, CpuBaseline> baselines = new LinkedHashMap<>();
+        for (List<RealSidecar> group : sidecarsByListSize.values()) {
             for (RealSidecar sidecar : group) {
-                plane.traffic(sidecar.name());
-                before.put(sidecar, new Before(sidecar.cpuMs(), System.nanoTime()));
+                plane.takeTraffic(sidecar.name());
+                baselines.put(sidecar, new CpuBaseline(sidecar.cpuMs(), System.nanoTime()));
             }
         }
-        plane.cost(0);
-        double windowMs = rate == 0
-                ? Math.max(LEAST_IDLE_MS, scenario.slopes().windowMs())
+        plane.takeCost(0);
+        double windowMs = changesPerS == 0
+                ? Math.max(MIN_IDLE_WINDOW_MS, scenario.slopes().windowMs())
                 : scenario.slopes().windowMs();
-        pour(plane, lists, rate, windowMs);
-        ControlPlane.Cost cost = plane.cost(0);
-        String why = Bottleneck.why(windowMs, cost, 0, 0, scenario.targets().inForceMs());
-        for (Map.Entry<Integer, List<RealSidecar>> group : real.entrySet()) {
-            double percent = 0;
-            double bytes = 0;
-            double resident = 0;
-            double proportional = 0;
+        makeChanges(plane, lists, changesPerS, windowMs);
+        ControlPlane.Cost cost = plane.takeCost(0);
+        String voidReason = Bottleneck.findVoidReason(
+                windowMs, cost, 0, 0, scenario.targets().maxPropagationMs());
+        for (Map.Entry<Integer, List<RealSidecar>> group : sidecarsByListSize.entrySet()) {
+            double corePercent = 0;
+            double bytesPerS = 0;
+            double residentMb = 0;
+            double proportionalMb = 0;
             int count = group.getValue().size();
             for (RealSidecar sidecar : group.getValue()) {
-                double ms = (System.nanoTime() - before.get(sidecar).atNanos) / 1e6;
-                percent += 100 * (sidecar.cpuMs() - before.get(sidecar).cpuMs) / ms / count;
-                bytes += plane.traffic(sidecar.name()).bytes() / ms * 1000 / count;
-                resident += sidecar.residentMb() / count;
-                proportional += sidecar.proportionalMb() / count;
+                double elapsedMs = (System.nanoTime() - baselines.get(sidecar).atNanos) / 1e6;
+                corePercent += 100 * (sidecar.cpuMs() - baselines.get(sidecar).cpuMs) / elapsedMs / count;
+                bytesPerS += plane.takeTraffic(sidecar.name()).bytes() / elapsedMs * 1000 / count;
+                residentMb += sidecar.residentMb() / count;
+                proportionalMb += sidecar.proportionalMb() / count;
             }
             add(new Measurement(
-                    Measurement.What.SIDECAR,
+                    Measurement.Subject.SIDECAR,
                     group.getKey(),
                     0,
-                    rate,
-                    percent,
-                    bytes,
-                    resident,
-                    proportional,
+                    changesPerS,
+                    corePercent,
+                    bytesPerS,
+                    residentMb,
+                    proportionalMb,
                     cost.lagP99Ms(),
                     0,
-                    !why.isEmpty()));
+                    !voidReason.isEmpty()));
         }
     }
 
-    private void control() throws InterruptedException {
-        Map<String, List<EndpointEntry>> lists = Map.of(SHORT, new Site(SHORT_LIST, 1, 1, 1, 1).lines());
+    private void measureControlNode() throws InterruptedException {
+        Map<String, List<EndpointEntry>> lists =
+                Map.of(SHORT_LIST_NAME, new Site(SHORT_LIST_SIZE, 1, 1, 1, 1).createEntries());
         try (ControlPlane plane = planes.get();
                 HollowFleet fleet = new HollowFleet(
                         scenario.sidecars().loops(), config, scenario.sidecars().seed())) {
-            plane.list(SHORT, lists.get(SHORT));
+            plane.replaceList(SHORT_LIST_NAME, lists.get(SHORT_LIST_NAME));
             int running = 0;
-            for (int watchers : scenario.slopes().watchers()) {
-                fleet.start(IntStream.range(running, watchers).boxed().toList(), plane, number -> SHORT, number -> 0);
+            for (int watchers : scenario.slopes().watcherCounts()) {
+                fleet.start(
+                        IntStream.range(running, watchers).boxed().toList(),
+                        plane,
+                        number -> SHORT_LIST_NAME,
+                        number -> 0);
                 running = watchers;
-                for (double rate : scenario.slopes().changes()) {
-                    pour(plane, lists, rate, scenario.slopes().warmUpMs());
-                    plane.cost(0);
-                    fleet.load();
-                    long began = System.nanoTime();
-                    pour(plane, lists, rate, scenario.slopes().windowMs());
-                    double ms = (System.nanoTime() - began) / 1e6;
-                    ControlPlane.Cost cost = plane.cost(0);
-                    HollowFleet.Load load = fleet.load();
-                    boolean isVoid = !Bottleneck.why(
-                                    ms,
+                for (double changesPerS : scenario.slopes().changesPerS()) {
+                    makeChanges(plane, lists, changesPerS, scenario.slopes().warmUpMs());
+                    plane.takeCost(0);
+                    fleet.takeLoad();
+                    long startNanos = System.nanoTime();
+                    makeChanges(plane, lists, changesPerS, scenario.slopes().windowMs());
+                    double elapsedMs = (System.nanoTime() - startNanos) / 1e6;
+                    ControlPlane.Cost cost = plane.takeCost(0);
+                    HollowFleet.Load load = fleet.takeLoad();
+                    boolean isVoid = !Bottleneck.findVoidReason(
+                                    elapsedMs,
                                     cost,
                                     load.lagP99Ms(),
-                                    load.mostCpuMs(),
-                                    scenario.targets().inForceMs())
+                                    load.maxLoopCpuMs(),
+                                    scenario.targets().maxPropagationMs())
                             .isEmpty();
                     add(new Measurement(
-                            Measurement.What.CONTROL,
-                            SHORT_LIST,
+                            Measurement.Subject.CONTROL,
+                            SHORT_LIST_SIZE,
                             watchers,
-                            rate,
-                            100 * cost.cpuMs() / ms,
-                            cost.bytes() / ms * 1000,
+                            changesPerS,
+                            100 * cost.cpuMs() / elapsedMs,
+                            cost.bytes() / elapsedMs * 1000,
                             Double.NaN,
                             Double.NaN,
                             cost.lagP99Ms(),
                             load.lagP99Ms(),
                             isVoid));
                     add(new Measurement(
-                            Measurement.What.HOLLOW,
-                            SHORT_LIST,
+                            Measurement.Subject.HOLLOW,
+                            SHORT_LIST_SIZE,
                             watchers,
-                            rate,
-                            100 * load.cpuMs() / ms / watchers,
-                            cost.bytes() / ms * 1000 / watchers,
+                            changesPerS,
+                            100 * load.cpuMs() / elapsedMs / watchers,
+                            cost.bytes() / elapsedMs * 1000 / watchers,
                             Double.NaN,
                             Double.NaN,
                             cost.lagP99Ms(),
@@ -238,7 +254,7 @@
 
     private void add(Measurement point) {
         points.add(point);
-        words.println("slopes: " + point.csv());
-        words.flush();
+        output.println("slopes: " + point.toCsv());
+        output.flush();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/StormRow.java
+++ b/lab/src/main/java/lemonrail/lab/scale/StormRow.java
@@ -3,20 +3,24 @@
 import java.util.Locale;
 
 /**
- * What a storm came to.
+ * The result of a storm.
  *
- * @param pairs changes times sidecars that were to have them
- * @param never of these, those that did not within the time the run waits
- * @param p50Ms from change to in force, over all pairs
- * @param slowestP50Ms the same for the last sidecar of each change
- * @param realMostMs the longest at a real sidecar, by the call with which it asked on
- * @param knowing hollow sidecars whose deciders had control's list in the end
- * @param wholeLists whole lists that hollow sidecars were told
- * @param hollowCpuMs processor time of a hollow sidecar, in the mean
- * @param realCpuPercent of one core, a real sidecar in the mean over the storm
- * @param realBytesPerS payload of a real sidecar both ways, in the mean over the storm
- * @param realPeakBytesPerS the most within a second at any real sidecar
- * @param note why, where it is void, missed or not carried
+ * @param pairs the number of pairs of a change and a sidecar that should apply it
+ * @param neverApplied the number of pairs in which the sidecar did not apply the change before the timeout
+ * @param p50Ms time from a change until it is in force, over all pairs
+ * @param maxMs the longest such time
+ * @param slowestP50Ms the same for the slowest sidecar of each change
+ * @param realMaxMs the longest time at a real sidecar, until the watch call that shows that it has the change
+ * @param upToDateCount the number of hollow sidecars whose load balancers have the current list at the end
+ * @param hollowCount the number of hollow sidecars
+ * @param fullListCount the number of full snapshots that hollow sidecars received
+ * @param hollowCpuMs processor time of a hollow sidecar, on average
+ * @param realCpuPercent processor time of a real sidecar over the storm, on average, in percent of one core
+ * @param realBytesPerS payload of a real sidecar in both directions over the storm, on average
+ * @param realPeakBytesPerS the most bytes that any real sidecar transferred within one second
+ * @param controlLagMs lateness of the control plane's event loop, at the 99th percentile
+ * @param hollowLagMs lateness of the hollow sidecars' event loops, at the 99th percentile
+ * @param note why the storm is void, missed its targets or is not carried; empty otherwise
  */
 public record StormRow(
         ScaleScenario.Storm storm,
@@ -24,15 +28,15 @@
         int changes,
         double lengthMs,
         int pairs,
-        int never,
+        int neverApplied,
         double p50Ms,
         double p99Ms,
-        double mostMs,
+        double maxMs,
         double slowestP50Ms,
-        double realMostMs,
-        int knowing,
-        int hollow,
-        int wholeLists,
+        double realMaxMs,
+        int upToDateCount,
+        int hollowCount,
+        int fullListCount,
         double controlCpuPercent,
         double controlBytesPerS,
         long controlPeakBytesPerS,
@@ -46,44 +50,47 @@
         Verdict verdict,
         String note) {
 
-    /** Whether the targets were met. */
+    /** Whether the targets were met, or why this is not known. */
     public enum Verdict {
         MET,
         MISSED,
         VOID,
         NOT_CARRIED;
 
-        /** In words for people. */
-        public String word() {
+        /** Returns the verdict as reports show it. */
+        public String label() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
     }
 
-    /** The heading of {@link #csv}. */
-    public static final String HEADER = "storm,listed,sidecars,changes,length_ms,pairs,never,p50_ms,p99_ms,"
+    /** The header line for {@link #toCsv}. */
+    public static final String CSV_HEADER = "storm,listed,sidecars,changes,length_ms,pairs,never,p50_ms,p99_ms,"
             + "most_ms,last_sidecar_p50_ms,real_most_ms,knowing,hollow,whole_lists,control_core_percent,"
             + "control_bytes_per_s,control_peak_bytes_per_s,hollow_cpu_ms,real_core_percent,real_bytes_per_s,"
             + "real_peak_bytes_per_s,real_resident_mb,control_lag_p99_ms,hollow_lag_p99_ms,verdict,note";
 
-    /** Its name. */
+    /** Returns the storm's name, as a scenario file has it. */
     public String name() {
         return storm.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** As a line of CSV. */
-    public String csv() {
-        return name() + "," + storm.listed().name().toLowerCase(Locale.ROOT) + "," + sidecars + "," + changes
-                + "," + plain(lengthMs) + "," + pairs + "," + never + "," + plain(p50Ms) + "," + plain(p99Ms)
+    /** Returns the result as a line of CSV. */
+    public String toCsv() {
+        return name() + "," + storm.scope().name().toLowerCase(Locale.ROOT) + "," + sidecars + "," + changes
+                + "," + formatOrBlank(lengthMs) + "," + pairs + "," + neverApplied + "," + formatOrBlank(p50Ms) + ","
+                + formatOrBlank(p99Ms)
                 + ","
-                + plain(mostMs) + "," + plain(slowestP50Ms) + "," + plain(realMostMs) + "," + knowing + ","
-                + hollow + "," + wholeLists + "," + plain(controlCpuPercent) + "," + plain(controlBytesPerS) + ","
-                + controlPeakBytesPerS + "," + plain(hollowCpuMs) + "," + plain(realCpuPercent) + ","
-                + plain(realBytesPerS) + "," + realPeakBytesPerS + "," + plain(realResidentMb) + ","
-                + plain(controlLagMs) + "," + plain(hollowLagMs) + ","
+                + formatOrBlank(maxMs) + "," + formatOrBlank(slowestP50Ms) + "," + formatOrBlank(realMaxMs) + ","
+                + upToDateCount + ","
+                + hollowCount + "," + fullListCount + "," + formatOrBlank(controlCpuPercent) + ","
+                + formatOrBlank(controlBytesPerS) + ","
+                + controlPeakBytesPerS + "," + formatOrBlank(hollowCpuMs) + "," + formatOrBlank(realCpuPercent) + ","
+                + formatOrBlank(realBytesPerS) + "," + realPeakBytesPerS + "," + formatOrBlank(realResidentMb) + ","
+                + formatOrBlank(controlLagMs) + "," + formatOrBlank(hollowLagMs) + ","
                 + verdict.name().toLowerCase(Locale.ROOT) + ",\"" + note.replace('"', '\'') + "\"";
     }
 
-    private static String plain(double value) {
+    private static String formatOrBlank(double value) {
         return Double.isNaN(value) ? "" : String.format(Locale.ROOT, "%.2f", value);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/StormRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/StormRun.java
@@ -11,438 +11,473 @@
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
 import lemonrail.config.EdgeConfig;
-import lemonrail.lab.scale.ScaleScenario.Listed;
+import lemonrail.lab.scale.ScaleScenario.EndpointScope;
 import lemonrail.lab.scale.ScaleScenario.Storm;
 
-/** Plays storms, one after another, on fleets that are told of all endpoints or of one service's. */
+/**
+ * Plays storms one after another, first on a fleet whose sidecars list all endpoints, then on one whose sidecars
+ * list those of one service.
+ */
 final class StormRun {
 
-    /** A change is waited for so many times as long as it may take until it is in force. */
-    private static final double WAIT_TIMES = 7;
+    /** How long the run waits for a change, as a multiple of the allowed propagation time. */
+    private static final double SETTLE_TIMEOUT_FACTOR = 7;
 
-    private static final double LOOK_MS = 50;
-    /** Before a storm all is quiet for so long; after the last is in force costs still count for so long. */
-    private static final double QUIET_MS = 700;
+    private static final double POLL_INTERVAL_MS = 50;
+    /** The pause without changes before a storm. */
+    private static final double PAUSE_BEFORE_STORM_MS = 700;
 
-    private static final double AFTER_MS = 500;
-    /** Processor time and bytes are judged over this time at least, and those of a day over a day. */
-    private static final double JUDGED_MS = 60_000;
+    /** How long costs still count after the last change of a storm is in force. */
+    private static final double COST_TAIL_MS = 500;
+    /**
+     * Processor time and bytes are compared with the targets as averages over at least this time, and those of a
+     * day's changes over a day.
+     */
+    private static final double MIN_COST_AVERAGING_MS = 60_000;
 
     private static final double DAY_MS = 86_400_000;
-    private static final double CHANGES_A_DAY = 1200;
-    /** Changes before the first storm. */
-    private static final double HEAT_PER_S = 20;
+    private static final double CHANGES_PER_DAY = 1200;
+    /** The rate of changes in the warm-up before the first storm. */
+    private static final double WARM_UP_CHANGES_PER_S = 20;
 
-    private static final double S_MS = 1000;
-    /** So that changes that follow one another are of other racks. */
-    private static final int STRIDE = 7;
+    private static final double MILLIS_PER_SECOND = 1000;
+    /** The distance between endpoints that change in succession, so that they are in different racks. */
+    private static final int ENDPOINT_STRIDE = 7;
 
-    /** The heading of {@link #changeLines}. */
-    static final String CHANGES_HEADER = "storm,listed,change,at_ms,pairs,never,p50_ms,p99_ms,most_ms";
+    /** The header line for {@link #changeLines}. */
+    static final String CHANGES_CSV_HEADER = "storm,listed,change,at_ms,pairs,never,p50_ms,p99_ms,most_ms";
 
     private final ScaleScenario scenario;
     private final Site site;
     private final ServeCommand command;
     private final Path scratch;
     private final EdgeConfig config;
-    private final PrintWriter words;
+    private final PrintWriter output;
     private final Supplier<ControlPlane> planes;
     private final List<StormRow> rows = new ArrayList<>();
     private final List<String> changeLines = new ArrayList<>();
     private final List<Fleet.Change> changes = new ArrayList<>();
-    /** How long settings took until they were in force at each sidecar. */
-    private List<Double> settingsMs = List.of();
+    /** How long settings took until they were in force, in ms: at all sidecars, then at each. */
+    private List<Double> settingsDelaysMs = List.of();
 
-    private final double mostWaitMs;
+    private final double settleTimeoutMs;
     private Fleet fleet;
-    /** A real sidecar's cost while nothing happens. */
-    private Fleet.Spent quiet;
+    /** A real sidecar's cost without changes. */
+    private Fleet.SidecarCost idleCost;
 
     StormRun(
             ScaleScenario scenario,
             ServeCommand command,
             Path scratch,
             EdgeConfig config,
-            PrintWriter words,
+            PrintWriter output,
             Supplier<ControlPlane> planes) {
         this.scenario = scenario;
         this.site = scenario.site();
         this.command = command;
         this.scratch = scratch;
         this.config = config;
-        this.words = words;
+        this.output = output;
         this.planes = planes;
-        mostWaitMs = WAIT_TIMES * scenario.targets().inForceMs();
+        settleTimeoutMs = SETTLE_TIMEOUT_FACTOR * scenario.targets().maxPropagationMs();
     }
 
-    /** Each change of each storm, as lines of CSV. */
+    /** Returns each change of each storm as a line of CSV. */
     List<String> changeLines() {
         return changeLines;
     }
 
-    /** What storms have come to so far. */
+    /** Returns the results so far. */
     List<StormRow> rows() {
         return rows;
     }
 
     void run() throws IOException, InterruptedException {
-        for (Listed listed : Listed.values()) {
+        for (EndpointScope scope : EndpointScope.values()) {
             List<Storm> storms = scenario.storms().stream()
-                    .filter(storm -> storm.listed() == listed)
+                    .filter(storm -> storm.scope() == scope)
                     .toList();
             if (!storms.isEmpty()) {
-                try (Fleet opened = new Fleet(scenario, listed, planes.get(), config)) {
-                    fleet = opened;
-                    prepare(listed);
+                try (Fleet openedFleet = new Fleet(scenario, scope, planes.get(), config)) {
+                    fleet = openedFleet;
+                    prepare(scope);
                     for (Storm storm : storms) {
-                        play(storm);
+                        playStorm(storm);
                     }
                 }
             }
         }
     }
 
-    private void prepare(Listed listed) throws IOException, InterruptedException {
-        fleet.open(scenario.sidecars().real(), command, scratch);
-        say(
-                "storms: %d hollow and %d real sidecars stand, each told of %s",
-                fleet.hollow().sidecars().size(), fleet.real().size(), word(listed));
-        pour(HEAT_PER_S, scenario.sidecars().warmUpMs());
-        fleet.awaitKnowing(mostWaitMs);
-        Churn.rest(QUIET_MS);
-        Fleet.Began idle = fleet.begin();
-        Churn.rest(scenario.sidecars().idleMs());
-        quiet = fleet.spent(idle);
-        say(
-                "storms: while nothing happens a real sidecar takes %.2f %% of a core and %.0f bytes a second",
-                quiet.corePercent(), quiet.bytesPerS());
+    private void prepare(EndpointScope scope) throws IOException, InterruptedException {
+        fleet.start(scenario.sidecars().realCount(), command, scratch);
+        log(
+                "storms: %d hollow and %d real sidecars are running, endpoints in each list: %s",
+                fleet.hollow().sidecars().size(), fleet.realSidecars().size(), keyName(scope));
+        makeChanges(WARM_UP_CHANGES_PER_S, scenario.sidecars().warmUpMs());
+        fleet.awaitUpToDate(settleTimeoutMs);
+        Churn.sleep(PAUSE_BEFORE_STORM_MS);
+        Fleet.CostBaseline idleBaseline = fleet.resetMeasurements();
+        Churn.sleep(scenario.sidecars().idleMs());
+        idleCost = fleet.measureSidecarCost(idleBaseline);
+        log(
+                "storms: without changes a real sidecar uses %.2f %% of a core and transfers %.0f bytes per second",
+                idleCost.corePercent(), idleCost.bytesPerS());
     }
 
-    private void say(String format, Object... values) {
-        words.printf(Locale.ROOT, format + "%n", values);
-        words.flush();
+    private void log(String format, Object... values) {
+        output.printf(Locale.ROOT, format + "%n", values);
+        output.flush();
     }
 
-    private static String word(Enum<?> value) {
+    private static String keyName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private void play(Storm storm) throws IOException, InterruptedException {
-        Churn.rest(QUIET_MS);
+    private void playStorm(Storm storm) throws IOException, InterruptedException {
+        Churn.sleep(PAUSE_BEFORE_STORM_MS);
         changes.clear();
-        settingsMs = List.of();
-        long wholeLists = fleet.hollow().wholeLists();
-        Fleet.Began began = fleet.begin();
-        String notCarried = happen(storm);
+        settingsDelaysMs = List.of();
+        long fullListCount = fleet.hollow().fullListCount();
+        Fleet.CostBaseline baseline = fleet.resetMeasurements();
+        String notCarriedReason = playEvents(storm);
         settle();
-        Churn.rest(AFTER_MS);
-        StormRow row = row(storm, fleet.spent(began), fleet.hollow().wholeLists() - wholeLists, notCarried);
+        Churn.sleep(COST_TAIL_MS);
+        StormRow row = createRow(
+                storm,
+                fleet.measureSidecarCost(baseline),
+                fleet.hollow().fullListCount() - fullListCount,
+                notCarriedReason);
         rows.add(row);
-        changeLines(storm, began.atNanos());
-        say(
-                "storms: %s, %s listed: %s; in force after %.0f ms (p50), %.0f (p99), %.0f (most), real %.0f; a "
-                        + "real sidecar %.2f %% of a core, %.0f B/s%s",
+        addChangeLines(storm, baseline.atNanos());
+        log(
+                "storms: %s, %s listed: %s; in force after %.0f ms (p50), %.0f (p99), %.0f (max), real %.0f; a "
+                        + "real sidecar uses %.2f %% of a core, %.0f B/s%s",
                 row.name(),
-                word(storm.listed()),
-                row.verdict().word(),
+                keyName(storm.scope()),
+                row.verdict().label(),
                 row.p50Ms(),
                 row.p99Ms(),
-                row.mostMs(),
-                row.realMostMs(),
+                row.maxMs(),
+                row.realMaxMs(),
                 row.realCpuPercent(),
                 row.realBytesPerS(),
                 row.note().isEmpty() ? "" : "; " + row.note());
     }
 
-    // ---- what happens ----
+    // ---- events ----
 
-    /** Lets a storm happen; why it is not carried, or empty. */
-    private String happen(Storm storm) throws IOException, InterruptedException {
+    /**
+     * Plays the events of a storm. Returns why the control plane does not carry it, or an empty string if it does.
+     */
+    private String playEvents(Storm storm) throws IOException, InterruptedException {
         switch (storm.kind()) {
-            case CHANGE, DAY -> pour(storm.changes() * S_MS / storm.lengthMs(), storm.lengthMs());
-            case RELEASE -> release(storm);
-            case MACHINE -> lose(1, storm);
-            case RACK -> lose(site.rack(), storm);
-            case ZONE -> lose(site.zoneSize(), storm);
-            case REGION -> lose(site.regionSize(), storm);
-            case CONTROL_DOWN, CONTROL_RESTART -> away(storm);
+            case CHANGE, DAY ->
+                makeChanges(storm.changeCount() * MILLIS_PER_SECOND / storm.lengthMs(), storm.lengthMs());
+            case RELEASE -> replaceService(storm);
+            case MACHINE -> failEndpoints(1, storm);
+            case RACK -> failEndpoints(site.rackSize(), storm);
+            case ZONE -> failEndpoints(site.zoneSize(), storm);
+            case REGION -> failEndpoints(site.regionSize(), storm);
+            case CONTROL_DOWN, CONTROL_RESTART -> stopControl(storm);
             case NODE_LOST -> {
-                return nodeLost();
+                return loseNode();
             }
             case REGIONS_CUT -> {
-                return cut(storm);
+                return partitionRegions(storm);
             }
             case SETTINGS -> {
-                return settings();
+                return changeSettings();
             }
-            default -> throw new IllegalStateException("no such storm: " + storm.kind());
+            default -> throw new IllegalStateException("unknown kind of storm: " + storm.kind());
         }
         return "";
     }
 
-    /** Changes of one endpoint each, at an even rate. */
-    private void pour(double perSecond, double lengthMs) throws InterruptedException {
+    /** Makes changes of one endpoint each, at a constant rate. */
+    private void makeChanges(double changesPerSecond, double lengthMs) throws InterruptedException {
         Churn.run(
-                perSecond,
+                changesPerSecond,
                 lengthMs,
-                number ->
-                        changes.add(fleet.apply(0, fleet.again(List.of((int) (number * STRIDE % site.endpoints()))))));
+                number -> changes.add(fleet.apply(
+                        0, fleet.repeatEntries(List.of((int) (number * ENDPOINT_STRIDE % site.endpoints()))))));
     }
 
-    /** One service's endpoints leave one after another, and each is replaced at the next step. */
-    private void release(Storm storm) throws InterruptedException {
+    /**
+     * Replaces the endpoints of one service: one after another starts to terminate, and is replaced at the next
+     * step.
+     */
+    private void replaceService(Storm storm) throws InterruptedException {
         List<Integer> members = IntStream.range(0, site.endpoints())
-                .filter(i -> site.service(i) == 1)
+                .filter(endpoint -> site.serviceOf(endpoint) == 1)
                 .boxed()
                 .toList();
         int steps = 2 * members.size();
-        Churn.run(steps * S_MS / storm.lengthMs(), storm.lengthMs(), number -> {
+        Churn.run(steps * MILLIS_PER_SECOND / storm.lengthMs(), storm.lengthMs(), number -> {
             int member = members.get((int) (number / 2 % members.size()));
-            EndpointEntry line = fleet.line(member);
+            EndpointEntry entry = fleet.entry(member);
             changes.add(fleet.apply(
                     0,
                     number % 2 == 0
-                            ? fleet.now(Map.of(member, line.with(EndpointEntry.State.TERMINATING)))
-                            : fleet.replaced(member, site.successor(member, 1 + rows.size()))));
+                            ? fleet.updateEntries(Map.of(member, entry.withState(EndpointEntry.State.TERMINATING)))
+                            : fleet.replaceEntry(member, site.createSuccessor(member, 1 + rows.size()))));
         });
     }
 
-    /** So many endpoints and their sidecars are lost, and are back after the storm's length. */
-    private void lose(int count, Storm storm) throws InterruptedException {
-        List<Integer> lost = IntStream.range(site.endpoints() - count, site.endpoints())
+    /** Removes the last endpoints with their sidecars, and restores them after the storm's length. */
+    private void failEndpoints(int count, Storm storm) throws InterruptedException {
+        List<Integer> failed = IntStream.range(site.endpoints() - count, site.endpoints())
                 .boxed()
                 .toList();
-        changes.add(fleet.lose(lost));
-        Churn.rest(storm.lengthMs());
-        changes.add(fleet.back(lost));
+        changes.add(fleet.removeEndpoints(failed));
+        Churn.sleep(storm.lengthMs());
+        changes.add(fleet.restoreEndpoints(failed));
     }
 
-    /** A change that each sidecar must have, of one endpoint of each service. */
-    private Fleet.Change ofEach(int node) {
+    /** Makes a change that concerns each sidecar: of one endpoint of each service. */
+    private Fleet.Change changeEachService(int node) {
         return fleet.apply(
-                node, fleet.again(IntStream.range(0, site.services()).boxed().toList()));
+                node,
+                fleet.repeatEntries(IntStream.range(0, site.services()).boxed().toList()));
     }
 
-    /** Control is away for the storm's length; what changes meanwhile counts from when it is back. */
-    private void away(Storm storm) throws InterruptedException {
+    /**
+     * Stops the control plane for the storm's length. The propagation time of changes made meanwhile counts from
+     * its return.
+     */
+    private void stopControl(Storm storm) throws InterruptedException {
         ControlPlane plane = fleet.plane();
         for (int i = 0; i < plane.nodes(); i++) {
-            plane.stop(i);
+            plane.stopNode(i);
         }
-        Churn.rest(storm.lengthMs());
-        boolean fromNothing = storm.kind() == ScaleScenario.Kind.CONTROL_RESTART;
+        Churn.sleep(storm.lengthMs());
+        boolean withoutState = storm.kind() == ScaleScenario.Kind.CONTROL_RESTART;
         List<Fleet.Change> meanwhile = new ArrayList<>();
-        if (!fromNothing) {
-            meanwhile.add(ofEach(0));
-            for (int i = 1; i < storm.changes(); i++) {
-                meanwhile.add(fleet.apply(0, fleet.again(List.of(i * STRIDE % site.endpoints()))));
+        if (!withoutState) {
+            meanwhile.add(changeEachService(0));
+            for (int i = 1; i < storm.changeCount(); i++) {
+                meanwhile.add(fleet.apply(0, fleet.repeatEntries(List.of(i * ENDPOINT_STRIDE % site.endpoints()))));
             }
         }
-        long back = System.nanoTime();
+        long backNanos = System.nanoTime();
         for (int i = 0; i < plane.nodes(); i++) {
-            plane.start(i, fromNothing);
+            plane.startNode(i, withoutState);
         }
-        if (fromNothing) {
-            // Versions begin anew: a change just after shows who is back.
-            meanwhile.add(ofEach(0));
+        if (withoutState) {
+            // Versions begin anew, so a change just afterwards shows which sidecars follow again.
+            meanwhile.add(changeEachService(0));
         }
-        meanwhile.forEach(change -> changes.add(change.at(back)));
+        meanwhile.forEach(change -> changes.add(change.withTime(backNanos)));
     }
 
-    /** A node goes, and a change comes by another; where a way has one only, all are told another by hand. */
-    private String nodeLost() throws InterruptedException {
-        Optional<String> missing = fleet.plane().missing(ControlPlane.Ability.NODE_LOST);
-        long lost = System.nanoTime();
-        if (missing.isPresent()) {
-            fleet.hollow().elsewhere();
-            changes.add(ofEach(0).at(lost));
-            return missing.get();
+    /**
+     * Stops a node and makes a change at another one. A control plane with only one node has each sidecar's address
+     * changed from outside instead.
+     */
+    private String loseNode() throws InterruptedException {
+        Optional<String> unsupported = fleet.plane().findUnsupportedReason(ControlPlane.Capability.NODE_LOST);
+        long lostNanos = System.nanoTime();
+        if (unsupported.isPresent()) {
+            fleet.hollow().moveToOtherAddress();
+            changes.add(changeEachService(0).withTime(lostNanos));
+            return unsupported.get();
         }
-        fleet.plane().stop(0);
-        changes.add(ofEach(fleet.plane().nodes() - 1).at(lost));
+        fleet.plane().stopNode(0);
+        changes.add(changeEachService(fleet.plane().nodes() - 1).withTime(lostNanos));
         settle();
-        fleet.plane().start(0, true);
+        fleet.plane().startNode(0, true);
         return "";
     }
 
-    /** The first region hears nothing of the others for the storm's length; things change on both sides. */
-    private String cut(Storm storm) throws InterruptedException {
-        Optional<String> missing = fleet.plane().missing(ControlPlane.Ability.REGIONS_CUT);
-        if (missing.isPresent()) {
-            return missing.get();
+    /** Partitions the first region from the others for the storm's length, and makes changes on both sides. */
+    private String partitionRegions(Storm storm) throws InterruptedException {
+        Optional<String> unsupported = fleet.plane().findUnsupportedReason(ControlPlane.Capability.REGIONS_CUT);
+        if (unsupported.isPresent()) {
+            return unsupported.get();
         }
-        List<Integer> near = fleet.nodes(0);
-        List<Integer> far = IntStream.range(0, fleet.plane().nodes())
-                .filter(node -> !near.contains(node))
+        List<Integer> firstRegion = fleet.nodes(0);
+        List<Integer> otherRegions = IntStream.range(0, fleet.plane().nodes())
+                .filter(node -> !firstRegion.contains(node))
                 .boxed()
                 .toList();
-        near.forEach(one -> far.forEach(other -> fleet.plane().cut(one, other, true)));
+        firstRegion.forEach(
+                node -> otherRegions.forEach(otherNode -> fleet.plane().setPartitioned(node, otherNode, true)));
         List<Fleet.Change> meanwhile = new ArrayList<>();
-        Churn.run(storm.changes() * S_MS / storm.lengthMs(), storm.lengthMs(), number -> {
+        Churn.run(storm.changeCount() * MILLIS_PER_SECOND / storm.lengthMs(), storm.lengthMs(), number -> {
             int region = (int) (number % 2);
             int endpoint = region == 0
                     ? (int) number % site.regionSize()
                     : site.endpoints() - 1 - (int) number % site.regionSize();
-            meanwhile.add(fleet.apply(region == 0 ? near.get(0) : far.get(0), fleet.again(List.of(endpoint)))
-                    .in(region == 0 ? 0 : site.regions() - 1, 0));
+            meanwhile.add(fleet.apply(
+                            region == 0 ? firstRegion.get(0) : otherRegions.get(0),
+                            fleet.repeatEntries(List.of(endpoint)))
+                    .withOrigin(region == 0 ? 0 : site.regions() - 1, 0));
         });
-        long healed = System.nanoTime();
-        near.forEach(one -> far.forEach(other -> fleet.plane().cut(one, other, false)));
-        meanwhile.forEach(change -> changes.add(change.in(change.region(), healed)));
+        long healedNanos = System.nanoTime();
+        firstRegion.forEach(
+                node -> otherRegions.forEach(otherNode -> fleet.plane().setPartitioned(node, otherNode, false)));
+        meanwhile.forEach(change -> changes.add(change.withOrigin(change.region(), healedNanos)));
         return "";
     }
 
-    private String settings() throws IOException, InterruptedException {
-        Optional<String> missing = fleet.plane().missing(ControlPlane.Ability.SETTINGS);
-        if (missing.isEmpty()) {
-            settingsMs = fleet.plane().settings(0, mostWaitMs);
+    private String changeSettings() throws IOException, InterruptedException {
+        Optional<String> unsupported = fleet.plane().findUnsupportedReason(ControlPlane.Capability.SETTINGS);
+        if (unsupported.isEmpty()) {
+            settingsDelaysMs = fleet.plane().changeSettings(0, settleTimeoutMs);
             return "";
         }
-        double most = 0;
-        for (RealSidecar sidecar : fleet.real()) {
-            most = Math.max(most, sidecar.reload((long) mostWaitMs));
+        double maxReloadMs = 0;
+        for (RealSidecar sidecar : fleet.realSidecars()) {
+            maxReloadMs = Math.max(maxReloadMs, sidecar.reload((long) settleTimeoutMs));
         }
-        return missing.get()
+        return unsupported.get()
                 + String.format(
                         Locale.ROOT,
-                        "; %d real ones were told by hand, one after " + "another, and said so after %.0f ms at most",
-                        fleet.real().size(),
-                        most);
+                        "; %d real sidecars were reloaded one after "
+                                + "another, and reported it after at most %.0f ms",
+                        fleet.realSidecars().size(),
+                        maxReloadMs);
     }
 
-    // ---- what came of it ----
+    // ---- results ----
 
-    /** Waits until all have all, or long enough. */
+    /** Waits until all sidecars have all changes, or until the timeout. */
     private void settle() throws InterruptedException {
-        long until = System.nanoTime() + (long) (mostWaitMs * 1e6);
-        fleet.awaitKnowing(mostWaitMs);
-        int done = 0;
-        while (done < changes.size() && System.nanoTime() < until) {
-            fleet.hear();
-            // All that is before the first that is not in force has been looked at.
-            while (done < changes.size() && isEverywhere(changes.get(done))) {
-                done++;
+        long deadlineNanos = System.nanoTime() + (long) (settleTimeoutMs * 1e6);
+        fleet.awaitUpToDate(settleTimeoutMs);
+        int appliedCount = 0;
+        while (appliedCount < changes.size() && System.nanoTime() < deadlineNanos) {
+            fleet.collectCalls();
+            // All changes before the first one that is not in force have been checked.
+            while (appliedCount < changes.size() && isAppliedEverywhere(changes.get(appliedCount))) {
+                appliedCount++;
             }
-            if (done < changes.size()) {
-                Churn.rest(LOOK_MS);
+            if (appliedCount < changes.size()) {
+                Churn.sleep(POLL_INTERVAL_MS);
             }
         }
     }
 
-    private boolean isEverywhere(Fleet.Change change) {
-        return fleet.hollowMs(change).stream().noneMatch(ms -> ms.isNaN())
-                && fleet.realMs(change).stream().noneMatch(ms -> ms.isNaN());
+    private boolean isAppliedEverywhere(Fleet.Change change) {
+        return fleet.hollowPropagationMs(change).stream().noneMatch(ms -> ms.isNaN())
+                && fleet.realPropagationMs(change).stream().noneMatch(ms -> ms.isNaN());
     }
 
-    private StormRow row(Storm storm, Fleet.Spent spent, long wholeLists, String notCarried) throws IOException {
-        fleet.hear();
-        PropagationTimes all = new PropagationTimes();
-        PropagationTimes reals = new PropagationTimes();
-        all.add(settingsMs);
+    private StormRow createRow(Storm storm, Fleet.SidecarCost cost, long fullListCount, String notCarriedReason)
+            throws IOException {
+        fleet.collectCalls();
+        PropagationTimes allTimes = new PropagationTimes();
+        PropagationTimes realTimes = new PropagationTimes();
+        allTimes.add(settingsDelaysMs);
         for (Fleet.Change change : changes) {
-            all.add(fleet.hollowMs(change));
-            reals.add(fleet.realMs(change));
+            allTimes.add(fleet.hollowPropagationMs(change));
+            realTimes.add(fleet.realPropagationMs(change));
         }
-        ControlPlane.Cost control = fleet.control();
-        HollowFleet.Load load = fleet.hollow().load();
-        int hollow = fleet.hollow().sidecars().size();
-        int knowing = fleet.knowing();
-        String note = notCarried;
+        ControlPlane.Cost nodeCost = fleet.takeBusiestNodeCost();
+        HollowFleet.Load load = fleet.hollow().takeLoad();
+        int hollowCount = fleet.hollow().sidecars().size();
+        int upToDateCount = fleet.countUpToDate();
+        String note = notCarriedReason;
         StormRow.Verdict verdict = StormRow.Verdict.NOT_CARRIED;
-        if (notCarried.isEmpty()) {
-            note = Bottleneck.why(
-                    spent.lengthMs(),
-                    control,
+        if (notCarriedReason.isEmpty()) {
+            note = Bottleneck.findVoidReason(
+                    cost.lengthMs(),
+                    nodeCost,
                     load.lagP99Ms(),
-                    load.mostCpuMs(),
-                    scenario.targets().inForceMs());
+                    load.maxLoopCpuMs(),
+                    scenario.targets().maxPropagationMs());
             verdict = StormRow.Verdict.VOID;
             if (note.isEmpty()) {
-                note = missed(
-                        all,
-                        reals,
-                        knowing < hollow,
-                        spent.over(
+                note = describeMissedTargets(
+                        allTimes,
+                        realTimes,
+                        upToDateCount < hollowCount,
+                        cost.averagedOver(
                                 storm.kind() == ScaleScenario.Kind.DAY
-                                        ? DAY_MS * storm.changes() / CHANGES_A_DAY
-                                        : JUDGED_MS,
-                                quiet));
+                                        ? DAY_MS * storm.changeCount() / CHANGES_PER_DAY
+                                        : MIN_COST_AVERAGING_MS,
+                                idleCost));
                 verdict = note.isEmpty() ? StormRow.Verdict.MET : StormRow.Verdict.MISSED;
-                String late =
-                        Bottleneck.whyLate(load.lagMostMs(), scenario.targets().inForceMs());
-                if (all.percentileMs(1) > scenario.targets().inForceMs() && !late.isEmpty()) {
-                    note = late + "; " + note;
+                String lateness = Bottleneck.findLatenessReason(
+                        load.maxLagMs(), scenario.targets().maxPropagationMs());
+                if (allTimes.percentileMs(1) > scenario.targets().maxPropagationMs() && !lateness.isEmpty()) {
+                    note = lateness + "; " + note;
                     verdict = StormRow.Verdict.VOID;
                 }
             }
         }
         return new StormRow(
                 storm,
-                hollow + fleet.real().size(),
+                hollowCount + fleet.realSidecars().size(),
                 changes.size(),
-                spent.lengthMs(),
-                all.pairs(),
-                all.never(),
-                all.percentileMs(0.5),
-                all.percentileMs(0.99),
-                all.percentileMs(1),
-                all.lastPercentileMs(0.5),
-                reals.percentileMs(1),
-                knowing,
-                hollow,
-                (int) wholeLists,
-                100 * control.cpuMs() / spent.lengthMs(),
-                control.bytes() / spent.lengthMs() * S_MS,
-                control.peakBytesPerS(),
-                load.cpuMs() / hollow,
-                spent.corePercent(),
-                spent.bytesPerS(),
-                spent.peakBytesPerS(),
-                fleet.residentMb(),
-                control.lagP99Ms(),
+                cost.lengthMs(),
+                allTimes.pairs(),
+                allTimes.neverApplied(),
+                allTimes.percentileMs(0.5),
+                allTimes.percentileMs(0.99),
+                allTimes.percentileMs(1),
+                allTimes.slowestPercentileMs(0.5),
+                realTimes.percentileMs(1),
+                upToDateCount,
+                hollowCount,
+                (int) fullListCount,
+                100 * nodeCost.cpuMs() / cost.lengthMs(),
+                nodeCost.bytes() / cost.lengthMs() * MILLIS_PER_SECOND,
+                nodeCost.peakBytesPerS(),
+                load.cpuMs() / hollowCount,
+                cost.corePercent(),
+                cost.bytesPerS(),
+                cost.peakBytesPerS(),
+                fleet.meanResidentMb(),
+                nodeCost.lagP99Ms(),
                 load.lagP99Ms(),
                 verdict,
                 note);
     }
 
-    private String missed(PropagationTimes all, PropagationTimes reals, boolean unknowing, Fleet.Spent spent) {
+    private String describeMissedTargets(
+            PropagationTimes allTimes, PropagationTimes realTimes, boolean hasOutdated, Fleet.SidecarCost cost) {
         ScaleScenario.Targets targets = scenario.targets();
         List<String> missed = new ArrayList<>();
-        if (all.never() + reals.never() > 0) {
-            missed.add(all.never() + reals.never() + " were never in force");
+        if (allTimes.neverApplied() + realTimes.neverApplied() > 0) {
+            missed.add(allTimes.neverApplied() + realTimes.neverApplied()
+                    + " propagations of a change to a sidecar timed out");
         }
-        double most = Math.max(all.percentileMs(1), reals.pairs() == reals.never() ? 0 : reals.percentileMs(1));
-        if (most > targets.inForceMs()) {
-            missed.add(String.format(Locale.ROOT, "in force after %.0f ms", most));
+        double maxMs = Math.max(
+                allTimes.percentileMs(1),
+                realTimes.pairs() == realTimes.neverApplied() ? 0 : realTimes.percentileMs(1));
+        if (maxMs > targets.maxPropagationMs()) {
+            missed.add(String.format(Locale.ROOT, "in force after %.0f ms", maxMs));
         }
-        if (unknowing) {
-            missed.add("some have another list than control");
+        if (hasOutdated) {
+            missed.add("some hollow sidecars do not have the current list");
         }
-        if (spent.corePercent() > targets.corePercent()) {
-            missed.add(String.format(Locale.ROOT, "%.2f %% of a core a sidecar", spent.corePercent()));
+        if (cost.corePercent() > targets.maxCorePercent()) {
+            missed.add(String.format(Locale.ROOT, "%.2f %% of a core per sidecar", cost.corePercent()));
         }
-        if (spent.bytesPerS() > targets.kilobytesPerS() * S_MS) {
-            missed.add(String.format(Locale.ROOT, "%.1f KB a second a sidecar", spent.bytesPerS() / S_MS));
+        if (cost.bytesPerS() > targets.maxKilobytesPerS() * MILLIS_PER_SECOND) {
+            missed.add(
+                    String.format(Locale.ROOT, "%.1f KB per second per sidecar", cost.bytesPerS() / MILLIS_PER_SECOND));
         }
         return String.join("; ", missed);
     }
 
-    private void changeLines(Storm storm, long began) {
+    private void addChangeLines(Storm storm, long startNanos) {
         for (int i = 0; i < changes.size(); i++) {
-            PropagationTimes one = new PropagationTimes();
-            one.add(fleet.hollowMs(changes.get(i)));
+            PropagationTimes times = new PropagationTimes();
+            times.add(fleet.hollowPropagationMs(changes.get(i)));
             changeLines.add(String.format(
                     Locale.ROOT,
                     "%s,%s,%d,%.1f,%d,%d,%.2f,%.2f,%.2f",
-                    word(storm.kind()),
-                    word(storm.listed()),
+                    keyName(storm.kind()),
+                    keyName(storm.scope()),
                     i,
-                    (changes.get(i).applied().atNanos() - began) / 1e6,
-                    one.pairs(),
-                    one.never(),
-                    one.percentileMs(0.5),
-                    one.percentileMs(0.99),
-                    one.percentileMs(1)));
+                    (changes.get(i).applied().atNanos() - startNanos) / 1e6,
+                    times.pairs(),
+                    times.neverApplied(),
+                    times.percentileMs(0.5),
+                    times.percentileMs(0.99),
+                    times.percentileMs(1)));
         }
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/Traffic.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Traffic.java
@@ -1,40 +1,46 @@
 package lemonrail.lab.scale;
 
-/** Bytes of payload over time, both ways; the headers of TCP and IP are not in them. One loop's own. */
+/**
+ * Counts bytes of payload in both directions, without the headers of TCP and IP, and watch calls. Not thread-safe.
+ */
 public final class Traffic {
 
     private static final long SECOND_NANOS = 1_000_000_000L;
 
-    /** What has passed since it was last asked: bytes, and the most within one second. */
-    public record Seen(long bytes, long peakPerSecond, long calls) {}
+    /**
+     * The counts since the last reset.
+     *
+     * @param peakPerSecond the most bytes within one second
+     */
+    public record Totals(long bytes, long peakPerSecond, long calls) {}
 
     private long bytes;
     private long calls;
-    private long second = Long.MIN_VALUE;
-    private long inSecond;
+    private long currentSecond = Long.MIN_VALUE;
+    private long bytesInSecond;
     private long peak;
 
-    void add(long more) {
+    void addBytes(long newBytes) {
         long now = System.nanoTime() / SECOND_NANOS;
-        if (now != second) {
-            second = now;
-            inSecond = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            bytesInSecond = 0;
         }
-        inSecond += more;
-        bytes += more;
-        peak = Math.max(peak, inSecond);
+        bytesInSecond += newBytes;
+        bytes += newBytes;
+        peak = Math.max(peak, bytesInSecond);
     }
 
-    void called() {
+    void addCall() {
         calls++;
     }
 
-    Seen take() {
-        Seen seen = new Seen(bytes, peak, calls);
+    Totals takeAndReset() {
+        Totals totals = new Totals(bytes, peak, calls);
         bytes = 0;
         calls = 0;
         peak = 0;
-        inSecond = 0;
-        return seen;
+        bytesInSecond = 0;
+        return totals;
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/path/FixedDiscovery.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/FixedDiscovery.java
@@ -25,25 +25,32 @@
 import java.util.StringJoiner;
 import java.util.concurrent.TimeUnit;
 
-/** A discovery whose list never changes: each watch waits out its time and hears that nothing is new. */
+/**
+ * A discovery server whose endpoint list never changes: each watch call is answered with an empty delta once its
+ * wait is over.
+ */
 final class FixedDiscovery implements AutoCloseable {
 
-    private static final int MOST_BODY_BYTES = 1024;
+    private static final int MAX_BODY_BYTES = 1024;
     private static final int VERSION = 1;
 
-    private final String whole;
+    private final String fullSnapshot;
     private final Channel listener;
 
     FixedDiscovery(EventLoopGroup group, List<InetSocketAddress> endpoints) {
-        whole = list(endpoints);
+        fullSnapshot = encodeSnapshot(endpoints);
         listener = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES), new Asked());
+                    protected void initChannel(SocketChannel connection) {
+                        connection
+                                .pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        new WatchRequestHandler());
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -55,19 +62,19 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** The whole list in discovery's form. */
-    static String list(List<InetSocketAddress> endpoints) {
-        StringJoiner lines = new StringJoiner(",");
+    /** Returns a full snapshot as JSON of the discovery protocol. */
+    static String encodeSnapshot(List<InetSocketAddress> endpoints) {
+        StringJoiner entries = new StringJoiner(",");
         for (int i = 0; i < endpoints.size(); i++) {
-            lines.add("{\"id\":\"e" + i + "\",\"addr\":\"127.0.0.1:"
+            entries.add("{\"id\":\"e" + i + "\",\"addr\":\"127.0.0.1:"
                     + endpoints.get(i).getPort()
                     + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\"in_service\",\"weight\":1.0,"
                     + "\"started_ms\":0}");
         }
-        return "{\"version\":" + VERSION + ",\"full\":true,\"servers\":[" + lines + "]}";
+        return "{\"version\":" + VERSION + ",\"full\":true,\"servers\":[" + entries + "]}";
     }
 
-    private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class WatchRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -81,15 +88,16 @@
                                 waitMs,
                                 TimeUnit.MILLISECONDS);
             } else {
-                write(ctx, whole);
+                write(ctx, fullSnapshot);
             }
         }
 
         private void write(ChannelHandlerContext ctx, String text) {
-            FullHttpResponse made = new DefaultFullHttpResponse(
+            FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-            made.headers().set(HttpHeaderNames.CONTENT_LENGTH, made.content().readableBytes());
-            ctx.writeAndFlush(made);
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+            ctx.writeAndFlush(response);
         }
 
         @Override
--- a/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
@@ -30,36 +30,36 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A service in a chain: it calls the next one and answers once that has answered; the last answers at once.
- * All services of a chain share a loop and a clock, so each knows exactly how long the next one's own work
- * took, and thus what stands between the two has added to this very call.
+ * A service in a chain. It calls the next service and responds once that has responded; the last one responds at
+ * once. All services of a chain share an event loop and a clock, so each knows exactly how long the next one took
+ * for its own work, and thus how much time the process between the two added to this call.
  */
 final class Hop implements AutoCloseable {
 
-    private static final int MOST_BODY_BYTES = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final byte[] BODY = new byte[64];
-    private static final int MOST_CONNECTIONS = 512;
-    private static final long MOST_MICROS = TimeUnit.MINUTES.toMicros(1);
-    private static final String ID = "X-Request-Id";
-    private static final String NAME = "hop";
+    private static final int MAX_CONNECTIONS = 512;
+    private static final long MAX_LATENCY_MICROS = TimeUnit.MINUTES.toMicros(1);
+    private static final String REQUEST_ID_HEADER = "X-Request-Id";
+    private static final String CHAIN_HOST = "hop";
 
     private final SpinningLoop standIns;
-    /** How long services took over calls that their callers have not heard of yet, by the call's id. */
-    private final Map<String, Long> tookNanos;
+    /** The time that services took for calls whose responses have not reached the caller yet, by the call's id. */
+    private final Map<String, Long> serviceNanos;
 
     private final Channel listener;
     private final ClientPool next;
     private final IntFunction<FullHttpRequest> requests;
-    private final Histogram addedMicros = new Histogram(MOST_MICROS, 3);
-    private int made;
+    private final Histogram addedLatencyMicros = new Histogram(MAX_LATENCY_MICROS, 3);
+    private int requestCount;
 
-    private Hop(SpinningLoop standIns, Map<String, Long> tookNanos, InetSocketAddress to) {
+    private Hop(SpinningLoop standIns, Map<String, Long> serviceNanos, InetSocketAddress nextAddress) {
         this.standIns = standIns;
-        this.tookNanos = tookNanos;
-        next = to == null ? null : new ClientPool(standIns.loop(), to, MOST_CONNECTIONS);
+        this.serviceNanos = serviceNanos;
+        next = nextAddress == null ? null : new ClientPool(standIns.loop(), nextAddress, MAX_CONNECTIONS);
         requests = Loads.requests(
                 HttpMethod.GET,
-                NAME,
+                CHAIN_HOST,
                 "/api",
                 Map.of("X-Class", ServedProcess.CLASS, "X-Deadline-Ms", String.valueOf(ServedProcess.DEADLINE_MS)),
                 false,
@@ -67,13 +67,17 @@
         listener = new ServerBootstrap()
                 .group(standIns.group())
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, MOST_CONNECTIONS)
+                .option(ChannelOption.SO_BACKLOG, MAX_CONNECTIONS)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        fresh.pipeline()
-                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY_BYTES), new Asked());
+                    protected void initChannel(SocketChannel connection) {
+                        connection
+                                .pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        new RequestHandler());
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -81,72 +85,75 @@
                 .channel();
     }
 
-    /** The last service of a chain. */
-    static Hop last(SpinningLoop standIns) {
+    /** Creates the last service of a chain. */
+    static Hop createLast(SpinningLoop standIns) {
         return new Hop(standIns, new HashMap<>(), null);
     }
 
-    /** A service that calls this one, at this address: its own, or that of what stands before it. */
-    Hop before(InetSocketAddress to) {
-        return new Hop(standIns, tookNanos, to);
+    /** Creates a service that calls this one, at its own address or at that of the process before it. */
+    Hop createCaller(InetSocketAddress nextAddress) {
+        return new Hop(standIns, serviceNanos, nextAddress);
     }
 
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Counts from now on. */
-    void begin() {
+    /** Resets the counts. */
+    void resetCounts() {
         standIns.loop().execute(() -> {
-            addedMicros.reset();
-            tookNanos.clear();
+            addedLatencyMicros.reset();
+            serviceNanos.clear();
         });
     }
 
-    /** What the way to the next service and back has added to calls, in microseconds. */
-    Histogram added() {
-        return standIns.loop().submit(addedMicros::copy).syncUninterruptibly().getNow();
+    /** Returns the latency that the route to the next service and back added to each call, in microseconds. */
+    Histogram addedLatency() {
+        return standIns.loop()
+                .submit(addedLatencyMicros::copy)
+                .syncUninterruptibly()
+                .getNow();
     }
 
-    private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            long began = System.nanoTime();
-            // Nobody asks how long a call took that comes from outside the chain.
-            String id = NAME.equals(request.headers().get(HttpHeaderNames.HOST))
-                    ? request.headers().get(ID, "")
+            long receivedNanos = System.nanoTime();
+            // The time of a call is recorded only if it comes from a service of the chain.
+            String id = CHAIN_HOST.equals(request.headers().get(HttpHeaderNames.HOST))
+                    ? request.headers().get(REQUEST_ID_HEADER, "")
                     : "";
             if (next == null) {
-                answer(ctx, id, began, HttpResponseStatus.OK);
+                respond(ctx, id, receivedNanos, HttpResponseStatus.OK);
                 return;
             }
-            FullHttpRequest further = requests.apply(made++);
-            String furtherId = further.headers().get(ID);
-            long sent = System.nanoTime();
-            next.send(further, ServedProcess.DEADLINE_MS, (end, answer) -> {
-                Long inner = tookNanos.remove(furtherId);
-                if (end == ClientRequest.End.SERVED && inner != null) {
-                    long nanos = System.nanoTime() - sent - inner;
-                    addedMicros.recordValue(Math.max(0, Math.min(MOST_MICROS, nanos / 1000)));
+            FullHttpRequest nextRequest = requests.apply(requestCount++);
+            String nextRequestId = nextRequest.headers().get(REQUEST_ID_HEADER);
+            long sentNanos = System.nanoTime();
+            next.send(nextRequest, ServedProcess.DEADLINE_MS, (end, nextResponse) -> {
+                Long nextServiceNanos = serviceNanos.remove(nextRequestId);
+                if (end == ClientRequest.End.SERVED && nextServiceNanos != null) {
+                    long nanos = System.nanoTime() - sentNanos - nextServiceNanos;
+                    addedLatencyMicros.recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, nanos / 1000)));
                 }
-                answer(
+                respond(
                         ctx,
                         id,
-                        began,
+                        receivedNanos,
                         end == ClientRequest.End.SERVED ? HttpResponseStatus.OK : HttpResponseStatus.BAD_GATEWAY);
             });
         }
 
-        private void answer(ChannelHandlerContext ctx, String id, long began, HttpResponseStatus status) {
-            FullHttpResponse answer =
+        private void respond(ChannelHandlerContext ctx, String id, long receivedNanos, HttpResponseStatus status) {
+            FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(BODY));
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
-            // Before the write, in which it goes out: what comes after is no work of this service.
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
+            // Recorded before the write, which sends the response: later work does not belong to this service.
             if (!id.isEmpty()) {
-                tookNanos.put(id, System.nanoTime() - began);
+                serviceNanos.put(id, System.nanoTime() - receivedNanos);
             }
-            ctx.writeAndFlush(answer);
+            ctx.writeAndFlush(response);
         }
 
         @Override
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathPlan.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathPlan.java
@@ -5,25 +5,28 @@
 /**
  * What a run of the data path measures.
  *
- * @param lengthMs each measurement, its warm-up included
- * @param warmUpMs of each measurement, in which its connections are opened
- * @param rounds measurements of each kind, in turn with the others
- * @param warmRate calls a second by which a process is warmed before anything is measured
- * @param warmChunks seconds of that, at least 1; fewer if its processor time has settled before
- * @param rates calls a second to a sidecar, the target's first
- * @param curve calls a second at which processor time is measured, 0 for idle
- * @param batches calls that come at once, at the target's rate: what waking up for each costs
+ * @param lengthMs duration of each measurement, including its warm-up
+ * @param warmUpMs duration of each measurement's warm-up, in which its connections are opened
+ * @param rounds number of measurements of each kind, which alternate with those of other kinds
+ * @param warmUpRate calls per second with which a process is warmed up before any measurement
+ * @param maxWarmUpSeconds maximum duration of that warm-up in seconds, at least 1; it ends earlier once the processor
+ *     time per call is stable
+ * @param rates calls per second to a sidecar, the target's first
+ * @param curve rates in calls per second at which processor time is measured; 0 for idle
+ * @param batches numbers of calls that arrive at the same moment, at the target's rate, which show what it costs to
+ *     wake up for each call
  * @param endpoints numbers of endpoints listed
- * @param connections numbers of client connections, all of them in use
- * @param depth sidecars in a chain
- * @param ramp calls a second, each tried until one is not kept; empty for no search of the maximum
+ * @param connections numbers of client connections, all of which are used
+ * @param depth number of sidecars in a chain
+ * @param ramp rates in calls per second, tried in turn until one is not sustained; empty for no search of the
+ *     maximum
  */
 public record PathPlan(
         double lengthMs,
         double warmUpMs,
         int rounds,
-        double warmRate,
-        int warmChunks,
+        double warmUpRate,
+        int maxWarmUpSeconds,
         List<Integer> rates,
         List<Integer> curve,
         List<Integer> batches,
@@ -32,12 +35,12 @@
         int depth,
         List<Integer> ramp) {
 
-    /** Calls a second to a sidecar at the target size: 390,000 over 1,000 sidecars. */
+    /** Calls per second to a sidecar at the target size: 390,000 over 1,000 sidecars. */
     public static final int TARGET_RATE = 390;
 
     private static final List<Integer> RAMP = List.of(5000, 7000, 10_000, 14_000, 20_000, 28_000, 40_000, 56_000);
 
-    /** The large form, of three to four minutes. */
+    /** Returns the full plan, which takes three to four minutes. */
     public static PathPlan large(int rounds, double lengthMs, boolean ramp) {
         return new PathPlan(
                 lengthMs,
@@ -54,7 +57,7 @@
                 ramp ? RAMP : List.of());
     }
 
-    /** The small form, of seconds, whose figures say nothing. */
+    /** Returns a small plan, which takes seconds and whose figures are not meaningful. */
     public static PathPlan small() {
         return new PathPlan(
                 400,
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRow.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRow.java
@@ -9,25 +9,29 @@
 /**
  * One measurement of the data path.
  *
- * @param way who stands between caller and endpoint
- * @param step of a chain whose own addition this is, or 0 for whole calls
- * @param endpoints listed
- * @param connections of clients at most
- * @param batch calls that came at once
- * @param rate calls a second, 0 where none were made
- * @param sent calls that count
- * @param micros times of served calls, from when each was due, in microseconds
- * @param calls that were sent while the processor's time was read
- * @param wallMs how long it was read
- * @param usage what the process in between used meanwhile
- * @param late99Ms how late calls were sent, 99 in 100
- * @param away99Ms how long the stand-in's loop was away, in 99 of 100 moments
- * @param waited calls that found all client connections busy
- * @param load the machine's load over the last minute (processes that run or want to)
+ * @param experiment what was varied
+ * @param routeType which process, if any, was between the caller and the endpoint
+ * @param round the number of the measurement among those of the same kind
+ * @param step the step of a chain whose added latency this row shows, or 0 for whole calls
+ * @param endpoints the number of endpoints listed
+ * @param connections the maximum number of client connections
+ * @param batch the number of calls that arrived at the same moment
+ * @param rate calls per second, 0 if none were made
+ * @param sent the number of calls after the warm-up
+ * @param served the number of these that were served
+ * @param micros latencies of served calls in microseconds, from when each was due
+ * @param calls the number of calls sent while the processor time was measured
+ * @param wallMs how long the processor time was measured
+ * @param usage what the process between caller and endpoint used meanwhile
+ * @param sendLatenessP99Ms how late calls were sent, at the 99th percentile
+ * @param absenceP99Ms how long the stand-ins' event loop did not look at its sockets, at the 99th percentile over
+ *     time
+ * @param connectionWaits the number of calls that found all client connections busy
+ * @param load the machine's load average over the last minute, which counts processes that run or are ready to run
  */
 record PathRow(
-        Part part,
-        Way way,
+        Experiment experiment,
+        RouteType routeType,
         int round,
         int step,
         int endpoints,
@@ -40,13 +44,13 @@
         long calls,
         double wallMs,
         ProcessUsage usage,
-        double late99Ms,
-        double away99Ms,
-        long waited,
+        double sendLatenessP99Ms,
+        double absenceP99Ms,
+        long connectionWaits,
         double load) {
 
-    /** What was varied. */
-    enum Part {
+    /** What was varied, or what else the measurement was for. */
+    enum Experiment {
         WARM_UP,
         SIDE_BY_SIDE,
         RATE,
@@ -57,100 +61,103 @@
         RAMP
     }
 
-    /** Who stands between. */
-    enum Way {
+    /** Which process is between the caller and the endpoint, if any. */
+    enum RouteType {
         DIRECT,
         RELAY,
         SIDECAR
     }
 
-    /** Beyond a quarter of what may be added, the lab's own lateness makes the figures. */
-    static final double MOST_LATE_MS = PathVerdict.MOST_ADDED_MS / 4;
+    /**
+     * The maximum lateness of the lab itself: a quarter of the allowed added latency. Above it the figures show the
+     * lab.
+     */
+    static final double MAX_LAB_LATENESS_MS = PathVerdict.MAX_ADDED_MS / 4;
 
-    private static final double MOST_NO_CORE_US = 20;
-    private static final double RAMP_KEEPS = 0.99;
-    private static final double RAMP_MOST_MS = 50;
+    private static final double MAX_NO_CORE_US = 20;
+    private static final double MIN_SUSTAINED_SHARE = 0.99;
+    private static final double MAX_SUSTAINED_P99_MS = 50;
 
-    static final String HEADER = "part,way,round,step,endpoints,connections,batch,rate,sent,served,"
+    static final String CSV_HEADER = "part,way,round,step,endpoints,connections,batch,rate,sent,served,"
             + "p50_ms,p99_ms,p999_ms,cpu_us,stat_us,loop_us,compiler_us,vm_us,other_us,no_core_us,wakeups,"
             + "cpu_percent,rss_mb,"
             + "descriptors,late99_ms,away99_ms,load,void";
 
     /**
-     * Whether generator or stand-in, and not what stands between, made the figures. Calls that come at once
-     * are sent and answered one after the other, each with its own time for it. Nor is it the work of what
-     * stands between when others had its core: a scheduler's slice of 3 ms for one call in 100 is 30 µs a
-     * call in the mean.
+     * Returns whether the measurement is void because the load generator or the stand-in, rather than the process
+     * between them, determined the figures. Calls that arrive at the same moment are sent and answered one after
+     * the other, so each has the same allowance of its own. The measurement is also void if other processes had the
+     * measured process's core: a scheduler's time slice of 3 ms for one call in 100 is 30 µs per call on average.
      */
     boolean isVoid() {
-        double mostMs = MOST_LATE_MS * batch;
-        boolean isOneProcess = part != Part.CHAIN || step > 0;
-        return (isOneProcess && noCoreUs() > MOST_NO_CORE_US)
-                || late99Ms > mostMs
-                || away99Ms > mostMs
-                || waited > sent / 100;
+        double maxLatenessMs = MAX_LAB_LATENESS_MS * batch;
+        boolean isSingleProcess = experiment != Experiment.CHAIN || step > 0;
+        return (isSingleProcess && noCoreUs() > MAX_NO_CORE_US)
+                || sendLatenessP99Ms > maxLatenessMs
+                || absenceP99Ms > maxLatenessMs
+                || connectionWaits > sent / 100;
     }
 
-    /** Whether calls were lost or refused, one in a thousand or more. */
-    boolean isUnserved() {
+    /** Returns whether more than one call in a thousand was lost or refused. */
+    boolean hasUnservedCalls() {
         return sent - served > sent / 1000;
     }
 
-    /** Whether a rate was kept: nearly all was served, and none too late. */
-    boolean isKept() {
-        return !isVoid() && served >= sent * RAMP_KEEPS && ms(99) <= RAMP_MOST_MS;
+    /** Returns whether the rate was sustained: nearly all calls were served, and with a low latency. */
+    boolean isSustained() {
+        return !isVoid() && served >= sent * MIN_SUSTAINED_SHARE && latencyMs(99) <= MAX_SUSTAINED_P99_MS;
     }
 
-    double ms(double percentile) {
+    double latencyMs(double percentile) {
         return micros.getTotalCount() == 0 ? Double.NaN : micros.getValueAtPercentile(percentile) / 1e3;
     }
 
-    /** Processor time for each call in microseconds. */
+    /** Returns the processor time per call in microseconds. */
     double cpuUs() {
         return perCallUs(usage.cpuMs());
     }
 
-    /** The same as {@code /proc/PID/stat} has it, in steps of 10 ms. */
+    /** Returns the same as {@code /proc/PID/stat} shows it, in steps of 10 ms. */
     double statUs() {
         return perCallUs(usage.statMs());
     }
 
-    private double perCallUs(double ms) {
-        return calls == 0 ? Double.NaN : ms * 1000 / calls;
+    private double perCallUs(double totalMs) {
+        return calls == 0 ? Double.NaN : totalMs * 1000 / calls;
     }
 
-    /** Processor time of threads of a kind for each call in microseconds. */
+    /** Returns the processor time per call of threads of a kind, in microseconds. */
     double cpuUs(Kind kind) {
         return perCallUs(usage.of(kind).ranMs());
     }
 
-    /** How often threads of any kind were woken for each call. */
+    /** Returns how often threads of any kind were woken per call. */
     double wakeups() {
         return calls == 0 ? Double.NaN : usage.wakeups() / (double) calls;
     }
 
-    /** How long a call's work waited for a core that others had, in microseconds. */
+    /** Returns how long the work of a call waited for a core that other processes used, in microseconds. */
     double noCoreUs() {
         return perCallUs(usage.waitedMs());
     }
 
-    /** Processor time as a part of a core, in percent. */
+    /** Returns the processor time in percent of a core. */
     double cpuPercent() {
         return usage.cpuMs() * 100 / wallMs;
     }
 
-    /** Calls a second that were really sent while the processor's time was read. */
-    double realRate() {
+    /** Returns the calls per second that were actually sent while the processor time was measured. */
+    double actualRate() {
         return calls * 1000 / wallMs;
     }
 
-    /** As a line of CSV; what is not known is empty. */
-    String csv() {
+    /** Returns the row as a line of CSV; unknown values are empty. */
+    String toCsv() {
         return String.format(
                 Locale.ROOT,
                 "%s,%s,%d,%d,%d,%d,%d,%d,%d,%d,%s,%s,%s,%s,%s,%s,%s,%s,%s,%s,%s," + "%s,%s,%d,%.3f,%.3f,%.1f,%b",
-                part.name().toLowerCase(Locale.ROOT),
-                way.name().toLowerCase(Locale.ROOT),
+                experiment.name().toLowerCase(Locale.ROOT),
+                routeType.name().toLowerCase(Locale.ROOT),
                 round,
                 step,
                 endpoints,
@@ -159,44 +166,47 @@
                 rate,
                 sent,
                 served,
-                number(ms(50), 3),
-                number(ms(99), 3),
-                number(ms(99.9), 3),
-                number(cpuUs(), 1),
-                number(statUs(), 1),
-                number(cpuUs(Kind.LOOP), 1),
-                number(cpuUs(Kind.COMPILER), 1),
-                number(cpuUs(Kind.VM), 1),
-                number(cpuUs(Kind.OTHER), 1),
-                number(noCoreUs(), 1),
-                number(wakeups(), 2),
-                number(cpuPercent(), 2),
-                number(usage.residentMb(), 1),
+                formatOrBlank(latencyMs(50), 3),
+                formatOrBlank(latencyMs(99), 3),
+                formatOrBlank(latencyMs(99.9), 3),
+                formatOrBlank(cpuUs(), 1),
+                formatOrBlank(statUs(), 1),
+                formatOrBlank(cpuUs(Kind.LOOP), 1),
+                formatOrBlank(cpuUs(Kind.COMPILER), 1),
+                formatOrBlank(cpuUs(Kind.VM), 1),
+                formatOrBlank(cpuUs(Kind.OTHER), 1),
+                formatOrBlank(noCoreUs(), 1),
+                formatOrBlank(wakeups(), 2),
+                formatOrBlank(cpuPercent(), 2),
+                formatOrBlank(usage.residentMb(), 1),
                 usage.descriptors(),
-                late99Ms,
-                away99Ms,
+                sendLatenessP99Ms,
+                absenceP99Ms,
                 load,
                 isVoid());
     }
 
-    static String number(double value, int digits) {
+    static String formatOrBlank(double value, int decimals) {
         return Double.isNaN(value) || Double.isInfinite(value)
                 ? ""
-                : String.format(Locale.ROOT, "%." + digits + "f", value);
+                : String.format(Locale.ROOT, "%." + decimals + "f", value);
     }
 
-    /** Rounds of one measurement together: all their calls, all their processor time. */
-    static PathRow merged(List<PathRow> rounds) {
+    /**
+     * Merges the rounds of a measurement: sums calls and processor time, and takes the maximum of lateness, absence
+     * and load.
+     */
+    static PathRow mergeRounds(List<PathRow> rounds) {
         PathRow first = rounds.get(0);
         Histogram micros = first.micros.copy();
         ProcessUsage usage = first.usage;
-        for (PathRow more : rounds.subList(1, rounds.size())) {
-            micros.add(more.micros);
-            usage = usage.plus(more.usage);
+        for (PathRow round : rounds.subList(1, rounds.size())) {
+            micros.add(round.micros);
+            usage = usage.plus(round.usage);
         }
         return new PathRow(
-                first.part,
-                first.way,
+                first.experiment,
+                first.routeType,
                 0,
                 first.step,
                 first.endpoints,
@@ -209,9 +219,9 @@
                 rounds.stream().mapToLong(PathRow::calls).sum(),
                 rounds.stream().mapToDouble(PathRow::wallMs).sum(),
                 usage,
-                rounds.stream().mapToDouble(PathRow::late99Ms).max().orElseThrow(),
-                rounds.stream().mapToDouble(PathRow::away99Ms).max().orElseThrow(),
-                rounds.stream().mapToLong(PathRow::waited).sum(),
+                rounds.stream().mapToDouble(PathRow::sendLatenessP99Ms).max().orElseThrow(),
+                rounds.stream().mapToDouble(PathRow::absenceP99Ms).max().orElseThrow(),
+                rounds.stream().mapToLong(PathRow::connectionWaits).sum(),
                 rounds.stream().mapToDouble(PathRow::load).max().orElseThrow());
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
@@ -18,30 +18,31 @@
 import lemonrail.lab.load.OpenLoop;
 import lemonrail.lab.model.Arrivals;
 import lemonrail.lab.scale.ServeCommand;
-import lemonrail.lab.scale.path.PathRow.Part;
-import lemonrail.lab.scale.path.PathRow.Way;
+import lemonrail.lab.scale.path.PathRow.Experiment;
+import lemonrail.lab.scale.path.PathRow.RouteType;
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures what stands between a caller and an endpoint: nothing, a bare relay, a sidecar. Caller and
- * endpoints share this process, each on a loop that never sleeps; relay and sidecars are processes of their
- * own. Measurements to be compared take turns, so that a drift of the machine meets all of them.
+ * Measures the cost of what is between a caller and an endpoint: nothing, a plain relay or a sidecar. Callers and
+ * endpoints run in this process, each on an event loop that never sleeps; relay and sidecars are processes of their
+ * own. Measurements that are to be compared alternate, so that a drift of the machine affects all of them.
  */
 public final class PathRun implements AutoCloseable {
 
-    private static final int LEAST_ENDPOINTS = 10;
-    /** Client connections where their number is not what is varied; not all are needed. */
-    private static final int USUAL_CONNECTIONS = 256;
-    /** Calls a second through a whole chain, each of which is one at every step. */
-    private static final int MOST_CHAIN_RATE = 1000;
+    private static final int MIN_ENDPOINTS = 10;
+    /** The number of client connections where it is not what is varied; not all of them are needed. */
+    private static final int DEFAULT_CONNECTIONS = 256;
+    /** The maximum calls per second through a whole chain, in which every step gets each call. */
+    private static final int MAX_CHAIN_RATE = 1000;
 
-    private static final int WARM_MS = 1000;
-    /** Warm: the compilers take less than this part, and a call costs what it did within this part. */
-    private static final double COMPILER_SHARE = 0.02;
+    private static final int WARM_UP_STEP_MS = 1000;
+    /** A process is warm once the JIT compilers use less than this fraction of a call's processor time. */
+    private static final double MAX_COMPILER_FRACTION = 0.02;
 
-    private static final double SETTLED = 0.1;
-    /** All client connections are opened within the warm-up, with some time to spare. */
-    private static final double OPENING = 1.3;
+    /** It is warm once, in addition, the processor time per call has changed by less than this fraction. */
+    private static final double MAX_COST_CHANGE = 0.1;
+    /** The factor by which the warm-up is longer than it takes to open all client connections. */
+    private static final double CONNECTION_OPENING_MARGIN = 1.3;
 
     private final PathPlan plan;
     private final ServeCommand command;
@@ -50,25 +51,25 @@
     private final SpinningLoop callers = new SpinningLoop("callers");
     private final SpinningLoop standIns = new SpinningLoop("stand-ins");
     private final Loads loads = new Loads(callers.group());
-    private final List<AutoCloseable> open = new ArrayList<>();
-    private int processes;
+    private final List<AutoCloseable> openResources = new ArrayList<>();
+    private int sidecarCount;
     private long seed;
 
-    /** A way that calls may go; the process on it is null where nobody stands between. */
-    private record Route(Way way, InetSocketAddress address, ServedProcess process, int endpoints) {
+    /** A route for calls; the process is null if there is none between caller and endpoint. */
+    private record Route(RouteType routeType, InetSocketAddress address, ServedProcess process, int endpoints) {
         ProcessUsage usage() throws IOException {
             return process == null ? ProcessUsage.NONE : process.usage();
         }
     }
 
     /**
-     * A run.
+     * Creates a run.
      *
-     * @param home the checkout, whose {@code deploy/balancer.toml} says how a sidecar is started
-     * @param main the sidecar's main class and call, to run it from this process's class path in place of
-     *     its jar; empty for the jar
-     * @param scratch where files of the sidecars go
-     * @param rows hears of each measurement
+     * @param home the checkout, whose {@code deploy/balancer.toml} contains the command that starts a sidecar
+     * @param main the sidecar's main class and arguments, to run it from this process's class path instead of its
+     *     jar; empty to run the jar
+     * @param scratch the directory for the sidecars' files
+     * @param rows receives each measurement
      */
     public static PathRun of(PathPlan plan, Path home, List<String> main, Path scratch, PathReport rows)
             throws IOException {
@@ -87,104 +88,113 @@
         this.rows = rows;
     }
 
-    /** Measures all; an interrupt ends it early. */
+    /** Makes all measurements; an interrupt ends the run early. */
     public void run() throws IOException, InterruptedException {
-        int most = Math.max(LEAST_ENDPOINTS, Collections.max(plan.endpoints()));
-        List<InetSocketAddress> plain = new ArrayList<>();
-        for (int i = 0; i < most; i++) {
-            plain.add(BaselineServers.endpoint(standIns.group()));
+        int endpointCount = Math.max(MIN_ENDPOINTS, Collections.max(plan.endpoints()));
+        List<InetSocketAddress> endpointAddresses = new ArrayList<>();
+        for (int i = 0; i < endpointCount; i++) {
+            endpointAddresses.add(BaselineServers.endpoint(standIns.group()));
         }
-        ServedProcess sidecar = sidecar(plain.subList(0, LEAST_ENDPOINTS));
-        ServedProcess relay = ServedProcess.relay(command, plain.get(0));
-        open.add(relay);
+        ServedProcess sidecar = startSidecar(endpointAddresses.subList(0, MIN_ENDPOINTS));
+        ServedProcess relay = ServedProcess.startRelay(command, endpointAddresses.get(0));
+        openResources.add(relay);
         sidecar.awaitReady();
-        Route way = new Route(Way.SIDECAR, sidecar.address(), sidecar, LEAST_ENDPOINTS);
-        warm(way);
+        Route sidecarRoute = new Route(RouteType.SIDECAR, sidecar.address(), sidecar, MIN_ENDPOINTS);
+        warmUp(sidecarRoute);
         List<Route> routes = List.of(
-                new Route(Way.DIRECT, plain.get(0), null, 1), new Route(Way.RELAY, relay.address(), relay, 1), way);
-        warm(routes.get(1));
-        sideBySide(routes);
-        curve(List.of(routes.get(1), way));
-        batches(List.of(routes.get(1), way));
+                new Route(RouteType.DIRECT, endpointAddresses.get(0), null, 1),
+                new Route(RouteType.RELAY, relay.address(), relay, 1),
+                sidecarRoute);
+        warmUp(routes.get(1));
+        measureSideBySide(routes);
+        measureRates(List.of(routes.get(1), sidecarRoute));
+        measureBatches(List.of(routes.get(1), sidecarRoute));
         for (Route route : routes) {
-            ramp(route);
+            searchMaxRate(route);
         }
         for (int connections : plan.connections()) {
-            for (int round = 1; round <= turns(); round++) {
-                add(measure(Part.CONNECTIONS, way, round, connections, PathPlan.TARGET_RATE, true));
+            for (int round = 1; round <= shortRounds(); round++) {
+                add(measure(Experiment.CONNECTIONS, sidecarRoute, round, connections, PathPlan.TARGET_RATE, true));
             }
         }
-        endPrevious();
-        endpoints(plain);
-        endPrevious();
-        chain();
-        endPrevious();
+        closeResources();
+        measureEndpointCounts(endpointAddresses);
+        closeResources();
+        measureChain();
+        closeResources();
     }
 
-    /** Rounds of what is not side by side. */
-    private int turns() {
+    /** Returns the number of rounds of all measurements but the side-by-side ones. */
+    private int shortRounds() {
         return (plan.rounds() + 1) / 2;
     }
 
-    private void endPrevious() {
-        for (AutoCloseable each : open) {
+    private void closeResources() {
+        for (AutoCloseable resource : openResources) {
             try {
-                each.close();
+                resource.close();
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         }
-        open.clear();
+        openResources.clear();
     }
 
-    private ServedProcess sidecar(List<InetSocketAddress> endpoints) throws IOException {
-        ServedProcess started = ServedProcess.sidecar(
-                command, standIns, Files.createDirectories(scratch.resolve("sidecar-" + processes++)), endpoints);
-        open.add(started);
+    private ServedProcess startSidecar(List<InetSocketAddress> endpoints) throws IOException {
+        ServedProcess started = ServedProcess.startSidecar(
+                command, standIns, Files.createDirectories(scratch.resolve("sidecar-" + sidecarCount++)), endpoints);
+        openResources.add(started);
         return started;
     }
 
     private void add(PathRow row) throws InterruptedException {
         if (Thread.interrupted()) {
-            throw new InterruptedException("interrupted; what was measured so far is kept");
+            throw new InterruptedException("interrupted; the measurements so far are kept");
         }
         rows.accept(row);
     }
 
-    /** Calls until the compilers have nothing left to do and a call costs what it did a second before. */
-    private void warm(Route route) throws IOException, InterruptedException {
-        warm(route, plan.warmRate());
+    /**
+     * Makes calls until the JIT compilers have finished and the processor time per call has been stable from one
+     * second to the next.
+     */
+    private void warmUp(Route route) throws IOException, InterruptedException {
+        warmUp(route, plan.warmUpRate());
     }
 
-    private void warm(Route route, double rate) throws IOException, InterruptedException {
-        double before = Double.NaN;
-        for (int chunk = 1; chunk <= plan.warmChunks(); chunk++) {
-            PathRow row = play(
-                    Part.WARM_UP,
+    private void warmUp(Route route, double rate) throws IOException, InterruptedException {
+        double previousCost = Double.NaN;
+        for (int second = 1; second <= plan.maxWarmUpSeconds(); second++) {
+            PathRow row = runLoad(
+                    Experiment.WARM_UP,
                     route,
-                    chunk,
-                    USUAL_CONNECTIONS,
+                    second,
+                    DEFAULT_CONNECTIONS,
                     new OpenLoop.Plan(
                             rate,
-                            WARM_MS,
-                            WARM_MS / 10.0,
-                            USUAL_CONNECTIONS,
+                            WARM_UP_STEP_MS,
+                            WARM_UP_STEP_MS / 10.0,
+                            DEFAULT_CONNECTIONS,
                             ServedProcess.DEADLINE_MS,
                             Arrivals.Spacing.POISSON));
             add(row);
             double cost = row.cpuUs(Kind.LOOP);
-            if (row.cpuUs(Kind.COMPILER) < COMPILER_SHARE * cost && Math.abs(cost - before) < SETTLED * cost) {
+            if (row.cpuUs(Kind.COMPILER) < MAX_COMPILER_FRACTION * cost
+                    && Math.abs(cost - previousCost) < MAX_COST_CHANGE * cost) {
                 return;
             }
-            before = cost;
+            previousCost = cost;
         }
     }
 
-    private PathRow measure(Part part, Route route, int round, int connections, int rate, boolean spread)
+    private PathRow measure(
+            Experiment experiment, Route route, int round, int connections, int rate, boolean useAllConnections)
             throws IOException, InterruptedException {
-        double warmUpMs = spread ? Math.max(plan.warmUpMs(), connections * 1000.0 / rate * OPENING) : plan.warmUpMs();
-        return play(
-                part,
+        double warmUpMs = useAllConnections
+                ? Math.max(plan.warmUpMs(), connections * 1000.0 / rate * CONNECTION_OPENING_MARGIN)
+                : plan.warmUpMs();
+        return runLoad(
+                experiment,
                 route,
                 round,
                 connections,
@@ -195,15 +205,15 @@
                         connections,
                         ServedProcess.DEADLINE_MS,
                         Arrivals.Spacing.POISSON,
-                        spread,
+                        useAllConnections,
                         1));
     }
 
-    /** Reads what a process uses between two moments. */
+    /** Measures what a process uses between two points in time. */
     private static final class Meter implements Loads.Watcher {
         private final Route route;
         private ProcessUsage usage = ProcessUsage.NONE;
-        private long nanos;
+        private long wallNanos;
         private long calls;
 
         Meter(Route route) {
@@ -212,36 +222,37 @@
 
         @Override
         public void begun() throws IOException {
-            nanos = System.nanoTime();
+            wallNanos = System.nanoTime();
             usage = route.usage();
         }
 
         @Override
-        public void ending(long sent) throws IOException {
-            calls = sent;
+        public void ending(long sentCalls) throws IOException {
+            calls = sentCalls;
             usage = route.usage().since(usage);
-            nanos = System.nanoTime() - nanos;
+            wallNanos = System.nanoTime() - wallNanos;
         }
 
         double wallMs() {
-            return nanos / 1e6;
+            return wallNanos / 1e6;
         }
     }
 
-    private PathRow play(Part part, Route route, int round, int connections, OpenLoop.Plan load)
+    private PathRow runLoad(Experiment experiment, Route route, int round, int connections, OpenLoop.Plan plannedLoad)
             throws IOException, InterruptedException {
-        return play(part, route, round, connections, load, new Meter(route));
+        return runLoad(experiment, route, round, connections, plannedLoad, new Meter(route));
     }
 
-    private PathRow play(Part part, Route route, int round, int connections, OpenLoop.Plan load, Meter meter)
+    private PathRow runLoad(
+            Experiment experiment, Route route, int round, int connections, OpenLoop.Plan plannedLoad, Meter meter)
             throws IOException, InterruptedException {
-        if (load.rate() == 0) {
-            return idle(part, route, round, load, meter);
+        if (plannedLoad.rate() == 0) {
+            return measureIdle(experiment, route, round, plannedLoad, meter);
         }
-        standIns.begin();
+        standIns.resetAbsences();
         OpenLoop.Result result = loads.play(
                 route.address(),
-                load,
+                plannedLoad,
                 ++seed,
                 Loads.requests(
                         HttpMethod.GET,
@@ -256,14 +267,14 @@
                         System.nanoTime()),
                 meter);
         return new PathRow(
-                part,
-                route.way(),
+                experiment,
+                route.routeType(),
                 round,
                 0,
                 route.endpoints(),
                 connections,
-                load.batch(),
-                (int) load.rate(),
+                plannedLoad.batch(),
+                (int) plannedLoad.rate(),
                 result.sent(),
                 result.served(),
                 result.servedMicros(),
@@ -271,19 +282,19 @@
                 meter.wallMs(),
                 meter.usage,
                 result.late99Ms(),
-                standIns.away99Ms(),
+                standIns.absenceP99Ms(),
                 result.waited(),
-                load());
+                readLoadAverage());
     }
 
-    private PathRow idle(Part part, Route route, int round, OpenLoop.Plan load, Meter meter)
+    private PathRow measureIdle(Experiment experiment, Route route, int round, OpenLoop.Plan plannedLoad, Meter meter)
             throws IOException, InterruptedException {
         meter.begun();
-        TimeUnit.MILLISECONDS.sleep((long) load.lengthMs());
+        TimeUnit.MILLISECONDS.sleep((long) plannedLoad.lengthMs());
         meter.ending(0);
         return new PathRow(
-                part,
-                route.way(),
+                experiment,
+                route.routeType(),
                 round,
                 0,
                 route.endpoints(),
@@ -299,62 +310,62 @@
                 0,
                 0,
                 0,
-                load());
+                readLoadAverage());
     }
 
-    /** The machine's load over the last minute. */
-    private static double load() throws IOException {
+    /** Returns the machine's load average over the last minute. */
+    private static double readLoadAverage() throws IOException {
         return Double.parseDouble(Files.readString(Path.of("/proc/loadavg")).split(" ")[0]);
     }
 
-    /** Rounds in which one was void are played again, as often as they were to be played in all. */
-    private void sideBySide(List<Route> routes) throws IOException, InterruptedException {
+    /** A round with a void measurement is repeated, up to as many times as there are rounds in the plan. */
+    private void measureSideBySide(List<Route> routes) throws IOException, InterruptedException {
         for (int rate : plan.rates()) {
-            int good = 0;
-            for (int round = 1; round <= 2 * plan.rounds() && good < plan.rounds(); round++) {
+            int validRounds = 0;
+            for (int round = 1; round <= 2 * plan.rounds() && validRounds < plan.rounds(); round++) {
                 boolean isVoid = false;
                 for (Route route : routes) {
-                    PathRow row = measure(Part.SIDE_BY_SIDE, route, round, USUAL_CONNECTIONS, rate, false);
+                    PathRow row = measure(Experiment.SIDE_BY_SIDE, route, round, DEFAULT_CONNECTIONS, rate, false);
                     add(row);
                     isVoid |= row.isVoid();
                 }
-                good += isVoid ? 0 : 1;
+                validRounds += isVoid ? 0 : 1;
             }
         }
     }
 
-    private void curve(List<Route> routes) throws IOException, InterruptedException {
-        for (int round = 1; round <= turns(); round++) {
+    private void measureRates(List<Route> routes) throws IOException, InterruptedException {
+        for (int round = 1; round <= shortRounds(); round++) {
             for (int rate : plan.curve()) {
                 for (Route route : routes) {
                     add(
                             rate == 0
-                                    ? play(
-                                            Part.RATE,
+                                    ? runLoad(
+                                            Experiment.RATE,
                                             route,
                                             round,
                                             0,
                                             new OpenLoop.Plan(0, plan.lengthMs(), 0, 0, 0, Arrivals.Spacing.POISSON))
-                                    : measure(Part.RATE, route, round, USUAL_CONNECTIONS, rate, false));
+                                    : measure(Experiment.RATE, route, round, DEFAULT_CONNECTIONS, rate, false));
                 }
             }
         }
     }
 
-    private void batches(List<Route> routes) throws IOException, InterruptedException {
-        for (int round = 1; round <= turns(); round++) {
+    private void measureBatches(List<Route> routes) throws IOException, InterruptedException {
+        for (int round = 1; round <= shortRounds(); round++) {
             for (int batch : plan.batches()) {
                 for (Route route : routes) {
-                    add(play(
-                            Part.BATCH,
+                    add(runLoad(
+                            Experiment.BATCH,
                             route,
                             round,
-                            USUAL_CONNECTIONS,
+                            DEFAULT_CONNECTIONS,
                             new OpenLoop.Plan(
                                     PathPlan.TARGET_RATE,
                                     plan.lengthMs(),
                                     plan.warmUpMs(),
-                                    USUAL_CONNECTIONS,
+                                    DEFAULT_CONNECTIONS,
                                     ServedProcess.DEADLINE_MS,
                                     Arrivals.Spacing.POISSON,
                                     false,
@@ -364,93 +375,94 @@
         }
     }
 
-    /** Raises the rate until it is not kept. */
-    private void ramp(Route route) throws IOException, InterruptedException {
+    /** Raises the rate until it is not sustained. */
+    private void searchMaxRate(Route route) throws IOException, InterruptedException {
         for (int rate : plan.ramp()) {
-            PathRow row = measure(Part.RAMP, route, 1, USUAL_CONNECTIONS, rate, false);
+            PathRow row = measure(Experiment.RAMP, route, 1, DEFAULT_CONNECTIONS, rate, false);
             add(row);
-            if (!row.isKept()) {
+            if (!row.isSustained()) {
                 return;
             }
         }
     }
 
-    private void endpoints(List<InetSocketAddress> plain) throws IOException, InterruptedException {
+    private void measureEndpointCounts(List<InetSocketAddress> endpointAddresses)
+            throws IOException, InterruptedException {
         List<Route> routes = new ArrayList<>();
         for (int count : plan.endpoints()) {
-            ServedProcess process = sidecar(plain.subList(0, count));
-            routes.add(new Route(Way.SIDECAR, process.address(), process, count));
+            ServedProcess process = startSidecar(endpointAddresses.subList(0, count));
+            routes.add(new Route(RouteType.SIDECAR, process.address(), process, count));
         }
         for (Route route : routes) {
             route.process().awaitReady();
-            warm(route);
+            warmUp(route);
         }
-        for (int round = 1; round <= turns(); round++) {
+        for (int round = 1; round <= shortRounds(); round++) {
             for (Route route : routes) {
-                add(measure(Part.ENDPOINTS, route, round, USUAL_CONNECTIONS, PathPlan.TARGET_RATE, false));
+                add(measure(Experiment.ENDPOINTS, route, round, DEFAULT_CONNECTIONS, PathPlan.TARGET_RATE, false));
             }
         }
     }
 
-    private void chain() throws IOException, InterruptedException {
-        List<Hop> direct = new ArrayList<>(List.of(Hop.last(standIns)));
-        List<Hop> hops = new ArrayList<>(List.of(Hop.last(standIns)));
-        List<Route> steps = new ArrayList<>();
+    private void measureChain() throws IOException, InterruptedException {
+        List<Hop> directHops = new ArrayList<>(List.of(Hop.createLast(standIns)));
+        List<Hop> hops = new ArrayList<>(List.of(Hop.createLast(standIns)));
+        List<Route> stepRoutes = new ArrayList<>();
         for (int i = 0; i < plan.depth(); i++) {
-            direct.add(0, direct.get(0).before(direct.get(0).address()));
-            ServedProcess process = sidecar(List.of(hops.get(0).address()));
-            steps.add(0, new Route(Way.SIDECAR, process.address(), process, 1));
-            hops.add(0, hops.get(0).before(process.address()));
+            directHops.add(0, directHops.get(0).createCaller(directHops.get(0).address()));
+            ServedProcess process = startSidecar(List.of(hops.get(0).address()));
+            stepRoutes.add(0, new Route(RouteType.SIDECAR, process.address(), process, 1));
+            hops.add(0, hops.get(0).createCaller(process.address()));
         }
-        open.addAll(direct);
-        open.addAll(hops);
-        for (Route step : steps) {
+        openResources.addAll(directHops);
+        openResources.addAll(hops);
+        for (Route step : stepRoutes) {
             step.process().awaitReady();
         }
-        // The last step's sidecar is warmed with all others: calls go through the chain.
-        warm(
+        // The sidecar of the last step is warmed up with all others, because calls go through the whole chain.
+        warmUp(
                 new Route(
-                        Way.SIDECAR,
+                        RouteType.SIDECAR,
                         hops.get(0).address(),
-                        steps.get(plan.depth() - 1).process(),
+                        stepRoutes.get(plan.depth() - 1).process(),
                         1),
-                Math.min(plan.warmRate(), MOST_CHAIN_RATE));
-        for (int round = 1; round <= turns(); round++) {
-            chained(round, Way.DIRECT, direct, List.of());
-            chained(round, Way.SIDECAR, hops, steps);
+                Math.min(plan.warmUpRate(), MAX_CHAIN_RATE));
+        for (int round = 1; round <= shortRounds(); round++) {
+            measureChainRound(round, RouteType.DIRECT, directHops, List.of());
+            measureChainRound(round, RouteType.SIDECAR, hops, stepRoutes);
         }
     }
 
-    /** What each step's process uses, and what its way adds to calls. */
+    /** Measures what the process of each step uses, and the latency that its route adds to calls. */
     private static final class ChainMeter implements Loads.Watcher {
         private final List<Meter> meters = new ArrayList<>();
         private final List<Hop> hops;
 
-        ChainMeter(List<Hop> hops, List<Route> steps) {
+        ChainMeter(List<Hop> hops, List<Route> stepRoutes) {
             this.hops = hops;
-            steps.forEach(step -> meters.add(new Meter(step)));
+            stepRoutes.forEach(step -> meters.add(new Meter(step)));
         }
 
         @Override
         public void begun() throws IOException {
-            hops.forEach(Hop::begin);
+            hops.forEach(Hop::resetCounts);
             for (Meter meter : meters) {
                 meter.begun();
             }
         }
 
         @Override
-        public void ending(long sent) throws IOException {
+        public void ending(long sentCalls) throws IOException {
             for (Meter meter : meters) {
-                meter.ending(sent);
+                meter.ending(sentCalls);
             }
         }
     }
 
-    private void chained(int round, Way way, List<Hop> hops, List<Route> steps)
+    private void measureChainRound(int round, RouteType routeType, List<Hop> hops, List<Route> stepRoutes)
             throws IOException, InterruptedException {
-        ChainMeter meters = new ChainMeter(hops, steps);
-        standIns.begin();
+        ChainMeter chainMeter = new ChainMeter(hops, stepRoutes);
+        standIns.resetAbsences();
         int rate = plan.rates().get(0);
         OpenLoop.Result result = loads.play(
                 hops.get(0).address(),
@@ -458,27 +470,28 @@
                         rate,
                         plan.lengthMs(),
                         plan.warmUpMs(),
-                        USUAL_CONNECTIONS,
+                        DEFAULT_CONNECTIONS,
                         ServedProcess.DEADLINE_MS,
                         Arrivals.Spacing.POISSON),
                 ++seed,
                 Loads.requests(HttpMethod.GET, "lab", "/api", Map.of(), false, System.nanoTime()),
-                meters);
-        double away99Ms = standIns.away99Ms();
-        double load = load();
-        ProcessUsage all = meters.meters.stream()
+                chainMeter);
+        double absenceP99Ms = standIns.absenceP99Ms();
+        double loadAverage = readLoadAverage();
+        ProcessUsage totalUsage = chainMeter.meters.stream()
                 .map(meter -> meter.usage)
                 .reduce(ProcessUsage::plus)
                 .orElse(ProcessUsage.NONE);
-        double wallMs = meters.meters.isEmpty() ? 0 : meters.meters.get(0).wallMs();
-        long calls = meters.meters.isEmpty() ? 0 : meters.meters.get(0).calls;
+        double wallMs =
+                chainMeter.meters.isEmpty() ? 0 : chainMeter.meters.get(0).wallMs();
+        long calls = chainMeter.meters.isEmpty() ? 0 : chainMeter.meters.get(0).calls;
         add(new PathRow(
-                Part.CHAIN,
-                way,
+                Experiment.CHAIN,
+                routeType,
                 round,
                 0,
                 1,
-                USUAL_CONNECTIONS,
+                DEFAULT_CONNECTIONS,
                 1,
                 rate,
                 result.sent(),
@@ -486,39 +499,39 @@
                 result.servedMicros(),
                 calls,
                 wallMs,
-                all,
+                totalUsage,
                 result.late99Ms(),
-                away99Ms,
+                absenceP99Ms,
                 result.waited(),
-                load));
+                loadAverage));
         for (int i = 0; i < plan.depth(); i++) {
-            Histogram added = hops.get(i).added();
-            ProcessUsage usage = steps.isEmpty() ? ProcessUsage.NONE : meters.meters.get(i).usage;
+            Histogram addedLatencyMicros = hops.get(i).addedLatency();
+            ProcessUsage usage = stepRoutes.isEmpty() ? ProcessUsage.NONE : chainMeter.meters.get(i).usage;
             add(new PathRow(
-                    Part.CHAIN,
-                    way,
+                    Experiment.CHAIN,
+                    routeType,
                     round,
                     i + 1,
                     1,
-                    USUAL_CONNECTIONS,
+                    DEFAULT_CONNECTIONS,
                     1,
                     rate,
-                    added.getTotalCount(),
-                    added.getTotalCount(),
-                    added,
+                    addedLatencyMicros.getTotalCount(),
+                    addedLatencyMicros.getTotalCount(),
+                    addedLatencyMicros,
                     calls,
                     wallMs,
                     usage,
                     result.late99Ms(),
-                    away99Ms,
+                    absenceP99Ms,
                     0,
-                    load));
+                    loadAverage));
         }
     }
 
     @Override
     public void close() {
-        endPrevious();
+        closeResources();
         loads.close();
         standIns.close();
     }
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathVerdict.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathVerdict.java
@@ -5,30 +5,31 @@
 import java.util.Locale;
 
 /**
- * Whether a sidecar adds as little as it may.
+ * Whether a sidecar meets the target for added latency.
  *
- * @param whole the measurements that the verdict needs are there, and none of them is void
- * @param missed targets that were missed, each with its figure
+ * @param isComplete whether all measurements that the verdict needs exist and none of them is void
+ * @param missedTargets the targets that were missed, each with its figure
  */
-record PathVerdict(boolean whole, List<String> missed) {
+record PathVerdict(boolean isComplete, List<String> missedTargets) {
 
-    /** What a sidecar may add to a call, 99 in 100, in ms; the users' target. */
-    static final double MOST_ADDED_MS = 0.42;
+    /** The users' target: the maximum latency in ms that a sidecar may add to a call, at the 99th percentile. */
+    static final double MAX_ADDED_MS = 0.42;
 
-    /** What was measured at one rate, all rounds together. */
-    record Compared(int rate, PathRow direct, PathRow relay, PathRow sidecar) {
+    /** The measurements at one rate, all rounds merged. */
+    record Comparison(int rate, PathRow direct, PathRow relay, PathRow sidecar) {
 
         /**
-         * What the sidecar adds at a percentile in ms. The difference of two percentiles is not the
-         * percentile of the difference; the chain's steps, which know each call's own, say how far it is off.
+         * Returns the latency that the sidecar adds at a percentile in ms. The difference of two percentiles is not
+         * the percentile of the differences; the chain's steps, which measure the difference for each call, show
+         * how large the error is.
          */
         double addedMs(double percentile) {
-            return sidecar.ms(percentile) - direct.ms(percentile);
+            return sidecar.latencyMs(percentile) - direct.latencyMs(percentile);
         }
 
-        /** The same of the relay. */
-        double relayAddsMs(double percentile) {
-            return relay.ms(percentile) - direct.ms(percentile);
+        /** Returns the same for the relay. */
+        double addedByRelayMs(double percentile) {
+            return relay.latencyMs(percentile) - direct.latencyMs(percentile);
         }
 
         boolean isVoid() {
@@ -36,34 +37,34 @@
         }
     }
 
-    /** Judges what was compared, and the steps of a chain. */
-    static PathVerdict of(List<Compared> rates, List<PathRow> steps) {
-        List<String> missed = new ArrayList<>();
-        boolean whole = !rates.isEmpty() && !steps.isEmpty();
-        for (Compared compared : rates) {
-            whole &= !compared.isVoid();
-            mind(missed, compared.rate + " calls/s", compared.addedMs(99));
-            if (compared.sidecar.isUnserved()) {
-                missed.add(compared.rate + " calls/s: " + compared.sidecar.served() + " of " + compared.sidecar.sent()
-                        + " served");
+    /** Judges the measurements at each rate, and the steps of a chain. */
+    static PathVerdict of(List<Comparison> comparisons, List<PathRow> steps) {
+        List<String> missedTargets = new ArrayList<>();
+        boolean isComplete = !comparisons.isEmpty() && !steps.isEmpty();
+        for (Comparison comparison : comparisons) {
+            isComplete &= !comparison.isVoid();
+            checkAddedLatency(missedTargets, comparison.rate + " calls/s", comparison.addedMs(99));
+            if (comparison.sidecar.hasUnservedCalls()) {
+                missedTargets.add(comparison.rate + " calls/s: " + comparison.sidecar.served() + " of "
+                        + comparison.sidecar.sent() + " served");
             }
         }
         for (PathRow step : steps) {
-            whole &= !step.isVoid();
-            mind(missed, "step " + step.step() + " of the chain", step.ms(99));
+            isComplete &= !step.isVoid();
+            checkAddedLatency(missedTargets, "step " + step.step() + " of the chain", step.latencyMs(99));
         }
-        return new PathVerdict(whole, missed);
+        return new PathVerdict(isComplete, missedTargets);
     }
 
-    private static void mind(List<String> missed, String where, double addedMs) {
-        if (!(addedMs <= MOST_ADDED_MS)) {
-            missed.add(String.format(
-                    Locale.ROOT, "%s: %.3f ms added for 99 in 100, above %.2f", where, addedMs, MOST_ADDED_MS));
+    private static void checkAddedLatency(List<String> missedTargets, String subject, double addedMs) {
+        if (!(addedMs <= MAX_ADDED_MS)) {
+            missedTargets.add(String.format(
+                    Locale.ROOT, "%s: %.3f ms added at p99, above %.2f ms", subject, addedMs, MAX_ADDED_MS));
         }
     }
 
-    /** Whether all that was asked is shown. */
+    /** Returns whether the measurements are complete and all targets were met. */
     boolean isMet() {
-        return whole && missed.isEmpty();
+        return isComplete && missedTargets.isEmpty();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/path/ServedProcess.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/ServedProcess.java
@@ -20,14 +20,14 @@
 import lemonrail.lab.host.SidecarHost;
 import lemonrail.lab.scale.ServeCommand;
 
-/** What calls pass: a sidecar or a relay, each a process of its own started by the platform's command. */
+/** A process through which calls pass: a sidecar or a relay, started with the platform's command. */
 final class ServedProcess implements AutoCloseable {
 
-    private static final int LOOK_MS = 20;
+    private static final int POLL_INTERVAL_MS = 20;
     /** The class of all calls. */
     static final String CLASS = "read";
 
-    private static final int AIM_MS = 1000;
+    private static final int LATENCY_OBJECTIVE_MS = 1000;
     static final int DEADLINE_MS = 5000;
 
     private final ChildProcess child;
@@ -41,20 +41,21 @@
     }
 
     /**
-     * Starts a sidecar before these endpoints, which may not be ready yet.
+     * Starts a sidecar with these endpoints, which may not be ready yet.
      *
-     * @param folder where its file, its log and what it keeps go; no other sidecar's
+     * @param folder the directory of its settings, log and state, which no other sidecar uses
      */
-    static ServedProcess sidecar(
+    static ServedProcess startSidecar(
             ServeCommand command, SpinningLoop standIns, Path folder, List<InetSocketAddress> endpoints)
             throws IOException {
         Files.createDirectories(folder);
         FixedDiscovery discovery = new FixedDiscovery(standIns.group(), endpoints);
-        InetSocketAddress at = SidecarHost.freePort();
+        InetSocketAddress address = SidecarHost.freePort();
         Path file = Files.writeString(
                 folder.resolve("sidecar.json"),
                 String.format(
-                        Locale.ROOT, """
+                        Locale.ROOT,
+                        """
             {"name":"path","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"1",
              "limits":{"cores":1.0,"memory_mb":192,"sockets":8192},
              "known":{"version":0,"full":true,"servers":[]},
@@ -63,17 +64,22 @@
               "hard-limit-ms":%d,"slo-ms":%d,"worth":1}],
               "limits":{"cancel":true,"dial-timeout-ms":500,"idle-close-ms":15000,"try-limit":3},
               "rules":{}}}
-            """, at.getPort(), discovery.address().getPort(), CLASS, DEADLINE_MS, AIM_MS));
+            """,
+                        address.getPort(),
+                        discovery.address().getPort(),
+                        CLASS,
+                        DEADLINE_MS,
+                        LATENCY_OBJECTIVE_MS));
         ProcessBuilder builder = command.builder()
                 .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("sidecar.log").toFile());
         builder.environment().put("GW_CONFIG", file.toAbsolutePath().toString());
         builder.environment().put("TMPDIR", folder.toAbsolutePath().toString());
-        return new ServedProcess(new ChildProcess(builder.start()), at, discovery);
+        return new ServedProcess(new ChildProcess(builder.start()), address, discovery);
     }
 
-    /** Starts a bare relay to this endpoint, on the same kind of JVM as a sidecar. */
-    static ServedProcess relay(ServeCommand command, InetSocketAddress endpoint) throws IOException {
+    /** Starts a plain relay to this endpoint, with the same JVM options as a sidecar. */
+    static ServedProcess startRelay(ServeCommand command, InetSocketAddress endpoint) throws IOException {
         ChildProcess child = new ChildProcess(
                 command.withMainClass("lemonrail.lab.Main", "relay", String.valueOf(endpoint.getPort()))
                         .builder()
@@ -84,15 +90,19 @@
                 .readLine();
         if (port == null) {
             child.close();
-            throw new IOException("the relay has ended while starting");
+            throw new IOException("relay exited before it wrote its port");
         }
         return new ServedProcess(
                 child, new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(port.trim())), null);
     }
 
-    /** Waits until a sidecar says that it is ready. */
+    /**
+     * Waits until the sidecar reports that it is ready.
+     *
+     * @throws IOException if it exits or is not ready in time
+     */
     void awaitReady() throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SidecarHost.READY_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SidecarHost.READY_MS);
         HttpRequest request = HttpRequest.newBuilder(
                         URI.create("http://127.0.0.1:" + address.getPort() + "/health/ready"))
                 .timeout(Duration.ofSeconds(1))
@@ -107,13 +117,13 @@
                 }
             } catch (IOException e) {
                 if (!child.process().isAlive()) {
-                    throw new IOException("a sidecar has ended while starting", e);
+                    throw new IOException("sidecar exited before it was ready", e);
                 }
             }
-            if (System.nanoTime() > until) {
-                throw new IOException("a sidecar is not ready after " + SidecarHost.READY_MS + " ms");
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IOException("sidecar was not ready within " + SidecarHost.READY_MS + " ms");
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
--- a/lab/src/main/java/lemonrail/lab/scale/path/SpinningLoop.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/SpinningLoop.java
@@ -11,69 +11,70 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * An event loop that never sleeps: neither its timers, which would be late by up to a millisecond, nor its
- * own waking up are part of what is measured by it. It takes a core, and knows how long it was away from its
- * sockets, be it at work or without that core.
+ * An event loop that polls without ever sleeping, so that neither its timers, which would be up to a millisecond
+ * late, nor its own wake-ups influence what is measured with it. It occupies a core. It measures how long it does
+ * not look at its sockets, because it works or lacks that core.
  */
 final class SpinningLoop implements AutoCloseable {
 
-    /** Passes that take less are the loop's usual round. */
-    private static final long USUAL_NANOS = 5_000;
+    /** Passes that take no longer are the loop's normal iteration, and no absence. */
+    private static final long NORMAL_PASS_NANOS = 5_000;
 
-    private static final long MOST_MICROS = TimeUnit.MINUTES.toMicros(1);
+    private static final long MAX_ABSENCE_MICROS = TimeUnit.MINUTES.toMicros(1);
 
     private final EventLoopGroup group;
     private final EventLoop loop;
-    /** Each absence counts as often as it has microseconds, so that percentiles are parts of the time. */
-    private final Histogram awayMicros = new Histogram(MOST_MICROS, 2);
+    /** Each absence counts once per microsecond, so that percentiles are fractions of the time. */
+    private final Histogram absenceMicros = new Histogram(MAX_ABSENCE_MICROS, 2);
 
-    private long sinceNanos;
-    private long lastNanos;
-    private long awayNanos;
+    private long countingSinceNanos;
+    private long lastPassNanos;
+    private long absenceNanos;
 
     SpinningLoop(String name) {
         group = new MultiThreadIoEventLoopGroup(
                 1,
                 new DefaultThreadFactory(name, true),
-                NioIoHandler.newFactory(SelectorProvider.provider(), () -> this::look));
+                NioIoHandler.newFactory(SelectorProvider.provider(), () -> this::poll));
         loop = (EventLoop) group.next();
-        loop.submit(this::reset).syncUninterruptibly();
+        loop.submit(this::clear).syncUninterruptibly();
     }
 
-    /** Looks at the sockets without waiting for them. */
-    private int look(IntSupplier selectNow, boolean hasTasks) throws Exception {
+    /** Polls the sockets without waiting. */
+    private int poll(IntSupplier selectNow, boolean hasTasks) throws Exception {
         long now = System.nanoTime();
-        long gap = now - lastNanos;
-        lastNanos = now;
-        if (gap > USUAL_NANOS && sinceNanos != 0) {
-            awayNanos += gap;
-            long micros = Math.min(MOST_MICROS, TimeUnit.NANOSECONDS.toMicros(gap));
-            awayMicros.recordValueWithCount(micros, micros);
+        long gap = now - lastPassNanos;
+        lastPassNanos = now;
+        if (gap > NORMAL_PASS_NANOS && countingSinceNanos != 0) {
+            absenceNanos += gap;
+            long micros = Math.min(MAX_ABSENCE_MICROS, TimeUnit.NANOSECONDS.toMicros(gap));
+            absenceMicros.recordValueWithCount(micros, micros);
         }
         return selectNow.get();
     }
 
-    private void reset() {
-        awayMicros.reset();
-        awayNanos = 0;
-        lastNanos = System.nanoTime();
-        sinceNanos = lastNanos;
+    private void clear() {
+        absenceMicros.reset();
+        absenceNanos = 0;
+        lastPassNanos = System.nanoTime();
+        countingSinceNanos = lastPassNanos;
     }
 
-    /** Counts absences from now on. */
-    void begin() {
-        loop.execute(this::reset);
+    /** Starts to count absences anew. */
+    void resetAbsences() {
+        loop.execute(this::clear);
     }
 
-    /** In 99 of 100 moments since the beginning the loop was away for no longer than this, in ms. */
-    double away99Ms() {
+    /** Returns for how long the loop was absent, in ms, at the 99th percentile over the time since the last reset. */
+    double absenceP99Ms() {
         return loop.submit(() -> {
-                    long restMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sinceNanos - awayNanos);
-                    Histogram all = awayMicros.copy();
-                    if (restMicros > 0) {
-                        all.recordValueWithCount(0, restMicros);
+                    long presentMicros =
+                            TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - countingSinceNanos - absenceNanos);
+                    Histogram distribution = absenceMicros.copy();
+                    if (presentMicros > 0) {
+                        distribution.recordValueWithCount(0, presentMicros);
                     }
-                    return all.getValueAtPercentile(99) / 1e3;
+                    return distribution.getValueAtPercentile(99) / 1e3;
                 })
                 .syncUninterruptibly()
                 .getNow();
--- a/lab/src/main/java/lemonrail/lab/scale/path/package-info.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/package-info.java
@@ -1,2 +1,2 @@
-/** Measurement of the latency and processor time that a sidecar adds to a request. */
+/** Measures the latency and the processor time that a sidecar adds to a request. */
 package lemonrail.lab.scale.path;
--- a/lab/src/test/java/lemonrail/lab/scale/BottleneckTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/BottleneckTest.java
@@ -24,16 +24,16 @@
     @CsvSource({
         // control's CPU, its lag, the hollow ones' lag, the CPU of their busiest loop, why
         "400,  20,  50,  900,  ''",
-        "400,  101, 50,  900,  control's stand-in was late by 101 ms",
-        "3700, 20,  50,  900,  control's stand-in was busy 93 % of the time",
-        "400,  20,  1001, 900, the hollow sidecars' loops were late by 1001 ms",
-        "400,  20,  50,  3700, a hollow sidecars' loop was busy 93 % of the time",
+        "400,  101, 50,  900,  control plane's event loop was 101 ms late (p99)",
+        "3700, 20,  50,  900,  control plane's event loop was busy 93 % of the time",
+        "400,  20,  1001, 900, hollow sidecars' event loops were 1001 ms late (p99)",
+        "400,  20,  50,  3700, an event loop of hollow sidecars was busy 93 % of the time",
     })
     void theLabItselfIsNotWhatIsMeasured(
             double controlCpuMs, double controlLagMs, double hollowLagMs, double hollowCpuMs, String why) {
         assertEquals(
                 why,
-                Bottleneck.why(
+                Bottleneck.findVoidReason(
                         LENGTH_MS,
                         new ControlPlane.Cost(controlCpuMs, controlLagMs, controlLagMs, 0, 0, 0),
                         hollowLagMs,
@@ -43,15 +43,17 @@
 
     @Test
     void aTimeThatIsTooLongIsNotControlsWhereHollowOnesWereLate() {
-        assertEquals("", Bottleneck.whyLate(1000, IN_FORCE_MS));
-        assertEquals("the hollow sidecars' loops were late by 1100 ms at most", Bottleneck.whyLate(1100, IN_FORCE_MS));
+        assertEquals("", Bottleneck.findLatenessReason(1000, IN_FORCE_MS));
+        assertEquals(
+                "hollow sidecars' event loops were up to 1100 ms late",
+                Bottleneck.findLatenessReason(1100, IN_FORCE_MS));
     }
 
     @Test
     void aLoopThatWasHeldUpOnceIsLateForAllThatTime() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = (EventLoop) group.next();
-        try (LoopWatch watch = new LoopWatch(loop)) {
+        try (EventLoopMonitor watch = new EventLoopMonitor(loop)) {
             // Two hundred ticks in time come first: one that is late would be less than one in a hundred.
             loop.schedule(() -> {}, 2, TimeUnit.SECONDS).sync();
             long began = System.nanoTime();
@@ -62,8 +64,8 @@
                     })
                     .sync();
             loop.schedule(() -> {}, 50, TimeUnit.MILLISECONDS).sync();
-            LoopWatch.Seen seen = watch.take();
-            assertTrue(seen.lagMostMs() > HELD_MS / 2, "late by " + seen.lagMostMs());
+            EventLoopMonitor.Sample seen = watch.takeAndReset();
+            assertTrue(seen.maxLagMs() > HELD_MS / 2, "late by " + seen.maxLagMs());
             assertTrue(seen.lagP99Ms() > HELD_MS / 2, "late by " + seen.lagP99Ms());
             assertTrue(seen.cpuMs() > 0, "processor time " + seen.cpuMs());
         } finally {
@@ -75,7 +77,7 @@
     void whatIsVoidMissedOrNotCarriedIsNoPass() {
         for (StormRow.Verdict verdict : StormRow.Verdict.values()) {
             assertEquals(
-                    verdict == StormRow.Verdict.MET, results(verdict, false).passes(), verdict.word());
+                    verdict == StormRow.Verdict.MET, results(verdict, false).passes(), verdict.label());
         }
         assertFalse(results(StormRow.Verdict.MET, true).passes());
     }
@@ -91,9 +93,9 @@
     @Test
     void aPointBeyondItsTargetIsMissed() {
         ScaleScenario scenario = scenario();
-        Measurement point = new Measurement(Measurement.What.SIDECAR, 1000, 0, 0, 2.3, 100, 60, 40, 0, 0, false);
+        Measurement point = new Measurement(Measurement.Subject.SIDECAR, 1000, 0, 0, 2.3, 100, 60, 40, 0, 0, false);
         ScaleResults results = new ScaleResults(scenario, "1", 1, List.of(point), List.of(), List.of(), "");
-        assertEquals(1, results.missed().size());
+        assertEquals(1, results.missedTargets().size());
         assertFalse(results.passes());
     }
 
@@ -111,7 +113,7 @@
 
     private static ScaleResults results(StormRow.Verdict verdict, boolean voidPoint) {
         StormRow row = new StormRow(
-                new ScaleScenario.Storm(ScaleScenario.Kind.CHANGE, ScaleScenario.Listed.ALL, 1, 1),
+                new ScaleScenario.Storm(ScaleScenario.Kind.CHANGE, ScaleScenario.EndpointScope.ALL, 1, 1),
                 10,
                 1,
                 1000,
@@ -137,7 +139,7 @@
                 1,
                 verdict,
                 verdict == StormRow.Verdict.MET ? "" : "late");
-        Measurement point = new Measurement(Measurement.What.SIDECAR, 10, 0, 5, 1, 1, 60, 40, 0, 0, voidPoint);
+        Measurement point = new Measurement(Measurement.Subject.SIDECAR, 10, 0, 5, 1, 1, 60, 40, 0, 0, voidPoint);
         return new ScaleResults(scenario(), "1", 1, List.of(point), List.of(row), List.of(), "");
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/HollowFleetTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/HollowFleetTest.java
@@ -42,10 +42,10 @@
                         Map.of("TMPDIR", folder.toString()))
                 .load()
                 .config();
-        plane.list(Site.ALL, SITE.lines());
+        plane.replaceList(Site.ALL, SITE.createEntries());
         fleet = new HollowFleet(2, config, 1);
         fleet.start(IntStream.range(0, COUNT).boxed().toList(), plane, number -> Site.ALL, number -> 0);
-        await(() -> knowing() == COUNT);
+        await(() -> countUpToDate() == COUNT);
     }
 
     @AfterEach
@@ -54,8 +54,8 @@
         plane.close();
     }
 
-    private int knowing() {
-        return fleet.knowing(Map.of(Site.ALL, plane.lines(Site.ALL)));
+    private int countUpToDate() {
+        return fleet.countUpToDate(Map.of(Site.ALL, plane.entries(Site.ALL)));
     }
 
     private static void await(BooleanSupplier what) {
@@ -68,34 +68,34 @@
 
     @Test
     void eachChangeReachesEachDecider() {
-        plane.apply(0, Map.of(Site.ALL, List.of(SITE.line(3).weighing(2))));
-        await(() -> knowing() == COUNT);
+        plane.apply(0, Map.of(Site.ALL, List.of(SITE.createEntry(3).withWeight(2))));
+        await(() -> countUpToDate() == COUNT);
         plane.apply(
                 0,
                 Map.of(
                         Site.ALL,
                         List.of(
-                                SITE.line(4).with(EndpointEntry.State.TERMINATING),
-                                SITE.line(5).with(EndpointEntry.State.TERMINATED),
-                                SITE.line(6).started(77))));
-        await(() -> knowing() == COUNT);
-        assertEquals(COUNT, fleet.wholeLists(), "the whole list comes once to each, then changes");
+                                SITE.createEntry(4).withState(EndpointEntry.State.TERMINATING),
+                                SITE.createEntry(5).withState(EndpointEntry.State.TERMINATED),
+                                SITE.createEntry(6).restartedAt(77))));
+        await(() -> countUpToDate() == COUNT);
+        assertEquals(COUNT, fleet.fullListCount(), "the whole list comes once to each, then changes");
     }
 
     @Test
     void whoHasAnotherListThanControlIsSeen() {
-        Map<String, EndpointEntry> lines = new HashMap<>(plane.lines(Site.ALL));
-        lines.put(SITE.line(1).id(), SITE.line(1).weighing(9));
-        assertEquals(0, fleet.knowing(Map.of(Site.ALL, lines)));
-        lines.remove(SITE.line(1).id());
-        assertEquals(0, fleet.knowing(Map.of(Site.ALL, lines)));
+        Map<String, EndpointEntry> lines = new HashMap<>(plane.entries(Site.ALL));
+        lines.put(SITE.createEntry(1).id(), SITE.createEntry(1).withWeight(9));
+        assertEquals(0, fleet.countUpToDate(Map.of(Site.ALL, lines)));
+        lines.remove(SITE.createEntry(1).id());
+        assertEquals(0, fleet.countUpToDate(Map.of(Site.ALL, lines)));
     }
 
     @Test
     void aMoveTakesTheWholeListAnew() {
-        fleet.elsewhere();
-        await(() -> fleet.wholeLists() == 2 * COUNT);
-        assertEquals(COUNT, knowing());
+        fleet.moveToOtherAddress();
+        await(() -> fleet.fullListCount() == 2 * COUNT);
+        assertEquals(COUNT, countUpToDate());
     }
 
     @Test
@@ -103,15 +103,16 @@
         fleet.stop(List.of(0, 1, 2, 3, 4));
         assertEquals(1, fleet.sidecars().size());
         for (int weight = 2; weight < 5; weight++) {
-            long version = plane.apply(0, Map.of(Site.ALL, List.of(SITE.line(3).weighing(weight))))
+            long version = plane.apply(
+                            0, Map.of(Site.ALL, List.of(SITE.createEntry(3).withWeight(weight))))
                     .versions()
                     .get(Site.ALL);
             int[] asked = new int[1];
             await(() -> {
-                asked[0] += (int) plane.heard("hollow").stream()
+                asked[0] += (int) plane.takeCalls("hollow").stream()
                         .filter(call -> call.version() >= version)
                         .count();
-                return asked[0] > 0 && knowing() == 1;
+                return asked[0] > 0 && countUpToDate() == 1;
             });
             assertEquals(1, asked[0], "one runs, and it asks on once");
         }
@@ -119,21 +120,25 @@
 
     @Test
     void whenAWordCameIsKnown() {
-        EndpointEntry word = SITE.line(3).weighing(2);
+        EndpointEntry word = SITE.createEntry(3).withWeight(2);
         long before = System.nanoTime();
         plane.apply(0, Map.of(Site.ALL, List.of(word)));
-        await(() -> knowing() == COUNT);
+        await(() -> countUpToDate() == COUNT);
         for (HollowSidecar sidecar : fleet.sidecars()) {
-            long had = sidecar.hadNanos(word, before);
+            long had = sidecar.findUpdateNanos(word, before);
             assertTrue(had > before && had <= System.nanoTime(), "had it at " + had);
-            assertEquals(-1, sidecar.hadNanos(SITE.line(3).weighing(3), before), "a later word has not come");
-            assertEquals(had, sidecar.hadNanos(SITE.line(3).weighing(1.5), before), "it has an older one");
+            assertEquals(
+                    -1,
+                    sidecar.findUpdateNanos(SITE.createEntry(3).withWeight(3), before),
+                    "a later word has not come");
+            assertEquals(
+                    had, sidecar.findUpdateNanos(SITE.createEntry(3).withWeight(1.5), before), "it has an older one");
         }
-        plane.apply(0, Map.of(Site.ALL, List.of(word.with(EndpointEntry.State.TERMINATED))));
-        await(() -> knowing() == COUNT);
-        fleet.forget();
+        plane.apply(0, Map.of(Site.ALL, List.of(word.withState(EndpointEntry.State.TERMINATED))));
+        await(() -> countUpToDate() == COUNT);
+        fleet.discardOldUpdates();
         for (HollowSidecar sidecar : fleet.sidecars()) {
-            assertTrue(sidecar.hadNanos(SITE.line(3).weighing(9), before) > 0, "gone for good");
+            assertTrue(sidecar.findUpdateNanos(SITE.createEntry(3).withWeight(9), before) > 0, "gone for good");
         }
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/LinearFitTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/LinearFitTest.java
@@ -20,7 +20,7 @@
         assertEquals(0.5, fit.slope(), EXACT);
         assertEquals(7, fit.intercept(), EXACT);
         assertEquals(1, fit.rSquared(), EXACT);
-        assertEquals(57, fit.at(100), EXACT);
+        assertEquals(57, fit.valueAt(100), EXACT);
     }
 
     @Test
@@ -81,6 +81,6 @@
     }
 
     private static Measurement point(double rate, double percent, boolean isVoid) {
-        return new Measurement(Measurement.What.SIDECAR, 10, 0, rate, percent, 0, 60, 40, 0, 0, isVoid);
+        return new Measurement(Measurement.Subject.SIDECAR, 10, 0, rate, percent, 0, 60, 40, 0, 0, isVoid);
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/NodesControlPlaneTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/NodesControlPlaneTest.java
@@ -36,7 +36,7 @@
                         "lemonrail.cli.Main",
                         "serve"),
                 folder);
-        ScaleResults results = ScaleRun.play(
+        ScaleResults results = ScaleRun.run(
                 scenario,
                 command,
                 folder,
@@ -44,15 +44,15 @@
                 () -> new NodesControlPlane(4, 2),
                 new PrintWriter(new StringWriter(), true));
         Path kept = folder.resolve("kept");
-        results.keep(kept);
+        results.write(kept);
         String table = Files.readString(kept.resolve("table.md"));
         assertEquals(scenario.storms().size(), results.rows().size(), table);
         for (StormRow row : results.rows()) {
             // A busy machine may make a row void, which is then said; what came of it holds all the same.
             assertTrue(row.verdict() == StormRow.Verdict.MET || row.verdict() == StormRow.Verdict.VOID, table);
-            assertEquals(0, row.never(), table);
-            assertEquals(row.hollow(), row.knowing(), table);
-            assertEquals(0, row.wholeLists(), table);
+            assertEquals(0, row.neverApplied(), table);
+            assertEquals(row.hollowCount(), row.upToDateCount(), table);
+            assertEquals(0, row.fullListCount(), table);
         }
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/PropagationTimesTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/PropagationTimesTest.java
@@ -21,7 +21,7 @@
         assertEquals(4, all.pairs());
         assertEquals(20, all.percentileMs(0.5), EXACT);
         assertEquals(40, all.percentileMs(1), EXACT);
-        assertEquals(30, all.lastPercentileMs(0.5), EXACT);
+        assertEquals(30, all.slowestPercentileMs(0.5), EXACT);
     }
 
     @Test
@@ -37,9 +37,9 @@
         PropagationTimes all = new PropagationTimes();
         all.add(List.of(10.0, Double.NaN));
         assertEquals(2, all.pairs());
-        assertEquals(1, all.never());
+        assertEquals(1, all.neverApplied());
         assertEquals(10, all.percentileMs(1), EXACT);
-        assertTrue(Double.isNaN(all.lastPercentileMs(1)));
+        assertTrue(Double.isNaN(all.slowestPercentileMs(1)));
     }
 
     @Test
@@ -48,23 +48,23 @@
         none.add(List.of());
         assertEquals(0, none.pairs());
         assertTrue(Double.isNaN(none.percentileMs(1)));
-        assertTrue(Double.isNaN(none.lastPercentileMs(1)));
+        assertTrue(Double.isNaN(none.slowestPercentileMs(1)));
     }
 
     @Test
     void aVersionHasAllThatCameBefore() {
         ControlPlane.Applied change = new ControlPlane.Applied(0, Map.of("all", 3L));
-        assertTrue(change.isIn("all", 3));
-        assertFalse(change.isIn("all", 2));
-        assertFalse(change.isIn("service-1", 9));
+        assertTrue(change.isIncludedIn("all", 3));
+        assertFalse(change.isIncludedIn("all", 2));
+        assertFalse(change.isIncludedIn("service-1", 9));
     }
 
     @Test
     void whatWasCutOffCountsFromTheHealingOn() {
         Fleet.Change change = new Fleet.Change(new ControlPlane.Applied(100, Map.of()), Map.of(), -1, 100);
-        assertEquals(100, change.sinceNanos(1));
-        assertEquals(100, change.in(0, 900).sinceNanos(0));
-        assertEquals(900, change.in(0, 900).sinceNanos(1));
-        assertEquals(500, change.at(500).sinceNanos(1));
+        assertEquals(100, change.availableNanos(1));
+        assertEquals(100, change.withOrigin(0, 900).availableNanos(0));
+        assertEquals(900, change.withOrigin(0, 900).availableNanos(1));
+        assertEquals(500, change.withTime(500).availableNanos(1));
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/RegistryNodeTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/RegistryNodeTest.java
@@ -38,7 +38,7 @@
     @BeforeEach
     void open() {
         node = new RegistryNode("test");
-        node.list(Site.ALL, SITE.lines());
+        node.replaceList(Site.ALL, SITE.createEntries());
         all = node.address(Site.ALL, "one");
     }
 
@@ -62,7 +62,7 @@
     }
 
     private static Map<String, List<EndpointEntry>> weigh(int endpoint, double weight) {
-        return Map.of(Site.ALL, List.of(SITE.line(endpoint).weighing(weight)));
+        return Map.of(Site.ALL, List.of(SITE.createEntry(endpoint).withWeight(weight)));
     }
 
     @Test
@@ -85,7 +85,7 @@
     void aWatchWaitsUntilSomethingChanges() throws Exception {
         long version = poll(all, "").join().get("version").longValue();
         CompletableFuture<JsonNode> watch = poll(all, "?index=" + version + "&wait=9000");
-        while (node.heard("one").isEmpty()) {
+        while (node.takeCalls("one").isEmpty()) {
             Thread.onSpinWait();
         }
         assertFalse(watch.isDone());
@@ -105,7 +105,7 @@
     @Test
     void whatIsGoneIsToldAmongChangesAlone() {
         long version = poll(all, "").join().get("version").longValue();
-        node.apply(Map.of(Site.ALL, List.of(SITE.line(2).with(EndpointEntry.State.TERMINATED))));
+        node.apply(Map.of(Site.ALL, List.of(SITE.createEntry(2).withState(EndpointEntry.State.TERMINATED))));
         assertTrue(poll(all, "?index=" + version + "&wait=0").join().toString().contains("terminated"));
         assertEquals(11, poll(all, "").join().get("servers").size());
     }
@@ -135,13 +135,13 @@
 
     @Test
     void listsAndTrafficAreCountedApart() {
-        node.list("service-1", List.of(SITE.line(1)));
+        node.replaceList("service-1", List.of(SITE.createEntry(1)));
         InetSocketAddress other = node.address("service-1", "two");
         assertEquals(1, poll(other, "").join().get("servers").size());
-        long own = node.traffic("two").bytes();
-        assertEquals(0, node.traffic("one").bytes());
+        long own = node.takeTraffic("two").bytes();
+        assertEquals(0, node.takeTraffic("one").bytes());
         assertTrue(own > 100, "bytes " + own);
-        assertEquals(own, node.cost().bytes());
-        assertEquals(0, node.traffic("two").bytes(), "each is told once");
+        assertEquals(own, node.takeCost().bytes());
+        assertEquals(0, node.takeTraffic("two").bytes(), "each is told once");
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleFileTest.java
@@ -31,7 +31,7 @@
     void shippedOnesCanBeRead(String name) throws IOException {
         ScaleScenario scenario = ScaleFile.read(SHIPPED.resolve(name + ".toml"));
         assertEquals(name, scenario.name());
-        assertEquals(3000, scenario.targets().inForceMs());
+        assertEquals(3000, scenario.targets().maxPropagationMs());
     }
 
     @Test
@@ -53,16 +53,16 @@
             value = {
                 "endpoints = 1000      | endpoints = 0         | site.endpoints    | a whole number from",
                 "endpoints = 1000      | endpoints = 100       | site.services     | is above site.endpoints",
-                "endpoints = 1000      | endpoints = 8         | sidecars.real     | must leave some",
+                "endpoints = 1000      | endpoints = 8         | sidecars.real     | must be less than site.endpoints",
                 "endpoints = 1000      |                       | site.endpoints    | is missing",
                 "services = 110        | servces = 110         | site.servces      | unknown key",
                 "real = 8              | real = 33             | sidecars.real     | a whole number from",
                 "in-force = \"3s\"     | in-force = 3          | targets.in-force  | a time with its unit",
                 "core-percent = 2.2    | core-percent = 0      | targets.core-percent | a number from",
-                "listed = [10, 100, 1000, 3000] | listed = [10, 100] | slopes.listed | 3 or more rising",
+                "listed = [10, 100, 1000, 3000] | listed = [10, 100] | slopes.listed | 3 or more ascending",
                 "listed = [10, 100, 1000, 3000] | listed = [10, 100, 5000] | slopes.listed | from 1 to 4000",
-                "changes = [0.0, 1.0, 5.0, 20.0] | changes = [0.0, 5.0, 5.0] | slopes.changes | 3 or more rising",
-                "watchers = [100, 300, 1000] | watchers = [100, 300, 0.5] | slopes.watchers | 3 or more rising",
+                "changes = [0.0, 1.0, 5.0, 20.0] | changes = [0.0, 5.0, 5.0] | slopes.changes | 3 or more ascending",
+                "watchers = [100, 300, 1000] | watchers = [100, 300, 0.5] | slopes.watchers | 3 or more ascending",
                 "kind = \"zone\"       | kind = \"planet\"     | storms[5].kind    | one of \"change\"",
                 "listed = \"service\"  | listed = \"some\"     | storms[12].listed | one of \"all\"",
                 "length = \"60s\"      | length = \"60\"       | storms[7].length  | a time with its unit",
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
@@ -43,17 +43,17 @@
                         "serve"),
                 folder);
         StringWriter words = new StringWriter();
-        ScaleResults results = ScaleRun.play(
+        ScaleResults results = ScaleRun.run(
                 scenario, command, folder, "test", RegistryControlPlane::new, new PrintWriter(words, true));
         Path kept = folder.resolve("kept");
-        results.keep(kept);
+        results.write(kept);
         String table = Files.readString(kept.resolve("table.md"));
         assertEquals(scenario.storms().size(), results.rows().size(), table);
         for (StormRow row : results.rows()) {
             // A busy machine may make a row void, which is then said; what came of it holds all the same.
             assertTrue(row.verdict() == StormRow.Verdict.MET || row.verdict() == StormRow.Verdict.VOID, table);
-            assertEquals(0, row.never(), table);
-            assertEquals(row.hollow(), row.knowing(), table);
+            assertEquals(0, row.neverApplied(), table);
+            assertEquals(row.hollowCount(), row.upToDateCount(), table);
             assertTrue(row.pairs() >= row.changes(), table);
         }
         assertEquals(
@@ -76,8 +76,8 @@
         }
 
         @Override
-        public Optional<String> missing(Ability ability) {
-            return registry.missing(ability);
+        public Optional<String> findUnsupportedReason(Capability capability) {
+            return registry.findUnsupportedReason(capability);
         }
 
         @Override
@@ -86,18 +86,18 @@
         }
 
         @Override
-        public Watch watch(EventLoop loop, EdgeConfig config, EventLog log, long seed, String list, int node) {
-            return registry.watch(loop, config, log, seed, list, node);
+        public Watch createWatch(EventLoop loop, EdgeConfig config, EventLog log, long seed, String list, int node) {
+            return registry.createWatch(loop, config, log, seed, list, node);
         }
 
         @Override
-        public Path file(Place place, String list, int node, String group) throws IOException {
-            return registry.file(place, list, node, group);
+        public Path writeSidecarConfig(SidecarSpec place, String list, int node, String group) throws IOException {
+            return registry.writeSidecarConfig(place, list, node, group);
         }
 
         @Override
-        public void list(String list, List<EndpointEntry> lines) {
-            registry.list(list, lines);
+        public void replaceList(String list, List<EndpointEntry> lines) {
+            registry.replaceList(list, lines);
         }
 
         @Override
@@ -110,33 +110,33 @@
         }
 
         @Override
-        public void stop(int node) {
-            registry.stop(node);
+        public void stopNode(int node) {
+            registry.stopNode(node);
         }
 
         @Override
-        public void start(int node, boolean fromNothing) {
-            registry.start(node, fromNothing);
+        public void startNode(int node, boolean withoutState) {
+            registry.startNode(node, withoutState);
         }
 
         @Override
-        public void cut(int one, int other, boolean apart) {
-            registry.cut(one, other, apart);
+        public void setPartitioned(int node, int otherNode, boolean partitioned) {
+            registry.setPartitioned(node, otherNode, partitioned);
         }
 
         @Override
-        public Cost cost(int node) {
-            return registry.cost(node);
+        public Cost takeCost(int node) {
+            return registry.takeCost(node);
         }
 
         @Override
-        public Traffic.Seen traffic(String group) {
-            return registry.traffic(group);
+        public Traffic.Totals takeTraffic(String group) {
+            return registry.takeTraffic(group);
         }
 
         @Override
-        public List<Heard> heard(String group) {
-            return registry.heard(group);
+        public List<WatchCall> takeCalls(String group) {
+            return registry.takeCalls(group);
         }
 
         @Override
@@ -157,17 +157,17 @@
                 new ScaleScenario.Sidecars(0, 2, 1, 0, 100),
                 new ScaleScenario.Targets(300, 50, 32, 15),
                 null,
-                List.of(new ScaleScenario.Storm(ScaleScenario.Kind.CHANGE, ScaleScenario.Listed.ALL, 2, 200)));
-        ScaleResults results = ScaleRun.play(
+                List.of(new ScaleScenario.Storm(ScaleScenario.Kind.CHANGE, ScaleScenario.EndpointScope.ALL, 2, 200)));
+        ScaleResults results = ScaleRun.run(
                 scenario,
                 new ServeCommand(List.of("none"), folder),
                 folder,
                 "test",
-                () -> new Forgetful(site.line(7).id()),
+                () -> new Forgetful(site.createEntry(7).id()),
                 new PrintWriter(new StringWriter()));
         StormRow row = results.rows().get(0);
-        assertEquals(site.endpoints(), row.never(), "the second change, of endpoint 7, reached nobody");
-        assertEquals(0, row.knowing(), row.toString());
+        assertEquals(site.endpoints(), row.neverApplied(), "the second change, of endpoint 7, reached nobody");
+        assertEquals(0, row.upToDateCount(), row.toString());
         assertTrue(row.verdict() == StormRow.Verdict.MISSED || row.verdict() == StormRow.Verdict.VOID, row.toString());
         assertFalse(results.passes());
     }
@@ -177,12 +177,12 @@
         ScaleScenario scenario = ScaleFile.read(Path.of("scenarios", "scale-small.toml"));
         ServeCommand ends = new ServeCommand(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-version"), folder);
-        ScaleResults results = ScaleRun.play(
+        ScaleResults results = ScaleRun.run(
                 scenario, ends, folder, "test", RegistryControlPlane::new, new PrintWriter(new StringWriter()));
-        assertEquals("a sidecar has ended while starting", results.cutShort());
+        assertEquals("a sidecar has ended while starting", results.abortReason());
         assertFalse(results.passes());
-        results.keep(folder.resolve("kept"));
+        results.write(folder.resolve("kept"));
         String table = Files.readString(folder.resolve("kept").resolve("table.md"));
-        assertTrue(table.contains("**Cut short**: a sidecar has ended while starting."), table);
+        assertTrue(table.contains("**Ended early**: a sidecar has ended while starting."), table);
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathReportTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathReportTest.java
@@ -11,8 +11,8 @@
 import lemonrail.lab.host.ProcessUsage;
 import lemonrail.lab.host.ProcessUsage.Kind;
 import lemonrail.lab.host.ProcessUsage.Threads;
-import lemonrail.lab.scale.path.PathRow.Part;
-import lemonrail.lab.scale.path.PathRow.Way;
+import lemonrail.lab.scale.path.PathRow.Experiment;
+import lemonrail.lab.scale.path.PathRow.RouteType;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -24,12 +24,19 @@
 
     private final PathReport report = new PathReport(line -> {});
 
-    private void add(Part part, Way way, int round, int step, int endpoints, long micros, double lateMs) {
+    private void add(
+            Experiment experiment,
+            RouteType routeType,
+            int round,
+            int step,
+            int endpoints,
+            long micros,
+            double lateMs) {
         Histogram all = new Histogram(3);
         all.recordValueWithCount(micros, 1000);
         report.add(new PathRow(
-                part,
-                way,
+                experiment,
+                routeType,
                 round,
                 step,
                 endpoints,
@@ -41,7 +48,7 @@
                 all,
                 1000,
                 2500,
-                way == Way.DIRECT
+                routeType == RouteType.DIRECT
                         ? ProcessUsage.NONE
                         : new ProcessUsage(120, Map.of("1/1", new Threads(Kind.LOOP, 100 + endpoints, 2, 900)), 70, 40),
                 lateMs,
@@ -51,19 +58,19 @@
     }
 
     private void addSound() {
-        add(Part.SIDE_BY_SIDE, Way.DIRECT, 1, 0, 1, 100, 0.01);
-        add(Part.SIDE_BY_SIDE, Way.RELAY, 1, 0, 1, 150, 0.01);
-        add(Part.SIDE_BY_SIDE, Way.SIDECAR, 1, 0, 10, 400, 0.01);
-        add(Part.CHAIN, Way.SIDECAR, 1, 1, 1, 300, 0.01);
+        add(Experiment.SIDE_BY_SIDE, RouteType.DIRECT, 1, 0, 1, 100, 0.01);
+        add(Experiment.SIDE_BY_SIDE, RouteType.RELAY, 1, 0, 1, 150, 0.01);
+        add(Experiment.SIDE_BY_SIDE, RouteType.SIDECAR, 1, 0, 10, 400, 0.01);
+        add(Experiment.CHAIN, RouteType.SIDECAR, 1, 1, 1, 300, 0.01);
     }
 
     @Test
     void rowsGoIntoTheirTablesAndVoidOnesAreMarked() throws Exception {
         addSound();
-        add(Part.ENDPOINTS, Way.SIDECAR, 1, 0, 10, 400, 0.01);
-        add(Part.ENDPOINTS, Way.SIDECAR, 1, 0, 20, 400, 0.01);
-        add(Part.RAMP, Way.SIDECAR, 1, 0, 10, 400, 0.2);
-        report.keep(folder, "v");
+        add(Experiment.ENDPOINTS, RouteType.SIDECAR, 1, 0, 10, 400, 0.01);
+        add(Experiment.ENDPOINTS, RouteType.SIDECAR, 1, 0, 20, 400, 0.01);
+        add(Experiment.RAMP, RouteType.SIDECAR, 1, 0, 10, 400, 0.2);
+        report.write(folder, "v");
         String text = Files.readString(folder.resolve("path.md"));
         assertTrue(text.contains("**Target met.**"), text);
         assertTrue(text.contains("| 390 | sidecar | 0.300 | 0.300 | 0.300 | 0.300 |"), text);
@@ -76,7 +83,7 @@
         // 10 endpoints more cost 10 µs a call more.
         assertTrue(
                 text.contains(
-                        "| CPU, µs a call, for each 1,000 endpoints listed | 1000.0000 | 100.00 " + "| 1.000 | 2 |"),
+                        "| CPU, µs per call, for each 1,000 endpoints listed | 1000.0000 | 100.00 " + "| 1.000 | 2 |"),
                 text);
         assertEquals(1 + 7, Files.readAllLines(folder.resolve("path.csv")).size());
         for (String chart : List.of("path-cpu.svg", "path-chain.svg")) {
@@ -87,33 +94,33 @@
     @Test
     void voidRoundsAreLeftOutWhereThereAreOthers() throws Exception {
         addSound();
-        add(Part.SIDE_BY_SIDE, Way.SIDECAR, 2, 0, 10, 9000, 0.5);
-        assertEquals(0.3, report.compared().get(0).addedMs(99), 0.001);
+        add(Experiment.SIDE_BY_SIDE, RouteType.SIDECAR, 2, 0, 10, 9000, 0.5);
+        assertEquals(0.3, report.compareRoutes().get(0).addedMs(99), 0.001);
         assertTrue(report.isMet());
-        report.keep(folder, "v");
+        report.write(folder, "v");
         String text = Files.readString(folder.resolve("path.md"));
         assertTrue(text.contains("5 measurements, 1 void."), text);
     }
 
     @Test
     void onlyVoidRoundsShowNothing() throws Exception {
-        add(Part.SIDE_BY_SIDE, Way.DIRECT, 1, 0, 1, 100, 0.01);
-        add(Part.SIDE_BY_SIDE, Way.RELAY, 1, 0, 1, 150, 0.01);
-        add(Part.SIDE_BY_SIDE, Way.SIDECAR, 1, 0, 10, 200, 0.5);
-        add(Part.CHAIN, Way.SIDECAR, 1, 1, 1, 300, 0.01);
+        add(Experiment.SIDE_BY_SIDE, RouteType.DIRECT, 1, 0, 1, 100, 0.01);
+        add(Experiment.SIDE_BY_SIDE, RouteType.RELAY, 1, 0, 1, 150, 0.01);
+        add(Experiment.SIDE_BY_SIDE, RouteType.SIDECAR, 1, 0, 10, 200, 0.5);
+        add(Experiment.CHAIN, RouteType.SIDECAR, 1, 1, 1, 300, 0.01);
         assertFalse(report.isMet());
-        report.keep(folder, "v");
+        report.write(folder, "v");
         String text = Files.readString(folder.resolve("path.md"));
-        assertTrue(text.contains("**Nothing shown: rows are void or missing.**"), text);
+        assertTrue(text.contains("**No result: rows are void or missing.**"), text);
         assertTrue(text.contains("| 390 | sidecar (void) |"), text);
     }
 
     @Test
     void aTargetThatIsMissedIsNamed() throws Exception {
         addSound();
-        add(Part.CHAIN, Way.SIDECAR, 1, 2, 1, 500, 0.01);
+        add(Experiment.CHAIN, RouteType.SIDECAR, 1, 2, 1, 500, 0.01);
         assertFalse(report.isMet());
-        report.keep(folder, "v");
+        report.write(folder, "v");
         String text = Files.readString(folder.resolve("path.md"));
         assertTrue(text.contains("**Target missed.**\n- step 2 of the chain: 0.500 ms added"), text);
     }
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathRunTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathRunTest.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import lemonrail.lab.scale.ServeCommand;
-import lemonrail.lab.scale.path.PathRow.Part;
-import lemonrail.lab.scale.path.PathRow.Way;
+import lemonrail.lab.scale.path.PathRow.Experiment;
+import lemonrail.lab.scale.path.PathRow.RouteType;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -31,47 +31,51 @@
             run.run();
         }
         List<PathRow> rows = report.rows();
-        assertEquals(Set.of(Part.values()), rows.stream().map(PathRow::part).collect(Collectors.toSet()));
+        assertEquals(
+                Set.of(Experiment.values()),
+                rows.stream().map(PathRow::experiment).collect(Collectors.toSet()));
         for (PathRow row : rows) {
-            assertTrue(row.served() <= row.sent(), row.csv());
-            assertTrue(row.rate() == 0 || row.sent() > 0, row.csv());
-            if (row.way() != Way.DIRECT) {
+            assertTrue(row.served() <= row.sent(), row.toCsv());
+            assertTrue(row.rate() == 0 || row.sent() > 0, row.toCsv());
+            if (row.routeType() != RouteType.DIRECT) {
                 assertTrue(
                         row.usage().residentMb() > 1
                                 && row.usage().cpuMs() >= 0
                                 && row.usage().descriptors() > 0,
-                        row.csv());
+                        row.toCsv());
             }
-            if (row.way() == Way.SIDECAR && row.rate() > 0 && row.calls() > 0) {
-                assertTrue(row.cpuUs() > 1 && row.wakeups() > 0, row.csv());
+            if (row.routeType() == RouteType.SIDECAR && row.rate() > 0 && row.calls() > 0) {
+                assertTrue(row.cpuUs() > 1 && row.wakeups() > 0, row.toCsv());
             }
             if (row.served() > 0) {
-                assertTrue(row.ms(50) > 0 && row.ms(50) <= row.ms(99.9), row.csv());
+                assertTrue(row.latencyMs(50) > 0 && row.latencyMs(50) <= row.latencyMs(99.9), row.toCsv());
             }
         }
         assertEquals(
                 plan.rates(),
-                report.compared().stream().map(PathVerdict.Compared::rate).toList());
+                report.compareRoutes().stream()
+                        .map(PathVerdict.Comparison::rate)
+                        .toList());
         assertEquals(
                 plan.depth(),
                 rows.stream()
-                        .filter(row -> row.part() == Part.CHAIN
-                                && row.way() == Way.SIDECAR
+                        .filter(row -> row.experiment() == Experiment.CHAIN
+                                && row.routeType() == RouteType.SIDECAR
                                 && row.step() > 0
                                 && row.served() > 0)
                         .count());
-        report.keep(folder.resolve("kept"), "v");
+        report.write(folder.resolve("kept"), "v");
         assertEquals(
                 rows.size() + 1,
                 Files.readAllLines(folder.resolve("kept").resolve("path.csv")).size());
         String page = Files.readString(folder.resolve("kept").resolve("path.md"));
         assertTrue(
                 rows.stream()
-                                .filter(row -> row.part() == Part.RAMP)
-                                .map(PathRow::way)
+                                .filter(row -> row.experiment() == Experiment.RAMP)
+                                .map(PathRow::routeType)
                                 .collect(Collectors.toSet())
                                 .size()
-                        == Way.values().length,
+                        == RouteType.values().length,
                 "a ramp for each way");
         assertTrue(page.contains("| 100 | sidecar") && page.contains("| step 2"), page);
         assertTrue(Files.size(folder.resolve("kept").resolve("path-chain.svg")) > 500);
@@ -80,14 +84,14 @@
     @Test
     void theCommandIsThePlatforms() throws Exception {
         ServeCommand command = ServeCommand.of(Path.of(".."));
-        assertTrue(command.words().contains("-XX:TieredStopAtLevel=1"), command.toString());
+        assertTrue(command.command().contains("-XX:TieredStopAtLevel=1"), command.toString());
         assertEquals(
                 List.of("-jar", "edge/target/lemonrail.jar", "serve"),
-                command.words()
-                        .subList(command.words().size() - 3, command.words().size()));
+                command.command()
+                        .subList(command.command().size() - 3, command.command().size()));
         List<String> other = command.withMainClass("lemonrail.lab.Main", "relay")
                 .withMainClass("lemonrail.cli.Main", "serve")
-                .words();
+                .command();
         assertEquals("java", other.get(0));
         assertTrue(other.contains("-XX:TieredStopAtLevel=1") && !other.contains("-jar"), other.toString());
         assertEquals(List.of("lemonrail.cli.Main", "serve"), other.subList(other.size() - 2, other.size()));
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathVerdictTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathVerdictTest.java
@@ -10,9 +10,9 @@
 import lemonrail.lab.host.ProcessUsage.Kind;
 import lemonrail.lab.host.ProcessUsage.Threads;
 import lemonrail.lab.scale.LinearFit;
-import lemonrail.lab.scale.path.PathRow.Part;
-import lemonrail.lab.scale.path.PathRow.Way;
-import lemonrail.lab.scale.path.PathVerdict.Compared;
+import lemonrail.lab.scale.path.PathRow.Experiment;
+import lemonrail.lab.scale.path.PathRow.RouteType;
+import lemonrail.lab.scale.path.PathVerdict.Comparison;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -25,13 +25,14 @@
             40, Map.of("1/1", new Threads(Kind.LOOP, 36, 3, 500), "1/2", new Threads(Kind.COMPILER, 4, 1, 20)), 70, 40);
 
     /** 1,000 calls: 980 that took {@code fastMicros}, and 20 that took {@code slowMicros}. */
-    private static PathRow row(Way way, int step, long fastMicros, long slowMicros, double lateMs, long served) {
+    private static PathRow row(
+            RouteType routeType, int step, long fastMicros, long slowMicros, double lateMs, long served) {
         Histogram micros = new Histogram(3);
         micros.recordValueWithCount(fastMicros, 980);
         micros.recordValueWithCount(slowMicros, 20);
         return new PathRow(
-                step > 0 ? Part.CHAIN : Part.SIDE_BY_SIDE,
-                way,
+                step > 0 ? Experiment.CHAIN : Experiment.SIDE_BY_SIDE,
+                routeType,
                 1,
                 step,
                 10,
@@ -50,20 +51,20 @@
                 1.5);
     }
 
-    private static Compared compared(long slowMicros, double lateMs, long served) {
-        return new Compared(
+    private static Comparison compared(long slowMicros, double lateMs, long served) {
+        return new Comparison(
                 390,
-                row(Way.DIRECT, 0, 50, 100, 0.01, 1000),
-                row(Way.RELAY, 0, 90, 160, 0.01, 1000),
-                row(Way.SIDECAR, 0, 150, slowMicros, lateMs, served));
+                row(RouteType.DIRECT, 0, 50, 100, 0.01, 1000),
+                row(RouteType.RELAY, 0, 90, 160, 0.01, 1000),
+                row(RouteType.SIDECAR, 0, 150, slowMicros, lateMs, served));
     }
 
     @Test
     void whatIsAddedIsTheDifferenceToADirectCall() {
-        Compared compared = compared(500, 0.01, 1000);
+        Comparison compared = compared(500, 0.01, 1000);
         assertEquals(0.100, compared.addedMs(50), 0.001);
         assertEquals(0.400, compared.addedMs(99), 0.001);
-        assertEquals(0.060, compared.relayAddsMs(99), 0.001);
+        assertEquals(0.060, compared.addedByRelayMs(99), 0.001);
     }
 
     @ParameterizedTest
@@ -80,19 +81,21 @@
             long slowMicros, long stepMicros, double lateMs, long served, boolean whole, boolean met) {
         PathVerdict verdict = PathVerdict.of(
                 List.of(compared(400, 0.01, 1000), compared(slowMicros, lateMs, served)),
-                List.of(row(Way.SIDECAR, 1, 150, 300, 0.01, 1000), row(Way.SIDECAR, 2, 150, stepMicros, 0.01, 1000)));
-        assertEquals(whole, verdict.whole());
+                List.of(
+                        row(RouteType.SIDECAR, 1, 150, 300, 0.01, 1000),
+                        row(RouteType.SIDECAR, 2, 150, stepMicros, 0.01, 1000)));
+        assertEquals(whole, verdict.isComplete());
         assertEquals(met, verdict.isMet(), verdict.toString());
-        assertEquals(met || !whole, verdict.missed().isEmpty(), verdict.toString());
+        assertEquals(met || !whole, verdict.missedTargets().isEmpty(), verdict.toString());
     }
 
     @ParameterizedTest
     @CsvSource({"19, false", "21, true"})
     void aProcessWithoutACoreMakesARowVoid(double noCoreUs, boolean isVoid) {
-        PathRow row = row(Way.SIDECAR, 0, 50, 100, 0.01, 1000);
+        PathRow row = row(RouteType.SIDECAR, 0, 50, 100, 0.01, 1000);
         PathRow waited = new PathRow(
-                row.part(),
-                row.way(),
+                row.experiment(),
+                row.routeType(),
                 1,
                 0,
                 10,
@@ -114,19 +117,36 @@
 
     @Test
     void nothingMeasuredShowsNothing() {
-        PathRow step = row(Way.SIDECAR, 1, 150, 300, 0.01, 1000);
+        PathRow step = row(RouteType.SIDECAR, 1, 150, 300, 0.01, 1000);
         assertFalse(PathVerdict.of(List.of(), List.of(step)).isMet());
         assertFalse(
                 PathVerdict.of(List.of(compared(400, 0.01, 1000)), List.of()).isMet());
         PathRow empty = new PathRow(
-                Part.CHAIN, Way.SIDECAR, 1, 1, 1, 64, 1, 390, 0, 0, new Histogram(3), 0, 2000, USAGE, 0, 0, 0, 0);
+                Experiment.CHAIN,
+                RouteType.SIDECAR,
+                1,
+                1,
+                1,
+                64,
+                1,
+                390,
+                0,
+                0,
+                new Histogram(3),
+                0,
+                2000,
+                USAGE,
+                0,
+                0,
+                0,
+                0);
         assertFalse(PathVerdict.of(List.of(compared(400, 0.01, 1000)), List.of(empty))
                 .isMet());
     }
 
     @Test
     void processorTimeIsSharedOutOverTheCallsOfItsTime() {
-        PathRow row = row(Way.SIDECAR, 0, 50, 100, 0.01, 1000);
+        PathRow row = row(RouteType.SIDECAR, 0, 50, 100, 0.01, 1000);
         assertEquals(50, row.cpuUs(), 1e-9);
         assertEquals(50, row.statUs(), 1e-9);
         assertEquals(45, row.cpuUs(Kind.LOOP), 1e-9);
@@ -135,20 +155,20 @@
         assertEquals(5, row.noCoreUs(), 1e-9);
         assertEquals(0.65, row.wakeups(), 1e-9);
         assertEquals(2, row.cpuPercent(), 1e-9);
-        assertEquals(400, row.realRate(), 1e-9);
-        assertEquals(PathRow.HEADER.split(",").length, row.csv().split(",", -1).length);
+        assertEquals(400, row.actualRate(), 1e-9);
+        assertEquals(PathRow.CSV_HEADER.split(",").length, row.toCsv().split(",", -1).length);
     }
 
     @Test
     void roundsTogetherAreAllTheirCalls() {
-        PathRow all = PathRow.merged(
-                List.of(row(Way.SIDECAR, 0, 50, 100, 0.01, 1000), row(Way.SIDECAR, 0, 70, 200, 0.05, 990)));
+        PathRow all = PathRow.mergeRounds(
+                List.of(row(RouteType.SIDECAR, 0, 50, 100, 0.01, 1000), row(RouteType.SIDECAR, 0, 70, 200, 0.05, 990)));
         assertEquals(2000, all.sent());
         assertEquals(1990, all.served());
         assertEquals(2000, all.micros().getTotalCount());
         assertEquals(50, all.cpuUs(), 1e-9);
-        assertEquals(0.05, all.late99Ms(), 1e-9);
-        assertTrue(all.ms(99) > all.ms(50));
+        assertEquals(0.05, all.sendLatenessP99Ms(), 1e-9);
+        assertTrue(all.latencyMs(99) > all.latencyMs(50));
     }
 
     @Test
