--- a/lab/src/main/java/lemonrail/lab/scale/Fleet.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Fleet.java
@@ -24,8 +24,9 @@
     private static final double START_TIMEOUT_MS = 30_000;
     private static final double POLL_INTERVAL_MS = 25;
     /**
-     * Each update of an entry gets a weight of its own, by which the fleet recognizes it at the sidecars. The
-     * weights are close to 1 and have no effect, because endpoints are not weighted by size in these runs.
+     * The reciprocal of the step between the weights of successive updates. Each update of an entry gets a weight
+     * of its own, by which the fleet recognizes it at the sidecars. The weights are close to 1 and have no effect,
+     * because endpoints are not weighted by size in these runs.
      */
     private static final double WEIGHT_STEPS = 1 << 20;
 
@@ -84,9 +85,9 @@
     private final Site site;
     private final EndpointScope scope;
     private final ControlPlane plane;
-    private final HollowFleet hollow;
+    private final HollowFleet hollowFleet;
     /** By the number of their endpoint. */
-    private final Map<Integer, RealSidecar> real = new TreeMap<>();
+    private final Map<Integer, RealSidecar> realSidecars = new TreeMap<>();
     /** The watch calls of real sidecars, by the number of their endpoint. */
     private final Map<Integer, List<ControlPlane.WatchCall>> calls = new HashMap<>();
     /** The current entry of each endpoint, by its number. */
@@ -98,7 +99,7 @@
         site = scenario.site();
         this.scope = scope;
         this.plane = plane;
-        hollow = new HollowFleet(
+        hollowFleet = new HollowFleet(
                 scenario.sidecars().loops(), config, scenario.sidecars().seed());
         for (int i = 0; i < site.endpoints(); i++) {
             entries.put(i, site.createEntry(i));
@@ -110,7 +111,7 @@
         expectedEntries()
                 .forEach((listName, listEntries) -> plane.replaceList(listName, List.copyOf(listEntries.values())));
         for (int i = 0; i < realCount; i++) {
-            real.put(
+            realSidecars.put(
                     i,
                     RealSidecar.start(
                             "real-" + scope.name().toLowerCase(Locale.ROOT) + "-" + i,
@@ -124,7 +125,7 @@
                             group(i)));
         }
         startHollow(IntStream.range(realCount, site.endpoints()).boxed().toList());
-        for (RealSidecar sidecar : real.values()) {
+        for (RealSidecar sidecar : realSidecars.values()) {
             sidecar.awaitReady();
         }
         if (!awaitUpToDate(START_TIMEOUT_MS)) {
@@ -137,16 +138,16 @@
         return plane;
     }
 
-    HollowFleet hollow() {
-        return hollow;
+    HollowFleet hollowFleet() {
+        return hollowFleet;
     }
 
     Collection<RealSidecar> realSidecars() {
-        return real.values();
+        return realSidecars.values();
     }
 
     private void startHollow(Collection<Integer> numbers) {
-        hollow.start(numbers, plane, this::watchedList, this::node);
+        hollowFleet.start(numbers, plane, this::watchedList, this::node);
     }
 
     /** Returns the name of the list that the sidecar beside an endpoint watches. */
@@ -235,9 +236,9 @@
         return new Change(applied, change, -1, applied.atNanos());
     }
 
-    /** Removes endpoints and their sidecars at once, as in a failure. */
+    /** Removes endpoints together with their sidecars, as in a failure. */
     Change removeEndpoints(List<Integer> numbers) {
-        hollow.stop(numbers);
+        hollowFleet.stop(numbers);
         Map<Integer, EndpointEntry> removed = new TreeMap<>();
         numbers.forEach(number -> removed.put(number, entries.get(number).withState(EndpointEntry.State.TERMINATED)));
         return apply(0, updateEntries(removed));
@@ -260,7 +261,7 @@
     /** Waits until the load balancers of all hollow sidecars have the current lists. Returns false on a timeout. */
     boolean awaitUpToDate(double timeoutMs) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + (long) (timeoutMs * 1e6);
-        while (countUpToDate() < hollow.sidecars().size()) {
+        while (countUpToDate() < hollowFleet.sidecars().size()) {
             if (System.nanoTime() > deadlineNanos) {
                 return false;
             }
@@ -271,7 +272,7 @@
 
     /** Returns how many hollow sidecars have the current list in their load balancer. */
     int countUpToDate() {
-        return hollow.countUpToDate(expectedEntries());
+        return hollowFleet.countUpToDate(expectedEntries());
     }
 
     /**
@@ -280,7 +281,7 @@
      */
     List<Double> hollowPropagationMs(Change change) {
         List<Double> times = new ArrayList<>();
-        for (HollowSidecar sidecar : hollow.sidecars()) {
+        for (HollowSidecar sidecar : hollowFleet.sidecars()) {
             List<EndpointEntry> updatedEntries = change.entries.get(sidecar.listName());
             if (updatedEntries == null || sidecar.createdNanos() > change.applied.atNanos()) {
                 continue;
@@ -299,12 +300,12 @@
     }
 
     /**
-     * Returns the same for real sidecars, which have a change once they make a watch call from a version that
-     * includes it.
+     * Returns the same for real sidecars. A real sidecar has a change when it makes its first watch call from a
+     * version that includes the change.
      */
     List<Double> realPropagationMs(Change change) {
         List<Double> times = new ArrayList<>();
-        for (int number : real.keySet()) {
+        for (int number : realSidecars.keySet()) {
             String listName = watchedList(number);
             if (change.applied.versions().containsKey(listName)) {
                 long startNanos = change.availableNanos(site.regionOf(number));
@@ -321,7 +322,8 @@
 
     /** Collects the watch calls that real sidecars have made. */
     void collectCalls() {
-        real.keySet()
+        realSidecars
+                .keySet()
                 .forEach(number ->
                         calls.computeIfAbsent(number, k -> new ArrayList<>()).addAll(plane.takeCalls(group(number))));
     }
@@ -330,13 +332,13 @@
     CostBaseline resetMeasurements() {
         collectCalls();
         calls.clear();
-        hollow.discardOldUpdates();
+        hollowFleet.discardOldUpdates();
         for (int i = 0; i < plane.nodes(); i++) {
             plane.takeCost(i);
         }
-        hollow.takeLoad();
+        hollowFleet.takeLoad();
         Map<Integer, Double> cpuMs = new HashMap<>();
-        real.forEach((number, sidecar) -> {
+        realSidecars.forEach((number, sidecar) -> {
             plane.takeTraffic(group(number));
             cpuMs.put(number, sidecar.cpuMs());
         });
@@ -346,14 +348,16 @@
     /** Returns what a real sidecar has used since the baseline was taken. */
     SidecarCost measureSidecarCost(CostBaseline baseline) {
         double lengthMs = (System.nanoTime() - baseline.atNanos) / 1e6;
-        double corePercent = real.isEmpty() ? Double.NaN : 0;
-        double bytesPerS = real.isEmpty() ? Double.NaN : 0;
+        double corePercent = realSidecars.isEmpty() ? Double.NaN : 0;
+        double bytesPerS = realSidecars.isEmpty() ? Double.NaN : 0;
         long peakBytesPerS = 0;
-        for (Map.Entry<Integer, RealSidecar> sidecar : real.entrySet()) {
+        for (Map.Entry<Integer, RealSidecar> sidecar : realSidecars.entrySet()) {
             Traffic.Totals traffic = plane.takeTraffic(group(sidecar.getKey()));
-            corePercent +=
-                    100 * (sidecar.getValue().cpuMs() - baseline.cpuMs.get(sidecar.getKey())) / lengthMs / real.size();
-            bytesPerS += traffic.bytes() / lengthMs * 1000 / real.size();
+            corePercent += 100
+                    * (sidecar.getValue().cpuMs() - baseline.cpuMs.get(sidecar.getKey()))
+                    / lengthMs
+                    / realSidecars.size();
+            bytesPerS += traffic.bytes() / lengthMs * 1000 / realSidecars.size();
             peakBytesPerS = Math.max(peakBytesPerS, traffic.peakPerSecond());
         }
         return new SidecarCost(lengthMs, corePercent, bytesPerS, peakBytesPerS);
@@ -371,17 +375,17 @@
 
     /** Returns the mean resident memory of a real sidecar in MiB; NaN if there is none. */
     double meanResidentMb() throws IOException {
-        double meanMb = real.isEmpty() ? Double.NaN : 0;
-        for (RealSidecar sidecar : real.values()) {
-            meanMb += sidecar.residentMb() / real.size();
+        double meanMb = realSidecars.isEmpty() ? Double.NaN : 0;
+        for (RealSidecar sidecar : realSidecars.values()) {
+            meanMb += sidecar.residentMb() / realSidecars.size();
         }
         return meanMb;
     }
 
     @Override
     public void close() {
-        real.values().forEach(RealSidecar::close);
-        hollow.close();
+        realSidecars.values().forEach(RealSidecar::close);
+        hollowFleet.close();
         plane.close();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/HollowFleet.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowFleet.java
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Starts the sidecars beside these endpoints at once.
+     * Starts the sidecars beside these endpoints in parallel.
      *
      * @param listNames returns the name of a sidecar's list
      * @param nodes returns the control node that a sidecar watches first
@@ -93,7 +93,7 @@
         sidecars.values().forEach(HollowSidecar::discardOldUpdates);
     }
 
-    /** Returns how many full snapshots all sidecars together have received. */
+    /** Returns how many full snapshots the running sidecars have received in total. */
     long fullListCount() {
         return sidecars.values().stream()
                 .mapToLong(HollowSidecar::fullListCount)
--- a/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/HollowSidecar.java
@@ -42,8 +42,8 @@
     /**
      * An update of an endpoint's entry.
      *
-     * @param atNanos when the load balancer had it
-     * @param weight its weight, by which updates are told apart
+     * @param atNanos when the load balancer had it, by {@link System#nanoTime}
+     * @param weight the entry's weight, which grows with each update and so identifies it
      * @param removed whether the endpoint was removed
      */
     record EntryUpdate(long atNanos, double weight, boolean removed) {
@@ -68,7 +68,7 @@
 
     private long fullListCount;
 
-    /** Creates a sidecar, which starts its watch at once. To be called on its event loop. */
+    /** Creates a sidecar and starts its watch. To be called on its event loop. */
     HollowSidecar(
             EventLoop loop, EdgeConfig config, long seed, ControlPlane plane, int number, String listName, int node) {
         this.number = number;
--- a/lab/src/main/java/lemonrail/lab/scale/Measurement.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Measurement.java
@@ -6,7 +6,7 @@
  * One measured point of a slope.
  *
  * @param subject whose cost this is
- * @param listed the number of endpoints in the list
+ * @param listSize the number of endpoints in the list
  * @param watchers the number of watchers of the control node, if its cost is measured; 0 otherwise
  * @param corePercent processor time, in percent of one core
  * @param bytesPerS payload in both directions
@@ -18,7 +18,7 @@
  */
 public record Measurement(
         Subject subject,
-        int listed,
+        int listSize,
         int watchers,
         double changesPerS,
         double corePercent,
@@ -49,7 +49,7 @@
                 Locale.ROOT,
                 "%s,%d,%d,%.3f,%.4f,%.1f,%s,%s,%.2f,%.2f,%b",
                 subject.name().toLowerCase(Locale.ROOT),
-                listed,
+                listSize,
                 watchers,
                 changesPerS,
                 corePercent,
--- a/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
@@ -34,9 +34,9 @@
 import lemonrail.time.Clock;
 
 /**
- * The control role: nodes in several regions that replicate to each other, each on an event loop of its own in this
- * process. Each list is a service. Sidecars watch the nodes of their region, and the other nodes if those do not
- * respond.
+ * A control plane of nodes with the control role, in several regions. They replicate to each other, and each has an
+ * event loop of its own in this process. Each list is a service. Sidecars watch the nodes of their region, and the
+ * other nodes if those do not respond.
  */
 public final class NodesControlPlane implements ControlPlane {
 
@@ -48,7 +48,7 @@
     /**
      * A watch call of a real sidecar.
      *
-     * @param digest the digest of its configuration, which the call names
+     * @param digest the digest that the call names, of the configuration that the sidecar has
      */
     private record RecordedCall(long atNanos, long digest) {}
 
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
@@ -14,7 +14,10 @@
 import lemonrail.discovery.EndpointListListener;
 import lemonrail.logging.EventLog;
 
-/** A single registry: each sidecar has its one address from the settings file, and settings come from files only. */
+/**
+ * A control plane that is a single registry. Each sidecar has the registry's one address from its settings file,
+ * and settings come from files only.
+ */
 public final class RegistryControlPlane implements ControlPlane {
 
     private final RegistryNode node = new RegistryNode("control-0");
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryNode.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryNode.java
@@ -38,9 +38,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A registry node with the platform's watch protocol, used as a single control plane. It has many lists, each at
- * addresses of its own. All its state belongs to one event loop, whose lateness and processor time are monitored. A
- * response is encoded once for all clients that name the same version.
+ * A stand-in for the platform's registry: a single node that speaks the platform's watch protocol. It has many
+ * lists, each at addresses of its own. All its state belongs to one event loop, whose lateness and processor time
+ * are monitored. A response is encoded only once for all clients that name the same version.
  */
 final class RegistryNode implements AutoCloseable {
 
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleResults.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleResults.java
@@ -52,12 +52,12 @@
             if (point.subject() == Measurement.Subject.SIDECAR
                     && point.changesPerS() == 0
                     && !point.isVoid()
-                    && point.listed() <= scenario.site().endpoints()) {
+                    && point.listSize() <= scenario.site().endpoints()) {
                 if (point.corePercent() > targets.maxCorePercent()) {
                     missed.add(String.format(
                             Locale.ROOT,
                             "a sidecar with %d listed endpoints and no changes uses " + "%.2f %% " + "of a core",
-                            point.listed(),
+                            point.listSize(),
                             point.corePercent()));
                 }
                 if (point.bytesPerS() > targets.maxKilobytesPerS() * 1000) {
@@ -65,7 +65,7 @@
                             Locale.ROOT,
                             "a sidecar with %d listed endpoints and no changes transfers " + "%.0f "
                                     + "bytes per second",
-                            point.listed(),
+                            point.listSize(),
                             point.bytesPerS()));
                 }
             }
@@ -180,7 +180,7 @@
                     Locale.ROOT,
                     "| %s | %d | %s | %.0f | %.2f %% | %.0f | " + "%s | %s | %s |%n",
                     point.subject().name().toLowerCase(Locale.ROOT),
-                    point.listed(),
+                    point.listSize(),
                     point.watchers() == 0 ? "" : point.watchers(),
                     point.changesPerS(),
                     point.corePercent(),
@@ -243,7 +243,7 @@
                     "changes per second",
                     "percent of a core",
                     point -> point.subject() == Measurement.Subject.SIDECAR,
-                    point -> point.listed() + " endpoints listed",
+                    point -> point.listSize() + " endpoints listed",
                     Measurement::changesPerS,
                     Measurement::corePercent);
             writeChart(
@@ -254,7 +254,7 @@
                     "MB",
                     point -> point.subject() == Measurement.Subject.SIDECAR,
                     point -> String.format(Locale.ROOT, "%.0f changes per second", point.changesPerS()),
-                    Measurement::listed,
+                    Measurement::listSize,
                     Measurement::residentMb);
             writeChart(
                     charts,
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleRun.java
@@ -18,8 +18,8 @@
     /**
      * Runs a scenario. The results so far are returned also if the run fails or is interrupted.
      *
-     * @param command starts a real sidecar
-     * @param planes creates the control plane
+     * @param command the command that starts a real sidecar
+     * @param planeFactory creates a control plane for each part of the run
      * @param output receives the progress
      */
     public static ScaleResults run(
@@ -27,7 +27,7 @@
             ServeCommand command,
             Path scratch,
             String version,
-            Supplier<ControlPlane> planes,
+            Supplier<ControlPlane> planeFactory,
             PrintWriter output)
             throws IOException {
         long startNanos = System.nanoTime();
@@ -42,8 +42,8 @@
         EdgeConfig config = ConfigSource.of(file, Map.of("TMPDIR", scratch.toString()))
                 .load()
                 .config();
-        SlopeRun slopes = new SlopeRun(scenario, command, scratch, config, output, planes);
-        StormRun storms = new StormRun(scenario, command, scratch, config, output, planes);
+        SlopeRun slopes = new SlopeRun(scenario, command, scratch, config, output, planeFactory);
+        StormRun storms = new StormRun(scenario, command, scratch, config, output, planeFactory);
         String abortReason = "";
         try {
             if (scenario.slopes() != null) {
--- a/lab/src/main/java/lemonrail/lab/scale/ServeCommand.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ServeCommand.java
@@ -8,7 +8,8 @@
 import java.util.List;
 
 /**
- * The command by which the platform starts a sidecar, whose settings file the environment variable GW_CONFIG names.
+ * The command with which the platform starts a sidecar. The environment variable GW_CONFIG names the sidecar's
+ * settings file.
  *
  * @param command the command and its arguments; {@code java} stands for the JVM of this process
  * @param workingDirectory the directory in which the command is run
--- a/lab/src/main/java/lemonrail/lab/scale/Slope.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Slope.java
@@ -45,22 +45,22 @@
         List<LinearFit.Point> costsPerChange = new ArrayList<>();
         List<Integer> listSizes = points.stream()
                 .filter(point -> point.subject() == Measurement.Subject.SIDECAR)
-                .map(Measurement::listed)
+                .map(Measurement::listSize)
                 .distinct()
                 .sorted()
                 .toList();
-        for (int listed : listSizes) {
+        for (int listSize : listSizes) {
             Slope slope = addFit(
                     slopes,
                     points,
-                    "sidecar processor time at " + listed + " listed",
+                    "sidecar processor time at " + listSize + " listed",
                     "changes per second",
                     "ms per change; intercept ms per second",
-                    point -> point.subject() == Measurement.Subject.SIDECAR && point.listed() == listed,
+                    point -> point.subject() == Measurement.Subject.SIDECAR && point.listSize() == listSize,
                     Measurement::changesPerS,
                     point -> point.corePercent() * MS_PER_PERCENT);
             if (slope != null) {
-                costsPerChange.add(new LinearFit.Point(listed, slope.fit.slope()));
+                costsPerChange.add(new LinearFit.Point(listSize, slope.fit.slope()));
             }
         }
         if (costsPerChange.size() >= LinearFit.MIN_POINTS) {
@@ -79,7 +79,7 @@
                 "endpoints listed",
                 "percent of a core per endpoint",
                 idle,
-                Measurement::listed,
+                Measurement::listSize,
                 Measurement::corePercent);
         double maxChangesPerS =
                 points.stream().mapToDouble(Measurement::changesPerS).max().orElse(0);
@@ -92,7 +92,7 @@
                 "endpoints listed",
                 "MB per endpoint; intercept MB",
                 atMaxChanges,
-                Measurement::listed,
+                Measurement::listSize,
                 Measurement::residentMb);
         int largestList = listSizes.isEmpty() ? 0 : listSizes.get(listSizes.size() - 1);
         addFit(
@@ -101,7 +101,7 @@
                 "sidecar bytes at " + largestList + " listed",
                 "changes per second",
                 "bytes per change; intercept bytes per second",
-                point -> point.subject() == Measurement.Subject.SIDECAR && point.listed() == largestList,
+                point -> point.subject() == Measurement.Subject.SIDECAR && point.listSize() == largestList,
                 Measurement::changesPerS,
                 Measurement::bytesPerS);
         addFit(
@@ -111,7 +111,7 @@
                 "endpoints listed",
                 "bytes per second per endpoint",
                 idle,
-                Measurement::listed,
+                Measurement::listSize,
                 Measurement::bytesPerS);
         Predicate<Measurement> control = point -> point.subject() == Measurement.Subject.CONTROL;
         addFit(
--- a/lab/src/main/java/lemonrail/lab/scale/SlopeRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/SlopeRun.java
@@ -31,7 +31,7 @@
     private final Path scratch;
     private final EdgeConfig config;
     private final PrintWriter output;
-    private final Supplier<ControlPlane> planes;
+    private final Supplier<ControlPlane> planeFactory;
     private final List<Measurement> points = new ArrayList<>();
 
     SlopeRun(
@@ -40,8 +40,8 @@
             Path scratch,
             EdgeConfig config,
             PrintWriter output,
-            Supplier<ControlPlane> planes) {
-        this.planes = planes;
+            Supplier<ControlPlane> planeFactory) {
+        this.planeFactory = planeFactory;
         this.scenario = scenario;
         this.command = command;
         this.scratch = scratch;
@@ -87,7 +87,7 @@
         ScaleScenario.Slopes slopes = scenario.slopes();
         Map<Integer, List<RealSidecar>> sidecarsByListSize = new TreeMap<>();
         Map<String, List<EndpointEntry>> lists = new LinkedHashMap<>();
-        try (ControlPlane plane = planes.get()) {
+        try (ControlPlane plane = planeFactory.get()) {
             try {
                 for (int listSize : slopes.listSizes()) {
                     Site site = new Site(
@@ -195,7 +195,7 @@
     private void measureControlNode() throws InterruptedException {
         Map<String, List<EndpointEntry>> lists =
                 Map.of(SHORT_LIST_NAME, new Site(SHORT_LIST_SIZE, 1, 1, 1, 1).createEntries());
-        try (ControlPlane plane = planes.get();
+        try (ControlPlane plane = planeFactory.get();
                 HollowFleet fleet = new HollowFleet(
                         scenario.sidecars().loops(), config, scenario.sidecars().seed())) {
             plane.replaceList(SHORT_LIST_NAME, lists.get(SHORT_LIST_NAME));
--- a/lab/src/main/java/lemonrail/lab/scale/StormRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/StormRun.java
@@ -53,7 +53,7 @@
     private final Path scratch;
     private final EdgeConfig config;
     private final PrintWriter output;
-    private final Supplier<ControlPlane> planes;
+    private final Supplier<ControlPlane> planeFactory;
     private final List<StormRow> rows = new ArrayList<>();
     private final List<String> changeLines = new ArrayList<>();
     private final List<Fleet.Change> changes = new ArrayList<>();
@@ -71,14 +71,14 @@
             Path scratch,
             EdgeConfig config,
             PrintWriter output,
-            Supplier<ControlPlane> planes) {
+            Supplier<ControlPlane> planeFactory) {
         this.scenario = scenario;
         this.site = scenario.site();
         this.command = command;
         this.scratch = scratch;
         this.config = config;
         this.output = output;
-        this.planes = planes;
+        this.planeFactory = planeFactory;
         settleTimeoutMs = SETTLE_TIMEOUT_FACTOR * scenario.targets().maxPropagationMs();
     }
 
@@ -98,7 +98,7 @@
                     .filter(storm -> storm.scope() == scope)
                     .toList();
             if (!storms.isEmpty()) {
-                try (Fleet openedFleet = new Fleet(scenario, scope, planes.get(), config)) {
+                try (Fleet openedFleet = new Fleet(scenario, scope, planeFactory.get(), config)) {
                     fleet = openedFleet;
                     prepare(scope);
                     for (Storm storm : storms) {
@@ -113,7 +113,7 @@
         fleet.start(scenario.sidecars().realCount(), command, scratch);
         log(
                 "storms: %d hollow and %d real sidecars are running, endpoints in each list: %s",
-                fleet.hollow().sidecars().size(), fleet.realSidecars().size(), keyName(scope));
+                fleet.hollowFleet().sidecars().size(), fleet.realSidecars().size(), keyName(scope));
         makeChanges(WARM_UP_CHANGES_PER_S, scenario.sidecars().warmUpMs());
         fleet.awaitUpToDate(settleTimeoutMs);
         Churn.sleep(PAUSE_BEFORE_STORM_MS);
@@ -138,7 +138,7 @@
         Churn.sleep(PAUSE_BEFORE_STORM_MS);
         changes.clear();
         settingsDelaysMs = List.of();
-        long fullListCount = fleet.hollow().fullListCount();
+        long fullListCount = fleet.hollowFleet().fullListCount();
         Fleet.CostBaseline baseline = fleet.resetMeasurements();
         String notCarriedReason = playEvents(storm);
         settle();
@@ -146,7 +146,7 @@
         StormRow row = createRow(
                 storm,
                 fleet.measureSidecarCost(baseline),
-                fleet.hollow().fullListCount() - fullListCount,
+                fleet.hollowFleet().fullListCount() - fullListCount,
                 notCarriedReason);
         rows.add(row);
         addChangeLines(storm, baseline.atNanos());
@@ -278,7 +278,7 @@
         Optional<String> unsupported = fleet.plane().findUnsupportedReason(ControlPlane.Capability.NODE_LOST);
         long lostNanos = System.nanoTime();
         if (unsupported.isPresent()) {
-            fleet.hollow().moveToOtherAddress();
+            fleet.hollowFleet().moveToOtherAddress();
             changes.add(changeEachService(0).withTime(lostNanos));
             return unsupported.get();
         }
@@ -374,8 +374,8 @@
             realTimes.add(fleet.realPropagationMs(change));
         }
         ControlPlane.Cost nodeCost = fleet.takeBusiestNodeCost();
-        HollowFleet.Load load = fleet.hollow().takeLoad();
-        int hollowCount = fleet.hollow().sidecars().size();
+        HollowFleet.Load load = fleet.hollowFleet().takeLoad();
+        int hollowCount = fleet.hollowFleet().sidecars().size();
         int upToDateCount = fleet.countUpToDate();
         String note = notCarriedReason;
         StormRow.Verdict verdict = StormRow.Verdict.NOT_CARRIED;
--- a/lab/src/main/java/lemonrail/lab/scale/path/FixedDiscovery.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/FixedDiscovery.java
@@ -26,8 +26,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A discovery server whose endpoint list never changes: each watch call is answered with an empty delta once its
- * wait is over.
+ * A discovery server whose endpoint list never changes: a watch call from the current version gets an empty delta
+ * when its wait is over, any other call a full snapshot.
  */
 final class FixedDiscovery implements AutoCloseable {
 
--- a/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
@@ -30,9 +30,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A service in a chain. It calls the next service and responds once that has responded; the last one responds at
- * once. All services of a chain share an event loop and a clock, so each knows exactly how long the next one took
- * for its own work, and thus how much time the process between the two added to this call.
+ * A service in a chain. It calls the next service and responds when that has responded; the last one responds
+ * immediately. All services of a chain share an event loop and a clock, so each knows exactly how long the next one
+ * took for its own work, and thus how much time the process between the two added to this call.
  */
 final class Hop implements AutoCloseable {
 
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRow.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRow.java
@@ -19,7 +19,7 @@
  * @param rate calls per second, 0 if none were made
  * @param sent the number of calls after the warm-up
  * @param served the number of these that were served
- * @param micros latencies of served calls in microseconds, from when each was due
+ * @param latencyMicros latencies of served calls in microseconds, from when each was due
  * @param calls the number of calls sent while the processor time was measured
  * @param wallMs how long the processor time was measured
  * @param usage what the process between caller and endpoint used meanwhile
@@ -40,7 +40,7 @@
         int rate,
         long sent,
         long served,
-        Histogram micros,
+        Histogram latencyMicros,
         long calls,
         double wallMs,
         ProcessUsage usage,
@@ -109,7 +109,7 @@
     }
 
     double latencyMs(double percentile) {
-        return micros.getTotalCount() == 0 ? Double.NaN : micros.getValueAtPercentile(percentile) / 1e3;
+        return latencyMicros.getTotalCount() == 0 ? Double.NaN : latencyMicros.getValueAtPercentile(percentile) / 1e3;
     }
 
     /** Returns the processor time per call in microseconds. */
@@ -198,10 +198,10 @@
      */
     static PathRow mergeRounds(List<PathRow> rounds) {
         PathRow first = rounds.get(0);
-        Histogram micros = first.micros.copy();
+        Histogram latencyMicros = first.latencyMicros.copy();
         ProcessUsage usage = first.usage;
         for (PathRow round : rounds.subList(1, rounds.size())) {
-            micros.add(round.micros);
+            latencyMicros.add(round.latencyMicros);
             usage = usage.plus(round.usage);
         }
         return new PathRow(
@@ -215,7 +215,7 @@
                 first.rate,
                 rounds.stream().mapToLong(PathRow::sent).sum(),
                 rounds.stream().mapToLong(PathRow::served).sum(),
-                micros,
+                latencyMicros,
                 rounds.stream().mapToLong(PathRow::calls).sum(),
                 rounds.stream().mapToDouble(PathRow::wallMs).sum(),
                 usage,
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
@@ -32,14 +32,16 @@
     private static final int MIN_ENDPOINTS = 10;
     /** The number of client connections where it is not what is varied; not all of them are needed. */
     private static final int DEFAULT_CONNECTIONS = 256;
-    /** The maximum calls per second through a whole chain, in which every step gets each call. */
+    /** The maximum rate of calls through a whole chain, because each call loads every step. */
     private static final int MAX_CHAIN_RATE = 1000;
 
     private static final int WARM_UP_STEP_MS = 1000;
     /** A process is warm once the JIT compilers use less than this fraction of a call's processor time. */
     private static final double MAX_COMPILER_FRACTION = 0.02;
 
-    /** It is warm once, in addition, the processor time per call has changed by less than this fraction. */
+    /**
+     * In addition, the processor time per call must change by less than this fraction from one second to the next.
+     */
     private static final double MAX_COST_CHANGE = 0.1;
     /** The factor by which the warm-up is longer than it takes to open all client connections. */
     private static final double CONNECTION_OPENING_MARGIN = 1.3;
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathVerdictTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathVerdictTest.java
@@ -104,7 +104,7 @@
                 390,
                 1000,
                 1000,
-                row.micros(),
+                row.latencyMicros(),
                 800,
                 2000,
                 new ProcessUsage(40, Map.of("1/1", new Threads(Kind.LOOP, 36, noCoreUs * 0.8, 500)), 70, 40),
@@ -165,7 +165,7 @@
                 List.of(row(RouteType.SIDECAR, 0, 50, 100, 0.01, 1000), row(RouteType.SIDECAR, 0, 70, 200, 0.05, 990)));
         assertEquals(2000, all.sent());
         assertEquals(1990, all.served());
-        assertEquals(2000, all.micros().getTotalCount());
+        assertEquals(2000, all.latencyMicros().getTotalCount());
         assertEquals(50, all.cpuUs(), 1e-9);
         assertEquals(0.05, all.sendLatenessP99Ms(), 1e-9);
         assertTrue(all.latencyMs(99) > all.latencyMs(50));
