--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
@@ -223,13 +223,13 @@
         }
 
         @Override
-        public void begun() throws IOException {
+        public void measurementStarted() throws IOException {
             wallNanos = System.nanoTime();
             usage = route.usage();
         }
 
         @Override
-        public void ending(long sentCalls) throws IOException {
+        public void measurementEnding(long sentCalls) throws IOException {
             calls = sentCalls;
             usage = route.usage().since(usage);
             wallNanos = System.nanoTime() - wallNanos;
@@ -291,9 +291,9 @@
 
     private PathRow measureIdle(Experiment experiment, Route route, int round, OpenLoop.Plan plannedLoad, Meter meter)
             throws IOException, InterruptedException {
-        meter.begun();
+        meter.measurementStarted();
         TimeUnit.MILLISECONDS.sleep((long) plannedLoad.lengthMs());
-        meter.ending(0);
+        meter.measurementEnding(0);
         return new PathRow(
                 experiment,
                 route.routeType(),
@@ -446,17 +446,17 @@
         }
 
         @Override
-        public void begun() throws IOException {
+        public void measurementStarted() throws IOException {
             hops.forEach(Hop::resetCounts);
             for (Meter meter : meters) {
-                meter.begun();
+                meter.measurementStarted();
             }
         }
 
         @Override
-        public void ending(long sentCalls) throws IOException {
+        public void measurementEnding(long sentCalls) throws IOException {
             for (Meter meter : meters) {
-                meter.ending(sentCalls);
+                meter.measurementEnding(sentCalls);
             }
         }
     }
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
@@ -179,10 +179,10 @@
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-version"), folder);
         ScaleResults results = ScaleRun.run(
                 scenario, ends, folder, "test", RegistryControlPlane::new, new PrintWriter(new StringWriter()));
-        assertEquals("a sidecar has ended while starting", results.abortReason());
+        assertEquals("sidecar process exited before it was ready", results.abortReason());
         assertFalse(results.passes());
         results.write(folder.resolve("kept"));
         String table = Files.readString(folder.resolve("kept").resolve("table.md"));
-        assertTrue(table.contains("**Ended early**: a sidecar has ended while starting."), table);
+        assertTrue(table.contains("**Ended early**: sidecar process exited before it was ready."), table);
     }
 }
