--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Builds the program, then runs each of its two calls once, for nobody, to keep their loaded classes in archives
-# beside the jar: a process that starts from one is ready sooner. Without an archive the program runs all the same.
+# Builds the program, then runs its commands serve and benchlink once each, without clients, to dump their loaded
+# classes to class data sharing archives beside the jar. A process that uses an archive starts faster; without one the
+# program runs as well.
 set -eu
 cd "$(dirname "$0")/.."
 target=edge/target
@@ -25,7 +26,7 @@
     sleep 0.1
 done
 kill -TERM $pid || true
-wait $pid || echo "build.sh: no class archive was made for serve; see $target/archive.log" >&2
+wait $pid || echo "build.sh: class archive for serve not created; see $target/archive.log" >&2
 
 cat > $target/archive.batches <<'JSON'
 {"wall-ms":4000,"batch":0,"parts":[{"i":"a/0","in":[{"kind":"Spawn","init-seed":1,"params":{"azs":["a"],
@@ -44,4 +45,4 @@
 JSON
 java -XX:+UseSerialGC -XX:ArchiveClassesAtExit=$target/benchlink.jsa -jar $jar benchlink \
     < $target/archive.batches > $target/archive.replies 2> $target/archive.log \
-    || echo "build.sh: no class archive was made for benchlink; see $target/archive.log" >&2
+    || echo "build.sh: class archive for benchlink not created; see $target/archive.log" >&2
--- a/edge/src/main/java/lemonrail/config/PlatformFile.java
+++ b/edge/src/main/java/lemonrail/config/PlatformFile.java
@@ -44,7 +44,7 @@
         try {
             bytes = Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
-            throw fileProblem(0, "file not found; GW_CONFIG or the command line must name an existing file");
+            throw fileProblem(0, "file not found; check GW_CONFIG or the command line");
         }
         try {
             if (!(Json.parse(bytes) instanceof Map<?, ?> json)) {
--- a/edge/src/main/java/lemonrail/config/Schema.java
+++ b/edge/src/main/java/lemonrail/config/Schema.java
@@ -129,7 +129,7 @@
             "effect",
             ValueType.choice(Idempotency.class, "repeatable", "keyed", "once"),
             "\"once\"",
-            "repeatable: safe to retry; keyed: endpoints deduplicate retries; once: no retry if it may have been executed");
+            "repeatable: safe to retry; keyed: endpoints deduplicate retries; once: no retry after it may have run");
     static final ConfigKey<Double> LATENCY_OBJECTIVE = ConfigKey.required(
             "aim",
             ValueType.duration(1, HOUR_MS),
@@ -204,7 +204,7 @@
             "tier",
             ValueType.whole(0, 16),
             "0",
-            "tier 0 rejects requests under overload; deeper tiers do not, because work was already done on their requests");
+            "tier 0 rejects requests under overload; deeper tiers do not, because earlier tiers already did work");
     static final ConfigKey<Double> OVER_QUOTA_WEIGHT = ConfigKey.optional(
             "over-share-worth",
             ValueType.number(0, 1),
--- a/edge/src/main/java/lemonrail/config/SchemaPrinter.java
+++ b/edge/src/main/java/lemonrail/config/SchemaPrinter.java
@@ -11,7 +11,7 @@
 
     private SchemaPrinter() {}
 
-    /** Returns a text that lists each key with its default, its allowed values and whether a reload applies a change. */
+    /** Returns a text with each key, its default, its allowed values and whether a reload applies a change. */
     public static String text() {
         StringBuilder text = new StringBuilder();
         for (ConfigTable table : Schema.TABLES) {
--- a/edge/src/main/java/lemonrail/config/ValueType.java
+++ b/edge/src/main/java/lemonrail/config/ValueType.java
@@ -159,7 +159,7 @@
     static ValueType<List<String>> identifiers(int max) {
         return new ValueType<>(
                 ARRAY,
-                "a list of 1 to " + max + " different identifiers, as in [\"a\", \"b\"]",
+                "a list of 1 to " + max + " different names, as in [\"a\", \"b\"]",
                 node -> distinct(node, word(), max));
     }
 
--- a/edge/src/test/java/lemonrail/cli/CommandLineTest.java
+++ b/edge/src/test/java/lemonrail/cli/CommandLineTest.java
@@ -64,7 +64,7 @@
                 "serve --config|2|Missing required parameter",
                 "config schema --format xml|2|Invalid value for option",
                 "serve --config none.toml|2|lemonrail: none.toml: file not found",
-                "check none.json none.toml|2|none.json: file not found; GW_CONFIG or the command line must name an existing file"
+                "check none.json none.toml|2|none.json: file not found; check GW_CONFIG or the command line"
             })
     void invalidCallPrintsReasonAndReturnsTwo(String args, int status, String why) throws Exception {
         Result result = call(args == null ? new String[0] : args.split(" "));
