--- a/lab/src/main/java/lemonrail/lab/Demo.java
+++ b/lab/src/main/java/lemonrail/lab/Demo.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 import lemonrail.config.ConfigSource;
 import lemonrail.core.balancer.BalancerSettings;
-import lemonrail.lab.cli.Scratch;
+import lemonrail.lab.cli.TempDirectory;
 import lemonrail.lab.decider.Deciders;
 import lemonrail.lab.host.AttemptRecorder;
 import lemonrail.lab.host.RunResult;
@@ -26,58 +26,60 @@
 import lemonrail.lab.scenario.Scenario;
 import org.HdrHistogram.Histogram;
 
-/** An edge in this process before the lab's endpoints, with a steady stream of requests and a live table. */
+/** Runs an edge in this process with simulated endpoints and a steady load, and prints live statistics. */
 final class Demo implements AutoCloseable {
 
     private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
-    /** One endpoint is in trouble once in so many seconds, from the first of these on and for so many. */
-    private static final int TROUBLE_EVERY_S = 5;
+    /**
+     * One endpoint at a time gets a fault: the first at {@code FIRST_FAULT_S}, then one every {@code FAULT_INTERVAL_S}.
+     */
+    private static final int FAULT_INTERVAL_S = 5;
 
-    private static final int TROUBLE_AT_S = 1;
-    private static final int TROUBLE_S = 2;
+    private static final int FIRST_FAULT_S = 1;
+    private static final int FAULT_LENGTH_S = 2;
     private static final int SLOTS = 16;
     private static final int CONNECTIONS = 200;
     private static final double WORK_MS = 20;
     private static final double RACK_WINDOW_MS = 10_000;
-    private static final long MOST_MICROS = TimeUnit.MINUTES.toMicros(10);
+    private static final long MAX_LATENCY_MICROS = TimeUnit.MINUTES.toMicros(10);
 
     private final PrintWriter out;
     private final boolean terminal;
-    private final Scratch scratch = new Scratch();
+    private final TempDirectory temp = new TempDirectory();
     private final Testbed testbed;
-    private boolean sound;
-    private long shownNanos;
-    private long beganNanos;
-    private int lines;
+    private boolean passed;
+    private long lastShownNanos;
+    private long startNanos;
+    private int tableLines;
 
     Demo(Path file, int rate, int count, long seed, boolean calm, Duration length, PrintWriter out, boolean terminal)
             throws IOException, InterruptedException {
         this.out = out;
         this.terminal = terminal;
         Scenario scenario = scenario(file, rate, count, calm, (double) length.toMillis());
-        testbed = new Testbed(scenario, scenario.variants().get(0), seed, new Testbed.Builds(null), scratch.path());
+        testbed = new Testbed(scenario, scenario.variants().get(0), seed, new Testbed.Builds(null), temp.path());
     }
 
     private static Scenario scenario(Path file, int rate, int count, boolean calm, double lengthMs) throws IOException {
         BalancerSettings settings =
                 ConfigSource.of(file, Map.of()).load().config().settings();
         List<Scenario.Requests> requests = settings.classes().stream()
-                .map(kind -> new Scenario.Requests(kind.name(), 1, WORK_MS))
+                .map(requestClass -> new Scenario.Requests(requestClass.name(), 1, WORK_MS))
                 .toList();
         List<Scenario.Tenant> tenants = settings.tenants().stream()
                 .map(tenant -> new Scenario.Tenant(tenant.name(), 1))
                 .toList();
         List<Fault> faults = new ArrayList<>();
-        for (int s = TROUBLE_AT_S; !calm && s * 1000.0 < lengthMs; s += TROUBLE_EVERY_S) {
+        for (int atS = FIRST_FAULT_S; !calm && atS * 1000.0 < lengthMs; atS += FAULT_INTERVAL_S) {
             faults.add(new Fault(
-                    s / TROUBLE_EVERY_S % 2 == 1 ? Fault.Kind.HANG : Fault.Kind.FAIL,
+                    atS / FAULT_INTERVAL_S % 2 == 1 ? Fault.Kind.HANG : Fault.Kind.FAIL,
                     0,
-                    s * 1000.0,
-                    TROUBLE_S * 1000.0,
+                    atS * 1000.0,
+                    FAULT_LENGTH_S * 1000.0,
                     1.0 / (2 * count),
                     0));
         }
-        Scenario.Link plain = new Scenario.Link(0, 0, 0, 0);
+        Scenario.Link plainLink = new Scenario.Link(0, 0, 0, 0);
         return new Scenario(
                 "demo",
                 file,
@@ -108,23 +110,23 @@
                         false)),
                 new Scenario.Discovery(true, 1000, 0, 0),
                 new Scenario.Sidecars(1, false),
-                plain,
-                plain,
+                plainLink,
+                plainLink,
                 faults,
                 List.of(new Scenario.Variant("demo", Deciders.BOXCAR.decider(), Map.of(), null)));
     }
 
-    /** Runs to its end, or until its thread is interrupted, and tells what came of all. */
+    /** Runs until the configured time has passed or the thread is interrupted, and prints a summary. */
     void run() throws IOException {
         out.printf(
-                "an edge at %s:%d before %d stand-in endpoints, its log in %s%n",
+                "edge at %s:%d with %d simulated endpoints, log in %s%n",
                 testbed.address().getAddress().getHostAddress(),
                 testbed.address().getPort(),
                 testbed.standings().size(),
-                scratch.path());
-        beganNanos = System.nanoTime();
-        shownNanos = beganNanos;
-        finish(testbed.play(this::show));
+                temp.path());
+        startNanos = System.nanoTime();
+        lastShownNanos = startNanos;
+        printSummary(testbed.play(this::printStatistics));
     }
 
     private static long count(List<ClientRequest> clientRequests, ClientRequest.End end) {
@@ -134,23 +136,23 @@
                 .count();
     }
 
-    /** The table: drawn anew on a terminal, a line a second elsewhere. */
-    private void show(Supplier<List<ClientRequest>> asked) {
-        if (System.nanoTime() - shownNanos < SECOND_NANOS) {
+    /** Prints statistics once per second: a table that is redrawn on a terminal, otherwise one line. */
+    private void printStatistics(Supplier<List<ClientRequest>> requestSupplier) {
+        if (System.nanoTime() - lastShownNanos < SECOND_NANOS) {
             return;
         }
-        shownNanos += SECOND_NANOS;
-        List<ClientRequest> clientRequests = asked.get();
+        lastShownNanos += SECOND_NANOS;
+        List<ClientRequest> clientRequests = requestSupplier.get();
         List<Testbed.Standing> standings = testbed.standings();
-        long seconds = Math.round((System.nanoTime() - beganNanos) / 1e9);
+        long seconds = Math.round((System.nanoTime() - startNanos) / 1e9);
         long served = count(clientRequests, ClientRequest.End.SERVED);
         long refused = count(clientRequests, ClientRequest.End.REFUSED);
         long failed = count(clientRequests, ClientRequest.End.FAILED);
         int attempts = standings.stream().mapToInt(Testbed.Standing::attempts).sum();
         if (!terminal) {
-            StringBuilder each = new StringBuilder();
-            standings.forEach(
-                    of -> each.append(String.format(Locale.ROOT, "  %s %d%s", of.id(), of.attempts(), word(of))));
+            StringBuilder endpointCounts = new StringBuilder();
+            standings.forEach(standing -> endpointCounts.append(String.format(
+                    Locale.ROOT, "  %s %d%s", standing.id(), standing.attempts(), troubleSuffix(standing))));
             out.printf(
                     Locale.ROOT,
                     "%3d s  served %d  refused %d  failed %d  attempts %d |%s%n",
@@ -159,10 +161,10 @@
                     refused,
                     failed,
                     attempts,
-                    each);
+                    endpointCounts);
         } else {
-            // Up to the table's first line, and over it.
-            out.print(lines > 0 ? "\u001b[" + lines + "A\u001b[J" : "");
+            // Move the cursor up to the first line of the table and clear to the end of the screen.
+            out.print(tableLines > 0 ? "\u001b[" + tableLines + "A\u001b[J" : "");
             out.printf(
                     Locale.ROOT,
                     "%-14s %8s %8s %8s %8s%n%-14s %8d %8d %8d %8d%n",
@@ -176,61 +178,66 @@
                     refused,
                     failed,
                     attempts);
-            standings.forEach(
-                    of -> out.printf(Locale.ROOT, "%-14s %8d requests%s%n", of.id(), of.attempts(), word(of)));
-            lines = 2 + standings.size();
+            standings.forEach(standing -> out.printf(
+                    Locale.ROOT,
+                    "%-14s %8d requests%s%n",
+                    standing.id(),
+                    standing.attempts(),
+                    troubleSuffix(standing)));
+            tableLines = 2 + standings.size();
         }
         out.flush();
     }
 
-    private static String word(Testbed.Standing of) {
-        return of.trouble().isEmpty() ? "" : " (" + of.trouble() + ")";
+    private static String troubleSuffix(Testbed.Standing standing) {
+        return standing.trouble().isEmpty() ? "" : " (" + standing.trouble() + ")";
     }
 
-    private void finish(RunResult run) {
+    private void printSummary(RunResult run) {
         List<ClientRequest> clientRequests = run.requests();
         long served = count(clientRequests, ClientRequest.End.SERVED);
         long refused = count(clientRequests, ClientRequest.End.REFUSED);
         long failed = count(clientRequests, ClientRequest.End.FAILED);
-        long none = clientRequests.size() - served - refused - failed;
+        long unansweredCount = clientRequests.size() - served - refused - failed;
         long retried = run.recorder().attempts().size()
                 - run.recorder().attempts().stream()
                         .map(AttemptRecorder.Attempt::request)
                         .distinct()
                         .count();
-        Histogram micros = new Histogram(MOST_MICROS, 3);
+        Histogram latencyMicros = new Histogram(MAX_LATENCY_MICROS, 3);
         clientRequests.stream()
                 .filter(clientRequest -> !Double.isNaN(clientRequest.servedMs()))
-                .forEach(clientRequest -> micros.recordValue(Math.min(
-                        MOST_MICROS, Math.round((clientRequest.servedMs() - clientRequest.arrivedMs()) * 1000))));
-        sound = none == 0 && served > 0 && run.broken().isEmpty();
+                .forEach(clientRequest -> latencyMicros.recordValue(Math.min(
+                        MAX_LATENCY_MICROS,
+                        Math.round((clientRequest.servedMs() - clientRequest.arrivedMs()) * 1000))));
+        passed = unansweredCount == 0 && served > 0 && run.broken().isEmpty();
         out.printf(
                 Locale.ROOT,
-                "%n%d requests: %d served, %d refused, %d failed, %d without an answer; " + "%d retried%n",
+                "%n%d requests: %d served, %d refused, %d failed, %d without a response; " + "%d retried%n",
                 clientRequests.size(),
                 served,
                 refused,
                 failed,
-                none,
+                unansweredCount,
                 retried);
         out.printf(
                 Locale.ROOT,
-                "served within %.1f ms (half of them), %.1f ms (99 in 100), %.1f ms (all)%n",
-                micros.getValueAtPercentile(50) / 1e3,
-                micros.getValueAtPercentile(99) / 1e3,
-                micros.getMaxValue() / 1e3);
+                "served within %.1f ms (p50), %.1f ms (p99), %.1f ms (maximum)%n",
+                latencyMicros.getValueAtPercentile(50) / 1e3,
+                latencyMicros.getValueAtPercentile(99) / 1e3,
+                latencyMicros.getMaxValue() / 1e3);
         run.broken().forEach(rule -> out.println("rule broken: " + rule));
         out.flush();
     }
 
-    /** Whether each request had exactly one answer, some were served and no rule was broken. */
-    boolean isSound() {
-        return sound;
+    /** Returns whether each request got exactly one response, some were served and no rule was broken. */
+    boolean hasPassed() {
+        return passed;
     }
 
     @Override
     public void close() throws IOException {
         testbed.close();
-        scratch.close();
+        temp.close();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/DemoCommand.java
+++ b/lab/src/main/java/lemonrail/lab/DemoCommand.java
@@ -4,54 +4,54 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.concurrent.Callable;
-import lemonrail.lab.cli.Interrupts;
-import lemonrail.lab.cli.Times;
+import lemonrail.lab.cli.DurationConverter;
+import lemonrail.lab.cli.ShutdownInterrupter;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The first minute of a new user. */
+/** {@code demo}: shows a new user what an edge does. */
 @Command(
         name = "demo",
         description = {
-            "Run an edge before stand-in endpoints on this machine and show what it does.",
-            "Now and then one endpoint fails or falls silent: watch the edge send its requests elsewhere."
+            "Run an edge with simulated endpoints on this machine and show what it does.",
+            "From time to time an endpoint fails or stops responding, and the edge sends requests to the others."
         })
 final class DemoCommand implements Callable<Integer> {
 
-    private static final int MOST_RATE = 2000;
+    private static final int MAX_RATE = 2000;
 
     @Option(
             names = {"-c", "--config"},
             paramLabel = "FILE",
             defaultValue = "${sys:lemonrail.home:-.}/deploy/lemonrail.toml",
-            description = "the operators' file to take classes and limits from; its addresses are not used "
-                    + "(the example in deploy)")
+            description = "edge configuration file with the request classes and limits; its addresses are not used "
+                    + "(default: the example in deploy)")
     private Path config;
 
     @Option(
             names = "--for",
             paramLabel = "TIME",
-            converter = Times.class,
+            converter = DurationConverter.class,
             defaultValue = "10m",
-            description = "end by itself after this time, as in 10s or 2m (${DEFAULT-VALUE}), or earlier when "
-                    + "interrupted")
+            description =
+                    "duration, for example 10s or 2m (${DEFAULT-VALUE}); the demo ends earlier when " + "interrupted")
     private double lengthMs;
 
-    @Option(names = "--rate", defaultValue = "40", description = "requests a second (${DEFAULT-VALUE})")
+    @Option(names = "--rate", defaultValue = "40", description = "requests per second (${DEFAULT-VALUE})")
     private int rate;
 
-    @Option(names = "--endpoints", defaultValue = "3", description = "stand-in endpoints (${DEFAULT-VALUE})")
+    @Option(names = "--endpoints", defaultValue = "3", description = "number of simulated endpoints (${DEFAULT-VALUE})")
     private int endpoints;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "for what the endpoints take and when they are in trouble (${DEFAULT-VALUE})")
+            description = "seed of the random endpoint work and faults (${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--calm", description = "no endpoint fails or falls silent")
+    @Option(names = "--calm", description = "run without endpoint faults")
     private boolean calm;
 
     @Spec
@@ -59,17 +59,17 @@
 
     @Override
     public Integer call() throws Exception {
-        if (rate < 1 || rate > MOST_RATE) {
-            throw new IllegalArgumentException("--rate = " + rate + ": must be from 1 to " + MOST_RATE);
+        if (rate < 1 || rate > MAX_RATE) {
+            throw new IllegalArgumentException("--rate = " + rate + ": must be from 1 to " + MAX_RATE);
         }
         if (endpoints < 1 || endpoints > 32) {
             throw new IllegalArgumentException("--endpoints = " + endpoints + ": must be from 1 to 32");
         }
         if (lengthMs <= 0) {
-            throw new IllegalArgumentException("--for: must be more than 0ms");
+            throw new IllegalArgumentException("--for: must be above 0 ms");
         }
         PrintWriter out = spec.commandLine().getOut();
-        try (Interrupts interrupts = new Interrupts();
+        try (ShutdownInterrupter interrupter = new ShutdownInterrupter();
                 Demo demo = new Demo(
                         config,
                         rate,
@@ -80,7 +80,7 @@
                         out,
                         System.console() != null)) {
             demo.run();
-            return demo.isSound() ? 0 : 1;
+            return demo.hasPassed() ? 0 : 1;
         }
     }
 }
--- a/lab/src/main/java/lemonrail/lab/Main.java
+++ b/lab/src/main/java/lemonrail/lab/Main.java
@@ -14,10 +14,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ScopeType;
 
-/** The lab's command line. */
+/** The entry point of the lab's command line. */
 @Command(
         name = "lemonrail",
-        description = "Stand-ins and load for an edge.",
+        description = "Simulated endpoints, load and measurements for an edge.",
         scope = ScopeType.INHERIT,
         mixinStandardHelpOptions = true,
         subcommands = {
@@ -35,7 +35,7 @@
 
     private Main() {}
 
-    /** Carries a call out; the status is 0, 1 where it has failed, or 2 where the call is no good. */
+    /** Runs a command and exits with 0 on success, 1 if it failed, or 2 if the arguments are invalid. */
     public static void main(String[] args) {
         System.setProperty("java.awt.headless", "true");
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
--- a/lab/src/main/java/lemonrail/lab/cli/CompareCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/CompareCommand.java
@@ -15,14 +15,17 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code compare}: variants on the same scenarios and seeds, in turn, and whether they differ. */
+/** {@code compare}: runs variants on the same scenarios and seeds and reports whether they differ significantly. */
 @Command(
         name = "compare",
-        description = "Play variants in turn on the same seeds and say, with a 95 %% "
-                + "interval by bootstrap, whether they differ from the first.")
+        description = "Run variants in turn on the same seeds and report, with a 95 %% "
+                + "bootstrap confidence interval, whether they differ from the first one.")
 public final class CompareCommand implements Callable<Integer> {
 
-    @Parameters(arity = "2..*", paramLabel = "VARIANT", description = "variants that the scenarios have")
+    @Parameters(
+            arity = "2..*",
+            paramLabel = "VARIANT",
+            description = "names of variants, which every scenario must have")
     private List<String> variants;
 
     @Option(
@@ -30,7 +33,7 @@
             required = true,
             paramLabel = "SCENARIO",
             arity = "1..*",
-            description = "a scenario's file; may be given again")
+            description = "scenario file; may be repeated")
     private List<Path> files;
 
     @Mixin
@@ -46,32 +49,36 @@
             Scenario scenario = ScenarioFile.read(file);
             for (int seed = 1; seed <= options.seeds(scenario); seed++) {
                 for (String name : variants) {
-                    jobs.add(new Runner.Job(scenario, variant(scenario, name), seed));
+                    jobs.add(new Runner.Job(scenario, findVariant(scenario, name), seed));
                 }
             }
         }
         Comparison comparison = new Comparison(variants);
         Runner runner = options.runner();
         try {
-            runner.all(
+            runner.runAll(
                     jobs,
-                    (job, kept) -> comparison.add(new Comparison.Entry(
-                            job.scenario().name(), job.variant().name(), job.seed(), kept.verdict(), kept.isVoid())));
+                    (job, completed) -> comparison.add(new Comparison.Entry(
+                            job.scenario().name(),
+                            job.variant().name(),
+                            job.seed(),
+                            completed.verdict(),
+                            completed.isVoid())));
         } finally {
-            // An interrupted comparison keeps what it has.
-            comparison.keep(runner.folder().resolve("compare"), Runner.version());
+            // An interrupted comparison still writes the results of the finished runs.
+            comparison.write(runner.folder().resolve("compare"), Runner.version());
         }
-        comparison.sentences().forEach(spec.commandLine().getOut()::println);
+        comparison.conclusions().forEach(spec.commandLine().getOut()::println);
         spec.commandLine().getOut().println(runner.folder().resolve("compare").resolve("compare.md"));
         return 0;
     }
 
-    static Scenario.Variant variant(Scenario scenario, String name) {
+    static Scenario.Variant findVariant(Scenario scenario, String name) {
         return scenario.variants().stream()
                 .filter(variant -> variant.name().equals(name))
                 .findFirst()
-                .orElseThrow(
-                        () -> new IllegalArgumentException(scenario.file() + ": no such variant: " + name + "; it has "
+                .orElseThrow(() -> new IllegalArgumentException(
+                        scenario.file() + ": unknown variant: " + name + "; the scenario has "
                                 + scenario.variants().stream()
                                         .map(Scenario.Variant::name)
                                         .toList()));
--- a/lab/src/main/java/lemonrail/lab/cli/Times.java
+++ b/lab/src/main/java/lemonrail/lab/cli/DurationConverter.java
@@ -5,15 +5,15 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Times in options, as the files have them, in ms. */
-public final class Times implements ITypeConverter<Double> {
+/** Converts a duration option, written as in configuration files, to milliseconds. */
+public final class DurationConverter implements ITypeConverter<Double> {
 
     private static final double DAY_MS = 86_400_000;
-    private static final ValueType<Double> TIME = ValueType.duration(0, DAY_MS);
+    private static final ValueType<Double> DURATION = ValueType.duration(0, DAY_MS);
 
     @Override
     public Double convert(String text) {
-        return TIME.parse(TextNode.valueOf(text))
-                .orElseThrow(() -> new TypeConversionException("'" + text + "' must be " + TIME.allowed()));
+        return DURATION.parse(TextNode.valueOf(text))
+                .orElseThrow(() -> new TypeConversionException("'" + text + "' must be " + DURATION.allowed()));
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/HistoryCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/HistoryCommand.java
@@ -20,8 +20,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code history}: what each scenario and variant came to, commit by commit. */
-@Command(name = "history", description = "List the figures of all kept runs, commit by commit.")
+/** {@code history}: lists the mean results of each scenario and variant by version. */
+@Command(name = "history", description = "List the mean results of all stored runs, by scenario, variant and version.")
 public final class HistoryCommand implements Callable<Integer> {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,21 +30,21 @@
             names = "--out",
             paramLabel = "DIR",
             defaultValue = "lab-runs",
-            description = "where the folders of the runs are (default: ${DEFAULT-VALUE})")
+            description = "directory that contains the runs (default: ${DEFAULT-VALUE})")
     private Path out;
 
     @Spec
     private CommandSpec spec;
 
-    /** All runs of one scenario and variant at one commit. */
+    /** The runs of one scenario and variant at one version. */
     private static final class Group {
-        private FileTime first;
+        private FileTime firstWritten;
         private final List<JsonNode> runs = new ArrayList<>();
-        private int voids;
+        private int excludedCount;
 
-        double mean(String figure) {
+        double mean(String field) {
             return runs.stream()
-                    .mapToDouble(run -> run.get("verdict").get(figure).asDouble())
+                    .mapToDouble(run -> run.get("verdict").get(field).asDouble())
                     .average()
                     .orElse(Double.NaN);
         }
@@ -53,37 +53,39 @@
     @Override
     public Integer call() throws IOException {
         if (!Files.isDirectory(out)) {
-            throw new IllegalArgumentException("--out " + out + ": there is no such folder");
+            throw new IllegalArgumentException("--out " + out + ": directory does not exist");
         }
-        Map<String, Map<String, Group>> all = new TreeMap<>();
+        Map<String, Map<String, Group>> groups = new TreeMap<>();
         try (Stream<Path> files = Files.walk(out)) {
-            for (Path file : files.filter(each -> each.endsWith("run.json")).toList()) {
+            for (Path file : files.filter(path -> path.endsWith("run.json")).toList()) {
                 JsonNode run = JSON.readTree(file.toFile());
-                Group group = all.computeIfAbsent(
+                Group group = groups.computeIfAbsent(
                                 run.get("scenario").asText() + " "
                                         + run.get("variant").asText(),
                                 key -> new TreeMap<>())
                         .computeIfAbsent(run.get("version").asText(), key -> new Group());
                 FileTime written = Files.getLastModifiedTime(file);
-                group.first = group.first == null || written.compareTo(group.first) < 0 ? written : group.first;
+                group.firstWritten = group.firstWritten == null || written.compareTo(group.firstWritten) < 0
+                        ? written
+                        : group.firstWritten;
                 if (run.get("void").asBoolean() || !run.get("whole").asBoolean()) {
-                    group.voids++;
+                    group.excludedCount++;
                 } else {
                     group.runs.add(run);
                 }
             }
         }
-        PrintWriter words = spec.commandLine().getOut();
-        all.forEach((name, versions) -> {
-            words.println(name);
+        PrintWriter output = spec.commandLine().getOut();
+        groups.forEach((name, versions) -> {
+            output.println(name);
             versions.entrySet().stream()
-                    .sorted(Comparator.comparing(entry -> entry.getValue().first))
-                    .forEach(entry -> words.println(line(entry.getKey(), entry.getValue())));
+                    .sorted(Comparator.comparing(entry -> entry.getValue().firstWritten))
+                    .forEach(entry -> output.println(formatGroup(entry.getKey(), entry.getValue())));
         });
         return 0;
     }
 
-    private static String line(String version, Group group) {
+    private static String formatGroup(String version, Group group) {
         return String.format(
                 Locale.ROOT,
                 "  %-24s service %.3f  worst 10 s %.3f  waste %.3f  p99 %.0f ms  " + "rules broken %.2f  runs %d%s",
@@ -94,6 +96,6 @@
                 group.mean("p99Ms"),
                 group.mean("broken"),
                 group.runs.size(),
-                group.voids > 0 ? " (and " + group.voids + " void or interrupted)" : "");
+                group.excludedCount > 0 ? " (and " + group.excludedCount + " void or interrupted)" : "");
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/LoadCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/LoadCommand.java
@@ -20,14 +20,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code load}: a load in an open loop on anything that speaks HTTP/1.1. */
+/** {@code load}: generates open-loop load on any HTTP/1.1 server. */
 @Command(
         name = "load",
-        description = "Send requests when they are due, answered or not, and time them from "
-                + "then on. Ends with 1 where the run is void: the generator itself was late.")
+        description = "Send requests at their due times without waiting for responses, and measure latency from "
+                + "the due times. Exits with 1 if the run is void because the generator itself was late.")
 public final class LoadCommand implements Callable<Integer> {
 
-    private static final int MOST_RATE = 1_000_000;
+    private static final int MAX_RATE = 1_000_000;
     private static final Map<String, Double> PERCENTILES = new LinkedHashMap<>();
 
     static {
@@ -38,64 +38,64 @@
         PERCENTILES.put("all", 100.0);
     }
 
-    @Parameters(paramLabel = "URL", description = "as in http://127.0.0.1:9000/api")
+    @Parameters(paramLabel = "URL", description = "for example http://127.0.0.1:9000/api")
     private URI url;
 
-    @Option(names = "--rate", paramLabel = "N", required = true, description = "requests a second")
+    @Option(names = "--rate", paramLabel = "N", required = true, description = "requests per second")
     private double rate;
 
     @Option(
             names = "--for",
             paramLabel = "TIME",
-            converter = Times.class,
+            converter = DurationConverter.class,
             defaultValue = "30s",
-            description = "for how long requests are sent (default: ${DEFAULT-VALUE})")
+            description = "how long requests are sent, including the warm-up (default: ${DEFAULT-VALUE})")
     private double lengthMs;
 
     @Option(
             names = "--warm-up",
             paramLabel = "TIME",
-            converter = Times.class,
+            converter = DurationConverter.class,
             defaultValue = "2s",
-            description = "at the beginning, which does not count (default: ${DEFAULT-VALUE})")
+            description = "time at the start that is excluded from the results (default: ${DEFAULT-VALUE})")
     private double warmUpMs;
 
     @Option(
             names = "--timeout",
             paramLabel = "TIME",
-            converter = Times.class,
+            converter = DurationConverter.class,
             defaultValue = "10s",
             description =
-                    "after which a request is given up; goes out as X-Deadline-Ms (default: " + "${DEFAULT-VALUE})")
+                    "time after which a request is given up; sent as X-Deadline-Ms (default: " + "${DEFAULT-VALUE})")
     private double timeoutMs;
 
     @Option(
             names = "--connections",
             paramLabel = "N",
             defaultValue = "1000",
-            description = "open at once at most (default: ${DEFAULT-VALUE})")
+            description = "maximum number of open connections (default: ${DEFAULT-VALUE})")
     private int connections;
 
-    @Option(names = "--even", description = "evenly, and not as a Poisson process")
+    @Option(names = "--even", description = "send requests at equal intervals instead of as a Poisson process")
     private boolean even;
 
-    @Option(names = "--class", paramLabel = "NAME", description = "goes out as X-Class")
+    @Option(names = "--class", paramLabel = "NAME", description = "request class, sent as X-Class")
     private String className;
 
-    @Option(names = "--tenant", paramLabel = "NAME", description = "goes out as X-Tenant")
+    @Option(names = "--tenant", paramLabel = "NAME", description = "tenant, sent as X-Tenant")
     private String tenant;
 
-    @Option(names = "--keyed", description = "POST with an Idempotency-Key, and not GET")
+    @Option(names = "--keyed", description = "send POST requests with an Idempotency-Key instead of GET requests")
     private boolean keyed;
 
-    @Option(names = "--header", paramLabel = "NAME=VALUE", description = "one more; may be given again")
+    @Option(names = "--header", paramLabel = "NAME=VALUE", description = "additional header; may be repeated")
     private Map<String, String> headers = new LinkedHashMap<>();
 
     @Option(
             names = "--seed",
             paramLabel = "N",
             defaultValue = "1",
-            description = "of the times of the requests (default: ${DEFAULT-VALUE})")
+            description = "seed of the random request times (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Spec
@@ -104,10 +104,11 @@
     @Override
     public Integer call() throws IOException {
         if (url.getScheme() == null || !url.getScheme().equals("http") || url.getHost() == null) {
-            throw new IllegalArgumentException("URL " + url + ": must be as in http://127.0.0.1:9000/api");
+            throw new IllegalArgumentException(
+                    "URL " + url + ": must be an HTTP URL such as http://127.0.0.1:9000/api");
         }
-        if (!(rate > 0 && rate <= MOST_RATE)) {
-            throw new IllegalArgumentException("--rate " + rate + ": must be above 0 and at most " + MOST_RATE);
+        if (!(rate > 0 && rate <= MAX_RATE)) {
+            throw new IllegalArgumentException("--rate " + rate + ": must be above 0 and at most " + MAX_RATE);
         }
         OpenLoop.Plan plan = new OpenLoop.Plan(
                 rate,
@@ -120,18 +121,18 @@
             throw new IllegalArgumentException(
                     "--warm-up " + warmUpMs + " ms: must be below --for, which is " + lengthMs + " ms");
         }
-        Map<String, String> all = new LinkedHashMap<>();
-        all.put("X-Deadline-Ms", String.valueOf((long) plan.timeoutMs()));
+        Map<String, String> requestHeaders = new LinkedHashMap<>();
+        requestHeaders.put("X-Deadline-Ms", String.valueOf((long) plan.timeoutMs()));
         if (className != null) {
-            all.put("X-Class", className);
+            requestHeaders.put("X-Class", className);
         }
         if (tenant != null) {
-            all.put("X-Tenant", tenant);
+            requestHeaders.put("X-Tenant", tenant);
         }
-        all.putAll(headers);
+        requestHeaders.putAll(headers);
         String path = url.getRawPath().isEmpty() ? "/" : url.getRawPath();
-        PrintWriter out = spec.commandLine().getOut();
-        try (Interrupts interrupts = new Interrupts();
+        PrintWriter output = spec.commandLine().getOut();
+        try (ShutdownInterrupter interrupter = new ShutdownInterrupter();
                 Loads loads = new Loads()) {
             OpenLoop.Result result = loads.play(
                     address(),
@@ -141,10 +142,10 @@
                             keyed ? HttpMethod.POST : HttpMethod.GET,
                             url.getAuthority(),
                             url.getRawQuery() == null ? path : path + "?" + url.getRawQuery(),
-                            all,
+                            requestHeaders,
                             keyed,
                             System.nanoTime()));
-            tell(out, result);
+            printResult(output, result);
             return result.isVoid() || result.sent() == 0 ? 1 : 0;
         }
     }
@@ -153,10 +154,10 @@
         return new InetSocketAddress(InetAddress.getByName(url.getHost()), url.getPort() < 0 ? 80 : url.getPort());
     }
 
-    private static void tell(PrintWriter out, OpenLoop.Result result) {
-        out.printf(
+    private static void printResult(PrintWriter output, OpenLoop.Result result) {
+        output.printf(
                 Locale.ROOT,
-                "sent %d (%.1f a second): served %d, refused %d, failed %d, no whole answer " + "%d%n",
+                "sent %d (%.1f per second): served %d, refused %d, failed %d, no complete response " + "%d%n",
                 result.sent(),
                 result.sent() / result.lastedMs() * 1000,
                 result.served(),
@@ -164,22 +165,22 @@
                 result.failed(),
                 result.lost());
         if (result.served() > 0) {
-            StringBuilder line = new StringBuilder("served within (ms, from when it was due):");
+            StringBuilder latencies = new StringBuilder("latency of served requests (ms, from their due times):");
             PERCENTILES.forEach((name, percentile) ->
-                    line.append(String.format(Locale.ROOT, "  %s %.2f", name, result.percentileMs(percentile))));
-            out.println(line);
+                    latencies.append(String.format(Locale.ROOT, "  %s %.2f", name, result.percentileMs(percentile))));
+            output.println(latencies);
         }
-        out.printf(
+        output.printf(
                 Locale.ROOT,
-                "the generator: sent late by %.2f ms (99 in 100) and %.2f ms (all), %d "
-                        + "connections, %d requests waited for one%n",
+                "generator: sent late by %.2f ms (p99) and %.2f ms (maximum), %d "
+                        + "connections, %d requests waited for a connection%n",
                 result.late99Ms(),
                 result.lateMostMs(),
                 result.mostOpen(),
                 result.waited());
         if (result.isVoid()) {
-            out.println("VOID: the generator could not keep up; these figures are its own");
+            output.println("VOID: the generator could not keep up; the figures do not describe the server");
         }
-        out.flush();
+        output.flush();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/RelayCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/RelayCommand.java
@@ -12,11 +12,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code relay}: a bare relay on loopback in a process of its own, to compare with; ends with its input. */
-@Command(name = "relay", hidden = true, description = "A bare relay to a port on loopback, to compare with.")
+/**
+ * {@code relay}: a plain TCP relay on loopback in a separate process, as a baseline for the sidecar. Prints its port
+ * and runs until its standard input ends.
+ */
+@Command(name = "relay", hidden = true, description = "Run a plain TCP relay to a port on loopback, as a baseline.")
 public final class RelayCommand implements Callable<Integer> {
 
-    @Parameters(paramLabel = "PORT", description = "where it relays to")
+    @Parameters(paramLabel = "PORT", description = "target port on loopback")
     private int port;
 
     @Spec
@@ -25,12 +28,12 @@
     @Override
     public Integer call() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        InetSocketAddress at =
+        InetSocketAddress address =
                 BaselineServers.relay(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        spec.commandLine().getOut().println(at.getPort());
+        spec.commandLine().getOut().println(address.getPort());
         spec.commandLine().getOut().flush();
         while (System.in.read() >= 0) {
-            // Nothing is said to it; the end of its input is its end.
+            // Input is ignored; the relay stops at the end of the input.
         }
         group.shutdownGracefully();
         return 0;
--- a/lab/src/main/java/lemonrail/lab/cli/ReportCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ReportCommand.java
@@ -12,11 +12,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code report}: a run's report and charts, made anew from its raw data. */
-@Command(name = "report", description = "Make the report and the charts of runs anew from their raw data.")
+/** {@code report}: renders the reports and charts of runs again from their stored data. */
+@Command(name = "report", description = "Render the reports and charts of runs again from their raw data.")
 public final class ReportCommand implements Callable<Integer> {
 
-    @Parameters(arity = "1..*", paramLabel = "DIR", description = "folders of runs")
+    @Parameters(arity = "1..*", paramLabel = "DIR", description = "directories of runs")
     private List<Path> folders;
 
     @Spec
@@ -26,7 +26,7 @@
     public Integer call() throws IOException {
         for (Path folder : folders) {
             if (!Files.isRegularFile(folder.resolve("run.json"))) {
-                throw new IllegalArgumentException(folder + ": no folder of a run; it has no run.json");
+                throw new IllegalArgumentException(folder + ": not the directory of a run; run.json is missing");
             }
             Report.render(new RunFolder(folder));
             spec.commandLine().getOut().println(folder.resolve("report.md"));
--- a/lab/src/main/java/lemonrail/lab/cli/RunCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/RunCommand.java
@@ -13,14 +13,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code run}: plays scenarios, keeps what came of them and says so in a line each. */
-@Command(name = "run", description = "Play scenarios; keep raw data, a report and charts of each run.")
+/** {@code run}: runs scenarios, stores the results and prints one line for each run. */
+@Command(name = "run", description = "Run scenarios and store raw data, a report and charts of each run.")
 public final class RunCommand implements Callable<Integer> {
 
-    @Parameters(arity = "1..*", paramLabel = "SCENARIO", description = "a scenario's file")
+    @Parameters(arity = "1..*", paramLabel = "SCENARIO", description = "scenario file")
     private List<Path> files;
 
-    @Option(names = "--variant", paramLabel = "NAME", description = "only this one; may be given again")
+    @Option(names = "--variant", paramLabel = "NAME", description = "run only this variant; may be repeated")
     private List<String> variants = new ArrayList<>();
 
     @Mixin
@@ -34,23 +34,23 @@
         }
         List<Runner.Job> jobs = new ArrayList<>();
         for (Scenario scenario : scenarios) {
-            List<Scenario.Variant> chosen = variants.isEmpty()
+            List<Scenario.Variant> selected = variants.isEmpty()
                     ? scenario.variants()
                     : variants.stream()
-                            .map(name -> CompareCommand.variant(scenario, name))
+                            .map(name -> CompareCommand.findVariant(scenario, name))
                             .toList();
             for (int seed = 1; seed <= options.seeds(scenario); seed++) {
-                for (Scenario.Variant variant : chosen) {
+                for (Scenario.Variant variant : selected) {
                     jobs.add(new Runner.Job(scenario, variant, seed));
                 }
             }
         }
-        AtomicBoolean sound = new AtomicBoolean(true);
-        options.runner().all(jobs, (job, kept) -> {
-            if (kept.verdict().broken() > 0 || kept.isVoid()) {
-                sound.set(false);
+        AtomicBoolean allPassed = new AtomicBoolean(true);
+        options.runner().runAll(jobs, (job, completed) -> {
+            if (completed.verdict().broken() > 0 || completed.isVoid()) {
+                allPassed.set(false);
             }
         });
-        return sound.get() ? 0 : 1;
+        return allPassed.get() ? 0 : 1;
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/RunOptions.java
+++ b/lab/src/main/java/lemonrail/lab/cli/RunOptions.java
@@ -6,10 +6,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Options of all calls that play scenarios. */
+/** Options shared by all commands that run scenarios. */
 final class RunOptions {
 
-    private static final int MOST_PARALLEL = 64;
+    private static final int MAX_PARALLEL = 64;
 
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
@@ -18,33 +18,37 @@
             names = "--out",
             paramLabel = "DIR",
             defaultValue = "lab-runs",
-            description = "where the folders of the runs go (default: ${DEFAULT-VALUE})")
+            description = "directory in which the results of runs are stored (default: ${DEFAULT-VALUE})")
     private Path out;
 
-    @Option(names = "--jar", paramLabel = "FILE", description = "the edge that runs where sidecars are processes")
+    @Option(names = "--jar", paramLabel = "FILE", description = "build of the edge for sidecars in separate processes")
     private Path jar;
 
-    @Option(names = "--seeds", paramLabel = "N", description = "seeds 1 to N instead of the scenario's")
+    @Option(
+            names = "--seeds",
+            paramLabel = "N",
+            description = "run seeds 1 to N instead of the number set by the scenario")
     private Integer seeds;
 
     @Option(
             names = "--parallel",
             paramLabel = "N",
             defaultValue = "1",
-            description = "runs at once (default: ${DEFAULT-VALUE}); a run whose lab is late is void")
+            description =
+                    "number of parallel runs (default: ${DEFAULT-VALUE}); a run is void if the lab itself is late")
     private int parallel;
 
-    /** How many seeds a scenario's variants play. */
+    /** Returns the number of seeds to run for each variant of a scenario. */
     int seeds(Scenario scenario) {
         return seeds == null ? scenario.seeds() : seeds;
     }
 
     Runner runner() {
-        if (parallel < 1 || parallel > MOST_PARALLEL) {
-            throw new IllegalArgumentException("--parallel " + parallel + ": must be from 1 to " + MOST_PARALLEL);
+        if (parallel < 1 || parallel > MAX_PARALLEL) {
+            throw new IllegalArgumentException("--parallel " + parallel + ": must be from 1 to " + MAX_PARALLEL);
         }
-        Path usual = Path.of(System.getProperty("lemonrail.home", "."), "edge", "target", "lemonrail.jar");
+        Path defaultJar = Path.of(System.getProperty("lemonrail.home", "."), "edge", "target", "lemonrail.jar");
         return new Runner(
-                out, jar == null ? usual : jar, spec.commandLine().getOut(), System.console() != null, parallel);
+                out, jar == null ? defaultJar : jar, spec.commandLine().getOut(), System.console() != null, parallel);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/Runner.java
+++ b/lab/src/main/java/lemonrail/lab/cli/Runner.java
@@ -24,52 +24,54 @@
 import lemonrail.lab.report.Verdict;
 import lemonrail.lab.scenario.Scenario;
 
-/** Plays one run after another, shows how it goes, and keeps each. */
+/** Runs scenarios, prints their progress and stores the results of each run. */
 final class Runner {
 
-    private static final long SHOW_NANOS = TimeUnit.SECONDS.toNanos(1);
-    /** How long runs may take to keep what they have when they are ended. */
-    private static final int KEEP_MS = 20_000;
+    private static final long TERMINAL_PROGRESS_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /** Maximum time that interrupted runs have to store their results. */
+    private static final int STORE_TIMEOUT_MS = 20_000;
 
-    private static final long PLAIN_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long PLAIN_PROGRESS_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    /** One run that has been kept. */
-    record Kept(Path folder, Verdict verdict, boolean isVoid, boolean whole) {}
+    /** A finished run whose results are stored; {@code whole} is false if it was interrupted. */
+    record CompletedRun(Path folder, Verdict verdict, boolean isVoid, boolean whole) {}
 
     private final Path out;
     private final Path jar;
-    private final PrintWriter words;
+    private final PrintWriter output;
     private final boolean terminal;
     private final int parallel;
-    private long shownNanos;
+    private long lastShownNanos;
 
-    Runner(Path out, Path jar, PrintWriter words, boolean terminal, int parallel) {
+    Runner(Path out, Path jar, PrintWriter output, boolean terminal, int parallel) {
         this.parallel = parallel;
         this.out = out;
         this.jar = jar;
-        this.words = words;
+        this.output = output;
         this.terminal = terminal;
     }
 
-    /** One run that is to be played. */
+    /** A run to execute. */
     record Job(Scenario scenario, Scenario.Variant variant, long seed) {}
 
-    /** Plays all, so many at once; {@code each} hears of one at a time. */
-    void all(List<Job> jobs, BiConsumer<Job, Kept> each) throws IOException, InterruptedException {
-        ExecutorService players = Executors.newFixedThreadPool(parallel);
-        CompletionService<Void> finishedRuns = new ExecutorCompletionService<>(players);
+    /**
+     * Executes all jobs, up to {@code parallel} at a time; {@code listener} is called for one finished run at a time.
+     */
+    void runAll(List<Job> jobs, BiConsumer<Job, CompletedRun> listener) throws IOException, InterruptedException {
+        ExecutorService executor = Executors.newFixedThreadPool(parallel);
+        CompletionService<Void> completions = new ExecutorCompletionService<>(executor);
         try {
             for (Job job : jobs) {
-                finishedRuns.submit(() -> {
-                    Kept kept = run(job.scenario, job.variant, job.seed);
-                    synchronized (each) {
-                        each.accept(job, kept);
+                completions.submit(() -> {
+                    CompletedRun completed = run(job.scenario, job.variant, job.seed);
+                    synchronized (listener) {
+                        listener.accept(job, completed);
                     }
                     return null;
                 });
             }
             for (int i = 0; i < jobs.size(); i++) {
-                finishedRuns.take().get();
+                completions.take().get();
             }
         } catch (ExecutionException e) {
             if (e.getCause() instanceof IOException cause) {
@@ -77,82 +79,89 @@
             }
             throw new IllegalStateException(e.getCause());
         } finally {
-            players.shutdownNow();
-            players.awaitTermination(KEEP_MS, TimeUnit.MILLISECONDS);
+            executor.shutdownNow();
+            executor.awaitTermination(STORE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Where the runs of this version go. */
+    /** Returns the directory for the runs of this version. */
     Path folder() {
         return out.resolve(version());
     }
 
-    /** Plays one run; an interrupted one is kept, marked, and ends the call. */
-    Kept run(Scenario scenario, Scenario.Variant variant, long seed) throws IOException, InterruptedException {
+    /**
+     * Executes a run and stores its results.
+     *
+     * @throws InterruptedException if the run was interrupted; its results so far are stored and marked as incomplete
+     */
+    CompletedRun run(Scenario scenario, Scenario.Variant variant, long seed) throws IOException, InterruptedException {
         Path folder = folder().resolve(scenario.name()).resolve(variant.name() + "-" + seed);
         Files.createDirectories(folder);
-        try (Interrupts interrupts = new Interrupts();
-                Scratch scratch = new Scratch();
-                Testbed testbed = new Testbed(scenario, variant, seed, new Testbed.Builds(jar), scratch.path())) {
-            shownNanos = System.nanoTime();
-            RunResult finishedRuns = testbed.play(asked -> show(scenario, variant, seed, asked));
-            Verdict verdict = Scorer.score(finishedRuns);
-            RunFolder kept = new RunFolder(folder);
-            kept.keep(finishedRuns, verdict, version());
-            Report.render(kept);
-            tell(scenario, variant, seed, verdict, finishedRuns);
-            keepLogs(scratch.path(), folder);
-            if (!finishedRuns.whole()) {
-                throw new InterruptedException("interrupted; the results so far are in " + folder);
+        try (ShutdownInterrupter interrupter = new ShutdownInterrupter();
+                TempDirectory temp = new TempDirectory();
+                Testbed testbed = new Testbed(scenario, variant, seed, new Testbed.Builds(jar), temp.path())) {
+            lastShownNanos = System.nanoTime();
+            RunResult result = testbed.play(requestSupplier -> printProgress(scenario, variant, seed, requestSupplier));
+            Verdict verdict = Scorer.score(result);
+            RunFolder runFolder = new RunFolder(folder);
+            runFolder.write(result, verdict, version());
+            Report.render(runFolder);
+            printResult(scenario, variant, seed, verdict, result);
+            copyLogs(temp.path(), folder);
+            if (!result.whole()) {
+                throw new InterruptedException("run interrupted; the results so far are in " + folder);
             }
-            return new Kept(folder, verdict, finishedRuns.lateness().isVoid(), true);
+            return new CompletedRun(folder, verdict, result.lateness().isVoid(), true);
         }
     }
 
-    private static void keepLogs(Path scratch, Path folder) throws IOException {
-        try (Stream<Path> files = Files.list(scratch)) {
+    private static void copyLogs(Path temp, Path folder) throws IOException {
+        try (Stream<Path> files = Files.list(temp)) {
             for (Path log :
                     files.filter(file -> file.toString().endsWith(".log")).toList()) {
                 if (Files.size(log) > 0) {
-                    Path to = Files.createDirectories(folder.resolve("logs")).resolve(log.getFileName());
-                    Files.deleteIfExists(to);
-                    Files.copy(log, to);
+                    Path target =
+                            Files.createDirectories(folder.resolve("logs")).resolve(log.getFileName());
+                    Files.deleteIfExists(target);
+                    Files.copy(log, target);
                 }
             }
         }
     }
 
-    /** The commit that is played, as far as it is known. */
+    /** Returns the commit or, if it is unknown, the version of this build. */
     static String version() {
         String version = Runner.class.getPackage().getImplementationVersion();
         return System.getProperty("lemonrail.commit", version == null ? "of a checkout" : version);
     }
 
-    private void show(Scenario scenario, Scenario.Variant variant, long seed, Supplier<List<ClientRequest>> asked) {
+    private void printProgress(
+            Scenario scenario, Scenario.Variant variant, long seed, Supplier<List<ClientRequest>> requestSupplier) {
         long now = System.nanoTime();
-        if (now - shownNanos < (terminal ? SHOW_NANOS : PLAIN_NANOS)) {
+        if (now - lastShownNanos < (terminal ? TERMINAL_PROGRESS_INTERVAL_NANOS : PLAIN_PROGRESS_INTERVAL_NANOS)) {
             return;
         }
-        shownNanos = now;
-        List<ClientRequest> requests = asked.get();
+        lastShownNanos = now;
+        List<ClientRequest> requests = requestSupplier.get();
         long served = requests.stream()
                 .filter(request -> !Double.isNaN(request.servedMs()))
                 .count();
-        words.printf(
+        output.printf(
                 Locale.ROOT,
-                terminal ? "\r%s %s seed %d: asked %d, served %d " : "%s %s seed %d: asked " + "%d, served %d%n",
+                terminal ? "\r%s %s seed %d: requests %d, served %d " : "%s %s seed %d: requests " + "%d, served %d%n",
                 scenario.name(),
                 variant.name(),
                 seed,
                 requests.size(),
                 served);
-        words.flush();
+        output.flush();
     }
 
-    private void tell(Scenario scenario, Scenario.Variant variant, long seed, Verdict verdict, RunResult finishedRuns) {
-        words.printf(
+    private void printResult(
+            Scenario scenario, Scenario.Variant variant, long seed, Verdict verdict, RunResult result) {
+        output.printf(
                 Locale.ROOT,
-                "%s%-20s %-18s seed %-3d service %.3f  whole %.3f  worst 10 s %.3f  "
+                "%s%-20s %-18s seed %-3d service %.3f  overall %.3f  worst 10 s %.3f  "
                         + "waste %.3f  p50 %.0f  p99 %.0f ms  rules broken %d%s%s%n",
                 terminal ? "\r\u001b[K" : "",
                 scenario.name(),
@@ -165,8 +174,8 @@
                 verdict.p50Ms(),
                 verdict.p99Ms(),
                 verdict.broken(),
-                finishedRuns.lateness().isVoid() ? "  VOID " + finishedRuns.lateness() : "",
-                finishedRuns.whole() ? "" : "  interrupted");
-        words.flush();
+                result.lateness().isVoid() ? "  VOID " + result.lateness() : "",
+                result.whole() ? "" : "  interrupted");
+        output.flush();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/ScaleCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ScaleCommand.java
@@ -5,10 +5,12 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** {@code scale}: what control and the data path cost at the size that is aimed at, each by its own call. */
+/**
+ * {@code scale}: groups the commands that measure the cost of the control plane and of the data path at target scale.
+ */
 @Command(
         name = "scale",
-        description = "Measure what control and the data path cost at size.",
+        description = "Measure the cost of the control plane and of the data path at scale.",
         subcommands = {ScaleControlCommand.class, ScalePathCommand.class})
 public final class ScaleCommand implements Callable<Integer> {
 
--- a/lab/src/main/java/lemonrail/lab/cli/ScaleControlCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ScaleControlCommand.java
@@ -18,36 +18,38 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code scale control}: slopes and storms of control, with hollow sidecars beside real ones. */
+/**
+ * {@code scale control}: measures slopes and storms of the control plane, with simulated (hollow) and real sidecars.
+ */
 @Command(
         name = "control",
-        description = "Measure the slopes of control, and play storms on it.",
+        description = "Measure how the cost of the control plane grows (slopes), and run storms on it.",
         exitCodeListHeading = "%nExit status:%n",
         exitCodeList = {
             "0:all targets are met",
-            "1:a target is missed, something is not carried, void or cut short",
-            "2:the call or the file is no good"
+            "1:a target is missed, a storm was not carried out, or a measurement is void or was interrupted",
+            "2:the arguments or the scenario file are invalid"
         })
 public final class ScaleControlCommand implements Callable<Integer> {
 
     @Parameters(
             arity = "0..1",
             paramLabel = "SCENARIO",
-            description = "a file like " + "lab/scenarios/scale.toml, " + "which is played where none is given")
+            description = "scale scenario file " + "(default: " + "lab/scenarios/scale.toml)")
     private Path file;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
             defaultValue = "lab-runs/scale",
-            description = "where the table, the raw data and the charts go (default: ${DEFAULT-VALUE})")
-    private Path kept;
+            description = "directory for the table, the raw data and the charts (default: ${DEFAULT-VALUE})")
+    private Path outputFolder;
 
     @Option(
             names = "--nodes",
             paramLabel = "N",
             defaultValue = "0",
-            description = "so many control nodes, in the site's regions; 0 for one plain registry (default: "
+            description = "number of control nodes, over the regions of the site; 0 for a single registry (default: "
                     + "${DEFAULT-VALUE})")
     private int nodes;
 
@@ -61,18 +63,18 @@
                 .toAbsolutePath()
                 .normalize();
         ScaleScenario scenario = ScaleFile.read(file == null ? home.resolve("lab/scenarios/scale.toml") : file);
-        try (Interrupts interrupts = new Interrupts();
-                Scratch scratch = new Scratch()) {
+        try (ShutdownInterrupter interrupter = new ShutdownInterrupter();
+                TempDirectory temp = new TempDirectory()) {
             ScaleResults results = ScaleRun.play(
                     scenario,
                     ServeCommand.of(home),
-                    scratch.path(),
+                    temp.path(),
                     Runner.version(),
                     nodes == 0
                             ? RegistryControlPlane::new
                             : () -> new NodesControlPlane(nodes, scenario.site().regions()),
                     out);
-            Path folder = kept.resolve(scenario.name());
+            Path folder = outputFolder.resolve(scenario.name());
             results.keep(folder);
             out.println(results.table(Slope.of(results.points())));
             out.println(folder.resolve("table.md"));
--- a/lab/src/main/java/lemonrail/lab/cli/ScalePathCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ScalePathCommand.java
@@ -13,39 +13,40 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code scale path}: what a sidecar itself adds to a call, and what a call costs it. */
+/** {@code scale path}: measures the latency that a sidecar adds to a call and the resources that a call costs it. */
 @Command(
         name = "path",
-        description = "Measure what a sidecar adds to a call, beside a direct call "
-                + "and a bare relay; 1 where the target is missed.")
+        description = "Measure what a sidecar adds to a call, compared with a direct call "
+                + "and a plain relay; exits with 1 if the target is missed.")
 public final class ScalePathCommand implements Callable<Integer> {
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
             defaultValue = "lab-runs/scale-path",
-            description = "where table, raw data and charts go (default: ${DEFAULT-VALUE})")
-    private Path kept;
+            description = "directory for the table, the raw data and the charts (default: ${DEFAULT-VALUE})")
+    private Path outputFolder;
 
     @Option(
             names = "--rounds",
             paramLabel = "N",
             defaultValue = "4",
-            description = "measurements of each, in turn; growth gets half (default: ${DEFAULT-VALUE})")
+            description =
+                    "number of measurements of each case, in turn; half as many for growth (default: ${DEFAULT-VALUE})")
     private int rounds;
 
     @Option(
             names = "--for",
             paramLabel = "TIME",
-            converter = Times.class,
+            converter = DurationConverter.class,
             defaultValue = "3s",
-            description = "each measurement (default: ${DEFAULT-VALUE})")
+            description = "duration of each measurement (default: ${DEFAULT-VALUE})")
     private double lengthMs;
 
-    @Option(names = "--ramp", description = "search for the maximum rate of each way as well")
+    @Option(names = "--ramp", description = "also search for the maximum rate of each kind of call")
     private boolean ramp;
 
-    @Option(names = "--small", description = "the small form of seconds, whose figures say nothing")
+    @Option(names = "--small", description = "short form that takes seconds; its figures are not meaningful")
     private boolean small;
 
     @Spec
@@ -59,21 +60,17 @@
             out.println(line);
             out.flush();
         });
-        // An interrupted run's end waits until what there is has been kept.
-        try (Interrupts interrupts = new Interrupts()) {
-            try (Scratch files = new Scratch();
+        // On interruption, the shutdown waits until the results so far have been written.
+        try (ShutdownInterrupter interrupter = new ShutdownInterrupter()) {
+            try (TempDirectory temp = new TempDirectory();
                     PathRun run = PathRun.of(
-                            plan,
-                            Path.of(System.getProperty("lemonrail.home", ".")),
-                            List.of(),
-                            files.path(),
-                            report)) {
+                            plan, Path.of(System.getProperty("lemonrail.home", ".")), List.of(), temp.path(), report)) {
                 run.run();
             } finally {
-                report.keep(kept, Runner.version());
+                report.keep(outputFolder, Runner.version());
             }
         }
-        out.println(kept.resolve("path.md"));
+        out.println(outputFolder.resolve("path.md"));
         return report.isMet() ? 0 : 1;
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/Interrupts.java
+++ b/lab/src/main/java/lemonrail/lab/cli/ShutdownInterrupter.java
@@ -3,22 +3,25 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** While open, the end of the process interrupts a thread and waits until that is done with its work. */
-public final class Interrupts implements AutoCloseable {
+/**
+ * While open, interrupts a thread when the JVM shuts down, and delays the shutdown until this object is closed, for at
+ * most {@code MAX_WAIT_S}.
+ */
+public final class ShutdownInterrupter implements AutoCloseable {
 
-    private static final int MOST_WAIT_S = 20;
+    private static final int MAX_WAIT_S = 20;
 
     private final CountDownLatch done = new CountDownLatch(1);
     private final Thread hook;
 
-    /** Looks after the thread that calls it. */
-    public Interrupts() {
-        Thread looked = Thread.currentThread();
+    /** Registers the calling thread. */
+    public ShutdownInterrupter() {
+        Thread target = Thread.currentThread();
         hook = new Thread(
                 () -> {
-                    looked.interrupt();
+                    target.interrupt();
                     try {
-                        done.await(MOST_WAIT_S, TimeUnit.SECONDS);
+                        done.await(MAX_WAIT_S, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -33,7 +36,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // The process is ending: the hook is what ends it.
+            // The JVM is already shutting down; the hook cannot be removed any more and has been released above.
         }
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/SweepCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/SweepCommand.java
@@ -20,13 +20,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code sweep}: one setting over several values, and where service bends. */
-@Command(name = "sweep", description = "Play a scenario with one setting at several values; find the knee.")
+/** {@code sweep}: runs a scenario at several values of one setting and finds the knee of its service score. */
+@Command(name = "sweep", description = "Run a scenario at several values of one setting and find the knee.")
 public final class SweepCommand implements Callable<Integer> {
 
-    private static final List<String> OWN = List.of("load.rate", "clients.retries", "tiers.count", "sidecars.front");
+    private static final List<String> SCENARIO_KEYS =
+            List.of("load.rate", "clients.retries", "tiers.count", "sidecars.front");
 
-    @Parameters(paramLabel = "SCENARIO", description = "a scenario's file")
+    @Parameters(paramLabel = "SCENARIO", description = "scenario file")
     private Path file;
 
     @Option(
@@ -34,14 +35,22 @@
             required = true,
             paramLabel = "KEY",
             description = "load.rate, clients.retries, "
-                    + "tiers.count (of the first tier) or sidecars.front of the scenario, or a key of the edge, as in "
+                    + "tiers.count (of the first tier) or sidecars.front of the scenario, or a key of the edge such as "
                     + "limits.attempts")
     private String key;
 
-    @Option(names = "--values", required = true, split = ",", paramLabel = "N", description = "its values")
+    @Option(
+            names = "--values",
+            required = true,
+            split = ",",
+            paramLabel = "N",
+            description = "values of the setting, separated by commas")
     private List<Double> values;
 
-    @Option(names = "--variant", paramLabel = "NAME", description = "the scenario's first if not given")
+    @Option(
+            names = "--variant",
+            paramLabel = "NAME",
+            description = "variant to run (default: the first of the scenario)")
     private String variant;
 
     @Mixin
@@ -54,70 +63,71 @@
     public Integer call() throws IOException, InterruptedException {
         Scenario scenario = ScenarioFile.read(file);
         Scenario.Variant base =
-                variant == null ? scenario.variants().get(0) : CompareCommand.variant(scenario, variant);
+                variant == null ? scenario.variants().get(0) : CompareCommand.findVariant(scenario, variant);
         List<Runner.Job> jobs = new ArrayList<>();
-        Map<String, Double> valueOf = new HashMap<>();
+        Map<String, Double> valueByVariant = new HashMap<>();
         for (int seed = 1; seed <= options.seeds(scenario); seed++) {
             for (double value : values) {
-                String name = base.name() + "-" + key + "-" + plain(value);
-                valueOf.put(name, value);
-                jobs.add(new Runner.Job(with(scenario, value), named(base, name, value), seed));
+                String name = base.name() + "-" + key + "-" + formatNumber(value);
+                valueByVariant.put(name, value);
+                jobs.add(new Runner.Job(scenarioWith(scenario, value), variantWith(base, name, value), seed));
             }
         }
-        if (!OWN.contains(key)) {
+        if (!SCENARIO_KEYS.contains(key)) {
             for (Runner.Job job : jobs) {
-                EdgeSettings.load(scenario.edge(), job.variant().set());
+                EdgeSettings.load(scenario.edgeFile(), job.variant().overrides());
             }
         }
         Sweep sweep = new Sweep(scenario.name(), base.name(), key);
         Runner runner = options.runner();
         Path folder = runner.folder().resolve("sweep-" + scenario.name() + "-" + key);
         try {
-            runner.all(jobs, (job, kept) -> {
-                if (!kept.isVoid()) {
-                    sweep.add(valueOf.get(job.variant().name()), kept.verdict());
+            runner.runAll(jobs, (job, completed) -> {
+                if (!completed.isVoid()) {
+                    sweep.add(valueByVariant.get(job.variant().name()), completed.verdict());
                 }
             });
         } finally {
-            sweep.keep(folder, Runner.version());
+            sweep.write(folder, Runner.version());
         }
-        spec.commandLine().getOut().println(sweep.sentence());
+        spec.commandLine().getOut().println(sweep.conclusion());
         spec.commandLine().getOut().println(folder.resolve("sweep.md"));
         return 0;
     }
 
-    private static String plain(double value) {
+    private static String formatNumber(double value) {
         return value == Math.rint(value) ? String.valueOf((long) value) : String.valueOf(value);
     }
 
-    private Scenario.Variant named(Scenario.Variant base, String name, double value) {
-        Map<String, String> set = new LinkedHashMap<>(base.set());
-        if (!OWN.contains(key)) {
-            set.put(key, plain(value));
+    private Scenario.Variant variantWith(Scenario.Variant base, String name, double value) {
+        Map<String, String> overrides = new LinkedHashMap<>(base.overrides());
+        if (!SCENARIO_KEYS.contains(key)) {
+            overrides.put(key, formatNumber(value));
         }
-        return new Scenario.Variant(name, base.decider(), set, base.jar());
+        return new Scenario.Variant(name, base.decider(), overrides, base.jar());
     }
 
-    private Scenario with(Scenario of, double value) {
+    private Scenario scenarioWith(Scenario scenario, double value) {
         return switch (key) {
             case "load.rate" ->
-                of.with(new Scenario.Load(
+                scenario.with(new Scenario.Load(
                         value,
-                        of.load().lengthMs(),
-                        of.load().warmUpMs(),
-                        of.load().spacing(),
-                        of.load().exponentialWork(),
-                        of.load().connections()));
+                        scenario.load().lengthMs(),
+                        scenario.load().warmUpMs(),
+                        scenario.load().spacing(),
+                        scenario.load().exponentialWork(),
+                        scenario.load().connections()));
             case "clients.retries" ->
-                of.with(new Retrying(
+                scenario.with(new Retrying(
                         (int) value,
-                        of.retrying().waitMs(),
-                        of.retrying().growth(),
-                        of.retrying().heedsRetryAfter()));
-            case "tiers.count" -> of.withCount((int) value);
+                        scenario.retrying().waitMs(),
+                        scenario.retrying().growth(),
+                        scenario.retrying().heedsRetryAfter()));
+            case "tiers.count" -> scenario.withEndpointCount((int) value);
             case "sidecars.front" ->
-                of.with(new Scenario.Sidecars((int) value, of.sidecars().ownProcess()));
-            default -> of;
+                scenario.with(
+                        new Scenario.Sidecars((int) value, scenario.sidecars().ownProcess()));
+            default -> scenario;
         };
     }
 }
--- a/lab/src/main/java/lemonrail/lab/cli/Scratch.java
+++ b/lab/src/main/java/lemonrail/lab/cli/TempDirectory.java
@@ -6,11 +6,11 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** A temporary folder that is gone with all that is in it when it is closed. */
-public record Scratch(Path path) implements AutoCloseable {
+/** A temporary directory, which is deleted with its contents on close. */
+public record TempDirectory(Path path) implements AutoCloseable {
 
-    /** A new one. */
-    public Scratch() throws IOException {
+    /** Creates a new temporary directory. */
+    public TempDirectory() throws IOException {
         this(Files.createTempDirectory("lemonrail-lab"));
     }
 
--- a/lab/src/main/java/lemonrail/lab/cli/package-info.java
+++ b/lab/src/main/java/lemonrail/lab/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The lab's command line: one class a command. */
+/** The command line of the lab, with one class for each command. */
 package lemonrail.lab.cli;
--- a/lab/src/main/java/lemonrail/lab/host/EndpointTier.java
+++ b/lab/src/main/java/lemonrail/lab/host/EndpointTier.java
@@ -61,7 +61,7 @@
     }
 
     private EndpointModel model(int place, Rack rack, UniformRandomProvider random) {
-        double speed = tier.leastSpeed() + (tier.mostSpeed() - tier.leastSpeed()) * random.nextDouble();
+        double speed = tier.minSpeed() + (tier.maxSpeed() - tier.minSpeed()) * random.nextDouble();
         EndpointModel model = new EndpointModel(
                 scheduler,
                 new EndpointShape(
--- a/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
+++ b/lab/src/main/java/lemonrail/lab/host/FaultPlayer.java
@@ -35,7 +35,8 @@
 
     /** Returns whether a scenario with these faults needs relays before its endpoints. */
     static boolean needLinks(List<Fault> faults, Link link) {
-        return !link.isPlain() || faults.stream().anyMatch(fault -> fault.kind().isOfLinks());
+        return !link.isPassThrough()
+                || faults.stream().anyMatch(fault -> fault.kind().isOfLinks());
     }
 
     /** Schedules all faults; bursts are left to the arrivals. */
--- a/lab/src/main/java/lemonrail/lab/host/Testbed.java
+++ b/lab/src/main/java/lemonrail/lab/host/Testbed.java
@@ -82,13 +82,13 @@
         this.seed = seed;
         this.builds = builds;
         this.folder = Files.createDirectories(folder);
-        settings = EdgeSettings.load(scenario.edge(), variant.set());
+        settings = EdgeSettings.load(scenario.edgeFile(), variant.overrides());
         recorder = new AttemptRecorder(scheduler, settings.drain().graceMs(), linkMs());
         answers = new AnswerRules(
                 scheduler,
                 recorder,
                 settings.limits().maxAttempts(),
-                scenario.clientLink().isPlain());
+                scenario.clientLink().isPassThrough());
         try {
             start();
         } catch (IOException | InterruptedException | RuntimeException e) {
@@ -102,7 +102,7 @@
         int front = scenario.sidecars().front();
         for (int i = 0; i < front; i++) {
             InetSocketAddress at = sidecar(0, i, front);
-            if (!scenario.clientLink().isPlain()) {
+            if (!scenario.clientLink().isPassThrough()) {
                 Relay relay = new Relay(loop, at, scenario.clientLink(), random("client link"));
                 parts.add(relay);
                 at = relay.address();
@@ -148,7 +148,7 @@
         for (int i = 0; i < scenario.tiers().size(); i++) {
             Scenario.Discovery how = scenario.discovery();
             Registry registry = new Registry(
-                    scheduler, random("registry " + i), how.pushes(), how.pollMs(), how.leastLagMs(), how.mostLagMs());
+                    scheduler, random("registry " + i), how.pushes(), how.pollMs(), how.minLagMs(), how.maxLagMs());
             EndpointTier tier = new EndpointTier(scenario.tiers().get(i), i, loop, scheduler, registry, recorder);
             parts.add(tier);
             tiers.add(tier);
@@ -170,7 +170,7 @@
         InetSocketAddress listen =
                 process ? SidecarHost.freePort() : new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         Path file = EdgeFiles.write(
-                scenario.edge(),
+                scenario.edgeFile(),
                 folder,
                 new EdgeFiles.Place(
                         name,
@@ -181,7 +181,7 @@
                         listen,
                         random(name).nextInt(),
                         scenario.tiers().get(tier).cold()));
-        Map<String, String> environment = EdgeSettings.environment(variant.set());
+        Map<String, String> environment = EdgeSettings.environment(variant.overrides());
         Path log = folder.resolve(name + ".log");
         SidecarHost host = process
                 ? SidecarHost.process(
@@ -262,8 +262,8 @@
                         kinds,
                         shares,
                         scenario.retrying(),
-                        scenario.patience().least(),
-                        scenario.patience().most(),
+                        scenario.patience().minFraction(),
+                        scenario.patience().maxFraction(),
                         scenario.load().exponentialWork()),
                 arrivals,
                 scenario.load().lengthMs(),
--- a/lab/src/main/java/lemonrail/lab/package-info.java
+++ b/lab/src/main/java/lemonrail/lab/package-info.java
@@ -1,2 +1,2 @@
-/** The lab's program and the demo. */
+/** The entry point of the lab's command line, and the demo. */
 package lemonrail.lab;
--- a/lab/src/main/java/lemonrail/lab/report/Charts.java
+++ b/lab/src/main/java/lemonrail/lab/report/Charts.java
@@ -31,14 +31,14 @@
 import org.jfree.data.xy.XYSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
 
-/** Draws charts, each as SVG and as PNG. */
+/** Writes charts, each as an SVG and a PNG file. */
 public final class Charts {
 
     private static final int WIDTH = 900;
     private static final int HEIGHT = 420;
-    private static final double LABEL = 3;
-    private static final Color BAND = new Color(230, 120, 60, 45);
-    private static final Color[] LINES = {
+    private static final double LABEL_OFFSET = 3;
+    private static final Color FAULT_BAND = new Color(230, 120, 60, 45);
+    private static final Color[] SERIES_COLORS = {
         new Color(31, 119, 180),
         new Color(214, 39, 40),
         new Color(44, 160, 44),
@@ -49,16 +49,19 @@
 
     private final Path folder;
 
-    /** Charts that go into this folder. */
+    /** Creates a writer of charts into this directory, which must exist. */
     public Charts(Path folder) {
         this.folder = folder;
     }
 
-    /** Lines over time in seconds, with the faults as bands behind them. */
-    void overTime(String name, String title, String unit, XYSeriesCollection lines, List<Fault> faults, double untilS)
+    /**
+     * Writes a line chart over time in seconds from 0 to {@code untilS}; faults are shown as bands behind the lines.
+     */
+    void writeTimeChart(
+            String name, String title, String unit, XYSeriesCollection series, List<Fault> faults, double untilS)
             throws IOException {
         JFreeChart chart =
-                ChartFactory.createXYLineChart(title, "s", unit, lines, PlotOrientation.VERTICAL, true, false, false);
+                ChartFactory.createXYLineChart(title, "s", unit, series, PlotOrientation.VERTICAL, true, false, false);
         XYPlot plot = style(chart);
         plot.getDomainAxis().setRange(0, untilS);
         for (int i = 0; i < faults.size(); i++) {
@@ -66,46 +69,54 @@
             IntervalMarker band = new IntervalMarker(
                     fault.beginMs() / 1000,
                     Math.min(untilS, Math.max(fault.endMs(), fault.beginMs() + 100) / 1000),
-                    BAND);
+                    FAULT_BAND);
             band.setLabel(fault.kind().name().toLowerCase(Locale.ROOT).replace('_', ' '));
             band.setLabelAnchor(RectangleAnchor.TOP_LEFT);
             band.setLabelTextAnchor(TextAnchor.TOP_LEFT);
-            // Those that begin at once stand one below the other.
-            band.setLabelOffset(new RectangleInsets(LABEL + i * LABEL * 4, LABEL, LABEL, LABEL));
+            // Labels of faults that begin at the same time are placed below each other.
+            band.setLabelOffset(
+                    new RectangleInsets(LABEL_OFFSET + i * LABEL_OFFSET * 4, LABEL_OFFSET, LABEL_OFFSET, LABEL_OFFSET));
             plot.addDomainMarker(band, Layer.BACKGROUND);
         }
         write(name, chart);
     }
 
-    /** Lines over numbers; either axis may be logarithmic. */
-    public void lines(
-            String name, String title, String x, String y, XYSeriesCollection lines, boolean logX, boolean logY)
+    /** Writes a line chart; either axis may be logarithmic. */
+    public void writeLineChart(
+            String name,
+            String title,
+            String xLabel,
+            String yLabel,
+            XYSeriesCollection series,
+            boolean logX,
+            boolean logY)
             throws IOException {
-        JFreeChart chart =
-                ChartFactory.createXYLineChart(title, x, y, lines, PlotOrientation.VERTICAL, true, false, false);
+        JFreeChart chart = ChartFactory.createXYLineChart(
+                title, xLabel, yLabel, series, PlotOrientation.VERTICAL, true, false, false);
         XYPlot plot = style(chart);
         ((XYLineAndShapeRenderer) plot.getRenderer()).setDefaultShapesVisible(true);
         if (logX) {
-            plot.setDomainAxis(log(x));
+            plot.setDomainAxis(logAxis(xLabel));
         }
         if (logY) {
-            plot.setRangeAxis(log(y));
+            plot.setRangeAxis(logAxis(yLabel));
         }
         write(name, chart);
     }
 
-    private static LogAxis log(String label) {
+    private static LogAxis logAxis(String label) {
         LogAxis axis = new LogAxis(label);
         axis.setNumberFormatOverride(NumberFormat.getNumberInstance(Locale.ROOT));
         return axis;
     }
 
-    /** A group of bars for each column. */
-    public void bars(String name, String title, String unit, CategoryDataset bars, boolean stacked) throws IOException {
+    /** Writes a bar chart with one group of bars, or one stacked bar, for each column of the data set. */
+    public void writeBarChart(String name, String title, String unit, CategoryDataset dataset, boolean stacked)
+            throws IOException {
         JFreeChart chart = stacked
                 ? ChartFactory.createStackedBarChart(
-                        title, "", unit, bars, PlotOrientation.VERTICAL, true, false, false)
-                : ChartFactory.createBarChart(title, "", unit, bars, PlotOrientation.VERTICAL, true, false, false);
+                        title, "", unit, dataset, PlotOrientation.VERTICAL, true, false, false)
+                : ChartFactory.createBarChart(title, "", unit, dataset, PlotOrientation.VERTICAL, true, false, false);
         CategoryPlot plot = chart.getCategoryPlot();
         plot.setBackgroundPaint(Color.WHITE);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
@@ -113,8 +124,8 @@
         BarRenderer renderer = (BarRenderer) plot.getRenderer();
         renderer.setBarPainter(new StandardBarPainter());
         renderer.setShadowVisible(false);
-        for (int i = 0; i < LINES.length; i++) {
-            renderer.setSeriesPaint(i, LINES[i]);
+        for (int i = 0; i < SERIES_COLORS.length; i++) {
+            renderer.setSeriesPaint(i, SERIES_COLORS[i]);
         }
         write(name, chart);
     }
@@ -125,8 +136,8 @@
         plot.setDomainGridlinePaint(Color.LIGHT_GRAY);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, false);
-        for (int i = 0; i < LINES.length; i++) {
-            renderer.setSeriesPaint(i, LINES[i]);
+        for (int i = 0; i < SERIES_COLORS.length; i++) {
+            renderer.setSeriesPaint(i, SERIES_COLORS[i]);
         }
         plot.setRenderer(renderer);
         if (plot.getRangeAxis() instanceof NumberAxis axis) {
@@ -138,7 +149,7 @@
     private void write(String name, JFreeChart chart) throws IOException {
         chart.setBackgroundPaint(Color.WHITE);
         SVGGraphics2D svg = new SVGGraphics2D(WIDTH, HEIGHT);
-        // The same chart gives the same bytes.
+        // A fixed prefix of ids, so that the same chart always gives the same bytes.
         svg.setDefsKeyPrefix(name);
         chart.draw(svg, new Rectangle2D.Double(0, 0, WIDTH, HEIGHT));
         Files.writeString(folder.resolve(name + ".svg"), svg.getSVGDocument(), StandardCharsets.UTF_8);
--- a/lab/src/main/java/lemonrail/lab/report/Comparison.java
+++ b/lab/src/main/java/lemonrail/lab/report/Comparison.java
@@ -11,23 +11,23 @@
 import java.util.function.ToDoubleFunction;
 import org.jfree.data.category.DefaultCategoryDataset;
 
-/** Variants side by side, on the same scenarios and seeds; the first variant is what others are held to. */
+/** Compares variants on the same scenarios and seeds. The first variant is the baseline for the others. */
 public final class Comparison {
 
-    private static final double PART = 0.95;
+    private static final double CONFIDENCE = 0.95;
 
-    /** One run of it. */
+    /** One run of a variant; void runs are listed, but excluded from all figures. */
     public record Entry(String scenario, String variant, long seed, Verdict verdict, boolean isVoid) {}
 
     private final List<String> variants;
     private final List<Entry> entries = new ArrayList<>();
 
-    /** A comparison of these variants. */
+    /** Creates a comparison of these variants without runs. */
     public Comparison(List<String> variants) {
         this.variants = List.copyOf(variants);
     }
 
-    /** Takes in one run. */
+    /** Adds a run. */
     public void add(Entry entry) {
         entries.add(entry);
     }
@@ -36,7 +36,7 @@
         return entries.stream().map(Entry::scenario).distinct().sorted().toList();
     }
 
-    private List<Entry> of(String scenario, String variant) {
+    private List<Entry> validRuns(String scenario, String variant) {
         return entries.stream()
                 .filter(entry -> entry.variant().equals(variant)
                         && (scenario == null || entry.scenario().equals(scenario))
@@ -44,14 +44,16 @@
                 .toList();
     }
 
-    /** What a variant has more of than the first one, over the pairs of runs of one scenario and seed. */
+    /**
+     * Returns, for each pair of runs with the same scenario and seed, the variant's figure minus the baseline's figure.
+     */
     private List<Double> differences(String scenario, String variant, ToDoubleFunction<Verdict> figure) {
         List<Double> differences = new ArrayList<>();
-        for (Entry other : of(scenario, variant)) {
-            of(other.scenario(), variants.get(0)).stream()
-                    .filter(base -> base.seed() == other.seed())
-                    .forEach(base -> differences.add(
-                            figure.applyAsDouble(other.verdict()) - figure.applyAsDouble(base.verdict())));
+        for (Entry run : validRuns(scenario, variant)) {
+            validRuns(run.scenario(), variants.get(0)).stream()
+                    .filter(baseline -> baseline.seed() == run.seed())
+                    .forEach(baseline -> differences.add(
+                            figure.applyAsDouble(run.verdict()) - figure.applyAsDouble(baseline.verdict())));
         }
         return differences;
     }
@@ -63,34 +65,37 @@
                 .orElse(Double.NaN);
     }
 
-    /** Sentences that say which variants differ. */
-    public List<String> sentences() {
-        List<String> sentences = new ArrayList<>();
+    /** Returns one sentence per comparison that states whether a variant differs from the baseline. */
+    public List<String> conclusions() {
+        List<String> conclusions = new ArrayList<>();
         for (String variant : variants.subList(1, variants.size())) {
-            sentences.add(sentence(null, variant));
+            conclusions.add(conclusion(null, variant));
             if (scenarios().size() > 1) {
-                scenarios().forEach(scenario -> sentences.add(sentence(scenario, variant)));
+                scenarios().forEach(scenario -> conclusions.add(conclusion(scenario, variant)));
             }
         }
-        return sentences;
+        return conclusions;
     }
 
-    private String sentence(String scenario, String variant) {
+    private String conclusion(String scenario, String variant) {
         List<Double> differences = differences(scenario, variant, Verdict::service);
-        String where = scenario == null ? "over all" : scenario;
+        String scope = scenario == null ? "all scenarios" : scenario;
         if (differences.isEmpty()) {
-            return where + ": " + variant + " and " + variants.get(0) + " have no run in common that counts";
+            return scope + ": " + variant + " and " + variants.get(0)
+                    + " have no valid runs with the same scenario and seed";
         }
-        Bootstrap.Interval interval = Bootstrap.mean(differences, PART);
-        String so = interval.excludesZero()
+        Bootstrap.Interval interval = Bootstrap.meanInterval(differences, CONFIDENCE);
+        String relation = interval.excludesZero()
                 ? interval.mean() > 0 ? "is better than" : "is worse than"
-                : interval.count() < Bootstrap.LEAST ? "has too few pairs to tell from" : "cannot be told from";
+                : interval.count() < Bootstrap.MIN_COUNT
+                        ? "has too few pairs to be compared with"
+                        : "does not differ significantly from";
         return String.format(
                 Locale.ROOT,
-                "%s: %s %s %s: service %+.3f, 95 %% within %+.3f and %+.3f " + "(%d pairs)",
-                where,
+                "%s: %s %s %s: service %+.3f, 95 %% confidence interval %+.3f to %+.3f " + "(%d pairs)",
+                scope,
                 variant,
-                so,
+                relation,
                 variants.get(0),
                 interval.mean(),
                 interval.low(),
@@ -98,14 +103,14 @@
                 interval.count());
     }
 
-    /** Writes {@code compare.md}, {@code compare.csv} and a chart. */
-    public void keep(Path folder, String version) throws IOException {
+    /** Writes {@code compare.md}, {@code compare.csv} and a chart into a directory, which is created if necessary. */
+    public void write(Path folder, String version) throws IOException {
         Files.createDirectories(folder);
         StringBuilder csv = new StringBuilder("scenario,variant,seed,void,service,whole,worst_10s,"
                 + "worst_class,worst_tenant,waste,late,asked,served,refused,failed,unanswered,per_ask,p50_ms,"
                 + "p99_ms,broken\n");
         for (Entry entry : entries) {
-            Verdict v = entry.verdict();
+            Verdict verdict = entry.verdict();
             csv.append(String.format(
                     Locale.ROOT,
                     "%s,%s,%d,%b,%.4f,%.4f,%.4f,%.4f,%.4f,%.4f,%.4f,%d,%d,%d," + "%d,%d,%.3f,%.1f,%.1f,%d%n",
@@ -113,52 +118,53 @@
                     entry.variant(),
                     entry.seed(),
                     entry.isVoid(),
-                    v.service(),
-                    v.whole(),
-                    v.worst10s(),
-                    v.worstClass(),
-                    v.worstTenant(),
-                    v.waste(),
-                    v.late(),
-                    v.asked(),
-                    v.served(),
-                    v.refused(),
-                    v.failed(),
-                    v.unanswered(),
-                    v.perAsk(),
-                    v.p50Ms(),
-                    v.p99Ms(),
-                    v.broken()));
+                    verdict.service(),
+                    verdict.whole(),
+                    verdict.worst10s(),
+                    verdict.worstClass(),
+                    verdict.worstTenant(),
+                    verdict.waste(),
+                    verdict.late(),
+                    verdict.asked(),
+                    verdict.served(),
+                    verdict.refused(),
+                    verdict.failed(),
+                    verdict.unanswered(),
+                    verdict.perAsk(),
+                    verdict.p50Ms(),
+                    verdict.p99Ms(),
+                    verdict.broken()));
         }
         Files.writeString(folder.resolve("compare.csv"), csv);
-        StringBuilder text = new StringBuilder("# Variants side by side\n\nVersion " + version + ".\n");
+        StringBuilder markdown = new StringBuilder("# Comparison of variants\n\nVersion " + version + ".\n");
         Map<String, ToDoubleFunction<Verdict>> tables = new LinkedHashMap<>();
         tables.put("Service", Verdict::service);
         tables.put("Worst 10 s", Verdict::worst10s);
-        tables.put("Time to a served answer, p99, ms", Verdict::p99Ms);
-        tables.put("Work wasted", Verdict::waste);
-        tables.put("Rules broken, runs in the mean", verdict -> verdict.broken() > 0 ? 1 : 0);
-        tables.forEach((title, figure) -> table(text, title, figure));
-        text.append("\n## Do they differ?\n\n");
-        sentences().forEach(sentence -> text.append("- ").append(sentence).append('\n'));
-        long voids = entries.stream().filter(Entry::isVoid).count();
-        text.append("\n")
+        tables.put("Latency of served requests, p99, ms", Verdict::p99Ms);
+        tables.put("Wasted work", Verdict::waste);
+        tables.put("Fraction of runs that broke a rule", verdict -> verdict.broken() > 0 ? 1 : 0);
+        tables.forEach((title, figure) -> appendTable(markdown, title, figure));
+        markdown.append("\n## Significance of the differences\n\n");
+        conclusions()
+                .forEach(conclusion -> markdown.append("- ").append(conclusion).append('\n'));
+        long voidCount = entries.stream().filter(Entry::isVoid).count();
+        markdown.append("\n")
                 .append(entries.size())
                 .append(" runs, ")
-                .append(voids)
-                .append(" of them void and left out.\n\n![service](service.svg)\n");
-        Files.writeString(folder.resolve("compare.md"), text);
+                .append(voidCount)
+                .append(" of them void and excluded.\n\n![service](service.svg)\n");
+        Files.writeString(folder.resolve("compare.md"), markdown);
         DefaultCategoryDataset bars = new DefaultCategoryDataset();
         for (String variant : variants) {
             for (String scenario : scenarios()) {
-                bars.addValue(mean(of(scenario, variant), Verdict::service), variant, scenario);
+                bars.addValue(mean(validRuns(scenario, variant), Verdict::service), variant, scenario);
             }
         }
-        new Charts(folder).bars("service", "Service, mean over the seeds", "", bars, false);
+        new Charts(folder).writeBarChart("service", "Service, mean over seeds", "", bars, false);
     }
 
-    private void table(StringBuilder text, String title, ToDoubleFunction<Verdict> figure) {
-        text.append("\n## ")
+    private void appendTable(StringBuilder markdown, String title, ToDoubleFunction<Verdict> figure) {
+        markdown.append("\n## ")
                 .append(title)
                 .append("\n\n| scenario | ")
                 .append(String.join(" | ", variants))
@@ -166,17 +172,17 @@
                 .append(" --- |".repeat(variants.size()))
                 .append('\n');
         for (String scenario : scenarios()) {
-            row(text, scenario, scenario, figure);
+            appendRow(markdown, scenario, scenario, figure);
         }
-        row(text, "all", null, figure);
+        appendRow(markdown, "all", null, figure);
     }
 
-    private void row(StringBuilder text, String name, String scenario, ToDoubleFunction<Verdict> figure) {
-        text.append("| ").append(name).append(" |");
+    private void appendRow(StringBuilder markdown, String name, String scenario, ToDoubleFunction<Verdict> figure) {
+        markdown.append("| ").append(name).append(" |");
         for (String variant : variants) {
-            double mean = mean(of(scenario, variant), figure);
-            text.append(String.format(Locale.ROOT, mean >= 10 ? " %.0f |" : " %.3f |", mean));
+            double mean = mean(validRuns(scenario, variant), figure);
+            markdown.append(String.format(Locale.ROOT, mean >= 10 ? " %.0f |" : " %.3f |", mean));
         }
-        text.append('\n');
+        markdown.append('\n');
     }
 }
--- a/lab/src/main/java/lemonrail/lab/report/Report.java
+++ b/lab/src/main/java/lemonrail/lab/report/Report.java
@@ -12,76 +12,85 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** The report of one run, made from its raw data alone. */
+/** Renders the report of one run from its stored data only. */
 public final class Report {
 
-    private static final long MOST_MICROS = 3_600_000_000L;
+    private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
     private static final double[] PERCENTILES = {0, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.8, 99.9, 99.95, 99.99};
 
     private Report() {}
 
-    /** Writes {@code report.md} and the charts beside it. */
+    /** Writes {@code report.md} and its charts into the directory of the run. */
     public static void render(RunFolder folder) throws IOException {
-        JsonNode run = folder.run();
-        double untilS = run.get("length_ms").asDouble() / 1000;
+        JsonNode run = folder.readRunJson();
+        double lengthS = run.get("length_ms").asDouble() / 1000;
         Charts charts = new Charts(folder.path());
-        List<RunFolder.AskRow> requests = folder.askRows();
-        latency(charts, folder, requests, untilS);
-        percentiles(charts, requests, run.get("warm_up_ms").asDouble());
-        outcomes(charts, folder, requests, untilS);
-        attempts(charts, folder);
-        Files.writeString(folder.path().resolve("report.md"), text(run, folder.verdict()));
+        List<RunFolder.RequestRow> requests = folder.requestRows();
+        writeLatencyChart(charts, folder, requests, lengthS);
+        writePercentilesChart(charts, requests, run.get("warm_up_ms").asDouble());
+        writeOutcomesChart(charts, folder, requests, lengthS);
+        writeAttemptsChart(charts, folder);
+        Files.writeString(folder.path().resolve("report.md"), markdown(run, folder.readVerdict()));
     }
 
-    private static long micros(RunFolder.AskRow request) {
-        return Math.min(MOST_MICROS, Math.max(0, Math.round((request.servedMs() - request.arrivedMs()) * 1000)));
+    private static long latencyMicros(RunFolder.RequestRow request) {
+        return Math.min(MAX_LATENCY_MICROS, Math.max(0, Math.round((request.servedMs() - request.arrivedMs()) * 1000)));
     }
 
-    private static void latency(Charts charts, RunFolder folder, List<RunFolder.AskRow> requests, double untilS)
-            throws IOException {
+    private static void writeLatencyChart(
+            Charts charts, RunFolder folder, List<RunFolder.RequestRow> requests, double lengthS) throws IOException {
         Map<Integer, Histogram> seconds = new TreeMap<>();
         requests.stream()
                 .filter(request -> !Double.isNaN(request.servedMs()))
                 .forEach(request -> seconds.computeIfAbsent(
-                                (int) (request.arrivedMs() / 1000), second -> new Histogram(MOST_MICROS, 3))
-                        .recordValue(micros(request)));
+                                (int) (request.arrivedMs() / 1000), second -> new Histogram(MAX_LATENCY_MICROS, 3))
+                        .recordValue(latencyMicros(request)));
         XYSeriesCollection lines = new XYSeriesCollection();
         for (double percentile : new double[] {50, 90, 99}) {
             XYSeries line = new XYSeries(String.format(Locale.ROOT, "p%.0f", percentile));
-            seconds.forEach((second, of) -> line.add(second + 0.5, of.getValueAtPercentile(percentile) / 1e3));
+            seconds.forEach(
+                    (second, histogram) -> line.add(second + 0.5, histogram.getValueAtPercentile(percentile) / 1e3));
             lines.addSeries(line);
         }
-        charts.overTime("latency", "Time to a served answer, by when it was due", "ms", lines, folder.faults(), untilS);
+        charts.writeTimeChart(
+                "latency",
+                "Latency of served requests, by the time they were due",
+                "ms",
+                lines,
+                folder.readFaults(),
+                lengthS);
     }
 
-    private static void percentiles(Charts charts, List<RunFolder.AskRow> requests, double warmMs) throws IOException {
+    private static void writePercentilesChart(Charts charts, List<RunFolder.RequestRow> requests, double warmUpMs)
+            throws IOException {
         Map<String, Histogram> classes = new TreeMap<>();
         requests.stream()
-                .filter(request -> !Double.isNaN(request.servedMs()) && request.arrivedMs() >= warmMs)
+                .filter(request -> !Double.isNaN(request.servedMs()) && request.arrivedMs() >= warmUpMs)
                 .forEach(request -> classes.computeIfAbsent(
-                                request.requestClass(), name -> new Histogram(MOST_MICROS, 3))
-                        .recordValue(micros(request)));
+                                request.requestClass(), name -> new Histogram(MAX_LATENCY_MICROS, 3))
+                        .recordValue(latencyMicros(request)));
         XYSeriesCollection lines = new XYSeriesCollection();
-        classes.forEach((name, of) -> {
+        classes.forEach((name, histogram) -> {
             XYSeries line = new XYSeries(name);
             for (double percentile : PERCENTILES) {
-                if (of.getTotalCount() * (1 - percentile / 100) >= 1) {
-                    line.add(1 / (1 - percentile / 100), of.getValueAtPercentile(percentile) / 1e3);
+                if (histogram.getTotalCount() * (1 - percentile / 100) >= 1) {
+                    line.add(1 / (1 - percentile / 100), histogram.getValueAtPercentile(percentile) / 1e3);
                 }
             }
             lines.addSeries(line);
         });
-        charts.lines("percentiles", "Slowest of so many answers", "one in", "ms", lines, true, false);
+        charts.writeLineChart(
+                "percentiles", "Latency that one in N served requests exceeds", "one in N", "ms", lines, true, false);
     }
 
-    private static void outcomes(Charts charts, RunFolder folder, List<RunFolder.AskRow> requests, double untilS)
-            throws IOException {
+    private static void writeOutcomesChart(
+            Charts charts, RunFolder folder, List<RunFolder.RequestRow> requests, double lengthS) throws IOException {
         XYSeries served = new XYSeries("served");
         XYSeries refused = new XYSeries("refused");
         XYSeries failed = new XYSeries("failed");
-        int length = (int) Math.ceil(untilS);
+        int length = (int) Math.ceil(lengthS);
         int[][] counts = new int[3][length];
-        for (RunFolder.AskRow request : requests) {
+        for (RunFolder.RequestRow request : requests) {
             int second = Math.min(length - 1, (int) (request.arrivedMs() / 1000));
             counts[request.end().equals("served") ? 0 : request.end().equals("refused") ? 1 : 2][second]++;
         }
@@ -94,10 +103,16 @@
         lines.addSeries(served);
         lines.addSeries(failed);
         lines.addSeries(refused);
-        charts.overTime("outcomes", "What came of it, by when it was due", "a second", lines, folder.faults(), untilS);
+        charts.writeTimeChart(
+                "outcomes",
+                "Outcomes, by the time requests were due",
+                "per second",
+                lines,
+                folder.readFaults(),
+                lengthS);
     }
 
-    private static void attempts(Charts charts, RunFolder folder) throws IOException {
+    private static void writeAttemptsChart(Charts charts, RunFolder folder) throws IOException {
         Map<String, Map<String, Integer>> counts = new TreeMap<>();
         for (RunFolder.AttemptRow attempt : folder.attemptRows()) {
             counts.computeIfAbsent(attempt.tier() + " " + attempt.endpoint(), id -> new TreeMap<>())
@@ -105,13 +120,13 @@
         }
         DefaultCategoryDataset bars = new DefaultCategoryDataset();
         for (String end : List.of("served", "error", "turned_away", "closed", "open")) {
-            counts.forEach((endpoint, of) ->
-                    bars.addValue(of.getOrDefault(end, 0), end, endpoint.substring(endpoint.indexOf(' ') + 1)));
+            counts.forEach((endpoint, endCounts) ->
+                    bars.addValue(endCounts.getOrDefault(end, 0), end, endpoint.substring(endpoint.indexOf(' ') + 1)));
         }
-        charts.bars("attempts", "Attempts at each endpoint", "attempts", bars, true);
+        charts.writeBarChart("attempts", "Attempts per endpoint", "attempts", bars, true);
     }
 
-    private static String text(JsonNode run, Verdict verdict) {
+    private static String markdown(JsonNode run, Verdict verdict) {
         StringBuilder out = new StringBuilder();
         out.append("# ")
                 .append(run.get("scenario").asText())
@@ -123,22 +138,22 @@
                 .append(run.get("about").asText())
                 .append("\n\n");
         if (!run.get("whole").asBoolean()) {
-            out.append("**The run was interrupted: these are the results so far.**\n\n");
+            out.append("**The run was interrupted. The report covers the results up to then.**\n\n");
         }
         if (run.get("void").asBoolean()) {
-            out.append("**Void: the lab itself was late or out of connections (")
+            out.append("**Void: the lab itself was late or had no free connections (")
                     .append(run.get("lateness"))
-                    .append("). The figures are not the sidecar's.**\n\n");
+                    .append("). The figures do not describe the sidecar.**\n\n");
         }
         out.append("| figure | value |\n| --- | --- |\n");
-        row(out, "service", verdict.service());
-        row(out, "of it: whole run", verdict.whole());
-        row(out, "worst 10 s", verdict.worst10s());
-        row(out, "worst class", verdict.worstClass());
-        row(out, "worst tenant", verdict.worstTenant());
-        row(out, "work wasted, of the work asked for", verdict.waste());
-        row(out, "served only after the wanted time", verdict.late());
-        out.append("| asked / served / refused / failed / unanswered | ")
+        appendRow(out, "service", verdict.service());
+        appendRow(out, "over the entire run", verdict.whole());
+        appendRow(out, "worst 10 s", verdict.worst10s());
+        appendRow(out, "worst class", verdict.worstClass());
+        appendRow(out, "worst tenant", verdict.worstTenant());
+        appendRow(out, "wasted work, as a fraction of the requested work", verdict.waste());
+        appendRow(out, "served after the latency objective, weighted fraction", verdict.late());
+        out.append("| requests / served / refused / failed / unanswered | ")
                 .append(verdict.asked())
                 .append(" / ")
                 .append(verdict.served())
@@ -149,10 +164,10 @@
                 .append(" / ")
                 .append(verdict.unanswered())
                 .append(" |\n");
-        row(out, "attempts in the first tier for each", verdict.perAsk());
+        appendRow(out, "attempts in the first tier per request", verdict.perAsk());
         out.append(String.format(
                 Locale.ROOT,
-                "| p50 / p99 / p99.9 | %.1f / %.1f / %.1f ms |%n",
+                "| latency p50 / p99 / p99.9 | %.1f / %.1f / %.1f ms |%n",
                 verdict.p50Ms(),
                 verdict.p99Ms(),
                 verdict.p999Ms()));
@@ -169,7 +184,7 @@
         return out.toString();
     }
 
-    private static void row(StringBuilder out, String what, double value) {
-        out.append(String.format(Locale.ROOT, "| %s | %.3f |%n", what, value));
+    private static void appendRow(StringBuilder out, String label, double value) {
+        out.append(String.format(Locale.ROOT, "| %s | %.3f |%n", label, value));
     }
 }
--- a/lab/src/main/java/lemonrail/lab/report/RunFolder.java
+++ b/lab/src/main/java/lemonrail/lab/report/RunFolder.java
@@ -21,38 +21,39 @@
 import org.apache.commons.csv.CSVRecord;
 
 /**
- * The folder of one run: {@code run.json} with what was played and the verdict, the raw data in CSV, and the
- * files that were played. {@code docs/operate/lab.md} documents each column.
+ * The directory in which the results of one run are stored: {@code run.json} with the run's parameters and verdict, the
+ * raw data as CSV, and copies of the scenario and edge configuration files. {@code docs/operate/lab.md} documents each
+ * column.
  */
 public final class RunFolder {
 
-    /** One thing asked for, as the raw data has it; times in ms, NaN where it was not served. */
-    record AskRow(double arrivedMs, String requestClass, int tries, String end, double servedMs) {}
+    /** One request of {@code asks.csv}; times in ms of the run, {@code servedMs} is NaN if it was not served. */
+    record RequestRow(double arrivedMs, String requestClass, int tries, String end, double servedMs) {}
 
-    /** One attempt at an endpoint, as the raw data has it. */
+    /** One attempt at an endpoint from {@code attempts.csv}; the tier counts from 1. */
     record AttemptRow(int tier, String endpoint, double beganMs, String end) {}
 
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-    private static final CSVFormat READ =
+    private static final CSVFormat CSV_WITH_HEADER =
             CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).build();
 
     private final Path folder;
 
-    /** A folder that is there or will be. */
+    /** Refers to the directory of a run, which {@link #write} creates if necessary. */
     public RunFolder(Path folder) {
         this.folder = folder;
     }
 
-    /** Where it is. */
+    /** Returns the path of the directory. */
     public Path path() {
         return folder;
     }
 
-    /** Keeps a run. */
-    public void keep(RunResult result, Verdict verdict, String version) throws IOException {
+    /** Writes {@code run.json}, the raw data and the input files of a run; files of an earlier run are replaced. */
+    public void write(RunResult result, Verdict verdict, String version) throws IOException {
         Files.createDirectories(folder);
         Files.copy(result.scenario().file(), folder.resolve("scenario.toml"), StandardCopyOption.REPLACE_EXISTING);
-        Files.copy(result.scenario().edge(), folder.resolve("edge.toml"), StandardCopyOption.REPLACE_EXISTING);
+        Files.copy(result.scenario().edgeFile(), folder.resolve("edge.toml"), StandardCopyOption.REPLACE_EXISTING);
         ObjectNode run = JSON.createObjectNode()
                 .put("scenario", result.scenario().name())
                 .put("about", result.scenario().about())
@@ -61,7 +62,7 @@
                 .put("version", version)
                 .put("whole", result.whole())
                 .put("void", result.lateness().isVoid())
-                .put("cpu_ms", rounded(result.cpuMs()))
+                .put("cpu_ms", rintOrNull(result.cpuMs()))
                 .put("client_connections", result.mostOpen())
                 .put(
                         "machine",
@@ -74,20 +75,20 @@
         run.set("verdict", JSON.valueToTree(verdict));
         run.set("faults", JSON.valueToTree(result.scenario().faults()));
         JSON.writeValue(folder.resolve("run.json").toFile(), run);
-        requests(result);
-        attempts(result);
-        nodes(result);
+        writeRequests(result);
+        writeAttempts(result);
+        writeEndpoints(result);
     }
 
-    private static Double rounded(double value) {
+    private static Double rintOrNull(double value) {
         return Double.isNaN(value) ? null : Math.rint(value);
     }
 
-    private static String ms(double value) {
+    private static String formatMs(double value) {
         return Double.isNaN(value) ? "" : String.format(Locale.ROOT, "%.3f", value);
     }
 
-    private CSVPrinter table(String name, String... header) throws IOException {
+    private CSVPrinter csvPrinter(String name, String... header) throws IOException {
         return new CSVPrinter(
                 Files.newBufferedWriter(folder.resolve(name)),
                 CSVFormat.DEFAULT
@@ -97,15 +98,15 @@
                         .build());
     }
 
-    private void requests(RunResult result) throws IOException {
-        try (CSVPrinter requests = table(
+    private void writeRequests(RunResult result) throws IOException {
+        try (CSVPrinter requestRows = csvPrinter(
                         "asks.csv", "ask", "arrived_ms", "class", "tenant", "work_ms", "tries", "end", "served_ms");
-                CSVPrinter tries =
-                        table("tries.csv", "ask", "request", "sidecar", "sent_ms", "ended_ms", "end", "status")) {
+                CSVPrinter attemptRows =
+                        csvPrinter("tries.csv", "ask", "request", "sidecar", "sent_ms", "ended_ms", "end", "status")) {
             for (ClientRequest request : result.requests()) {
-                requests.printRecord(
+                requestRows.printRecord(
                         request.number(),
-                        ms(request.arrivedMs()),
+                        formatMs(request.arrivedMs()),
                         result.scenario().requests().get(request.requestClass()).className(),
                         result.scenario().tenants().isEmpty()
                                 ? ""
@@ -113,30 +114,32 @@
                                         .tenants()
                                         .get(request.tenant())
                                         .name(),
-                        ms(request.workMs()),
+                        formatMs(request.workMs()),
                         request.tries().size(),
-                        request.tries().isEmpty() ? "open" : word(request.last().end()),
-                        ms(request.servedMs()));
-                for (ClientRequest.Try each : request.tries()) {
-                    tries.printRecord(
+                        request.tries().isEmpty()
+                                ? "open"
+                                : lowerCaseName(request.last().end()),
+                        formatMs(request.servedMs()));
+                for (ClientRequest.Try clientAttempt : request.tries()) {
+                    attemptRows.printRecord(
                             request.number(),
-                            each.id(),
-                            result.recorder().sidecar(each.id()),
-                            ms(each.sentMs()),
-                            ms(each.endedMs()),
-                            word(each.end()),
-                            each.status());
+                            clientAttempt.id(),
+                            result.recorder().sidecar(clientAttempt.id()),
+                            formatMs(clientAttempt.sentMs()),
+                            formatMs(clientAttempt.endedMs()),
+                            lowerCaseName(clientAttempt.end()),
+                            clientAttempt.status());
                 }
             }
         }
     }
 
-    private static String word(Enum<?> value) {
+    private static String lowerCaseName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    private void attempts(RunResult result) throws IOException {
-        try (CSVPrinter out = table(
+    private void writeAttempts(RunResult result) throws IOException {
+        try (CSVPrinter rows = csvPrinter(
                 "attempts.csv",
                 "request",
                 "sidecar",
@@ -149,85 +152,86 @@
                 "work_ms",
                 "for")) {
             for (AttemptRecorder.Attempt attempt : result.recorder().attempts()) {
-                out.printRecord(
+                rows.printRecord(
                         attempt.request(),
                         result.recorder().sidecar(attempt.request()),
                         attempt.tier() + 1,
                         attempt.endpoint(),
-                        ms(attempt.beganMs()),
-                        ms(attempt.ranMs()),
-                        ms(attempt.endedMs()),
+                        formatMs(attempt.beganMs()),
+                        formatMs(attempt.ranMs()),
+                        formatMs(attempt.endedMs()),
                         attempt.end(),
-                        ms(attempt.workMs()),
+                        formatMs(attempt.workMs()),
                         attempt.parent() == null ? "" : attempt.parent().request());
             }
         }
     }
 
-    private void nodes(RunResult result) throws IOException {
-        try (CSVPrinter out = table("endpoints.csv", "tier", "endpoint", "speed", "done_ms", "most_held")) {
+    private void writeEndpoints(RunResult result) throws IOException {
+        try (CSVPrinter rows = csvPrinter("endpoints.csv", "tier", "endpoint", "speed", "done_ms", "most_held")) {
             for (RunResult.Node node : result.nodes()) {
-                out.printRecord(node.tier() + 1, node.id(), ms(node.speed()), ms(node.doneMs()), node.mostHeld());
+                rows.printRecord(
+                        node.tier() + 1, node.id(), formatMs(node.speed()), formatMs(node.doneMs()), node.mostHeld());
             }
         }
     }
 
-    // ---- reading back ----
+    // ---- Reading ----
 
-    /** What was played and the verdict. */
-    JsonNode run() throws IOException {
+    /** Reads {@code run.json}. */
+    JsonNode readRunJson() throws IOException {
         return JSON.readTree(folder.resolve("run.json").toFile());
     }
 
-    /** The faults that were played. */
-    List<Fault> faults() throws IOException {
-        return List.of(JSON.treeToValue(run().get("faults"), Fault[].class));
+    /** Reads the faults of the run from {@code run.json}. */
+    List<Fault> readFaults() throws IOException {
+        return List.of(JSON.treeToValue(readRunJson().get("faults"), Fault[].class));
     }
 
-    /** The verdict. */
-    Verdict verdict() throws IOException {
-        return JSON.treeToValue(run().get("verdict"), Verdict.class);
+    /** Reads the verdict from {@code run.json}. */
+    Verdict readVerdict() throws IOException {
+        return JSON.treeToValue(readRunJson().get("verdict"), Verdict.class);
     }
 
-    private static double number(String text) {
+    private static double parseOrNan(String text) {
         return text.isEmpty() ? Double.NaN : Double.parseDouble(text);
     }
 
-    private interface Row<T> {
-        T of(CSVRecord record);
+    private interface RowMapper<T> {
+        T map(CSVRecord record);
     }
 
-    private <T> List<T> read(String name, Row<T> row) throws IOException {
+    private <T> List<T> readRows(String name, RowMapper<T> mapper) throws IOException {
         List<T> rows = new ArrayList<>();
         try (Reader in = Files.newBufferedReader(folder.resolve(name));
-                var records = READ.parse(in)) {
+                var records = CSV_WITH_HEADER.parse(in)) {
             for (CSVRecord record : records) {
-                rows.add(row.of(record));
+                rows.add(mapper.map(record));
             }
         }
         return rows;
     }
 
-    /** All that was asked for. */
-    List<AskRow> askRows() throws IOException {
-        return read(
+    /** Reads all requests. */
+    List<RequestRow> requestRows() throws IOException {
+        return readRows(
                 "asks.csv",
-                record -> new AskRow(
-                        number(record.get("arrived_ms")),
+                record -> new RequestRow(
+                        parseOrNan(record.get("arrived_ms")),
                         record.get("class"),
                         Integer.parseInt(record.get("tries")),
                         record.get("end"),
-                        number(record.get("served_ms"))));
+                        parseOrNan(record.get("served_ms"))));
     }
 
-    /** All attempts. */
+    /** Reads all attempts. */
     List<AttemptRow> attemptRows() throws IOException {
-        return read(
+        return readRows(
                 "attempts.csv",
                 record -> new AttemptRow(
                         Integer.parseInt(record.get("tier")),
                         record.get("endpoint"),
-                        number(record.get("began_ms")),
+                        parseOrNan(record.get("began_ms")),
                         record.get("end")));
     }
 }
--- a/lab/src/main/java/lemonrail/lab/report/Scorer.java
+++ b/lab/src/main/java/lemonrail/lab/report/Scorer.java
@@ -13,29 +13,33 @@
 import lemonrail.lab.model.ClientRequest;
 import org.HdrHistogram.Histogram;
 
-/** Scores the service of a run as the site's brief does; the rules themselves are checked while it plays. */
+/**
+ * Computes the verdict of a run from its requests and attempts. Rule violations are detected during the run, not here.
+ */
 public final class Scorer {
 
     private static final double WHOLE_WEIGHT = 0.5;
     private static final double WORST_WINDOW_WEIGHT = 0.3;
     private static final double WORST_CLASS_WEIGHT = 0.1;
     private static final double WORST_TENANT_WEIGHT = 0.1;
-    private static final double WASTE_PRICE = 0.12;
-    private static final double LATE_PRICE = 0.12;
-    /** Of its worth, what something costs that was given up late without one attempt. */
-    private static final double UNTRIED_PRICE = 0.3;
+    private static final double WASTE_PENALTY = 0.12;
+    private static final double LATE_PENALTY = 0.12;
+    /** Penalty, as a fraction of its weight, for a request that failed late without a single attempt at an endpoint. */
+    private static final double NO_ATTEMPT_PENALTY = 0.3;
 
     private static final double WINDOW_MS = 10_000;
-    private static final double STEP_MS = 1000;
-    /** A window that asked for less than this part of the mean is too thin to be the worst. */
-    private static final double THIN = 0.25;
+    private static final double WINDOW_STEP_MS = 1000;
+    /**
+     * Windows whose requests weigh less than this fraction of the mean window are too small to count as the worst one.
+     */
+    private static final double MIN_WINDOW_WEIGHT = 0.25;
 
-    private static final long MOST_MICROS = 3_600_000_000L;
-    private static final int MOST_RULES = 20;
+    private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
+    private static final int MAX_LISTED_RULES = 20;
 
     private final RunResult run;
     private final List<RequestClass> classes;
-    private final Set<ClientRequest> surplus = new HashSet<>();
+    private final Set<ClientRequest> overQuota = new HashSet<>();
 
     private Scorer(RunResult run) {
         this.run = run;
@@ -47,20 +51,20 @@
                 .toList();
     }
 
-    /** Scores a run; what was due before the warm-up ended does not count. */
+    /** Returns the verdict of a run. Requests that were due before the end of the warm-up are ignored. */
     public static Verdict score(RunResult run) {
         return new Scorer(run).verdict();
     }
 
-    private double worth(ClientRequest clientRequest) {
-        double full = classes.get(clientRequest.requestClass()).priorityWeight();
-        return surplus.contains(clientRequest) ? full * run.settings().overQuotaWeight() : full;
+    private double weight(ClientRequest clientRequest) {
+        double classWeight = classes.get(clientRequest.requestClass()).priorityWeight();
+        return overQuota.contains(clientRequest) ? classWeight * run.settings().overQuotaWeight() : classWeight;
     }
 
-    private double got(ClientRequest clientRequest) {
+    private double earnedWeight(ClientRequest clientRequest) {
         double tookMs = clientRequest.servedMs() - clientRequest.arrivedMs();
         return tookMs <= classes.get(clientRequest.requestClass()).latencyObjectiveMs()
-                ? worth(clientRequest)
+                ? weight(clientRequest)
                 : -penalty(clientRequest);
     }
 
@@ -72,28 +76,29 @@
         boolean late = last.end() == ClientRequest.End.GIVEN_UP
                 || last.endedMs() - last.sentMs()
                         > classes.get(clientRequest.requestClass()).deadlineMs()
-                                * run.scenario().patience().least()
+                                * run.scenario().patience().minFraction()
                                 / 2;
-        boolean tried = clientRequest.tries().stream()
-                .anyMatch(each -> !run.recorder().of(each.id()).isEmpty());
-        return late && !tried ? UNTRIED_PRICE * worth(clientRequest) : 0;
+        boolean attempted = clientRequest.tries().stream()
+                .anyMatch(
+                        clientAttempt -> !run.recorder().of(clientAttempt.id()).isEmpty());
+        return late && !attempted ? NO_ATTEMPT_PENALTY * weight(clientRequest) : 0;
     }
 
-    private double share(List<ClientRequest> clientRequests) {
-        double wanted = sum(clientRequests, this::worth);
-        return wanted == 0 ? 1 : sum(clientRequests, this::got) / wanted;
+    private double score(List<ClientRequest> clientRequests) {
+        double totalWeight = sum(clientRequests, this::weight);
+        return totalWeight == 0 ? 1 : sum(clientRequests, this::earnedWeight) / totalWeight;
     }
 
-    private static double sum(List<ClientRequest> clientRequests, ToDoubleFunction<ClientRequest> of) {
-        return clientRequests.stream().mapToDouble(of).sum();
+    private static double sum(List<ClientRequest> clientRequests, ToDoubleFunction<ClientRequest> value) {
+        return clientRequests.stream().mapToDouble(value).sum();
     }
 
-    /** Marks what goes beyond its tenant's rate, second by second. */
-    private void findSurplus(List<ClientRequest> clientRequests) {
-        for (int place = 0; place < run.scenario().tenants().size(); place++) {
-            String name = run.scenario().tenants().get(place).name();
+    /** Finds the requests over their tenant's quota, with a token bucket that holds one second's worth of requests. */
+    private void findOverQuota(List<ClientRequest> clientRequests) {
+        for (int index = 0; index < run.scenario().tenants().size(); index++) {
+            String name = run.scenario().tenants().get(index).name();
             double rate = run.settings().tenants().stream()
-                    .filter(each -> each.name().equals(name))
+                    .filter(quota -> quota.name().equals(name))
                     .mapToDouble(TenantQuota::requestsPerSecond)
                     .findFirst()
                     .orElse(0);
@@ -103,11 +108,11 @@
             double tokens = rate;
             double lastMs = 0;
             for (ClientRequest clientRequest : clientRequests) {
-                if (clientRequest.tenant() == place) {
+                if (clientRequest.tenant() == index) {
                     tokens = Math.min(rate, tokens + (clientRequest.arrivedMs() - lastMs) / 1000 * rate);
                     lastMs = clientRequest.arrivedMs();
                     if (tokens < 1) {
-                        surplus.add(clientRequest);
+                        overQuota.add(clientRequest);
                     } else {
                         tokens--;
                     }
@@ -117,45 +122,45 @@
     }
 
     private Verdict verdict() {
-        findSurplus(run.requests());
-        double warmMs = run.scenario().load().warmUpMs();
+        findOverQuota(run.requests());
+        double warmUpMs = run.scenario().load().warmUpMs();
         List<ClientRequest> clientRequests = run.requests().stream()
-                .filter(clientRequest -> clientRequest.arrivedMs() >= warmMs
+                .filter(clientRequest -> clientRequest.arrivedMs() >= warmUpMs
                         && !clientRequest.tries().isEmpty())
                 .toList();
-        double whole = share(clientRequests);
-        double worst = worstWindow(clientRequests, warmMs, whole);
-        double worstClass = worstOf(clientRequests, classes.size(), ClientRequest::requestClass);
-        List<ClientRequest> within = clientRequests.stream()
-                .filter(clientRequest -> !surplus.contains(clientRequest))
+        double overallScore = score(clientRequests);
+        double worstWindowScore = worstWindow(clientRequests, warmUpMs, overallScore);
+        double worstClass = worstGroup(clientRequests, classes.size(), ClientRequest::requestClass);
+        List<ClientRequest> withinQuota = clientRequests.stream()
+                .filter(clientRequest -> !overQuota.contains(clientRequest))
                 .toList();
-        double worstTenant = worstOf(within, run.scenario().tenants().size(), ClientRequest::tenant);
-        double asked = sum(clientRequests, ClientRequest::workMs);
-        double waste = asked == 0 ? 0 : wasted(warmMs) / asked;
+        double worstTenant = worstGroup(withinQuota, run.scenario().tenants().size(), ClientRequest::tenant);
+        double requestedWorkMs = sum(clientRequests, ClientRequest::workMs);
+        double waste = requestedWorkMs == 0 ? 0 : wastedWorkMs(warmUpMs) / requestedWorkMs;
         double late = sum(
                         clientRequests,
-                        clientRequest -> !Double.isNaN(clientRequest.servedMs()) && got(clientRequest) <= 0
-                                ? worth(clientRequest)
+                        clientRequest -> !Double.isNaN(clientRequest.servedMs()) && earnedWeight(clientRequest) <= 0
+                                ? weight(clientRequest)
                                 : 0)
-                / Math.max(1e-9, sum(clientRequests, this::worth));
-        double service = WHOLE_WEIGHT * whole
-                + WORST_WINDOW_WEIGHT * worst
+                / Math.max(1e-9, sum(clientRequests, this::weight));
+        double service = WHOLE_WEIGHT * overallScore
+                + WORST_WINDOW_WEIGHT * worstWindowScore
                 + WORST_CLASS_WEIGHT * worstClass
                 + WORST_TENANT_WEIGHT * worstTenant
-                - WASTE_PRICE * Math.min(1, waste)
-                - LATE_PRICE * late;
-        Histogram micros = new Histogram(MOST_MICROS, 3);
+                - WASTE_PENALTY * Math.min(1, waste)
+                - LATE_PENALTY * late;
+        Histogram latencyMicros = new Histogram(MAX_LATENCY_MICROS, 3);
         clientRequests.stream()
                 .filter(clientRequest -> !Double.isNaN(clientRequest.servedMs()))
-                .forEach(clientRequest -> micros.recordValue(
-                        Math.min(MOST_MICROS, (long) ((clientRequest.servedMs() - clientRequest.arrivedMs()) * 1000))));
+                .forEach(clientRequest -> latencyMicros.recordValue(Math.min(
+                        MAX_LATENCY_MICROS, (long) ((clientRequest.servedMs() - clientRequest.arrivedMs()) * 1000))));
         long attempts = run.recorder().attempts().stream()
-                .filter(attempt -> attempt.tier() == 0 && attempt.beganMs() >= warmMs)
+                .filter(attempt -> attempt.tier() == 0 && attempt.beganMs() >= warmUpMs)
                 .count();
         return new Verdict(
                 service,
-                whole,
-                worst,
+                overallScore,
+                worstWindowScore,
                 worstClass,
                 worstTenant,
                 waste,
@@ -166,11 +171,11 @@
                 count(clientRequests, end -> end == ClientRequest.End.FAILED || end == ClientRequest.End.UNREACHED),
                 count(clientRequests, end -> end == ClientRequest.End.LOST || end == ClientRequest.End.GIVEN_UP),
                 attempts / (double) Math.max(1, clientRequests.size()),
-                micros.getValueAtPercentile(50) / 1e3,
-                micros.getValueAtPercentile(99) / 1e3,
-                micros.getValueAtPercentile(99.9) / 1e3,
+                latencyMicros.getValueAtPercentile(50) / 1e3,
+                latencyMicros.getValueAtPercentile(99) / 1e3,
+                latencyMicros.getValueAtPercentile(99.9) / 1e3,
                 run.broken().size(),
-                run.broken().stream().limit(MOST_RULES).toList());
+                run.broken().stream().limit(MAX_LISTED_RULES).toList());
     }
 
     private static int count(List<ClientRequest> clientRequests, Predicate<ClientRequest.End> end) {
@@ -179,58 +184,62 @@
                 .count();
     }
 
-    private double worstWindow(List<ClientRequest> clientRequests, double warmMs, double whole) {
+    private double worstWindow(List<ClientRequest> clientRequests, double warmUpMs, double overallScore) {
         double lastMs = clientRequests.isEmpty()
-                ? warmMs
+                ? warmUpMs
                 : clientRequests.get(clientRequests.size() - 1).arrivedMs();
-        double mean = sum(clientRequests, this::worth) * WINDOW_MS / Math.max(WINDOW_MS, lastMs - warmMs);
-        double worst = whole;
-        for (double from = warmMs; from + WINDOW_MS <= lastMs; from += STEP_MS) {
-            double begin = from;
-            List<ClientRequest> in = clientRequests.stream()
+        double meanWindowWeight =
+                sum(clientRequests, this::weight) * WINDOW_MS / Math.max(WINDOW_MS, lastMs - warmUpMs);
+        double worstWindowScore = overallScore;
+        for (double windowStartMs = warmUpMs; windowStartMs + WINDOW_MS <= lastMs; windowStartMs += WINDOW_STEP_MS) {
+            double startMs = windowStartMs;
+            List<ClientRequest> windowRequests = clientRequests.stream()
                     .filter(clientRequest ->
-                            clientRequest.arrivedMs() >= begin && clientRequest.arrivedMs() < begin + WINDOW_MS)
+                            clientRequest.arrivedMs() >= startMs && clientRequest.arrivedMs() < startMs + WINDOW_MS)
                     .toList();
-            if (sum(in, this::worth) >= mean * THIN) {
-                worst = Math.min(worst, share(in));
+            if (sum(windowRequests, this::weight) >= meanWindowWeight * MIN_WINDOW_WEIGHT) {
+                worstWindowScore = Math.min(worstWindowScore, score(windowRequests));
             }
         }
-        return worst;
+        return worstWindowScore;
     }
 
-    private double worstOf(List<ClientRequest> clientRequests, int groups, ToIntFunction<ClientRequest> group) {
-        double worst = 1;
+    private double worstGroup(List<ClientRequest> clientRequests, int groups, ToIntFunction<ClientRequest> group) {
+        double worstScore = 1;
         for (int i = 0; i < groups; i++) {
-            int place = i;
-            worst = Math.min(
-                    worst,
-                    share(clientRequests.stream()
-                            .filter(clientRequest -> group.applyAsInt(clientRequest) == place)
+            int index = i;
+            worstScore = Math.min(
+                    worstScore,
+                    score(clientRequests.stream()
+                            .filter(clientRequest -> group.applyAsInt(clientRequest) == index)
                             .toList()));
         }
-        return groups == 0 ? share(clientRequests) : worst;
+        return groups == 0 ? score(clientRequests) : worstScore;
     }
 
-    /** Work of attempts that were begun and of which no client had anything. */
-    private double wasted(double warmMs) {
+    /**
+     * Returns the work in ms of attempts that were started, but did not contribute to a response that a client
+     * received.
+     */
+    private double wastedWorkMs(double warmUpMs) {
         Set<String> served = new HashSet<>();
         run.requests()
                 .forEach(clientRequest -> clientRequest.tries().stream()
-                        .filter(each -> each.end() == ClientRequest.End.SERVED)
-                        .forEach(each -> served.add(each.id())));
-        double wasted = 0;
+                        .filter(clientAttempt -> clientAttempt.end() == ClientRequest.End.SERVED)
+                        .forEach(clientAttempt -> served.add(clientAttempt.id())));
+        double wastedWorkMs = 0;
         for (AttemptRecorder.Attempt attempt : run.recorder().attempts()) {
-            if (!Double.isNaN(attempt.ranMs()) && attempt.beganMs() >= warmMs && !useful(attempt, served)) {
-                wasted += attempt.workMs();
+            if (!Double.isNaN(attempt.ranMs()) && attempt.beganMs() >= warmUpMs && !isUseful(attempt, served)) {
+                wastedWorkMs += attempt.workMs();
             }
         }
-        return wasted;
+        return wastedWorkMs;
     }
 
-    private static boolean useful(AttemptRecorder.Attempt attempt, Set<String> served) {
+    private static boolean isUseful(AttemptRecorder.Attempt attempt, Set<String> served) {
         if (!attempt.end().equals("served")) {
             return false;
         }
-        return attempt.parent() == null ? served.contains(attempt.request()) : useful(attempt.parent(), served);
+        return attempt.parent() == null ? served.contains(attempt.request()) : isUseful(attempt.parent(), served);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/report/package-info.java
+++ b/lab/src/main/java/lemonrail/lab/report/package-info.java
@@ -1,2 +1,2 @@
-/** Results of a run: tables, charts, scores and comparisons. */
+/** Results of runs: scores, stored raw data, reports, charts and comparisons. */
 package lemonrail.lab.report;
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleResults.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleResults.java
@@ -268,7 +268,7 @@
                 bars.addValue(row.p99Ms(), "p99", name);
                 bars.addValue(row.mostMs(), "most", name);
             });
-            charts.bars("in-force", "From change to in force, hollow sidecars", "ms", bars, false);
+            charts.writeBarChart("in-force", "From change to in force, hollow sidecars", "ms", bars, false);
         }
     }
 
@@ -290,6 +290,6 @@
                         .add(at.applyAsDouble(point), figure.applyAsDouble(point)));
         XYSeriesCollection all = new XYSeriesCollection();
         series.values().forEach(all::addSeries);
-        charts.lines(name, title, x, y, all, false, false);
+        charts.writeLineChart(name, title, x, y, all, false, false);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathReport.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathReport.java
@@ -329,7 +329,7 @@
                     .forEach(row -> line.add(row.rate(), row.cpuUs()));
             cpu.addSeries(line);
         }
-        charts.lines(
+        charts.writeLineChart(
                 "path-cpu",
                 "Processor time for each call, by calls a second",
                 "calls a second",
@@ -346,6 +346,6 @@
             steps(Way.SIDECAR).forEach(row -> line.add(row.step(), row.ms(percentile)));
             chain.addSeries(line);
         }
-        charts.lines("path-chain", "Added by each step of a chain", "step", "ms", chain, false, false);
+        charts.writeLineChart("path-chain", "Added by each step of a chain", "step", "ms", chain, false, false);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scenario/EdgeSettings.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/EdgeSettings.java
@@ -10,30 +10,39 @@
 import lemonrail.config.LoadedConfiguration;
 import lemonrail.core.balancer.BalancerSettings;
 
-/** Keys of the operators' file that a variant gives another value, by the environment that goes before it. */
+/**
+ * Overrides keys of an edge configuration file for a variant. The overrides are passed as environment variables, which
+ * take precedence over the file.
+ */
 public final class EdgeSettings {
 
     private EdgeSettings() {}
 
-    /** The variables for these keys, as in {@code limits.attempts}. */
-    public static Map<String, String> environment(Map<String, String> set) {
+    /** Returns the environment variables that override these keys, for example {@code limits.attempts}. */
+    public static Map<String, String> environment(Map<String, String> overrides) {
         Map<String, String> environment = new LinkedHashMap<>();
-        set.forEach((key, value) -> environment.put(
+        overrides.forEach((key, value) -> environment.put(
                 "LEMONRAIL_" + key.replace('.', '_').replace('-', '_').toUpperCase(Locale.ROOT), value));
         return environment;
     }
 
-    /** What an edge is told then; a key that the file cannot have is an {@link IllegalArgumentException}. */
-    public static BalancerSettings load(Path edge, Map<String, String> set) throws IOException {
-        LoadedConfiguration loaded = ConfigSource.of(edge, environment(set)).load();
-        List<String> taken = loaded.values().stream()
+    /**
+     * Loads an edge configuration file with overrides applied.
+     *
+     * @throws IllegalArgumentException if a key cannot be overridden: it is unknown, or its table may occur more than
+     *     once
+     */
+    public static BalancerSettings load(Path edgeFile, Map<String, String> overrides) throws IOException {
+        LoadedConfiguration loaded =
+                ConfigSource.of(edgeFile, environment(overrides)).load();
+        List<String> overriddenKeys = loaded.values().stream()
                 .filter(value -> value.origin().equals("environment"))
                 .map(LoadedConfiguration.Value::key)
                 .toList();
-        for (String key : set.keySet()) {
-            if (!taken.contains(key)) {
-                throw new IllegalArgumentException(
-                        key + " is no key of a table that " + edge + " has once; see `lemonrail config schema`");
+        for (String key : overrides.keySet()) {
+            if (!overriddenKeys.contains(key)) {
+                throw new IllegalArgumentException(key + " is not a key of a non-repeatable table of " + edgeFile
+                        + "; see `lemonrail config schema`");
             }
         }
         return loaded.config().settings();
--- a/lab/src/main/java/lemonrail/lab/scenario/Scenario.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/Scenario.java
@@ -12,17 +12,23 @@
 import lemonrail.lab.model.Fault;
 
 /**
- * What is played: a site, its load, what goes wrong, and the variants that are compared. Times are ms.
+ * A simulated site with its load and faults, and the variants to compare on it. All times are in milliseconds.
  *
- * @param edge the operators' file that every sidecar starts from; listeners, endpoints, discovery and place
- *     among the sidecars are set by the run
- * @param seeds how many seeds, from 1 on, each variant plays
+ * @param file the scenario file; its name without the extension is {@code name}
+ * @param about a one-sentence description, shown in reports
+ * @param edgeFile the edge configuration file on which every sidecar's configuration is based; the run replaces the
+ *     listeners, endpoints, discovery address and the sidecar's position among its peers
+ * @param seeds the number of seeds to run for each variant, numbered from 1
+ * @param retrying how clients retry
+ * @param tiers the tiers in call order; clients call the first
+ * @param clientLink the link from clients to the sidecars of the first tier
+ * @param endpointLink the link from sidecars to endpoints
  */
 public record Scenario(
         String name,
         Path file,
         String about,
-        Path edge,
+        Path edgeFile,
         int seeds,
         Load load,
         Retrying retrying,
@@ -37,15 +43,15 @@
         List<Fault> faults,
         List<Variant> variants) {
 
-    /** The same with another load. */
-    public Scenario with(Load other) {
+    /** Returns a copy with another load. */
+    public Scenario with(Load replacement) {
         return new Scenario(
                 name,
                 file,
                 about,
-                edge,
+                edgeFile,
                 seeds,
-                other,
+                replacement,
                 retrying,
                 patience,
                 requests,
@@ -59,16 +65,16 @@
                 variants);
     }
 
-    /** The same with another way of trying again. */
-    public Scenario with(Retrying other) {
+    /** Returns a copy with another retry behavior of the clients. */
+    public Scenario with(Retrying replacement) {
         return new Scenario(
                 name,
                 file,
                 about,
-                edge,
+                edgeFile,
                 seeds,
                 load,
-                other,
+                replacement,
                 patience,
                 requests,
                 tenants,
@@ -81,13 +87,13 @@
                 variants);
     }
 
-    /** The same with another row of sidecars. */
-    public Scenario with(Sidecars other) {
+    /** Returns a copy with other sidecars. */
+    public Scenario with(Sidecars replacement) {
         return new Scenario(
                 name,
                 file,
                 about,
-                edge,
+                edgeFile,
                 seeds,
                 load,
                 retrying,
@@ -96,25 +102,25 @@
                 tenants,
                 tiers,
                 discovery,
-                other,
+                replacement,
                 clientLink,
                 endpointLink,
                 faults,
                 variants);
     }
 
-    /** The same with so many endpoints in the first tier. */
-    public Scenario withCount(int count) {
+    /** Returns a copy with {@code count} endpoints in the first tier. */
+    public Scenario withEndpointCount(int count) {
         Tier first = tiers.get(0);
-        List<Tier> other = new ArrayList<>(tiers);
-        other.set(
+        List<Tier> otherTiers = new ArrayList<>(tiers);
+        otherTiers.set(
                 0,
                 new Tier(
                         first.name,
                         count,
                         first.cores,
-                        first.leastSpeed,
-                        first.mostSpeed,
+                        first.minSpeed,
+                        first.maxSpeed,
                         first.slots,
                         first.waitingRoom,
                         first.connections,
@@ -130,14 +136,14 @@
                 name,
                 file,
                 about,
-                edge,
+                edgeFile,
                 seeds,
                 load,
                 retrying,
                 patience,
                 requests,
                 tenants,
-                other,
+                otherTiers,
                 discovery,
                 sidecars,
                 clientLink,
@@ -147,11 +153,14 @@
     }
 
     /**
-     * The load.
+     * The load that the clients generate.
      *
-     * @param rate first tries a second, over all
-     * @param warmUpMs before anything counts
-     * @param connections that the clients may have open at once
+     * @param rate new requests per second over all clients, without client retries
+     * @param lengthMs how long requests arrive, including the warm-up
+     * @param warmUpMs time at the start that is excluded from the results
+     * @param exponentialWork whether the work of a request is drawn from an exponential distribution; otherwise it is
+     *     always the mean
+     * @param connections maximum number of connections that the clients open at the same time
      */
     public record Load(
             double rate,
@@ -161,27 +170,47 @@
             boolean exponentialWork,
             int connections) {}
 
-    /** Which part of its deadline a client waits. */
-    public record Patience(double least, double most) {}
+    /**
+     * How long a client waits for a response, as a fraction of the request's deadline; drawn for each attempt from the
+     * range {@code minFraction} to {@code maxFraction}.
+     */
+    public record Patience(double minFraction, double maxFraction) {}
 
-    /** Requests of one class of the edge: their share of all, and their mean work over all tiers. */
+    /**
+     * The requests of one request class.
+     *
+     * @param className the class's name in the edge configuration
+     * @param share relative weight against the shares of the other classes
+     * @param workMs mean work summed over all tiers, on a core of speed 1
+     */
     public record Requests(String className, double share, double workMs) {}
 
-    /** Who sends requests, and which part of them. */
+    /** A tenant, and the relative weight of its requests against the shares of the other tenants. */
     public record Tenant(String name, double share) {}
 
     /**
-     * One tier.
+     * One tier of equal endpoints.
      *
-     * @param workShare of a request's work that a call costs here
-     * @param calls to the next tier for each request, in the mean
+     * @param count number of endpoints
+     * @param cores number of cores of each endpoint
+     * @param minSpeed lower bound of the core speed drawn for each endpoint; at speed 1, 1 ms of work
+     *     takes a core 1 ms
+     * @param maxSpeed upper bound of the core speed
+     * @param slots number of requests that an endpoint processes at the same time
+     * @param waitingRoom number of requests that may wait for a slot at an endpoint
+     * @param connections maximum number of open connections to an endpoint
+     * @param handshakeMs work that each new connection costs
+     * @param rackWindowMs how long a rack remembers idempotency keys to drop repeated requests
+     * @param workShare fraction of a request's work that one call to this tier costs
+     * @param calls mean number of calls to the next tier for each request
+     * @param startsCold whether all endpoints have just started when the run begins
      */
     public record Tier(
             String name,
             int count,
             int cores,
-            double leastSpeed,
-            double mostSpeed,
+            double minSpeed,
+            double maxSpeed,
             int slots,
             int waitingRoom,
             int connections,
@@ -194,31 +223,44 @@
             Crowding crowding,
             boolean startsCold) {}
 
-    /** How the list of endpoints comes; agents that poll ask once in {@code pollMs}. */
-    public record Discovery(boolean pushes, double pollMs, double leastLagMs, double mostLagMs) {}
+    /**
+     * How discovery agents learn of changes to the endpoint list.
+     *
+     * @param pushes whether the registry pushes changes; otherwise agents poll
+     * @param pollMs poll interval
+     * @param minLagMs minimum delay of a push
+     * @param maxLagMs maximum delay of a push
+     */
+    public record Discovery(boolean pushes, double pollMs, double minLagMs, double maxLagMs) {}
 
-    /** The sidecars of the first tier, and whether each sidecar is a process of its own. */
+    /**
+     * The sidecars.
+     *
+     * @param front number of sidecars in front of the first tier
+     * @param ownProcess whether each sidecar is a separate process instead of part of the lab's process
+     */
     public record Sidecars(int front, boolean ownProcess) {}
 
     /**
-     * What a link does at all times.
+     * The properties that a link has during the entire run, in each direction.
      *
-     * @param bytesPerMs each way, or 0 where there is no bound
-     * @param pieceBytes into which what is sent is cut, or 0
+     * @param jitterMs upper bound of a random delay added to {@code delayMs}
+     * @param bytesPerMs bandwidth, or 0 if unlimited
+     * @param pieceBytes size of the pieces into which data is split, or 0 if it is forwarded as received
      */
     public record Link(double delayMs, double jitterMs, double bytesPerMs, int pieceBytes) {
-        /** Whether it does anything. */
-        public boolean isPlain() {
+        /** Returns whether the link forwards data unchanged and without delay. */
+        public boolean isPassThrough() {
             return delayMs == 0 && jitterMs == 0 && bytesPerMs == 0 && pieceBytes == 0;
         }
     }
 
     /**
-     * One of those that are compared.
+     * One of the variants to compare.
      *
-     * @param decider of sidecars inside; processes have their build's own
-     * @param set keys of the edge's file that have another value, as in {@code limits.attempts = 2}
-     * @param jar another build of the edge, or null
+     * @param decider the load balancer of sidecars in the lab's process; separate processes use the one of their build
+     * @param overrides values that replace keys of the edge configuration file, for example {@code limits.attempts = 2}
+     * @param jar another build of the edge, or null for the default build
      */
-    public record Variant(String name, LoadBalancerFactory decider, Map<String, String> set, Path jar) {}
+    public record Variant(String name, LoadBalancerFactory decider, Map<String, String> overrides, Path jar) {}
 }
