--- a/lab/src/main/java/lemonrail/lab/scenario/ScenarioFile.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/ScenarioFile.java
@@ -28,140 +28,182 @@
 import lemonrail.lab.model.EndpointShape.Warming;
 import lemonrail.lab.model.Fault;
 
-/** Reads a scenario; all that is wrong with it is named by file, line, key and value. */
+/** Reads scenario files. Reports all problems of a file together, each with file, line, key and value. */
 public final class ScenarioFile {
 
     private static final double HOUR_MS = 3_600_000;
-    private static final int MOST_TIERS = 3;
-    private static final int MANY = 1_000_000;
-    private static final String SETTINGS = "[a-z][a-z.-]*=[^ ]+( [a-z][a-z.-]*=[^ ]+)*";
+    private static final int MAX_TIERS = 3;
+    private static final int MAX_COUNT = 1_000_000;
+    private static final String SETTINGS_PATTERN = "[a-z][a-z.-]*=[^ ]+( [a-z][a-z.-]*=[^ ]+)*";
 
-    private static final ConfigKey<String> ABOUT =
-            ConfigKey.required("about", ValueType.text(".{1,400}", "a sentence"), "what is played, for reports");
+    private static final ConfigKey<String> ABOUT = ConfigKey.required(
+            "about", ValueType.text(".{1,400}", "a sentence"), "one-sentence description, shown in reports");
     private static final ConfigKey<String> EDGE = ConfigKey.optional(
             "edge",
-            ValueType.text(".{1,4096}", "the path of a file, from the scenario's folder"),
+            ValueType.text(".{1,4096}", "a file path, relative to the scenario's directory"),
             "\"edge.toml\"",
-            "the operators' file that every sidecar starts from");
+            "edge configuration file on which every sidecar's configuration is based");
     private static final ConfigKey<Integer> SEEDS =
-            ConfigKey.optional("seeds", ValueType.whole(1, 1000), "1", "how many seeds each variant plays");
+            ConfigKey.optional("seeds", ValueType.whole(1, 1000), "1", "number of seeds to run for each variant");
     private static final ConfigTable ROOT = new ConfigTable("", 0, "", List.of(ABOUT, EDGE, SEEDS));
 
-    private static final ConfigKey<Double> RATE =
-            ConfigKey.required("rate", ValueType.number(0.01, 1e6), "first tries a second, over all clients");
-    private static final ConfigKey<Double> LENGTH =
-            ConfigKey.required("length", ValueType.duration(100, HOUR_MS), "for how long requests come");
-    private static final ConfigKey<Double> WARM_UP =
-            ConfigKey.optional("warm-up", ValueType.duration(0, HOUR_MS), "\"2s\"", "before anything counts");
-    private static final ConfigKey<Arrivals.Spacing> SPACING = ConfigKey.optional(
+    private static final ConfigKey<Double> RATE = ConfigKey.required(
+            "rate", ValueType.number(0.01, 1e6), "new requests per second over all clients, without client retries");
+    private static final ConfigKey<Double> LOAD_LENGTH = ConfigKey.required(
+            "length", ValueType.duration(100, HOUR_MS), "how long requests arrive, including the warm-up");
+    private static final ConfigKey<Double> WARM_UP = ConfigKey.optional(
+            "warm-up", ValueType.duration(0, HOUR_MS), "\"2s\"", "time at the start that is excluded from the results");
+    private static final ConfigKey<Arrivals.Spacing> ARRIVAL_SPACING = ConfigKey.optional(
             "arrivals",
             ValueType.choice(Arrivals.Spacing.class, "poisson", "even"),
             "\"poisson\"",
-            "how requests follow");
-    private static final ConfigKey<Boolean> EXPONENTIAL = ConfigKey.optional(
+            "distribution of the times between requests");
+    private static final ConfigKey<Boolean> EXPONENTIAL_WORK = ConfigKey.optional(
             "exponential-work",
             ValueType.flag(),
             "true",
-            "whether work is drawn from an exponential distribution, or is always the mean");
-    private static final ConfigKey<Integer> CLIENT_CONNECTIONS =
-            ConfigKey.optional("connections", ValueType.whole(1, 20_000), "1000", "that clients may have open at once");
-    private static final ConfigTable LOAD =
-            new ConfigTable("load", 0, "", List.of(RATE, LENGTH, WARM_UP, SPACING, EXPONENTIAL, CLIENT_CONNECTIONS));
-
-    private static final ConfigKey<Integer> RETRIES =
-            ConfigKey.optional("retries", ValueType.whole(0, 100), "1", "tries beyond the first");
-    private static final ConfigKey<Double> WAIT =
-            ConfigKey.optional("wait", ValueType.duration(0, HOUR_MS), "\"300ms\"", "before the first repeat");
-    private static final ConfigKey<Double> GROWTH = ConfigKey.optional(
-            "growth", ValueType.number(1, 100), "1.0", "each later wait is so many times the one before");
-    private static final ConfigKey<Boolean> HEEDS = ConfigKey.optional(
-            "heeds-retry-after", ValueType.flag(), "true", "whether Retry-After goes before the client's own wait");
-    private static final ConfigKey<Double> LEAST_PATIENCE = ConfigKey.optional(
-            "least-patience", ValueType.number(0.01, 1), "0.7", "part of its deadline that a client waits at least");
-    private static final ConfigKey<Double> MOST_PATIENCE = ConfigKey.optional(
-            "most-patience", ValueType.number(0.01, 1), "1.0", "part of its deadline that a client waits at most");
-    private static final ConfigTable CLIENTS =
-            new ConfigTable("clients", 0, "", List.of(RETRIES, WAIT, GROWTH, HEEDS, LEAST_PATIENCE, MOST_PATIENCE));
-
-    private static final ConfigKey<String> CLASS = ConfigKey.required("class", ValueType.word(), "a class of the edge");
-    private static final ConfigKey<Double> SHARE =
-            ConfigKey.required("share", ValueType.number(0, 1e6), "its part of all, against the other shares");
-    private static final ConfigKey<Double> WORK = ConfigKey.required(
-            "work", ValueType.duration(0, HOUR_MS), "mean work over all tiers, on a core of speed 1");
-    private static final ConfigTable REQUESTS = new ConfigTable("requests", 64, "", List.of(CLASS, SHARE, WORK));
-
-    private static final ConfigKey<String> TENANT =
-            ConfigKey.required("name", ValueType.word(), "a tenant of the edge");
-    private static final ConfigTable TENANTS = new ConfigTable("tenants", 1000, "", List.of(TENANT, SHARE));
+            "whether work is drawn from an exponential distribution; otherwise it is always the mean");
+    private static final ConfigKey<Integer> CLIENT_CONNECTIONS = ConfigKey.optional(
+            "connections",
+            ValueType.whole(1, 20_000),
+            "1000",
+            "maximum number of connections that clients open at the same time");
+    private static final ConfigTable LOAD = new ConfigTable(
+            "load", 0, "", List.of(RATE, LOAD_LENGTH, WARM_UP, ARRIVAL_SPACING, EXPONENTIAL_WORK, CLIENT_CONNECTIONS));
+
+    private static final ConfigKey<Integer> RETRIES = ConfigKey.optional(
+            "retries", ValueType.whole(0, 100), "1", "maximum number of retries of a request by its client");
+    private static final ConfigKey<Double> RETRY_WAIT =
+            ConfigKey.optional("wait", ValueType.duration(0, HOUR_MS), "\"300ms\"", "wait before the first retry");
+    private static final ConfigKey<Double> WAIT_GROWTH = ConfigKey.optional(
+            "growth",
+            ValueType.number(1, 100),
+            "1.0",
+            "factor by which each further wait is longer than the previous one");
+    private static final ConfigKey<Boolean> HEEDS_RETRY_AFTER = ConfigKey.optional(
+            "heeds-retry-after",
+            ValueType.flag(),
+            "true",
+            "whether Retry-After of a response replaces the client's own wait");
+    private static final ConfigKey<Double> MIN_PATIENCE = ConfigKey.optional(
+            "least-patience",
+            ValueType.number(0.01, 1),
+            "0.7",
+            "minimum fraction of the deadline that a client waits for a response");
+    private static final ConfigKey<Double> MAX_PATIENCE = ConfigKey.optional(
+            "most-patience",
+            ValueType.number(0.01, 1),
+            "1.0",
+            "maximum fraction of the deadline that a client waits for a response");
+    private static final ConfigTable CLIENTS = new ConfigTable(
+            "clients", 0, "", List.of(RETRIES, RETRY_WAIT, WAIT_GROWTH, HEEDS_RETRY_AFTER, MIN_PATIENCE, MAX_PATIENCE));
 
-    private static final ConfigKey<String> TIER = ConfigKey.required("name", ValueType.word(), "its name");
-    private static final ConfigKey<Integer> COUNT = ConfigKey.required("count", ValueType.whole(1, 5000), "endpoints");
+    private static final ConfigKey<String> CLASS_NAME =
+            ConfigKey.required("class", ValueType.word(), "name of a request class in the edge configuration");
+    private static final ConfigKey<Double> SHARE =
+            ConfigKey.required("share", ValueType.number(0, 1e6), "relative weight against the other shares");
+    private static final ConfigKey<Double> MEAN_WORK = ConfigKey.required(
+            "work", ValueType.duration(0, HOUR_MS), "mean work summed over all tiers, on a core of speed 1");
+    private static final ConfigTable REQUESTS =
+            new ConfigTable("requests", 64, "", List.of(CLASS_NAME, SHARE, MEAN_WORK));
+
+    private static final ConfigKey<String> TENANT_NAME =
+            ConfigKey.required("name", ValueType.word(), "name of a tenant in the edge configuration");
+    private static final ConfigTable TENANTS = new ConfigTable("tenants", 1000, "", List.of(TENANT_NAME, SHARE));
+
+    private static final ConfigKey<String> TIER_NAME = ConfigKey.required("name", ValueType.word(), "name of the tier");
+    private static final ConfigKey<Integer> ENDPOINT_COUNT =
+            ConfigKey.required("count", ValueType.whole(1, 5000), "number of endpoints");
     private static final ConfigKey<Integer> CORES =
-            ConfigKey.optional("cores", ValueType.whole(1, 1024), "1", "of each endpoint");
-    private static final ConfigKey<Double> LEAST_SPEED =
-            ConfigKey.optional("least-speed", ValueType.number(0.001, 1e6), "1.0", "of the slowest endpoint's cores");
-    private static final ConfigKey<Double> MOST_SPEED =
-            ConfigKey.optional("most-speed", ValueType.number(0.001, 1e6), "1.0", "of the fastest endpoint's cores");
-    private static final ConfigKey<Integer> SLOTS =
-            ConfigKey.optional("slots", ValueType.whole(1, MANY), "8", "requests in work at once");
-    private static final ConfigKey<Integer> ROOM =
-            ConfigKey.optional("waiting-room", ValueType.whole(0, MANY), "16", "requests that may wait for a slot");
-    private static final ConfigKey<Integer> CONNECTIONS =
-            ConfigKey.optional("connections", ValueType.whole(1, MANY), "64", "open at once at an endpoint");
+            ConfigKey.optional("cores", ValueType.whole(1, 1024), "1", "number of cores of each endpoint");
+    private static final ConfigKey<Double> MIN_SPEED = ConfigKey.optional(
+            "least-speed", ValueType.number(0.001, 1e6), "1.0", "lower bound of the speed of an endpoint's cores");
+    private static final ConfigKey<Double> MAX_SPEED = ConfigKey.optional(
+            "most-speed", ValueType.number(0.001, 1e6), "1.0", "upper bound of the speed of an endpoint's cores");
+    private static final ConfigKey<Integer> SLOTS = ConfigKey.optional(
+            "slots",
+            ValueType.whole(1, MAX_COUNT),
+            "8",
+            "number of requests that an endpoint processes at the same time");
+    private static final ConfigKey<Integer> WAITING_ROOM = ConfigKey.optional(
+            "waiting-room", ValueType.whole(0, MAX_COUNT), "16", "number of requests that may wait for a slot");
+    private static final ConfigKey<Integer> ENDPOINT_CONNECTIONS = ConfigKey.optional(
+            "connections", ValueType.whole(1, MAX_COUNT), "64", "maximum number of open connections to an endpoint");
     private static final ConfigKey<Double> HANDSHAKE = ConfigKey.optional(
             "handshake", ValueType.duration(0, 10_000), "\"2ms\"", "work that a new connection costs");
-    private static final ConfigKey<Integer> RACKS =
-            ConfigKey.optional("racks", ValueType.whole(1, 1000), "2", "among which the endpoints are dealt out");
+    private static final ConfigKey<Integer> RACKS = ConfigKey.optional(
+            "racks", ValueType.whole(1, 1000), "2", "number of racks over which the endpoints are distributed");
     private static final ConfigKey<Double> RACK_WINDOW = ConfigKey.optional(
-            "rack-window", ValueType.duration(0, HOUR_MS), "\"10s\"", "for how long a rack drops repeats");
+            "rack-window",
+            ValueType.duration(0, HOUR_MS),
+            "\"10s\"",
+            "how long a rack remembers idempotency keys to drop repeated requests");
     private static final ConfigKey<Double> WORK_SHARE = ConfigKey.optional(
-            "work-share", ValueType.number(0, 1), "1.0", "part of a request's work that a call costs here");
+            "work-share",
+            ValueType.number(0, 1),
+            "1.0",
+            "fraction of a request's work that one call to this tier costs");
     private static final ConfigKey<Double> CALLS = ConfigKey.optional(
-            "calls", ValueType.number(0, 16), "0.0", "to the next tier for each request, in the mean");
+            "calls", ValueType.number(0, 16), "0.0", "mean number of calls to the next tier for each request");
     private static final ConfigKey<Double> COLD_SHARE = ConfigKey.optional(
             "cold-share",
             ValueType.number(0.01, 1),
             "1.0",
-            "of its capacity that an endpoint has just after its start");
-    private static final ConfigKey<Double> COLD_TIME =
-            ConfigKey.optional("cold-time", ValueType.duration(0, HOUR_MS), "\"0s\"", "until it has all");
+            "fraction of its capacity that an endpoint has right after its start");
+    private static final ConfigKey<Double> COLD_TIME = ConfigKey.optional(
+            "cold-time",
+            ValueType.duration(0, HOUR_MS),
+            "\"0s\"",
+            "time from the start of an endpoint until it has its full capacity");
     private static final ConfigKey<Warming> WARMS_BY = ConfigKey.optional(
-            "warms-by", ValueType.choice(Warming.class, "time", "work"), "\"time\"", "with what it warms");
-    private static final ConfigKey<Double> TIP = ConfigKey.optional(
+            "warms-by",
+            ValueType.choice(Warming.class, "time", "work"),
+            "\"time\"",
+            "whether an endpoint warms up with time or with the work it has done");
+    private static final ConfigKey<Double> TIP_MULTIPLE = ConfigKey.optional(
             "tip-multiple",
             ValueType.number(1, 1e6),
             null,
-            "times its capacity that a cold endpoint bears; it never falls over if not given");
-    private static final ConfigKey<Double> TIP_WINDOW =
-            ConfigKey.optional("tip-window", ValueType.duration(1, HOUR_MS), "\"3s\"", "over which that is counted");
-    private static final ConfigKey<Double> CROWD = ConfigKey.optional(
+            "load, as a multiple of its capacity, beyond which a cold endpoint crashes; it never crashes if not given");
+    private static final ConfigKey<Double> TIP_WINDOW = ConfigKey.optional(
+            "tip-window", ValueType.duration(1, HOUR_MS), "\"3s\"", "window over which that load is counted");
+    private static final ConfigKey<Double> CROWDED_AT = ConfigKey.optional(
             "crowded-at",
-            ValueType.number(1, MANY),
+            ValueType.number(1, MAX_COUNT),
             null,
-            "requests held a core, beyond which an endpoint turns slow; never if not given");
-    private static final ConfigKey<Double> CROWD_AFTER =
-            ConfigKey.optional("crowded-after", ValueType.duration(0, HOUR_MS), "\"2s\"", "for how long it must be so");
-    private static final ConfigKey<Double> CROWD_FACTOR =
-            ConfigKey.optional("crowded-factor", ValueType.number(1, 1000), "2.5", "so many times slower");
-    private static final ConfigKey<Double> CROWD_CALM = ConfigKey.optional(
-            "crowded-calm", ValueType.duration(0, HOUR_MS), "\"3.5s\"", "of being mostly idle, after which it is over");
-    private static final ConfigKey<Double> CROWD_MOST = ConfigKey.optional(
-            "crowded-most", ValueType.duration(0, HOUR_MS), "\"25s\"", "after which it is over in any case");
+            "requests in progress or queued per core beyond which an endpoint slows down; never if not given");
+    private static final ConfigKey<Double> CROWDED_AFTER = ConfigKey.optional(
+            "crowded-after",
+            ValueType.duration(0, HOUR_MS),
+            "\"2s\"",
+            "how long an endpoint must be crowded before it slows down");
+    private static final ConfigKey<Double> CROWDED_FACTOR = ConfigKey.optional(
+            "crowded-factor", ValueType.number(1, 1000), "2.5", "factor by which a crowded endpoint is slower");
+    private static final ConfigKey<Double> CROWDED_CALM = ConfigKey.optional(
+            "crowded-calm",
+            ValueType.duration(0, HOUR_MS),
+            "\"3.5s\"",
+            "how long an endpoint must be mostly idle before it is fast again");
+    private static final ConfigKey<Double> CROWDED_MAX = ConfigKey.optional(
+            "crowded-most",
+            ValueType.duration(0, HOUR_MS),
+            "\"25s\"",
+            "time after which an endpoint is fast again in any case");
     private static final ConfigKey<Boolean> STARTS_COLD = ConfigKey.optional(
-            "starts-cold", ValueType.flag(), "false", "whether all have just started when the run begins");
+            "starts-cold", ValueType.flag(), "false", "whether all endpoints have just started when the run begins");
     private static final ConfigTable TIERS = new ConfigTable(
             "tiers",
-            MOST_TIERS,
+            MAX_TIERS,
             "",
             List.of(
-                    TIER,
-                    COUNT,
+                    TIER_NAME,
+                    ENDPOINT_COUNT,
                     CORES,
-                    LEAST_SPEED,
-                    MOST_SPEED,
+                    MIN_SPEED,
+                    MAX_SPEED,
                     SLOTS,
-                    ROOM,
-                    CONNECTIONS,
+                    WAITING_ROOM,
+                    ENDPOINT_CONNECTIONS,
                     HANDSHAKE,
                     RACKS,
                     RACK_WINDOW,
@@ -170,146 +212,168 @@
                     COLD_SHARE,
                     COLD_TIME,
                     WARMS_BY,
-                    TIP,
+                    TIP_MULTIPLE,
                     TIP_WINDOW,
-                    CROWD,
-                    CROWD_AFTER,
-                    CROWD_FACTOR,
-                    CROWD_CALM,
-                    CROWD_MOST,
+                    CROWDED_AT,
+                    CROWDED_AFTER,
+                    CROWDED_FACTOR,
+                    CROWDED_CALM,
+                    CROWDED_MAX,
                     STARTS_COLD));
 
-    private enum Telling {
+    private enum UpdateMode {
         PUSH,
         POLL
     }
 
-    private static final ConfigKey<Telling> TELLING = ConfigKey.optional(
-            "kind", ValueType.choice(Telling.class, "push", "poll"), "\"push\"", "how agents learn of changes");
-    private static final ConfigKey<Double> POLL =
-            ConfigKey.optional("poll-every", ValueType.duration(10, HOUR_MS), "\"5s\"", "where they poll");
-    private static final ConfigKey<Double> LEAST_LAG =
-            ConfigKey.optional("least-lag", ValueType.duration(0, HOUR_MS), "\"1s\"", "of a push, at least");
-    private static final ConfigKey<Double> MOST_LAG =
-            ConfigKey.optional("most-lag", ValueType.duration(0, HOUR_MS), "\"3s\"", "of a push, at most");
+    private static final ConfigKey<UpdateMode> UPDATE_MODE = ConfigKey.optional(
+            "kind", ValueType.choice(UpdateMode.class, "push", "poll"), "\"push\"", "how agents learn of changes");
+    private static final ConfigKey<Double> POLL_INTERVAL = ConfigKey.optional(
+            "poll-every", ValueType.duration(10, HOUR_MS), "\"5s\"", "poll interval, if kind is poll");
+    private static final ConfigKey<Double> MIN_PUSH_LAG =
+            ConfigKey.optional("least-lag", ValueType.duration(0, HOUR_MS), "\"1s\"", "minimum delay of a push");
+    private static final ConfigKey<Double> MAX_PUSH_LAG =
+            ConfigKey.optional("most-lag", ValueType.duration(0, HOUR_MS), "\"3s\"", "maximum delay of a push");
     private static final ConfigTable DISCOVERY =
-            new ConfigTable("discovery", 0, "", List.of(TELLING, POLL, LEAST_LAG, MOST_LAG));
+            new ConfigTable("discovery", 0, "", List.of(UPDATE_MODE, POLL_INTERVAL, MIN_PUSH_LAG, MAX_PUSH_LAG));
 
-    private enum Place {
+    private enum SidecarPlacement {
         INSIDE,
         PROCESS
     }
 
-    private static final ConfigKey<Integer> FRONT =
-            ConfigKey.optional("front", ValueType.whole(1, 32), "1", "sidecars among which clients are dealt out");
-    private static final ConfigKey<Place> PLACE = ConfigKey.optional(
+    private static final ConfigKey<Integer> FRONT_SIDECARS = ConfigKey.optional(
+            "front",
+            ValueType.whole(1, 32),
+            "1",
+            "number of sidecars in front of the first tier, over which client requests are distributed");
+    private static final ConfigKey<SidecarPlacement> SIDECAR_PLACEMENT = ConfigKey.optional(
             "run",
-            ValueType.choice(Place.class, "inside", "process"),
+            ValueType.choice(SidecarPlacement.class, "inside", "process"),
             "\"inside\"",
-            "each in the lab's process, or in one of its own");
-    private static final ConfigTable SIDECARS = new ConfigTable("sidecars", 0, "", List.of(FRONT, PLACE));
+            "whether sidecars run in the lab's process or each in a separate process");
+    private static final ConfigTable SIDECARS =
+            new ConfigTable("sidecars", 0, "", List.of(FRONT_SIDECARS, SIDECAR_PLACEMENT));
 
     private static final ConfigKey<Double> LINK_DELAY =
-            ConfigKey.optional("delay", ValueType.duration(0, 60_000), "\"0ms\"", "each way");
-    private static final ConfigKey<Double> JITTER =
-            ConfigKey.optional("jitter", ValueType.duration(0, 60_000), "\"0ms\"", "added at random, up to this");
-    private static final ConfigKey<Double> BANDWIDTH = ConfigKey.optional(
-            "kilobytes-per-second", ValueType.number(0.1, 1e7), null, "each way; unbounded if not given");
-    private static final ConfigKey<Integer> PIECES = ConfigKey.optional(
+            ConfigKey.optional("delay", ValueType.duration(0, 60_000), "\"0ms\"", "delay in each direction");
+    private static final ConfigKey<Double> LINK_JITTER = ConfigKey.optional(
+            "jitter", ValueType.duration(0, 60_000), "\"0ms\"", "upper bound of the random delay that is added");
+    private static final ConfigKey<Double> LINK_BANDWIDTH = ConfigKey.optional(
+            "kilobytes-per-second",
+            ValueType.number(0.1, 1e7),
+            null,
+            "bandwidth in each direction; unlimited if not given");
+    private static final ConfigKey<Integer> LINK_PIECE_BYTES = ConfigKey.optional(
             "pieces",
             ValueType.whole(1, 1 << 20),
             null,
-            "bytes into which all that is sent is cut; as it comes if not given");
+            "size in bytes of the pieces into which data is split; not split if not given");
     private static final ConfigTable CLIENT_LINK =
-            new ConfigTable("client-links", 0, "", List.of(LINK_DELAY, JITTER, BANDWIDTH, PIECES));
+            new ConfigTable("client-links", 0, "", List.of(LINK_DELAY, LINK_JITTER, LINK_BANDWIDTH, LINK_PIECE_BYTES));
     private static final ConfigTable ENDPOINT_LINK = new ConfigTable("endpoint-links", 0, "", CLIENT_LINK.keys());
 
-    private static final ConfigKey<Fault.Kind> KIND = ConfigKey.required(
+    private static final ConfigKey<Fault.Kind> FAULT_KIND = ConfigKey.required(
             "kind",
             ValueType.choice(
                     Fault.Kind.class,
-                    Arrays.stream(Fault.Kind.values()).map(ScenarioFile::word).toArray(String[]::new)),
-            "what goes wrong");
+                    Arrays.stream(Fault.Kind.values())
+                            .map(ScenarioFile::keyword)
+                            .toArray(String[]::new)),
+            "kind of the fault");
     private static final ConfigKey<Integer> FAULT_TIER = ConfigKey.optional(
-            "tier", ValueType.whole(1, MOST_TIERS), "1", "whose endpoints or links it befalls, counted from 1");
-    private static final ConfigKey<Double> BEGIN =
-            ConfigKey.required("begin", ValueType.duration(0, HOUR_MS), "from the beginning of the load");
-    private static final ConfigKey<Double> FAULT_LENGTH =
-            ConfigKey.required("length", ValueType.duration(0, HOUR_MS), "for how long; it may outlast the run");
-    private static final ConfigKey<Double> PART = ConfigKey.optional(
-            "share", ValueType.number(0, 1), "0.1", "of the tier's endpoints, at least one; 0 for all of one rack");
-    private static final ConfigKey<Double> SIZE =
-            ConfigKey.optional("size", ValueType.number(0, 1e6), "1.0", "as the kind has it");
-    private static final ConfigTable FAULTS =
-            new ConfigTable("faults", 100, "", List.of(KIND, FAULT_TIER, BEGIN, FAULT_LENGTH, PART, SIZE));
-
-    private static final ConfigKey<String> VARIANT = ConfigKey.required("name", ValueType.word(), "its name");
+            "tier",
+            ValueType.whole(1, MAX_TIERS),
+            "1",
+            "number, from 1, of the tier whose endpoints or links are affected");
+    private static final ConfigKey<Double> FAULT_BEGIN = ConfigKey.required(
+            "begin", ValueType.duration(0, HOUR_MS), "start of the fault, measured from the start of the load");
+    private static final ConfigKey<Double> FAULT_LENGTH = ConfigKey.required(
+            "length",
+            ValueType.duration(0, HOUR_MS),
+            "duration of the fault, which may extend beyond the end of the run");
+    private static final ConfigKey<Double> FAULT_SHARE = ConfigKey.optional(
+            "share",
+            ValueType.number(0, 1),
+            "0.1",
+            "fraction of the tier's endpoints that is affected, at least one; 0 for all endpoints of one rack");
+    private static final ConfigKey<Double> FAULT_SIZE = ConfigKey.optional(
+            "size", ValueType.number(0, 1e6), "1.0", "size of the fault; its meaning depends on the kind");
+    private static final ConfigTable FAULTS = new ConfigTable(
+            "faults", 100, "", List.of(FAULT_KIND, FAULT_TIER, FAULT_BEGIN, FAULT_LENGTH, FAULT_SHARE, FAULT_SIZE));
+
+    private static final ConfigKey<String> VARIANT_NAME =
+            ConfigKey.required("name", ValueType.word(), "name of the variant");
     private static final ConfigKey<Deciders> DECIDER = ConfigKey.optional(
             "decider",
             ValueType.choice(
                     Deciders.class,
                     Arrays.stream(Deciders.values()).map(Deciders::word).toArray(String[]::new)),
             "\"boxcar\"",
-            "who chooses; others than boxcar only where sidecars run inside");
-    private static final ConfigKey<String> SET = ConfigKey.optional(
+            "load balancer; must be boxcar if sidecars run in separate processes");
+    private static final ConfigKey<String> SETTING_OVERRIDES = ConfigKey.optional(
             "set",
-            ValueType.text(SETTINGS, "settings of the edge, as in \"limits.attempts=2 drain.grace=1s\""),
+            ValueType.text(SETTINGS_PATTERN, "settings of the edge, for example \"limits.attempts=2 drain.grace=1s\""),
             null,
-            "keys of the edge's file that have another value");
+            "values that replace keys of the edge configuration file");
     private static final ConfigKey<String> JAR = ConfigKey.optional(
             "jar",
-            ValueType.text(".{1,4096}", "the path of a file, from the scenario's folder"),
+            ValueType.text(".{1,4096}", "a file path, relative to the scenario's directory"),
             null,
-            "another build of the edge; only where sidecars are processes");
+            "another build of the edge; only if sidecars run in separate processes");
     private static final ConfigTable VARIANTS =
-            new ConfigTable("variants", 32, "", List.of(VARIANT, DECIDER, SET, JAR));
+            new ConfigTable("variants", 32, "", List.of(VARIANT_NAME, DECIDER, SETTING_OVERRIDES, JAR));
 
     private static final List<ConfigTable> TABLES = List.of(
             LOAD, CLIENTS, REQUESTS, TENANTS, TIERS, DISCOVERY, SIDECARS, CLIENT_LINK, ENDPOINT_LINK, FAULTS, VARIANTS);
 
     private ScenarioFile() {}
 
-    private static String word(Enum<?> value) {
+    private static String keyword(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Reads a scenario; a {@link lemonrail.config.ConfigException} names all that is wrong. */
+    /**
+     * Reads a scenario file.
+     *
+     * @throws lemonrail.config.ConfigException with all problems of the file, if it has any
+     */
     public static Scenario read(Path file) throws IOException {
         TomlDocument document = TomlDocument.read(file, Map.of());
-        TableReader top = document.root(ROOT, TABLES);
-        String about = top.get(ABOUT);
+        TableReader root = document.root(ROOT, TABLES);
+        String about = root.get(ABOUT);
         Path folder = file.toAbsolutePath().getParent();
-        String edgeName = top.get(EDGE);
-        Path edge = edgeName == null ? null : folder.resolve(edgeName).normalize();
-        BalancerSettings known = null;
-        if (edge != null && !Files.isRegularFile(edge)) {
-            document.addProblem("edge", '"' + edgeName + '"', "there is no such file");
-        } else if (edge != null) {
-            known = EdgeSettings.load(edge, Map.of());
+        String edgeName = root.get(EDGE);
+        Path edgeFile = edgeName == null ? null : folder.resolve(edgeName).normalize();
+        BalancerSettings edgeSettings = null;
+        if (edgeFile != null && !Files.isRegularFile(edgeFile)) {
+            document.addProblem("edge", '"' + edgeName + '"', "file does not exist");
+        } else if (edgeFile != null) {
+            edgeSettings = EdgeSettings.load(edgeFile, Map.of());
         }
-        Integer seeds = top.get(SEEDS);
+        Integer seeds = root.get(SEEDS);
         Supplier<Scenario.Load> load = load(document.table(LOAD));
         TableReader clients = document.table(CLIENTS);
         Supplier<Retrying> retrying = retrying(clients);
         Supplier<Scenario.Patience> patience = patience(clients);
-        List<Scenario.Requests> requests = requests(document, known);
-        List<Scenario.Tenant> tenants = tenants(document, known);
+        List<Scenario.Requests> requests = requests(document, edgeSettings);
+        List<Scenario.Tenant> tenants = tenants(document, edgeSettings);
         List<Scenario.Tier> tiers = tiers(document);
         Supplier<Scenario.Discovery> discovery = discovery(document.table(DISCOVERY));
         TableReader sidecars = document.table(SIDECARS);
-        Integer front = sidecars.get(FRONT);
-        Place place = sidecars.get(PLACE);
+        Integer front = sidecars.get(FRONT_SIDECARS);
+        SidecarPlacement placement = sidecars.get(SIDECAR_PLACEMENT);
         Scenario.Link clientLink = link(document.table(CLIENT_LINK));
         Scenario.Link endpointLink = link(document.table(ENDPOINT_LINK));
         List<Fault> faults = faults(document, tiers.size());
-        List<Scenario.Variant> variants =
-                variants(document, folder, place == Place.PROCESS, known == null ? null : edge);
+        List<Scenario.Variant> variants = variants(
+                document, folder, placement == SidecarPlacement.PROCESS, edgeSettings == null ? null : edgeFile);
         document.throwIfInvalid();
         return new Scenario(
                 file.getFileName().toString().replaceFirst("\\.toml$", ""),
                 file,
                 about,
-                edge,
+                edgeFile,
                 seeds,
                 load.get(),
                 retrying.get(),
@@ -318,133 +382,134 @@
                 tenants,
                 tiers,
                 discovery.get(),
-                new Scenario.Sidecars(front, place == Place.PROCESS),
+                new Scenario.Sidecars(front, placement == SidecarPlacement.PROCESS),
                 clientLink,
                 endpointLink,
                 faults,
                 variants);
     }
 
-    // Each table is read at once, so that every problem is named; its values are only complete after the check.
+    // Every table is read before the check so that all problems are reported together. Until the check has passed,
+    // values may be null, so the readers return suppliers.
 
     private static Supplier<Retrying> retrying(TableReader clients) {
         Integer retries = clients.get(RETRIES);
-        Double wait = clients.get(WAIT);
-        Double growth = clients.get(GROWTH);
-        Boolean heeds = clients.get(HEEDS);
-        return () -> new Retrying(retries, wait, growth, heeds);
+        Double waitMs = clients.get(RETRY_WAIT);
+        Double growth = clients.get(WAIT_GROWTH);
+        Boolean heedsRetryAfter = clients.get(HEEDS_RETRY_AFTER);
+        return () -> new Retrying(retries, waitMs, growth, heedsRetryAfter);
     }
 
     private static Supplier<Scenario.Load> load(TableReader table) {
         Double rate = table.get(RATE);
-        Double length = table.get(LENGTH);
-        Double warmUp = table.get(WARM_UP);
-        Arrivals.Spacing spacing = table.get(SPACING);
-        Boolean exponential = table.get(EXPONENTIAL);
+        Double lengthMs = table.get(LOAD_LENGTH);
+        Double warmUpMs = table.get(WARM_UP);
+        Arrivals.Spacing spacing = table.get(ARRIVAL_SPACING);
+        Boolean exponentialWork = table.get(EXPONENTIAL_WORK);
         Integer connections = table.get(CLIENT_CONNECTIONS);
-        if (length != null && warmUp != null && warmUp >= length) {
+        if (lengthMs != null && warmUpMs != null && warmUpMs >= lengthMs) {
             table.addProblem(WARM_UP, "must be below load.length");
         }
-        return () -> new Scenario.Load(rate, length, warmUp, spacing, exponential, connections);
+        return () -> new Scenario.Load(rate, lengthMs, warmUpMs, spacing, exponentialWork, connections);
     }
 
     private static Supplier<Scenario.Patience> patience(TableReader clients) {
-        Double least = clients.get(LEAST_PATIENCE);
-        Double most = clients.get(MOST_PATIENCE);
-        ordered(clients, LEAST_PATIENCE, least, most);
-        return () -> new Scenario.Patience(least, most);
+        Double minFraction = clients.get(MIN_PATIENCE);
+        Double maxFraction = clients.get(MAX_PATIENCE);
+        requireOrdered(clients, MIN_PATIENCE, minFraction, maxFraction);
+        return () -> new Scenario.Patience(minFraction, maxFraction);
     }
 
     private static Supplier<Scenario.Discovery> discovery(TableReader table) {
-        Telling telling = table.get(TELLING);
-        Double poll = table.get(POLL);
-        Double leastLag = table.get(LEAST_LAG);
-        Double mostLag = table.get(MOST_LAG);
-        ordered(table, LEAST_LAG, leastLag, mostLag);
-        return () -> new Scenario.Discovery(telling == Telling.PUSH, poll, leastLag, mostLag);
+        UpdateMode updateMode = table.get(UPDATE_MODE);
+        Double pollMs = table.get(POLL_INTERVAL);
+        Double minLagMs = table.get(MIN_PUSH_LAG);
+        Double maxLagMs = table.get(MAX_PUSH_LAG);
+        requireOrdered(table, MIN_PUSH_LAG, minLagMs, maxLagMs);
+        return () -> new Scenario.Discovery(updateMode == UpdateMode.PUSH, pollMs, minLagMs, maxLagMs);
     }
 
-    private static void ordered(TableReader section, ConfigKey<Double> key, Double least, Double most) {
-        if (least != null && most != null && least > most) {
-            section.addProblem(key, "is above the most that is allowed beside it, which is " + most);
+    private static void requireOrdered(TableReader table, ConfigKey<Double> key, Double min, Double max) {
+        if (min != null && max != null && min > max) {
+            table.addProblem(key, "must not exceed the configured maximum, which is " + max);
         }
     }
 
-    /** Says so where a name is none of those that the edge's file has. */
-    private static void among(TableReader section, ConfigKey<String> key, String name, List<String> names) {
+    /** Adds a problem if a name does not occur in the edge configuration file. */
+    private static void requireOneOf(TableReader table, ConfigKey<String> key, String name, List<String> names) {
         if (name != null && names != null && !names.contains(name)) {
-            section.addProblem(key, "must be of those that the edge's file has, which are " + names);
+            table.addProblem(key, "must be one of the names in the edge configuration file, which are " + names);
         }
     }
 
-    private static List<Scenario.Requests> requests(TomlDocument document, BalancerSettings known) {
-        List<String> names = known == null
+    private static List<Scenario.Requests> requests(TomlDocument document, BalancerSettings edgeSettings) {
+        List<String> names = edgeSettings == null
                 ? null
-                : known.classes().stream().map(RequestClass::name).toList();
+                : edgeSettings.classes().stream().map(RequestClass::name).toList();
         List<Scenario.Requests> requests = new ArrayList<>();
-        for (TableReader section : document.tables(REQUESTS)) {
-            String name = section.get(CLASS);
-            among(section, CLASS, name, names);
-            requests.add(new Scenario.Requests(name, or(section.get(SHARE)), or(section.get(WORK))));
+        for (TableReader table : document.tables(REQUESTS)) {
+            String name = table.get(CLASS_NAME);
+            requireOneOf(table, CLASS_NAME, name, names);
+            requests.add(new Scenario.Requests(name, orZero(table.get(SHARE)), orZero(table.get(MEAN_WORK))));
         }
         if (requests.isEmpty()) {
-            document.addProblem("requests", null, "is missing; there must be at least one [[requests]]");
+            document.addProblem("requests", null, "is missing; at least one [[requests]] table is required");
         }
         return requests;
     }
 
-    private static double or(Double given) {
-        return given == null ? 0 : given;
+    private static double orZero(Double value) {
+        return value == null ? 0 : value;
     }
 
-    private static List<Scenario.Tenant> tenants(TomlDocument document, BalancerSettings known) {
-        List<String> names = known == null
+    private static List<Scenario.Tenant> tenants(TomlDocument document, BalancerSettings edgeSettings) {
+        List<String> names = edgeSettings == null
                 ? null
-                : known.tenants().stream().map(TenantQuota::name).toList();
+                : edgeSettings.tenants().stream().map(TenantQuota::name).toList();
         List<Scenario.Tenant> tenants = new ArrayList<>();
-        for (TableReader section : document.tables(TENANTS)) {
-            String name = section.get(TENANT);
-            among(section, TENANT, name, names);
-            tenants.add(new Scenario.Tenant(name, or(section.get(SHARE))));
+        for (TableReader table : document.tables(TENANTS)) {
+            String name = table.get(TENANT_NAME);
+            requireOneOf(table, TENANT_NAME, name, names);
+            tenants.add(new Scenario.Tenant(name, orZero(table.get(SHARE))));
         }
         if (tenants.isEmpty() && names != null && !names.isEmpty()) {
-            document.addProblem("tenants", null, "is missing; the edge's file has " + names);
+            document.addProblem("tenants", null, "is missing; the edge configuration file has the tenants " + names);
         }
         return tenants;
     }
 
     private static List<Scenario.Tier> tiers(TomlDocument document) {
         List<Scenario.Tier> tiers = new ArrayList<>();
-        List<TableReader> sections = document.tables(TIERS);
-        for (TableReader section : sections) {
-            String name = section.get(TIER);
-            Integer count = section.get(COUNT);
-            Integer cores = section.get(CORES);
-            Double leastSpeed = section.get(LEAST_SPEED);
-            Double mostSpeed = section.get(MOST_SPEED);
-            ordered(section, LEAST_SPEED, leastSpeed, mostSpeed);
-            Integer slots = section.get(SLOTS);
-            Integer room = section.get(ROOM);
-            Integer connections = section.get(CONNECTIONS);
-            Double handshake = section.get(HANDSHAKE);
-            Integer racks = section.get(RACKS);
-            Double window = section.get(RACK_WINDOW);
-            Double share = section.get(WORK_SHARE);
-            Double calls = section.get(CALLS);
-            if (calls != null && calls > 0 && tiers.size() == sections.size() - 1) {
-                section.addProblem(CALLS, "must be 0 in the last tier, which has none to call");
+        List<TableReader> tierTables = document.tables(TIERS);
+        for (TableReader table : tierTables) {
+            String name = table.get(TIER_NAME);
+            Integer count = table.get(ENDPOINT_COUNT);
+            Integer cores = table.get(CORES);
+            Double minSpeed = table.get(MIN_SPEED);
+            Double maxSpeed = table.get(MAX_SPEED);
+            requireOrdered(table, MIN_SPEED, minSpeed, maxSpeed);
+            Integer slots = table.get(SLOTS);
+            Integer waitingRoom = table.get(WAITING_ROOM);
+            Integer connections = table.get(ENDPOINT_CONNECTIONS);
+            Double handshakeMs = table.get(HANDSHAKE);
+            Integer racks = table.get(RACKS);
+            Double rackWindowMs = table.get(RACK_WINDOW);
+            Double workShare = table.get(WORK_SHARE);
+            Double calls = table.get(CALLS);
+            if (calls != null && calls > 0 && tiers.size() == tierTables.size() - 1) {
+                table.addProblem(CALLS, "must be 0 in the last tier, which has no tier to call");
             }
-            Double coldShare = section.get(COLD_SHARE);
-            Double coldTime = section.get(COLD_TIME);
-            Warming warming = section.get(WARMS_BY);
-            Double tip = section.get(TIP);
-            Double tipWindow = section.get(TIP_WINDOW);
-            Double crowd = section.get(CROWD);
-            Double after = section.get(CROWD_AFTER);
-            Double factor = section.get(CROWD_FACTOR);
-            Double calm = section.get(CROWD_CALM);
-            Double longest = section.get(CROWD_MOST);
-            Boolean startsCold = section.get(STARTS_COLD);
+            Double coldShare = table.get(COLD_SHARE);
+            Double coldMs = table.get(COLD_TIME);
+            Warming warming = table.get(WARMS_BY);
+            Double tip = table.get(TIP_MULTIPLE);
+            Double tipWindowMs = table.get(TIP_WINDOW);
+            Double crowdedAt = table.get(CROWDED_AT);
+            Double afterMs = table.get(CROWDED_AFTER);
+            Double factor = table.get(CROWDED_FACTOR);
+            Double calmMs = table.get(CROWDED_CALM);
+            Double maxMs = table.get(CROWDED_MAX);
+            Boolean startsCold = table.get(STARTS_COLD);
             if (document.hasProblems()) {
                 tiers.add(null);
                 continue;
@@ -453,88 +518,91 @@
                     name,
                     count,
                     cores,
-                    leastSpeed,
-                    mostSpeed,
+                    minSpeed,
+                    maxSpeed,
                     slots,
-                    room,
+                    waitingRoom,
                     connections,
-                    handshake,
+                    handshakeMs,
                     racks,
-                    window,
-                    share,
+                    rackWindowMs,
+                    workShare,
                     calls,
                     new ColdStart(
-                            coldShare, coldTime, warming, tip == null ? Double.POSITIVE_INFINITY : tip, tipWindow),
-                    crowd == null ? Crowding.NONE : new Crowding(crowd, after, factor, calm, longest),
+                            coldShare, coldMs, warming, tip == null ? Double.POSITIVE_INFINITY : tip, tipWindowMs),
+                    crowdedAt == null ? Crowding.NONE : new Crowding(crowdedAt, afterMs, factor, calmMs, maxMs),
                     startsCold));
         }
         if (tiers.isEmpty()) {
-            document.addProblem("tiers", null, "is missing; there must be at least one [[tiers]]");
+            document.addProblem("tiers", null, "is missing; at least one [[tiers]] table is required");
         }
         return tiers;
     }
 
-    private static Scenario.Link link(TableReader section) {
-        Double perSecond = section.get(BANDWIDTH);
-        Integer pieces = section.get(PIECES);
+    private static Scenario.Link link(TableReader table) {
+        Double kilobytesPerSecond = table.get(LINK_BANDWIDTH);
+        Integer pieceBytes = table.get(LINK_PIECE_BYTES);
         return new Scenario.Link(
-                or(section.get(LINK_DELAY)), or(section.get(JITTER)), or(perSecond), pieces == null ? 0 : pieces);
+                orZero(table.get(LINK_DELAY)),
+                orZero(table.get(LINK_JITTER)),
+                orZero(kilobytesPerSecond),
+                pieceBytes == null ? 0 : pieceBytes);
     }
 
     private static List<Fault> faults(TomlDocument document, int tiers) {
         List<Fault> faults = new ArrayList<>();
-        for (TableReader section : document.tables(FAULTS)) {
-            Fault.Kind kind = section.get(KIND);
-            Integer tier = section.get(FAULT_TIER);
+        for (TableReader table : document.tables(FAULTS)) {
+            Fault.Kind kind = table.get(FAULT_KIND);
+            Integer tier = table.get(FAULT_TIER);
             if (tier != null && tiers > 0 && tier > tiers) {
-                section.addProblem(FAULT_TIER, "there are only " + tiers + " tiers");
+                table.addProblem(FAULT_TIER, "must be at most the number of tiers, there are only " + tiers + " tiers");
             }
-            Double size = section.get(SIZE);
+            Double size = table.get(FAULT_SIZE);
             if (size != null && size <= 0 && (kind == Fault.Kind.SLOW || kind == Fault.Kind.BURST)) {
-                section.addProblem(SIZE, "must be above 0 for this kind");
+                table.addProblem(FAULT_SIZE, "must be above 0 for this kind of fault");
             }
             faults.add(new Fault(
                     kind,
                     tier == null ? 0 : tier - 1,
-                    or(section.get(BEGIN)),
-                    or(section.get(FAULT_LENGTH)),
-                    or(section.get(PART)),
-                    or(size)));
+                    orZero(table.get(FAULT_BEGIN)),
+                    orZero(table.get(FAULT_LENGTH)),
+                    orZero(table.get(FAULT_SHARE)),
+                    orZero(size)));
         }
         return faults;
     }
 
-    private static List<Scenario.Variant> variants(TomlDocument document, Path folder, boolean processes, Path edge)
+    private static List<Scenario.Variant> variants(TomlDocument document, Path folder, boolean processes, Path edgeFile)
             throws IOException {
         List<Scenario.Variant> variants = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (TableReader section : document.tables(VARIANTS)) {
-            String name = section.get(VARIANT);
+        for (TableReader table : document.tables(VARIANTS)) {
+            String name = table.get(VARIANT_NAME);
             if (name != null && !names.add(name)) {
-                section.addProblem(VARIANT, "is there twice; each must be there once");
+                table.addProblem(VARIANT_NAME, "is duplicated; variant names must be unique");
             }
-            Deciders decider = section.get(DECIDER);
+            Deciders decider = table.get(DECIDER);
             if (processes && decider != null && decider != Deciders.BOXCAR) {
-                section.addProblem(DECIDER, "must be \"boxcar\" where sidecars.run is \"process\"");
+                table.addProblem(DECIDER, "must be \"boxcar\" if sidecars.run is \"process\"");
             }
-            String jar = section.get(JAR);
+            String jar = table.get(JAR);
             if (jar != null && !processes) {
-                section.addProblem(JAR, "may be there only where sidecars.run is \"process\"");
+                table.addProblem(JAR, "is allowed only if sidecars.run is \"process\"");
             } else if (jar != null && !Files.isRegularFile(folder.resolve(jar))) {
-                section.addProblem(JAR, "there is no such file");
+                table.addProblem(JAR, "file does not exist");
             }
-            Map<String, String> set = settings(section.get(SET));
-            if (edge != null && jar == null) {
+            Map<String, String> overrides = parseOverrides(table.get(SETTING_OVERRIDES));
+            if (edgeFile != null && jar == null) {
                 try {
-                    EdgeSettings.load(edge, set);
+                    EdgeSettings.load(edgeFile, overrides);
                 } catch (IllegalArgumentException e) {
-                    section.addProblem(SET, e.getMessage());
+                    table.addProblem(SETTING_OVERRIDES, e.getMessage());
                 }
             }
             variants.add(new Scenario.Variant(
                     name,
                     decider == null ? null : decider.decider(),
-                    set,
+                    overrides,
                     jar == null ? null : folder.resolve(jar).normalize()));
         }
         if (variants.isEmpty()) {
@@ -543,15 +611,15 @@
         return variants;
     }
 
-    /** From {@code a.b=1 c.d=2} to its parts. */
-    private static Map<String, String> settings(String text) {
-        Map<String, String> settings = new LinkedHashMap<>();
+    /** Parses settings written as {@code a.b=1 c.d=2}; null gives an empty map. */
+    private static Map<String, String> parseOverrides(String text) {
+        Map<String, String> overrides = new LinkedHashMap<>();
         if (text != null) {
-            for (String part : text.split(" ")) {
-                int equals = part.indexOf('=');
-                settings.put(part.substring(0, equals), part.substring(equals + 1));
+            for (String setting : text.split(" ")) {
+                int equals = setting.indexOf('=');
+                overrides.put(setting.substring(0, equals), setting.substring(equals + 1));
             }
         }
-        return settings;
+        return overrides;
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scenario/package-info.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** Scenario files and their reader. */
+/** Scenarios, and the reader of scenario files. */
 package lemonrail.lab.scenario;
--- a/lab/src/test/java/lemonrail/lab/DemoTest.java
+++ b/lab/src/test/java/lemonrail/lab/DemoTest.java
@@ -20,7 +20,7 @@
 class DemoTest {
 
     private static final Pattern SUMMARY = Pattern.compile(
-            "(\\d+) requests: (\\d+) served, (\\d+) refused, (\\d+) failed, " + "0 without an answer; (\\d+) retried");
+            "(\\d+) requests: (\\d+) served, (\\d+) refused, (\\d+) failed, " + "0 without a response; (\\d+) retried");
     private static final Path EXAMPLE = Path.of("..", "deploy", "lemonrail.toml");
 
     private final StringWriter out = new StringWriter();
@@ -29,7 +29,7 @@
     void itEndsByItselfWithASummaryInWhichEachRequestHasOneAnswer() throws Exception {
         try (Demo demo = new Demo(EXAMPLE, 100, 3, 1, false, Duration.ofSeconds(4), new PrintWriter(out), false)) {
             demo.run();
-            assertTrue(demo.isSound(), out.toString());
+            assertTrue(demo.hasPassed(), out.toString());
         }
         Matcher summary = SUMMARY.matcher(out.toString());
         assertTrue(summary.find(), out.toString());
--- a/lab/src/test/java/lemonrail/lab/cli/CommandsTest.java
+++ b/lab/src/test/java/lemonrail/lab/cli/CommandsTest.java
@@ -90,8 +90,8 @@
                         runs),
                 out.toString());
         assertTrue(
-                out.toString().contains("random has too few pairs to tell from boxcar")
-                        || out.toString().contains("no run in common that counts"),
+                out.toString().contains("random has too few pairs to be compared with boxcar")
+                        || out.toString().contains("no valid runs with the same scenario and seed"),
                 out.toString());
         assertEquals(
                 0,
@@ -132,7 +132,7 @@
     @Test
     void unknownVariantsAndFoldersAreNamed() {
         assertEquals(2, execute(new RunCommand(), CALM.toString(), "--variant", "best"));
-        assertTrue(out.toString().contains("it has [boxcar, random"), out.toString());
+        assertTrue(out.toString().contains("the scenario has [boxcar, random"), out.toString());
         assertEquals(
                 2,
                 execute(
@@ -144,7 +144,7 @@
                         "1",
                         "--out",
                         folder.toString()));
-        assertTrue(out.toString().contains("limits.atempts is no key"), out.toString());
+        assertTrue(out.toString().contains("limits.atempts is not a key"), out.toString());
         assertEquals(2, execute(new ReportCommand(), folder.toString()));
         assertEquals(
                 2, execute(new HistoryCommand(), "--out", folder.resolve("none").toString()));
--- a/lab/src/test/java/lemonrail/lab/host/PlayTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/PlayTest.java
@@ -358,11 +358,11 @@
         assertTrue(verdict.whole() > 0.8 && verdict.whole() <= 1);
         assertEquals(0, verdict.waste(), 1e-9);
         RunFolder kept = new RunFolder(folder.resolve("kept"));
-        kept.keep(run, verdict, "v1");
+        kept.write(run, verdict, "v1");
         Report.render(kept);
         String report = Files.readString(kept.path().resolve("report.md"));
         assertTrue(
-                report.contains("| asked / served / refused / failed / unanswered | " + verdict.asked() + " / "
+                report.contains("| requests / served / refused / failed / unanswered | " + verdict.asked() + " / "
                         + verdict.served() + " / " + verdict.refused() + " / 0 / 0 |"),
                 report);
         for (String chart : List.of("latency", "percentiles", "outcomes", "attempts")) {
--- a/lab/src/test/java/lemonrail/lab/report/StatisticsTest.java
+++ b/lab/src/test/java/lemonrail/lab/report/StatisticsTest.java
@@ -32,7 +32,7 @@
             for (int j = 0; j < 40; j++) {
                 values.add(3 + random.nextGaussian());
             }
-            Bootstrap.Interval interval = Bootstrap.mean(values, 0.95);
+            Bootstrap.Interval interval = Bootstrap.meanInterval(values, 0.95);
             held += interval.low() <= 3 && 3 <= interval.high() ? 1 : 0;
         }
         assertTrue(held >= 178 && held <= 199, "held " + held + " of 200");
@@ -50,10 +50,10 @@
                     new Comparison.Entry("s", "c", seed, verdict(base - 0.1 + random.nextGaussian() * 0.02), false));
         }
         comparison.add(new Comparison.Entry("s", "b", 99, verdict(0), true));
-        List<String> sentences = comparison.sentences();
-        assertTrue(sentences.get(0).contains("b cannot be told from a"), sentences.get(0));
+        List<String> sentences = comparison.conclusions();
+        assertTrue(sentences.get(0).contains("b does not differ significantly from a"), sentences.get(0));
         assertTrue(sentences.get(1).contains("c is worse than a"), sentences.get(1));
-        comparison.keep(folder, "v1");
+        comparison.write(folder, "v1");
         assertEquals(38, Files.readAllLines(folder.resolve("compare.csv")).size());
         assertTrue(Files.readString(folder.resolve("compare.md")).contains("1 of them void"));
         assertTrue(Files.size(folder.resolve("service.svg")) > 1000);
@@ -64,8 +64,8 @@
         Comparison comparison = new Comparison(List.of("a", "b"));
         comparison.add(new Comparison.Entry("s", "a", 1, verdict(0.9), false));
         comparison.add(new Comparison.Entry("s", "b", 1, verdict(0.1), false));
-        assertTrue(comparison.sentences().get(0).contains("too few pairs"));
-        assertFalse(Bootstrap.mean(List.of(1.0, 1.0, 1.0), 0.95).excludesZero());
+        assertTrue(comparison.conclusions().get(0).contains("too few pairs"));
+        assertFalse(Bootstrap.meanInterval(List.of(1.0, 1.0, 1.0), 0.95).excludesZero());
     }
 
     private static OptionalDouble knee(double... services) {
--- a/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
@@ -60,7 +60,7 @@
                 "rate = 31             |                     | load.rate            | is missing",
                 "warm-up = \"3s\"      | warm-up = \"30s\"   | load.warm-up         | must be below load.length",
                 "work = \"205ms\"      | work = 205          | requests[0].work     | a time with its unit",
-                "most-speed = 1.1      | most-speed = 0.1    | tiers[0].least-speed | is above the most",
+                "most-speed = 1.1      | most-speed = 0.1    | tiers[0].least-speed | must not exceed",
                 "racks = 2             | racks = 0           | tiers[0].racks       | a whole number from 1",
                 "racks = 2             | calls = 1.5         | tiers[0].calls       | must be 0 in the last tier",
                 "kind = \"vanish\"     | kind = \"explode\"  | faults[0].kind       | one of \"vanish\"",
@@ -69,12 +69,12 @@
                 "decider = \"random\"  | decider = \"best\"  | variants[1].decider  | one of \"boxcar\"",
                 "decider = \"random\"  | set = \"attempts\"  | variants[1].set      | settings of the edge",
                 "decider = \"random\"  | jar = \"x.jar\"     | variants[1].jar      | only where sidecars.run",
-                "name = \"random\"     | name = \"boxcar\"   | variants[1].name     | is there twice",
-                "decider = \"random\"  | set = \"limits.atempts=2\" | variants[1].set | limits.atempts is no key",
+                "name = \"random\"     | name = \"boxcar\"   | variants[1].name     | is duplicated",
+                "decider = \"random\"  | set = \"limits.atempts=2\" | variants[1].set | limits.atempts is not a key",
                 "decider = \"random\"  | set = \"limits.attempts=x\" | variants[1].set | a whole number",
                 "class = \"quote-issue\" | class = \"quote\" | requests[1].class | which are [quote-preview",
                 "name = \"north\"      | name = \"nobody\"   | tenants[1].name      | which are [central, north",
-                "seeds = 3             | edge = \"none\"     | edge                 | there is no such file",
+                "seeds = 3             | edge = \"none\"     | edge                 | file does not exist",
             })
     void whatIsWrongIsNamedWithItsLine(String right, String wrong, String key, String why) throws IOException {
         Files.copy(SHIPPED.resolve("edge.toml"), folder.resolve("edge.toml"));
