--- a/lab/src/main/java/lemonrail/lab/host/Testbed.java
+++ b/lab/src/main/java/lemonrail/lab/host/Testbed.java
@@ -82,13 +82,13 @@
         this.seed = seed;
         this.builds = builds;
         this.folder = Files.createDirectories(folder);
-        settings = EdgeSettings.load(scenario.edge(), variant.set());
+        settings = EdgeSettings.load(scenario.edgeFile(), variant.overrides());
         recorder = new AttemptRecorder(scheduler, settings.drain().graceMs(), maxLinkDifferenceMs());
         responseRules = new ResponseRules(
                 scheduler,
                 recorder,
                 settings.limits().maxAttempts(),
-                scenario.clientLink().isPlain());
+                scenario.clientLink().isPassThrough());
         try {
             start();
         } catch (IOException | InterruptedException | RuntimeException e) {
@@ -102,7 +102,7 @@
         int count = scenario.sidecars().front();
         for (int i = 0; i < count; i++) {
             InetSocketAddress address = startSidecar(0, i, count);
-            if (!scenario.clientLink().isPlain()) {
+            if (!scenario.clientLink().isPassThrough()) {
                 Relay relay = new Relay(loop, address, scenario.clientLink(), random("client link"));
                 resources.add(relay);
                 address = relay.address();
@@ -153,8 +153,8 @@
                     random("registry " + i),
                     discovery.pushes(),
                     discovery.pollMs(),
-                    discovery.leastLagMs(),
-                    discovery.mostLagMs());
+                    discovery.minLagMs(),
+                    discovery.maxLagMs());
             EndpointTier tier = new EndpointTier(scenario.tiers().get(i), i, loop, scheduler, registry, recorder);
             resources.add(tier);
             tiers.add(tier);
@@ -178,7 +178,7 @@
         InetSocketAddress listen =
                 ownProcess ? SidecarHost.freePort() : new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         Path file = EdgeFiles.write(
-                scenario.edge(),
+                scenario.edgeFile(),
                 folder,
                 new EdgeFiles.Place(
                         name,
@@ -189,7 +189,7 @@
                         listen,
                         random(name).nextInt(),
                         scenario.tiers().get(tier).cold()));
-        Map<String, String> environment = EdgeSettings.environment(variant.set());
+        Map<String, String> environment = EdgeSettings.environment(variant.overrides());
         Path log = folder.resolve(name + ".log");
         SidecarHost host = ownProcess
                 ? SidecarHost.startProcess(
@@ -272,8 +272,8 @@
                         profiles,
                         shares,
                         scenario.retrying(),
-                        scenario.patience().least(),
-                        scenario.patience().most(),
+                        scenario.patience().minFraction(),
+                        scenario.patience().maxFraction(),
                         scenario.load().exponentialWork()),
                 arrivals,
                 scenario.load().lengthMs(),
--- a/lab/src/main/java/lemonrail/lab/scale/ScaleResults.java
+++ b/lab/src/main/java/lemonrail/lab/scale/ScaleResults.java
@@ -275,7 +275,7 @@
                 bars.addValue(row.p99Ms(), "p99", name);
                 bars.addValue(row.maxMs(), "most", name);
             });
-            charts.bars("in-force", "Time until a change is in force, hollow sidecars", "ms", bars, false);
+            charts.writeBarChart("in-force", "Time until a change is in force, hollow sidecars", "ms", bars, false);
         }
     }
 
@@ -297,6 +297,6 @@
                         .add(xValue.applyAsDouble(point), yValue.applyAsDouble(point)));
         XYSeriesCollection dataset = new XYSeriesCollection();
         series.values().forEach(dataset::addSeries);
-        charts.lines(name, title, xLabel, yLabel, dataset, false, false);
+        charts.writeLineChart(name, title, xLabel, yLabel, dataset, false, false);
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathReport.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathReport.java
@@ -356,7 +356,7 @@
                     .forEach(row -> series.add(row.rate(), row.cpuUs()));
             cpu.addSeries(series);
         }
-        charts.lines(
+        charts.writeLineChart(
                 "path-cpu", "Processor time per call, by calls per second", "calls per second", "µs", cpu, true, false);
         XYSeriesCollection chain = new XYSeriesCollection();
         for (double percentile : new double[] {50, 99, 99.9}) {
@@ -367,6 +367,6 @@
             mergedSteps(RouteType.SIDECAR).forEach(row -> series.add(row.step(), row.latencyMs(percentile)));
             chain.addSeries(series);
         }
-        charts.lines("path-chain", "Latency added by each step of a chain", "step", "ms", chain, false, false);
+        charts.writeLineChart("path-chain", "Latency added by each step of a chain", "step", "ms", chain, false, false);
     }
 }
