--- a/edge/src/test/java/lemonrail/LayersTest.java
+++ b/edge/src/test/java/lemonrail/LayersTest.java
@@ -13,10 +13,10 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Which package may know which: lower ones know nothing of higher ones. */
+/** Checks that no package depends on one of a higher layer. */
 class LayersTest {
 
-    /** From the lowest to the highest; those of one row know nothing of each other. */
+    /** Packages from the lowest layer to the highest. Packages of one layer do not depend on each other. */
     private static final List<Set<String>> LAYERS = List.of(
             Set.of("core.balancer"),
             Set.of("core"),
@@ -33,43 +33,43 @@
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("lemonrail");
 
-    private static int layer(String part) {
+    private static int layer(String packageName) {
         for (int i = 0; i < LAYERS.size(); i++) {
-            if (LAYERS.get(i).contains(part)) {
+            if (LAYERS.get(i).contains(packageName)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private static String part(JavaClass of) {
-        return of.getPackageName().replaceFirst("^lemonrail\\.?", "");
+    private static String packageName(JavaClass javaClass) {
+        return javaClass.getPackageName().replaceFirst("^lemonrail\\.?", "");
     }
 
     @Test
-    void noPackageKnowsAHigherOne() {
-        Set<String> wrong = new TreeSet<>();
+    void noPackageDependsOnOneOfTheSameOrAHigherLayer() {
+        Set<String> violations = new TreeSet<>();
         List<JavaClass> all = new ArrayList<>(CLASSES);
-        all.forEach(from -> from.getDirectDependenciesFromSelf().forEach(known -> {
-            JavaClass to = known.getTargetClass().getBaseComponentType();
+        all.forEach(from -> from.getDirectDependenciesFromSelf().forEach(dependency -> {
+            JavaClass to = dependency.getTargetClass().getBaseComponentType();
             if (to.getPackageName().startsWith("lemonrail")
-                    && !part(from).equals(part(to))
-                    && layer(part(from)) <= layer(part(to))) {
-                wrong.add(part(from) + " knows " + part(to));
+                    && !packageName(from).equals(packageName(to))
+                    && layer(packageName(from)) <= layer(packageName(to))) {
+                violations.add(packageName(from) + " depends on " + packageName(to));
             }
         }));
-        assertEquals(Set.of(), wrong);
+        assertEquals(Set.of(), violations);
         assertEquals(
                 Set.of(),
                 new TreeSet<>(all.stream()
-                        .map(LayersTest::part)
-                        .filter(part -> layer(part) < 0)
+                        .map(LayersTest::packageName)
+                        .filter(packageName -> layer(packageName) < 0)
                         .toList()),
-                "each package has its place");
+                "each package must belong to a layer");
     }
 
     @Test
-    void theCoreKnowsNoLibraryAndDoesNoInputOrOutput() {
+    void coreUsesNoLibrariesOrInputAndOutput() {
         ArchRuleDefinition.classes()
                 .that()
                 .resideInAPackage("lemonrail.core..")
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void theExchangeKnowsNoProtocol() {
+    void exchangeDependsOnNoProtocol() {
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideInAPackage("lemonrail.exchange..")
@@ -97,9 +97,9 @@
                 .check(CLASSES);
     }
 
-    /** Guards against libraries that the platform's call would have to load. */
+    /** Guards against libraries of optional features that would be loaded when the platform starts the program. */
     @Test
-    void onlyTheirOwnPackagesKnowTheLibrariesOfOptionalParts() {
+    void onlyTheirOwnPackagesUseTheLibrariesOfOptionalFeatures() {
         ArchRuleDefinition.noClasses()
                 .that()
                 .resideOutsideOfPackage("lemonrail.cli..")
--- a/edge/src/test/java/lemonrail/cli/CommandLineTest.java
+++ b/edge/src/test/java/lemonrail/cli/CommandLineTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The command line as users see it: what it prints where, and its exit status. */
+/** Tests the command line in a process of its own: output on each stream, and the exit status. */
 @Timeout(60)
 class CommandLineTest {
 
     private static final Path EXAMPLE = Path.of("..", "deploy", "lemonrail.toml");
 
-    /** Standard input of each call; only the simulator's adapter reads it. */
-    private static final String NO_BATCH = "{]";
+    /** Invalid batch that each call gets on standard input. Only the simulator's adapter reads it. */
+    private static final String INVALID_BATCH = "{]";
 
     @TempDir
     Path folder;
@@ -40,7 +40,7 @@
         command.addAll(List.of(args));
         Path out = folder.resolve("out");
         Path err = folder.resolve("err");
-        Path in = Files.writeString(folder.resolve("in"), NO_BATCH);
+        Path in = Files.writeString(folder.resolve("in"), INVALID_BATCH);
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectInput(in.toFile())
                 .redirectOutput(out.toFile())
@@ -66,10 +66,10 @@
                 "serve --config none.toml|2|lemonrail: none.toml: file not found",
                 "check none.json none.toml|2|none.json: file not found; check GW_CONFIG or the command line"
             })
-    void invalidCallPrintsReasonAndReturnsTwo(String args, int status, String why) throws Exception {
+    void invalidCallPrintsReasonAndReturnsTwo(String args, int status, String expectedMessage) throws Exception {
         Result result = call(args == null ? new String[0] : args.split(" "));
         assertEquals(status, result.status(), result.err());
-        assertTrue(result.err().contains(why), result.err());
+        assertTrue(result.err().contains(expectedMessage), result.err());
         assertEquals("", result.out());
     }
 
@@ -88,14 +88,14 @@
                 "config schema|[[listeners]]",
                 "config schema --format json|2020-12"
             })
-    void validCallPrintsOnStandardOutput(String args, String part) throws Exception {
+    void validCallPrintsOnStandardOutput(String args, String expectedOutput) throws Exception {
         Result result = call(args.split(" "));
         assertEquals(0, result.status(), result.err());
-        assertTrue(result.out().contains(part), result.out());
+        assertTrue(result.out().contains(expectedOutput), result.out());
         assertEquals("", result.err());
     }
 
-    /** Input that is no batch ends the adapter at once, which shows that the command has reached it. */
+    /** The adapter fails immediately on an invalid batch, which shows that the command has started it. */
     @ParameterizedTest
     @ValueSource(strings = {"simulator", "benchlink"})
     void simulatorCommandAndItsAliasRunTheAdapter(String command) throws Exception {
--- a/edge/src/test/java/lemonrail/cli/BadFilesTest.java
+++ b/edge/src/test/java/lemonrail/cli/ConfigFileErrorsTest.java
@@ -22,10 +22,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operators' file: each thing that is wrong is told by file, line, key, value and what is allowed. */
-class BadFilesTest {
+/** Tests that each error in a configuration file is reported with file, line, key, value and allowed values. */
+class ConfigFileErrorsTest {
 
-    private static final String GOOD = """
+    private static final String VALID = """
         name = "edge"
         seed = 7
         [[listeners]]
@@ -84,14 +84,14 @@
 
     @Test
     void baseFileIsValid() throws IOException {
-        EdgeConfig config = new TomlFile(file(GOOD), Map.of()).load().config();
+        EdgeConfig config = new TomlFile(file(VALID), Map.of()).load().config();
         assertEquals(1, config.settings().zone());
         assertEquals(2500, config.settings().classes().get(0).deadlineMs());
         assertEquals(64, config.memoryMb());
         assertEquals(2, config.initialEndpoints().entries().size());
     }
 
-    /** What of the file is replaced by what, then the problem that must be the first: line, key, the rest. */
+    /** Columns: replaced text, replacement, and line, key and part of the message of the first expected problem. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -149,29 +149,29 @@
                 "level = \"info\"|levels = {\"io.netty\" = \"info\"}|41|logging.levels|must be loggers",
                 "level = \"info\"|format = \"xml\"|41|logging.format|must be one of \"plain\", \"text\", \"json\""
             })
-    void reportsProblemWithLineKeyAndValue(String part, String instead, int line, String key, String rest)
+    void reportsProblemWithLineKeyAndValue(String replaced, String replacement, int line, String key, String expectedMessage)
             throws IOException {
-        assertTrue(GOOD.contains(part), part);
-        ConfigProblem first = problems(GOOD.replaceFirst(
-                        java.util.regex.Pattern.quote(part), java.util.regex.Matcher.quoteReplacement(instead)))
+        assertTrue(VALID.contains(replaced), replaced);
+        ConfigProblem first = problems(VALID.replaceFirst(
+                        java.util.regex.Pattern.quote(replaced), java.util.regex.Matcher.quoteReplacement(replacement)))
                 .get(0);
         assertEquals(line, first.line(), first.toString());
         assertEquals(key == null ? "" : key, first.key());
         assertTrue(first.toString().startsWith(folder.resolve("edge.toml") + ":" + line + ": "));
-        assertTrue(first.toString().contains(rest), first.toString());
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
+        assertTrue(first.toString().contains(expectedMessage), first.toString());
+        ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
         assertEquals(
                 Main.BAD_INPUT,
-                Main.serve(folder.resolve("edge.toml"), new PrintStream(said, true, StandardCharsets.UTF_8)),
-                "it does not start");
-        String told = said.toString(StandardCharsets.UTF_8);
-        assertTrue(told.startsWith("lemonrail: " + first), told);
-        assertEquals(1, told.lines().count(), told);
+                Main.serve(folder.resolve("edge.toml"), new PrintStream(errorOutput, true, StandardCharsets.UTF_8)),
+                "the program must not start");
+        String message = errorOutput.toString(StandardCharsets.UTF_8);
+        assertTrue(message.startsWith("lemonrail: " + first), message);
+        assertEquals(1, message.lines().count(), message);
     }
 
     @Test
     void reportsAllProblemsAtOnce() throws IOException {
-        List<ConfigProblem> all = problems(GOOD.replace("seed = 7", "seed = -7")
+        List<ConfigProblem> all = problems(VALID.replace("seed = 7", "seed = -7")
                 .replace("\"1s\"", "\"9s\"")
                 .replace("worth = 3", "wort = 3")
                 .replace("[limits]", "[limit]")
@@ -193,20 +193,20 @@
 
     @Test
     void reportsMissingAndUnreadableFiles() throws IOException {
-        TomlFile none = new TomlFile(folder.resolve("none.toml"), Map.of());
+        TomlFile missing = new TomlFile(folder.resolve("none.toml"), Map.of());
         assertEquals(
-                none.file() + ": file not found",
-                assertThrows(ConfigException.class, none::load).getMessage());
-        TomlFile bytes = new TomlFile(Files.write(folder.resolve("x.toml"), new byte[] {'a', -1}), Map.of());
+                missing.file() + ": file not found",
+                assertThrows(ConfigException.class, missing::load).getMessage());
+        TomlFile invalidUtf8 = new TomlFile(Files.write(folder.resolve("x.toml"), new byte[] {'a', -1}), Map.of());
         assertEquals(
-                bytes.file() + ": file is not valid UTF-8",
-                assertThrows(ConfigException.class, bytes::load).getMessage());
+                invalidUtf8.file() + ": file is not valid UTF-8",
+                assertThrows(ConfigException.class, invalidUtf8::load).getMessage());
     }
 
-    /** Guards against lines that are off where values go over several lines or hold brackets and quotes. */
+    /** Guards against wrong line numbers after values that span several lines or contain brackets and quotes. */
     @Test
-    void reportsRightLineAfterMultilineValues() throws IOException {
-        String text = GOOD.replace("[\"east\", \"west\"]", "[ # [\n  \"east\", # \"]\n  \"west\"\n]")
+    void reportsCorrectLineAfterMultilineValues() throws IOException {
+        String text = VALID.replace("[\"east\", \"west\"]", "[ # [\n  \"east\", # \"]\n  \"west\"\n]")
                 .replace("name = \"edge\"", "\"name\" = 'edge' # = [")
                 .replace("worth = 3", "worth = -3");
         assertEquals(32, problems(text).get(0).line());
@@ -215,7 +215,7 @@
     @Test
     void environmentOverridesFile() throws IOException {
         TomlFile file =
-                new TomlFile(file(GOOD), Map.of("LEMONRAIL_LIMITS_ATTEMPTS", "4", "LEMONRAIL_LOGGING_FORMAT", "json"));
+                new TomlFile(file(VALID), Map.of("LEMONRAIL_LIMITS_ATTEMPTS", "4", "LEMONRAIL_LOGGING_FORMAT", "json"));
         LoadedConfiguration loaded = file.load();
         assertEquals(4, loaded.config().settings().limits().maxAttempts());
         assertTrue(
@@ -231,18 +231,18 @@
                 .contains("LEMONRAIL_LIMITS_ATTEMPTS = \"many\": must be a whole number from 1 to 16"));
     }
 
-    /** Guards against waits that hide a silent watch for longer than the time in which a change binds. */
+    /** Guards against a wait longer than the time within which a change must take effect. It would hide a failed watch. */
     @Test
-    void limitsDiscoveryWaitSoThatChangesArriveInTime() throws IOException {
-        String watched = GOOD + "[discovery]\naddress = \"127.0.0.1:8500\"\nwait = \"WAIT\"\n";
+    void limitsDiscoveryWaitSoThatChangesTakeEffectInTime() throws IOException {
+        String watched = VALID + "[discovery]\naddress = \"127.0.0.1:8500\"\nwait = \"WAIT\"\n";
         EdgeConfig longest = new TomlFile(file(watched.replace("WAIT", "3s")), Map.of())
                 .load()
                 .config();
         assertEquals(3000.0, longest.discoveryWaitMs());
         for (String wait : List.of("3001ms", "20s", "60s", "50ms")) {
-            String told = problems(watched.replace("WAIT", wait)).toString();
-            assertTrue(told.contains("wait") && told.contains(wait), told);
-            assertTrue(told.contains("from 100ms to 3s"), told);
+            String message = problems(watched.replace("WAIT", wait)).toString();
+            assertTrue(message.contains("wait") && message.contains(wait), message);
+            assertTrue(message.contains("from 100ms to 3s"), message);
         }
     }
 }
--- a/edge/src/test/java/lemonrail/cli/MainTest.java
+++ b/edge/src/test/java/lemonrail/cli/MainTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process: how it starts and how it ends. */
+/** Tests start, reload and exit of the program in a process of its own. */
 @Timeout(60)
 class MainTest {
 
@@ -35,15 +35,15 @@
         return serve(config, List.of());
     }
 
-    /** The same through another command, which gets the program's own as its arguments. */
-    private Process serve(String config, List<String> through) throws IOException {
-        return serve(config, through, List.of());
+    /** Starts the program through a launcher, which gets the program's command line as its arguments. */
+    private Process serve(String config, List<String> launcher) throws IOException {
+        return serve(config, launcher, List.of());
     }
 
-    /** The same with further options of the JVM. */
-    private Process serve(String config, List<String> through, List<String> options) throws IOException {
+    /** Starts the program through a launcher and with additional JVM options. */
+    private Process serve(String config, List<String> launcher, List<String> options) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        List<String> command = new ArrayList<>(through);
+        List<String> command = new ArrayList<>(launcher);
         command.addAll(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1"));
         command.addAll(options);
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Guards against starts that pay for the flight recorder: Netty's buffers have events for it, and the
-     * first buffer of each kind had its classes loaded and code for them generated, on the event loop.
+     * Guards against a start that initializes the JDK Flight Recorder. Netty's buffers emit events for it, so that the
+     * first buffer of each kind caused class loading and code generation on the event loop.
      */
     @Test
     void startLoadsNoFlightRecorderClasses() throws Exception {
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Guards against a warm-up that knows one way only: what a large answer, one that breaks off or a client
-     * that says no request needs is loaded before the first of them comes, and so is in the class archive.
+     * Guards against a warm-up that covers only one request path. The classes for a large response, a truncated response
+     * and a malformed request must be loaded during the start, and are therefore part of the class archive.
      */
     @Test
     void startLoadsTheClassesOfAllRequestPaths() throws Exception {
@@ -88,20 +88,20 @@
                     "lemonrail.http1.ClientMessage$RequestError ",
                     "lemonrail.http1.ResponseQueue$BodyListener ",
                     "lemonrail.core.balancer.AttemptResult ")) {
-                assertTrue(loaded.contains(needed), needed + "is met");
+                assertTrue(loaded.contains(needed), needed + "must be loaded during the start");
             }
         } finally {
             process.destroyForcibly();
         }
     }
 
-    /** Guards against a planned restart that counts as a crash: after SIGTERM it exits with 0. */
+    /** Guards against a planned restart that counts as a crash. The exit status after SIGTERM must be 0. */
     @Test
-    void sigtermIsACleanExit() throws Exception {
+    void sigtermExitsWithStatusZero() throws Exception {
         Process process = serve(CONFIG);
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "warm after");
-            // This is SIGTERM; unlike Process.destroy it leaves the log readable.
+            // ProcessHandle.destroy sends SIGTERM. Unlike Process.destroy, it leaves the log readable.
             process.toHandle().destroy();
             assertEquals(0, process.waitFor());
         } finally {
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Guards against a reload that ends the program: SIGHUP reads the configuration again, each time. */
+    /** Guards against a SIGHUP that ends the program. Each SIGHUP must reload the configuration. */
     @Test
     void sighupReloadsTheConfiguration() throws Exception {
         Process process = serve(CONFIG);
@@ -132,42 +132,42 @@
         }
     }
 
-    /** Guards against a reload that nobody hears of: where SIGHUP is ignored from the start, it says so. */
+    /** Guards against reloads that fail silently because the program was started with SIGHUP ignored. */
     @Test
     void logsThatTheReloadSignalIsIgnored() throws Exception {
-        Assumptions.assumeTrue(Files.exists(Path.of("/proc/self/status")), "the system does not tell");
-        assertTrue(reloadsAreOff("trap '' HUP"));
-        assertFalse(reloadsAreOff("trap - HUP"));
+        Assumptions.assumeTrue(Files.exists(Path.of("/proc/self/status")), "/proc/self/status is not available");
+        assertTrue(logsThatReloadsAreDisabled("trap '' HUP"));
+        assertFalse(logsThatReloadsAreDisabled("trap - HUP"));
     }
 
-    /** Whether a process that a shell starts so says that it hears no reloads, before it has stopped. */
-    private boolean reloadsAreOff(String before) throws Exception {
-        Process process = serve(CONFIG, List.of("sh", "-c", before + "; exec \"$@\"", "sh"));
+    /** Returns whether the program, started from a shell after this command, logs that reloads are disabled. */
+    private boolean logsThatReloadsAreDisabled(String shellCommand) throws Exception {
+        Process process = serve(CONFIG, List.of("sh", "-c", shellCommand + "; exec \"$@\"", "sh"));
         try (BufferedReader log = process.inputReader()) {
             awaitLine(log, "warm after");
             process.toHandle().destroy();
-            boolean off =
+            boolean disabled =
                     log.lines().anyMatch(line -> line.contains("configuration reloads by signal are disabled: SIGHUP"));
             assertEquals(0, process.waitFor());
-            return off;
+            return disabled;
         } finally {
             process.destroyForcibly();
         }
     }
 
-    private static void awaitLine(BufferedReader log, String part) throws IOException {
-        linesUntil(log, part);
+    private static void awaitLine(BufferedReader log, String text) throws IOException {
+        linesUntil(log, text);
     }
 
-    /** The lines up to one with this part; that none comes is a failure. */
-    private static List<String> linesUntil(BufferedReader log, String part) throws IOException {
+    /** Returns the lines before the first one with this text. Fails if the log ends without one. */
+    private static List<String> linesUntil(BufferedReader log, String text) throws IOException {
         List<String> lines = new ArrayList<>();
         String line = log.readLine();
-        while (line != null && !line.contains(part)) {
+        while (line != null && !line.contains(text)) {
             lines.add(line);
             line = log.readLine();
         }
-        assertNotEquals(null, line, "it goes on to say: " + part);
+        assertNotEquals(null, line, "the log ended without this text: " + text);
         return lines;
     }
 
--- a/edge/src/test/java/lemonrail/cli/SignalMaskTest.java
+++ b/edge/src/test/java/lemonrail/cli/SignalMaskTest.java
@@ -6,10 +6,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What /proc/self/status says of a process's signals. */
+/** Tests how the ignored signals are read from the lines of /proc/self/status. */
 class SignalMaskTest {
 
-    /** The third was seen on a sidecar started through nohup from a shell's background. */
+    /** The third mask is that of a sidecar started through nohup in the background of a shell. */
     @ParameterizedTest
     @CsvSource({
         "0000000000000000,false",
--- a/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
+++ b/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a settings document may say, and what an edge takes of it. */
+/** Tests which settings documents are valid, and which values an edge overrides with them. */
 class SettingsDocumentTest {
 
-    private static final BalancerSettings OWN = new BalancerSettings(
+    private static final BalancerSettings OWN_SETTINGS = new BalancerSettings(
             1,
             0,
             0,
@@ -42,7 +42,7 @@
 
     @Test
     void overridesOnlyWhatTheDocumentNames() {
-        BalancerSettings now = SettingsDocument.applyOverrides(OWN, """
+        BalancerSettings overridden = SettingsDocument.applyOverrides(OWN_SETTINGS, """
             [[classes]]
             name = "order"
             aim = "500ms"
@@ -54,17 +54,17 @@
             attempts = 2
             retry-after = "4s"
             """);
-        assertEquals(OWN.classes().get(0), now.classes().get(0));
+        assertEquals(OWN_SETTINGS.classes().get(0), overridden.classes().get(0));
         assertEquals(
                 new RequestClass(
                         "order", 500, 3000, 7, 0.5, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, false),
-                now.classes().get(1));
-        assertEquals(List.of(new TenantQuota("acme", 20, 0)), now.tenants());
-        assertEquals(new AttemptLimits(2, false, true, 4000, 200), now.limits());
-        assertEquals(OWN.slowStart(), now.slowStart());
-        assertEquals(OWN.drain(), now.drain());
-        assertEquals(OWN.pollIntervalMs(), now.pollIntervalMs());
-        assertEquals(OWN, SettingsDocument.applyOverrides(OWN, ""));
+                overridden.classes().get(1));
+        assertEquals(List.of(new TenantQuota("acme", 20, 0)), overridden.tenants());
+        assertEquals(new AttemptLimits(2, false, true, 4000, 200), overridden.limits());
+        assertEquals(OWN_SETTINGS.slowStart(), overridden.slowStart());
+        assertEquals(OWN_SETTINGS.drain(), overridden.drain());
+        assertEquals(OWN_SETTINGS.pollIntervalMs(), overridden.pollIntervalMs());
+        assertEquals(OWN_SETTINGS, SettingsDocument.applyOverrides(OWN_SETTINGS, ""));
     }
 
     @ParameterizedTest
@@ -80,11 +80,11 @@
                 "[limits];descriptors = 10|limits.descriptors = 10: unknown key",
                 "[drain];grace = '1s'|drain"
             })
-    void rejectsInvalidDocumentsWithTheirLine(String text, String why) {
+    void rejectsInvalidDocumentsWithTheirLine(String text, String expectedMessage) {
         String document = text.replace(';', '\n');
         ConfigException e = assertThrows(ConfigException.class, () -> SettingsDocument.check(document));
-        assertTrue(e.getMessage().contains(why), e.getMessage());
-        assertThrows(ConfigException.class, () -> SettingsDocument.applyOverrides(OWN, document));
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
+        assertThrows(ConfigException.class, () -> SettingsDocument.applyOverrides(OWN_SETTINGS, document));
     }
 
     @ParameterizedTest
@@ -98,10 +98,10 @@
                 "[[classes]];name = 'order';worth = 0.1|would have a late-worth above its worth",
                 "[[classes]];name = 'read';aim = '1ms';deadline = '100ms'|limits.connect-timeout"
             })
-    void rejectsDocumentsThatConflictWithTheEdgesFile(String text, String why) {
+    void rejectsDocumentsThatConflictWithTheEdgesOwnSettings(String text, String expectedMessage) {
         String document = text.replace(';', '\n');
         SettingsDocument.check(document);
-        ConfigException e = assertThrows(ConfigException.class, () -> SettingsDocument.applyOverrides(OWN, document));
-        assertTrue(e.getMessage().contains(why), e.getMessage());
+        ConfigException e = assertThrows(ConfigException.class, () -> SettingsDocument.applyOverrides(OWN_SETTINGS, document));
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 }
--- a/edge/src/test/java/lemonrail/control/ControlClientTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlClientTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A sidecar's watch over several control nodes, on real sockets. */
+/** Tests a sidecar's watch of a cluster of control nodes, on real sockets. */
 @Timeout(60)
 class ControlClientTest {
 
@@ -42,7 +42,7 @@
     private final List<EndpointList> lists = new CopyOnWriteArrayList<>();
     private final Map<String, EndpointState> states = new ConcurrentHashMap<>();
     private final List<String> documents = new CopyOnWriteArrayList<>();
-    private Nodes nodes;
+    private ControlNodeCluster nodes;
     private ControlClient client;
 
     @AfterEach
@@ -91,13 +91,13 @@
     }
 
     private void awaitState(String id, EndpointState state) throws InterruptedException {
-        Nodes.await(id + " is " + state, () -> states.get(id) == state);
+        ControlNodeCluster.await(id + " is " + state, () -> states.get(id) == state);
     }
 
-    /** The node that the client watches at. */
+    /** Waits until the client watches a node, and returns that node. */
     private ControlNode watchedNode() throws InterruptedException {
         List<ControlNode> watchedNodes = new ArrayList<>();
-        Nodes.await("it watches", () -> {
+        ControlNodeCluster.await("the client watches a node", () -> {
             nodes.all.stream().filter(node -> watcherCount(node) > 0).forEach(watchedNodes::add);
             return !watchedNodes.isEmpty();
         });
@@ -108,10 +108,10 @@
         return node.status().watchers().watcherCount();
     }
 
-    /** Guards against a sidecar that goes through its whole list for each change, or for none. */
+    /** Guards against a sidecar that processes its complete endpoint list for each change or empty response. */
     @Test
     void onlyChangesArePassedOn() throws Exception {
-        nodes = Nodes.of("w1", "w2");
+        nodes = ControlNodeCluster.of("w1", "w2");
         for (int i = 0; i < 100; i++) {
             nodes.put("w1", "quote", "s" + i, "in_service");
         }
@@ -124,27 +124,27 @@
         nodes.put("w2", "quote", "s7", "terminating");
         awaitState("s7", EndpointState.DRAINING);
         nodes.node("w1").put(ConfigurationChange.removeEndpoint("quote", "s8"));
-        Nodes.await("it is gone", () -> !states.containsKey("s8"));
+        ControlNodeCluster.await("the removed endpoint is gone", () -> !states.containsKey("s8"));
         assertEquals(3, lists.size());
         assertEquals(
                 List.of(1, 1),
                 lists.subList(1, 3).stream().map(list -> list.entries().size()).toList());
         assertTrue(lists.subList(1, 3).stream().noneMatch(EndpointList::full));
-        // A response without an update, after a wait of 2 s, is not passed on.
+        // A response without an update, which follows a wait of 2 s, is not passed on.
         long responses = nodes.node("w1").watchCounters().responses()
                 + nodes.node("w2").watchCounters().responses();
-        Nodes.await(
-                "an empty response",
+        ControlNodeCluster.await(
+                "more than ten empty responses were sent",
                 () -> nodes.node("w1").watchCounters().responses()
                                 + nodes.node("w2").watchCounters().responses()
                         > responses + 10);
         assertEquals(3, lists.size());
     }
 
-    /** Guards against a lost node that costs its watchers the changes of seconds. */
+    /** Guards against a node failure after which watchers miss or receive late the changes that the node lacked. */
     @Test
-    void aWatcherOfAFailedNodeContinuesAtTheNextOne() throws Exception {
-        nodes = Nodes.of("w1", "w2", "w3");
+    void watcherOfAFailedNodeContinuesAtAnotherNode() throws Exception {
+        nodes = ControlNodeCluster.of("w1", "w2", "w3");
         for (int i = 0; i < 50; i++) {
             nodes.put("w1", "quote", "s" + i, "in_service");
         }
@@ -156,37 +156,37 @@
                 .filter(node -> node != watched)
                 .map(ControlNode::name)
                 .toList();
-        // Partitioned from the others, so that its watcher lacks the change when it moves to one of them.
+        // Partitions the node from the others so that its watcher lacks the change when it moves to one of them.
         others.forEach(other -> watched.setPartitioned(other, true));
         nodes.put(others.get(0), "quote", "s7", "terminating");
         nodes.awaitState(others.get(1), "quote", "s7", "terminating");
         watched.stop();
-        long startedNs = System.nanoTime();
+        long startNs = System.nanoTime();
         awaitState("s7", EndpointState.DRAINING);
-        assertTrue((System.nanoTime() - startedNs) / 1e6 < 3000);
-        assertEquals(2, lists.size(), "one full list and one delta");
+        assertTrue((System.nanoTime() - startNs) / 1e6 < 3000);
+        assertEquals(2, lists.size(), "expected one full list and one delta");
         assertEquals(1, lists.get(1).entries().size());
         assertEquals(50, states.size());
     }
 
-    /** A node's machine vanishes: its connections stay open and silent. */
+    /** The machine of a node is lost without closing connections, so that they stay open but carry no data. */
     @Test
-    void aSilentNodeIsLeftWithinSixSeconds() throws Exception {
-        nodes = Nodes.of("w1");
+    void unresponsiveNodeIsAbandonedWithinThreeSeconds() throws Exception {
+        nodes = ControlNodeCluster.of("w1");
         nodes.put("w1", "quote", "s1", "in_service");
-        try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket silentServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             InetSocketAddress silentAddress =
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), silent.getLocalPort());
-            long startedNs = System.nanoTime();
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), silentServer.getLocalPort());
+            long startNs = System.nanoTime();
             start(List.of(silentAddress), List.of(addressOf(nodes.node("w1"))));
             awaitState("s1", EndpointState.READY);
-            assertTrue((System.nanoTime() - startedNs) / 1e6 < 3000);
+            assertTrue((System.nanoTime() - startNs) / 1e6 < 3000);
         }
     }
 
     @Test
-    void aStaleNodeIsLeftForACurrentOne() throws Exception {
-        nodes = Nodes.of("w1", "w2", "w3");
+    void staleNodeIsAbandonedForACurrentOne() throws Exception {
+        nodes = ControlNodeCluster.of("w1", "w2", "w3");
         nodes.put("w1", "quote", "s1", "in_service");
         nodes.awaitEqual("w1", "w2", "w3");
         start("w1", "w2", "w3");
@@ -203,10 +203,10 @@
         assertEquals(2, lists.size());
     }
 
-    /** Guards against endpoints that reappear or vanish when the watcher moves to a node that lags behind. */
+    /** Guards against endpoints that reappear or disappear when the client moves to a node with older entries. */
     @Test
-    void aLaggingNodeRevertsNothing() throws Exception {
-        nodes = Nodes.of("w1", "w2");
+    void laggingNodeRevertsNothing() throws Exception {
+        nodes = ControlNodeCluster.of("w1", "w2");
         nodes.put("w1", "quote", "s1", "in_service");
         nodes.awaitEqual("w1", "w2");
         start("w1", "w2");
@@ -220,7 +220,7 @@
         nodes.put(watched.name(), "quote", "s2", "in_service");
         awaitState("s2", EndpointState.READY);
         watched.stop();
-        Nodes.await("it watches at the other", () -> watcherCount(other) > 0);
+        ControlNodeCluster.await("the client watches the other node", () -> watcherCount(other) > 0);
         nodes.put(other.name(), "quote", "s3", "in_service");
         awaitState("s3", EndpointState.READY);
         assertEquals(
@@ -228,8 +228,8 @@
     }
 
     @Test
-    void aNodeThatIsNotReadyIsLeftAndItsEmptyListIgnored() throws Exception {
-        nodes = Nodes.of("w1");
+    void nodeThatIsNotReadyIsAbandonedAndItsEmptyListIgnored() throws Exception {
+        nodes = ControlNodeCluster.of("w1");
         nodes.put("w1", "quote", "s1", "in_service");
         ControlNode empty = nodes.start("w2", "west");
         start(List.of(addressOf(empty)), List.of(addressOf(nodes.node("w1"))));
@@ -237,21 +237,24 @@
         assertEquals(1, lists.size());
     }
 
-    /** A document that half of the fleet rejects: the last good one stays in force there, and operators see it. */
+    /**
+     * One of two watchers rejects a settings document. It keeps the last valid document, and the status shows the rejection
+     * to operators.
+     */
     @Test
-    void badSettingsAreRejectedAndTheLastGoodOnesStay() throws Exception {
-        nodes = Nodes.of("w1");
+    void invalidSettingsAreRejectedAndTheLastValidOnesStayInForce() throws Exception {
+        nodes = ControlNodeCluster.of("w1");
         nodes.node("w1").put(ConfigurationChange.settings("base", "good 1"));
-        Watcher other = new Watcher("quote").connectTo(nodes.node("w1").address());
+        WatchTestClient other = new WatchTestClient("quote").connectTo(nodes.node("w1").address());
         start("w1");
-        Nodes.await("it is in force", () -> documents.equals(List.of("good 1")));
+        ControlNodeCluster.await("the first document is in force", () -> documents.equals(List.of("good 1")));
         nodes.node("w1").put(ConfigurationChange.settings("base", "bad 2"));
-        Nodes.await("it is rejected", () -> documents.equals(List.of("good 1", "bad 2")));
+        ControlNodeCluster.await("the second document is rejected", () -> documents.equals(List.of("good 1", "bad 2")));
         String timestamp =
                 nodes.node("w1").entry("settings:base", "base").timestamp().encode();
         other.sendWatch(0, "&settings=base&inforce=" + timestamp).receive();
         other.close();
-        Nodes.await("the operators see it", () -> {
+        ControlNodeCluster.await("the status shows the rejection", () -> {
             String status = Json.text(nodes.node("w1").status().watchers().toJson());
             return status.contains("\"refusals\":1,\"refused\":[{")
                     && status.contains("it is bad")
@@ -260,12 +263,12 @@
                     && status.contains("\"oldest_at\":[\"edge-1\"]");
         });
         nodes.node("w1").put(ConfigurationChange.settings("base", "good 3"));
-        Nodes.await("the next one is applied", () -> documents.size() == 3);
-        Nodes.await(
-                "no rejection is left",
+        ControlNodeCluster.await("the third document is applied", () -> documents.size() == 3);
+        ControlNodeCluster.await(
+                "the status shows no rejection",
                 () -> Json.text(nodes.node("w1").status().watchers().toJson()).contains("\"refusals\":0"));
         nodes.node("w1").put(ConfigurationChange.removeSettings("base"));
-        Nodes.await("its own file's are back", () -> documents.size() == 4);
+        ControlNodeCluster.await("the client reverts to its own settings", () -> documents.size() == 4);
         assertEquals("null", documents.get(3));
         assertNull(states.get("base"));
         assertFalse(lists.isEmpty());
--- a/edge/src/test/java/lemonrail/control/Nodes.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeCluster.java
@@ -21,8 +21,8 @@
 import lemonrail.logging.LogSink;
 import lemonrail.logging.TextSink;
 
-/** Control nodes on loopback that replicate from each other. */
-final class Nodes implements Closeable {
+/** A cluster of control nodes on the loopback interface that replicate from each other. */
+final class ControlNodeCluster implements Closeable {
 
     private static final long TIMEOUT_MS = 20_000;
 
@@ -33,7 +33,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    /** Starts a node at a free port, without peers. */
+    /** Starts a node without peers on a free port. */
     ControlNode start(String name, String region) throws IOException {
         return start(name, region, anyPort(), null);
     }
@@ -46,7 +46,7 @@
         return node;
     }
 
-    /** Creates a node of the region "west" with peers from its start, without an admin API; it is not opened. */
+    /** Creates, but does not open, a node in the region "west" with these initial peers and without an admin API. */
     ControlNode createWithPeers(String name, InetSocketAddress address, Path folder, List<Peer> peers) {
         ControlNode node =
                 ControlNode.create(config(name, "west", address, null, peers, folder), new TextSink(System.err));
@@ -73,8 +73,8 @@
                 LogSettings.DEFAULT);
     }
 
-    /** Makes all nodes peers of each other, and bootstraps the first. */
-    Nodes join() throws InterruptedException {
+    /** Bootstraps the first node, makes all nodes peers of each other and waits until they are ready. */
+    ControlNodeCluster join() throws InterruptedException {
         all.get(0).bootstrap();
         for (ControlNode node : all) {
             for (ControlNode other : all) {
@@ -87,8 +87,8 @@
         return this;
     }
 
-    static Nodes of(String... names) throws IOException, InterruptedException {
-        Nodes nodes = new Nodes();
+    static ControlNodeCluster of(String... names) throws IOException, InterruptedException {
+        ControlNodeCluster nodes = new ControlNodeCluster();
         for (String name : names) {
             nodes.start(name, name.startsWith("e") ? "east" : "west");
         }
@@ -115,10 +115,10 @@
                                         .getBytes(StandardCharsets.UTF_8))));
     }
 
-    /** Waits until these nodes have equal entries. */
+    /** Waits until the digests of these nodes are equal. */
     void awaitEqual(String... names) throws InterruptedException {
         await(
-                "all have equal entries",
+                "all nodes have equal entries",
                 () -> List.of(names).stream()
                                 .map(name -> node(name).digest())
                                 .distinct()
@@ -127,7 +127,7 @@
     }
 
     void awaitState(String node, String service, String id, String state) throws InterruptedException {
-        await(node + " has received that " + id + " is " + state, () -> {
+        await(node + " has received the change: " + id + " is " + state, () -> {
             String body = node(node).liveBody(service, id);
             return body != null && body.contains("\"" + state + "\"");
         });
--- a/edge/src/test/java/lemonrail/control/ControlNodeFixture.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeFixture.java
@@ -6,23 +6,23 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Timeout;
 
-/** Control nodes and watchers of a test, which are closed after it. */
+/** Base class for tests with control nodes and watchers. Closes them after each test. */
 @Timeout(60)
 abstract class ControlNodeFixture {
 
-    Nodes nodes = new Nodes();
-    final List<Watcher> watchers = new ArrayList<>();
+    ControlNodeCluster nodes = new ControlNodeCluster();
+    final List<WatchTestClient> watchers = new ArrayList<>();
 
     @AfterEach
     void stop() throws IOException {
-        for (Watcher watcher : watchers) {
+        for (WatchTestClient watcher : watchers) {
             watcher.close();
         }
         nodes.close();
     }
 
-    Watcher watcher(String services, String node) throws IOException {
-        Watcher watcher = new Watcher(services).connectTo(nodes.node(node).address());
+    WatchTestClient watcher(String services, String node) throws IOException {
+        WatchTestClient watcher = new WatchTestClient(services).connectTo(nodes.node(node).address());
         watchers.add(watcher);
         return watcher;
     }
--- a/edge/src/test/java/lemonrail/control/ControlNodeTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeTest.java
@@ -18,26 +18,26 @@
 import lemonrail.json.Json;
 import org.junit.jupiter.api.Test;
 
-/** Watches that a control node serves, on real sockets. */
+/** Tests the watches that a control node serves, on real sockets. */
 class ControlNodeTest extends ControlNodeFixture {
 
     private static final EndpointList.Names NAMES = new EndpointList.Names(List.of("a"), List.of("m2"));
 
-    /** Guards against responses that a sidecar with the platform's protocol alone cannot read. */
+    /** Guards against responses that a sidecar cannot read if it supports only the platform's discovery protocol. */
     @Test
-    void aPlainWatchIsServedByThePlatformsProtocol() throws Exception {
-        nodes = Nodes.of("w1");
+    void watchWithoutExtensionsIsServedInThePlatformsProtocol() throws Exception {
+        nodes = ControlNodeCluster.of("w1");
         nodes.put("w1", "quote", "s1", "in_service");
-        Watcher plain = watcher("", "w1");
+        WatchTestClient client = watcher("", "w1");
         EndpointList list = EndpointListReader.parse(
-                plain.get("/registry/instances").read().text.getBytes(StandardCharsets.UTF_8), NAMES);
+                client.get("/registry/instances").read().text.getBytes(StandardCharsets.UTF_8), NAMES);
         assertTrue(list.full());
         assertEquals("s1", list.endpoints().get(0).id());
         assertEquals(0, list.endpoints().get(0).zone());
-        plain.get("/registry/instances?index=" + list.version() + "&wait=20000");
-        Nodes.await("the request waits", () -> nodes.node("w1").watchCounters().waiting() == 1);
+        client.get("/registry/instances?index=" + list.version() + "&wait=20000");
+        ControlNodeCluster.await("the watch request is waiting", () -> nodes.node("w1").watchCounters().waiting() == 1);
         nodes.put("w1", "quote", "s1", "terminating");
-        EndpointList change = EndpointListReader.parse(plain.read().text.getBytes(StandardCharsets.UTF_8), NAMES);
+        EndpointList change = EndpointListReader.parse(client.read().text.getBytes(StandardCharsets.UTF_8), NAMES);
         assertFalse(change.full());
         assertEquals(
                 List.of(EndpointState.DRAINING),
@@ -45,7 +45,7 @@
         assertTrue(change.version() > list.version());
         nodes.node("w1").put(ConfigurationChange.removeEndpoint("quote", "s1"));
         change = EndpointListReader.parse(
-                plain.get("/registry/instances?index=" + change.version() + "&wait=20000")
+                client.get("/registry/instances?index=" + change.version() + "&wait=20000")
                         .read()
                         .text
                         .getBytes(StandardCharsets.UTF_8),
@@ -53,7 +53,7 @@
         assertEquals(
                 List.of(EndpointState.GONE),
                 change.endpoints().stream().map(endpoint -> endpoint.state()).toList());
-        Watcher other = watcher("", "w1");
+        WatchTestClient other = watcher("", "w1");
         assertTrue(
                 EndpointListReader.parse(
                                 other.get("/registry/instances?index=" + change.version() + "&wait=20000")
@@ -62,18 +62,18 @@
                                         .getBytes(StandardCharsets.UTF_8),
                                 NAMES)
                         .full(),
-                "a new connection without a digest gets a full snapshot at once");
+                "a request without a digest on a new connection must get a full snapshot immediately");
     }
 
     @Test
-    void aWatcherReceivesItsServicesOnly() throws Exception {
-        nodes = Nodes.of("w1");
+    void watcherReceivesOnlyItsServices() throws Exception {
+        nodes = ControlNodeCluster.of("w1");
         nodes.put("w1", "quote", "s1", "in_service");
         nodes.put("w1", "price", "p1", "in_service");
-        Watcher watcher = watcher("quote,stock", "w1").watch(0);
+        WatchTestClient watcher = watcher("quote,stock", "w1").watch(0);
         assertEquals(List.of("s1"), List.copyOf(watcher.states.keySet()));
         watcher.sendWatch(20_000, "");
-        Nodes.await("the request waits", () -> nodes.node("w1").watchCounters().waiting() == 1);
+        ControlNodeCluster.await("the watch request is waiting", () -> nodes.node("w1").watchCounters().waiting() == 1);
         nodes.put("w1", "price", "p2", "in_service");
         nodes.put("w1", "stock", "t1", "in_service");
         watcher.receive();
@@ -82,17 +82,17 @@
         assertEquals(1, watcher.listedEndpoints());
     }
 
-    /** Guards against 500 responses to each watcher while a region drains. */
+    /** Guards against one response for each of 500 changes, as when a region drains. */
     @Test
-    void rapidChangesAreBatchedAndTheFirstIsSentAtOnce() throws Exception {
-        nodes = Nodes.of("w1");
-        Watcher watcher = watcher("quote", "w1").watch(0);
+    void firstChangeIsSentImmediatelyAndRapidChangesAreBatched() throws Exception {
+        nodes = ControlNodeCluster.of("w1");
+        WatchTestClient watcher = watcher("quote", "w1").watch(0);
         watcher.sendWatch(20_000, "");
-        Nodes.await("the request waits", () -> nodes.node("w1").watchCounters().waiting() == 1);
-        long startedNs = System.nanoTime();
+        ControlNodeCluster.await("the watch request is waiting", () -> nodes.node("w1").watchCounters().waiting() == 1);
+        long startNs = System.nanoTime();
         nodes.put("w1", "quote", "s0", "in_service");
         watcher.receive();
-        double firstMs = (System.nanoTime() - startedNs) / 1e6;
+        double firstMs = (System.nanoTime() - startNs) / 1e6;
         Thread writer = new Thread(() -> {
             for (int i = 1; i < 500; i++) {
                 nodes.put("w1", "quote", "s" + i, "in_service");
@@ -104,30 +104,30 @@
             watcher.watch(20_000);
             responses++;
         }
-        double tookMs = (System.nanoTime() - startedNs) / 1e6;
+        double elapsedMs = (System.nanoTime() - startNs) / 1e6;
         writer.join();
-        assertTrue(firstMs < 150, "the first came after " + firstMs + " ms");
-        assertTrue(responses <= 1 + tookMs / 150, responses + " responses in " + tookMs + " ms");
+        assertTrue(firstMs < 150, "the first change arrived after " + firstMs + " ms");
+        assertTrue(responses <= 1 + elapsedMs / 150, responses + " responses in " + elapsedMs + " ms");
     }
 
     @Test
-    void aNodeThatIsNotReadyRejectsRequests() throws Exception {
+    void nodeThatIsNotReadyRejectsRequests() throws Exception {
         nodes.start("w1", "west");
-        Watcher watcher = watcher("quote", "w1").watch(0);
+        WatchTestClient watcher = watcher("quote", "w1").watch(0);
         assertEquals(503, watcher.status);
         assertThrows(IllegalStateException.class, () -> nodes.put("w1", "quote", "s1", "in_service"));
         nodes.node("w1").bootstrap();
         assertEquals(200, watcher.watch(0).status);
     }
 
-    /** Guards against trust in a version while the watcher differs from what its former node had. */
+    /** Guards against a delta from the known version to a watcher whose entries differ from those of its former node. */
     @Test
-    void aWatcherWithAnotherDigestGetsAFullSnapshotOnce() throws Exception {
-        nodes = Nodes.of("w1", "w2");
+    void watcherWithADifferentDigestGetsOneFullSnapshot() throws Exception {
+        nodes = ControlNodeCluster.of("w1", "w2");
         nodes.put("w1", "quote", "s1", "in_service");
         nodes.awaitEqual("w1", "w2");
-        Watcher watcher = watcher("quote", "w1").watch(0);
-        // As if ten seconds and more had passed since.
+        WatchTestClient watcher = watcher("quote", "w1").watch(0);
+        // Advances the known version by 60 s, which is past the overlap of ten seconds.
         watcher.replica.apply(new WatcherReplica.Key("quote", "s9"), new HybridTimestamp(1, 0, "w1"), false);
         watcher.states.put("s9", "in_service");
         watcher.version += 60_000L << 10;
@@ -138,99 +138,99 @@
         assertFalse(watcher.full);
     }
 
-    /** Guards against a watcher that reads nothing and so occupies memory or delays the others. */
+    /** Guards against a watcher that reads nothing and therefore occupies memory or delays other watchers. */
     @Test
-    void aSlowWatcherIsClosedAndDelaysNoOther() throws Exception {
-        nodes = Nodes.of("w1");
+    void slowWatcherIsClosedAndDelaysNoOther() throws Exception {
+        nodes = ControlNodeCluster.of("w1");
         for (int i = 0; i < 150; i++) {
             assertEquals(
                     MergeOutcome.APPLIED,
                     nodes.node("w1").put(ConfigurationChange.settings("d" + i, "x".repeat(60_000))));
         }
         nodes.put("w1", "quote", "s1", "in_service");
-        List<Watcher> slow = new ArrayList<>();
+        List<WatchTestClient> slow = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            Watcher one = new Watcher("quote").connectTo(nodes.node("w1").address(), 4096);
+            WatchTestClient one = new WatchTestClient("quote").connectTo(nodes.node("w1").address(), 4096);
             watchers.add(one);
             slow.add(one);
-            // As a peer it gets everything: 9 MB, more than the system takes.
+            // A peer gets all entries, here 9 MB, which exceeds the socket buffers.
             one.get("/registry/instances?peer=slow" + i);
         }
-        Watcher other = watcher("quote", "w1").watch(0);
+        WatchTestClient other = watcher("quote", "w1").watch(0);
         for (int i = 0; i < 20; i++) {
             other.sendWatch(20_000, "");
-            long startedNs = System.nanoTime();
+            long startNs = System.nanoTime();
             nodes.put("w1", "quote", "s" + i, "terminating");
             other.receive();
-            assertTrue((System.nanoTime() - startedNs) / 1e6 < 1000, "nobody is held up");
+            assertTrue((System.nanoTime() - startNs) / 1e6 < 1000, "slow watchers must not delay another one");
         }
-        Nodes.await("they are closed", () -> nodes.node("w1").watchCounters().slowClosed() == 10);
-        for (Watcher one : slow) {
+        ControlNodeCluster.await("all slow watchers are closed", () -> nodes.node("w1").watchCounters().slowClosed() == 10);
+        for (WatchTestClient one : slow) {
             one.awaitClose();
         }
         assertEquals(200, other.watch(0).status);
     }
 
     @Test
-    void aRequestBeforeTheResponseClosesTheConnection() throws Exception {
-        nodes = Nodes.of("w1");
-        Watcher watcher = watcher("quote", "w1").watch(0);
+    void secondRequestBeforeTheResponseClosesTheConnection() throws Exception {
+        nodes = ControlNodeCluster.of("w1");
+        WatchTestClient watcher = watcher("quote", "w1").watch(0);
         watcher.sendWatch(20_000, "").sendWatch(20_000, "");
         watcher.awaitClose();
         assertEquals(0, nodes.node("w1").watchCounters().waiting());
     }
 
-    /** All are back at once with an empty hand, each asking for the three services that it calls. */
+    /** All watchers reconnect at the same time without known entries. Each requests three services. */
     @Test
-    void aThousandWatchersReconnectAtOnce() throws Exception {
-        nodes = Nodes.of("w1");
-        thousandEndpoints();
-        long startedNs = System.nanoTime();
-        List<Watcher> fleet = new ArrayList<>();
+    void thousandWatchersReconnectSimultaneously() throws Exception {
+        nodes = ControlNodeCluster.of("w1");
+        putThousandEndpoints();
+        long startNs = System.nanoTime();
+        List<WatchTestClient> fleet = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
             fleet.add(watcher("service" + i % 110 + ",service" + (i + 1) % 110 + ",service" + (i + 2) % 110, "w1")
                     .sendWatch(0, ""));
         }
         long bytes = 0;
-        for (Watcher one : fleet) {
+        for (WatchTestClient one : fleet) {
             one.receive();
             assertTrue(one.full && one.listedEndpoints() >= 27);
             bytes += one.bytes;
         }
-        System.out.println("1,000 watchers of 3 of 110 services, back at once at one node: "
-                + (System.nanoTime() - startedNs) / 1_000_000 + " ms, " + bytes / 1000 + " kB in all");
+        System.out.println("1,000 watchers of 3 of 110 services reconnected to one node: "
+                + (System.nanoTime() - startNs) / 1_000_000 + " ms, " + bytes / 1000 + " kB in total");
         assertTrue(
                 nodes.node("w1").watchCounters().encodedBodies() <= 110,
-                "a body is encoded once for all that lack the same");
+                "each body must be encoded once for all watchers that lack the same entries");
         nodes.put("w1", "service7", "s7", "terminating");
-        for (Watcher one : fleet) {
+        for (WatchTestClient one : fleet) {
             one.watch(0);
             assertFalse(one.full);
             assertEquals(one.states.containsKey("s7") ? 1 : 0, one.listedEndpoints());
         }
     }
 
-    /** The same for watchers of everything, as plain ones are. */
+    /** Tests the same for watchers of all services, which is what the platform's protocol requests. */
     @Test
-    void aThousandWatchersGetAFullSnapshotAtOnce() throws Exception {
-        nodes = Nodes.of("w1");
-        thousandEndpoints();
-        long startedNs = System.nanoTime();
-        List<Watcher> fleet = new ArrayList<>();
+    void thousandWatchersGetAFullSnapshotSimultaneously() throws Exception {
+        nodes = ControlNodeCluster.of("w1");
+        putThousandEndpoints();
+        long startNs = System.nanoTime();
+        List<WatchTestClient> fleet = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
             fleet.add(watcher("", "w1").sendWatch(0, ""));
         }
         long bytes = 0;
-        for (Watcher one : fleet) {
+        for (WatchTestClient one : fleet) {
             bytes += one.read().bytes;
             one.text = "";
         }
-        System.out.println("1,000 whole lists of 1,000 at once from one node: "
-                + (System.nanoTime() - startedNs) / 1_000_000 + " ms, " + bytes / 1_000_000 + " MB in all");
-        assertEquals(1, nodes.node("w1").watchCounters().encodedBodies(), "the body is encoded once");
+        System.out.println("1,000 full snapshots of 1,000 endpoints from one node: "
+                + (System.nanoTime() - startNs) / 1_000_000 + " ms, " + bytes / 1_000_000 + " MB in total");
+        assertEquals(1, nodes.node("w1").watchCounters().encodedBodies(), "the body must be encoded once for all watchers");
     }
 
-    private void thousandEndpoints() {
+    private void putThousandEndpoints() {
         for (int i = 0; i < 1000; i++) {
             nodes.put("w1", "service" + i % 110, "s" + i, "in_service");
         }
@@ -238,17 +238,17 @@
 
     @Test
     void appliedAndRejectedVersionsAreReported() throws Exception {
-        nodes = Nodes.of("w1", "w2");
+        nodes = ControlNodeCluster.of("w1", "w2");
         nodes.node("w1").put(ConfigurationChange.settings("base", "one"));
         nodes.awaitEqual("w1", "w2");
-        Watcher watcher = watcher("quote", "w2");
+        WatchTestClient watcher = watcher("quote", "w2");
         watcher.sendWatch(0, "&settings=base").receive();
         Map<?, ?> document = (Map<?, ?>) ((List<?>) watcher.response.get("settings")).get(0);
         assertEquals("one", document.get("text"));
         watcher.sendWatch(
                         0, "&settings=base&inforce=5.0.w1&refused=" + document.get("stamp") + "&why=no%20such%20class")
                 .receive();
-        Nodes.await("the other node reports it", () -> {
+        ControlNodeCluster.await("the other node reports the applied and the rejected version", () -> {
             String status = Json.text(nodes.node("w1").status().toJson());
             return status.contains("\"oldest\":\"5.0.w1\",\"oldest_at\":[\"w1\"],\"refusals\":1")
                     && status.contains("no such class");
--- a/edge/src/test/java/lemonrail/control/SnapshotFileTest.java
+++ b/edge/src/test/java/lemonrail/control/SnapshotFileTest.java
@@ -17,22 +17,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The stored form of a control node's snapshot. The resource {@code stored/w1.control} was written by the code of
- * commit 54f0243, where the class was {@code StateFile}: endpoints, a removed one, one of another node, a backdated
- * one, a settings document and a removed one.
+ * Tests the file format of a control node's snapshot. The resource {@code stored/w1.control} was written by the code of
+ * commit 54f0243, in which the class had the name {@code StateFile}. It has endpoints, among them a removed one, one of
+ * another node and a backdated one, and two settings documents, of which one is removed.
  */
 class SnapshotFileTest {
 
     private static final long WRITTEN_AT_MS = 1_790_000_000_010L;
-    /** The digest over all live entries that the former code calculated. */
-    private static final long FORMER_DIGEST = -3_765_066_558_944_845_732L;
+    /** Digest of all live entries, as calculated by the version that wrote the file. */
+    private static final long EARLIER_VERSION_DIGEST = -3_765_066_558_944_845_732L;
 
     @TempDir
     Path folder;
 
     private final ReplicatedStore store = new ReplicatedStore("w1", Bounds.DEFAULT, WRITTEN_AT_MS + 1000);
 
-    private Path formerSnapshot() throws IOException {
+    private Path earlierVersionSnapshot() throws IOException {
         Path file = folder.resolve("w1.control");
         try (InputStream resource = getClass().getResourceAsStream("/stored/w1.control")) {
             Files.copy(resource, file);
@@ -41,12 +41,12 @@
     }
 
     @Test
-    void aSnapshotOfTheFormerVersionIsLoaded() throws IOException {
-        OptionalLong writtenAtMs = new SnapshotFile(formerSnapshot()).read(store, WRITTEN_AT_MS + 1000);
+    void snapshotOfAnEarlierVersionIsLoaded() throws IOException {
+        OptionalLong writtenAtMs = new SnapshotFile(earlierVersionSnapshot()).read(store, WRITTEN_AT_MS + 1000);
         assertEquals(OptionalLong.of(WRITTEN_AT_MS), writtenAtMs);
         assertEquals(5, store.liveCount());
         assertEquals(2, store.tombstoneCount());
-        assertEquals(FORMER_DIGEST, store.digest(store.topics()));
+        assertEquals(EARLIER_VERSION_DIGEST, store.digest(store.topics()));
         assertEquals(
                 "{\"id\":\"s1\",\"addr\":\"10.0.0.1:9000\",\"zone\":\"a\",\"kind\":\"m2\",\"cell\":3,"
                         + "\"state\":\"in_service\",\"weight\":2.5,\"started_ms\":1789999000000}",
@@ -65,19 +65,19 @@
                 store.acknowledgedVersions());
     }
 
-    /** Guards against a stored form that the former version could not read after a downgrade. */
+    /** Guards against a file format that an earlier version cannot read after a downgrade. */
     @Test
-    void theStoredFormIsUnchanged() throws IOException {
-        Path file = formerSnapshot();
-        byte[] former = Files.readAllBytes(file);
+    void fileFormatIsUnchanged() throws IOException {
+        Path file = earlierVersionSnapshot();
+        byte[] original = Files.readAllBytes(file);
         SnapshotFile snapshot = new SnapshotFile(file);
         snapshot.read(store, WRITTEN_AT_MS + 1000);
         snapshot.write(store, WRITTEN_AT_MS);
-        assertArrayEquals(former, Files.readAllBytes(file));
+        assertArrayEquals(original, Files.readAllBytes(file));
     }
 
     @Test
-    void withoutAFileNothingIsLoaded() throws IOException {
+    void missingFileLoadsNothing() throws IOException {
         SnapshotFile snapshot = new SnapshotFile(folder.resolve("w2.control"));
         assertEquals(OptionalLong.empty(), snapshot.read(store, WRITTEN_AT_MS));
         assertEquals(0, store.liveCount());
--- a/edge/src/test/java/lemonrail/control/Watcher.java
+++ b/edge/src/test/java/lemonrail/control/WatchTestClient.java
@@ -17,8 +17,8 @@
 import lemonrail.core.replication.WatcherReplica;
 import lemonrail.json.Json;
 
-/** A watcher that sends its requests one by one and keeps a replica of what it receives. */
-final class Watcher implements Closeable {
+/** A test client that sends watch requests one at a time and applies the responses to a replica. */
+final class WatchTestClient implements Closeable {
 
     private static final int TIMEOUT_MS = 20_000;
 
@@ -35,18 +35,18 @@
     Map<?, ?> response;
     String text = "";
 
-    /** Creates a watcher of these services, or of all if none are given. */
-    Watcher(String services) {
+    /** Creates a watcher of these comma-separated services, or of all services if the text is empty. */
+    WatchTestClient(String services) {
         this.services = services;
     }
 
-    /** Connects to a node and keeps the replica. */
-    Watcher connectTo(InetSocketAddress node) throws IOException {
+    /** Closes the present connection and connects to a node. The replica is kept. */
+    WatchTestClient connectTo(InetSocketAddress node) throws IOException {
         return connectTo(node, 0);
     }
 
-    /** The same with a socket receive buffer of this size; 0 for the default. */
-    Watcher connectTo(InetSocketAddress node, int receiveBytes) throws IOException {
+    /** Connects to a node with a socket receive buffer of this size, or of the default size if it is 0. */
+    WatchTestClient connectTo(InetSocketAddress node, int receiveBytes) throws IOException {
         close();
         socket = new Socket();
         if (receiveBytes > 0) {
@@ -59,28 +59,32 @@
         return this;
     }
 
-    Watcher send(String line) throws IOException {
-        socket.getOutputStream().write(line.getBytes(StandardCharsets.ISO_8859_1));
+    WatchTestClient send(String request) throws IOException {
+        socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
         return this;
     }
 
-    /** Sends a request that resumes from the known version. */
-    Watcher sendWatch(int waitMs, String moreParameters) throws IOException {
+    /** Sends a watch request that resumes from the known version, if there is one. */
+    WatchTestClient sendWatch(int waitMs, String moreParameters) throws IOException {
         return get("/registry/instances?name=w1" + (services.isEmpty() ? "" : "&service=" + services)
                 + (version < 0 ? "" : "&index=" + version + "&wait=" + waitMs + "&from=" + bootId) + "&digest="
                 + Long.toHexString(replica.digest()) + moreParameters);
     }
 
-    Watcher get(String uri) throws IOException {
+    WatchTestClient get(String uri) throws IOException {
         return send("GET " + uri + " HTTP/1.1\r\nHost: control\r\n\r\n");
     }
 
-    /** Sends a request and applies the response. */
-    Watcher watch(int waitMs) throws IOException {
+    /** Sends a watch request and applies the response. */
+    WatchTestClient watch(int waitMs) throws IOException {
         return sendWatch(waitMs, "").receive();
     }
 
-    /** Watches until the endpoint is in this state, or absent if it is null; returns the number of responses. */
+    /**
+     * Watches until the endpoint is in this state, or is absent if the state is null.
+     *
+     * @return the number of responses received
+     */
     int watchUntil(String id, String state) throws IOException {
         for (int responses = 0; responses < 100; responses++) {
             if (java.util.Objects.equals(state, states.get(id))) {
@@ -91,9 +95,9 @@
         throw new AssertionError(id + " is " + states.get(id) + ", not " + state);
     }
 
-    Watcher read() throws IOException {
-        String first = readLine();
-        status = Integer.parseInt(first.split(" ")[1]);
+    WatchTestClient read() throws IOException {
+        String statusLine = readLine();
+        status = Integer.parseInt(statusLine.split(" ")[1]);
         int length = 0;
         for (String line = readLine(); !line.isEmpty(); line = readLine()) {
             if (line.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")) {
@@ -102,15 +106,15 @@
         }
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new EOFException("the body is cut");
+            throw new EOFException("the response body is truncated");
         }
         bytes += length;
         text = new String(body, StandardCharsets.UTF_8);
         return this;
     }
 
-    /** Reads a response and applies it to the replica. */
-    Watcher receive() throws IOException {
+    /** Reads a response and applies it to the replica unless its status differs from 200. */
+    WatchTestClient receive() throws IOException {
         read();
         if (status != 200) {
             return this;
@@ -120,20 +124,20 @@
         bootId = (String) response.get("node");
         full = (Boolean) response.get("full");
         List<WatcherReplica.Key> listed = new ArrayList<>();
-        for (Object each : (List<?>) response.get("servers")) {
-            Map<?, ?> line = (Map<?, ?>) each;
-            boolean removed = "terminated".equals(line.get("state"));
-            WatcherReplica.Key key = new WatcherReplica.Key((String) line.get("service"), (String) line.get("id"));
-            if (replica.apply(key, HybridTimestamp.parse((String) line.get("stamp")), removed)) {
-                states.put(key.id(), (String) line.get("state"));
+        for (Object item : (List<?>) response.get("servers")) {
+            Map<?, ?> entry = (Map<?, ?>) item;
+            boolean removed = "terminated".equals(entry.get("state"));
+            WatcherReplica.Key key = new WatcherReplica.Key((String) entry.get("service"), (String) entry.get("id"));
+            if (replica.apply(key, HybridTimestamp.parse((String) entry.get("stamp")), removed)) {
+                states.put(key.id(), (String) entry.get("state"));
                 states.values().removeIf("terminated"::equals);
             }
             listed.add(key);
         }
-        for (Object each : (List<?>) response.get("settings")) {
-            Map<?, ?> line = (Map<?, ?>) each;
-            WatcherReplica.Key key = new WatcherReplica.Key("settings:" + line.get("name"), (String) line.get("name"));
-            replica.apply(key, HybridTimestamp.parse((String) line.get("stamp")), (Boolean) line.get("gone"));
+        for (Object item : (List<?>) response.get("settings")) {
+            Map<?, ?> entry = (Map<?, ?>) item;
+            WatcherReplica.Key key = new WatcherReplica.Key("settings:" + entry.get("name"), (String) entry.get("name"));
+            replica.apply(key, HybridTimestamp.parse((String) entry.get("stamp")), (Boolean) entry.get("gone"));
             listed.add(key);
         }
         if (full) {
@@ -150,7 +154,7 @@
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
-                throw new EOFException("the connection ended");
+                throw new EOFException("the connection was closed within a line");
             }
             if (b != '\r') {
                 line.write(b);
@@ -168,7 +172,7 @@
         } catch (java.net.SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
-            // A reset ends it as well.
+            // A connection reset counts as closed.
             return;
         }
     }
--- a/edge/src/test/java/lemonrail/exchange/ResponseTimeReserveTest.java
+++ b/edge/src/test/java/lemonrail/exchange/ResponseTimeReserveTest.java
@@ -8,7 +8,7 @@
 class ResponseTimeReserveTest {
 
     @Test
-    void loopWithoutLagReservesOnePercent() {
+    void reserveWithoutLoopLagIsOnePercent() {
         assertEquals(50, ResponseTimeReserve.reserveMs(5000, 0));
     }
 
@@ -18,12 +18,12 @@
     }
 
     @Test
-    void loopLagIsAdded() {
+    void loopLagIsAddedToTheReserve() {
         assertEquals(34, ResponseTimeReserve.reserveMs(400, 30));
     }
 
     @Test
-    void reserveIsAtMostAQuarter() {
+    void reserveIsAtMostAQuarterOfTheClientTimeout() {
         assertEquals(100, ResponseTimeReserve.reserveMs(400, 1000));
         assertEquals(1, ResponseTimeReserve.reserveMs(4, 0));
     }
--- a/edge/src/test/java/lemonrail/frames/FrameDownstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameDownstream.java
@@ -21,7 +21,8 @@
 import lemonrail.streaming.BodyPipe;
 
 /**
- * The client side of the test protocol: one request at a time on a connection, as {@code id|class|timeout|text}.
+ * The client side of the test protocol. A connection carries one request at a time, in the form
+ * {@code id|class|timeout|text} with the timeout in milliseconds.
  */
 final class FrameDownstream implements Downstream {
 
@@ -55,19 +56,19 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Frame frame) {
             String[] parts = frame.text().split("\\|", 4);
-            int kind = context.settings().classes().stream()
+            int classIndex = context.settings().classes().stream()
                     .map(c -> c.name())
                     .toList()
                     .indexOf(parts[1]);
-            if (requestId != null || kind < 0 || dispatcher.isInFlight(parts[0])) {
+            if (requestId != null || classIndex < 0 || dispatcher.isInFlight(parts[0])) {
                 respond(new Frame('B', "no request"));
                 return;
             }
             requestId = parts[0];
-            double now = context.clock().now();
+            double nowMs = context.clock().now();
             dispatcher.dispatch(
                     new Request(
-                            requestId, kind, 0, Math.min(latestDeadlineMs, now + Double.parseDouble(parts[2])), false),
+                            requestId, classIndex, 0, Math.min(latestDeadlineMs, nowMs + Double.parseDouble(parts[2])), false),
                     new FrameRequest(requestId, parts[3]),
                     this);
         }
@@ -87,7 +88,7 @@
 
         @Override
         public void onStreamStarted(Frame head, BodyPipe body) {
-            throw new IllegalStateException("this protocol has no large answers");
+            throw new IllegalStateException("the test protocol does not stream responses");
         }
 
         @Override
@@ -126,9 +127,9 @@
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel fresh) {
-                        Frame.addTo(fresh.pipeline());
-                        fresh.pipeline().addLast(new Connection());
+                    protected void initChannel(SocketChannel newChannel) {
+                        Frame.addTo(newChannel.pipeline());
+                        newChannel.pipeline().addLast(new Connection());
                     }
                 })
                 .bind(address);
--- a/edge/src/test/java/lemonrail/frames/FrameProtocol.java
+++ b/edge/src/test/java/lemonrail/frames/FrameProtocol.java
@@ -8,7 +8,7 @@
 import lemonrail.exchange.RequestDispatcher;
 import lemonrail.exchange.Upstream;
 
-/** A second protocol, for tests only: it shows that the request dispatcher depends on none. */
+/** A second protocol, which tests use to show that the request dispatcher is independent of HTTP. */
 public final class FrameProtocol implements Protocol<FrameRequest, Frame> {
 
     @Override
--- a/edge/src/test/java/lemonrail/frames/FrameUpstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameUpstream.java
@@ -18,7 +18,7 @@
 import lemonrail.exchange.EventLoopContext;
 import lemonrail.exchange.Upstream;
 
-/** The endpoint side of the test protocol: each attempt has a connection, which is closed with it. */
+/** The endpoint side of the test protocol. Each attempt opens a connection and closes it when it ends. */
 final class FrameUpstream implements Upstream<FrameRequest, Frame> {
 
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
@@ -53,9 +53,9 @@
                             context.settings().limits().connectTimeoutMs())
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel fresh) {
-                            Frame.addTo(fresh.pipeline());
-                            fresh.pipeline().addLast(Attempt.this);
+                        protected void initChannel(SocketChannel newChannel) {
+                            Frame.addTo(newChannel.pipeline());
+                            newChannel.pipeline().addLast(Attempt.this);
                         }
                     })
                     .connect(address);
@@ -64,15 +64,15 @@
                 openConnections--;
                 finish(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
             });
-            connecting.addListener(up -> {
-                if (!up.isSuccess()) {
+            connecting.addListener(connected -> {
+                if (!connected.isSuccess()) {
                     finish(AttemptOutcome.CONNECT_ERROR, null);
                 } else if (listener != null && !listener.mayStart()) {
                     channel.close();
                 } else if (listener != null) {
                     Frame frame = new Frame('Q', request.id() + "|" + (long) timeoutMs + "|" + request.text());
-                    channel.writeAndFlush(frame).addListener(done -> {
-                        written = done.isSuccess();
+                    channel.writeAndFlush(frame).addListener(write -> {
+                        written = write.isSuccess();
                         if (written && listener != null) {
                             context.metrics().onDispatch();
                             listener.onRequestWritten();
@@ -95,10 +95,10 @@
         }
 
         private void finish(AttemptOutcome outcome, Frame response) {
-            AttemptListener<Frame> notified = listener;
+            AttemptListener<Frame> notifiedListener = listener;
             listener = null;
-            if (notified != null) {
-                notified.onFinished(outcome, response);
+            if (notifiedListener != null) {
+                notifiedListener.onFinished(outcome, response);
             }
         }
 
@@ -149,7 +149,7 @@
 
     @Override
     public void closeIdleConnections(String endpoint) {
-        // Connections are never idle.
+        // Each connection is closed with its attempt, so that none is idle.
     }
 
     @Override
--- a/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
+++ b/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A body written to a channel whose writability changes in the middle of a chunk. */
+/** Tests a body written to a channel whose writability changes while a chunk is written. */
 class PipeWriterTest {
 
     private static final int BUDGET_BYTES = 1 << 20;
@@ -69,34 +69,34 @@
         return head;
     }
 
-    private static String written(EmbeddedChannel channel) {
-        StringBuilder all = new StringBuilder();
+    private static String bodyWrittenTo(EmbeddedChannel channel) {
+        StringBuilder output = new StringBuilder();
         for (ByteBuf next = channel.readOutbound(); next != null; next = channel.readOutbound()) {
-            all.append(next.toString(StandardCharsets.ISO_8859_1));
+            output.append(next.toString(StandardCharsets.ISO_8859_1));
             next.release();
         }
-        return all.substring(all.indexOf("\r\n\r\n") + "\r\n\r\n".length());
+        return output.substring(output.indexOf("\r\n\r\n") + "\r\n\r\n".length());
     }
 
-    /** Reads whole chunks to their end; returns the bytes of the body. */
-    private static int bytesInChunks(String chunks, boolean whole) {
-        int at = 0;
+    /** Checks the framing of the chunks and returns the number of body bytes in them. */
+    private static int bytesInChunks(String chunks, boolean complete) {
+        int position = 0;
         int bytes = 0;
         int size = -1;
-        while (at < chunks.length()) {
-            assertTrue(size != 0, "more comes behind the last chunk");
-            int line = chunks.indexOf("\r\n", at);
-            size = Integer.parseInt(chunks.substring(at, line), 16);
-            at = line + 2 + size;
-            assertEquals("\r\n", chunks.substring(at, at + 2), "a chunk ends where its size says");
-            at += 2;
+        while (position < chunks.length()) {
+            assertTrue(size != 0, "data follows the last chunk");
+            int sizeEnd = chunks.indexOf("\r\n", position);
+            size = Integer.parseInt(chunks.substring(position, sizeEnd), 16);
+            position = sizeEnd + 2 + size;
+            assertEquals("\r\n", chunks.substring(position, position + 2), "the chunk does not end after its announced size");
+            position += 2;
             bytes += size;
         }
-        assertEquals(whole, size == 0, "the last chunk tells that it is whole");
+        assertEquals(complete, size == 0, "only a complete body must end with the last chunk");
         return bytes;
     }
 
-    /** The last chunk, or the next one, must not be written within the chunk that fills the channel. */
+    /** Guards against a nested write of the next or last chunk inside the chunk whose write fills the channel. */
     @ParameterizedTest
     @CsvSource({
         "32768,true",
@@ -111,7 +111,7 @@
         "1,true",
         "1,false"
     })
-    void bodyEndsBetweenChunks(int bytes, boolean whole) {
+    void bodyEndsBetweenChunks(int bytes, boolean complete) {
         for (boolean response : new boolean[] {true, false}) {
             notifications.clear();
             writer = null;
@@ -122,16 +122,16 @@
                             : new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api")));
             BodyPipe pipe = new BodyPipe(new BufferBudget(BUDGET_BYTES), on -> {});
             pipe.write(Unpooled.wrappedBuffer(new byte[bytes]));
-            if (whole) {
+            if (complete) {
                 pipe.complete();
             } else {
                 pipe.fail();
             }
             writer = new PipeWriter(channel, pipe, listener());
             pipe.setConsumer(writer);
-            assertEquals(List.of(whole ? "written" : "broken"), notifications);
-            int written = bytesInChunks(written(channel), whole);
-            assertTrue(whole ? written == bytes : written <= bytes, written + " bytes of " + bytes);
+            assertEquals(List.of(complete ? "written" : "broken"), notifications);
+            int writtenBytes = bytesInChunks(bodyWrittenTo(channel), complete);
+            assertTrue(complete ? writtenBytes == bytes : writtenBytes <= bytes, writtenBytes + " bytes of " + bytes);
             channel.finishAndReleaseAll();
         }
     }
--- a/edge/src/test/java/lemonrail/logging/LogTest.java
+++ b/edge/src/test/java/lemonrail/logging/EventLogTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The log: its forms and levels, what is damped, and a reader that takes nothing. */
+/** Tests formats, levels and rate limits of the event log, and a log reader that blocks. */
 @Timeout(60)
-class LogTest {
+class EventLogTest {
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private final PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void jsonIsOneFlatObjectALineWithStableFields() throws IOException {
+    void jsonFormatIsOneFlatObjectPerLineWithStableFields() throws IOException {
         LogSink sink = new StructuredSink(out, LogSettings.Format.JSON, Map.of("lemonrail.exchange", Severity.DEBUG));
         EventLog log = new EventLog(new Clock(), sink);
         log.forComponent("exchange")
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void levelsCanBeChangedAndAreInherited() {
+    void levelsCanBeChangedAndApplyToChildLoggers() {
         for (LogSink sink : List.of(new TextSink(out), new StructuredSink(out, LogSettings.Format.TEXT, Map.of()))) {
             assertFalse(sink.isEnabled(Severity.DEBUG, "lemonrail.http1"));
             sink.setLevel("lemonrail", Severity.DEBUG);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void repeatedWarningsAreRateLimitedByKindAndCounted() {
+    void repeatedWarningsAreRateLimitedPerEventAndCounted() {
         EventLog log = new EventLog(new Clock(), new TextSink(out));
         for (int i = 0; i < 50; i++) {
             log.forComponent("http1").warnRateLimited("no_connection", "no connection", "number " + i);
@@ -84,17 +84,17 @@
         assertEquals(49, log.suppressed());
     }
 
-    /** Guards against a full pipe that stops the event loop: the caller goes on, and what is lost is told. */
+    /** Guards against a full pipe that blocks the event loop. Events are dropped instead, and their number is logged. */
     @Test
     void slowReaderDoesNotBlockTheWriter() throws Exception {
-        CountDownLatch reads = new CountDownLatch(1);
-        CountDownLatch stuck = new CountDownLatch(1);
+        CountDownLatch readerResumed = new CountDownLatch(1);
+        CountDownLatch writerBlocked = new CountDownLatch(1);
         OutputStream pipe = new OutputStream() {
             @Override
             public void write(int b) throws IOException {
-                stuck.countDown();
+                writerBlocked.countDown();
                 try {
-                    reads.await();
+                    readerResumed.await();
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
@@ -104,12 +104,12 @@
         BoundedSink sink = new BoundedSink(new TextSink(new PrintStream(pipe, true, StandardCharsets.UTF_8)), 16);
         EventLog log = new EventLog(new Clock(), sink);
         log.info("first", "first");
-        stuck.await();
+        writerBlocked.await();
         for (int i = 0; i < 1000; i++) {
             log.info("more", "more " + i);
         }
         assertEquals(1000 - 16, sink.dropped());
-        reads.countDown();
+        readerResumed.countDown();
         sink.close();
         assertEquals("lemonrail: first", lines().get(0));
         assertTrue(
--- a/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
+++ b/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The adapter on literal batches of the simulator's protocol. */
+/** Tests the adapter with literal batches of the simulator's protocol. */
 class SimulatorAdapterTest {
 
     private static final String SETTINGS = """
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void failedAttemptFailsRequestThatMayHaveRun() throws IOException {
+    void failedAttemptFailsNonIdempotentRequestThatMayHaveExecuted() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void restartWithinOneBatchForgetsEarlierRequests() throws IOException {
+    void restartWithinOneBatchDropsEarlierRequests() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void unknownKindsAndFieldsAreSkippedAndAKindIsWarnedOfOnce() throws IOException {
+    void unknownKindsAndFieldsAreSkippedWithOneWarningPerKind() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void unrequestedEventsHaveNoEffect() throws IOException {
+    void unsolicitedEventsHaveNoEffect() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -157,7 +157,7 @@
         String line = errors.toString(StandardCharsets.UTF_8);
         assertEquals(1, line.lines().count(), line);
         assertTrue(line.contains("batch 1") && line.contains("sidecar/0") && line.contains(expected), line);
-        assertEquals(1, replies().size(), "nothing of the bad batch is acted on");
+        assertEquals(1, replies().size(), "no event of the malformed batch must be processed");
     }
 
     @Test
--- a/edge/src/test/java/lemonrail/suspension/SuspensionFileTest.java
+++ b/edge/src/test/java/lemonrail/suspension/SuspensionFileTest.java
@@ -12,17 +12,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The stored form of suspensions. The resource {@code stored/n0.suspended} was written by the code of commit
+ * Tests the file format of suspensions. The resource {@code stored/n0.suspended} was written by the code of commit
  * 54f0243, after s1, s0 and quote-7.b had been suspended and s0 resumed.
  */
 class SuspensionFileTest {
 
-    private static final List<String> FORMER_IDS = List.of("s1", "quote-7.b");
+    private static final List<String> SUSPENDED_IDS = List.of("s1", "quote-7.b");
 
     @TempDir
     Path folder;
 
-    private Path formerFile() throws IOException {
+    private Path earlierVersionFile() throws IOException {
         Path file = folder.resolve("n0.suspended");
         try (InputStream resource = getClass().getResourceAsStream("/stored/n0.suspended")) {
             Files.copy(resource, file);
@@ -31,18 +31,18 @@
     }
 
     @Test
-    void aFileOfTheFormerVersionIsRead() throws IOException {
-        assertEquals(FORMER_IDS, List.copyOf(new SuspensionFile(formerFile()).readIds()));
+    void fileOfAnEarlierVersionIsRead() throws IOException {
+        assertEquals(SUSPENDED_IDS, List.copyOf(new SuspensionFile(earlierVersionFile()).readIds()));
     }
 
-    /** Guards against a stored form that the former version, or a sidecar's other process, could not read. */
+    /** Guards against a file format that an earlier version, or the sidecar's other process, cannot read. */
     @Test
-    void theStoredFormIsUnchanged() throws IOException {
-        Path file = formerFile();
-        byte[] former = Files.readAllBytes(file);
+    void fileFormatIsUnchanged() throws IOException {
+        Path file = earlierVersionFile();
+        byte[] original = Files.readAllBytes(file);
         SuspensionFile suspensions = new SuspensionFile(file);
         suspensions.update(ids -> ids.add("s0"));
         suspensions.update(ids -> ids.remove("s0"));
-        assertArrayEquals(former, Files.readAllBytes(file));
+        assertArrayEquals(original, Files.readAllBytes(file));
     }
 }
--- a/edge/src/test/java/lemonrail/time/EventLoopLagTest.java
+++ b/edge/src/test/java/lemonrail/time/EventLoopLagTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Tests the lag of an event loop by the times of its polls. */
+/** Tests how the lag of an event loop is measured from the times of its polls. */
 class EventLoopLagTest {
 
     private static final long FAR_MS = 1000;
@@ -15,8 +15,8 @@
     private final EventLoopLag lag = new EventLoopLag();
     private long nowMs = 100;
 
-    /** Runs one iteration: a poll and the work that follows it. */
-    private void iteration(long pollMs, long untilTimerMs, long workMs) {
+    /** Simulates one iteration, which is a poll and the work that follows it. */
+    private void runIteration(long pollMs, long untilTimerMs, long workMs) {
         lag.onPollStarted(nanos(nowMs), nanos(untilTimerMs));
         nowMs += pollMs;
         lag.onPollReturned(nanos(nowMs));
@@ -32,57 +32,57 @@
     }
 
     @Test
-    void unmeasuredLoopHasNoLag() {
+    void loopWithoutMeasurementsHasNoLag() {
         assertEquals(0, maxQueueDelayMs());
         assertEquals(0, lag.recentMaxLagMs());
     }
 
     @Test
     void eventThatWakesTheLoopHasWaitedSinceThePollReturned() {
-        iteration(50, FAR_MS, 7);
+        runIteration(50, FAR_MS, 7);
         assertEquals(7, maxQueueDelayMs());
     }
 
     @Test
     void eventReadyAtOnceMayHaveWaitedSinceThePreviousPoll() {
-        iteration(50, FAR_MS, 200);
-        iteration(0, FAR_MS, 3);
+        runIteration(50, FAR_MS, 200);
+        runIteration(0, FAR_MS, 3);
         assertEquals(203, maxQueueDelayMs());
     }
 
     @Test
     void workBetweenPollsCountsAsLag() {
-        iteration(50, FAR_MS, 80);
-        iteration(0, FAR_MS, 0);
+        runIteration(50, FAR_MS, 80);
+        runIteration(0, FAR_MS, 0);
         assertEquals(80, lag.recentMaxLagMs());
     }
 
     @Test
-    void pollThatOutlastsItsTimerCountsAsLag() {
-        iteration(50, 20, 0);
+    void pollThatReturnsAfterItsTimerCountsAsLag() {
+        runIteration(50, 20, 0);
         assertEquals(30, lag.recentMaxLagMs());
     }
 
     @Test
-    void pollThatEndsBeforeItsTimerIsNoLag() {
-        iteration(50, FAR_MS, 0);
+    void pollThatReturnsBeforeItsTimerIsNoLag() {
+        runIteration(50, FAR_MS, 0);
         assertEquals(0, lag.recentMaxLagMs());
     }
 
     @Test
-    void recentMaxIsKeptForOneWindowAndForgottenAfterTwo() {
+    void recentMaxIsKeptForOneWindowAndDroppedAfterTwo() {
         long windowMs = TimeUnit.NANOSECONDS.toMillis(EventLoopLag.WINDOW_NANOS);
-        iteration(50, FAR_MS, 80);
-        iteration(windowMs, windowMs + FAR_MS, 0);
+        runIteration(50, FAR_MS, 80);
+        runIteration(windowMs, windowMs + FAR_MS, 0);
         assertEquals(80, lag.recentMaxLagMs());
-        iteration(2 * windowMs, 2 * windowMs + FAR_MS, 0);
+        runIteration(2 * windowMs, 2 * windowMs + FAR_MS, 0);
         assertEquals(0, lag.recentMaxLagMs());
     }
 
     @Test
-    void lagCountsAtAllBoundsBelowIt() {
-        iteration(50, FAR_MS, 80);
-        iteration(0, FAR_MS, 0);
+    void lagIsCountedForEachHistogramBoundBelowIt() {
+        runIteration(50, FAR_MS, 80);
+        runIteration(0, FAR_MS, 0);
         assertEquals(
                 List.of(1, 1, 1, 0, 0),
                 IntStream.range(0, EventLoopLag.histogramBoundsMs().length)
@@ -91,9 +91,9 @@
     }
 
     @Test
-    void resetForgetsTheRecentMax() {
-        iteration(50, FAR_MS, 400);
-        iteration(0, FAR_MS, 0);
+    void resetClearsTheRecentMax() {
+        runIteration(50, FAR_MS, 400);
+        runIteration(0, FAR_MS, 0);
         lag.resetRecentMax();
         assertEquals(0, lag.recentMaxLagMs());
     }
