--- a/edge/src/test/java/lemonrail/StringConcatenationTest.java
+++ b/edge/src/test/java/lemonrail/StringConcatenationTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against string concatenations that the JVM links at their first use. For each form of concatenation it generates
- * a dozen classes on the event loop, and the class archive does not contain them.
+ * Guards against string concatenations that the JVM links at their first use. For each form of concatenation it
+ * generates a dozen classes on the event loop, and the class archive does not contain them.
  */
 class StringConcatenationTest {
 
@@ -46,7 +46,10 @@
                     files.filter(file -> file.toString().endsWith(".class")).toList();
             assertFalse(classes.isEmpty(), () -> "no class files in " + root);
             assertEquals(
-                    List.of(), classes.stream().filter(StringConcatenationTest::hasLinkedConcatenation).toList());
+                    List.of(),
+                    classes.stream()
+                            .filter(StringConcatenationTest::hasLinkedConcatenation)
+                            .toList());
         }
     }
 
--- a/edge/src/test/java/lemonrail/cli/ConfigFileErrorsTest.java
+++ b/edge/src/test/java/lemonrail/cli/ConfigFileErrorsTest.java
@@ -149,8 +149,8 @@
                 "level = \"info\"|levels = {\"io.netty\" = \"info\"}|41|logging.levels|must be loggers",
                 "level = \"info\"|format = \"xml\"|41|logging.format|must be one of \"plain\", \"text\", \"json\""
             })
-    void reportsProblemWithLineKeyAndValue(String replaced, String replacement, int line, String key, String expectedMessage)
-            throws IOException {
+    void reportsProblemWithLineKeyAndValue(
+            String replaced, String replacement, int line, String key, String expectedMessage) throws IOException {
         assertTrue(VALID.contains(replaced), replaced);
         ConfigProblem first = problems(VALID.replaceFirst(
                         java.util.regex.Pattern.quote(replaced), java.util.regex.Matcher.quoteReplacement(replacement)))
@@ -231,7 +231,10 @@
                 .contains("LEMONRAIL_LIMITS_ATTEMPTS = \"many\": must be a whole number from 1 to 16"));
     }
 
-    /** Guards against a wait longer than the time within which a change must take effect. It would hide a failed watch. */
+    /**
+     * Guards against a wait longer than the time within which a change must take effect. It would hide a failed
+     * watch.
+     */
     @Test
     void limitsDiscoveryWaitSoThatChangesTakeEffectInTime() throws IOException {
         String watched = VALID + "[discovery]\naddress = \"127.0.0.1:8500\"\nwait = \"WAIT\"\n";
--- a/edge/src/test/java/lemonrail/cli/MainTest.java
+++ b/edge/src/test/java/lemonrail/cli/MainTest.java
@@ -74,8 +74,9 @@
     }
 
     /**
-     * Guards against a warm-up that covers only one request path. The classes for a large response, a truncated response
-     * and a malformed request must be loaded during the start, and are therefore part of the class archive.
+     * Guards against a warm-up that covers only one request path. The classes for a large response, a truncated
+     * response and a malformed request must be loaded during the start, and are therefore part of the class
+     * archive.
      */
     @Test
     void startLoadsTheClassesOfAllRequestPaths() throws Exception {
--- a/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
+++ b/edge/src/test/java/lemonrail/config/SettingsDocumentTest.java
@@ -101,7 +101,8 @@
     void rejectsDocumentsThatConflictWithTheEdgesOwnSettings(String text, String expectedMessage) {
         String document = text.replace(';', '\n');
         SettingsDocument.check(document);
-        ConfigException e = assertThrows(ConfigException.class, () -> SettingsDocument.applyOverrides(OWN_SETTINGS, document));
+        ConfigException e =
+                assertThrows(ConfigException.class, () -> SettingsDocument.applyOverrides(OWN_SETTINGS, document));
         assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 }
--- a/edge/src/test/java/lemonrail/control/ControlClientTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlClientTest.java
@@ -238,14 +238,15 @@
     }
 
     /**
-     * One of two watchers rejects a settings document. It keeps the last valid document, and the status shows the rejection
-     * to operators.
+     * One of two watchers rejects a settings document. It keeps the last valid document, and the status shows the
+     * rejection to operators.
      */
     @Test
     void invalidSettingsAreRejectedAndTheLastValidOnesStayInForce() throws Exception {
         nodes = ControlNodeCluster.of("w1");
         nodes.node("w1").put(ConfigurationChange.settings("base", "good 1"));
-        WatchTestClient other = new WatchTestClient("quote").connectTo(nodes.node("w1").address());
+        WatchTestClient other =
+                new WatchTestClient("quote").connectTo(nodes.node("w1").address());
         start("w1");
         ControlNodeCluster.await("the first document is in force", () -> documents.equals(List.of("good 1")));
         nodes.node("w1").put(ConfigurationChange.settings("base", "bad 2"));
--- a/edge/src/test/java/lemonrail/control/ControlNodeFixture.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeFixture.java
@@ -22,7 +22,8 @@
     }
 
     WatchTestClient watcher(String services, String node) throws IOException {
-        WatchTestClient watcher = new WatchTestClient(services).connectTo(nodes.node(node).address());
+        WatchTestClient watcher =
+                new WatchTestClient(services).connectTo(nodes.node(node).address());
         watchers.add(watcher);
         return watcher;
     }
--- a/edge/src/test/java/lemonrail/control/ControlNodeSnapshotTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeSnapshotTest.java
@@ -42,7 +42,10 @@
         firstRun.stop();
         nodes.put("w1", "quote", "s1", "terminating");
         ControlNode restarted = nodes.createWithPeers(
-                "w2", ControlNodeCluster.anyPort(), folder, List.of(nodes.node("w1").asPeer()));
+                "w2",
+                ControlNodeCluster.anyPort(),
+                folder,
+                List.of(nodes.node("w1").asPeer()));
         restarted.open();
         WatchTestClient watcher = new WatchTestClient("quote").connectTo(restarted.address());
         watchers.add(watcher);
@@ -51,12 +54,19 @@
         restarted.stop();
         nodes.node("w1").stop();
         ControlNode isolated = nodes.createWithPeers(
-                "w2", ControlNodeCluster.anyPort(), folder, List.of(nodes.node("w1").asPeer()));
+                "w2",
+                ControlNodeCluster.anyPort(),
+                folder,
+                List.of(nodes.node("w1").asPeer()));
         long startedNs = System.nanoTime();
         isolated.open();
         ControlNodeCluster.await("the node is ready without its peer", isolated::isReady);
-        assertTrue((System.nanoTime() - startedNs) / 1e6 > 1900, "the node must wait for its peer before it serves the snapshot");
-        assertTrue(isolated.status().replicationAgeMs() > 1900, "the replication age must include the age of the snapshot");
+        assertTrue(
+                (System.nanoTime() - startedNs) / 1e6 > 1900,
+                "the node must wait for its peer before it serves the snapshot");
+        assertTrue(
+                isolated.status().replicationAgeMs() > 1900,
+                "the replication age must include the age of the snapshot");
         assertEquals(
                 "terminating",
                 watcher.connectTo(isolated.address()).watch(0).states.get("s1"));
@@ -86,8 +96,11 @@
             restarted.add(fresh);
             fresh.open();
         }
-        ControlNodeCluster.await("both nodes are ready", () -> restarted.stream().allMatch(ControlNode::isReady));
-        assertTrue((System.nanoTime() - startedNs) / 1e6 < 1900, "nodes that reach all peers must not wait for the time-out");
+        ControlNodeCluster.await(
+                "both nodes are ready", () -> restarted.stream().allMatch(ControlNode::isReady));
+        assertTrue(
+                (System.nanoTime() - startedNs) / 1e6 < 1900,
+                "nodes that reach all peers must not wait for the time-out");
         nodes.awaitEqual("w1", "w2");
         assertTrue(restarted.get(0).liveBody("quote", "s2").contains("in_service"));
         assertTrue(restarted.get(1).liveBody("quote", "s1").contains("terminating"));
--- a/edge/src/test/java/lemonrail/control/ControlNodeTest.java
+++ b/edge/src/test/java/lemonrail/control/ControlNodeTest.java
@@ -35,7 +35,9 @@
         assertEquals("s1", list.endpoints().get(0).id());
         assertEquals(0, list.endpoints().get(0).zone());
         client.get("/registry/instances?index=" + list.version() + "&wait=20000");
-        ControlNodeCluster.await("the watch request is waiting", () -> nodes.node("w1").watchCounters().waiting() == 1);
+        ControlNodeCluster.await(
+                "the watch request is waiting",
+                () -> nodes.node("w1").watchCounters().waiting() == 1);
         nodes.put("w1", "quote", "s1", "terminating");
         EndpointList change = EndpointListReader.parse(client.read().text.getBytes(StandardCharsets.UTF_8), NAMES);
         assertFalse(change.full());
@@ -73,7 +75,9 @@
         WatchTestClient watcher = watcher("quote,stock", "w1").watch(0);
         assertEquals(List.of("s1"), List.copyOf(watcher.states.keySet()));
         watcher.sendWatch(20_000, "");
-        ControlNodeCluster.await("the watch request is waiting", () -> nodes.node("w1").watchCounters().waiting() == 1);
+        ControlNodeCluster.await(
+                "the watch request is waiting",
+                () -> nodes.node("w1").watchCounters().waiting() == 1);
         nodes.put("w1", "price", "p2", "in_service");
         nodes.put("w1", "stock", "t1", "in_service");
         watcher.receive();
@@ -88,7 +92,9 @@
         nodes = ControlNodeCluster.of("w1");
         WatchTestClient watcher = watcher("quote", "w1").watch(0);
         watcher.sendWatch(20_000, "");
-        ControlNodeCluster.await("the watch request is waiting", () -> nodes.node("w1").watchCounters().waiting() == 1);
+        ControlNodeCluster.await(
+                "the watch request is waiting",
+                () -> nodes.node("w1").watchCounters().waiting() == 1);
         long startNs = System.nanoTime();
         nodes.put("w1", "quote", "s0", "in_service");
         watcher.receive();
@@ -120,7 +126,10 @@
         assertEquals(200, watcher.watch(0).status);
     }
 
-    /** Guards against a delta from the known version to a watcher whose entries differ from those of its former node. */
+    /**
+     * Guards against a delta from the known version to a watcher whose entries differ from those of its former
+     * node.
+     */
     @Test
     void watcherWithADifferentDigestGetsOneFullSnapshot() throws Exception {
         nodes = ControlNodeCluster.of("w1", "w2");
@@ -150,7 +159,8 @@
         nodes.put("w1", "quote", "s1", "in_service");
         List<WatchTestClient> slow = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            WatchTestClient one = new WatchTestClient("quote").connectTo(nodes.node("w1").address(), 4096);
+            WatchTestClient one =
+                    new WatchTestClient("quote").connectTo(nodes.node("w1").address(), 4096);
             watchers.add(one);
             slow.add(one);
             // A peer gets all entries, here 9 MB, which exceeds the socket buffers.
@@ -164,7 +174,9 @@
             other.receive();
             assertTrue((System.nanoTime() - startNs) / 1e6 < 1000, "slow watchers must not delay another one");
         }
-        ControlNodeCluster.await("all slow watchers are closed", () -> nodes.node("w1").watchCounters().slowClosed() == 10);
+        ControlNodeCluster.await(
+                "all slow watchers are closed",
+                () -> nodes.node("w1").watchCounters().slowClosed() == 10);
         for (WatchTestClient one : slow) {
             one.awaitClose();
         }
@@ -227,7 +239,8 @@
         }
         System.out.println("1,000 full snapshots of 1,000 endpoints from one node: "
                 + (System.nanoTime() - startNs) / 1_000_000 + " ms, " + bytes / 1_000_000 + " MB in total");
-        assertEquals(1, nodes.node("w1").watchCounters().encodedBodies(), "the body must be encoded once for all watchers");
+        assertEquals(
+                1, nodes.node("w1").watchCounters().encodedBodies(), "the body must be encoded once for all watchers");
     }
 
     private void putThousandEndpoints() {
--- a/edge/src/test/java/lemonrail/control/PeerReplicationTest.java
+++ b/edge/src/test/java/lemonrail/control/PeerReplicationTest.java
@@ -15,7 +15,10 @@
 /** Replication between control nodes on real sockets: failures, restarts and partitions. */
 class PeerReplicationTest extends ControlNodeFixture {
 
-    /** The node fails after it has replicated a change to one peer, but before it has sent the change to its watchers. */
+    /**
+     * The node fails after it has replicated a change to one peer, but before it has sent the change to one of its
+     * watchers.
+     */
     @Test
     void nodeFailureDuringReplicationCausesNoFullSnapshot() throws Exception {
         nodes = ControlNodeCluster.of("w1", "w2", "e1");
@@ -44,8 +47,8 @@
     }
 
     /**
-     * The other node received the change before the version that the watcher resumes from. The watcher's former node never
-     * received the change.
+     * The other node received the change before the version that the watcher resumes from. The watcher's former
+     * node never received the change.
      */
     @Test
     void changeMissedByTheFormerNodeIsSentAsADelta() throws Exception {
@@ -119,8 +122,8 @@
     }
 
     /**
-     * Each region drains and adds endpoints during the partition. After the merge no endpoint disappears and reappears at
-     * the watchers.
+     * Each region drains and adds endpoints during the partition. After the merge no endpoint disappears and
+     * reappears at the watchers.
      */
     @Test
     void partitionedRegionsAreMergedWithoutAFullSnapshot() throws Exception {
@@ -140,12 +143,16 @@
         east.watchUntil("s2", "terminating");
         west.watchUntil("s3", null);
         east.watchUntil("new", "in_service");
-        assertEquals("in_service", east.states.get("s1"), "a change in the other region must not arrive during the partition");
+        assertEquals(
+                "in_service",
+                east.states.get("s1"),
+                "a change in the other region must not arrive during the partition");
         ControlNodeCluster.await("the replication age of the other region is reported", () -> {
             Map<String, Long> ages = nodes.node("w2").status().regionAgesMs();
             return ages.get("east") > 1200;
         });
-        assertTrue(nodes.node("w2").status().replicationAgeMs() < 1200, "replication within the own region must continue");
+        assertTrue(
+                nodes.node("w2").status().replicationAgeMs() < 1200, "replication within the own region must continue");
         west.watch(0);
         assertTrue(((Map<?, ?>) west.response.get("regions")).containsKey("east"));
         setRegionsPartitioned(false);
@@ -198,10 +205,13 @@
                 + "\"stamp\":\"5.0.x\"},"
                 + "{\"id\":\"s2\",\"addr\":\"10.0.0.1:1\",\"state\":\"in_service\",\"service\":\"quote\","
                 + "\"stamp\":\"6.0.x\",\"colour\":\"blue\"}],\"settings\":[]}";
-        try (java.net.ServerSocket peerSocket = new java.net.ServerSocket(0, 5, java.net.InetAddress.getLoopbackAddress())) {
+        try (java.net.ServerSocket peerSocket =
+                new java.net.ServerSocket(0, 5, java.net.InetAddress.getLoopbackAddress())) {
             nodes.node("w1")
                     .addPeer(new ControlConfig.Peer(
-                            "x", new java.net.InetSocketAddress(peerSocket.getInetAddress(), peerSocket.getLocalPort()), "west"));
+                            "x",
+                            new java.net.InetSocketAddress(peerSocket.getInetAddress(), peerSocket.getLocalPort()),
+                            "west"));
             try (java.net.Socket socket = peerSocket.accept()) {
                 socket.getOutputStream()
                         .write(("HTTP/1.1 200 OK\r\nContent-Length: " + response.length() + "\r\n\r\n" + response)
--- a/edge/src/test/java/lemonrail/control/WatchTestClient.java
+++ b/edge/src/test/java/lemonrail/control/WatchTestClient.java
@@ -136,7 +136,8 @@
         }
         for (Object item : (List<?>) response.get("settings")) {
             Map<?, ?> entry = (Map<?, ?>) item;
-            WatcherReplica.Key key = new WatcherReplica.Key("settings:" + entry.get("name"), (String) entry.get("name"));
+            WatcherReplica.Key key =
+                    new WatcherReplica.Key("settings:" + entry.get("name"), (String) entry.get("name"));
             replica.apply(key, HybridTimestamp.parse((String) entry.get("stamp")), (Boolean) entry.get("gone"));
             listed.add(key);
         }
--- a/edge/src/test/java/lemonrail/frames/Frame.java
+++ b/edge/src/test/java/lemonrail/frames/Frame.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * A frame of the test protocol, encoded as a length, a letter and a text. Requests are {@code Q}; responses are {@code S} served,
- * {@code N} not executed, {@code E} error, {@code B} bad request, and to clients also {@code R} rejected and {@code F}
- * failed.
+ * A frame of the test protocol, encoded as a length, a letter and a text. Requests are {@code Q}; responses are
+ * {@code S} served, {@code N} not executed, {@code E} error, {@code B} bad request, and to clients also {@code R}
+ * rejected and {@code F} failed.
  */
 record Frame(char kind, String text) {
 
--- a/edge/src/test/java/lemonrail/frames/FrameDownstream.java
+++ b/edge/src/test/java/lemonrail/frames/FrameDownstream.java
@@ -68,7 +68,11 @@
             double nowMs = context.clock().now();
             dispatcher.dispatch(
                     new Request(
-                            requestId, classIndex, 0, Math.min(latestDeadlineMs, nowMs + Double.parseDouble(parts[2])), false),
+                            requestId,
+                            classIndex,
+                            0,
+                            Math.min(latestDeadlineMs, nowMs + Double.parseDouble(parts[2])),
+                            false),
                     new FrameRequest(requestId, parts[3]),
                     this);
         }
--- a/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
+++ b/edge/src/test/java/lemonrail/http1/PipeWriterTest.java
@@ -88,7 +88,10 @@
             int sizeEnd = chunks.indexOf("\r\n", position);
             size = Integer.parseInt(chunks.substring(position, sizeEnd), 16);
             position = sizeEnd + 2 + size;
-            assertEquals("\r\n", chunks.substring(position, position + 2), "the chunk does not end after its announced size");
+            assertEquals(
+                    "\r\n",
+                    chunks.substring(position, position + 2),
+                    "the chunk does not end after its announced size");
             position += 2;
             bytes += size;
         }
--- a/edge/src/test/java/lemonrail/logging/EventLogTest.java
+++ b/edge/src/test/java/lemonrail/logging/EventLogTest.java
@@ -84,7 +84,10 @@
         assertEquals(49, log.suppressed());
     }
 
-    /** Guards against a full pipe that blocks the event loop. Events are dropped instead, and their number is logged. */
+    /**
+     * Guards against a full pipe that blocks the event loop. Events are dropped instead, and their number is
+     * logged.
+     */
     @Test
     void slowReaderDoesNotBlockTheWriter() throws Exception {
         CountDownLatch readerResumed = new CountDownLatch(1);
