--- a/lab/src/main/java/lemonrail/lab/scale/Slope.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Slope.java
@@ -54,8 +54,8 @@
                     slopes,
                     points,
                     "sidecar processor time at " + listSize + " listed",
-                    "changes per second",
-                    "ms per change; intercept ms per second",
+                    "changes a second",
+                    "ms a change; intercept ms a second",
                     point -> point.subject() == Measurement.Subject.SIDECAR && point.listSize() == listSize,
                     Measurement::changesPerS,
                     point -> point.corePercent() * MS_PER_PERCENT);
@@ -67,7 +67,7 @@
             slopes.add(new Slope(
                     "sidecar processor time of one change",
                     "endpoints listed",
-                    "ms per endpoint listed; intercept ms",
+                    "ms an endpoint listed; intercept ms",
                     LinearFit.of(costsPerChange)));
         }
         Predicate<Measurement> idle =
@@ -77,7 +77,7 @@
                 points,
                 "sidecar processor time without changes",
                 "endpoints listed",
-                "percent of a core per endpoint",
+                "percent of a core an endpoint",
                 idle,
                 Measurement::listSize,
                 Measurement::corePercent);
@@ -88,9 +88,9 @@
         addFit(
                 slopes,
                 points,
-                "sidecar resident memory at the highest rate of changes",
+                "sidecar resident memory at the most changes",
                 "endpoints listed",
-                "MB per endpoint; intercept MB",
+                "MB an endpoint; intercept MB",
                 atMaxChanges,
                 Measurement::listSize,
                 Measurement::residentMb);
@@ -99,8 +99,8 @@
                 slopes,
                 points,
                 "sidecar bytes at " + largestList + " listed",
-                "changes per second",
-                "bytes per change; intercept bytes per second",
+                "changes a second",
+                "bytes a change; intercept bytes a second",
                 point -> point.subject() == Measurement.Subject.SIDECAR && point.listSize() == largestList,
                 Measurement::changesPerS,
                 Measurement::bytesPerS);
@@ -109,7 +109,7 @@
                 points,
                 "sidecar bytes without changes",
                 "endpoints listed",
-                "bytes per second per endpoint",
+                "bytes a second an endpoint",
                 idle,
                 Measurement::listSize,
                 Measurement::bytesPerS);
@@ -118,8 +118,8 @@
                 slopes,
                 points,
                 "control node processor time",
-                "changes per second times watchers",
-                "ms per change and watcher; intercept ms per second",
+                "changes a second times watchers",
+                "ms a change and watcher; intercept ms a second",
                 control,
                 point -> point.changesPerS() * point.watchers(),
                 point -> point.corePercent() * MS_PER_PERCENT);
@@ -128,7 +128,7 @@
                 points,
                 "control node processor time without changes",
                 "watchers",
-                "percent of a core per watcher",
+                "percent of a core a watcher",
                 control.and(point -> point.changesPerS() == 0),
                 Measurement::watchers,
                 Measurement::corePercent);
@@ -136,8 +136,8 @@
                 slopes,
                 points,
                 "control node bytes",
-                "changes per second times watchers",
-                "bytes per change and watcher; intercept bytes per second",
+                "changes a second times watchers",
+                "bytes a change and watcher; intercept bytes a second",
                 control,
                 point -> point.changesPerS() * point.watchers(),
                 Measurement::bytesPerS);
