--- a/core/src/main/java/lemonrail/core/replication/ReplicatedStore.java
+++ b/core/src/main/java/lemonrail/core/replication/ReplicatedStore.java
@@ -97,7 +97,7 @@
      */
     public MergeOutcome writeAsOf(long nowMs, long asOfMs, String topic, String id, boolean removed, String body) {
         if (!ready) {
-            throw new IllegalStateException("store is not ready: no state has been received from another node yet");
+            throw new IllegalStateException("not ready: no full snapshot received from another control node yet");
         }
         boolean backdated = asOfMs < nowMs;
         HybridTimestamp timestamp = backdated ? HybridTimestamp.backdated(asOfMs, origin) : clock.tick(nowMs);
