--- a/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
+++ b/lab/src/main/java/lemonrail/lab/host/AttemptRecorder.java
@@ -132,7 +132,7 @@
     Attempt recordAttempt(String request, int tier, String endpoint, double workMs) {
         Route route = routes.get(request);
         if (route == null) {
-            violations.add("endpoint received an unknown request: " + request);
+            violations.add("a request that nobody sent: " + request);
         }
         double now = scheduler.nowMs();
         Attempt attempt = new Attempt(request, tier, endpoint, now, workMs, route == null ? null : route.parent);
@@ -142,7 +142,7 @@
         sameRequest.add(attempt);
         if (route != null
                 && now - notAcceptingSinceMs.getOrDefault(route.sidecar + " " + endpoint, now) > graceMs + SLACK_MS) {
-            violations.add("sent to " + endpoint + " although it is draining or gone: " + request);
+            violations.add("sent to " + endpoint + " although it drains or is gone: " + request);
         }
         return attempt;
     }
@@ -151,7 +151,7 @@
     private void checkOverlapLater(Attempt earlier) {
         scheduler.after(overlapMs, () -> {
             if (Double.isNaN(earlier.endedMs)) {
-                violations.add("two concurrent attempts: " + earlier.request);
+                violations.add("two attempts at once: " + earlier.request);
             }
         });
     }
--- a/lab/src/main/java/lemonrail/lab/host/ResponseRules.java
+++ b/lab/src/main/java/lemonrail/lab/host/ResponseRules.java
@@ -41,27 +41,27 @@
             double timeoutMs) {
         List<AttemptRecorder.Attempt> attempts = recorder.attemptsOf(id);
         if (end == ClientRequest.End.GIVEN_UP) {
-            recorder.recordViolation("no response after " + Math.round(scheduler.nowMs() - sentMs) + " ms, allowed "
+            recorder.recordViolation("no answer within " + Math.round(scheduler.nowMs() - sentMs) + " of "
                     + Math.round(timeoutMs) + " ms: " + id);
         } else if (end == ClientRequest.End.LOST && linkIsPlain) {
-            recorder.recordViolation("connection ended before the response was complete: " + id);
+            recorder.recordViolation("the connection ended without a whole answer: " + id);
         } else if (end == ClientRequest.End.SERVED) {
             checkServed(id, response, attempts);
         }
         if (end == ClientRequest.End.REFUSED
                 && !requestClass.mayRejectAfterExecution()
                 && attempts.stream().anyMatch(attempt -> !Double.isNaN(attempt.startedMs()))) {
-            recorder.recordViolation("rejected although an attempt may have run: " + id);
+            recorder.recordViolation("refused after it may have run: " + id);
         }
         if (attempts.size() > maxAttempts) {
-            recorder.recordViolation(attempts.size() + " attempts exceed the maximum: " + id);
+            recorder.recordViolation(attempts.size() + " attempts: " + id);
         }
     }
 
     private void checkServed(String id, FullHttpResponse response, List<AttemptRecorder.Attempt> attempts) {
         String body = response.content().toString(StandardCharsets.UTF_8);
         if (attempts.stream().noneMatch(attempt -> body.equals(attempt.endpoint() + " " + id))) {
-            recorder.recordViolation("success response not made by an endpoint for this request: " + id);
+            recorder.recordViolation("served with what no endpoint made for it: " + id);
         }
     }
 }
--- a/lab/src/main/java/lemonrail/lab/host/Testbed.java
+++ b/lab/src/main/java/lemonrail/lab/host/Testbed.java
@@ -429,7 +429,7 @@
                     && clientRequest.key() != null
                     && !Double.isNaN(attempt.startedMs())
                     && executions.merge(attempt.request(), 1, Integer::sum) == 2) {
-                violations.add("executed twice: " + attempt.request());
+                violations.add("ran twice: " + attempt.request());
             }
         }
     }
@@ -438,13 +438,13 @@
         tiers.stream()
                 .flatMap(tier -> tier.hosts().stream())
                 .filter(host -> host.model().hasCollapsed())
-                .forEach(host -> violations.add("overloaded while cold: " + host.id()));
+                .forEach(host -> violations.add("pushed over while cold: " + host.id()));
     }
 
     private void addCrashedSidecars(List<String> violations) {
         sidecars.forEach((name, sidecar) -> {
             if (sidecar.hasCrashed()) {
-                violations.add("sidecar exited: " + name);
+                violations.add("ended by itself: " + name);
             }
         });
     }
--- a/lab/src/main/java/lemonrail/lab/scale/Bottleneck.java
+++ b/lab/src/main/java/lemonrail/lab/scale/Bottleneck.java
@@ -29,7 +29,7 @@
     public static String findLatenessReason(double hollowMaxLagMs, double maxPropagationMs) {
         return hollowMaxLagMs <= maxPropagationMs * MAX_HOLLOW_LAG_P99_FRACTION
                 ? ""
-                : String.format(Locale.ROOT, "hollow sidecars' event loops were up to %.0f ms late", hollowMaxLagMs);
+                : String.format(Locale.ROOT, "the hollow sidecars' loops were late by %.0f ms at most", hollowMaxLagMs);
     }
 
     /** Returns why a measurement is void, or an empty string if it is valid. */
@@ -40,21 +40,21 @@
             double hollowMaxLoopCpuMs,
             double maxPropagationMs) {
         if (control.lagP99Ms() > MAX_CONTROL_LAG_P99_MS) {
-            return String.format(Locale.ROOT, "control plane's event loop was %.0f ms late (p99)", control.lagP99Ms());
+            return String.format(Locale.ROOT, "control's stand-in was late by %.0f ms", control.lagP99Ms());
         }
         if (control.cpuMs() > durationMs * MAX_LOOP_UTILIZATION) {
             return String.format(
                     Locale.ROOT,
-                    "control plane's event loop was busy %.0f %% of the time",
+                    "control's stand-in was busy %.0f %% of the time",
                     100 * control.cpuMs() / durationMs);
         }
         if (hollowLagP99Ms > maxPropagationMs * MAX_HOLLOW_LAG_P99_FRACTION) {
-            return String.format(Locale.ROOT, "hollow sidecars' event loops were %.0f ms late (p99)", hollowLagP99Ms);
+            return String.format(Locale.ROOT, "the hollow sidecars' loops were late by %.0f ms", hollowLagP99Ms);
         }
         if (hollowMaxLoopCpuMs > durationMs * MAX_LOOP_UTILIZATION) {
             return String.format(
                     Locale.ROOT,
-                    "an event loop of hollow sidecars was busy %.0f %% of the time",
+                    "a hollow sidecars' loop was busy %.0f %% of the time",
                     100 * hollowMaxLoopCpuMs / durationMs);
         }
         return "";
--- a/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RegistryControlPlane.java
@@ -31,14 +31,14 @@
         return Optional.of(
                 switch (capability) {
                     case NODE_LOST ->
-                        "a sidecar knows only one discovery address; changing it takes a new settings file, a "
-                                + "SIGHUP for each process, and a full snapshot";
+                        "a sidecar knows one address of discovery; another one takes a file and a "
+                                + "SIGHUP at each process, and a whole list";
                     case REGIONS_CUT ->
-                        "there is only one registry: the region without it receives no changes, not even its own, "
-                                + "until the partition ends";
+                        "there is one registry: the region without it hears of no change, its own "
+                                + "among them, until the regions hear each other";
                     case SETTINGS ->
-                        "settings need a file and a SIGHUP for each process; nothing reports which settings are "
-                                + "in force";
+                        "settings are a file and a SIGHUP at each process; nobody knows what is in "
+                                + "force where";
                 });
     }
 
--- a/lab/src/main/java/lemonrail/lab/scale/StormRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/StormRun.java
@@ -333,8 +333,8 @@
         return unsupported.get()
                 + String.format(
                         Locale.ROOT,
-                        "; %d real sidecars were reloaded one after "
-                                + "another, and reported it after at most %.0f ms",
+                        "; %d real ones were told by hand, one after "
+                                + "another, and said so after %.0f ms at most",
                         fleet.realSidecars().size(),
                         maxReloadMs);
     }
@@ -441,7 +441,7 @@
         List<String> missed = new ArrayList<>();
         if (allTimes.neverApplied() + realTimes.neverApplied() > 0) {
             missed.add(allTimes.neverApplied() + realTimes.neverApplied()
-                    + " propagations of a change to a sidecar timed out");
+                    + " were never in force");
         }
         double maxMs = Math.max(
                 allTimes.percentileMs(1),
@@ -450,14 +450,14 @@
             missed.add(String.format(Locale.ROOT, "in force after %.0f ms", maxMs));
         }
         if (hasOutdated) {
-            missed.add("some hollow sidecars do not have the current list");
+            missed.add("some have another list than control");
         }
         if (cost.corePercent() > targets.maxCorePercent()) {
-            missed.add(String.format(Locale.ROOT, "%.2f %% of a core per sidecar", cost.corePercent()));
+            missed.add(String.format(Locale.ROOT, "%.2f %% of a core a sidecar", cost.corePercent()));
         }
         if (cost.bytesPerS() > targets.maxKilobytesPerS() * MILLIS_PER_SECOND) {
             missed.add(
-                    String.format(Locale.ROOT, "%.1f KB per second per sidecar", cost.bytesPerS() / MILLIS_PER_SECOND));
+                    String.format(Locale.ROOT, "%.1f KB a second a sidecar", cost.bytesPerS() / MILLIS_PER_SECOND));
         }
         return String.join("; ", missed);
     }
--- a/lab/src/test/java/lemonrail/lab/host/PlayTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/PlayTest.java
@@ -268,7 +268,7 @@
             share = 0.5
             """, ""), PlayTest::reckless);
         assertBroken(run, "sent to front-");
-        assertBroken(run, "executed twice: ");
+        assertBroken(run, "ran twice: ");
     }
 
     @Test
@@ -276,7 +276,7 @@
         RunResult run = play(
                 scenario("[[faults]]\nkind = \"fail\"\nbegin = \"100ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
                 (settings, seed, host) -> reckless(1, host));
-        assertBroken(run, "rejected although an attempt may have run: ");
+        assertBroken(run, "refused after it may have run: ");
     }
 
     @Test
@@ -303,7 +303,7 @@
             tip-window = "500ms"
             starts-cold = true
             """), Deciders.RANDOM);
-        assertBroken(run, "overloaded while cold: front-1");
+        assertBroken(run, "pushed over while cold: front-1");
     }
 
     @Test
--- a/lab/src/test/java/lemonrail/lab/scale/BottleneckTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/BottleneckTest.java
@@ -24,10 +24,10 @@
     @CsvSource({
         // control's CPU, its lag, the hollow ones' lag, the CPU of their busiest loop, why
         "400,  20,  50,  900,  ''",
-        "400,  101, 50,  900,  control plane's event loop was 101 ms late (p99)",
-        "3700, 20,  50,  900,  control plane's event loop was busy 93 % of the time",
-        "400,  20,  1001, 900, hollow sidecars' event loops were 1001 ms late (p99)",
-        "400,  20,  50,  3700, an event loop of hollow sidecars was busy 93 % of the time",
+        "400,  101, 50,  900,  control's stand-in was late by 101 ms",
+        "3700, 20,  50,  900,  control's stand-in was busy 93 % of the time",
+        "400,  20,  1001, 900, the hollow sidecars' loops were late by 1001 ms",
+        "400,  20,  50,  3700, a hollow sidecars' loop was busy 93 % of the time",
     })
     void theLabItselfIsNotWhatIsMeasured(
             double controlCpuMs, double controlLagMs, double hollowLagMs, double hollowCpuMs, String why) {
@@ -45,7 +45,7 @@
     void aTimeThatIsTooLongIsNotControlsWhereHollowOnesWereLate() {
         assertEquals("", Bottleneck.findLatenessReason(1000, IN_FORCE_MS));
         assertEquals(
-                "hollow sidecars' event loops were up to 1100 ms late",
+                "the hollow sidecars' loops were late by 1100 ms at most",
                 Bottleneck.findLatenessReason(1100, IN_FORCE_MS));
     }
 
