--- a/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
@@ -37,85 +37,92 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Many deciders before many endpoints in one thread and on virtual time: it counts over the whole fleet and
- * holds each decider to the four rules.
+ * Simulates many sidecars and many endpoints in one thread and on virtual time. It counts over the entire fleet and
+ * checks that each load balancer follows the four rules.
  */
 final class Fleet {
 
-    /** The deciders' clock when the run begins: a start time of 0 is the distant past to them. */
+    /** The load balancers' clock when the run begins; high, so that a start time of 0 is in the distant past. */
     static final double EPOCH_MS = 1_000_000;
 
-    static final double AIM_MS = 2000;
+    static final double LATENCY_OBJECTIVE_MS = 2000;
     static final double DEADLINE_MS = 5000;
     private static final double KEY_WINDOW_MS = 4000;
-    private static final double GRACE_MS = 1000;
-    private static final double SLACK_MS = 20;
-    private static final double NET_MS = 0.5;
+    private static final double DRAIN_GRACE_MS = 1000;
+    private static final double DEADLINE_TOLERANCE_MS = 20;
+    private static final double NETWORK_DELAY_MS = 0.5;
     private static final double CONNECT_TIMEOUT_MS = 250;
-    private static final double IDLE_MS = 15_000;
+    private static final double IDLE_TIMEOUT_MS = 15_000;
     static final double MEAN_WORK_MS = 80;
-    /** What the next tier takes, while the endpoint keeps the request's slot. */
-    private static final double DOWNSTREAM_MS = 250;
+    /** The time that a call to the next tier takes. The endpoint keeps the request's slot for that time. */
+    private static final double NEXT_TIER_MS = 250;
 
-    static final double COLD_SHARE = 0.2;
-    static final double COLD_MS = 15_000;
+    static final double COLD_CAPACITY_FRACTION = 0.2;
+    static final double WARM_UP_MS = 15_000;
     static final double TIP_MULTIPLE = 3;
-    private static final double TIP_MS = 3000;
-    /** How long after the word that an endpoint drains the one in its place starts. */
-    static final double REPLACED_AFTER_MS = 1500;
+    private static final double TIP_WINDOW_MS = 3000;
+    /** Time from the update that an endpoint drains to the start of its replacement. */
+    static final double REPLACEMENT_DELAY_MS = 1500;
 
     private static final int RACK_SIZE = 8;
 
     final VirtualScheduler scheduler = new VirtualScheduler();
     final Map<String, EndpointModel> endpoints = new LinkedHashMap<>();
-    final List<Member> members = new ArrayList<>();
+    final List<Sidecar> sidecars = new ArrayList<>();
     final Registry registry;
     private final SplittableRandom random;
     private final List<Rack> racks = new ArrayList<>();
-    private final double perSecond;
+    private final double requestsPerSecond;
     private final double meanWorkMs;
     private final double tipMultiple;
-    private final Map<String, Integer> open = new HashMap<>();
-    private final Map<String, Integer> mostOpen = new HashMap<>();
-    private final Map<String, Integer> served = new HashMap<>();
-    private final TreeMap<Long, Integer> listCalls = new TreeMap<>();
-    /** What came whole to a cold endpoint from members who had been told of its start, by its id. */
+    private final Map<String, Integer> openConnections = new HashMap<>();
+    private final Map<String, Integer> maxOpenConnections = new HashMap<>();
+    private final Map<String, Integer> servedByEndpoint = new HashMap<>();
+    private final TreeMap<Long, Integer> discoveryCallsBySecond = new TreeMap<>();
+    /** The complete requests that a cold endpoint received from sidecars that knew of its start, by endpoint id. */
     private final Map<String, List<ColdSend>> coldSends = new LinkedHashMap<>();
 
-    private int named;
-    int firstTries;
-    int attempts;
-    int servedInTime;
-    int refused;
-    int failed;
-    int handshakes;
-    /** What breaks a rule, in words. */
-    final List<String> breaks = new ArrayList<>();
-
-    /** So many deciders and warm endpoints, with this part of what the endpoints can do asked for. */
-    Fleet(int deciders, int servers, double load, long seed) {
-        this(deciders, servers, load, seed, MEAN_WORK_MS, TIP_MULTIPLE);
+    private int endpointsCreated;
+    int requestCount;
+    int attemptCount;
+    int servedInTimeCount;
+    int rejectedCount;
+    int failedCount;
+    int handshakeCount;
+    /** Descriptions of the rule violations. */
+    final List<String> violations = new ArrayList<>();
+
+    /**
+     * Creates a fleet of sidecars and warm endpoints.
+     *
+     * @param load the requested work as a fraction of the endpoints' capacity
+     */
+    Fleet(int sidecarCount, int endpointCount, double load, long seed) {
+        this(sidecarCount, endpointCount, load, seed, MEAN_WORK_MS, TIP_MULTIPLE);
     }
 
-    /** The same with requests of this mean work, and cold endpoints that fall beyond this multiple. */
-    Fleet(int deciders, int servers, double load, long seed, double meanWorkMs, double tipMultiple) {
+    /**
+     * Creates a fleet with this mean work per request, whose cold endpoints collapse if they are sent more than
+     * {@code tipMultiple} times their present capacity.
+     */
+    Fleet(int sidecarCount, int endpointCount, double load, long seed, double meanWorkMs, double tipMultiple) {
         this.meanWorkMs = meanWorkMs;
         this.tipMultiple = tipMultiple;
         random = new SplittableRandom(seed);
         registry = new Registry(scheduler, RandomSource.XO_SHI_RO_256_PP.create(seed), true, 0, 200, 1500);
-        perSecond = load * servers * 1000 / meanWorkMs;
-        for (int i = 0; i < servers; i++) {
-            add(false);
+        requestsPerSecond = load * endpointCount * 1000 / meanWorkMs;
+        for (int i = 0; i < endpointCount; i++) {
+            addEndpoint(false);
         }
-        for (int i = 0; i < deciders; i++) {
-            members.add(new Member(i, deciders, random.nextLong()));
+        for (int i = 0; i < sidecarCount; i++) {
+            sidecars.add(new Sidecar(i, sidecarCount, random.nextLong()));
         }
     }
 
-    /** One more endpoint, which is told of; cold or as if it had run for long. */
-    String add(boolean cold) {
-        String id = "e" + Long.toHexString(random.nextLong() >>> 32) + named++;
-        if (named % RACK_SIZE == 1) {
+    /** Adds an endpoint and registers it; it is either cold or fully warm. Returns its id. */
+    String addEndpoint(boolean cold) {
+        String id = "e" + Long.toHexString(random.nextLong() >>> 32) + endpointsCreated++;
+        if (endpointsCreated % RACK_SIZE == 1) {
             racks.add(new Rack(scheduler, KEY_WINDOW_MS));
         }
         EndpointModel endpoint = new EndpointModel(
@@ -130,86 +137,87 @@
                         600,
                         2,
                         new EndpointShape.ColdStart(
-                                COLD_SHARE, COLD_MS, EndpointShape.Warming.TIME, tipMultiple, TIP_MS),
+                                COLD_CAPACITY_FRACTION, WARM_UP_MS, EndpointShape.Warming.TIME, tipMultiple, TIP_WINDOW_MS),
                         new EndpointShape.Crowding(7, 2500, 2.5, 3500, 25_000)),
                 racks.get(racks.size() - 1));
         endpoints.put(id, endpoint);
         if (cold) {
             endpoint.start();
         }
-        tell(id, Registry.State.IN_SERVICE);
+        register(id, Registry.State.IN_SERVICE);
         return id;
     }
 
-    void tell(String id, Registry.State state) {
+    void register(String id, Registry.State state) {
         registry.set(new Registry.Entry(id, state, endpoints.get(id).startedMs()));
     }
 
-    /** Drains an endpoint, which ends soon after; another, cold one comes in its place. */
+    /** Drains an endpoint, which stops soon after, and starts a cold endpoint as its replacement. */
     void replace(String id) {
         endpoints.get(id).drain(true);
-        tell(id, Registry.State.TERMINATING);
+        register(id, Registry.State.TERMINATING);
         scheduler.after(6000, () -> {
             endpoints.get(id).vanish();
-            tell(id, Registry.State.TERMINATED);
+            register(id, Registry.State.TERMINATED);
         });
-        scheduler.after(REPLACED_AFTER_MS, () -> add(true));
+        scheduler.after(REPLACEMENT_DELAY_MS, () -> addEndpoint(true));
     }
 
-    /** Has requests come to all deciders for so long, then waits until all are answered. */
-    void play(double untilMs) {
-        arrive(untilMs);
-        scheduler.runUntil(untilMs + DEADLINE_MS + 2 * TIP_MS);
-        members.forEach(Member::end);
+    /** Sends requests to random sidecars until this time, and then waits until all have a final response. */
+    void run(double untilMs) {
+        scheduleNextArrival(untilMs);
+        scheduler.runUntil(untilMs + DEADLINE_MS + 2 * TIP_WINDOW_MS);
+        sidecars.forEach(Sidecar::checkFinalResponses);
         endpoints.forEach((id, endpoint) -> {
             if (endpoint.hasCollapsed()) {
-                breaks.add(id + " was sent too much while cold");
+                violations.add(id + " was overloaded while cold");
             }
         });
     }
 
-    private void arrive(double untilMs) {
-        scheduler.after(-Math.log1p(-random.nextDouble()) * 1000 / perSecond, () -> {
+    private void scheduleNextArrival(double untilMs) {
+        scheduler.after(-Math.log1p(-random.nextDouble()) * 1000 / requestsPerSecond, () -> {
             if (scheduler.nowMs() < untilMs) {
-                members.get(random.nextInt(members.size())).request();
-                arrive(untilMs);
+                sidecars.get(random.nextInt(sidecars.size())).sendRequest();
+                scheduleNextArrival(untilMs);
             }
         });
     }
 
     // ---- counts over the fleet ----
 
-    double servedShare() {
-        return (double) servedInTime / firstTries;
+    double servedInTimeFraction() {
+        return (double) servedInTimeCount / requestCount;
     }
 
-    double attemptsPerTry() {
-        return (double) attempts / firstTries;
+    double attemptsPerRequest() {
+        return (double) attemptCount / requestCount;
     }
 
-    int mostConnections() {
-        return mostOpen.values().stream().mapToInt(most -> most).max().orElse(0);
+    int maxConnections() {
+        return maxOpenConnections.values().stream().mapToInt(count -> count).max().orElse(0);
     }
 
-    /** How many answers the busiest endpoint has given for each of the mean one. */
-    double unevenness() {
-        double mean = served.values().stream().mapToInt(one -> one).sum() / (double) endpoints.size();
-        return served.values().stream().mapToInt(one -> one).max().orElse(0) / mean;
+    /** Returns the number of requests served by the busiest endpoint, as a multiple of the mean over all endpoints. */
+    double maxToMeanServed() {
+        double mean = servedByEndpoint.values().stream().mapToInt(count -> count).sum() / (double) endpoints.size();
+        return servedByEndpoint.values().stream().mapToInt(count -> count).max().orElse(0) / mean;
     }
 
-    /** How many requests this endpoint has answered first. */
+    /** Returns the number of requests whose first success response came from this endpoint. */
     int servedBy(String id) {
-        return served.getOrDefault(id, 0);
+        return servedByEndpoint.getOrDefault(id, 0);
     }
 
-    /** The most calls to discovery in any second, of all deciders together. */
-    int mostListCalls() {
-        return listCalls.values().stream().mapToInt(calls -> calls).max().orElse(0);
+    /** Returns the maximum number of calls to discovery in any second, summed over all sidecars. */
+    int maxDiscoveryCallsPerSecond() {
+        return discoveryCallsBySecond.values().stream().mapToInt(calls -> calls).max().orElse(0);
     }
 
     /**
-     * What cold endpoints were sent by those who had been told of their start, in the window of the settings
-     * in which it was the most for what they allow then. All that comes whole counts, also if turned away.
+     * Returns the window, as long as the settings say, in which a cold endpoint was sent the most relative to its
+     * budget at that time. Only sidecars that knew of its start count. All complete requests count, also rejected
+     * ones.
      */
     ColdWindow worstColdWindow() {
         ColdWindow worst = new ColdWindow("none", 0, 0, 0, 1);
@@ -221,65 +229,72 @@
             for (int last = 0; last < all.size(); last++) {
                 double atMs = all.get(last).atMs();
                 workMs += all.get(last).workMs();
-                while (atMs - all.get(first).atMs() > TIP_MS) {
+                while (atMs - all.get(first).atMs() > TIP_WINDOW_MS) {
                     workMs -= all.get(first).workMs();
                     first++;
                 }
-                // As little as it can do at any time of the window.
-                double sinceMs = Math.max(0, atMs - TIP_MS - startedMs);
-                double warmth = COLD_SHARE + (1 - COLD_SHARE) * Math.min(1, sinceMs / COLD_MS);
+                // The capacity at the start of the window, which is its lowest.
+                double ageMs = Math.max(0, atMs - TIP_WINDOW_MS - startedMs);
+                double capacityFraction = COLD_CAPACITY_FRACTION + (1 - COLD_CAPACITY_FRACTION) * Math.min(1, ageMs / WARM_UP_MS);
                 ColdWindow window = new ColdWindow(
                         sends.getKey(),
                         atMs - startedMs,
                         last - first + 1,
                         workMs / meanWorkMs,
-                        tipMultiple * warmth * TIP_MS / meanWorkMs);
-                worst = window.share() > worst.share() ? window : worst;
+                        tipMultiple * capacityFraction * TIP_WINDOW_MS / meanWorkMs);
+                worst = window.fractionOfLimit() > worst.fractionOfLimit() ? window : worst;
             }
         }
         return worst;
     }
 
-    /** A request that came whole to a cold endpoint, and its work. */
+    /** A complete request that a cold endpoint received, and its work. */
     private record ColdSend(double atMs, double workMs) {}
 
     /**
-     * A window that ends so long after an endpoint's start, the requests it was sent then, by number and in
-     * requests of mean work, and its budget.
+     * What a cold endpoint was sent within one window.
+     *
+     * @param sinceStartMs time from the endpoint's start to the end of the window
+     * @param sent number of requests
+     * @param work work of these requests, in requests of mean work
+     * @param budget what the endpoint can take, in requests of mean work
      */
     record ColdWindow(String id, double sinceStartMs, int sent, double work, double budget) {
-        /** What was sent of the most that is put down to chance, by number or work, whichever is more. */
-        double share() {
+        /**
+         * Returns the larger of number and work of the requests, as a fraction of the highest value that random
+         * arrivals explain at this budget.
+         */
+        double fractionOfLimit() {
             return Math.max(sent, work) / (budget + 2 * Math.sqrt(budget) + 2);
         }
     }
 
-    /** One decider with its connections, its watch and its open requests. */
-    final class Member implements LoadBalancerHost {
+    /** One sidecar: a load balancer with its connections, its watch and its requests in flight. */
+    final class Sidecar implements LoadBalancerHost {
         private final BalancerSettings settings;
-        private final BoxcarLoadBalancer decide;
-        private final WatchSchedule pace;
+        private final BoxcarLoadBalancer balancer;
+        private final WatchSchedule watchSchedule;
         private final Registry.Agent agent;
-        private final Map<String, Open> requests = new HashMap<>();
+        private final Map<String, OpenRequest> requests = new HashMap<>();
         private final Map<String, List<Scheduler.ScheduledAction>> idle = new HashMap<>();
-        private final Map<String, Double> leftAt = new HashMap<>();
-        private final Set<String> listed = new HashSet<>();
-        /** The starts that it has been told of. */
-        private final Map<String, Double> told = new HashMap<>();
+        private final Map<String, Double> leftAtMs = new HashMap<>();
+        private final Set<String> knownEndpoints = new HashSet<>();
+        /** The last start time that this sidecar received for each endpoint. */
+        private final Map<String, Double> knownStartMs = new HashMap<>();
 
         private long version;
-        private long watch;
-        private int numbered;
-        /** The watch that is on gets no answer, though nothing says so. */
-        boolean deaf;
-        /** So much later than others it hears of changes. */
-        double lateMs;
-        /** The most by which a connection that it opens comes up late. */
-        double lateConnectionMs;
-
-        Member(int number, int of, long seed) {
+        private long lastWatchId;
+        private int nextRequestNumber;
+        /** If true, the response to the current watch is lost without any error. */
+        boolean losesWatchResponse;
+        /** Additional delay before this sidecar receives changes. */
+        double updateDelayMs;
+        /** Maximum additional delay of each connection that this sidecar opens. */
+        double maxConnectDelayMs;
+
+        Sidecar(int number, int sidecarCount, long seed) {
             settings = new BalancerSettings(
-                    of,
+                    sidecarCount,
                     number,
                     0,
                     0,
@@ -290,7 +305,7 @@
                     List.of(
                             new RequestClass(
                                     "read",
-                                    AIM_MS,
+                                    LATENCY_OBJECTIVE_MS,
                                     DEADLINE_MS,
                                     5,
                                     0,
@@ -300,7 +315,7 @@
                                     false),
                             new RequestClass(
                                     "save",
-                                    AIM_MS,
+                                    LATENCY_OBJECTIVE_MS,
                                     DEADLINE_MS,
                                     8,
                                     0,
@@ -310,7 +325,7 @@
                                     false),
                             new RequestClass(
                                     "order",
-                                    AIM_MS,
+                                    LATENCY_OBJECTIVE_MS,
                                     DEADLINE_MS,
                                     5,
                                     0,
@@ -320,48 +335,48 @@
                                     false)),
                     List.of(),
                     new AttemptLimits(4, false, true, 2000, CONNECT_TIMEOUT_MS),
-                    new SlowStartSettings(COLD_SHARE, COLD_MS, tipMultiple, TIP_MS),
-                    new DrainSettings(GRACE_MS),
+                    new SlowStartSettings(COLD_CAPACITY_FRACTION, WARM_UP_MS, tipMultiple, TIP_WINDOW_MS),
+                    new DrainSettings(DRAIN_GRACE_MS),
                     10_000);
-            decide = new BoxcarLoadBalancer(settings, seed, this);
-            pace = WatchSchedule.ofFleet(of, GRACE_MS, seed);
+            balancer = new BoxcarLoadBalancer(settings, seed, this);
+            watchSchedule = WatchSchedule.ofFleet(sidecarCount, DRAIN_GRACE_MS, seed);
             agent = registry.agent(line -> {});
-            agent.fetchAll(this::listed);
+            agent.fetchAll(this::onResponse);
         }
 
         // ---- the list ----
 
-        private void listed(Registry.Response answer) {
-            version = answer.version();
-            pace.onResponse();
-            List<Endpoint> servers = answer.entries().stream().map(this::server).toList();
-            Set<String> gone = new HashSet<>(listed);
-            servers.forEach(server -> gone.remove(server.id()));
-            if (answer.full()) {
-                gone.forEach(id -> leftAt.putIfAbsent(id, scheduler.nowMs()));
+        private void onResponse(Registry.Response response) {
+            version = response.version();
+            watchSchedule.onResponse();
+            List<Endpoint> updates = response.entries().stream().map(this::toEndpoint).toList();
+            Set<String> missing = new HashSet<>(knownEndpoints);
+            updates.forEach(update -> missing.remove(update.id()));
+            if (response.full()) {
+                missing.forEach(id -> leftAtMs.putIfAbsent(id, scheduler.nowMs()));
             }
-            for (Endpoint server : servers) {
-                listed.add(server.id());
-                if (server.state() == EndpointState.READY) {
-                    leftAt.remove(server.id());
+            for (Endpoint update : updates) {
+                knownEndpoints.add(update.id());
+                if (update.state() == EndpointState.READY) {
+                    leftAtMs.remove(update.id());
                 } else {
-                    leftAt.putIfAbsent(server.id(), scheduler.nowMs());
+                    leftAtMs.putIfAbsent(update.id(), scheduler.nowMs());
                 }
             }
-            answer.entries().forEach(line -> told.put(line.id(), line.startedMs()));
-            decide.onEndpointUpdate(
-                    now(), answer.full() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, servers);
+            response.entries().forEach(entry -> knownStartMs.put(entry.id(), entry.startedMs()));
+            balancer.onEndpointUpdate(
+                    now(), response.full() ? EndpointUpdateKind.SNAPSHOT : EndpointUpdateKind.DELTA, updates);
             watch();
         }
 
-        private Endpoint server(Registry.Entry line) {
+        private Endpoint toEndpoint(Registry.Entry entry) {
             return new Endpoint(
-                    line.id(),
+                    entry.id(),
                     0,
                     0,
-                    endpoints.get(line.id()).shape().rack(),
-                    line.startedMs() == Double.NEGATIVE_INFINITY ? 0 : EPOCH_MS + line.startedMs(),
-                    switch (line.state()) {
+                    endpoints.get(entry.id()).shape().rack(),
+                    entry.startedMs() == Double.NEGATIVE_INFINITY ? 0 : EPOCH_MS + entry.startedMs(),
+                    switch (entry.state()) {
                         case IN_SERVICE -> EndpointState.READY;
                         case TERMINATING -> EndpointState.DRAINING;
                         case TERMINATED -> EndpointState.GONE;
@@ -370,32 +385,32 @@
         }
 
         private void watch() {
-            long call = ++watch;
-            listCalls.merge((long) (scheduler.nowMs() / 1000), 1, Integer::sum);
-            scheduler.after(pace.waitMs() + WatchSchedule.silenceTimeoutMs() + lateMs, () -> {
-                if (call == watch) {
-                    deaf = false;
-                    scheduler.after(pace.onFailure(), this::watch);
+            long watchId = ++lastWatchId;
+            discoveryCallsBySecond.merge((long) (scheduler.nowMs() / 1000), 1, Integer::sum);
+            scheduler.after(watchSchedule.waitMs() + WatchSchedule.silenceTimeoutMs() + updateDelayMs, () -> {
+                if (watchId == lastWatchId) {
+                    losesWatchResponse = false;
+                    scheduler.after(watchSchedule.onFailure(), this::watch);
                 }
             });
             agent.watch(
                     version,
-                    pace.waitMs(),
-                    answer -> scheduler.after(lateMs, () -> {
-                        if (call == watch && !deaf) {
-                            listed(answer);
+                    watchSchedule.waitMs(),
+                    response -> scheduler.after(updateDelayMs, () -> {
+                        if (watchId == lastWatchId && !losesWatchResponse) {
+                            onResponse(response);
                         }
                     }));
         }
 
-        /** Whether it has been told of this endpoint's last start. */
+        /** Returns whether this sidecar knows of the endpoint's last start. */
         private boolean knowsOfStart(String id) {
-            return told.getOrDefault(id, Double.NaN) == endpoints.get(id).startedMs();
+            return knownStartMs.getOrDefault(id, Double.NaN) == endpoints.get(id).startedMs();
         }
 
-        /** Whether it has been told that this endpoint leaves. */
+        /** Returns whether this sidecar knows that the endpoint is draining or gone. */
         boolean knowsOfLeaving(String id) {
-            return leftAt.containsKey(id);
+            return leftAtMs.containsKey(id);
         }
 
         // ---- requests ----
@@ -404,245 +419,245 @@
             return EPOCH_MS + scheduler.nowMs();
         }
 
-        void request() {
+        void sendRequest() {
             int kind = random.nextInt(10);
-            Open made = new Open(settings.balancerIndex() + "-" + numbered++, kind < 6 ? 0 : kind < 9 ? 1 : 2);
-            requests.put(made.id, made);
-            firstTries++;
-            decide.onRequest(now(), new Request(made.id, made.kind, 0, now() + DEADLINE_MS, false));
+            OpenRequest request = new OpenRequest(settings.balancerIndex() + "-" + nextRequestNumber++, kind < 6 ? 0 : kind < 9 ? 1 : 2);
+            requests.put(request.id, request);
+            requestCount++;
+            balancer.onRequest(now(), new Request(request.id, request.kind, 0, now() + DEADLINE_MS, false));
         }
 
-        private void conclude(Open request) {
-            if (request.answers++ > 0) {
-                breaks.add(request.id + " was answered twice");
+        private void recordFinalResponse(OpenRequest request) {
+            if (request.finalResponses++ > 0) {
+                violations.add(request.id + " got more than one final response");
             }
-            if (scheduler.nowMs() > request.arrivedMs + DEADLINE_MS + SLACK_MS) {
-                breaks.add(request.id + " was answered late");
+            if (scheduler.nowMs() > request.arrivedMs + DEADLINE_MS + DEADLINE_TOLERANCE_MS) {
+                violations.add(request.id + " got its final response after the deadline");
             }
         }
 
-        void end() {
+        void checkFinalResponses() {
             requests.values().stream()
-                    .filter(request -> request.answers != 1)
-                    .forEach(request -> breaks.add(request.id + " had " + request.answers + " answers"));
+                    .filter(request -> request.finalResponses != 1)
+                    .forEach(request -> violations.add(request.id + " got " + request.finalResponses + " final responses"));
         }
 
         @Override
-        public void startAttempt(String id, String server, double timeoutMs) {
-            Open request = requests.get(id);
-            attempts++;
-            mind(request, server);
-            Try made = new Try(request, request.tries.size(), server);
-            request.tries.add(made);
-            double left = request.arrivedMs + DEADLINE_MS - scheduler.nowMs();
-            made.timeout = scheduler.after(timeoutMs <= 0 ? left : Math.min(timeoutMs, left), made::giveUp);
-            connect(made);
+        public void startAttempt(String id, String endpointId, double timeoutMs) {
+            OpenRequest request = requests.get(id);
+            attemptCount++;
+            checkAttemptRules(request, endpointId);
+            Attempt attempt = new Attempt(request, request.attempts.size(), endpointId);
+            request.attempts.add(attempt);
+            double remainingMs = request.arrivedMs + DEADLINE_MS - scheduler.nowMs();
+            attempt.timeout = scheduler.after(timeoutMs <= 0 ? remainingMs : Math.min(timeoutMs, remainingMs), attempt::onTimeout);
+            connect(attempt);
         }
 
-        /** The rules on repeats and drains. */
-        private void mind(Open request, String server) {
-            int rack = endpoints.get(server).shape().rack();
-            for (Try before : request.tries) {
-                boolean mayHaveRun = before.outcome != null && !before.outcome.provesNotExecuted();
-                Idempotency effect = settings.classes().get(request.kind).idempotency();
-                if (before.outcome == null
-                        || (mayHaveRun
-                                && (effect == Idempotency.NON_IDEMPOTENT
-                                        || (effect == Idempotency.KEYED
+        /** Records violations of the rules on retries and draining endpoints. */
+        private void checkAttemptRules(OpenRequest request, String endpointId) {
+            int rack = endpoints.get(endpointId).shape().rack();
+            for (Attempt earlier : request.attempts) {
+                boolean mayHaveExecuted = earlier.outcome != null && !earlier.outcome.provesNotExecuted();
+                Idempotency idempotency = settings.classes().get(request.kind).idempotency();
+                if (earlier.outcome == null
+                        || (mayHaveExecuted
+                                && (idempotency == Idempotency.NON_IDEMPOTENT
+                                        || (idempotency == Idempotency.KEYED
                                                 && (endpoints
-                                                                        .get(before.server)
+                                                                        .get(earlier.endpointId)
                                                                         .shape()
                                                                         .rack()
                                                                 != rack
-                                                        || scheduler.nowMs() - before.sentMs > KEY_WINDOW_MS))))) {
-                    breaks.add(request.id + " was repeated though " + before.outcome);
+                                                        || scheduler.nowMs() - earlier.sentMs > KEY_WINDOW_MS))))) {
+                    violations.add(request.id + " was retried although an earlier attempt ended with " + earlier.outcome);
                 }
             }
-            if (request.answers > 0) {
-                breaks.add(request.id + " was sent after its answer");
+            if (request.finalResponses > 0) {
+                violations.add(request.id + " was sent again after its final response");
             }
-            if (leftAt.containsKey(server) && scheduler.nowMs() > leftAt.get(server) + GRACE_MS) {
-                breaks.add(request.id + " was sent to " + server + " which leaves");
+            if (leftAtMs.containsKey(endpointId) && scheduler.nowMs() > leftAtMs.get(endpointId) + DRAIN_GRACE_MS) {
+                violations.add(request.id + " was sent to " + endpointId + " after its drain grace period");
             }
         }
 
-        private void connect(Try made) {
-            List<Scheduler.ScheduledAction> standing = idle.computeIfAbsent(made.server, server -> new ArrayList<>());
-            EndpointModel endpoint = endpoints.get(made.server);
-            if (!standing.isEmpty()) {
-                standing.remove(standing.size() - 1).cancel();
-                made.connected = true;
-                scheduler.after(NET_MS, made::arrive);
+        private void connect(Attempt attempt) {
+            List<Scheduler.ScheduledAction> idleConnections = idle.computeIfAbsent(attempt.endpointId, endpointId -> new ArrayList<>());
+            EndpointModel endpoint = endpoints.get(attempt.endpointId);
+            if (!idleConnections.isEmpty()) {
+                idleConnections.remove(idleConnections.size() - 1).cancel();
+                attempt.connected = true;
+                scheduler.after(NETWORK_DELAY_MS, attempt::onArrived);
             } else if (endpoint.isSilent()) {
-                scheduler.after(CONNECT_TIMEOUT_MS, () -> made.end(AttemptOutcome.CONNECT_ERROR));
+                scheduler.after(CONNECT_TIMEOUT_MS, () -> attempt.end(AttemptOutcome.CONNECT_ERROR));
             } else if (!endpoint.connect()) {
-                scheduler.after(NET_MS, () -> made.end(AttemptOutcome.CONNECT_ERROR));
+                scheduler.after(NETWORK_DELAY_MS, () -> attempt.end(AttemptOutcome.CONNECT_ERROR));
             } else {
-                handshakes++;
-                made.connected = true;
-                int now = open.merge(made.server, 1, Integer::sum);
-                mostOpen.merge(made.server, now, Math::max);
-                double lateMs = lateConnectionMs > 0 ? random.nextDouble() * lateConnectionMs : 0;
-                scheduler.after(2 * NET_MS + lateMs, () -> endpoint.handshake(made::arrive));
+                handshakeCount++;
+                attempt.connected = true;
+                int openCount = openConnections.merge(attempt.endpointId, 1, Integer::sum);
+                maxOpenConnections.merge(attempt.endpointId, openCount, Math::max);
+                double delayMs = maxConnectDelayMs > 0 ? random.nextDouble() * maxConnectDelayMs : 0;
+                scheduler.after(2 * NETWORK_DELAY_MS + delayMs, () -> endpoint.handshake(attempt::onArrived));
             }
         }
 
-        private void keep(Try made) {
-            List<Scheduler.ScheduledAction> standing = idle.get(made.server);
-            Scheduler.ScheduledAction[] closing = new Scheduler.ScheduledAction[1];
-            closing[0] = scheduler.after(IDLE_MS, () -> {
-                standing.remove(closing[0]);
-                closed(made.server);
+        private void keepConnection(Attempt attempt) {
+            List<Scheduler.ScheduledAction> idleConnections = idle.get(attempt.endpointId);
+            Scheduler.ScheduledAction[] closeAction = new Scheduler.ScheduledAction[1];
+            closeAction[0] = scheduler.after(IDLE_TIMEOUT_MS, () -> {
+                idleConnections.remove(closeAction[0]);
+                closeConnection(attempt.endpointId);
             });
-            standing.add(closing[0]);
+            idleConnections.add(closeAction[0]);
         }
 
-        private void closed(String server) {
-            endpoints.get(server).disconnect();
-            open.merge(server, -1, Integer::sum);
+        private void closeConnection(String endpointId) {
+            endpoints.get(endpointId).disconnect();
+            openConnections.merge(endpointId, -1, Integer::sum);
         }
 
         @Override
-        public void closeIdleConnections(String server) {
-            List<Scheduler.ScheduledAction> standing = idle.getOrDefault(server, new ArrayList<>());
-            standing.forEach(Scheduler.ScheduledAction::cancel);
-            standing.forEach(due -> closed(server));
-            standing.clear();
+        public void closeIdleConnections(String endpointId) {
+            List<Scheduler.ScheduledAction> idleConnections = idle.getOrDefault(endpointId, new ArrayList<>());
+            idleConnections.forEach(Scheduler.ScheduledAction::cancel);
+            idleConnections.forEach(action -> closeConnection(endpointId));
+            idleConnections.clear();
         }
 
         @Override
         public void reject(String id, double coolDownMs) {
-            Open request = requests.get(id);
-            RequestClass kind = settings.classes().get(request.kind);
-            if (!kind.mayRejectAfterExecution()
-                    && request.tries.stream()
-                            .anyMatch(made -> made.outcome == null || !made.outcome.provesNotExecuted())) {
-                breaks.add(id + " was refused though it may have run");
+            OpenRequest request = requests.get(id);
+            RequestClass requestClass = settings.classes().get(request.kind);
+            if (!requestClass.mayRejectAfterExecution()
+                    && request.attempts.stream()
+                            .anyMatch(attempt -> attempt.outcome == null || !attempt.outcome.provesNotExecuted())) {
+                violations.add(id + " was rejected although an attempt may have run");
             }
-            refused++;
-            conclude(request);
+            rejectedCount++;
+            recordFinalResponse(request);
         }
 
         @Override
         public void fail(String id) {
-            failed++;
-            conclude(requests.get(id));
+            failedCount++;
+            recordFinalResponse(requests.get(id));
         }
 
         @Override
         public void cancelAttempt(String id, int attempt) {
-            throw new IllegalStateException("no client goes away here");
+            throw new IllegalStateException("clients do not disconnect in this simulation");
         }
 
         @Override
         public void startTimer(double inMs, long name) {
-            scheduler.after(inMs, () -> decide.onTimer(now(), name));
+            scheduler.after(inMs, () -> balancer.onTimer(now(), name));
         }
 
         @Override
         public void pollEndpoints() {
-            throw new IllegalStateException("the list is pushed here");
+            throw new IllegalStateException("the endpoint list is pushed, not polled, in this simulation");
         }
 
         @Override
         public void log(String line) {
-            // Nobody reads it here.
+            // The simulation has no log.
         }
 
-        private final class Open {
+        private final class OpenRequest {
             private final String id;
             private final int kind;
             private final double arrivedMs = scheduler.nowMs();
             private final double workMs = -Math.log1p(-random.nextDouble()) * meanWorkMs;
-            private final List<Try> tries = new ArrayList<>();
-            private int answers;
+            private final List<Attempt> attempts = new ArrayList<>();
+            private int finalResponses;
 
-            Open(String id, int kind) {
+            OpenRequest(String id, int kind) {
                 this.id = id;
                 this.kind = kind;
             }
         }
 
-        private final class Try extends Work {
-            private final Open request;
+        private final class Attempt extends Work {
+            private final OpenRequest request;
             private final int number;
-            private final String server;
+            private final String endpointId;
             private final double sentMs = scheduler.nowMs();
             private Scheduler.ScheduledAction timeout;
             private boolean connected;
             private boolean arrived;
             private AttemptOutcome outcome;
 
-            Try(Open request, int number, String server) {
+            Attempt(OpenRequest request, int number, String endpointId) {
                 super(request.kind == 1 ? request.id : null, request.workMs, 1);
                 this.request = request;
                 this.number = number;
-                this.server = server;
+                this.endpointId = endpointId;
             }
 
-            private void arrive() {
+            private void onArrived() {
                 if (outcome == null) {
                     arrived = true;
-                    EndpointModel endpoint = endpoints.get(server);
-                    if (endpoint.capacityFraction() < 1 && knowsOfStart(server)) {
+                    EndpointModel endpoint = endpoints.get(endpointId);
+                    if (endpoint.capacityFraction() < 1 && knowsOfStart(endpointId)) {
                         coldSends
-                                .computeIfAbsent(server, id -> new ArrayList<>())
+                                .computeIfAbsent(endpointId, id -> new ArrayList<>())
                                 .add(new ColdSend(scheduler.nowMs(), request.workMs));
                     }
                     endpoint.offer(this);
                 }
             }
 
-            private void giveUp() {
+            private void onTimeout() {
                 if (arrived) {
-                    endpoints.get(server).cancel(this);
+                    endpoints.get(endpointId).cancel(this);
                 }
                 end(arrived ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_ERROR);
             }
 
-            private void end(AttemptOutcome how) {
+            private void end(AttemptOutcome result) {
                 if (outcome != null) {
                     return;
                 }
-                outcome = how;
+                outcome = result;
                 timeout.cancel();
-                if (connected && how != AttemptOutcome.TIMED_OUT && how != AttemptOutcome.CONNECT_ERROR) {
-                    keep(this);
+                if (connected && result != AttemptOutcome.TIMED_OUT && result != AttemptOutcome.CONNECT_ERROR) {
+                    keepConnection(this);
                 } else if (connected) {
-                    closed(server);
+                    closeConnection(endpointId);
                 }
-                boolean first = how == AttemptOutcome.OK && request.answers == 0;
-                if (first) {
-                    conclude(request);
-                    served.merge(server, 1, Integer::sum);
-                    servedInTime += scheduler.nowMs() - request.arrivedMs <= AIM_MS ? 1 : 0;
+                boolean isFirstSuccess = result == AttemptOutcome.OK && request.finalResponses == 0;
+                if (isFirstSuccess) {
+                    recordFinalResponse(request);
+                    servedByEndpoint.merge(endpointId, 1, Integer::sum);
+                    servedInTimeCount += scheduler.nowMs() - request.arrivedMs <= LATENCY_OBJECTIVE_MS ? 1 : 0;
                 }
-                decide.onAttemptFinished(
+                balancer.onAttemptFinished(
                         now(),
                         new AttemptResult(
                                 request.id,
                                 number,
-                                server,
-                                how,
+                                endpointId,
+                                result,
                                 scheduler.nowMs() - sentMs,
-                                first || request.answers > 0,
+                                isFirstSuccess || request.finalResponses > 0,
                                 LoadReport.NONE));
             }
 
             @Override
             protected void onStarted() {
-                // What it does is counted by its answer.
+                // Requests are counted when they are answered.
             }
 
             @Override
             protected void callNextTier(Consumer<Boolean> done) {
-                scheduler.after(DOWNSTREAM_MS, () -> done.accept(true));
+                scheduler.after(NEXT_TIER_MS, () -> done.accept(true));
             }
 
             @Override
             protected void onAnswered(Answer answer) {
                 scheduler.after(
-                        NET_MS,
+                        NETWORK_DELAY_MS,
                         () -> end(
                                 switch (answer) {
                                     case SERVED -> AttemptOutcome.OK;
--- a/lab/src/test/java/lemonrail/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/FleetTest.java
@@ -14,102 +14,111 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is harmless from one sidecar and harmful when all do it, counted over the whole fleet. */
+/** Tests behaviour that is harmless in one sidecar and harmful if all sidecars do it, with counts over the entire fleet. */
 @Timeout(60)
 class FleetTest {
 
-    private static final double LENGTH_MS = 40_000;
+    private static final double RUN_MS = 40_000;
 
-    private static void keepsTheRules(Fleet fleet) {
-        assertEquals(List.of(), fleet.breaks);
+    private static void assertNoViolations(Fleet fleet) {
+        assertEquals(List.of(), fleet.violations);
     }
 
-    /** Guards against ranks that meet on few endpoints, and against calls and connections that multiply. */
+    /**
+     * Guards against slot ranks that concentrate on few endpoints, and against numbers of discovery calls and
+     * connections that grow out of proportion to the fleet.
+     */
     @ParameterizedTest
     @CsvSource({"14, 60, 1, 2", "14, 60, 2, 2", "50, 250, 3, 2", "50, 20, 4, 2", "1, 60, 5, 3"})
-    void aCalmFleetSpreadsItsLoad(int deciders, int servers, long seed, double uneven) {
-        Fleet fleet = new Fleet(deciders, servers, 0.35, seed);
-        fleet.play(LENGTH_MS);
-        keepsTheRules(fleet);
-        assertTrue(fleet.servedShare() > 0.98, "served " + fleet.servedShare());
-        assertTrue(fleet.attemptsPerTry() < 1.01, fleet.attemptsPerTry() + " attempts a request");
-        assertTrue(fleet.unevenness() < uneven, "the busiest had " + fleet.unevenness() + " times the mean");
-        assertTrue(fleet.mostListCalls() <= 2 * deciders, fleet.mostListCalls() + " calls for the list");
+    void normalLoadIsSpreadOverAllEndpoints(int sidecars, int endpoints, long seed, double maxToMean) {
+        Fleet fleet = new Fleet(sidecars, endpoints, 0.35, seed);
+        fleet.run(RUN_MS);
+        assertNoViolations(fleet);
+        assertTrue(fleet.servedInTimeFraction() > 0.98, "fraction served in time " + fleet.servedInTimeFraction());
+        assertTrue(fleet.attemptsPerRequest() < 1.01, fleet.attemptsPerRequest() + " attempts per request");
+        assertTrue(fleet.maxToMeanServed() < maxToMean, "the busiest endpoint served " + fleet.maxToMeanServed() + " times the mean");
+        assertTrue(fleet.maxDiscoveryCallsPerSecond() <= 2 * sidecars, fleet.maxDiscoveryCallsPerSecond() + " discovery calls in one second");
         assertTrue(
-                fleet.mostConnections() <= 4 * Math.max(4, deciders),
-                fleet.mostConnections() + " connections to one endpoint");
+                fleet.maxConnections() <= 4 * Math.max(4, sidecars),
+                fleet.maxConnections() + " connections to one endpoint");
     }
 
-    /** Guards against warm endpoints that are left with the calls of those that cold ones replace. */
+    /**
+     * Guards against overload of the warm endpoints: they get the requests that the cold replacements of the other
+     * endpoints cannot take yet.
+     */
     @ParameterizedTest
     @CsvSource({"14, 60, 1", "14, 60, 2", "50, 250, 3", "3, 8, 4"})
-    void aMassReplacementCrowdsNobody(int deciders, int servers, long seed) {
-        Fleet fleet = new Fleet(deciders, servers, 0.5, seed);
-        List<String> leaving = List.copyOf(fleet.endpoints.keySet()).subList(0, servers * 6 / 10);
+    void massReplacementDoesNotCrowdEndpoints(int sidecars, int endpoints, long seed) {
+        Fleet fleet = new Fleet(sidecars, endpoints, 0.5, seed);
+        List<String> leaving = List.copyOf(fleet.endpoints.keySet()).subList(0, endpoints * 6 / 10);
         for (int i = 0; i < leaving.size(); i++) {
             String id = leaving.get(i);
             fleet.scheduler.after(10_000 + 7000.0 * i / leaving.size(), () -> fleet.replace(id));
         }
-        int[] crowded = new int[1];
-        for (int at = 10_000; at < LENGTH_MS; at += 500) {
+        int[] crowdedCount = new int[1];
+        for (int at = 10_000; at < RUN_MS; at += 500) {
             fleet.scheduler.after(
                     at,
-                    () -> crowded[0] += (int) fleet.endpoints.values().stream()
+                    () -> crowdedCount[0] += (int) fleet.endpoints.values().stream()
                             .filter(EndpointModel::isCrowded)
                             .count());
         }
-        fleet.play(LENGTH_MS);
-        keepsTheRules(fleet);
-        assertTrue(fleet.servedShare() > 0.93, "served " + fleet.servedShare());
-        assertEquals(0, crowded[0], "half seconds in which an endpoint was crowded");
-        assertTrue(fleet.attemptsPerTry() < 1.1, fleet.attemptsPerTry() + " attempts a request");
+        fleet.run(RUN_MS);
+        assertNoViolations(fleet);
+        assertTrue(fleet.servedInTimeFraction() > 0.93, "fraction served in time " + fleet.servedInTimeFraction());
+        assertEquals(0, crowdedCount[0], "crowded endpoints, counted every half second");
+        assertTrue(fleet.attemptsPerRequest() < 1.1, fleet.attemptsPerRequest() + " attempts per request");
     }
 
-    /** Guards against retries that all spend together on a third that has gone silent, and on its return. */
+    /**
+     * Guards against a storm of retries by all sidecars when a third of the endpoints stops answering, and when these
+     * endpoints return cold.
+     */
     @ParameterizedTest
     @CsvSource({"14, 60, 1", "14, 60, 2", "50, 250, 3"})
-    void aLostZoneAndItsColdReturnAreBorne(int deciders, int servers, long seed) {
-        Fleet fleet = new Fleet(deciders, servers, 0.4, seed);
-        List<String> lost = List.copyOf(fleet.endpoints.keySet()).subList(0, servers / 3);
+    void lossAndColdReturnOfAZoneAreTolerated(int sidecars, int endpoints, long seed) {
+        Fleet fleet = new Fleet(sidecars, endpoints, 0.4, seed);
+        List<String> lost = List.copyOf(fleet.endpoints.keySet()).subList(0, endpoints / 3);
         fleet.scheduler.after(
                 10_000, () -> lost.forEach(id -> fleet.endpoints.get(id).vanish()));
-        fleet.scheduler.after(18_000, () -> lost.forEach(id -> fleet.tell(id, Registry.State.TERMINATED)));
+        fleet.scheduler.after(18_000, () -> lost.forEach(id -> fleet.register(id, Registry.State.TERMINATED)));
         fleet.scheduler.after(
                 22_000,
                 () -> lost.forEach(id -> {
                     fleet.endpoints.get(id).start();
-                    fleet.tell(id, Registry.State.IN_SERVICE);
+                    fleet.register(id, Registry.State.IN_SERVICE);
                 }));
-        fleet.play(LENGTH_MS);
-        keepsTheRules(fleet);
-        assertTrue(fleet.servedShare() > 0.95, "served " + fleet.servedShare());
-        assertTrue(fleet.attemptsPerTry() < 1.05, fleet.attemptsPerTry() + " attempts a request");
+        fleet.run(RUN_MS);
+        assertNoViolations(fleet);
+        assertTrue(fleet.servedInTimeFraction() > 0.95, "fraction served in time " + fleet.servedInTimeFraction());
+        assertTrue(fleet.attemptsPerRequest() < 1.05, fleet.attemptsPerRequest() + " attempts per request");
     }
 
-    /** Guards against news that a silent watch keeps from a sidecar until its long wait is over. */
+    /** Guards against a watch that silently loses its response and so hides changes until its long wait time ends. */
     @ParameterizedTest
     @CsvSource({"14, 60, 1", "50, 250, 2"})
-    void whatSilentWatchesMissedIsSoonLearned(int deciders, int servers, long seed) {
-        Fleet fleet = new Fleet(deciders, servers, 0.3, seed);
+    void changesLostBySilentWatchesAreReceivedSoon(int sidecars, int endpoints, long seed) {
+        Fleet fleet = new Fleet(sidecars, endpoints, 0.3, seed);
         String leaving = fleet.endpoints.keySet().iterator().next();
-        fleet.scheduler.after(9000, () -> fleet.members.forEach(member -> member.deaf = true));
-        fleet.scheduler.after(10_500, () -> fleet.tell(leaving, Registry.State.TERMINATING));
-        long[] know = new long[1];
+        fleet.scheduler.after(9000, () -> fleet.sidecars.forEach(sidecar -> sidecar.losesWatchResponse = true));
+        fleet.scheduler.after(10_500, () -> fleet.register(leaving, Registry.State.TERMINATING));
+        long[] informed = new long[1];
         fleet.scheduler.after(
                 15_000,
-                () -> know[0] = fleet.members.stream()
-                        .filter(member -> member.knowsOfLeaving(leaving))
+                () -> informed[0] = fleet.sidecars.stream()
+                        .filter(sidecar -> sidecar.knowsOfLeaving(leaving))
                         .count());
-        fleet.play(20_000);
-        keepsTheRules(fleet);
-        assertEquals(deciders, know[0], "know of it after 4.5 s");
-        assertTrue(fleet.mostListCalls() <= 3 * deciders, fleet.mostListCalls() + " calls for the list");
+        fleet.run(20_000);
+        assertNoViolations(fleet);
+        assertEquals(sidecars, informed[0], "sidecars that know of the drain after 4.5 s");
+        assertTrue(fleet.maxDiscoveryCallsPerSecond() <= 3 * sidecars, fleet.maxDiscoveryCallsPerSecond() + " discovery calls in one second");
     }
 
     /**
-     * Guards against cold endpoints that fall under the sum of what all send, each of them within its part:
-     * some learn late of the start, by up to the time in which it binds, and some connections come up late.
-     * Counted is what comes whole from those who had been told; what others send isn't ours.
+     * Guards against cold endpoints that collapse because all sidecars together send too much, although each sidecar
+     * stays within its part. Some sidecars receive the start late, by up to the length of the ramp, and some
+     * connections are established late. Only complete requests from sidecars that know of the start count.
      */
     @ParameterizedTest
     @CsvSource({
@@ -130,20 +139,20 @@
         "1000, 3, 6, true, 14",
         "1000, 20, 6, false, 15"
     })
-    void coldEndpointsBearTheSumOfAll(int deciders, int servers, double load, boolean othersHang, long seed) {
-        coldEndpointsBear(new Fleet(deciders, servers, load, seed), deciders, servers, othersHang);
+    void coldEndpointsAreNotOverloadedByAllSidecarsTogether(int sidecars, int endpoints, double load, boolean hangOthers, long seed) {
+        assertColdEndpointsNotOverloaded(new Fleet(sidecars, endpoints, load, seed), sidecars, endpoints, othersHang);
     }
 
     /**
-     * Guards against the sum of so many balancers that one call of each at once is too much, at several times
-     * what the servers can do, when few of them have had more than a call or two before.
+     * Guards against overload by very many sidecars: one concurrent request from each is already too much. The load is
+     * several times the endpoints' capacity, and few sidecars have sent more than one or two requests before.
      */
     @Test
-    void coldEndpointsBearAThousandBeforeTwo() {
-        coldEndpointsBear(new Fleet(1000, 2, 6, 1), 1000, 2, false);
+    void coldEndpointsAreNotOverloadedByAThousandSidecarsAndTwoEndpoints() {
+        assertColdEndpointsNotOverloaded(new Fleet(1000, 2, 6, 1), 1000, 2, false);
     }
 
-    /** The same with more to come for each endpoint, by draws. */
+    /** Guards against the same overload with more load per endpoint and several seeds. */
     @ParameterizedTest
     @CsvSource({
         "1000, 1, 6, 1",
@@ -156,22 +165,22 @@
         "100, 1, 6, 8",
         "3000, 2, 6, 9"
     })
-    void coldEndpointsBearFarMoreThanTheyAnswer(int deciders, int servers, double load, long seed) {
-        coldEndpointsBear(new Fleet(deciders, servers, load, seed), deciders, servers, false);
+    void coldEndpointsAreNotOverloadedAtManyTimesTheirCapacity(int sidecars, int endpoints, double load, long seed) {
+        assertColdEndpointsNotOverloaded(new Fleet(sidecars, endpoints, load, seed), sidecars, endpoints, false);
     }
 
-    /** Guards against a ramp that holds for one size only: the seed draws balancers, servers and load. */
+    /** Guards against a ramp that works for one fleet size only: the seed selects sidecars, endpoints and load. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void coldEndpointsBearFleetsOfAnySize(long seed) {
+    void coldEndpointsAreNotOverloadedAtAnyFleetSize(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        int deciders = (int) Math.pow(10, 3 * random.nextDouble());
-        int servers = 1 + random.nextInt(20);
+        int sidecars = (int) Math.pow(10, 3 * random.nextDouble());
+        int endpoints = 1 + random.nextInt(20);
         double load = 0.3 + 6 * random.nextDouble();
-        coldEndpointsBear(new Fleet(deciders, servers, load, seed), deciders, servers, random.nextBoolean());
+        assertColdEndpointsNotOverloaded(new Fleet(sidecars, endpoints, load, seed), sidecars, endpoints, random.nextBoolean());
     }
 
-    /** Guards against a ramp that takes one length of calls, or one multiple of the settings, for granted. */
+    /** Guards against a ramp that works only for one mean work per request, or only for one tip multiple. */
     @ParameterizedTest
     @CsvSource({
         "100, 2, 4, 400, 3, 1",
@@ -181,15 +190,15 @@
         "1000, 9, 4, 80, 1.5, 5",
         "1000, 2, 6, 20, 3, 6"
     })
-    void coldEndpointsBearOtherWorkAndOtherMultiples(
-            int deciders, int servers, double load, double workMs, double multiple, long seed) {
-        Fleet fleet = new Fleet(deciders, servers, load, seed, workMs, multiple);
-        coldEndpointsBear(fleet, deciders, servers, false);
+    void coldEndpointsAreNotOverloadedWithOtherWorkAndTipMultiples(
+            int sidecars, int endpoints, double load, double workMs, double multiple, long seed) {
+        Fleet fleet = new Fleet(sidecars, endpoints, load, seed, workMs, multiple);
+        assertColdEndpointsNotOverloaded(fleet, sidecars, endpoints, false);
     }
 
     /**
-     * Guards against cold endpoints that are spared so well that they serve nobody: they get at least half of
-     * the warm part of what comes for each endpoint. A balancer of its own has one call at a time there.
+     * Guards against cold endpoints that are protected so much that they serve nothing. They must get at least half of
+     * the requests that fit their warm fraction. A single sidecar has one request at a time there.
      */
     @ParameterizedTest
     @CsvSource({
@@ -204,45 +213,45 @@
         "1000, 2, 0.5, 120, 9",
         "1000, 9, 0.5, 60, 10"
     })
-    void coldEndpointsDoServe(int deciders, int servers, double load, double afterSeconds, long seed) {
-        Fleet fleet = new Fleet(deciders, servers, load, seed);
+    void coldEndpointsServeRequests(int sidecars, int endpoints, double load, double afterSeconds, long seed) {
+        Fleet fleet = new Fleet(sidecars, endpoints, load, seed);
         double startedMs = afterSeconds * 1000;
-        String replaced = fleet.endpoints.keySet().iterator().next();
-        Set<String> before = Set.copyOf(fleet.endpoints.keySet());
-        fleet.scheduler.after(startedMs, () -> fleet.replace(replaced));
-        fleet.play(startedMs + Fleet.REPLACED_AFTER_MS + Fleet.COLD_MS);
-        keepsTheRules(fleet);
-        String cold = fleet.endpoints.keySet().stream()
-                .filter(id -> !before.contains(id))
+        String replacedId = fleet.endpoints.keySet().iterator().next();
+        Set<String> initialIds = Set.copyOf(fleet.endpoints.keySet());
+        fleet.scheduler.after(startedMs, () -> fleet.replace(replacedId));
+        fleet.run(startedMs + Fleet.REPLACEMENT_DELAY_MS + Fleet.WARM_UP_MS);
+        assertNoViolations(fleet);
+        String coldId = fleet.endpoints.keySet().stream()
+                .filter(id -> !initialIds.contains(id))
                 .findFirst()
                 .orElseThrow();
-        double warmPart = (1 + Fleet.COLD_SHARE) / 2 * Fleet.COLD_MS * load / Fleet.MEAN_WORK_MS;
+        double expectedServed = (1 + Fleet.COLD_CAPACITY_FRACTION) / 2 * Fleet.WARM_UP_MS * load / Fleet.MEAN_WORK_MS;
         assertTrue(
-                fleet.servedBy(cold) >= warmPart / 2, "served " + fleet.servedBy(cold) + ", its warm part " + warmPart);
+                fleet.servedBy(coldId) >= expectedServed / 2, "served " + fleet.servedBy(coldId) + ", expected from its warm fraction " + expectedServed);
     }
 
-    private static void coldEndpointsBear(Fleet fleet, int deciders, int servers, boolean othersHang) {
-        for (int i = 0; i < deciders; i++) {
-            Fleet.Member member = fleet.members.get(i);
-            member.lateMs = i % 3 == 0 ? 6000.0 * i / deciders : 0;
-            member.lateConnectionMs = i % 4 == 0 ? 1500 : 0;
+    private static void assertColdEndpointsNotOverloaded(Fleet fleet, int sidecars, int endpoints, boolean hangOthers) {
+        for (int i = 0; i < sidecars; i++) {
+            Fleet.Sidecar sidecar = fleet.sidecars.get(i);
+            sidecar.updateDelayMs = i % 3 == 0 ? 6000.0 * i / sidecars : 0;
+            sidecar.maxConnectDelayMs = i % 4 == 0 ? 1500 : 0;
         }
-        List<String> all = List.copyOf(fleet.endpoints.keySet());
-        int replaced = Math.max(1, servers / 3);
-        for (int i = 0; i < replaced; i++) {
-            String id = all.get(i);
-            fleet.scheduler.after(10_000 + 7000.0 * i / replaced, () -> fleet.replace(id));
+        List<String> ids = List.copyOf(fleet.endpoints.keySet());
+        int replacedCount = Math.max(1, endpoints / 3);
+        for (int i = 0; i < replacedCount; i++) {
+            String id = ids.get(i);
+            fleet.scheduler.after(10_000 + 7000.0 * i / replacedCount, () -> fleet.replace(id));
         }
-        if (othersHang) {
+        if (hangOthers) {
             fleet.scheduler.after(
                     12_000,
-                    () -> all.subList(servers / 2, servers)
+                    () -> ids.subList(endpoints / 2, endpoints)
                             .forEach(id -> fleet.endpoints.get(id).hang(true)));
         }
-        fleet.play(30_000);
-        keepsTheRules(fleet);
+        fleet.run(30_000);
+        assertNoViolations(fleet);
         Fleet.ColdWindow worst = fleet.worstColdWindow();
-        assertTrue(worst.sent() > 1, "they do get calls: " + worst);
-        assertTrue(worst.share() <= 1, worst.toString());
+        assertTrue(worst.sent() > 1, "cold endpoints get requests: " + worst);
+        assertTrue(worst.fractionOfLimit() <= 1, worst.toString());
     }
 }
