--- a/lab/src/test/java/lemonrail/lab/DemoTest.java
+++ b/lab/src/test/java/lemonrail/lab/DemoTest.java
@@ -15,19 +15,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
-/** The demo, as a new user runs it. */
+/** Runs the demo with the shipped example configuration. */
 @Timeout(60)
 class DemoTest {
 
     private static final Pattern SUMMARY = Pattern.compile(
             "(\\d+) requests: (\\d+) served, (\\d+) refused, (\\d+) failed, " + "0 without a response; (\\d+) retried");
-    private static final Path EXAMPLE = Path.of("..", "deploy", "lemonrail.toml");
+    private static final Path EXAMPLE_CONFIG = Path.of("..", "deploy", "lemonrail.toml");
 
     private final StringWriter out = new StringWriter();
 
     @Test
-    void itEndsByItselfWithASummaryInWhichEachRequestHasOneAnswer() throws Exception {
-        try (Demo demo = new Demo(EXAMPLE, 100, 3, 1, false, Duration.ofSeconds(4), new PrintWriter(out), false)) {
+    void demoEndsWithASummaryInWhichEachRequestHasOneFinalResponse() throws Exception {
+        try (Demo demo = new Demo(EXAMPLE_CONFIG, 100, 3, 1, false, Duration.ofSeconds(4), new PrintWriter(out), false)) {
             demo.run();
             assertTrue(demo.hasPassed(), out.toString());
         }
@@ -48,7 +48,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"--for soon", "--for 0s", "--rate 0", "--rate x", "--endpoints 99", "--config none.toml"})
-    void aBadCallEndsWithTwo(String args) {
+    void invalidArgumentsExitWithStatusTwo(String args) {
         CommandLine line = new CommandLine(new DemoCommand())
                 .setErr(new PrintWriter(out))
                 .setExecutionExceptionHandler((e, parsed, result) -> e instanceof IllegalArgumentException ? 2 : 1);
--- a/lab/src/test/java/lemonrail/lab/LabLayersTest.java
+++ b/lab/src/test/java/lemonrail/lab/LabLayersTest.java
@@ -6,7 +6,7 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.jupiter.api.Test;
 
-/** The models know neither sockets nor clocks, and lower packages nothing of higher ones. */
+/** Checks that the models use neither sockets nor clocks, and that lower packages do not depend on higher ones. */
 class LabLayersTest {
 
     private final JavaClasses classes = new ClassFileImporter()
@@ -14,7 +14,7 @@
             .importPackages("lemonrail.lab");
 
     @Test
-    void modelsUseNothingButCollectionsAndRandomNumbers() {
+    void modelsDependOnlyOnCollectionsAndRandomNumbers() {
         ArchRuleDefinition.classes()
                 .that()
                 .resideInAPackage("lemonrail.lab.model")
@@ -42,8 +42,8 @@
     }
 
     @Test
-    void lowerPackagesKnowNothingOfHigherOnes() {
-        String[] upwards = {
+    void lowerPackagesDoNotDependOnHigherOnes() {
+        String[] packagesFromLowest = {
             "lemonrail.lab.model",
             "lemonrail.lab.decider",
             "lemonrail.lab.scenario",
@@ -54,27 +54,27 @@
             "lemonrail.lab.scale.path",
             "lemonrail.lab.cli"
         };
-        for (int i = 0; i < upwards.length; i++) {
-            for (int j = i + 1; j < upwards.length; j++) {
+        for (int i = 0; i < packagesFromLowest.length; i++) {
+            for (int j = i + 1; j < packagesFromLowest.length; j++) {
                 ArchRuleDefinition.noClasses()
                         .that()
-                        .resideInAPackage(upwards[i])
+                        .resideInAPackage(packagesFromLowest[i])
                         .should()
                         .dependOnClassesThat()
-                        .resideInAPackage(upwards[j])
+                        .resideInAPackage(packagesFromLowest[j])
                         .check(classes);
             }
         }
     }
 
     @Test
-    void oneClockIsEnough() {
+    void onlyTestbedReadsTheWallClock() {
         ArchRuleDefinition.noClasses()
                 .that()
                 .doNotHaveSimpleName("Testbed")
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
-                .because("clock steps must not move a measurement")
+                .because("steps of the wall clock must not change a measurement")
                 .check(classes);
     }
 }
--- a/lab/src/test/java/lemonrail/lab/cli/CommandsTest.java
+++ b/lab/src/test/java/lemonrail/lab/cli/CommandsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
-/** The lab's calls, as a user makes them. */
+/** Runs the lab's commands with arguments as a user gives them. */
 @Timeout(120)
 class CommandsTest {
 
@@ -27,8 +27,8 @@
 
     private final StringWriter out = new StringWriter();
 
-    private int execute(Object call, String... args) {
-        return new CommandLine(call)
+    private int execute(Object command, String... args) {
+        return new CommandLine(command)
                 .setOut(new PrintWriter(out, true))
                 .setErr(new PrintWriter(out, true))
                 .setExecutionExceptionHandler((e, line, parsed) -> {
@@ -38,7 +38,7 @@
                 .execute(args);
     }
 
-    private String brief() throws Exception {
+    private String writeShortScenario() throws Exception {
         Files.copy(CALM.resolveSibling("edge.toml"), folder.resolve("edge.toml"));
         return Files.writeString(
                         folder.resolve("brief.toml"),
@@ -49,10 +49,10 @@
     }
 
     @Test
-    void runThenReportThenHistory() throws Exception {
+    void runIsReportedAndListedInTheHistory() throws Exception {
         String runs = folder.resolve("runs").toString();
-        int status = execute(new RunCommand(), brief(), "--variant", "boxcar", "--seeds", "1", "--out", runs);
-        // A busy machine may make the run void, which is then said.
+        int status = execute(new RunCommand(), writeShortScenario(), "--variant", "boxcar", "--seeds", "1", "--out", runs);
+        // On a busy machine the run may be void; the output then says so.
         assertEquals(out.toString().contains("VOID") ? 1 : 0, status, out.toString());
         assertTrue(out.toString().contains("rules broken 0"), out.toString());
         Path run;
@@ -71,9 +71,9 @@
     }
 
     @Test
-    void compareAndSweepKeepTheirTables() throws Exception {
+    void compareAndSweepWriteTheirTables() throws Exception {
         String runs = folder.resolve("runs").toString();
-        String scenario = brief();
+        String scenario = writeShortScenario();
         assertEquals(
                 0,
                 execute(
@@ -125,12 +125,12 @@
                 "--rate 5 --for soon http://x/",
                 "--rate 5 --for 1s --warm-up 2s http://127.0.0.1:1/"
             })
-    void aBadLoadEndsWithTwo(String args) {
+    void invalidLoadArgumentsExitWithStatusTwo(String args) {
         assertEquals(2, execute(new LoadCommand(), args.split(" ")), out.toString());
     }
 
     @Test
-    void unknownVariantsAndFoldersAreNamed() {
+    void unknownVariantsKeysAndDirectoriesAreRejected() {
         assertEquals(2, execute(new RunCommand(), CALM.toString(), "--variant", "best"));
         assertTrue(out.toString().contains("the scenario has [boxcar, random"), out.toString());
         assertEquals(
--- a/lab/src/test/java/lemonrail/lab/cli/ScaleCommandTest.java
+++ b/lab/src/test/java/lemonrail/lab/cli/ScaleCommandTest.java
@@ -30,13 +30,13 @@
     }
 
     @Test
-    void withoutACallItNamesThem() {
+    void missingSubcommandListsTheSubcommands() {
         assertEquals(2, execute());
         assertTrue(out.toString().contains("control"), out.toString());
     }
 
     @Test
-    void aBadFileEndsWithTwo() throws Exception {
+    void invalidFileExitsWithStatusTwo() throws Exception {
         Path file = Files.writeString(
                 folder.resolve("bad.toml"), "about = \"x\"\n[site]\nendpoints = 0\n" + "services = 1\n");
         assertEquals(2, execute("control", file.toString()));
--- a/lab/src/test/java/lemonrail/lab/host/PlayTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/PlayTest.java
@@ -35,20 +35,20 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Short runs with real sidecars on loopback sockets. */
+/** Plays short scenarios with real sidecars on loopback sockets. */
 @Timeout(120)
 class PlayTest {
 
-    private static final Path SHIPPED = Path.of("scenarios").toAbsolutePath();
+    private static final Path SCENARIOS = Path.of("scenarios").toAbsolutePath();
 
     @TempDir
     private Path folder;
 
-    private Scenario scenario(String faults, String more) throws IOException {
-        // One tenant that may send all.
+    private Scenario scenario(String faults, String additional) throws IOException {
+        // A single tenant, whose quota covers the entire load.
         Files.writeString(
                 folder.resolve("edge.toml"),
-                Files.readString(SHIPPED.resolve("edge.toml")).replace("rate = 10\n", "rate = 1000\n"));
+                Files.readString(SCENARIOS.resolve("edge.toml")).replace("rate = 10\n", "rate = 1000\n"));
         String text = """
             about = "A short run."
             [load]
@@ -72,11 +72,11 @@
             [discovery]
             least-lag = "0s"
             most-lag = "100ms"
-            """ + (more.contains("[[tiers]]") ? "" : """
+            """ + (additional.contains("[[tiers]]") ? "" : """
             [[tiers]]
             name = "front"
             count = 4
-            """) + more + faults;
+            """) + additional + faults;
         return ScenarioFile.read(Files.writeString(folder.resolve("short.toml"), text));
     }
 
@@ -99,16 +99,16 @@
 
     @ParameterizedTest
     @EnumSource(Deciders.class)
-    void calmWithAnyDeciderAllIsServedOnceAndNoRuleIsBroken(Deciders decider) throws Exception {
+    void everyDeciderServesNormalLoadWithoutViolations(Deciders decider) throws Exception {
         RunResult run = play(scenario("", ""), decider);
         assertEquals(List.of(), run.violations());
         assertTrue(run.requests().size() > 80);
-        assertAllAnswered(run);
+        assertServedOrRejected(run);
         assertTrue(run.recorder().attempts().size() >= count(run, ClientRequest.End.SERVED));
     }
 
-    /** Served, but for a few that an edge which has just started may refuse. */
-    private static void assertAllAnswered(RunResult run) {
+    /** Checks that all requests were served or rejected; an edge that has just started may reject a few. */
+    private static void assertServedOrRejected(RunResult run) {
         long served = count(run, ClientRequest.End.SERVED);
         assertEquals(run.requests().size(), served + count(run, ClientRequest.End.REFUSED));
         assertTrue(
@@ -134,10 +134,10 @@
                 "loss",
                 "burst"
             })
-    void eachFaultCanBePlayedAndNoRuleIsBroken(String kind) throws Exception {
-        Fault.Kind of =
+    void eachFaultIsPlayedWithoutViolations(String kind) throws Exception {
+        Fault.Kind faultKind =
                 Fault.Kind.valueOf(kind.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
-        String size = of == Fault.Kind.LOSS ? "0.2" : of == Fault.Kind.DELAY ? "50" : "3";
+        String size = faultKind == Fault.Kind.LOSS ? "0.2" : faultKind == Fault.Kind.DELAY ? "50" : "3";
         RunResult run = play(
                 scenario(
                         "[[faults]]\nkind = \"" + kind + "\"\nbegin = \"500ms\"\n"
@@ -150,12 +150,12 @@
                 count(run, ClientRequest.End.SERVED)
                         + count(run, ClientRequest.End.REFUSED)
                         + count(run, ClientRequest.End.FAILED),
-                "each has one final answer");
+                "each request has one final response");
         assertTrue(count(run, ClientRequest.End.SERVED) > run.requests().size() / 2);
     }
 
     @Test
-    void threeTiersCallOneAnotherThroughSidecarsOfTheirOwn() throws Exception {
+    void tiersCallEachOtherThroughTheirOwnSidecars() throws Exception {
         RunResult run = play(scenario("", """
             [[tiers]]
             name = "front"
@@ -173,15 +173,15 @@
             work-share = 0.3
             """), Deciders.BOXCAR);
         assertEquals(List.of(), run.violations());
-        long asked = run.requests().size();
-        assertTrue(count(run, ClientRequest.End.SERVED) >= asked * 0.7);
+        long requests = run.requests().size();
+        assertTrue(count(run, ClientRequest.End.SERVED) >= requests * 0.7);
         for (int tier = 0; tier < 3; tier++) {
-            int place = tier;
+            int tierIndex = tier;
             List<AttemptRecorder.Attempt> attempts = run.recorder().attempts().stream()
-                    .filter(attempt -> attempt.tier() == place)
+                    .filter(attempt -> attempt.tier() == tierIndex)
                     .toList();
             assertTrue(attempts.size() >= count(run, ClientRequest.End.SERVED) * (tier == 0 ? 1 : 2));
-            assertTrue(attempts.stream().allMatch(attempt -> attempt.parent() == null == (place == 0)));
+            assertTrue(attempts.stream().allMatch(attempt -> attempt.parent() == null == (tierIndex == 0)));
         }
         assertTrue(run.recorder().attempts().stream()
                 .filter(attempt -> attempt.tier() == 2)
@@ -189,24 +189,24 @@
                 .allMatch(sidecar -> sidecar.startsWith("sidecar-3-")));
     }
 
-    /** Breaks rules on purpose: it heeds neither what drains nor what may have run. */
-    private static LoadBalancer reckless(BalancerSettings settings, long seed, LoadBalancerHost host) {
-        return reckless(settings.limits().maxAttempts() + 1, host);
+    /** Violates rules on purpose: ignores draining and retries requests that an endpoint may have executed. */
+    private static LoadBalancer ruleBreaking(BalancerSettings settings, long seed, LoadBalancerHost host) {
+        return ruleBreaking(settings.limits().maxAttempts() + 1, host);
     }
 
-    /** The same, which refuses after so many attempts. */
-    private static LoadBalancer reckless(int most, LoadBalancerHost host) {
+    /** Violates the same rules, and rejects a request after this number of attempts. */
+    private static LoadBalancer ruleBreaking(int maxAttempts, LoadBalancerHost host) {
         return new LoadBalancer() {
-            private final Map<String, Integer> places = new HashMap<>();
-            private final List<String> servers = new ArrayList<>();
+            private final Map<String, Integer> attemptsByRequest = new HashMap<>();
+            private final List<String> endpoints = new ArrayList<>();
 
             private void send(String request) {
-                int place = places.merge(request, 1, Integer::sum);
-                if (place > most) {
+                int attempt = attemptsByRequest.merge(request, 1, Integer::sum);
+                if (attempt > maxAttempts) {
                     host.reject(request, 100);
                 } else {
-                    int at = (place + request.hashCode() & 0xffff) % servers.size();
-                    host.startAttempt(request, servers.get(at), 150);
+                    int index = (attempt + request.hashCode() & 0xffff) % endpoints.size();
+                    host.startAttempt(request, endpoints.get(index), 150);
                 }
             }
 
@@ -214,8 +214,8 @@
             public void onEndpointUpdate(double now, EndpointUpdateKind kind, List<Endpoint> entries) {
                 entries.stream()
                         .map(Endpoint::id)
-                        .filter(id -> !servers.contains(id))
-                        .forEach(servers::add);
+                        .filter(id -> !endpoints.contains(id))
+                        .forEach(endpoints::add);
             }
 
             @Override
@@ -232,29 +232,29 @@
 
             @Override
             public void onResponseStreamStarted(double now, String request, int attempt) {
-                // Nothing is streamed here.
+                // Responses are not streamed in this test.
             }
 
             @Override
             public void onRequestCancelled(double now, String request) {
-                // What is out stays out.
+                // Attempts in flight are not cancelled.
             }
 
             @Override
             public void onTimer(double now, long name) {
-                // It sets none.
+                // This load balancer starts no timers.
             }
         };
     }
 
-    private static void assertBroken(RunResult run, String rule) {
+    private static void assertViolated(RunResult run, String rule) {
         assertTrue(
-                run.violations().stream().anyMatch(broken -> broken.startsWith(rule)),
-                rule + " is not among " + run.violations());
+                run.violations().stream().anyMatch(violation -> violation.startsWith(rule)),
+                rule + " not found in the violations " + run.violations());
     }
 
     @Test
-    void aDeciderThatHeedsNothingIsFoundOut() throws Exception {
+    void violationsOfDrainAndRetryRulesAreDetected() throws Exception {
         RunResult run = play(scenario("""
             [[faults]]
             kind = "drain"
@@ -266,32 +266,32 @@
             begin = "600ms"
             length = "1h"
             share = 0.5
-            """, ""), PlayTest::reckless);
-        assertBroken(run, "sent to front-");
-        assertBroken(run, "ran twice: ");
+            """, ""), PlayTest::ruleBreaking);
+        assertViolated(run, "sent to front-");
+        assertViolated(run, "ran twice: ");
     }
 
     @Test
-    void aRefusalOfWhatMayHaveRunIsFoundOut() throws Exception {
+    void rejectionAfterPossibleExecutionIsDetected() throws Exception {
         RunResult run = play(
                 scenario("[[faults]]\nkind = \"fail\"\nbegin = \"100ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
-                (settings, seed, host) -> reckless(1, host));
-        assertBroken(run, "refused after it may have run: ");
+                (settings, seed, host) -> ruleBreaking(1, host));
+        assertViolated(run, "refused after it may have run: ");
     }
 
     @Test
-    void noDeciderCanHaveMoreAttemptsMadeThanAllowed() throws Exception {
+    void attemptsBeyondTheMaximumAreNotMade() throws Exception {
         RunResult run = play(
                 scenario("[[faults]]\nkind = \"hang\"\nbegin = \"600ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
-                PlayTest::reckless);
+                PlayTest::ruleBreaking);
         Map<String, Integer> attempts = new HashMap<>();
-        run.recorder().attempts().forEach(each -> attempts.merge(each.request(), 1, Integer::sum));
+        run.recorder().attempts().forEach(attempt -> attempts.merge(attempt.request(), 1, Integer::sum));
         assertEquals(
                 4, attempts.values().stream().mapToInt(count -> count).max().orElse(0));
     }
 
     @Test
-    void aColdEndpointThatIsPushedOverIsFoundOut() throws Exception {
+    void overloadOfAColdEndpointIsDetected() throws Exception {
         RunResult run = play(scenario("", """
             [[tiers]]
             name = "front"
@@ -303,11 +303,11 @@
             tip-window = "500ms"
             starts-cold = true
             """), Deciders.RANDOM);
-        assertBroken(run, "pushed over while cold: front-1");
+        assertViolated(run, "pushed over while cold: front-1");
     }
 
     @Test
-    void aFaultThatOutlastsTheRunStillEndsIt() throws Exception {
+    void runEndsDespiteAFaultThatLastsLonger() throws Exception {
         RunResult run = play(
                 scenario("[[faults]]\nkind = \"hang\"\nbegin = \"700ms\"\nlength = \"1h\"\n" + "share = 1.0\n", ""),
                 Deciders.BOXCAR);
@@ -317,7 +317,7 @@
     }
 
     @Test
-    void poorLinksOnBothSidesKeepTheRules() throws Exception {
+    void poorLinksOnBothSidesCauseNoViolations() throws Exception {
         RunResult run = play(scenario("", """
             [client-links]
             delay = "10ms"
@@ -328,19 +328,19 @@
             kilobytes-per-second = 200
             """), Deciders.BOXCAR);
         assertEquals(List.of(), run.violations());
-        assertAllAnswered(run);
-        assertTrue(Scorer.score(run).p50Ms() >= 30, "twice 10 and twice 5 ms at least");
+        assertServedOrRejected(run);
+        assertTrue(Scorer.score(run).p50Ms() >= 30, "at least twice 10 ms and twice 5 ms");
     }
 
     @Test
-    void interruptedItKeepsWhatIsThereAndEndsWhatIsUnderWay() throws Exception {
+    void interruptKeepsResultsAndCompletesInFlightRequests() throws Exception {
         Scenario scenario = scenario("", "");
         Scenario.Variant variant = scenario.variants().get(0);
-        Thread player = Thread.currentThread();
+        Thread testThread = Thread.currentThread();
         try (Testbed testbed = new Testbed(scenario, variant, 1, new Testbed.Builds(null), folder.resolve("run"))) {
             RunResult run = testbed.play(clientRequests -> {
                 if (clientRequests.get().size() > 30) {
-                    player.interrupt();
+                    testThread.interrupt();
                 }
             });
             assertFalse(run.complete());
@@ -352,31 +352,31 @@
     }
 
     @Test
-    void aRunIsKeptAndItsReportIsMadeFromTheRawData() throws Exception {
+    void reportIsRenderedFromTheStoredRun() throws Exception {
         RunResult run = play(scenario("", ""), Deciders.BOXCAR);
         Verdict verdict = Scorer.score(run);
         assertTrue(verdict.whole() > 0.8 && verdict.whole() <= 1);
         assertEquals(0, verdict.waste(), 1e-9);
-        RunFolder kept = new RunFolder(folder.resolve("kept"));
-        kept.write(run, verdict, "v1");
-        Report.render(kept);
-        String report = Files.readString(kept.path().resolve("report.md"));
+        RunFolder stored = new RunFolder(folder.resolve("kept"));
+        stored.write(run, verdict, "v1");
+        Report.render(stored);
+        String report = Files.readString(stored.path().resolve("report.md"));
         assertTrue(
                 report.contains("| requests / served / refused / failed / unanswered | " + verdict.asked() + " / "
                         + verdict.served() + " / " + verdict.refused() + " / 0 / 0 |"),
                 report);
         for (String chart : List.of("latency", "percentiles", "outcomes", "attempts")) {
-            assertTrue(Files.readString(kept.path().resolve(chart + ".svg")).contains("<svg"));
-            assertTrue(Files.size(kept.path().resolve(chart + ".png")) > 1000);
+            assertTrue(Files.readString(stored.path().resolve(chart + ".svg")).contains("<svg"));
+            assertTrue(Files.size(stored.path().resolve(chart + ".png")) > 1000);
         }
-        byte[] before = Files.readAllBytes(kept.path().resolve("latency.svg"));
-        Report.render(kept);
+        byte[] firstChart = Files.readAllBytes(stored.path().resolve("latency.svg"));
+        Report.render(stored);
         assertEquals(
-                new String(before, java.nio.charset.StandardCharsets.UTF_8),
-                Files.readString(kept.path().resolve("latency.svg")),
+                new String(firstChart, java.nio.charset.StandardCharsets.UTF_8),
+                Files.readString(stored.path().resolve("latency.svg")),
                 "the same data gives the same chart");
         assertEquals(
                 run.requests().size() + 1,
-                Files.readAllLines(kept.path().resolve("asks.csv")).size());
+                Files.readAllLines(stored.path().resolve("asks.csv")).size());
     }
 }
--- a/lab/src/test/java/lemonrail/lab/host/ProcessUsageTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/ProcessUsageTest.java
@@ -10,37 +10,37 @@
 
 class ProcessUsageTest {
 
-    private static final double EXACT = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
-    private static Threads ran(double ms) {
-        return new Threads(Kind.OTHER, ms, 0, 0);
+    private static Threads threads(double cpuMs) {
+        return new Threads(Kind.OTHER, cpuMs, 0, 0);
     }
 
-    /** Guards against a sum that falls when a thread ends. */
+    /** Guards against a total processor time that decreases when a thread ends. */
     @Test
-    void aThreadThatHasEndedCountsAsLastSeen() {
-        ProcessUsage before = new ProcessUsage(10, Map.of("1/1", ran(5), "1/2", ran(8)), 40, 9);
-        ProcessUsage now = new ProcessUsage(20, Map.of("1/1", ran(6), "1/3", ran(1)), 41, 8);
-        ProcessUsage all = now.includingEndedThreads(before);
-        assertEquals(6 + 8 + 1, all.cpuMs(), EXACT);
-        assertEquals(41, all.residentMb(), EXACT);
-        assertEquals(20, all.processMs(), EXACT, "the process's own count is ahead");
+    void endedThreadsCountWithTheirLastSample() {
+        ProcessUsage before = new ProcessUsage(10, Map.of("1/1", threads(5), "1/2", threads(8)), 40, 9);
+        ProcessUsage current = new ProcessUsage(20, Map.of("1/1", threads(6), "1/3", threads(1)), 41, 8);
+        ProcessUsage total = current.includingEndedThreads(before);
+        assertEquals(6 + 8 + 1, total.cpuMs(), TOLERANCE);
+        assertEquals(41, total.residentMb(), TOLERANCE);
+        assertEquals(20, total.processMs(), TOLERANCE, "the processor time of the process exceeds the sum of its threads");
         assertEquals(
                 6 + 8 + 1 + 30,
-                new ProcessUsage(20, Map.of("1/4", ran(30)), 41, 8)
-                        .includingEndedThreads(all)
+                new ProcessUsage(20, Map.of("1/4", threads(30)), 41, 8)
+                        .includingEndedThreads(total)
                         .processMs(),
-                EXACT,
-                "its threads are ahead");
+                TOLERANCE,
+                "the sum of the threads exceeds the processor time of the process");
     }
 
     @Test
-    void whereNothingIsToldOfThreadsTheProcesssCountIsAllThereIs() {
-        assertEquals(20, new ProcessUsage(20, Map.of(), 41, 8).processMs(), EXACT);
+    void withoutThreadsProcessTimeIsUsed() {
+        assertEquals(20, new ProcessUsage(20, Map.of(), 41, 8).processMs(), TOLERANCE);
     }
 
     @Test
-    void ofThisProcess() throws Exception {
+    void usageOfThisProcessIsRead() throws Exception {
         long pid = ProcessHandle.current().pid();
         ProcessUsage used = ProcessUsage.of(pid);
         assertTrue(used.processMs() > 0 && used.processMs() >= used.statMs(), used.toString());
--- a/lab/src/test/java/lemonrail/lab/host/RelayTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/RelayTest.java
@@ -24,18 +24,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A relay between two plain sockets, each of its faults both ways. */
+/** Tests a relay between two plain sockets, with each of its faults in both directions. */
 @Timeout(60)
 class RelayTest {
 
-    private static final int LONG_MS = 20_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private ServerSocket server;
     private Relay relay;
-    private Socket near;
-    private Socket far;
+    private Socket client;
+    private Socket endpoint;
 
     @BeforeEach
     void listen() throws IOException {
@@ -49,7 +49,7 @@
         server.close();
     }
 
-    private void join(Link link) throws IOException {
+    private void connect(Link link) throws IOException {
         if (relay == null) {
             relay = new Relay(
                     loop,
@@ -57,17 +57,17 @@
                     link,
                     RandomSource.XO_SHI_RO_256_PP.create(3L));
         }
-        near = new Socket(relay.address().getAddress(), relay.address().getPort());
-        far = server.accept();
-        near.setSoTimeout(LONG_MS);
-        far.setSoTimeout(LONG_MS);
+        client = new Socket(relay.address().getAddress(), relay.address().getPort());
+        endpoint = server.accept();
+        client.setSoTimeout(READ_TIMEOUT_MS);
+        endpoint.setSoTimeout(READ_TIMEOUT_MS);
     }
 
-    private void now(Runnable what) {
-        loop.submit(what).syncUninterruptibly();
+    private void runOnLoop(Runnable action) {
+        loop.submit(action).syncUninterruptibly();
     }
 
-    private static byte[] bytes(int count) {
+    private static byte[] randomBytes(int count) {
         byte[] bytes = new byte[count];
         new Random(9).nextBytes(bytes);
         return bytes;
@@ -76,114 +76,114 @@
     private static final Link PLAIN = new Link(0, 0, 0, 0);
 
     @Test
-    void allArrivesInOrderBothWaysAndTheEndBehindIt() throws IOException {
-        join(new Link(5, 10, 2000, 700));
-        byte[] sent = bytes(60_000);
-        near.getOutputStream().write(sent);
-        assertArrayEquals(sent, far.getInputStream().readNBytes(sent.length));
-        // What was sent just before the close arrives as well.
-        far.getOutputStream().write(sent);
-        far.close();
-        assertArrayEquals(sent, near.getInputStream().readAllBytes());
+    void bytesArriveInOrderInBothDirectionsBeforeTheClose() throws IOException {
+        connect(new Link(5, 10, 2000, 700));
+        byte[] sent = randomBytes(60_000);
+        client.getOutputStream().write(sent);
+        assertArrayEquals(sent, endpoint.getInputStream().readNBytes(sent.length));
+        // Bytes that were sent just before the close also arrive.
+        endpoint.getOutputStream().write(sent);
+        endpoint.close();
+        assertArrayEquals(sent, client.getInputStream().readAllBytes());
     }
 
     @Test
-    void aDelayIsAtLeastAsLongAsItSays() throws IOException {
-        join(new Link(60, 0, 0, 0));
-        long began = System.nanoTime();
-        near.getOutputStream().write(1);
-        far.getInputStream().read();
-        now(() -> relay.setExtraDelay(100));
-        far.getOutputStream().write(1);
-        near.getInputStream().read();
-        assertTrue(System.nanoTime() - began >= 219_000_000L, "60 one way and 160 the other");
+    void delayLastsAtLeastAsLongAsConfigured() throws IOException {
+        connect(new Link(60, 0, 0, 0));
+        long startNanos = System.nanoTime();
+        client.getOutputStream().write(1);
+        endpoint.getInputStream().read();
+        runOnLoop(() -> relay.setExtraDelay(100));
+        endpoint.getOutputStream().write(1);
+        client.getInputStream().read();
+        assertTrue(System.nanoTime() - startNanos >= 219_000_000L, "60 ms in one direction and 160 ms in the other");
     }
 
     @Test
-    void aNarrowLinkTakesItsTime() throws IOException {
-        join(new Link(0, 0, 100, 0));
-        long began = System.nanoTime();
-        near.getOutputStream().write(bytes(30_000));
-        far.getInputStream().readNBytes(30_000);
-        assertTrue(System.nanoTime() - began >= 290_000_000L, "30 kB at 100 kB a second");
+    void limitedBandwidthDelaysBytes() throws IOException {
+        connect(new Link(0, 0, 100, 0));
+        long startNanos = System.nanoTime();
+        client.getOutputStream().write(randomBytes(30_000));
+        endpoint.getInputStream().readNBytes(30_000);
+        assertTrue(System.nanoTime() - startNanos >= 290_000_000L, "30 kB at 100 kB per second");
     }
 
     @Test
-    void whatIsLostComesLater() throws IOException {
-        join(PLAIN);
-        now(() -> relay.setLoss(1));
-        long began = System.nanoTime();
-        near.getOutputStream().write(1);
-        assertEquals(1, far.getInputStream().read());
-        assertTrue(System.nanoTime() - began >= 199_000_000L);
+    void lostBytesArriveLater() throws IOException {
+        connect(PLAIN);
+        runOnLoop(() -> relay.setLoss(1));
+        long startNanos = System.nanoTime();
+        client.getOutputStream().write(1);
+        assertEquals(1, endpoint.getInputStream().read());
+        assertTrue(System.nanoTime() - startNanos >= 199_000_000L);
     }
 
     @Test
-    void stalledItHoldsAllUntilItGoesOn() throws IOException {
-        join(PLAIN);
-        now(() -> relay.setStalled(true));
-        near.getOutputStream().write(7);
-        far.setSoTimeout(200);
-        assertThrows(SocketTimeoutException.class, () -> far.getInputStream().read());
-        now(() -> relay.setStalled(false));
-        far.setSoTimeout(LONG_MS);
-        assertEquals(7, far.getInputStream().read());
+    void stalledRelayHoldsBytesUntilItResumes() throws IOException {
+        connect(PLAIN);
+        runOnLoop(() -> relay.setStalled(true));
+        client.getOutputStream().write(7);
+        endpoint.setSoTimeout(200);
+        assertThrows(SocketTimeoutException.class, () -> endpoint.getInputStream().read());
+        runOnLoop(() -> relay.setStalled(false));
+        endpoint.setSoTimeout(READ_TIMEOUT_MS);
+        assertEquals(7, endpoint.getInputStream().read());
     }
 
     @Test
-    void frozenConnectionsStayOpenAndCarryNothingWhileNewOnesDo() throws IOException {
-        join(PLAIN);
-        near.getOutputStream().write(1);
-        assertEquals(1, far.getInputStream().read());
-        Socket frozen = near;
-        Socket frozenFar = far;
-        now(relay::freeze);
+    void frozenConnectionsStayOpenWithoutTrafficAndNewOnesWork() throws IOException {
+        connect(PLAIN);
+        client.getOutputStream().write(1);
+        assertEquals(1, endpoint.getInputStream().read());
+        Socket frozen = client;
+        Socket frozenEndpoint = endpoint;
+        runOnLoop(relay::freeze);
         frozen.getOutputStream().write(2);
-        frozenFar.setSoTimeout(200);
+        frozenEndpoint.setSoTimeout(200);
         assertThrows(
-                SocketTimeoutException.class, () -> frozenFar.getInputStream().read());
-        join(PLAIN);
-        near.getOutputStream().write(3);
-        assertEquals(3, far.getInputStream().read());
+                SocketTimeoutException.class, () -> frozenEndpoint.getInputStream().read());
+        connect(PLAIN);
+        client.getOutputStream().write(3);
+        assertEquals(3, endpoint.getInputStream().read());
     }
 
     @Test
-    void resetsAreSeenOnBothSides() throws IOException {
-        join(PLAIN);
-        near.getOutputStream().write(1);
-        far.getInputStream().read();
-        now(relay::reset);
-        assertThrows(SocketException.class, () -> near.getInputStream().read());
-        assertThrows(SocketException.class, () -> far.getInputStream().read());
+    void resetClosesBothSides() throws IOException {
+        connect(PLAIN);
+        client.getOutputStream().write(1);
+        endpoint.getInputStream().read();
+        runOnLoop(relay::reset);
+        assertThrows(SocketException.class, () -> client.getInputStream().read());
+        assertThrows(SocketException.class, () -> endpoint.getInputStream().read());
         assertEquals(0, loop.submit(relay::size).syncUninterruptibly().getNow());
     }
 
     @Test
-    void aCutEndsTheAnswerInItsMiddle() throws IOException {
-        join(new Link(0, 0, 10, 100));
-        far.getOutputStream().write(bytes(5000));
-        byte[] some = near.getInputStream().readNBytes(300);
-        assertEquals(300, some.length);
-        now(relay::cut);
-        assertTrue(near.getInputStream().readAllBytes().length < 4700);
+    void cutEndsTheResponseBeforeItIsComplete() throws IOException {
+        connect(new Link(0, 0, 10, 100));
+        endpoint.getOutputStream().write(randomBytes(5000));
+        byte[] received = client.getInputStream().readNBytes(300);
+        assertEquals(300, received.length);
+        runOnLoop(relay::cut);
+        assertTrue(client.getInputStream().readAllBytes().length < 4700);
     }
 
     @Test
-    void newConnectionsAreResetAfterAWhile() throws IOException {
-        join(PLAIN);
-        now(() -> relay.resetNewAfter(50));
-        join(PLAIN);
+    void newConnectionsAreResetAfterTheDelay() throws IOException {
+        connect(PLAIN);
+        runOnLoop(() -> relay.resetNewAfter(50));
+        connect(PLAIN);
         assertThrows(SocketException.class, () -> {
-            if (near.getInputStream().read() < 0) {
-                throw new AssertionError("ended in order instead");
+            if (client.getInputStream().read() < 0) {
+                throw new AssertionError("connection was closed normally, not reset");
             }
         });
     }
 
     @Test
-    void piecesAreNoLargerThanAllowed() throws IOException {
-        join(new Link(0, 0, 0, 1));
-        near.getOutputStream().write(bytes(2000));
-        assertArrayEquals(bytes(2000), far.getInputStream().readNBytes(2000));
+    void smallestPiecesTransferAllBytes() throws IOException {
+        connect(new Link(0, 0, 0, 1));
+        client.getOutputStream().write(randomBytes(2000));
+        assertArrayEquals(randomBytes(2000), endpoint.getInputStream().readNBytes(2000));
     }
 }
--- a/lab/src/test/java/lemonrail/lab/load/OpenLoopTest.java
+++ b/lab/src/test/java/lemonrail/lab/load/OpenLoopTest.java
@@ -21,24 +21,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The generator against the JDK's own server. */
+/** Runs the load generator against the JDK's HTTP server. */
 @Timeout(60)
 class OpenLoopTest {
 
-    private final AtomicInteger seen = new AtomicInteger();
+    private final AtomicInteger requestCount = new AtomicInteger();
     private HttpServer server;
     private ExecutorService workers;
     private volatile int status = 200;
-    /** The request of this number is answered after so long, and with one worker the rest wait behind it. */
-    private volatile int slowNumber = -1;
+    /**
+     * Index of the request whose response is delayed by {@link #slowMs}. There is one worker, so that later requests
+     * wait for it.
+     */
+    private volatile int slowIndex = -1;
 
     private volatile int slowMs;
 
     @BeforeEach
-    void serve() throws IOException {
+    void startServer() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1000);
         server.createContext("/", exchange -> {
-            if (seen.getAndIncrement() == slowNumber) {
+            if (requestCount.getAndIncrement() == slowIndex) {
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(slowMs));
             }
             exchange.sendResponseHeaders(status, 2);
@@ -51,7 +54,7 @@
     }
 
     @AfterEach
-    void end() {
+    void stopServer() {
         server.stop(0);
         workers.shutdownNow();
     }
@@ -67,27 +70,27 @@
     }
 
     @Test
-    void allIsSentAndTheWarmUpDoesNotCount() {
+    void allRequestsAreSentAndTheWarmUpIsNotCounted() {
         OpenLoop.Result result = load(200, 2000, 500, 100);
-        assertEquals(399, seen.get(), 2);
+        assertEquals(399, requestCount.get(), 2);
         assertEquals(300, (float) result.sent(), 2);
         assertEquals(result.sent(), result.served());
         assertEquals(result.served(), result.servedMicros().getTotalCount());
     }
 
     @Test
-    void aStallIsSeenByAllWhoWereDueInIt() {
-        slowNumber = 100;
+    void stallCountsForAllRequestsDueDuringIt() {
+        slowIndex = 100;
         slowMs = 1000;
         OpenLoop.Result result = load(100, 3000, 0, 500);
-        // A generator that waits for answers would have seen one slow request in 200 or so. Of those that
-        // were due within the stall, half waited for half of it or more.
+        // A generator that waits for responses would have recorded one slow request in about 200. Half of the requests
+        // that were due during the stall waited for at least half of it.
         assertTrue(result.percentileMs(80) > 300, "p80 " + result.percentileMs(80));
         assertEquals(result.sent(), result.served());
     }
 
     @Test
-    void answersAreCountedByWhatTheySay() {
+    void responsesAreCountedByStatus() {
         status = 503;
         assertEquals(99, (float) load(100, 1000, 0, 10).refused(), 1);
         status = 500;
@@ -96,8 +99,8 @@
     }
 
     @Test
-    void wantOfConnectionsMakesARunVoid() {
-        slowNumber = 10;
+    void lackOfConnectionsMakesTheRunVoid() {
+        slowIndex = 10;
         slowMs = 500;
         OpenLoop.Result result = load(200, 1000, 0, 1);
         assertTrue(result.waited() > 20);
@@ -106,7 +109,7 @@
     }
 
     @Test
-    void nobodyThereIsNoAnswer() {
+    void requestsToAStoppedServerAreLost() {
         server.stop(0);
         OpenLoop.Result result = load(100, 500, 0, 10);
         assertEquals(result.sent(), result.lost());
--- a/lab/src/test/java/lemonrail/lab/model/EndpointModelTest.java
+++ b/lab/src/test/java/lemonrail/lab/model/EndpointModelTest.java
@@ -16,45 +16,45 @@
 
     private final VirtualScheduler scheduler = new VirtualScheduler();
     private final Rack rack = new Rack(scheduler, 10_000);
-    private final List<String> seen = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
 
-    private EndpointModel endpoint(int slots, int room, ColdStart cold, Crowding crowding) {
-        return new EndpointModel(scheduler, new EndpointShape("e", 0, 1, 1, slots, room, 3, 50, cold, crowding), rack);
+    private EndpointModel endpoint(int slots, int queueCapacity, ColdStart cold, Crowding crowding) {
+        return new EndpointModel(scheduler, new EndpointShape("e", 0, 1, 1, slots, queueCapacity, 3, 50, cold, crowding), rack);
     }
 
     private Work work(String name, String key, double ms, int calls) {
         return new Work(key, ms, calls) {
             @Override
             protected void onStarted() {
-                seen.add(name + " began " + Math.round(scheduler.nowMs()));
+                events.add(name + " began " + Math.round(scheduler.nowMs()));
             }
 
             @Override
             protected void callNextTier(Consumer<Boolean> done) {
-                seen.add(name + " calls " + Math.round(scheduler.nowMs()));
+                events.add(name + " calls " + Math.round(scheduler.nowMs()));
                 scheduler.after(30, () -> done.accept(!name.equals("unlucky")));
             }
 
             @Override
             protected void onAnswered(Answer answer) {
-                seen.add(name + " " + answer + " " + Math.round(scheduler.nowMs()));
+                events.add(name + " " + answer + " " + Math.round(scheduler.nowMs()));
             }
         };
     }
 
     @Test
-    void slotsThenTheWaitingRoomThenTurnedAway() {
+    void requestsFillSlotsThenTheQueueAndAreThenRejected() {
         EndpointModel endpoint = endpoint(1, 1, ColdStart.NONE, Crowding.NONE);
         endpoint.offer(work("a", null, 100, 0));
         endpoint.offer(work("b", null, 100, 0));
         endpoint.offer(work("c", null, 100, 0));
         scheduler.runUntil(1000);
-        assertEquals(List.of("a began 0", "c TURNED_AWAY 0", "b began 100", "a SERVED 100", "b SERVED 200"), seen);
+        assertEquals(List.of("a began 0", "c TURNED_AWAY 0", "b began 100", "a SERVED 100", "b SERVED 200"), events);
         assertEquals(2, endpoint.maxHeld());
     }
 
     @Test
-    void aCallHoldsTheSlotAndAFailedOneEndsTheRequest() {
+    void callToTheNextTierKeepsTheSlotAndItsFailureEndsTheRequest() {
         EndpointModel endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
         endpoint.offer(work("a", null, 100, 2));
         endpoint.offer(work("unlucky", null, 100, 2));
@@ -68,23 +68,23 @@
                         "a SERVED 160",
                         "unlucky calls 210",
                         "unlucky ERROR 240"),
-                seen);
+                events);
     }
 
     @Test
-    void whatIsCancelledStopsAndFreesItsSlot() {
+    void cancelledRequestStopsAndFreesItsSlot() {
         EndpointModel endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
-        Work given = work("a", null, 100, 0);
-        endpoint.offer(given);
+        Work cancelled = work("a", null, 100, 0);
+        endpoint.offer(cancelled);
         endpoint.offer(work("b", null, 100, 0));
-        scheduler.after(40, () -> endpoint.cancel(given));
+        scheduler.after(40, () -> endpoint.cancel(cancelled));
         scheduler.runUntil(1000);
-        assertEquals(List.of("a began 0", "b began 40", "b SERVED 140"), seen);
+        assertEquals(List.of("a began 0", "b began 40", "b SERVED 140"), events);
         assertEquals(140, endpoint.workDoneMs(), 1e-6);
     }
 
     @Test
-    void aRackDropsRepeatsForAWhileAndAnotherDoesNot() {
+    void rackDropsRepeatedRequestsWithinItsWindowAndOtherRacksDoNot() {
         EndpointModel one = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
         EndpointModel other = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
         EndpointModel far = new EndpointModel(scheduler, one.shape(), new Rack(scheduler, 10_000));
@@ -102,38 +102,38 @@
                         "far SERVED 160",
                         "late began 10001",
                         "late SERVED 10101"),
-                seen);
+                events);
     }
 
     @Test
-    void aHangingEndpointAnswersNoRepeatsEither() {
+    void hangingEndpointDoesNotAnswerRepeatedRequests() {
         EndpointModel endpoint = endpoint(9, 0, ColdStart.NONE, Crowding.NONE);
         endpoint.offer(work("a", "k", 100, 1));
         endpoint.hang(true);
         endpoint.offer(work("repeat", "k", 100, 1));
         scheduler.runUntil(1000);
-        assertEquals(List.of("a began 0"), seen);
+        assertEquals(List.of("a began 0"), events);
         endpoint.hang(false);
         scheduler.runUntil(2000);
-        assertEquals(List.of("a began 0", "repeat SERVED 1000", "a calls 1050", "a SERVED 1130"), seen);
+        assertEquals(List.of("a began 0", "repeat SERVED 1000", "a calls 1050", "a SERVED 1130"), events);
     }
 
     @Test
-    void coldByTimeItDoesAsMuchAsItsWarmthSays() {
+    void endpointWarmingByTimeWorksAtItsPresentCapacity() {
         EndpointModel endpoint = endpoint(1, 5, new ColdStart(0.2, 1000, Warming.TIME, 99, 3000), Crowding.NONE);
         endpoint.start();
         assertEquals(0.2, endpoint.capacityFraction(), 1e-9);
         endpoint.offer(work("a", null, 600, 0));
         scheduler.runUntil(995);
-        // Rising evenly from a fifth to the whole, 0.6 s of work take 1 s.
-        assertEquals(1, seen.size());
+        // Capacity rises linearly from a fifth to full capacity, so that 0.6 s of work take 1 s.
+        assertEquals(1, events.size());
         scheduler.runUntil(1030);
-        assertEquals(2, seen.size());
+        assertEquals(2, events.size());
         assertEquals(1, endpoint.capacityFraction(), 1e-9);
     }
 
     @Test
-    void coldByWorkItWarmsFasterWhenItWorks() {
+    void endpointWarmingByWorkWarmsFasterUnderLoad() {
         ColdStart cold = new ColdStart(0.5, 1000, Warming.WORK, 99, 3000);
         EndpointModel busy = endpoint(1, 5, cold, Crowding.NONE);
         EndpointModel idle = endpoint(1, 5, cold, Crowding.NONE);
@@ -145,15 +145,15 @@
         assertEquals(0.75, busy.capacityFraction(), 0.001);
         scheduler.runUntil(900);
         busy.workDoneMs();
-        assertTrue(busy.capacityFraction() >= idle.capacityFraction(), "never slower than by time");
+        assertTrue(busy.capacityFraction() >= idle.capacityFraction(), "a busy endpoint warms at least as fast as an idle one");
     }
 
     @Test
-    void sentTooMuchWhileColdItFallsOverAndStaysDown() {
+    void overloadedColdEndpointCollapsesUntilItRestarts() {
         ColdStart cold = new ColdStart(0.1, 10_000, Warming.TIME, 3, 3000);
         EndpointModel endpoint = endpoint(50, 50, cold, Crowding.NONE);
         endpoint.start();
-        // It bears 3 x 0.1 x 3000 ms of work.
+        // The endpoint tolerates 3 x 0.1 x 3000 ms of work.
         for (int i = 0; i < 8; i++) {
             endpoint.offer(work("w" + i, null, 100, 0));
         }
@@ -161,13 +161,13 @@
         endpoint.offer(work("last", null, 150, 0));
         assertTrue(endpoint.hasCollapsed());
         scheduler.runUntil(60_000);
-        assertEquals(8, seen.size(), "nothing is answered any more");
+        assertEquals(8, events.size(), "a collapsed endpoint sends no more responses");
         endpoint.start();
         assertFalse(endpoint.hasCollapsed());
     }
 
     @Test
-    void crowdedForLongItSlowsUntilItHasBeenIdle() {
+    void crowdedEndpointStaysSlowUntilItHasBeenIdle() {
         EndpointModel endpoint = endpoint(50, 50, ColdStart.NONE, new Crowding(4, 1000, 2, 500, 60_000));
         for (int i = 0; i < 6; i++) {
             endpoint.offer(work("w" + i, null, 400, 0));
@@ -178,27 +178,27 @@
         assertTrue(endpoint.isCrowded());
         // 2400 ms of work: 1000 at full speed, the rest at half.
         scheduler.runUntil(3700);
-        assertEquals(6, seen.size());
+        assertEquals(6, events.size());
         scheduler.runUntil(4000);
-        assertEquals(12, seen.size());
+        assertEquals(12, events.size());
         assertTrue(endpoint.isCrowded());
         scheduler.runUntil(4500);
         assertFalse(endpoint.isCrowded());
     }
 
     @Test
-    void aBurstThatIsOverInTimeDoesNotSlowIt() {
+    void shortBurstDoesNotMakeAnEndpointCrowded() {
         EndpointModel endpoint = endpoint(50, 50, ColdStart.NONE, new Crowding(4, 1000, 2, 500, 60_000));
         for (int i = 0; i < 6; i++) {
             endpoint.offer(work("w" + i, null, 150, 0));
         }
         scheduler.runUntil(5000);
         assertFalse(endpoint.isCrowded());
-        assertEquals("w5 SERVED 900", seen.get(11));
+        assertEquals("w5 SERVED 900", events.get(11));
     }
 
     @Test
-    void connectionsAreCappedAndCostAHandshake() {
+    void connectionsAreLimitedAndCostAHandshake() {
         EndpointModel endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
         for (int i = 0; i < 3; i++) {
             assertTrue(endpoint.connect());
@@ -208,22 +208,22 @@
         assertTrue(endpoint.connect());
         endpoint.handshake(() -> endpoint.offer(work("a", null, 100, 0)));
         scheduler.runUntil(1000);
-        assertEquals(List.of("a began 50", "a SERVED 150"), seen);
+        assertEquals(List.of("a began 50", "a SERVED 150"), events);
         assertEquals(150, endpoint.workDoneMs(), 1e-6);
     }
 
     @Test
-    void drainingItFinishesWhatItHas() {
+    void drainingEndpointFinishesItsRequestsAndRejectsNewOnes() {
         EndpointModel endpoint = endpoint(1, 5, ColdStart.NONE, Crowding.NONE);
         endpoint.offer(work("a", null, 100, 0));
         endpoint.drain(true);
         endpoint.offer(work("b", null, 100, 0));
         scheduler.runUntil(1000);
-        assertEquals(List.of("a began 0", "b TURNED_AWAY 0", "a SERVED 100"), seen);
+        assertEquals(List.of("a began 0", "b TURNED_AWAY 0", "a SERVED 100"), events);
     }
 
     @Test
-    void vanishedItSaysNothingAndComesBackColdAndEmpty() {
+    void vanishedEndpointIsSilentAndRestartsColdAndEmpty() {
         EndpointModel endpoint = endpoint(1, 5, new ColdStart(0.2, 1000, Warming.TIME, 99, 3000), Crowding.NONE);
         endpoint.offer(work("a", null, 100, 0));
         scheduler.after(50, endpoint::vanish);
@@ -234,6 +234,6 @@
         assertEquals(0.2, endpoint.capacityFraction(), 1e-9);
         assertEquals(0, endpoint.held());
         scheduler.runUntil(5000);
-        assertEquals(List.of("a began 0"), seen);
+        assertEquals(List.of("a began 0"), events);
     }
 }
--- a/lab/src/test/java/lemonrail/lab/report/StatisticsTest.java
+++ b/lab/src/test/java/lemonrail/lab/report/StatisticsTest.java
@@ -24,22 +24,22 @@
     }
 
     @Test
-    void theIntervalHoldsTheTrueMeanAboutAsOftenAsItSays() {
+    void intervalContainsTheTrueMeanAsOftenAsItsConfidence() {
         Random random = new Random(4);
-        int held = 0;
+        int containing = 0;
         for (int i = 0; i < 200; i++) {
             List<Double> values = new ArrayList<>();
             for (int j = 0; j < 40; j++) {
                 values.add(3 + random.nextGaussian());
             }
             Bootstrap.Interval interval = Bootstrap.meanInterval(values, 0.95);
-            held += interval.low() <= 3 && 3 <= interval.high() ? 1 : 0;
+            containing += interval.low() <= 3 && 3 <= interval.high() ? 1 : 0;
         }
-        assertTrue(held >= 178 && held <= 199, "held " + held + " of 200");
+        assertTrue(containing >= 178 && containing <= 199, "intervals with the true mean: " + containing + " of 200");
     }
 
     @Test
-    void equalVariantsCannotBeToldApartAndOthersCan() throws Exception {
+    void onlyDifferentVariantsDifferSignificantly() throws Exception {
         Comparison comparison = new Comparison(List.of("a", "b", "c"));
         Random random = new Random(2);
         for (int seed = 1; seed <= 12; seed++) {
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void fewPairsTellNothing() {
+    void tooFewPairsGiveNoConclusion() {
         Comparison comparison = new Comparison(List.of("a", "b"));
         comparison.add(new Comparison.Entry("s", "a", 1, verdict(0.9), false));
         comparison.add(new Comparison.Entry("s", "b", 1, verdict(0.1), false));
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void theKneeIsWhereServiceBends() {
+    void kneeIsWhereServiceStartsToFall() {
         assertEquals(40, knee(1, 1, 0.99, 0.98, 0.7, 0.4).orElseThrow());
         assertEquals(OptionalDouble.empty(), knee(0.98, 0.97, 0.98, 0.99), "flat");
         assertEquals(OptionalDouble.empty(), knee(1, 0.8, 0.6, 0.4), "straight");
--- a/lab/src/test/java/lemonrail/lab/scale/BottleneckTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/BottleneckTest.java
@@ -16,65 +16,65 @@
 
 class BottleneckTest {
 
-    private static final double LENGTH_MS = 4000;
-    private static final double IN_FORCE_MS = 3000;
-    private static final long HELD_MS = 400;
+    private static final double STORM_MS = 4000;
+    private static final double MAX_PROPAGATION_MS = 3000;
+    private static final long BLOCKED_MS = 400;
 
     @ParameterizedTest
     @CsvSource({
-        // control's CPU, its lag, the hollow ones' lag, the CPU of their busiest loop, why
+        // CPU time of control, its lag, lag of the hollow sidecars, CPU time of their busiest loop, expected reason
         "400,  20,  50,  900,  ''",
         "400,  101, 50,  900,  control's stand-in was late by 101 ms",
         "3700, 20,  50,  900,  control's stand-in was busy 93 % of the time",
         "400,  20,  1001, 900, the hollow sidecars' loops were late by 1001 ms",
         "400,  20,  50,  3700, a hollow sidecars' loop was busy 93 % of the time",
     })
-    void theLabItselfIsNotWhatIsMeasured(
-            double controlCpuMs, double controlLagMs, double hollowLagMs, double hollowCpuMs, String why) {
+    void overloadedLabMakesAStormVoid(
+            double controlCpuMs, double controlLagMs, double hollowLagMs, double hollowCpuMs, String reason) {
         assertEquals(
-                why,
+                reason,
                 Bottleneck.findVoidReason(
-                        LENGTH_MS,
+                        STORM_MS,
                         new ControlPlane.Cost(controlCpuMs, controlLagMs, controlLagMs, 0, 0, 0),
                         hollowLagMs,
                         hollowCpuMs,
-                        IN_FORCE_MS));
+                        MAX_PROPAGATION_MS));
     }
 
     @Test
-    void aTimeThatIsTooLongIsNotControlsWhereHollowOnesWereLate() {
-        assertEquals("", Bottleneck.findLatenessReason(1000, IN_FORCE_MS));
+    void lateHollowSidecarsMakeAMissedTargetVoid() {
+        assertEquals("", Bottleneck.findLatenessReason(1000, MAX_PROPAGATION_MS));
         assertEquals(
                 "the hollow sidecars' loops were late by 1100 ms at most",
-                Bottleneck.findLatenessReason(1100, IN_FORCE_MS));
+                Bottleneck.findLatenessReason(1100, MAX_PROPAGATION_MS));
     }
 
     @Test
-    void aLoopThatWasHeldUpOnceIsLateForAllThatTime() throws Exception {
+    void blockedEventLoopCountsAsLateForTheEntireTime() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = (EventLoop) group.next();
-        try (EventLoopMonitor watch = new EventLoopMonitor(loop)) {
-            // Two hundred ticks in time come first: one that is late would be less than one in a hundred.
+        try (EventLoopMonitor monitor = new EventLoopMonitor(loop)) {
+            // 200 ticks that are on time come first, so that a single late tick would not show at p99.
             loop.schedule(() -> {}, 2, TimeUnit.SECONDS).sync();
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             loop.submit(() -> {
-                        while (System.nanoTime() - began < HELD_MS * 1_000_000) {
+                        while (System.nanoTime() - startNanos < BLOCKED_MS * 1_000_000) {
                             Thread.onSpinWait();
                         }
                     })
                     .sync();
             loop.schedule(() -> {}, 50, TimeUnit.MILLISECONDS).sync();
-            EventLoopMonitor.Sample seen = watch.takeAndReset();
-            assertTrue(seen.maxLagMs() > HELD_MS / 2, "late by " + seen.maxLagMs());
-            assertTrue(seen.lagP99Ms() > HELD_MS / 2, "late by " + seen.lagP99Ms());
-            assertTrue(seen.cpuMs() > 0, "processor time " + seen.cpuMs());
+            EventLoopMonitor.Sample sample = monitor.takeAndReset();
+            assertTrue(sample.maxLagMs() > BLOCKED_MS / 2, "lag in ms: " + sample.maxLagMs());
+            assertTrue(sample.lagP99Ms() > BLOCKED_MS / 2, "lag in ms: " + sample.lagP99Ms());
+            assertTrue(sample.cpuMs() > 0, "processor time in ms: " + sample.cpuMs());
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         }
     }
 
     @Test
-    void whatIsVoidMissedOrNotCarriedIsNoPass() {
+    void onlyMetVerdictsPass() {
         for (StormRow.Verdict verdict : StormRow.Verdict.values()) {
             assertEquals(
                     verdict == StormRow.Verdict.MET, results(verdict, false).passes(), verdict.label());
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void theTableSaysSo() {
+    void tableShowsVoidRowsAndMissedTargets() {
         ScaleResults results = results(StormRow.Verdict.VOID, true);
         String table = results.table(List.of());
         assertTrue(table.contains("| void: late |"), table);
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void aPointBeyondItsTargetIsMissed() {
+    void measurementAboveItsTargetIsMissed() {
         ScaleScenario scenario = scenario();
         Measurement point = new Measurement(Measurement.Subject.SIDECAR, 1000, 0, 0, 2.3, 100, 60, 40, 0, 0, false);
         ScaleResults results = new ScaleResults(scenario, "1", 1, List.of(point), List.of(), List.of(), "");
@@ -106,7 +106,7 @@
                 "about",
                 new Site(1000, 110, 2, 7, 20),
                 new ScaleScenario.Sidecars(8, 4, 1, 0, 100),
-                new ScaleScenario.Targets(IN_FORCE_MS, 2.2, 32, 15),
+                new ScaleScenario.Targets(MAX_PROPAGATION_MS, 2.2, 32, 15),
                 null,
                 List.of());
     }
--- a/lab/src/test/java/lemonrail/lab/scale/HollowFleetTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/HollowFleetTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Hollow sidecars are told by the real code, and what their deciders have is what control says. */
+/** Checks that hollow sidecars receive changes by the code of real ones and end up with the list that control has. */
 @Timeout(60)
 class HollowFleetTest {
 
     private static final Site SITE = new Site(30, 3, 2, 2, 4);
     private static final int COUNT = 6;
-    private static final long MOST_NANOS = 20_000_000_000L;
+    private static final long AWAIT_TIMEOUT_NANOS = 20_000_000_000L;
 
     @TempDir
     private Path folder;
@@ -58,16 +58,16 @@
         return fleet.countUpToDate(Map.of(Site.ALL, plane.entries(Site.ALL)));
     }
 
-    private static void await(BooleanSupplier what) {
-        long until = System.nanoTime() + MOST_NANOS;
-        while (!what.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, "it did not come to it in time");
+    private static void await(BooleanSupplier condition) {
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadlineNanos, "the condition was not met within 20 s");
             Thread.onSpinWait();
         }
     }
 
     @Test
-    void eachChangeReachesEachDecider() {
+    void everyChangeReachesEverySidecar() {
         plane.apply(0, Map.of(Site.ALL, List.of(SITE.createEntry(3).withWeight(2))));
         await(() -> countUpToDate() == COUNT);
         plane.apply(
@@ -79,27 +79,27 @@
                                 SITE.createEntry(5).withState(EndpointEntry.State.TERMINATED),
                                 SITE.createEntry(6).restartedAt(77))));
         await(() -> countUpToDate() == COUNT);
-        assertEquals(COUNT, fleet.fullListCount(), "the whole list comes once to each, then changes");
+        assertEquals(COUNT, fleet.fullListCount(), "each sidecar gets one full list and then only changes");
     }
 
     @Test
-    void whoHasAnotherListThanControlIsSeen() {
-        Map<String, EndpointEntry> lines = new HashMap<>(plane.entries(Site.ALL));
-        lines.put(SITE.createEntry(1).id(), SITE.createEntry(1).withWeight(9));
-        assertEquals(0, fleet.countUpToDate(Map.of(Site.ALL, lines)));
-        lines.remove(SITE.createEntry(1).id());
-        assertEquals(0, fleet.countUpToDate(Map.of(Site.ALL, lines)));
+    void sidecarsWithADifferentListAreDetected() {
+        Map<String, EndpointEntry> entries = new HashMap<>(plane.entries(Site.ALL));
+        entries.put(SITE.createEntry(1).id(), SITE.createEntry(1).withWeight(9));
+        assertEquals(0, fleet.countUpToDate(Map.of(Site.ALL, entries)));
+        entries.remove(SITE.createEntry(1).id());
+        assertEquals(0, fleet.countUpToDate(Map.of(Site.ALL, entries)));
     }
 
     @Test
-    void aMoveTakesTheWholeListAnew() {
+    void moveToAnotherAddressFetchesAFullList() {
         fleet.moveToOtherAddress();
         await(() -> fleet.fullListCount() == 2 * COUNT);
         assertEquals(COUNT, countUpToDate());
     }
 
     @Test
-    void aStoppedOneAsksNoMore() {
+    void stoppedSidecarsSendNoMoreCalls() {
         fleet.stop(List.of(0, 1, 2, 3, 4));
         assertEquals(1, fleet.sidecars().size());
         for (int weight = 2; weight < 5; weight++) {
@@ -107,38 +107,38 @@
                             0, Map.of(Site.ALL, List.of(SITE.createEntry(3).withWeight(weight))))
                     .versions()
                     .get(Site.ALL);
-            int[] asked = new int[1];
+            int[] calls = new int[1];
             await(() -> {
-                asked[0] += (int) plane.takeCalls("hollow").stream()
+                calls[0] += (int) plane.takeCalls("hollow").stream()
                         .filter(call -> call.version() >= version)
                         .count();
-                return asked[0] > 0 && countUpToDate() == 1;
+                return calls[0] > 0 && countUpToDate() == 1;
             });
-            assertEquals(1, asked[0], "one runs, and it asks on once");
+            assertEquals(1, calls[0], "the one running sidecar sends one further call");
         }
     }
 
     @Test
-    void whenAWordCameIsKnown() {
-        EndpointEntry word = SITE.createEntry(3).withWeight(2);
-        long before = System.nanoTime();
-        plane.apply(0, Map.of(Site.ALL, List.of(word)));
+    void receiveTimeOfAnUpdateIsRecorded() {
+        EndpointEntry update = SITE.createEntry(3).withWeight(2);
+        long startNanos = System.nanoTime();
+        plane.apply(0, Map.of(Site.ALL, List.of(update)));
         await(() -> countUpToDate() == COUNT);
         for (HollowSidecar sidecar : fleet.sidecars()) {
-            long had = sidecar.findUpdateNanos(word, before);
-            assertTrue(had > before && had <= System.nanoTime(), "had it at " + had);
+            long receivedNanos = sidecar.findUpdateNanos(update, startNanos);
+            assertTrue(receivedNanos > startNanos && receivedNanos <= System.nanoTime(), "received at " + receivedNanos);
             assertEquals(
                     -1,
-                    sidecar.findUpdateNanos(SITE.createEntry(3).withWeight(3), before),
-                    "a later word has not come");
+                    sidecar.findUpdateNanos(SITE.createEntry(3).withWeight(3), startNanos),
+                    "a later update has not been received");
             assertEquals(
-                    had, sidecar.findUpdateNanos(SITE.createEntry(3).withWeight(1.5), before), "it has an older one");
+                    receivedNanos, sidecar.findUpdateNanos(SITE.createEntry(3).withWeight(1.5), startNanos), "an older update counts as received with the newer one");
         }
-        plane.apply(0, Map.of(Site.ALL, List.of(word.withState(EndpointEntry.State.TERMINATED))));
+        plane.apply(0, Map.of(Site.ALL, List.of(update.withState(EndpointEntry.State.TERMINATED))));
         await(() -> countUpToDate() == COUNT);
         fleet.discardOldUpdates();
         for (HollowSidecar sidecar : fleet.sidecars()) {
-            assertTrue(sidecar.findUpdateNanos(SITE.createEntry(3).withWeight(9), before) > 0, "gone for good");
+            assertTrue(sidecar.findUpdateNanos(SITE.createEntry(3).withWeight(9), startNanos) > 0, "a terminated endpoint counts as received for all earlier updates");
         }
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/LinearFitTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/LinearFitTest.java
@@ -11,30 +11,30 @@
 
 class LinearFitTest {
 
-    private static final double EXACT = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
     @Test
-    void aLineIsFoundAgain() {
+    void pointsOnALineAreFittedExactly() {
         LinearFit fit = LinearFit.of(
                 List.of(new LinearFit.Point(0, 7), new LinearFit.Point(10, 12), new LinearFit.Point(40, 27)));
-        assertEquals(0.5, fit.slope(), EXACT);
-        assertEquals(7, fit.intercept(), EXACT);
-        assertEquals(1, fit.rSquared(), EXACT);
-        assertEquals(57, fit.valueAt(100), EXACT);
+        assertEquals(0.5, fit.slope(), TOLERANCE);
+        assertEquals(7, fit.intercept(), TOLERANCE);
+        assertEquals(1, fit.rSquared(), TOLERANCE);
+        assertEquals(57, fit.valueAt(100), TOLERANCE);
     }
 
     @Test
-    void leastSquaresByHand() {
-        // Of (1, 1), (2, 3), (3, 2): mean 2, 2; slope 1 / 2, intercept 1, explained 0.5 of 2.
+    void fitMatchesAHandCalculation() {
+        // For (1, 1), (2, 3), (3, 2): means 2 and 2; slope 1 / 2, intercept 1; the line explains 0.5 of a variation of 2.
         LinearFit fit =
                 LinearFit.of(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(2, 3), new LinearFit.Point(3, 2)));
-        assertEquals(0.5, fit.slope(), EXACT);
-        assertEquals(1, fit.intercept(), EXACT);
-        assertEquals(0.25, fit.rSquared(), EXACT);
+        assertEquals(0.5, fit.slope(), TOLERANCE);
+        assertEquals(1, fit.intercept(), TOLERANCE);
+        assertEquals(0.25, fit.rSquared(), TOLERANCE);
     }
 
     @Test
-    void noiseLowersWhatIsExplained() {
+    void noiseLowersRSquared() {
         Random random = new Random(5);
         List<LinearFit.Point> points = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
@@ -46,15 +46,15 @@
     }
 
     @Test
-    void whatDoesNotGrowHasNoSlope() {
+    void constantValuesHaveSlopeZero() {
         LinearFit fit =
                 LinearFit.of(List.of(new LinearFit.Point(1, 4), new LinearFit.Point(2, 4), new LinearFit.Point(3, 4)));
-        assertEquals(0, fit.slope(), EXACT);
-        assertEquals(1, fit.rSquared(), EXACT);
+        assertEquals(0, fit.slope(), TOLERANCE);
+        assertEquals(1, fit.rSquared(), TOLERANCE);
     }
 
     @Test
-    void tooFewPointsAreNoSlope() {
+    void tooFewPointsAreRejected() {
         assertThrows(
                 IllegalArgumentException.class,
                 () -> LinearFit.of(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(2, 2))));
@@ -65,19 +65,19 @@
     }
 
     @Test
-    void voidPointsAreInNoSlope() {
+    void voidPointsAreLeftOutOfSlopes() {
         List<Measurement> points = new ArrayList<>();
         for (int rate : new int[] {0, 1, 5, 20}) {
             points.add(point(rate, 1 + rate, rate == 20));
         }
         Slope slope = Slope.of(points).stream()
-                .filter(each -> each.name().contains("processor time at"))
+                .filter(candidate -> candidate.name().contains("processor time at"))
                 .findFirst()
                 .orElseThrow();
         assertEquals(3, slope.fit().points());
-        assertEquals(10, slope.fit().slope(), EXACT);
+        assertEquals(10, slope.fit().slope(), TOLERANCE);
         points.set(0, point(0, 1, true));
-        assertTrue(Slope.of(points).stream().noneMatch(each -> each.name().contains("processor time at")));
+        assertTrue(Slope.of(points).stream().noneMatch(candidate -> candidate.name().contains("processor time at")));
     }
 
     private static Measurement point(double rate, double percent, boolean isVoid) {
--- a/lab/src/test/java/lemonrail/lab/scale/NodesControlPlaneTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/NodesControlPlaneTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The scale run's small form before control nodes: the whole way of a change, with two real edges. */
+/** Plays the small scale scenario with control nodes, end to end with two real edges. */
 @Timeout(180)
 class NodesControlPlaneTest {
 
@@ -24,7 +24,7 @@
     @Test
     void controlNodesCarryEachStorm() throws Exception {
         ScaleScenario scenario = ScaleFile.read(Path.of("scenarios", "scale-nodes-small.toml"));
-        // Not by the command of service: its jar is there only after the package phase.
+        // The service's own command needs its jar, which exists only after the package phase.
         ServeCommand command = new ServeCommand(
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -43,12 +43,12 @@
                 "test",
                 () -> new NodesControlPlane(4, 2),
                 new PrintWriter(new StringWriter(), true));
-        Path kept = folder.resolve("kept");
-        results.write(kept);
-        String table = Files.readString(kept.resolve("table.md"));
+        Path resultsDirectory = folder.resolve("kept");
+        results.write(resultsDirectory);
+        String table = Files.readString(resultsDirectory.resolve("table.md"));
         assertEquals(scenario.storms().size(), results.rows().size(), table);
         for (StormRow row : results.rows()) {
-            // A busy machine may make a row void, which is then said; what came of it holds all the same.
+            // On a busy machine a row may be void, and then says so. The checks below apply to void rows too.
             assertTrue(row.verdict() == StormRow.Verdict.MET || row.verdict() == StormRow.Verdict.VOID, table);
             assertEquals(0, row.neverApplied(), table);
             assertEquals(row.hollowCount(), row.upToDateCount(), table);
--- a/lab/src/test/java/lemonrail/lab/scale/PropagationTimesTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/PropagationTimesTest.java
@@ -11,48 +11,48 @@
 
 class PropagationTimesTest {
 
-    private static final double EXACT = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
     @Test
-    void percentilesAreOverAllPairsAndOverTheLastOfEachChange() {
-        PropagationTimes all = new PropagationTimes();
-        all.add(List.of(10.0, 30.0));
-        all.add(List.of(20.0, 40.0));
-        assertEquals(4, all.pairs());
-        assertEquals(20, all.percentileMs(0.5), EXACT);
-        assertEquals(40, all.percentileMs(1), EXACT);
-        assertEquals(30, all.slowestPercentileMs(0.5), EXACT);
+    void percentilesCoverAllPairsAndTheSlowestOfEachChange() {
+        PropagationTimes times = new PropagationTimes();
+        times.add(List.of(10.0, 30.0));
+        times.add(List.of(20.0, 40.0));
+        assertEquals(4, times.pairs());
+        assertEquals(20, times.percentileMs(0.5), TOLERANCE);
+        assertEquals(40, times.percentileMs(1), TOLERANCE);
+        assertEquals(30, times.slowestPercentileMs(0.5), TOLERANCE);
     }
 
     @Test
-    void aPercentileOfAHundredIsThatOne() {
-        PropagationTimes all = new PropagationTimes();
-        all.add(IntStream.rangeClosed(1, 100).mapToObj(i -> (double) i).toList());
-        assertEquals(99, all.percentileMs(0.99), EXACT);
-        assertEquals(50, all.percentileMs(0.5), EXACT);
+    void percentileOfAHundredValuesIsTheValueOfThatRank() {
+        PropagationTimes times = new PropagationTimes();
+        times.add(IntStream.rangeClosed(1, 100).mapToObj(i -> (double) i).toList());
+        assertEquals(99, times.percentileMs(0.99), TOLERANCE);
+        assertEquals(50, times.percentileMs(0.5), TOLERANCE);
     }
 
     @Test
-    void whoNeverHasItIsCountedAndNoLastOfAll() {
-        PropagationTimes all = new PropagationTimes();
-        all.add(List.of(10.0, Double.NaN));
-        assertEquals(2, all.pairs());
-        assertEquals(1, all.neverApplied());
-        assertEquals(10, all.percentileMs(1), EXACT);
-        assertTrue(Double.isNaN(all.slowestPercentileMs(1)));
+    void sidecarsThatNeverApplyAChangeAreCountedAndGiveNoSlowestTime() {
+        PropagationTimes times = new PropagationTimes();
+        times.add(List.of(10.0, Double.NaN));
+        assertEquals(2, times.pairs());
+        assertEquals(1, times.neverApplied());
+        assertEquals(10, times.percentileMs(1), TOLERANCE);
+        assertTrue(Double.isNaN(times.slowestPercentileMs(1)));
     }
 
     @Test
-    void nothingIsNoTime() {
-        PropagationTimes none = new PropagationTimes();
-        none.add(List.of());
-        assertEquals(0, none.pairs());
-        assertTrue(Double.isNaN(none.percentileMs(1)));
-        assertTrue(Double.isNaN(none.slowestPercentileMs(1)));
+    void emptyTimesHaveNoPercentile() {
+        PropagationTimes empty = new PropagationTimes();
+        empty.add(List.of());
+        assertEquals(0, empty.pairs());
+        assertTrue(Double.isNaN(empty.percentileMs(1)));
+        assertTrue(Double.isNaN(empty.slowestPercentileMs(1)));
     }
 
     @Test
-    void aVersionHasAllThatCameBefore() {
+    void versionIncludesAllEarlierChanges() {
         ControlPlane.Applied change = new ControlPlane.Applied(0, Map.of("all", 3L));
         assertTrue(change.isIncludedIn("all", 3));
         assertFalse(change.isIncludedIn("all", 2));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void whatWasCutOffCountsFromTheHealingOn() {
+    void changesBehindAPartitionCountFromItsEnd() {
         Fleet.Change change = new Fleet.Change(new ControlPlane.Applied(100, Map.of()), Map.of(), -1, 100);
         assertEquals(100, change.availableNanos(1));
         assertEquals(100, change.withOrigin(0, 900).availableNanos(0));
--- a/lab/src/test/java/lemonrail/lab/scale/RegistryNodeTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/RegistryNodeTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The stand-in of control speaks the platform's watch protocol. */
+/** Tests the watch protocol of the registry that stands in for the control plane. */
 @Timeout(30)
 class RegistryNodeTest {
 
@@ -33,13 +33,13 @@
 
     private final HttpClient client = HttpClient.newHttpClient();
     private RegistryNode node;
-    private InetSocketAddress all;
+    private InetSocketAddress allAddress;
 
     @BeforeEach
     void open() {
         node = new RegistryNode("test");
         node.replaceList(Site.ALL, SITE.createEntries());
-        all = node.address(Site.ALL, "one");
+        allAddress = node.address(Site.ALL, "one");
     }
 
     @AfterEach
@@ -52,9 +52,9 @@
                         URI.create("http://127.0.0.1:" + at.getPort() + "/registry/instances" + query))
                 .timeout(Duration.ofSeconds(10))
                 .build();
-        return client.sendAsync(request, HttpResponse.BodyHandlers.ofString()).thenApply(answer -> {
+        return client.sendAsync(request, HttpResponse.BodyHandlers.ofString()).thenApply(response -> {
             try {
-                return JSON.readTree(answer.body());
+                return JSON.readTree(response.body());
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -66,25 +66,25 @@
     }
 
     @Test
-    void theWholeListThenChangesOnly() {
-        JsonNode whole = poll(all, "").join();
-        assertTrue(whole.get("full").booleanValue());
-        assertEquals(12, whole.get("servers").size());
-        long version = whole.get("version").longValue();
+    void firstPollReturnsTheFullListAndLaterOnesOnlyChanges() {
+        JsonNode fullList = poll(allAddress, "").join();
+        assertTrue(fullList.get("full").booleanValue());
+        assertEquals(12, fullList.get("servers").size());
+        long version = fullList.get("version").longValue();
         node.apply(weigh(3, 2));
         node.apply(weigh(3, 4));
         node.apply(weigh(5, 2));
-        JsonNode delta = poll(all, "?index=" + version + "&wait=5000").join();
+        JsonNode delta = poll(allAddress, "?index=" + version + "&wait=5000").join();
         assertFalse(delta.get("full").booleanValue());
         assertEquals(version + 3, delta.get("version").longValue());
-        assertEquals(2, delta.get("servers").size(), "an endpoint that changed twice is told once");
+        assertEquals(2, delta.get("servers").size(), "an endpoint that changed twice is sent once");
         assertTrue(delta.toString().contains("\"weight\":4.0"), delta.toString());
     }
 
     @Test
-    void aWatchWaitsUntilSomethingChanges() throws Exception {
-        long version = poll(all, "").join().get("version").longValue();
-        CompletableFuture<JsonNode> watch = poll(all, "?index=" + version + "&wait=9000");
+    void watchWaitsUntilAChange() throws Exception {
+        long version = poll(allAddress, "").join().get("version").longValue();
+        CompletableFuture<JsonNode> watch = poll(allAddress, "?index=" + version + "&wait=9000");
         while (node.takeCalls("one").isEmpty()) {
             Thread.onSpinWait();
         }
@@ -94,54 +94,54 @@
     }
 
     @Test
-    void aWatchEndsEmptyAfterItsWait() {
-        long version = poll(all, "").join().get("version").longValue();
-        JsonNode empty = poll(all, "?index=" + version + "&wait=20").join();
+    void watchWithoutChangesEndsEmptyAfterItsWaitTime() {
+        long version = poll(allAddress, "").join().get("version").longValue();
+        JsonNode empty = poll(allAddress, "?index=" + version + "&wait=20").join();
         assertEquals(version, empty.get("version").longValue());
         assertEquals(0, empty.get("servers").size());
         assertFalse(empty.get("full").booleanValue());
     }
 
     @Test
-    void whatIsGoneIsToldAmongChangesAlone() {
-        long version = poll(all, "").join().get("version").longValue();
+    void terminatedEndpointsAreSentOnlyAsChanges() {
+        long version = poll(allAddress, "").join().get("version").longValue();
         node.apply(Map.of(Site.ALL, List.of(SITE.createEntry(2).withState(EndpointEntry.State.TERMINATED))));
-        assertTrue(poll(all, "?index=" + version + "&wait=0").join().toString().contains("terminated"));
-        assertEquals(11, poll(all, "").join().get("servers").size());
+        assertTrue(poll(allAddress, "?index=" + version + "&wait=0").join().toString().contains("terminated"));
+        assertEquals(11, poll(allAddress, "").join().get("servers").size());
     }
 
     @Test
-    void whoAsksFromAheadOfARestartGetsTheWholeList() {
+    void watchFromBeforeARestartGetsTheFullList() {
         node.apply(weigh(1, 3));
-        long version = poll(all, "").join().get("version").longValue();
+        long version = poll(allAddress, "").join().get("version").longValue();
         node.stop();
-        assertThrows(Exception.class, () -> poll(all, "").join(), "nobody is there");
+        assertThrows(Exception.class, () -> poll(allAddress, "").join(), "a stopped node does not respond");
         node.start(true);
-        JsonNode whole = poll(all, "?index=" + version + "&wait=5000").join();
-        assertTrue(whole.get("full").booleanValue());
-        assertTrue(whole.get("version").longValue() < version);
+        JsonNode fullList = poll(allAddress, "?index=" + version + "&wait=5000").join();
+        assertTrue(fullList.get("full").booleanValue());
+        assertTrue(fullList.get("version").longValue() < version);
     }
 
     @Test
-    void aRestartThatKeepsItsVersionsTellsChangesOnly() {
-        long version = poll(all, "").join().get("version").longValue();
+    void restartThatKeepsVersionsSendsOnlyChanges() {
+        long version = poll(allAddress, "").join().get("version").longValue();
         node.stop();
         node.apply(weigh(1, 3));
         node.start(false);
-        JsonNode delta = poll(all, "?index=" + version + "&wait=5000").join();
+        JsonNode delta = poll(allAddress, "?index=" + version + "&wait=5000").join();
         assertFalse(delta.get("full").booleanValue());
         assertEquals(1, delta.get("servers").size());
     }
 
     @Test
-    void listsAndTrafficAreCountedApart() {
+    void listsAndTrafficAreCountedSeparately() {
         node.replaceList("service-1", List.of(SITE.createEntry(1)));
         InetSocketAddress other = node.address("service-1", "two");
         assertEquals(1, poll(other, "").join().get("servers").size());
-        long own = node.takeTraffic("two").bytes();
+        long ownBytes = node.takeTraffic("two").bytes();
         assertEquals(0, node.takeTraffic("one").bytes());
-        assertTrue(own > 100, "bytes " + own);
-        assertEquals(own, node.takeCost().bytes());
-        assertEquals(0, node.takeTraffic("two").bytes(), "each is told once");
+        assertTrue(ownBytes > 100, "bytes: " + ownBytes);
+        assertEquals(ownBytes, node.takeCost().bytes());
+        assertEquals(0, node.takeTraffic("two").bytes(), "traffic is reported only once");
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleFileTest.java
@@ -21,22 +21,22 @@
 
 class ScaleFileTest {
 
-    private static final Path SHIPPED = Path.of("scenarios");
+    private static final Path SCENARIOS = Path.of("scenarios");
 
     @TempDir
     private Path folder;
 
     @ParameterizedTest
     @ValueSource(strings = {"scale", "scale-small"})
-    void shippedOnesCanBeRead(String name) throws IOException {
-        ScaleScenario scenario = ScaleFile.read(SHIPPED.resolve(name + ".toml"));
+    void shippedScenariosAreRead(String name) throws IOException {
+        ScaleScenario scenario = ScaleFile.read(SCENARIOS.resolve(name + ".toml"));
         assertEquals(name, scenario.name());
         assertEquals(3000, scenario.targets().maxPropagationMs());
     }
 
     @Test
-    void theLargeOneIsTheTarget() throws IOException {
-        ScaleScenario scenario = ScaleFile.read(SHIPPED.resolve("scale.toml"));
+    void largeScenarioHasTheTargetSize() throws IOException {
+        ScaleScenario scenario = ScaleFile.read(SCENARIOS.resolve("scale.toml"));
         assertEquals(new Site(1000, 110, 2, 7, 20), scenario.site());
         assertEquals(new ScaleScenario.Targets(3000, 2.2, 32, 15), scenario.targets());
         assertEquals(143, scenario.site().zoneSize());
@@ -44,7 +44,7 @@
         assertTrue(
                 Arrays.stream(ScaleScenario.Kind.values())
                         .allMatch(kind -> scenario.storms().stream().anyMatch(storm -> storm.kind() == kind)),
-                "each kind of storm is played");
+                "the scenario must contain each kind of storm");
     }
 
     @ParameterizedTest
@@ -67,18 +67,18 @@
                 "listed = \"service\"  | listed = \"some\"     | storms[12].listed | one of \"all\"",
                 "length = \"60s\"      | length = \"60\"       | storms[7].length  | a time with its unit",
             })
-    void whatIsWrongIsNamedWithItsLine(String right, String wrong, String key, String why) throws IOException {
-        String text = Files.readString(SHIPPED.resolve("scale.toml"));
-        assertTrue(text.contains(right), "the scenario no longer has " + right);
+    void problemsAreReportedWithKeyAndLine(String valid, String invalid, String key, String expectedMessage) throws IOException {
+        String text = Files.readString(SCENARIOS.resolve("scale.toml"));
+        assertTrue(text.contains(valid), "the scenario no longer contains " + valid);
         Path file = Files.writeString(
                 folder.resolve("spoilt.toml"),
-                text.replaceFirst(Pattern.quote(right), wrong == null ? "" : Matcher.quoteReplacement(wrong)));
+                text.replaceFirst(Pattern.quote(valid), invalid == null ? "" : Matcher.quoteReplacement(invalid)));
         List<ConfigProblem> problems =
                 assertThrows(ConfigException.class, () -> ScaleFile.read(file)).problems();
         assertTrue(
                 problems.stream()
                         .anyMatch(problem ->
-                                problem.key().equals(key) && problem.message().contains(why)),
+                                problem.key().equals(key) && problem.message().contains(expectedMessage)),
                 problems.toString());
         assertTrue(
                 problems.stream().allMatch(problem -> problem.line() > 0 || problem.value() == null),
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void nothingToPlayIsSaid() throws IOException {
+    void scenarioWithoutStormsIsRejected() throws IOException {
         Path file = Files.writeString(folder.resolve("none.toml"), """
             about = "nothing"
             [site]
--- a/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/ScaleRunTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The scale run's small form: a few dozen sidecars, two of them real, and one verdict. */
+/** Plays the small scale scenario: a few dozen sidecars, two of them real. */
 @Timeout(120)
 class ScaleRunTest {
 
@@ -28,9 +28,9 @@
     private Path folder;
 
     @Test
-    void theSmallFormMeetsItsTargets() throws Exception {
+    void smallScenarioMeetsItsTargets() throws Exception {
         ScaleScenario scenario = ScaleFile.read(Path.of("scenarios", "scale-small.toml"));
-        // Not by the command of service: its jar is there only after the package phase.
+        // The service's own command needs its jar, which exists only after the package phase.
         ServeCommand command = new ServeCommand(
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -42,15 +42,15 @@
                         "lemonrail.cli.Main",
                         "serve"),
                 folder);
-        StringWriter words = new StringWriter();
+        StringWriter output = new StringWriter();
         ScaleResults results = ScaleRun.run(
-                scenario, command, folder, "test", RegistryControlPlane::new, new PrintWriter(words, true));
-        Path kept = folder.resolve("kept");
-        results.write(kept);
-        String table = Files.readString(kept.resolve("table.md"));
+                scenario, command, folder, "test", RegistryControlPlane::new, new PrintWriter(output, true));
+        Path resultsDirectory = folder.resolve("kept");
+        results.write(resultsDirectory);
+        String table = Files.readString(resultsDirectory.resolve("table.md"));
         assertEquals(scenario.storms().size(), results.rows().size(), table);
         for (StormRow row : results.rows()) {
-            // A busy machine may make a row void, which is then said; what came of it holds all the same.
+            // On a busy machine a row may be void, and then says so. The checks below apply to void rows too.
             assertTrue(row.verdict() == StormRow.Verdict.MET || row.verdict() == StormRow.Verdict.VOID, table);
             assertEquals(0, row.neverApplied(), table);
             assertEquals(row.hollowCount(), row.upToDateCount(), table);
@@ -62,17 +62,17 @@
                 table);
         assertEquals(
                 1 + results.rows().size(),
-                Files.readAllLines(kept.resolve("storms.csv")).size());
-        assertTrue(Files.exists(kept.resolve("in-force.svg")));
+                Files.readAllLines(resultsDirectory.resolve("storms.csv")).size());
+        assertTrue(Files.exists(resultsDirectory.resolve("in-force.svg")));
     }
 
-    /** A control that tells one endpoint's changes to nobody. */
-    private static final class Forgetful implements ControlPlane {
+    /** A control plane that drops the changes of one endpoint. */
+    private static final class DroppingControlPlane implements ControlPlane {
         private final RegistryControlPlane registry = new RegistryControlPlane();
-        private final String forgotten;
+        private final String droppedId;
 
-        Forgetful(String forgotten) {
-            this.forgotten = forgotten;
+        DroppingControlPlane(String droppedId) {
+            this.droppedId = droppedId;
         }
 
         @Override
@@ -91,22 +91,22 @@
         }
 
         @Override
-        public Path writeSidecarConfig(SidecarSpec place, String list, int node, String group) throws IOException {
-            return registry.writeSidecarConfig(place, list, node, group);
+        public Path writeSidecarConfig(SidecarSpec spec, String list, int node, String group) throws IOException {
+            return registry.writeSidecarConfig(spec, list, node, group);
         }
 
         @Override
-        public void replaceList(String list, List<EndpointEntry> lines) {
-            registry.replaceList(list, lines);
+        public void replaceList(String list, List<EndpointEntry> entries) {
+            registry.replaceList(list, entries);
         }
 
         @Override
         public Applied apply(int node, Map<String, List<EndpointEntry>> changes) {
-            Map<String, List<EndpointEntry>> told = new HashMap<>();
-            changes.forEach((list, lines) -> told.put(
+            Map<String, List<EndpointEntry>> forwarded = new HashMap<>();
+            changes.forEach((list, entries) -> forwarded.put(
                     list,
-                    lines.stream().filter(line -> !line.id().equals(forgotten)).toList()));
-            return registry.apply(node, told);
+                    entries.stream().filter(entry -> !entry.id().equals(droppedId)).toList()));
+            return registry.apply(node, forwarded);
         }
 
         @Override
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aChangeThatIsNotToldIsSeen() throws Exception {
+    void droppedChangeIsDetected() throws Exception {
         Site site = new Site(12, 2, 2, 2, 3);
         Path file = Files.writeString(folder.resolve("forgetful.toml"), "about = \"a control that forgets\"");
         ScaleScenario scenario = new ScaleScenario(
@@ -163,22 +163,22 @@
                 new ServeCommand(List.of("none"), folder),
                 folder,
                 "test",
-                () -> new Forgetful(site.createEntry(7).id()),
+                () -> new DroppingControlPlane(site.createEntry(7).id()),
                 new PrintWriter(new StringWriter()));
         StormRow row = results.rows().get(0);
-        assertEquals(site.endpoints(), row.neverApplied(), "the second change, of endpoint 7, reached nobody");
+        assertEquals(site.endpoints(), row.neverApplied(), "the second change, of endpoint 7, must reach no sidecar");
         assertEquals(0, row.upToDateCount(), row.toString());
         assertTrue(row.verdict() == StormRow.Verdict.MISSED || row.verdict() == StormRow.Verdict.VOID, row.toString());
         assertFalse(results.passes());
     }
 
     @Test
-    void whatCannotGoOnIsKeptAndNoPass() throws Exception {
+    void abortedRunKeepsItsResultsAndDoesNotPass() throws Exception {
         ScaleScenario scenario = ScaleFile.read(Path.of("scenarios", "scale-small.toml"));
-        ServeCommand ends = new ServeCommand(
+        ServeCommand exitingCommand = new ServeCommand(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-version"), folder);
         ScaleResults results = ScaleRun.run(
-                scenario, ends, folder, "test", RegistryControlPlane::new, new PrintWriter(new StringWriter()));
+                scenario, exitingCommand, folder, "test", RegistryControlPlane::new, new PrintWriter(new StringWriter()));
         assertEquals("sidecar process exited before it was ready", results.abortReason());
         assertFalse(results.passes());
         results.write(folder.resolve("kept"));
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathReportTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathReportTest.java
@@ -30,10 +30,10 @@
             int round,
             int step,
             int endpoints,
-            long micros,
+            long latencyMicros,
             double lateMs) {
-        Histogram all = new Histogram(3);
-        all.recordValueWithCount(micros, 1000);
+        Histogram latencies = new Histogram(3);
+        latencies.recordValueWithCount(latencyMicros, 1000);
         report.add(new PathRow(
                 experiment,
                 routeType,
@@ -45,7 +45,7 @@
                 390,
                 1000,
                 endpoints == 20 ? 500 : 1000,
-                all,
+                latencies,
                 1000,
                 2500,
                 routeType == RouteType.DIRECT
@@ -57,7 +57,7 @@
                 1.5));
     }
 
-    private void addSound() {
+    private void addValidRows() {
         add(Experiment.SIDE_BY_SIDE, RouteType.DIRECT, 1, 0, 1, 100, 0.01);
         add(Experiment.SIDE_BY_SIDE, RouteType.RELAY, 1, 0, 1, 150, 0.01);
         add(Experiment.SIDE_BY_SIDE, RouteType.SIDECAR, 1, 0, 10, 400, 0.01);
@@ -65,8 +65,8 @@
     }
 
     @Test
-    void rowsGoIntoTheirTablesAndVoidOnesAreMarked() throws Exception {
-        addSound();
+    void rowsAppearInTheirTablesAndVoidOnesAreMarked() throws Exception {
+        addValidRows();
         add(Experiment.ENDPOINTS, RouteType.SIDECAR, 1, 0, 10, 400, 0.01);
         add(Experiment.ENDPOINTS, RouteType.SIDECAR, 1, 0, 20, 400, 0.01);
         add(Experiment.RAMP, RouteType.SIDECAR, 1, 0, 10, 400, 0.2);
@@ -80,7 +80,7 @@
                         "| sidecar | 20 | 64 | 1 | 390 | 500 of 1000 | 0.400 | 0.400 | 0.400 | " + "120 | " + "120 |"),
                 text);
         assertTrue(text.contains("| sidecar (void) | 10 | 64 | 1 | 390 |"), text);
-        // 10 endpoints more cost 10 µs a call more.
+        // 10 more endpoints cost 10 µs more per call.
         assertTrue(
                 text.contains(
                         "| CPU, µs per call, for each 1,000 endpoints listed | 1000.0000 | 100.00 " + "| 1.000 | 2 |"),
@@ -92,8 +92,8 @@
     }
 
     @Test
-    void voidRoundsAreLeftOutWhereThereAreOthers() throws Exception {
-        addSound();
+    void voidRoundsAreExcludedIfThereAreValidOnes() throws Exception {
+        addValidRows();
         add(Experiment.SIDE_BY_SIDE, RouteType.SIDECAR, 2, 0, 10, 9000, 0.5);
         assertEquals(0.3, report.compareRoutes().get(0).addedMs(99), 0.001);
         assertTrue(report.isMet());
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void onlyVoidRoundsShowNothing() throws Exception {
+    void voidRoundsAloneGiveNoResult() throws Exception {
         add(Experiment.SIDE_BY_SIDE, RouteType.DIRECT, 1, 0, 1, 100, 0.01);
         add(Experiment.SIDE_BY_SIDE, RouteType.RELAY, 1, 0, 1, 150, 0.01);
         add(Experiment.SIDE_BY_SIDE, RouteType.SIDECAR, 1, 0, 10, 200, 0.5);
@@ -116,8 +116,8 @@
     }
 
     @Test
-    void aTargetThatIsMissedIsNamed() throws Exception {
-        addSound();
+    void missedTargetIsReported() throws Exception {
+        addValidRows();
         add(Experiment.CHAIN, RouteType.SIDECAR, 1, 2, 1, 500, 0.01);
         assertFalse(report.isMet());
         report.write(folder, "v");
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathRunTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathRunTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The small form: each row comes out and is sane; how fast this machine is shows nothing here. */
+/** Runs the small plan and checks that each row exists and is plausible; latency depends on the machine and is not checked. */
 @Timeout(180)
 class PathRunTest {
 
@@ -23,7 +23,7 @@
     private Path folder;
 
     @Test
-    void theSmallFormGivesEachRow() throws Exception {
+    void smallPlanProducesEachRow() throws Exception {
         PathPlan plan = PathPlan.small();
         PathReport report = new PathReport(line -> {});
         try (PathRun run = PathRun.of(
@@ -76,24 +76,24 @@
                                 .collect(Collectors.toSet())
                                 .size()
                         == RouteType.values().length,
-                "a ramp for each way");
+                "each route type must have a ramp");
         assertTrue(page.contains("| 100 | sidecar") && page.contains("| step 2"), page);
         assertTrue(Files.size(folder.resolve("kept").resolve("path-chain.svg")) > 500);
     }
 
     @Test
-    void theCommandIsThePlatforms() throws Exception {
+    void commandComesFromThePlatformConfiguration() throws Exception {
         ServeCommand command = ServeCommand.of(Path.of(".."));
         assertTrue(command.command().contains("-XX:TieredStopAtLevel=1"), command.toString());
         assertEquals(
                 List.of("-jar", "edge/target/lemonrail.jar", "serve"),
                 command.command()
                         .subList(command.command().size() - 3, command.command().size()));
-        List<String> other = command.withMainClass("lemonrail.lab.Main", "relay")
+        List<String> withOtherMainClass = command.withMainClass("lemonrail.lab.Main", "relay")
                 .withMainClass("lemonrail.cli.Main", "serve")
                 .command();
-        assertEquals("java", other.get(0));
-        assertTrue(other.contains("-XX:TieredStopAtLevel=1") && !other.contains("-jar"), other.toString());
-        assertEquals(List.of("lemonrail.cli.Main", "serve"), other.subList(other.size() - 2, other.size()));
+        assertEquals("java", withOtherMainClass.get(0));
+        assertTrue(withOtherMainClass.contains("-XX:TieredStopAtLevel=1") && !withOtherMainClass.contains("-jar"), withOtherMainClass.toString());
+        assertEquals(List.of("lemonrail.cli.Main", "serve"), withOtherMainClass.subList(withOtherMainClass.size() - 2, withOtherMainClass.size()));
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scale/path/PathVerdictTest.java
+++ b/lab/src/test/java/lemonrail/lab/scale/path/PathVerdictTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The arithmetic of rows and verdict. */
+/** Tests the calculations of rows and verdicts. */
 class PathVerdictTest {
 
     private static final ProcessUsage USAGE = new ProcessUsage(
             40, Map.of("1/1", new Threads(Kind.LOOP, 36, 3, 500), "1/2", new Threads(Kind.COMPILER, 4, 1, 20)), 70, 40);
 
-    /** 1,000 calls: 980 that took {@code fastMicros}, and 20 that took {@code slowMicros}. */
+    /** Returns a row of 1,000 calls: 980 took {@code fastMicros}, and 20 took {@code slowMicros}. */
     private static PathRow row(
             RouteType routeType, int step, long fastMicros, long slowMicros, double lateMs, long served) {
         Histogram micros = new Histogram(3);
@@ -51,7 +51,7 @@
                 1.5);
     }
 
-    private static Comparison compared(long slowMicros, double lateMs, long served) {
+    private static Comparison comparison(long slowMicros, double lateMs, long served) {
         return new Comparison(
                 390,
                 row(RouteType.DIRECT, 0, 50, 100, 0.01, 1000),
@@ -60,16 +60,16 @@
     }
 
     @Test
-    void whatIsAddedIsTheDifferenceToADirectCall() {
-        Comparison compared = compared(500, 0.01, 1000);
-        assertEquals(0.100, compared.addedMs(50), 0.001);
-        assertEquals(0.400, compared.addedMs(99), 0.001);
-        assertEquals(0.060, compared.addedByRelayMs(99), 0.001);
+    void addedLatencyIsTheDifferenceToADirectCall() {
+        Comparison comparison = comparison(500, 0.01, 1000);
+        assertEquals(0.100, comparison.addedMs(50), 0.001);
+        assertEquals(0.400, comparison.addedMs(99), 0.001);
+        assertEquals(0.060, comparison.addedByRelayMs(99), 0.001);
     }
 
     @ParameterizedTest
     @CsvSource({
-        // slowest of the sidecar, of a step, lateness, served | whole, met
+        // slowest call of the sidecar, of a step, lateness, served | complete, met
         "515, 415, 0.01, 1000, true,  true",
         "525, 415, 0.01, 1000, true,  false",
         "515, 425, 0.01, 1000, true,  false",
@@ -77,21 +77,21 @@
         "515, 415, 0.01, 999,  true,  true",
         "515, 415, 0.01, 998,  true,  false",
     })
-    void theTargetHoldsAtEachRateAndStep(
-            long slowMicros, long stepMicros, double lateMs, long served, boolean whole, boolean met) {
+    void targetAppliesToEachRateAndStep(
+            long slowMicros, long stepMicros, double lateMs, long served, boolean complete, boolean met) {
         PathVerdict verdict = PathVerdict.of(
-                List.of(compared(400, 0.01, 1000), compared(slowMicros, lateMs, served)),
+                List.of(comparison(400, 0.01, 1000), comparison(slowMicros, lateMs, served)),
                 List.of(
                         row(RouteType.SIDECAR, 1, 150, 300, 0.01, 1000),
                         row(RouteType.SIDECAR, 2, 150, stepMicros, 0.01, 1000)));
-        assertEquals(whole, verdict.isComplete());
+        assertEquals(complete, verdict.isComplete());
         assertEquals(met, verdict.isMet(), verdict.toString());
-        assertEquals(met || !whole, verdict.missedTargets().isEmpty(), verdict.toString());
+        assertEquals(met || !complete, verdict.missedTargets().isEmpty(), verdict.toString());
     }
 
     @ParameterizedTest
     @CsvSource({"19, false", "21, true"})
-    void aProcessWithoutACoreMakesARowVoid(double noCoreUs, boolean isVoid) {
+    void waitingForACoreMakesARowVoid(double noCoreUs, boolean isVoid) {
         PathRow row = row(RouteType.SIDECAR, 0, 50, 100, 0.01, 1000);
         PathRow waited = new PathRow(
                 row.experiment(),
@@ -116,11 +116,11 @@
     }
 
     @Test
-    void nothingMeasuredShowsNothing() {
+    void missingMeasurementsDoNotMeetTheTarget() {
         PathRow step = row(RouteType.SIDECAR, 1, 150, 300, 0.01, 1000);
         assertFalse(PathVerdict.of(List.of(), List.of(step)).isMet());
         assertFalse(
-                PathVerdict.of(List.of(compared(400, 0.01, 1000)), List.of()).isMet());
+                PathVerdict.of(List.of(comparison(400, 0.01, 1000)), List.of()).isMet());
         PathRow empty = new PathRow(
                 Experiment.CHAIN,
                 RouteType.SIDECAR,
@@ -140,12 +140,12 @@
                 0,
                 0,
                 0);
-        assertFalse(PathVerdict.of(List.of(compared(400, 0.01, 1000)), List.of(empty))
+        assertFalse(PathVerdict.of(List.of(comparison(400, 0.01, 1000)), List.of(empty))
                 .isMet());
     }
 
     @Test
-    void processorTimeIsSharedOutOverTheCallsOfItsTime() {
+    void processorTimeIsDividedByTheCallsOfItsPeriod() {
         PathRow row = row(RouteType.SIDECAR, 0, 50, 100, 0.01, 1000);
         assertEquals(50, row.cpuUs(), 1e-9);
         assertEquals(50, row.statUs(), 1e-9);
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void roundsTogetherAreAllTheirCalls() {
+    void mergedRoundsContainAllCalls() {
         PathRow all = PathRow.mergeRounds(
                 List.of(row(RouteType.SIDECAR, 0, 50, 100, 0.01, 1000), row(RouteType.SIDECAR, 0, 70, 200, 0.05, 990)));
         assertEquals(2000, all.sent());
@@ -172,18 +172,18 @@
     }
 
     @Test
-    void threadsThatHaveEndedTakeNothingAway() {
+    void endedThreadsAreNotSubtracted() {
         ProcessUsage before = new ProcessUsage(
                 10,
                 Map.of("1/1", new Threads(Kind.LOOP, 5, 1, 10), "1/9", new Threads(Kind.COMPILER, 300, 50, 70)),
                 60,
                 30);
-        ProcessUsage used = USAGE.since(before);
-        assertEquals(31 + 4, used.cpuMs(), 1e-9);
-        assertEquals(4, used.of(Kind.COMPILER).ranMs(), 1e-9);
-        assertEquals(2 + 1, used.waitedMs(), 1e-9);
-        assertEquals(490 + 20, used.wakeups());
-        assertEquals(30, used.statMs(), 1e-9);
+        ProcessUsage difference = USAGE.since(before);
+        assertEquals(31 + 4, difference.cpuMs(), 1e-9);
+        assertEquals(4, difference.of(Kind.COMPILER).ranMs(), 1e-9);
+        assertEquals(2 + 1, difference.waitedMs(), 1e-9);
+        assertEquals(490 + 20, difference.wakeups());
+        assertEquals(30, difference.statMs(), 1e-9);
     }
 
     @ParameterizedTest
@@ -195,22 +195,22 @@
         "VM Periodic Tas, VM",
         "log, OTHER"
     })
-    void threadsAreKnownByTheirNames(String name, Kind kind) {
+    void threadKindIsDerivedFromTheName(String name, Kind kind) {
         assertEquals(kind, ProcessUsage.kind(name));
     }
 
     @Test
-    void aLineIsFittedByLeastSquares() {
+    void lineIsFittedByLeastSquares() {
         LinearFit line = LinearFit.through(
                 List.of(new LinearFit.Point(0, 3), new LinearFit.Point(10, 23), new LinearFit.Point(20, 43)));
         assertEquals(2, line.slope(), 1e-9);
         assertEquals(3, line.intercept(), 1e-9);
         assertEquals(1, line.rSquared(), 1e-9);
-        // By hand: means 2 and 4; xx = 2, xy = 1, yy = 2.
-        LinearFit loose = LinearFit.through(
+        // Calculated by hand: means 2 and 4; sums of squares xx = 2, xy = 1, yy = 2.
+        LinearFit noisyFit = LinearFit.through(
                 List.of(new LinearFit.Point(1, 4), new LinearFit.Point(2, 3), new LinearFit.Point(3, 5)));
-        assertEquals(0.5, loose.slope(), 1e-9);
-        assertEquals(3, loose.intercept(), 1e-9);
-        assertEquals(0.25, loose.rSquared(), 1e-9);
+        assertEquals(0.5, noisyFit.slope(), 1e-9);
+        assertEquals(3, noisyFit.intercept(), 1e-9);
+        assertEquals(0.25, noisyFit.rSquared(), 1e-9);
     }
 }
--- a/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
+++ b/lab/src/test/java/lemonrail/lab/scenario/ScenarioFileTest.java
@@ -19,14 +19,14 @@
 
 class ScenarioFileTest {
 
-    private static final Path SHIPPED = Path.of("scenarios");
+    private static final Path SCENARIOS = Path.of("scenarios");
 
     @TempDir
     private Path folder;
 
     static Stream<Path> shipped() throws IOException {
-        // Scale runs have a form of their own, whose files ScaleFileTest reads.
-        try (Stream<Path> files = Files.list(SHIPPED)) {
+        // ScaleFileTest reads the scenarios of scale runs, which have a different format.
+        try (Stream<Path> files = Files.list(SCENARIOS)) {
             return files
                     .filter(file -> !file.endsWith("edge.toml")
                             && !file.getFileName().toString().startsWith("scale"))
@@ -38,14 +38,14 @@
 
     @ParameterizedTest
     @MethodSource("shipped")
-    void allShippedScenariosCanBeRead(Path file) throws IOException {
+    void shippedScenariosAreRead(Path file) throws IOException {
         Scenario scenario = ScenarioFile.read(file);
         assertEquals(5, scenario.variants().size());
         assertEquals(file.getFileName().toString(), scenario.name() + ".toml");
     }
 
     @Test
-    void thereAreTwelveOfThemOrMore() throws IOException {
+    void atLeastTwelveScenariosAreShipped() throws IOException {
         try (Stream<Path> files = shipped()) {
             assertTrue(files.count() >= 12);
         }
@@ -76,20 +76,20 @@
                 "name = \"north\"      | name = \"nobody\"   | tenants[1].name      | which are [central, north",
                 "seeds = 3             | edge = \"none\"     | edge                 | file does not exist",
             })
-    void whatIsWrongIsNamedWithItsLine(String right, String wrong, String key, String why) throws IOException {
-        Files.copy(SHIPPED.resolve("edge.toml"), folder.resolve("edge.toml"));
-        String text = Files.readString(SHIPPED.resolve("one-silent.toml"));
-        assertTrue(text.contains(right), "the scenario no longer has " + right);
+    void problemsAreReportedWithKeyAndLine(String valid, String invalid, String key, String expectedMessage) throws IOException {
+        Files.copy(SCENARIOS.resolve("edge.toml"), folder.resolve("edge.toml"));
+        String text = Files.readString(SCENARIOS.resolve("one-silent.toml"));
+        assertTrue(text.contains(valid), "the scenario no longer contains " + valid);
         Path file = Files.writeString(
                 folder.resolve("spoilt.toml"),
                 text.replaceFirst(
-                        java.util.regex.Pattern.quote(right), wrong == null ? "" : wrong.replace("\\", "\\\\")));
+                        java.util.regex.Pattern.quote(valid), invalid == null ? "" : invalid.replace("\\", "\\\\")));
         List<ConfigProblem> problems = assertThrows(ConfigException.class, () -> ScenarioFile.read(file))
                 .problems();
         assertTrue(
                 problems.stream()
                         .anyMatch(problem ->
-                                problem.key().equals(key) && problem.message().contains(why)),
+                                problem.key().equals(key) && problem.message().contains(expectedMessage)),
                 problems.toString());
         assertTrue(
                 problems.stream().allMatch(problem -> problem.line() > 0 || problem.value() == null),
