--- a/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
+++ b/edge/src/test/java/lemonrail/assembly/PlatformFileTest.java
@@ -15,20 +15,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The configuration: what is right is read, what is not is named. */
+/** The platform's JSON configuration file: valid files are read, and errors name the field and its value. */
 class PlatformFileTest {
 
     @TempDir
     Path folder;
 
-    private EdgeConfig read(String part, String instead) throws IOException {
+    private EdgeConfig read(String original, String replacement) throws IOException {
         try (StubEndpoint endpoint = StubEndpoint.respondingWith(200, "", "");
                 SidecarFixture fixture = new SidecarFixture(endpoint)) {
-            assertTrue(fixture.config().contains(part), part);
+            assertTrue(fixture.config().contains(original), original);
             return new PlatformFile(
                             Files.writeString(
                                     folder.resolve("config.json"),
-                                    fixture.config().replace(part, instead)),
+                                    fixture.config().replace(original, replacement)),
                             Map.of())
                     .load()
                     .config();
@@ -39,10 +39,10 @@
     void readsAllFields() throws IOException {
         EdgeConfig config = read("", "");
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(1024, config.sockets());
+        assertEquals(1024, config.maxDescriptors());
         assertEquals(15_000, config.idleCloseMs());
-        assertEquals(1, config.known().version());
-        assertEquals("s0", config.known().entries().get(0).endpoint().id());
+        assertEquals(1, config.initialEndpoints().version());
+        assertEquals("s0", config.initialEndpoints().entries().get(0).endpoint().id());
         assertEquals(2, config.settings().classes().size());
     }
 
@@ -51,20 +51,20 @@
             delimiter = '|',
             value = {
                 "\"listen\":\"127.0.0.1:0\",||listen is missing",
-                "127.0.0.1:0|localhost:0|listen is not usable: localhost:0",
-                "127.0.0.1:0|127.0.0.1:70000|listen is not usable: 127.0.0.1:70000",
-                "8c1f30d27a5be964|zz|seed is not usable: zz",
-                "\"sockets\":1024|\"sockets\":-1|limits.sockets is not usable: -1",
-                "in_service|asleep|servers[].state is not usable: asleep",
-                "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is not usable: 0",
+                "127.0.0.1:0|localhost:0|listen is invalid: localhost:0",
+                "127.0.0.1:0|127.0.0.1:70000|listen is invalid: 127.0.0.1:70000",
+                "8c1f30d27a5be964|zz|seed is invalid: zz",
+                "\"sockets\":1024|\"sockets\":-1|limits.sockets is invalid: -1",
+                "in_service|asleep|servers[].state is invalid: asleep",
+                "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is invalid: 0",
                 "\"dial-timeout-ms\":2000,||settings.limits.dial-timeout-ms is missing",
-                "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
-                "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"
+                "\"effect\":\"once\"|\"effect\":\"twice\"|effect has an unknown value: twice",
+                "\"azs\":[\"a\"]|\"azs\":5|settings.azs is invalid: 5"
             })
-    void reportsMissingAndInvalidFields(String part, String instead, String complaint) {
-        IllegalArgumentException e =
-                assertThrows(IllegalArgumentException.class, () -> read(part, instead == null ? "" : instead));
-        assertTrue(e.getMessage().contains(complaint), e.getMessage());
+    void reportsMissingAndInvalidFields(String original, String replacement, String message) {
+        IllegalArgumentException e = assertThrows(
+                IllegalArgumentException.class, () -> read(original, replacement == null ? "" : replacement));
+        assertTrue(e.getMessage().contains(message), e.getMessage());
     }
 
     @Test
@@ -72,6 +72,6 @@
         Path file = Files.writeString(folder.resolve("config.json"), "{\"name\":");
         IllegalArgumentException e =
                 assertThrows(IllegalArgumentException.class, () -> new PlatformFile(file, Map.of()).load());
-        assertTrue(e.getMessage().contains(file + ":1: it is not JSON"), e.getMessage());
+        assertTrue(e.getMessage().contains(file + ":1: invalid JSON"), e.getMessage());
     }
 }
--- a/edge/src/test/java/lemonrail/logging/LogTest.java
+++ b/edge/src/test/java/lemonrail/logging/EventLogTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The log: its forms and levels, what is damped, and a reader that takes nothing. */
+/** Tests formats, levels and rate limits of the event log, and a log reader that blocks. */
 @Timeout(60)
-class LogTest {
+class EventLogTest {
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private final PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
@@ -29,10 +29,10 @@
     }
 
     @Test
-    void jsonIsOneFlatObjectALineWithStableFields() throws IOException {
+    void jsonFormatIsOneFlatObjectPerLineWithStableFields() throws IOException {
         LogSink sink = new StructuredSink(out, LogSettings.Format.JSON, Map.of("lemonrail.exchange", Severity.DEBUG));
         EventLog log = new EventLog(new Clock(), sink);
-        log.in("exchange")
+        log.forComponent("exchange")
                 .debug(
                         "attempt_ended",
                         "an \"attempt\"\nended",
@@ -44,8 +44,8 @@
                         1.23456,
                         "outcome",
                         Severity.INFO);
-        log.in("http1").debug("unseen", "not at this level");
-        log.in("http1").warnRateLimited("client_refused", "a client is refused", "400 no", "status", 400);
+        log.forComponent("http1").debug("unseen", "not at this level");
+        log.forComponent("http1").warnRateLimited("client_refused", "a client is refused", "400 no", "status", 400);
         assertEquals(2, lines().size());
         Map<?, ?> first = (Map<?, ?>) Json.parse(lines().get(0).getBytes(StandardCharsets.UTF_8));
         assertEquals(
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void levelsCanBeChangedAndAreInherited() {
+    void levelsCanBeChangedAndApplyToChildLoggers() {
         for (LogSink sink : List.of(new TextSink(out), new StructuredSink(out, LogSettings.Format.TEXT, Map.of()))) {
             assertFalse(sink.isEnabled(Severity.DEBUG, "lemonrail.http1"));
             sink.setLevel("lemonrail", Severity.DEBUG);
@@ -74,27 +74,30 @@
     }
 
     @Test
-    void repeatedWarningsAreRateLimitedByKindAndCounted() {
+    void repeatedWarningsAreRateLimitedPerEventAndCounted() {
         EventLog log = new EventLog(new Clock(), new TextSink(out));
         for (int i = 0; i < 50; i++) {
-            log.in("http1").warnRateLimited("no_connection", "no connection", "number " + i);
+            log.forComponent("http1").warnRateLimited("no_connection", "no connection", "number " + i);
         }
-        log.in("discovery").warnRateLimited("discovery_failed", "discovery failed", "once");
+        log.forComponent("discovery").warnRateLimited("discovery_failed", "discovery failed", "once");
         assertEquals(List.of("lemonrail: no connection: number 0", "lemonrail: discovery failed: once"), lines());
         assertEquals(49, log.suppressed());
     }
 
-    /** Guards against a full pipe that stops the event loop: the caller goes on, and what is lost is told. */
+    /**
+     * Guards against a full pipe that blocks the event loop. Events are dropped instead, and their number is
+     * logged.
+     */
     @Test
     void slowReaderDoesNotBlockTheWriter() throws Exception {
-        CountDownLatch reads = new CountDownLatch(1);
-        CountDownLatch stuck = new CountDownLatch(1);
+        CountDownLatch readerResumed = new CountDownLatch(1);
+        CountDownLatch writerBlocked = new CountDownLatch(1);
         OutputStream pipe = new OutputStream() {
             @Override
             public void write(int b) throws IOException {
-                stuck.countDown();
+                writerBlocked.countDown();
                 try {
-                    reads.await();
+                    readerResumed.await();
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
@@ -104,15 +107,16 @@
         BoundedSink sink = new BoundedSink(new TextSink(new PrintStream(pipe, true, StandardCharsets.UTF_8)), 16);
         EventLog log = new EventLog(new Clock(), sink);
         log.info("first", "first");
-        stuck.await();
+        writerBlocked.await();
         for (int i = 0; i < 1000; i++) {
             log.info("more", "more " + i);
         }
         assertEquals(1000 - 16, sink.dropped());
-        reads.countDown();
+        readerResumed.countDown();
         sink.close();
         assertEquals("lemonrail: first", lines().get(0));
-        assertTrue(lines().contains("lemonrail: 984 log events were dropped: the log's reader is too slow"));
+        assertTrue(
+                lines().contains("lemonrail: 984 log events were dropped because the reader of the log is too slow"));
         assertEquals(18, lines().size());
     }
 }
--- a/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
+++ b/edge/src/test/java/lemonrail/simulator/SimulatorAdapterTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The adapter on literal batches of the simulator's protocol. */
+/** Tests the adapter with literal batches of the simulator's protocol. */
 class SimulatorAdapterTest {
 
     private static final String SETTINGS = """
@@ -54,7 +54,7 @@
     }
 
     private int run(String... lines) throws IOException {
-        return Main.simulator(
+        return Main.runSimulator(
                 new ByteArrayInputStream(String.join("", lines).getBytes(StandardCharsets.UTF_8)),
                 out,
                 new PrintStream(errors, true, StandardCharsets.UTF_8));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void failedAttemptFailsRequestThatMayHaveRun() throws IOException {
+    void failedAttemptFailsNonIdempotentRequestThatMayHaveExecuted() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void restartWithinOneBatchForgetsEarlierRequests() throws IOException {
+    void restartWithinOneBatchDropsEarlierRequests() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void unknownKindsAndFieldsAreSkippedAndAKindIsWarnedOfOnce() throws IOException {
+    void unknownKindsAndFieldsAreSkippedWithOneWarningPerKind() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void unrequestedEventsHaveNoEffect() throws IOException {
+    void unsolicitedEventsHaveNoEffect() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -144,27 +144,27 @@
             delimiter = '|',
             value = {
                 "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"reason\":\"Odd\"} | unknown outcome 'Odd'",
-                "{\"kind\":\"Endpoints\",\"mode\":0,\"ref\":16} | list number 16 is out of range",
+                "{\"kind\":\"Endpoints\",\"mode\":0,\"ref\":16} | endpoint list number 16 is out of range",
                 "{\"kind\":\"Endpoints\",\"mode\":7,\"ref\":0} | unknown mode 7",
                 "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"endpoint\":\"e\",\"state\":5}]} | unknown state 5",
                 "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"state\":1}]} | server.id must be given",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"type\":9} | class 9",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant 4",
-                "7 | an event should begin with",
+                "7 | an event must begin with",
             })
     void malformedEventStopsTheAdapterWithOneLine(String event, String expected) throws IOException {
         assertEquals(1, run(batch(START, LIST), batch(REQUEST, event)));
         String line = errors.toString(StandardCharsets.UTF_8);
         assertEquals(1, line.lines().count(), line);
         assertTrue(line.contains("batch 1") && line.contains("sidecar/0") && line.contains(expected), line);
-        assertEquals(1, replies().size(), "nothing of the bad batch is acted on");
+        assertEquals(1, replies().size(), "no event of the malformed batch must be processed");
     }
 
     @Test
     void eventForInstanceNeverStartedIsAnError() throws IOException {
         assertEquals(1, run(batch(REQUEST)));
         assertTrue(errors.toString(StandardCharsets.UTF_8)
-                .contains("batch 0, instance sidecar/0: an event for an instance that was never started"));
+                .contains("batch 0, instance sidecar/0: event for an instance that is not running"));
     }
 
     @ParameterizedTest
@@ -188,9 +188,9 @@
             delimiter = '|',
             value = {
                 "\"replicas-of-me\":1 | \"replicas-of-me\":0 | balancers must be above 0 but is 0",
-                "\"try-limit\":3 | \"try-limit\":\"x\" | try-limit should be a number but is x",
+                "\"try-limit\":3 | \"try-limit\":\"x\" | try-limit must be a number but is x",
                 "\"hard-limit-ms\":3000 | \"hard-limit-ms\":-1 | classes[].deadline must be above 0 but is -1",
-                "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect is unknown: twice",
+                "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect has an unknown value: twice",
                 "\"cold-share\":0.3 | \"cold-share\":0 | rules.coldShare must be above 0 but is 0",
             })
     void invalidSettingIsNamedWithItsValue(String from, String to, String expected) throws IOException {
