--- a/lab/src/main/java/lemonrail/lab/Demo.java
+++ b/lab/src/main/java/lemonrail/lab/Demo.java
@@ -57,7 +57,7 @@
         this.out = out;
         this.terminal = terminal;
         Scenario scenario = scenario(file, rate, count, calm, (double) length.toMillis());
-        testbed = new Testbed(scenario, scenario.variants().get(0), seed, new Testbed.Builds(null), temp.path());
+        testbed = new Testbed(scenario, scenario.variants().get(0), seed, new Testbed.Build(null), temp.path());
     }
 
     private static Scenario scenario(Path file, int rate, int count, boolean calm, double lengthMs) throws IOException {
--- a/lab/src/main/java/lemonrail/lab/cli/LoadCommand.java
+++ b/lab/src/main/java/lemonrail/lab/cli/LoadCommand.java
@@ -24,7 +24,7 @@
 @Command(
         name = "load",
         description = "Send requests at their due times without waiting for responses, and measure latency from "
-                + "the due times. Exits with 1 if the run is void because the generator itself was late.")
+                + "the due times. Exits with 1 if nothing was sent or the run is void because the generator was late.")
 public final class LoadCommand implements Callable<Integer> {
 
     private static final int MAX_RATE = 1_000_000;
--- a/lab/src/main/java/lemonrail/lab/cli/Runner.java
+++ b/lab/src/main/java/lemonrail/lab/cli/Runner.java
@@ -99,7 +99,7 @@
         Files.createDirectories(folder);
         try (ShutdownInterrupter interrupter = new ShutdownInterrupter();
                 TempDirectory temp = new TempDirectory();
-                Testbed testbed = new Testbed(scenario, variant, seed, new Testbed.Builds(jar), temp.path())) {
+                Testbed testbed = new Testbed(scenario, variant, seed, new Testbed.Build(jar), temp.path())) {
             lastShownNanos = System.nanoTime();
             RunResult result = testbed.play(requestSupplier -> printProgress(scenario, variant, seed, requestSupplier));
             Verdict verdict = Scorer.score(result);
--- a/lab/src/main/java/lemonrail/lab/host/FaultInjector.java
+++ b/lab/src/main/java/lemonrail/lab/host/FaultInjector.java
@@ -34,7 +34,7 @@
     }
 
     /** Returns whether a scenario with these faults needs relays before its endpoints. */
-    static boolean needLinks(List<Fault> faults, Link link) {
+    static boolean needRelays(List<Fault> faults, Link link) {
         return !link.isPassThrough()
                 || faults.stream().anyMatch(fault -> fault.kind().isOfLinks());
     }
--- a/lab/src/main/java/lemonrail/lab/host/Testbed.java
+++ b/lab/src/main/java/lemonrail/lab/host/Testbed.java
@@ -50,12 +50,12 @@
     private static final double COMPLETION_TIMEOUT_MS = 1500;
 
     /** Build of the edge that sidecars in child processes run, unless their variant has its own. */
-    public record Builds(Path jar) {}
+    public record Build(Path jar) {}
 
     private final Scenario scenario;
     private final Scenario.Variant variant;
     private final long seed;
-    private final Builds builds;
+    private final Build build;
     private final Path folder;
     private final BalancerSettings settings;
     private final EventLoopGroup group =
@@ -75,12 +75,12 @@
     private double cpuMs;
 
     /** Starts endpoints, discovery and sidecars; {@code folder} receives the files and logs of the sidecars. */
-    public Testbed(Scenario scenario, Scenario.Variant variant, long seed, Builds builds, Path folder)
+    public Testbed(Scenario scenario, Scenario.Variant variant, long seed, Build build, Path folder)
             throws IOException, InterruptedException {
         this.scenario = scenario;
         this.variant = variant;
         this.seed = seed;
-        this.builds = builds;
+        this.build = build;
         this.folder = Files.createDirectories(folder);
         settings = EdgeSettings.load(scenario.edgeFile(), variant.overrides());
         recorder = new AttemptRecorder(scheduler, settings.drain().graceMs(), maxLinkDifferenceMs());
@@ -145,7 +145,7 @@
     }
 
     private void startEndpoints() {
-        boolean relays = FaultInjector.needLinks(scenario.faults(), scenario.endpointLink());
+        boolean relays = FaultInjector.needRelays(scenario.faults(), scenario.endpointLink());
         for (int i = 0; i < scenario.tiers().size(); i++) {
             Scenario.Discovery discovery = scenario.discovery();
             Registry registry = new Registry(
@@ -193,13 +193,13 @@
         Path log = folder.resolve(name + ".log");
         SidecarHost host = ownProcess
                 ? SidecarHost.startProcess(
-                        variant.jar() == null ? builds.jar() : variant.jar(), file, environment, listen, log)
+                        variant.jar() == null ? build.jar() : variant.jar(), file, environment, listen, log)
                 : SidecarHost.startInProcess(file, environment, variant.decider(), log);
         sidecars.put(name, host);
         return host.address();
     }
 
-    /** Starts a sidecar for each endpoint of the tier above {@code tier}, for its calls to this tier. */
+    /** Starts a sidecar for each endpoint of the tier before {@code tier}, for its calls to this tier. */
     private void startSidecarsForCalls(int tier) throws IOException {
         List<EndpointHost> callers = tiers.get(tier - 1).hosts();
         for (int i = 0; i < callers.size(); i++) {
--- a/lab/src/main/java/lemonrail/lab/model/EndpointModel.java
+++ b/lab/src/main/java/lemonrail/lab/model/EndpointModel.java
@@ -219,7 +219,8 @@
     /** Accounts for the work done since the last update. */
     private void advanceToNow() {
         double now = scheduler.nowMs();
-        // Capacity grows linearly, so its mean over the interval is the value in the middle.
+        // Capacity that warms up by time grows linearly, so its mean over the interval is the value in the middle. The
+        // work done in the interval affects capacity only afterwards.
         double gained = rate((lastMs + now) / 2) * (now - lastMs);
         attainedMs += gained;
         workDoneMs += gained * running.size();
--- a/lab/src/main/java/lemonrail/lab/report/RunFolder.java
+++ b/lab/src/main/java/lemonrail/lab/report/RunFolder.java
@@ -120,15 +120,15 @@
                                 ? "open"
                                 : lowerCaseName(request.last().end()),
                         formatMs(request.servedMs()));
-                for (ClientRequest.Try clientAttempt : request.tries()) {
+                for (ClientRequest.Try clientTry : request.tries()) {
                     attemptRows.printRecord(
                             request.number(),
-                            clientAttempt.id(),
-                            result.recorder().sidecar(clientAttempt.id()),
-                            formatMs(clientAttempt.sentMs()),
-                            formatMs(clientAttempt.endedMs()),
-                            lowerCaseName(clientAttempt.end()),
-                            clientAttempt.status());
+                            clientTry.id(),
+                            result.recorder().sidecar(clientTry.id()),
+                            formatMs(clientTry.sentMs()),
+                            formatMs(clientTry.endedMs()),
+                            lowerCaseName(clientTry.end()),
+                            clientTry.status());
                 }
             }
         }
--- a/lab/src/main/java/lemonrail/lab/report/Scorer.java
+++ b/lab/src/main/java/lemonrail/lab/report/Scorer.java
@@ -35,7 +35,7 @@
     private static final double MIN_WINDOW_WEIGHT = 0.25;
 
     private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
-    private static final int MAX_LISTED_RULES = 20;
+    private static final int MAX_LISTED_VIOLATIONS = 20;
 
     private final RunResult run;
     private final List<RequestClass> classes;
@@ -45,13 +45,16 @@
         this.run = run;
         classes = run.scenario().requests().stream()
                 .map(requests -> run.settings().classes().stream()
-                        .filter(kind -> kind.name().equals(requests.className()))
+                        .filter(requestClass -> requestClass.name().equals(requests.className()))
                         .findFirst()
                         .orElseThrow())
                 .toList();
     }
 
-    /** Returns the verdict of a run. Requests that were due before the end of the warm-up are ignored. */
+    /**
+     * Returns the verdict of a run. Ignores requests due before the end of the warm-up, except for quotas, and requests
+     * that were never sent.
+     */
     public static Verdict score(RunResult run) {
         return new Scorer(run).verdict();
     }
@@ -79,8 +82,8 @@
                                 * run.scenario().patience().minFraction()
                                 / 2;
         boolean attempted = clientRequest.tries().stream()
-                .anyMatch(clientAttempt ->
-                        !run.recorder().attemptsOf(clientAttempt.id()).isEmpty());
+                .anyMatch(clientTry ->
+                        !run.recorder().attemptsOf(clientTry.id()).isEmpty());
         return late && !attempted ? NO_ATTEMPT_PENALTY * weight(clientRequest) : 0;
     }
 
@@ -175,7 +178,7 @@
                 latencyMicros.getValueAtPercentile(99) / 1e3,
                 latencyMicros.getValueAtPercentile(99.9) / 1e3,
                 run.violations().size(),
-                run.violations().stream().limit(MAX_LISTED_RULES).toList());
+                run.violations().stream().limit(MAX_LISTED_VIOLATIONS).toList());
     }
 
     private static int count(List<ClientRequest> clientRequests, Predicate<ClientRequest.End> end) {
@@ -225,8 +228,8 @@
         Set<String> served = new HashSet<>();
         run.requests()
                 .forEach(clientRequest -> clientRequest.tries().stream()
-                        .filter(clientAttempt -> clientAttempt.end() == ClientRequest.End.SERVED)
-                        .forEach(clientAttempt -> served.add(clientAttempt.id())));
+                        .filter(clientTry -> clientTry.end() == ClientRequest.End.SERVED)
+                        .forEach(clientTry -> served.add(clientTry.id())));
         double wastedWorkMs = 0;
         for (AttemptRecorder.Attempt attempt : run.recorder().attempts()) {
             if (!Double.isNaN(attempt.startedMs()) && attempt.receivedMs() >= warmUpMs && !isUseful(attempt, served)) {
--- a/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
+++ b/lab/src/main/java/lemonrail/lab/scale/NodesControlPlane.java
@@ -54,7 +54,7 @@
 
     private final int regions;
     private final Path folder;
-    /** Discards the nodes' logs: that peers disappear and return is the run's own doing. */
+    /** Discards the nodes' logs: the run itself stops and restarts peers, so warnings about them say nothing new. */
     private final LogSink sink = new TextSink(new PrintStream(OutputStream.nullOutputStream()));
 
     private final List<ControlNode> nodes = new ArrayList<>();
@@ -62,7 +62,10 @@
     private final List<Traffic> nodeTraffic = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
     private final List<Boolean> isUp = new ArrayList<>();
-    /** The traffic of real sidecars by name. Guarded by itself, because the nodes' event loops write to it. */
+    /**
+     * The traffic of real sidecars by name. The nodes' event loops write to it, so this map is the lock for itself, and
+     * also for the contents of nodeTraffic, for callsBySidecar, listsBySidecar and watchCount.
+     */
     private final Map<String, Traffic> traffic = new HashMap<>();
 
     private final Map<String, List<RecordedCall>> callsBySidecar = new HashMap<>();
@@ -247,11 +250,11 @@
     }
 
     @Override
-    public Path writeSidecarConfig(SidecarSpec spec, String listName, int node, String group) throws IOException {
+    public Path writeSidecarConfig(SidecarSpec spec, String listName, int node, String sidecarName) throws IOException {
         synchronized (traffic) {
-            listsBySidecar.put(group, listName);
+            listsBySidecar.put(sidecarName, listName);
         }
-        ControlClient.Subscription subscription = subscription(group, listName, node);
+        ControlClient.Subscription subscription = subscription(sidecarName, listName, node);
         return Files.writeString(spec.directory().resolve("edge.toml"), """
             name = "%s"
             state-dir = "%s"
@@ -279,7 +282,7 @@
             deadline = "3s"
             worth = 4
             """.formatted(
-                        group,
+                        sidecarName,
                         spec.directory(),
                         formatAddress(spec.address()),
                         quotedAddresses(subscription.regionNodes()),
@@ -361,7 +364,7 @@
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         // The first result is the delay that operators see: until all nodes report that all watchers have applied
-        // the settings, which is never earlier than they have.
+        // the settings, which is never before the watchers have applied them.
         delaysMs.add(isAppliedEverywhere(timestamp) ? (System.nanoTime() - startNanos) / 1e6 : Double.NaN);
         synchronized (settingsAppliedNanos) {
             settingsAppliedNanos.forEach(appliedNanos -> delaysMs.add((appliedNanos - startNanos) / 1e6));
@@ -429,19 +432,19 @@
     }
 
     @Override
-    public Traffic.Totals takeTraffic(String group) {
+    public Traffic.Totals takeTraffic(String sidecarName) {
         synchronized (traffic) {
-            return traffic.computeIfAbsent(group, name -> new Traffic()).takeAndReset();
+            return traffic.computeIfAbsent(sidecarName, name -> new Traffic()).takeAndReset();
         }
     }
 
     @Override
-    public List<WatchCall> takeCalls(String group) {
+    public List<WatchCall> takeCalls(String sidecarName) {
         List<RecordedCall> calls;
         String listName;
         synchronized (traffic) {
-            calls = callsBySidecar.remove(group);
-            listName = listsBySidecar.get(group);
+            calls = callsBySidecar.remove(sidecarName);
+            listName = listsBySidecar.get(sidecarName);
         }
         if (calls == null) {
             return List.of();
--- a/lab/src/main/java/lemonrail/lab/scale/StormRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/StormRun.java
@@ -28,10 +28,10 @@
     private static final double PAUSE_BEFORE_STORM_MS = 700;
 
     /** How long costs still count after the last change of a storm is in force. */
-    private static final double COST_TAIL_MS = 500;
+    private static final double COST_MEASUREMENT_EXTENSION_MS = 500;
     /**
      * Processor time and bytes are compared with the targets as averages over at least this time, and those of a
-     * day's changes over a day.
+     * DAY storm over the time in which that many changes occur in a day.
      */
     private static final double MIN_COST_AVERAGING_MS = 60_000;
 
@@ -140,19 +140,19 @@
         settingsDelaysMs = List.of();
         long fullListCount = fleet.hollowFleet().fullListCount();
         Fleet.CostBaseline baseline = fleet.resetMeasurements();
-        String notCarriedReason = playEvents(storm);
+        String unsupportedReason = playEvents(storm);
         settle();
-        Churn.sleep(COST_TAIL_MS);
+        Churn.sleep(COST_MEASUREMENT_EXTENSION_MS);
         StormRow row = createRow(
                 storm,
                 fleet.measureSidecarCost(baseline),
                 fleet.hollowFleet().fullListCount() - fullListCount,
-                notCarriedReason);
+                unsupportedReason);
         rows.add(row);
         addChangeLines(storm, baseline.atNanos());
         log(
-                "storms: %s, %s listed: %s; in force after %.0f ms (p50), %.0f (p99), %.0f (max), real %.0f; a "
-                        + "real sidecar uses %.2f %% of a core, %.0f B/s%s",
+                "storms: %s, %s listed: %s; in force after %.0f ms (p50), %.0f (p99), %.0f (max), %.0f (max of "
+                        + "real sidecars); a real sidecar uses %.2f %% of a core, %.0f B/s%s",
                 row.name(),
                 keyName(storm.scope()),
                 row.verdict().label(),
@@ -168,7 +168,7 @@
     // ---- events ----
 
     /**
-     * Plays the events of a storm. Returns why the control plane does not carry it, or an empty string if it does.
+     * Plays the events of a storm. Returns why the control plane does not support it, or an empty string if it does.
      */
     private String playEvents(Storm storm) throws IOException, InterruptedException {
         switch (storm.kind()) {
@@ -264,15 +264,15 @@
             plane.startNode(i, withoutState);
         }
         if (withoutState) {
-            // Versions begin anew, so a change just afterwards shows which sidecars follow again.
+            // Versions begin anew, so a change just afterwards shows which sidecars receive updates again.
             meanwhile.add(changeEachService(0));
         }
         meanwhile.forEach(change -> changes.add(change.withTime(backNanos)));
     }
 
     /**
-     * Stops a node and makes a change at another one. A control plane with only one node has each sidecar's address
-     * changed from outside instead.
+     * Stops a node and makes a change at another one. A control plane with only one node has its hollow
+     * sidecars moved to another address instead.
      */
     private String loseNode() throws InterruptedException {
         Optional<String> unsupported = fleet.plane().findUnsupportedReason(ControlPlane.Capability.NODE_LOST);
@@ -362,7 +362,7 @@
                 && fleet.realPropagationMs(change).stream().noneMatch(ms -> ms.isNaN());
     }
 
-    private StormRow createRow(Storm storm, Fleet.SidecarCost cost, long fullListCount, String notCarriedReason)
+    private StormRow createRow(Storm storm, Fleet.SidecarCost cost, long fullListCount, String unsupportedReason)
             throws IOException {
         fleet.collectCalls();
         PropagationTimes allTimes = new PropagationTimes();
@@ -376,9 +376,9 @@
         HollowFleet.Load load = fleet.hollowFleet().takeLoad();
         int hollowCount = fleet.hollowFleet().sidecars().size();
         int upToDateCount = fleet.countUpToDate();
-        String note = notCarriedReason;
+        String note = unsupportedReason;
         StormRow.Verdict verdict = StormRow.Verdict.NOT_CARRIED;
-        if (notCarriedReason.isEmpty()) {
+        if (unsupportedReason.isEmpty()) {
             note = Bottleneck.findVoidReason(
                     cost.lengthMs(),
                     nodeCost,
--- a/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
@@ -43,7 +43,7 @@
     private static final String REQUEST_ID_HEADER = "X-Request-Id";
     private static final String CHAIN_HOST = "hop";
 
-    private final SpinningLoop standIns;
+    private final SpinningLoop endpointLoop;
     /** The time that services took for calls whose responses have not reached the caller yet, by the call's id. */
     private final Map<String, Long> serviceNanos;
 
@@ -53,10 +53,10 @@
     private final Histogram addedLatencyMicros = new Histogram(MAX_LATENCY_MICROS, 3);
     private int requestCount;
 
-    private Hop(SpinningLoop standIns, Map<String, Long> serviceNanos, InetSocketAddress nextAddress) {
-        this.standIns = standIns;
+    private Hop(SpinningLoop endpointLoop, Map<String, Long> serviceNanos, InetSocketAddress nextAddress) {
+        this.endpointLoop = endpointLoop;
         this.serviceNanos = serviceNanos;
-        next = nextAddress == null ? null : new ClientPool(standIns.loop(), nextAddress, MAX_CONNECTIONS);
+        next = nextAddress == null ? null : new ClientPool(endpointLoop.loop(), nextAddress, MAX_CONNECTIONS);
         requests = Loads.requests(
                 HttpMethod.GET,
                 CHAIN_HOST,
@@ -65,7 +65,7 @@
                 false,
                 System.nanoTime());
         listener = new ServerBootstrap()
-                .group(standIns.group())
+                .group(endpointLoop.group())
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, MAX_CONNECTIONS)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -86,13 +86,13 @@
     }
 
     /** Creates the last service of a chain. */
-    static Hop createLast(SpinningLoop standIns) {
-        return new Hop(standIns, new HashMap<>(), null);
+    static Hop createLast(SpinningLoop endpointLoop) {
+        return new Hop(endpointLoop, new HashMap<>(), null);
     }
 
     /** Creates a service that calls this one, at its own address or at that of the process before it. */
     Hop createCaller(InetSocketAddress nextAddress) {
-        return new Hop(standIns, serviceNanos, nextAddress);
+        return new Hop(endpointLoop, serviceNanos, nextAddress);
     }
 
     InetSocketAddress address() {
@@ -101,7 +101,7 @@
 
     /** Resets the counts. */
     void resetCounts() {
-        standIns.loop().execute(() -> {
+        endpointLoop.loop().execute(() -> {
             addedLatencyMicros.reset();
             serviceNanos.clear();
         });
@@ -109,7 +109,7 @@
 
     /** Returns the latency that the route to the next service and back added to each call, in microseconds. */
     Histogram addedLatency() {
-        return standIns.loop()
+        return endpointLoop.loop()
                 .submit(addedLatencyMicros::copy)
                 .syncUninterruptibly()
                 .getNow();
@@ -166,7 +166,7 @@
     public void close() {
         listener.close();
         if (next != null) {
-            standIns.loop().execute(next::close);
+            endpointLoop.loop().execute(next::close);
         }
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRow.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRow.java
@@ -24,7 +24,7 @@
  * @param wallMs how long the processor time was measured
  * @param usage what the process between caller and endpoint used meanwhile
  * @param sendLatenessP99Ms how late calls were sent, at the 99th percentile
- * @param absenceP99Ms how long the stand-ins' event loop did not look at its sockets, at the 99th percentile over
+ * @param pauseP99Ms how long the endpoints' event loop did not look at its sockets, at the 99th percentile over
  *     time
  * @param connectionWaits the number of calls that found all client connections busy
  * @param load the machine's load average over the last minute, which counts processes that run or are ready to run
@@ -45,7 +45,7 @@
         double wallMs,
         ProcessUsage usage,
         double sendLatenessP99Ms,
-        double absenceP99Ms,
+        double pauseP99Ms,
         long connectionWaits,
         double load) {
 
@@ -94,7 +94,7 @@
         boolean isSingleProcess = experiment != Experiment.CHAIN || step > 0;
         return (isSingleProcess && noCoreUs() > MAX_NO_CORE_US)
                 || sendLatenessP99Ms > maxLatenessMs
-                || absenceP99Ms > maxLatenessMs
+                || pauseP99Ms > maxLatenessMs
                 || connectionWaits > sent / 100;
     }
 
@@ -181,7 +181,7 @@
                 formatOrBlank(usage.residentMb(), 1),
                 usage.descriptors(),
                 sendLatenessP99Ms,
-                absenceP99Ms,
+                pauseP99Ms,
                 load,
                 isVoid());
     }
@@ -193,7 +193,7 @@
     }
 
     /**
-     * Merges the rounds of a measurement: sums calls and processor time, and takes the maximum of lateness, absence
+     * Merges the rounds of a measurement: sums calls and processor time, and takes the maximum of lateness, pause
      * and load.
      */
     static PathRow mergeRounds(List<PathRow> rounds) {
@@ -220,7 +220,7 @@
                 rounds.stream().mapToDouble(PathRow::wallMs).sum(),
                 usage,
                 rounds.stream().mapToDouble(PathRow::sendLatenessP99Ms).max().orElseThrow(),
-                rounds.stream().mapToDouble(PathRow::absenceP99Ms).max().orElseThrow(),
+                rounds.stream().mapToDouble(PathRow::pauseP99Ms).max().orElseThrow(),
                 rounds.stream().mapToLong(PathRow::connectionWaits).sum(),
                 rounds.stream().mapToDouble(PathRow::load).max().orElseThrow());
     }
--- a/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/PathRun.java
@@ -40,7 +40,8 @@
     private static final double MAX_COMPILER_FRACTION = 0.02;
 
     /**
-     * In addition, the processor time per call must change by less than this fraction from one second to the next.
+     * A process is warm once, in addition to {@link #MAX_COMPILER_FRACTION}, the processor time per call changes by
+     * less than this fraction from one second to the next.
      */
     private static final double MAX_COST_CHANGE = 0.1;
     /** The factor by which the warm-up is longer than it takes to open all client connections. */
@@ -51,7 +52,7 @@
     private final Path scratch;
     private final Consumer<PathRow> rows;
     private final SpinningLoop callers = new SpinningLoop("callers");
-    private final SpinningLoop standIns = new SpinningLoop("stand-ins");
+    private final SpinningLoop endpointLoop = new SpinningLoop("stand-ins");
     private final Loads loads = new Loads(callers.group());
     private final List<AutoCloseable> openResources = new ArrayList<>();
     private int sidecarCount;
@@ -95,7 +96,7 @@
         int endpointCount = Math.max(MIN_ENDPOINTS, Collections.max(plan.endpoints()));
         List<InetSocketAddress> endpointAddresses = new ArrayList<>();
         for (int i = 0; i < endpointCount; i++) {
-            endpointAddresses.add(BaselineServers.endpoint(standIns.group()));
+            endpointAddresses.add(BaselineServers.endpoint(endpointLoop.group()));
         }
         ServedProcess sidecar = startSidecar(endpointAddresses.subList(0, MIN_ENDPOINTS));
         ServedProcess relay = ServedProcess.startRelay(command, endpointAddresses.get(0));
@@ -144,7 +145,10 @@
 
     private ServedProcess startSidecar(List<InetSocketAddress> endpoints) throws IOException {
         ServedProcess started = ServedProcess.startSidecar(
-                command, standIns, Files.createDirectories(scratch.resolve("sidecar-" + sidecarCount++)), endpoints);
+                command,
+                endpointLoop,
+                Files.createDirectories(scratch.resolve("sidecar-" + sidecarCount++)),
+                endpoints);
         openResources.add(started);
         return started;
     }
@@ -251,7 +255,7 @@
         if (plannedLoad.rate() == 0) {
             return measureIdle(experiment, route, round, plannedLoad, meter);
         }
-        standIns.resetAbsences();
+        endpointLoop.resetPauses();
         OpenLoop.Result result = loads.play(
                 route.address(),
                 plannedLoad,
@@ -284,7 +288,7 @@
                 meter.wallMs(),
                 meter.usage,
                 result.late99Ms(),
-                standIns.absenceP99Ms(),
+                endpointLoop.pauseP99Ms(),
                 result.waited(),
                 readLoadAverage());
     }
@@ -407,8 +411,8 @@
     }
 
     private void measureChain() throws IOException, InterruptedException {
-        List<Hop> directHops = new ArrayList<>(List.of(Hop.createLast(standIns)));
-        List<Hop> hops = new ArrayList<>(List.of(Hop.createLast(standIns)));
+        List<Hop> directHops = new ArrayList<>(List.of(Hop.createLast(endpointLoop)));
+        List<Hop> hops = new ArrayList<>(List.of(Hop.createLast(endpointLoop)));
         List<Route> stepRoutes = new ArrayList<>();
         for (int i = 0; i < plan.depth(); i++) {
             directHops.add(0, directHops.get(0).createCaller(directHops.get(0).address()));
@@ -464,7 +468,7 @@
     private void measureChainRound(int round, RouteType routeType, List<Hop> hops, List<Route> stepRoutes)
             throws IOException, InterruptedException {
         ChainMeter chainMeter = new ChainMeter(hops, stepRoutes);
-        standIns.resetAbsences();
+        endpointLoop.resetPauses();
         int rate = plan.rates().get(0);
         OpenLoop.Result result = loads.play(
                 hops.get(0).address(),
@@ -478,7 +482,7 @@
                 ++seed,
                 Loads.requests(HttpMethod.GET, "lab", "/api", Map.of(), false, System.nanoTime()),
                 chainMeter);
-        double absenceP99Ms = standIns.absenceP99Ms();
+        double pauseP99Ms = endpointLoop.pauseP99Ms();
         double loadAverage = readLoadAverage();
         ProcessUsage totalUsage = chainMeter.meters.stream()
                 .map(meter -> meter.usage)
@@ -503,7 +507,7 @@
                 wallMs,
                 totalUsage,
                 result.late99Ms(),
-                absenceP99Ms,
+                pauseP99Ms,
                 result.waited(),
                 loadAverage));
         for (int i = 0; i < plan.depth(); i++) {
@@ -525,7 +529,7 @@
                     wallMs,
                     usage,
                     result.late99Ms(),
-                    absenceP99Ms,
+                    pauseP99Ms,
                     0,
                     loadAverage));
         }
@@ -535,6 +539,6 @@
     public void close() {
         closeResources();
         loads.close();
-        standIns.close();
+        endpointLoop.close();
     }
 }
--- a/lab/src/main/java/lemonrail/lab/scale/path/ServedProcess.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/ServedProcess.java
@@ -46,10 +46,10 @@
      * @param folder the directory of its settings, log and state, which no other sidecar uses
      */
     static ServedProcess startSidecar(
-            ServeCommand command, SpinningLoop standIns, Path folder, List<InetSocketAddress> endpoints)
+            ServeCommand command, SpinningLoop endpointLoop, Path folder, List<InetSocketAddress> endpoints)
             throws IOException {
         Files.createDirectories(folder);
-        FixedDiscovery discovery = new FixedDiscovery(standIns.group(), endpoints);
+        FixedDiscovery discovery = new FixedDiscovery(endpointLoop.group(), endpoints);
         InetSocketAddress address = SidecarHost.freePort();
         Path file = Files.writeString(
                 folder.resolve("sidecar.json"),
--- a/lab/src/main/java/lemonrail/lab/scale/path/SpinningLoop.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/SpinningLoop.java
@@ -17,19 +17,19 @@
  */
 final class SpinningLoop implements AutoCloseable {
 
-    /** Passes that take no longer are the loop's normal iteration, and no absence. */
+    /** Passes that take no longer are the loop's normal iteration, and no pause. */
     private static final long NORMAL_PASS_NANOS = 5_000;
 
-    private static final long MAX_ABSENCE_MICROS = TimeUnit.MINUTES.toMicros(1);
+    private static final long MAX_PAUSE_MICROS = TimeUnit.MINUTES.toMicros(1);
 
     private final EventLoopGroup group;
     private final EventLoop loop;
-    /** Each absence counts once per microsecond, so that percentiles are fractions of the time. */
-    private final Histogram absenceMicros = new Histogram(MAX_ABSENCE_MICROS, 2);
+    /** Each pause counts once per microsecond, so that percentiles are fractions of the time. */
+    private final Histogram pauseMicros = new Histogram(MAX_PAUSE_MICROS, 2);
 
     private long countingSinceNanos;
     private long lastPassNanos;
-    private long absenceNanos;
+    private long pauseNanos;
 
     SpinningLoop(String name) {
         group = new MultiThreadIoEventLoopGroup(
@@ -46,33 +46,33 @@
         long gap = now - lastPassNanos;
         lastPassNanos = now;
         if (gap > NORMAL_PASS_NANOS && countingSinceNanos != 0) {
-            absenceNanos += gap;
-            long micros = Math.min(MAX_ABSENCE_MICROS, TimeUnit.NANOSECONDS.toMicros(gap));
-            absenceMicros.recordValueWithCount(micros, micros);
+            pauseNanos += gap;
+            long micros = Math.min(MAX_PAUSE_MICROS, TimeUnit.NANOSECONDS.toMicros(gap));
+            pauseMicros.recordValueWithCount(micros, micros);
         }
         return selectNow.get();
     }
 
     private void clear() {
-        absenceMicros.reset();
-        absenceNanos = 0;
+        pauseMicros.reset();
+        pauseNanos = 0;
         lastPassNanos = System.nanoTime();
         countingSinceNanos = lastPassNanos;
     }
 
-    /** Starts to count absences anew. */
-    void resetAbsences() {
+    /** Starts to count pauses anew. */
+    void resetPauses() {
         loop.execute(this::clear);
     }
 
-    /** Returns for how long the loop was absent, in ms, at the 99th percentile over the time since the last reset. */
-    double absenceP99Ms() {
+    /** Returns how long the loop paused polling, in ms, at the 99th percentile over the time since the last reset. */
+    double pauseP99Ms() {
         return loop.submit(() -> {
-                    long presentMicros =
-                            TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - countingSinceNanos - absenceNanos);
-                    Histogram distribution = absenceMicros.copy();
-                    if (presentMicros > 0) {
-                        distribution.recordValueWithCount(0, presentMicros);
+                    long pollingMicros =
+                            TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - countingSinceNanos - pauseNanos);
+                    Histogram distribution = pauseMicros.copy();
+                    if (pollingMicros > 0) {
+                        distribution.recordValueWithCount(0, pollingMicros);
                     }
                     return distribution.getValueAtPercentile(99) / 1e3;
                 })
--- a/lab/src/main/java/lemonrail/lab/scenario/Scenario.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/Scenario.java
@@ -200,7 +200,8 @@
      * @param waitingRoom number of requests that may wait for a slot at an endpoint
      * @param connections maximum number of open connections to an endpoint
      * @param handshakeMs work that each new connection costs
-     * @param rackWindowMs how long a rack remembers idempotency keys to drop repeated requests
+     * @param rackWindowMs how long a rack remembers idempotency keys, so that it answers repeated requests
+     *     without work
      * @param workShare fraction of a request's work that one call to this tier costs
      * @param calls mean number of calls to the next tier for each request
      * @param startsCold whether all endpoints have just started when the run begins
--- a/lab/src/main/java/lemonrail/lab/scenario/ScenarioFile.java
+++ b/lab/src/main/java/lemonrail/lab/scenario/ScenarioFile.java
@@ -137,7 +137,7 @@
             "rack-window",
             ValueType.duration(0, HOUR_MS),
             "\"10s\"",
-            "how long a rack remembers idempotency keys to drop repeated requests");
+            "how long a rack remembers idempotency keys, so that it answers repeated requests without work");
     private static final ConfigKey<Double> WORK_SHARE = ConfigKey.optional(
             "work-share",
             ValueType.number(0, 1),
@@ -164,7 +164,7 @@
             "tip-multiple",
             ValueType.number(1, 1e6),
             null,
-            "load, as a multiple of its capacity, beyond which a cold endpoint crashes; it never crashes if not given");
+            "load / capacity above which a cold endpoint stops responding until restarted; no limit if not given");
     private static final ConfigKey<Double> TIP_WINDOW = ConfigKey.optional(
             "tip-window", ValueType.duration(1, HOUR_MS), "\"3s\"", "window over which that load is counted");
     private static final ConfigKey<Double> CROWDED_AT = ConfigKey.optional(
@@ -298,7 +298,10 @@
             "0.1",
             "fraction of the tier's endpoints that is affected, at least one; 0 for all endpoints of one rack");
     private static final ConfigKey<Double> FAULT_SIZE = ConfigKey.optional(
-            "size", ValueType.number(0, 1e6), "1.0", "size of the fault; its meaning depends on the kind");
+            "size",
+            ValueType.number(0, 1e6),
+            "1.0",
+            "slow, burst: factor; delay: extra ms; loss: fraction; reset: age in ms at which new connections end");
     private static final ConfigTable FAULTS = new ConfigTable(
             "faults", 100, "", List.of(FAULT_KIND, FAULT_TIER, FAULT_BEGIN, FAULT_LENGTH, FAULT_SHARE, FAULT_SIZE));
 
@@ -390,7 +393,8 @@
     }
 
     // Every table is read before the check so that all problems are reported together. Until the check has passed,
-    // values may be null, so the readers return suppliers.
+    // values may be null, so readers of tables whose records take no null return suppliers; others use 0 for null or
+    // add null.
 
     private static Supplier<Retrying> retrying(TableReader clients) {
         Integer retries = clients.get(RETRIES);
@@ -431,7 +435,7 @@
 
     private static void requireOrdered(TableReader table, ConfigKey<Double> key, Double min, Double max) {
         if (min != null && max != null && min > max) {
-            table.addProblem(key, "must not exceed the configured maximum, which is " + max);
+            table.addProblem(key, "must not exceed the matching most-... key, which is (durations in ms) " + max);
         }
     }
 
--- a/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
@@ -38,7 +38,8 @@
 
 /**
  * Simulates many sidecars and many endpoints in one thread and on virtual time. It counts over the entire fleet and
- * checks that each load balancer follows the four rules.
+ * checks the rules of each load balancer: one final response by the deadline; safe retries; no requests to endpoints
+ * that left; no overload of cold endpoints.
  */
 final class Fleet {
 
@@ -61,7 +62,7 @@
     static final double WARM_UP_MS = 15_000;
     static final double TIP_MULTIPLE = 3;
     private static final double TIP_WINDOW_MS = 3000;
-    /** Time from the update that an endpoint drains to the start of its replacement. */
+    /** Time from the start of an endpoint's drain to the start of its replacement. */
     static final double REPLACEMENT_DELAY_MS = 1500;
 
     private static final int RACK_SIZE = 8;
@@ -226,7 +227,7 @@
     }
 
     /**
-     * Returns the window, as long as the settings say, in which a cold endpoint was sent the most relative to its
+     * Returns the window of length TIP_WINDOW_MS in which a cold endpoint was sent the most relative to its
      * budget at that time. Only sidecars that knew of its start count. All complete requests count, also rejected
      * ones.
      */
@@ -352,7 +353,7 @@
                     10_000);
             balancer = new BoxcarLoadBalancer(settings, seed, this);
             watchSchedule = WatchSchedule.ofFleet(sidecarCount, DRAIN_GRACE_MS, seed);
-            agent = registry.agent(line -> {});
+            agent = registry.agent(entry -> {});
             agent.fetchAll(this::onResponse);
         }
 
@@ -434,12 +435,12 @@
         }
 
         void sendRequest() {
-            int kind = random.nextInt(10);
+            int draw = random.nextInt(10);
             OpenRequest request = new OpenRequest(
-                    settings.balancerIndex() + "-" + nextRequestNumber++, kind < 6 ? 0 : kind < 9 ? 1 : 2);
+                    settings.balancerIndex() + "-" + nextRequestNumber++, draw < 6 ? 0 : draw < 9 ? 1 : 2);
             requests.put(request.id, request);
             requestCount++;
-            balancer.onRequest(now(), new Request(request.id, request.kind, 0, now() + DEADLINE_MS, false));
+            balancer.onRequest(now(), new Request(request.id, request.classIndex, 0, now() + DEADLINE_MS, false));
         }
 
         private void recordFinalResponse(OpenRequest request) {
@@ -476,7 +477,7 @@
             int rack = endpoints.get(endpointId).shape().rack();
             for (Attempt earlier : request.attempts) {
                 boolean mayHaveExecuted = earlier.outcome != null && !earlier.outcome.provesNotExecuted();
-                Idempotency idempotency = settings.classes().get(request.kind).idempotency();
+                Idempotency idempotency = settings.classes().get(request.classIndex).idempotency();
                 if (earlier.outcome == null
                         || (mayHaveExecuted
                                 && (idempotency == Idempotency.NON_IDEMPOTENT
@@ -545,9 +546,9 @@
         }
 
         @Override
-        public void reject(String id, double coolDownMs) {
+        public void reject(String id, double retryAfterMs) {
             OpenRequest request = requests.get(id);
-            RequestClass requestClass = settings.classes().get(request.kind);
+            RequestClass requestClass = settings.classes().get(request.classIndex);
             if (!requestClass.mayRejectAfterExecution()
                     && request.attempts.stream()
                             .anyMatch(attempt -> attempt.outcome == null || !attempt.outcome.provesNotExecuted())) {
@@ -585,15 +586,15 @@
 
         private final class OpenRequest {
             private final String id;
-            private final int kind;
+            private final int classIndex;
             private final double arrivedMs = scheduler.nowMs();
             private final double workMs = -Math.log1p(-random.nextDouble()) * meanWorkMs;
             private final List<Attempt> attempts = new ArrayList<>();
             private int finalResponses;
 
-            OpenRequest(String id, int kind) {
+            OpenRequest(String id, int classIndex) {
                 this.id = id;
-                this.kind = kind;
+                this.classIndex = classIndex;
             }
         }
 
@@ -608,7 +609,7 @@
             private AttemptOutcome outcome;
 
             Attempt(OpenRequest request, int number, String endpointId) {
-                super(request.kind == 1 ? request.id : null, request.workMs, 1);
+                super(request.classIndex == 1 ? request.id : null, request.workMs, 1);
                 this.request = request;
                 this.number = number;
                 this.endpointId = endpointId;
--- a/lab/src/test/java/lemonrail/lab/host/PlayTest.java
+++ b/lab/src/test/java/lemonrail/lab/host/PlayTest.java
@@ -86,7 +86,7 @@
 
     private RunResult play(Scenario scenario, LoadBalancerFactory decider) throws IOException, InterruptedException {
         Scenario.Variant variant = new Scenario.Variant("it", decider, Map.of(), null);
-        try (Testbed testbed = new Testbed(scenario, variant, 7, new Testbed.Builds(null), folder.resolve("run"))) {
+        try (Testbed testbed = new Testbed(scenario, variant, 7, new Testbed.Build(null), folder.resolve("run"))) {
             return testbed.play(clientRequests -> {});
         }
     }
@@ -317,7 +317,7 @@
     }
 
     @Test
-    void poorLinksOnBothSidesCauseNoViolations() throws Exception {
+    void slowLinksOnBothSidesCauseNoViolations() throws Exception {
         RunResult run = play(scenario("", """
             [client-links]
             delay = "10ms"
@@ -337,7 +337,7 @@
         Scenario scenario = scenario("", "");
         Scenario.Variant variant = scenario.variants().get(0);
         Thread testThread = Thread.currentThread();
-        try (Testbed testbed = new Testbed(scenario, variant, 1, new Testbed.Builds(null), folder.resolve("run"))) {
+        try (Testbed testbed = new Testbed(scenario, variant, 1, new Testbed.Build(null), folder.resolve("run"))) {
             RunResult run = testbed.play(clientRequests -> {
                 if (clientRequests.get().size() > 30) {
                     testThread.interrupt();
