--- a/core/src/main/java/lemonrail/core/LoadSheddingReport.java
+++ b/core/src/main/java/lemonrail/core/LoadSheddingReport.java
@@ -53,8 +53,8 @@
             log.accept("tier " + tier + ": " + rejectedRequests + " requests rejected at a concurrency limit of "
                     + Math.round(concurrencyLimit) + ", " + fullQueues + " attempts rejected by a full endpoint queue, "
                     + ejections
-                    + " ejections; " + unhealthyEndpoints + " of " + readyEndpoints
-                    + " ready endpoints are ejected or probing");
+                    + " ejections; " + unhealthyEndpoints + " endpoints ejected or probing, " + readyEndpoints
+                    + " endpoints ready");
         }
         rejectedRequests = 0;
         fullQueues = 0;
--- a/core/src/main/java/lemonrail/core/policy/ConcurrencyLimit.java
+++ b/core/src/main/java/lemonrail/core/policy/ConcurrencyLimit.java
@@ -128,7 +128,8 @@
 
     private void decrease() {
         limit = Math.max(shareOf(MIN_REQUESTS_PER_ENDPOINT), Math.min(limit, peakInFlight + 1) * DECREASE_FACTOR);
-        // Where balancers outnumber endpoints there is no reset: responses from before the decrease may cause another.
+        // Where balancers outnumber endpoints the signal is not reset, so that responses from before this decrease may
+        // cause another decrease.
         if (growthFactor() >= 1) {
             overloadSignal.resetTo(threshold());
         }
--- a/core/src/main/java/lemonrail/core/policy/EndpointStatistics.java
+++ b/core/src/main/java/lemonrail/core/policy/EndpointStatistics.java
@@ -48,7 +48,7 @@
         return lastResponseMs > timeMs;
     }
 
-    /** Returns whether it has been silent for several of its usual response intervals. */
+    /** Returns whether it has been silent for several of its mean response intervals. */
     boolean isSilent(double nowMs) {
         return responseIntervalMs > 0 && nowMs - lastResponseMs > HUNG_INTERVALS * responseIntervalMs;
     }
--- a/core/src/main/java/lemonrail/core/policy/OutlierDetector.java
+++ b/core/src/main/java/lemonrail/core/policy/OutlierDetector.java
@@ -11,7 +11,8 @@
 
 /**
  * Ejects endpoints whose attempts fail, and readmits them by probes. An endpoint's state is a {@link HealthState}: a
- * failure ejects it, the end of the ejection time starts probing, and enough successes in a row make it healthy.
+ * failure that is attributed to the endpoint ejects it, the end of the ejection time starts probing, and enough
+ * successes in a row make it healthy.
  */
 final class OutlierDetector {
 
@@ -83,7 +84,10 @@
                 && (health.state(nowMs) != HealthState.HEALTHY || (!endpoint.hasSlots() && health.isBackingOff(nowMs)));
     }
 
-    /** Updates an endpoint's speed with the elapsed time of an attempt, with or without a response. */
+    /**
+     * Records the elapsed time of an attempt, with or without a response, and updates the endpoint's cost; ignored
+     * while the endpoint is in slow start.
+     */
     void onElapsed(double nowMs, EndpointRecord endpoint, LatencyEstimator classLatency, double elapsedMs) {
         if (!slowStart.isWarmingUp(nowMs, endpoint)) {
             endpoint.statistics().recordElapsed(elapsedMs, classLatency.typicalMs());
@@ -172,8 +176,8 @@
     }
 
     /**
-     * Returns whether more than half of all endpoints are outliers. The cause is then a shared one, and ejecting more
-     * endpoints would leave none.
+     * Returns whether the outliers are more than half as many as the ready endpoints. The cause is then a shared one,
+     * and ejecting more endpoints would leave none.
      */
     private boolean isFailureShared() {
         return outliers * 2 > ranking.readyEndpoints();
--- a/core/src/main/java/lemonrail/core/policy/SlotPool.java
+++ b/core/src/main/java/lemonrail/core/policy/SlotPool.java
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Discards a slot, and closes the endpoint's idle connections if it is unused then. */
+    /** Discards a slot. If its endpoint has no use left, also closes that endpoint's idle connections. */
     void discard(Slot slot) {
         if (slot.isDiscarded()) {
             return;
@@ -129,7 +129,8 @@
     }
 
     /**
-     * Updates the endpoint's cost, and the ranks of its slots, if its latency ratio has changed by at least the step.
+     * Updates the endpoint's cost, and the ranks of its slots, if its cost has changed by at least the factor
+     * {@link #RANK_COST_STEP}.
      */
     void updateRankCostIfChanged(double nowMs, EndpointRecord endpoint) {
         double cost = rankCost(endpoint);
@@ -141,8 +142,8 @@
     }
 
     /**
-     * Sets the endpoint's cost to its latency ratio and updates the ranks of its slots, so that slow endpoints get
-     * fewer requests.
+     * Sets the endpoint's cost to its latency ratio, or to the minimum cost if that is higher, and updates the ranks of
+     * its slots, so that slow endpoints get fewer requests.
      */
     void updateRankCost(double nowMs, EndpointRecord endpoint) {
         endpoint.setRankCost(rankCost(endpoint));
@@ -158,7 +159,7 @@
         return Math.max(MIN_RANK_COST, endpoint.statistics().latencyRatio());
     }
 
-    /** Updates all ranks after a placement, and the candidates of endpoints without one. */
+    /** Updates all ranks after a placement, and the candidate of each endpoint that has none. */
     void onPlacesAssigned(double nowMs) {
         slots.forEach(slot -> slot.setRank(ranking.rank(slot)));
         candidates.rerank(ranking::rank);
--- a/core/src/main/java/lemonrail/core/replication/NodeSelector.java
+++ b/core/src/main/java/lemonrail/core/replication/NodeSelector.java
@@ -126,6 +126,7 @@
         consecutiveFailures = 0;
         backoffMs = INITIAL_BACKOFF_MS;
         if (state == State.PROBING_OWN_REGION) {
+            // Leave the probing state; the node stays the same.
             moveTo(currentIndex);
             scheduleReturn(nowMs);
         }
--- a/core/src/main/java/lemonrail/core/replication/ReplicatedStore.java
+++ b/core/src/main/java/lemonrail/core/replication/ReplicatedStore.java
@@ -34,7 +34,7 @@
      */
     public record Bounds(
             int maxTopics, int maxEntries, int maxTombstones, long tombstoneRetentionMs, long maxClockAheadMs) {
-        /** Entries for twenty times the target number of endpoints, and tombstones kept for one day. */
+        /** Entries for twenty times the target of 1,000 endpoints, and tombstones kept for one day. */
         public static final Bounds DEFAULT = new Bounds(1024, 20_000, 16_384, 86_400_000, 60_000);
     }
 
@@ -90,7 +90,7 @@
 
     /**
      * Writes an entry with an earlier time, for example when a change is repeated at another node. The timestamp then
-     * has that earlier time and does not belong to this node's sequence.
+     * has that earlier time and advances neither this node's clock nor its acknowledged version.
      *
      * @param asOfMs the time of the write; if it is not before {@code nowMs}, the current time is used
      * @throws IllegalStateException if the store is not ready
@@ -270,7 +270,7 @@
         return ArrivalIndex.rewind(version, byMs);
     }
 
-    /** Returns the last arrival in these topics at or below the version, or 0 if there is none. */
+    /** Returns the last arrival number in these topics at or below the version, or 0 if there is none. */
     public long lastArrival(Collection<String> topicNames, long version) {
         return arrivals.lastArrival(topicNames, version);
     }
@@ -299,7 +299,7 @@
         return arrivals.all().stream().map(StoredEntry::entry).toList();
     }
 
-    /** Returns the entries that arrived in all topics after the version, except those that this peer has sent. */
+    /** Returns the entries that arrived in any topic after the version, except those that this peer has sent. */
     public List<VersionedEntry> entriesForPeerSince(String peer, long version) {
         return arrivals.arrivedSince(version).stream()
                 .filter(stored -> !stored.receivedFrom().equals(peer))
--- a/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
+++ b/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
@@ -136,12 +136,12 @@
         f.balancer.onTimer(f.nowMs, UNUSED_TIMER);
         Fixture withSnapshot = Fixture.of(FLEET_SIZE, 3, 1);
         withSnapshot.nowMs = f.nowMs;
-        List<Endpoint> remaining = listed.values().stream()
+        List<Endpoint> departed = listed.values().stream()
                 .filter(endpoint -> endpoint.state() != EndpointState.GONE)
                 .toList();
         withSnapshot.setEndpoints(remaining);
         assertEquals(endpointsOfRequests(withSnapshot, 250), endpointsOfRequests(f, 250));
-        assertEquals(remaining.size(), f.balancer.knownEndpoints());
+        assertEquals(departed.size(), f.balancer.knownEndpoints());
     }
 
     /** An endpoint's readiness takes effect immediately. */
@@ -149,18 +149,18 @@
     @ValueSource(strings = {"DRAINING", "GONE"})
     void endpointThatLeavesWhilePlacesArePendingGetsNoRequests(EndpointState state) {
         Fixture f = withPendingPlaceChange();
-        Set<String> remaining = new HashSet<>();
+        Set<String> departed = new HashSet<>();
         for (int i = 0; i < 10; i++) {
             f.sendRequest(Fixture.IDEMPOTENT);
             String id = f.host.lastAttempt().endpoint();
-            assertFalse(remaining.contains(id), id + " has left");
-            remaining.add(id);
+            assertFalse(departed.contains(id), id + " has left");
+            departed.add(id);
             f.updateEndpoints(fleetEndpoint(id).withState(state));
         }
     }
 
     @Test
-    void endpointThatIsAddedWhilePlacesArePendingIsUsedWithinARound() {
+    void endpointThatIsAddedWhilePlacesArePendingIsUsedWithinABackgroundRound() {
         Fixture f = withPendingPlaceChange();
         String first = endpointsOfRequests(f, 1).get(0);
         f.updateEndpoints(fleetEndpoint(first).withState(EndpointState.DRAINING));
@@ -209,6 +209,7 @@
                 f.nowMs += BACKGROUND_ROUND_MS;
                 assertNotEquals(0, endpointsOfRequests(f, 3).size());
             }
+            // 6 updates with 3 requests each.
             assertEquals(18, f.host.started.size());
         });
     }
--- a/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
+++ b/core/src/test/java/lemonrail/core/policy/RandomEventsTest.java
@@ -106,7 +106,7 @@
             request.startedMs.add(nowMs);
             request.outcomes.add(null);
             attemptsInFlight++;
-            assertTrue(attemptsInFlight <= 256, "more attempts in flight than the pool may hold");
+            assertTrue(attemptsInFlight <= 256, "more than 256 attempts in flight");
         }
 
         @Override
@@ -212,7 +212,9 @@
             openRequestIds.removeIf(id ->
                     host.observed.get(id).responded && host.observed.get(id).attemptsInFlight() == 0);
         }
-        assertTrue(host.observed.values().stream().allMatch(c -> c.responded), "a request has no final response");
+        assertTrue(
+                host.observed.values().stream().allMatch(request -> request.responded),
+                "a request has no final response");
         assertTrue(openRequestIds.isEmpty());
         assertEquals(0, host.attemptsInFlight);
         assertEquals(0, balancer.requestsInFlight(), "requests remain in the balancer");
@@ -230,7 +232,8 @@
 
     /**
      * Times out attempts at the client's deadline, as the host does. Attempts within 15 ms of the deadline are
-     * included, because the clock advances by up to 11 ms per step.
+     * included, because the clock advances by up to 11 ms per random step; in the closing loop, which advances by
+     * 50 ms, overdue attempts end at their deadline.
      */
     private static void timeOutOverdueAttempts(
             RuleCheckingHost host, BoxcarLoadBalancer balancer, List<String> openRequestIds) {
--- a/edge/src/main/java/lemonrail/assembly/ConfigurationReloader.java
+++ b/edge/src/main/java/lemonrail/assembly/ConfigurationReloader.java
@@ -21,8 +21,9 @@
 
 /**
  * Reads the configuration again and applies what can change at run time: the address of discovery, the fixed list
- * of endpoints, listeners and log levels. Other changed values take effect at the next start; their keys are
- * logged. If the configuration is invalid or a listener cannot be opened, nothing changes.
+ * of endpoints, listeners and log levels. Other changed values take effect at the next start; their keys are logged
+ * unless the source reloads only discovery. If the configuration is invalid or a listener cannot be opened, nothing
+ * changes. If applying a value fails after that, earlier changes stay.
  */
 final class ConfigurationReloader {
 
@@ -107,17 +108,17 @@
     }
 
     private void rejectReload(String reason) {
-        log.warn("config_rejected", "configuration not reloaded, the previous one stays in effect: " + reason);
+        log.warn("config_rejected", "configuration not reloaded, or only in part: " + reason);
         metrics.onReload(false);
     }
 
     private void apply(LoadedConfiguration next) {
         EdgeConfig config = next.config();
         if (targets.discovery() != null && config.discovery() != null) {
-            log.info("config_reloaded", "configuration read again: discovery is at " + config.discovery());
+            log.info("config_reloaded", "configuration reloaded: discovery is at " + config.discovery());
             targets.discovery().moveTo(config.discovery());
         } else {
-            log.info("config_reloaded", "configuration read again");
+            log.info("config_reloaded", "configuration reloaded");
         }
         if (targets.fixedEndpoints()) {
             targets.dispatcher().onEndpointList(config.initialEndpoints());
--- a/edge/src/main/java/lemonrail/assembly/GracefulShutdown.java
+++ b/edge/src/main/java/lemonrail/assembly/GracefulShutdown.java
@@ -17,12 +17,12 @@
 final class GracefulShutdown {
 
     /** How long the listener stays open after SIGTERM, because clients still open new connections meanwhile. */
-    private static final int LISTENER_LINGER_MS = 600;
+    private static final int LISTENER_CLOSE_DELAY_MS = 600;
 
     private static final int DRAIN_POLL_INTERVAL_MS = 10;
     /**
-     * Upper bound on the longest deadline: SIGKILL is expected after the smaller of both plus
-     * {@link #KILL_SLACK_MS}.
+     * The longest deadline that is counted: SIGKILL is expected {@link #KILL_SLACK_MS} after the longest deadline or
+     * after this time, whichever is shorter.
      */
     private static final int MAX_DEADLINE_MS = 3000;
 
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Blocks until all connections are closed or the time before SIGKILL has elapsed. Must be called once, from a
+     * Blocks until all connections are closed or until shortly before SIGKILL is expected. Must be called once, from a
      * thread other than the event loop.
      *
      * @param longestDeadlineMs the longest deadline of any request class, in milliseconds
@@ -71,13 +71,13 @@
     }
 
     private void schedule(long drainMs, CountDownLatch drained) {
-        long closeConnectionsAtMs = Math.max(LISTENER_LINGER_MS, drainMs - CLOSE_CONNECTIONS_MS);
+        long closeConnectionsAtMs = Math.max(LISTENER_CLOSE_DELAY_MS, drainMs - CLOSE_CONNECTIONS_MS);
         loop.execute(() -> beginShutdown(drainMs));
-        scheduleOnce(() -> listeners.forEach(Downstream::closeListener), LISTENER_LINGER_MS);
+        scheduleOnce(() -> listeners.forEach(Downstream::closeListener), LISTENER_CLOSE_DELAY_MS);
         scheduleOnce(() -> listeners.forEach(Downstream::closeAfterResponses), closeConnectionsAtMs);
         scheduleOnce(dispatcher::abandonAll, drainMs + FINAL_RESPONSE_MS);
         loop.scheduleWithFixedDelay(
-                () -> signalIfDrained(drained), LISTENER_LINGER_MS, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+                () -> signalIfDrained(drained), LISTENER_CLOSE_DELAY_MS, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void scheduleOnce(Runnable action, long delayMs) {
@@ -106,7 +106,8 @@
 
     private void awaitDrained(CountDownLatch drained, long timeoutMs) {
         try {
-            // By then every request has its final response; a client that does not read it delays nothing.
+            // By the timeout every request has its final response, so connections of clients that do not read are left
+            // open.
             drained.await(timeoutMs, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/edge/src/main/java/lemonrail/config/EdgeConfigReader.java
+++ b/edge/src/main/java/lemonrail/config/EdgeConfigReader.java
@@ -118,7 +118,10 @@
         boolean hasFixedEndpoints = document.has(Schema.ENDPOINTS);
         boolean hasDiscovery = discovery.address() != null || document.has(Schema.DISCOVERY);
         if (!hasFixedEndpoints && !hasDiscovery) {
-            document.addProblem("endpoints", null, "is missing; there must be [[endpoints]] or discovery.address");
+            document.addProblem(
+                    "endpoints",
+                    null,
+                    "is missing; there must be [[endpoints]], discovery.address or discovery.addresses");
         }
     }
 
--- a/edge/src/main/java/lemonrail/config/Schema.java
+++ b/edge/src/main/java/lemonrail/config/Schema.java
@@ -62,7 +62,7 @@
             ValueType.duration(100, WatchSchedule.MAX_WAIT_MS),
             null,
             "how long a poll waits for changes; if not set, 1s, or 10ms for each balancer if that is longer, up to 3s. "
-                    + "With a longer wait, a watch that falls silent could hide a change for more than 6s");
+                    + "With a wait above 3s, a change could be missed for more than 6s when a watch gets no response");
 
     static final ConfigKey<List<InetSocketAddress>> CONTROL_NODES = ConfigKey.optional(
             "addresses",
@@ -300,7 +300,7 @@
     static final ConfigTable LIMITS = new ConfigTable(
             "limits",
             0,
-            "the limits that the machine and the deployment set",
+            "limits on resources, attempts and times",
             List.of(MEMORY, DESCRIPTORS, ATTEMPTS, CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_RETRY_AFTER));
     static final ConfigTable BALANCING = new ConfigTable(
             "balancing",
--- a/edge/src/main/java/lemonrail/control/ControlNode.java
+++ b/edge/src/main/java/lemonrail/control/ControlNode.java
@@ -180,7 +180,7 @@
     public void bootstrap() {
         loopInvoker.run(() -> {
             store.markReady();
-            log.info("begun", "ready after bootstrap by an operator, with " + store.liveCount() + " entries");
+            log.info("begun", "an operator declared the data complete; ready with " + store.liveCount() + " entries");
         });
     }
 
@@ -283,7 +283,10 @@
         return loopInvoker.query(reporter::status);
     }
 
-    /** Persists the store, then stops the node without draining its watches; returns when its threads have ended. */
+    /**
+     * Persists the store, then stops the node without answering open watch requests; returns when its threads have
+     * ended.
+     */
     public void stop() {
         if (stopped) {
             return;
--- a/edge/src/main/java/lemonrail/control/WatchSession.java
+++ b/edge/src/main/java/lemonrail/control/WatchSession.java
@@ -141,7 +141,10 @@
         waitTimeout = context.loop().schedule(this::respondWithDelta, request.waitMs(), TimeUnit.MILLISECONDS);
     }
 
-    /** Answers the current request if it watches any of these topics. */
+    /**
+     * Answers the current request if it watches any of these topics, at once or at the end of the minimum interval. A
+     * peer that would get no entries gets no answer at once.
+     */
     void onTopicsChanged(Set<String> topics) {
         if (state == State.REQUEST_IN_PROGRESS && request.watchesAnyOf(topics)) {
             respondAfterMinInterval();
@@ -151,7 +154,7 @@
     private void respondAfterMinInterval() {
         double delayMs = nextUpdateAtMs - context.clock().now();
         if (delayMs <= 0) {
-            // The peer needs no response if only its own entries have arrived.
+            // A peer gets no immediate response if only its own entries have arrived.
             if (!request.isFromPeer() || !entriesForPeer().isEmpty()) {
                 respondWithDelta();
             }
--- a/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
+++ b/edge/src/main/java/lemonrail/discovery/DiscoveryClient.java
@@ -207,10 +207,10 @@
             return;
         }
         schedule.onResponse();
-        boolean versionsRestarted = !list.full() && version.isPresent() && list.version() < version.getAsLong();
         // A lower version means that discovery restarted its numbering, so that this delta may lack changes.
+        boolean versionsRestarted = !list.full() && version.isPresent() && list.version() < version.getAsLong();
         version = versionsRestarted ? OptionalLong.empty() : OptionalLong.of(list.version());
-        // Send the next request before the listener runs, because discovery expects it soon after its response.
+        // Send the next request first, so that a slow listener does not delay it.
         watch();
         listener.onEndpointList(list);
     }
--- a/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
+++ b/edge/src/main/java/lemonrail/http1/ClientTimeoutHandler.java
@@ -10,8 +10,8 @@
 
 /**
  * The first handler of a client connection, before the decoder. It limits the time to receive a complete request and
- * the time between requests, buffers input while the maximum number of requests is in flight, and discards input after
- * the last response has begun. Confined to the connection's event loop.
+ * the time between requests, buffers input while the maximum number of requests is in flight, and discards input once
+ * no further request is read. Confined to the connection's event loop.
  */
 final class ClientTimeoutHandler extends ChannelInboundHandlerAdapter {
 
@@ -27,7 +27,10 @@
     private static final int MAX_IDLE_MS = 5000;
     /** The maximum size of the input that is buffered while the maximum number of requests is in flight. */
     private static final int MAX_BUFFERED_BYTES = 16 * 1024;
-    /** The time by which a timeout is extended, once, if bytes have arrived that have not been read yet. */
+    /**
+     * The time by which a timeout is extended, once, if bytes have arrived that have not been read yet; one more turn
+     * of the event loop reads them.
+     */
     private static final int UNREAD_INPUT_GRACE_MS = 1;
 
     private enum RequestState {
--- a/edge/src/main/java/lemonrail/http1/ResponseReader.java
+++ b/edge/src/main/java/lemonrail/http1/ResponseReader.java
@@ -18,8 +18,9 @@
 
 /**
  * Reads the responses on a connection to an endpoint, one at a time. A small response is buffered, and reported after
- * everything that arrived with it has been read, so that surplus bytes are never taken for the next response. A large
- * or slow response is streamed. Confined to the connection's event loop.
+ * everything that arrived with it has been read, so that surplus bytes are never taken for the next response. A
+ * successful response that is large, or slow and of unknown length, is streamed; of another such response only the head
+ * is reported. Confined to the connection's event loop.
  */
 final class ResponseReader extends ChannelInboundHandlerAdapter {
 
@@ -94,7 +95,10 @@
         pipeline.addLast(new UnexpectedInputFilter(), decoder, this);
     }
 
-    /** Notes that a response may arrive, because a request has been written, or enough of it to be rejected. */
+    /**
+     * Notes that a response may arrive, because a request has been written, or enough of it that the endpoint may
+     * reject it.
+     */
     void expectResponse() {
         if (state == State.NOT_EXPECTED) {
             state = State.EXPECTED;
@@ -180,9 +184,10 @@
             return;
         }
         if (!HttpUtil.isContentLengthSet(started)) {
-            bufferingTimeout = ctx.executor().schedule(this::stopBuffering, MAX_BUFFERING_MS, TimeUnit.MILLISECONDS);
+            bufferingTimeout =
+                    ctx.executor().schedule(this::streamOrReportHead, MAX_BUFFERING_MS, TimeUnit.MILLISECONDS);
         } else if (HttpUtil.getContentLength(started) > MAX_BUFFERED_BYTES) {
-            stopBuffering();
+            streamOrReportHead();
         }
     }
 
@@ -198,7 +203,7 @@
      * Starts to stream a response that is too large or too slow to be buffered. For an unsuccessful response, only the
      * head is needed, so it is reported without its body.
      */
-    private void stopBuffering() {
+    private void streamOrReportHead() {
         cancelBufferingTimeout();
         if (head.status().code() == HttpResponseStatus.OK.code()) {
             pipe = listener.onStreamStarted(ResponseHeads.toResponse(head, new byte[0]));
@@ -225,7 +230,7 @@
                 failMalformed();
                 return;
             }
-            stopBuffering();
+            streamOrReportHead();
         }
         // By now, the response may have been reported or found to be malformed.
         if (head == null) {
--- a/edge/src/main/java/lemonrail/simulator/SimulatorAdapter.java
+++ b/edge/src/main/java/lemonrail/simulator/SimulatorAdapter.java
@@ -49,7 +49,10 @@
         }
     }
 
-    /** Returns the first line of the message; the second line of a JSON parser only gives the place in the input. */
+    /**
+     * Returns the first line of the message; the second line of a JSON parser's message only gives the position in the
+     * input.
+     */
     private static String firstLine(Exception e) {
         String message = e.getMessage() == null ? e.toString() : e.getMessage();
         return message.lines().findFirst().orElse("");
--- a/edge/src/main/java/lemonrail/streaming/BodyPipe.java
+++ b/edge/src/main/java/lemonrail/streaming/BodyPipe.java
@@ -5,8 +5,9 @@
 
 /**
  * Forwards a body from one connection to another, with backpressure: it buffers a small window of bytes, and stops
- * reading its source while the consumer does not take them. Bytes count towards the budget until {@link #onWritten} is
- * called for them, so those in a connection's write buffer count as well. Used on the event loop only.
+ * reading its source while the window is full or the shared {@link BufferBudget} is used up, unless the pipe holds no
+ * bytes. Bytes count towards the budget until {@link #onWritten} is called for them, so those in a connection's write
+ * buffer count as well. Used on the event loop only.
  */
 public final class BodyPipe {
 
@@ -162,7 +163,10 @@
         return complete;
     }
 
-    /** Discards the buffered bytes and all that still arrive. The source is read on, so that its message can end. */
+    /**
+     * Discards the buffered bytes and all that still arrive. Reading from the source continues, so that its message can
+     * end.
+     */
     public void close() {
         if (closed) {
             return;
--- a/edge/src/main/java/lemonrail/suspension/SuspensionFile.java
+++ b/edge/src/main/java/lemonrail/suspension/SuspensionFile.java
@@ -19,7 +19,7 @@
 /**
  * The file with the ids of suspended endpoints, one per line, between a header and a footer. The footer has the
  * number of ids, so that a truncated file is detected. The file is always replaced by a rename. A lock file prevents
- * the two processes of one sidecar from overwriting each other's changes.
+ * two processes of the same sidecar that run at once from overwriting each other's changes.
  */
 final class SuspensionFile {
 
--- a/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ClientLimitsTest.java
@@ -131,7 +131,7 @@
                 "a line with no colon\r\n\r\n",
                 "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\n\r\n"
             })
-    void ambiguousFramingIsRejected(String framing) throws Exception {
+    void malformedOrAmbiguousFramingIsRejected(String framing) throws Exception {
         start(servingEndpoint());
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: open\r\nX-Class: read\r\n" + "X-Deadline-Ms: 8000\r\n";
@@ -158,9 +158,12 @@
 
     // ---- size ----
 
-    /** The error is sent as soon as the head has been read, and arrives although the client is still sending. */
+    /**
+     * The error is sent as soon as the head has been read, and arrives although the client is still sending. A body of
+     * unknown length is rejected before it is complete.
+     */
     @Test
-    void bodyThatIsTooLargeIsRejectedAtItsHead() throws Exception {
+    void bodyThatIsTooLargeIsRejected() throws Exception {
         start(servingEndpoint());
         try (HttpTestConnection client = fixture.client()) {
             client.send("POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 62914560\r\n\r\n");
@@ -231,6 +234,7 @@
     @Test
     void connectionsWithoutRequestsAreEvictedFirst() throws Exception {
         fixture = new SidecarFixture(servingEndpoint());
+        // The sidecar then permits the minimum number of client connections, which is 8.
         fixture.sockets = 1;
         fixture.start();
         List<HttpTestConnection> silent = new ArrayList<>();
--- a/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
@@ -345,7 +345,7 @@
         edge.reload();
         SidecarFixture.await(
                 "the configuration is reloaded",
-                () -> log.toString(StandardCharsets.UTF_8).contains("read again"));
+                () -> log.toString(StandardCharsets.UTF_8).contains("configuration reloaded"));
         for (int i = 0; i < 6; i++) {
             assertEquals(
                     ClientResult.Kind.SERVED,
--- a/edge/src/test/java/lemonrail/assembly/ReloadTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReloadTest.java
@@ -111,7 +111,7 @@
         assertEquals("before", fixture.sendRequest("order", DEADLINE_MS).body());
         assertEquals(1, fixture.discovery.open.get(), "the former discovery is still watched");
         assertTrue(
-                fixture.logged().contains("configuration not reloaded, the previous one stays in effect"),
+                fixture.logged().contains("configuration not reloaded, or only in part"),
                 fixture.logged());
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/TomlConfigurationTest.java
+++ b/edge/src/test/java/lemonrail/assembly/TomlConfigurationTest.java
@@ -147,14 +147,14 @@
             edge.reload();
             edge.reload();
         });
-        SidecarFixture.await("both reloads are done", () -> logged().split("configuration read again", -1).length == 3);
+        SidecarFixture.await("both reloads are done", () -> logged().split("configuration reloaded", -1).length == 3);
         assertFalse(logged().contains("configuration not reloaded"), logged());
         assertEquals("second", sendRequest(newAddress).body());
         InetSocketAddress later = freeAddress();
         write(toml(hostAndPort(later), first, ""));
         edge.reload();
         SidecarFixture.await(
-                "the third reload is done", () -> logged().split("configuration read again", -1).length == 4);
+                "the third reload is done", () -> logged().split("configuration reloaded", -1).length == 4);
         assertEquals("first", sendRequest(later).body());
         assertThrows(IOException.class, () -> sendRequest(newAddress), "the former listener is closed");
     }
@@ -164,7 +164,7 @@
         start(toml("127.0.0.1:0", first, ""));
         try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             reload(toml("127.0.0.1:" + other.getLocalPort(), second, ""), "cannot listen on");
-            assertTrue(logged().contains("configuration not reloaded, the previous one stays in effect"), logged());
+            assertTrue(logged().contains("configuration not reloaded, or only in part"), logged());
             assertEquals("first", sendRequest(edge.address()).body());
             // One of two new listener addresses is free, and still nothing is applied.
             InetSocketAddress free = freeAddress();
@@ -192,7 +192,7 @@
         start(text);
         for (int end : new int[] {60, text.indexOf("[[classes]]"), 0}) {
             log.reset();
-            reload(text.substring(0, end), "configuration not reloaded, the previous one stays in effect");
+            reload(text.substring(0, end), "configuration not reloaded, or only in part");
             assertEquals("first", sendRequest(edge.address()).body());
         }
         log.reset();
@@ -200,7 +200,7 @@
         edge.reload();
         SidecarFixture.await("the missing file is logged", () -> logged().contains("file not found"));
         assertEquals("first", sendRequest(edge.address()).body());
-        reload(toml("127.0.0.1:0", second, ""), "configuration read again");
+        reload(toml("127.0.0.1:0", second, ""), "configuration reloaded");
         assertEquals("second", sendRequest(edge.address()).body());
     }
 
@@ -213,7 +213,7 @@
         }
         String drained = toml("127.0.0.1:0", first, both)
                 .replace(first.address() + "\"", first.address() + "\"\nstate = \"draining\"");
-        reload(drained, "configuration read again");
+        reload(drained, "configuration reloaded");
         for (int i = 0; i < 5; i++) {
             assertEquals("second", sendRequest(edge.address()).body());
         }
--- a/edge/src/test/java/lemonrail/assembly/WatchTest.java
+++ b/edge/src/test/java/lemonrail/assembly/WatchTest.java
@@ -34,9 +34,9 @@
     private static final int DEADLINE_MS = 8000;
     /** A change that a failed watch missed must be in force within this time. */
     private static final double MAX_PROPAGATION_MS = 6000;
-    /** The number of consecutive requests that fail. The constant below is the shortest backoff between two of them. */
+    /** The number of consecutive requests that fail. */
     private static final int FAILED_REQUESTS = 30;
-
+    /** The shortest backoff between two failed requests. */
     private static final double MIN_BACKOFF_MS = 50;
     /** Longer than the response time-out of discovery requests with a wait of 1 s. */
     private static final int LOOP_BLOCKED_MS = 1800;
@@ -52,7 +52,7 @@
     private final SidecarFixture fixture = new SidecarFixture(before);
 
     WatchTest() throws IOException {
-        // The load balancer itself would not poll again within any test.
+        // The load balancer itself does not poll again within a test, unless the test sets a shorter interval.
         fixture.pollIntervalMs = 600_000;
         fixture.discoveryWaitMs = 1000;
     }
@@ -120,6 +120,7 @@
         long failedNs = System.nanoTime();
         SidecarFixture.await("the endpoint list is applied", () -> fixture.discovery.requests.size() >= 3);
         assertTrue((System.nanoTime() - failedNs) / 1e6 < MAX_PROPAGATION_MS);
+        // After a failed request, the next one waits for 100 ms only.
         assertEquals(
                 "GET /registry/instances?index=1&wait=100 HTTP/1.1",
                 fixture.discovery.requests.get(1).startLine(),
--- a/edge/src/test/java/lemonrail/cli/ConfigFileErrorsTest.java
+++ b/edge/src/test/java/lemonrail/cli/ConfigFileErrorsTest.java
@@ -232,8 +232,8 @@
     }
 
     /**
-     * Guards against a wait longer than the time within which a change must take effect. It would hide a failed
-     * watch.
+     * Guards against a wait longer than the time within which a change must take effect. Such a wait would delay the
+     * detection of a failed watch.
      */
     @Test
     void limitsDiscoveryWaitSoThatChangesTakeEffectInTime() throws IOException {
--- a/edge/src/test/java/lemonrail/control/PeerReplicationTest.java
+++ b/edge/src/test/java/lemonrail/control/PeerReplicationTest.java
@@ -26,7 +26,7 @@
             nodes.put("w1", "quote", "s" + i, "in_service");
         }
         nodes.awaitEqual("w1", "w2", "e1");
-        WatchTestClient orphaned = watcher("quote", "w1").watch(0);
+        WatchTestClient westWatcher = watcher("quote", "w1").watch(0);
         WatchTestClient eastWatcher = watcher("quote", "e1").watch(0);
         nodes.node("w1").setPartitioned("e1", true);
         nodes.put("w1", "quote", "s7", "terminating");
@@ -34,16 +34,17 @@
         nodes.node("w1").stop();
         eastWatcher.watchUntil("s7", "terminating");
         assertFalse(eastWatcher.full);
-        orphaned.connectTo(nodes.node("w2").address());
-        long bytesBefore = orphaned.bytes;
-        orphaned.watchUntil("s7", "terminating");
-        assertFalse(orphaned.full, "a watcher must not get a full snapshot after its node failed");
-        long receivedBytes = orphaned.bytes - bytesBefore;
-        orphaned.watch(0);
-        assertFalse(orphaned.full);
-        // Entries received within the overlap are sent again. In this test all entries are recent enough.
+        westWatcher.connectTo(nodes.node("w2").address());
+        long bytesBefore = westWatcher.bytes;
+        westWatcher.watchUntil("s7", "terminating");
+        assertFalse(westWatcher.full, "a watcher must not get a full snapshot after its node failed");
+        long receivedBytes = westWatcher.bytes - bytesBefore;
+        westWatcher.watch(0);
+        assertFalse(westWatcher.full);
+        // Entries received within WatchServer.VERSION_OVERLAP_MS before the watcher's version are sent again. In this
+        // test all entries are recent enough.
         assertTrue(receivedBytes > 0);
-        assertEquals(100, orphaned.states.size());
+        assertEquals(100, westWatcher.states.size());
     }
 
     /**
