--- a/edge/src/test/java/lemonrail/assembly/SidecarTest.java
+++ b/edge/src/test/java/lemonrail/assembly/SidecarTest.java
@@ -221,7 +221,7 @@
             assertEquals(503, fixture.sendRequest("order", DEADLINE_MS).status());
             assertEquals(8, fixture.attempts());
             assertTrue(fixture.logged().contains("all 8 connections to endpoints are busy"), fixture.logged());
-            assertFalse(fixture.logged().contains("module failed"), fixture.logged());
+            assertFalse(fixture.logged().contains("the load balancer threw an exception"), fixture.logged());
         }
     }
 
