--- a/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
+++ b/core/src/test/java/lemonrail/core/policy/ListChangesTest.java
@@ -136,12 +136,12 @@
         f.balancer.onTimer(f.nowMs, UNUSED_TIMER);
         Fixture withSnapshot = Fixture.of(FLEET_SIZE, 3, 1);
         withSnapshot.nowMs = f.nowMs;
-        List<Endpoint> departed = listed.values().stream()
+        List<Endpoint> remaining = listed.values().stream()
                 .filter(endpoint -> endpoint.state() != EndpointState.GONE)
                 .toList();
         withSnapshot.setEndpoints(remaining);
         assertEquals(endpointsOfRequests(withSnapshot, 250), endpointsOfRequests(f, 250));
-        assertEquals(departed.size(), f.balancer.knownEndpoints());
+        assertEquals(remaining.size(), f.balancer.knownEndpoints());
     }
 
     /** An endpoint's readiness takes effect immediately. */
--- a/edge/src/main/java/lemonrail/assembly/ConfigurationReloader.java
+++ b/edge/src/main/java/lemonrail/assembly/ConfigurationReloader.java
@@ -115,10 +115,10 @@
     private void apply(LoadedConfiguration next) {
         EdgeConfig config = next.config();
         if (targets.discovery() != null && config.discovery() != null) {
-            log.info("config_reloaded", "configuration reloaded: discovery is at " + config.discovery());
+            log.info("config_reloaded", "configuration read again: discovery is at " + config.discovery());
             targets.discovery().moveTo(config.discovery());
         } else {
-            log.info("config_reloaded", "configuration reloaded");
+            log.info("config_reloaded", "configuration read again");
         }
         if (targets.fixedEndpoints()) {
             targets.dispatcher().onEndpointList(config.initialEndpoints());
--- a/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ProtocolContractTest.java
@@ -345,7 +345,7 @@
         edge.reload();
         SidecarFixture.await(
                 "the configuration is reloaded",
-                () -> log.toString(StandardCharsets.UTF_8).contains("configuration reloaded"));
+                () -> log.toString(StandardCharsets.UTF_8).contains("configuration read again"));
         for (int i = 0; i < 6; i++) {
             assertEquals(
                     ClientResult.Kind.SERVED,
--- a/edge/src/test/java/lemonrail/assembly/ReloadTest.java
+++ b/edge/src/test/java/lemonrail/assembly/ReloadTest.java
@@ -110,8 +110,6 @@
                 "the invalid JSON is logged", () -> fixture.logged().contains("invalid JSON"));
         assertEquals("before", fixture.sendRequest("order", DEADLINE_MS).body());
         assertEquals(1, fixture.discovery.open.get(), "the former discovery is still watched");
-        assertTrue(
-                fixture.logged().contains("configuration not reloaded, or only in part"),
-                fixture.logged());
+        assertTrue(fixture.logged().contains("configuration not reloaded, or only in part"), fixture.logged());
     }
 }
--- a/edge/src/test/java/lemonrail/assembly/TomlConfigurationTest.java
+++ b/edge/src/test/java/lemonrail/assembly/TomlConfigurationTest.java
@@ -147,14 +147,14 @@
             edge.reload();
             edge.reload();
         });
-        SidecarFixture.await("both reloads are done", () -> logged().split("configuration reloaded", -1).length == 3);
+        SidecarFixture.await("both reloads are done", () -> logged().split("configuration read again", -1).length == 3);
         assertFalse(logged().contains("configuration not reloaded"), logged());
         assertEquals("second", sendRequest(newAddress).body());
         InetSocketAddress later = freeAddress();
         write(toml(hostAndPort(later), first, ""));
         edge.reload();
         SidecarFixture.await(
-                "the third reload is done", () -> logged().split("configuration reloaded", -1).length == 4);
+                "the third reload is done", () -> logged().split("configuration read again", -1).length == 4);
         assertEquals("first", sendRequest(later).body());
         assertThrows(IOException.class, () -> sendRequest(newAddress), "the former listener is closed");
     }
@@ -200,7 +200,7 @@
         edge.reload();
         SidecarFixture.await("the missing file is logged", () -> logged().contains("file not found"));
         assertEquals("first", sendRequest(edge.address()).body());
-        reload(toml("127.0.0.1:0", second, ""), "configuration reloaded");
+        reload(toml("127.0.0.1:0", second, ""), "configuration read again");
         assertEquals("second", sendRequest(edge.address()).body());
     }
 
@@ -213,7 +213,7 @@
         }
         String drained = toml("127.0.0.1:0", first, both)
                 .replace(first.address() + "\"", first.address() + "\"\nstate = \"draining\"");
-        reload(drained, "configuration reloaded");
+        reload(drained, "configuration read again");
         for (int i = 0; i < 5; i++) {
             assertEquals("second", sendRequest(edge.address()).body());
         }
--- a/lab/src/main/java/lemonrail/lab/report/Scorer.java
+++ b/lab/src/main/java/lemonrail/lab/report/Scorer.java
@@ -82,8 +82,8 @@
                                 * run.scenario().patience().minFraction()
                                 / 2;
         boolean attempted = clientRequest.tries().stream()
-                .anyMatch(clientTry ->
-                        !run.recorder().attemptsOf(clientTry.id()).isEmpty());
+                .anyMatch(
+                        clientTry -> !run.recorder().attemptsOf(clientTry.id()).isEmpty());
         return late && !attempted ? NO_ATTEMPT_PENALTY * weight(clientRequest) : 0;
     }
 
--- a/lab/src/main/java/lemonrail/lab/scale/RealSidecar.java
+++ b/lab/src/main/java/lemonrail/lab/scale/RealSidecar.java
@@ -114,7 +114,7 @@
 
     private long countReloads() throws IOException {
         return Files.readAllLines(log).stream()
-                .filter(line -> line.contains("configuration reloaded"))
+                .filter(line -> line.contains("configuration read again"))
                 .count();
     }
 
--- a/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
+++ b/lab/src/main/java/lemonrail/lab/scale/path/Hop.java
@@ -109,7 +109,8 @@
 
     /** Returns the latency that the route to the next service and back added to each call, in microseconds. */
     Histogram addedLatency() {
-        return endpointLoop.loop()
+        return endpointLoop
+                .loop()
                 .submit(addedLatencyMicros::copy)
                 .syncUninterruptibly()
                 .getNow();
--- a/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
+++ b/lab/src/test/java/lemonrail/lab/fleet/Fleet.java
@@ -477,7 +477,8 @@
             int rack = endpoints.get(endpointId).shape().rack();
             for (Attempt earlier : request.attempts) {
                 boolean mayHaveExecuted = earlier.outcome != null && !earlier.outcome.provesNotExecuted();
-                Idempotency idempotency = settings.classes().get(request.classIndex).idempotency();
+                Idempotency idempotency =
+                        settings.classes().get(request.classIndex).idempotency();
                 if (earlier.outcome == null
                         || (mayHaveExecuted
                                 && (idempotency == Idempotency.NON_IDEMPOTENT
